--- a/hazelhollow/__init__.py
+++ b/hazelhollow/__init__.py
@@ -11,7 +11,10 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Found when asked for: a start sets its signals (hazelhollow/signals.py) before anything that takes time."""
+    """Found when asked for.
+
+    A start sets its signals (hazelhollow/signals.py) before anything that takes time.
+    """
     if name == "Gateway":
         from hazelhollow.decisions.engine import Gateway
 
--- a/hazelhollow/bench/checker.py
+++ b/hazelhollow/bench/checker.py
@@ -1,4 +1,6 @@
-"""The rule on limits, worked out from what hosts were sent: one store of units for each customer, shared by all limiters.
+"""The rule on limits, worked out from what hosts were sent.
+
+One store of units for each customer, shared by all limiters.
 
 Independent of the accounting under test: it knows when and how much, and nothing of leases.
 """
--- a/hazelhollow/bench/commands.py
+++ b/hazelhollow/bench/commands.py
@@ -1,4 +1,7 @@
-"""`hazelhollow bench`: what the product's own modules do in seeded runs, with figures for scripts."""
+"""`hazelhollow bench`.
+
+What the product's own modules do in seeded runs, with figures for scripts.
+"""
 
 from __future__ import annotations
 
@@ -53,12 +56,18 @@
     help="The limits that the store keeps.",
 )
 @click.option(
-    "--plans", default="", metavar="A,B", help="Whose limits it keeps. [default: those with a ceiling]"
+    "--plans",
+    default="",
+    metavar="A,B",
+    help="Whose limits it keeps. [default: those with a ceiling]",
 )
 @click.option(
     "--uneven",
     is_flag=True,
-    help="Nine tenths of a customer's requests come through one limiter, another every few seconds.",
+    help=(
+        "Nine tenths of a customer's requests come through one limiter, another every few "
+        "seconds."
+    ),
 )
 @click.option(
     "--processes",
@@ -68,14 +77,22 @@
 )
 @click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def store_(
-    runs: int, seed: int, limiters: int, seconds: float, faults: tuple[str, ...], hold: str, plans: str, uneven: bool,
-    processes: int, file: str | None,
-) -> None:  # fmt: skip
+    runs: int,
+    seed: int,
+    limiters: int,
+    seconds: float,
+    faults: tuple[str, ...],
+    hold: str,
+    plans: str,
+    uneven: bool,
+    processes: int,
+    file: str | None,
+) -> None:
     """Month-end load on limiters that keep their limits in a store, against the stand-in.
 
-    For each kind of fault so many runs, and as many with even shares and with no store for comparison. A run is broken if
-    any customer's limit was passed by more than 10% of its burst or one largest request, and 150 ms of its rate. Exit status
-    1: some run was broken.
+    For each kind of fault so many runs, and as many with even shares and with no store for
+    comparison. A run is broken if any customer's limit was passed by more than 10% of its burst or
+    one largest request, and 150 ms of its rate. Exit status 1: some run was broken.
     """
     kinds = (
         [k for k in store.KINDS if k != store.EVEN]
@@ -83,15 +100,21 @@
         else list(dict.fromkeys(faults))
     )
     names = tuple(name for name in plans.split(",") if name)
-    jobs = [store.Job(n, kind, limiters, seconds, hold, kind != store.TODAY, names, uneven)
-            for kind in [*kinds, store.EVEN, store.TODAY] for n in range(seed, seed + runs)]  # fmt: skip
+    jobs = [
+        store.Job(n, kind, limiters, seconds, hold, kind != store.TODAY, names, uneven)
+        for kind in [*kinds, store.EVEN, store.TODAY]
+        for n in range(seed, seed + runs)
+    ]
     results = []
     try:
         for result in store.play_all(jobs, processes or os.cpu_count() or 1):
             results.append(result)
             if sys.stderr.isatty():
                 click.echo(
-                    f"\r{len(results)} of {len(jobs)} runs, {sum(r.broken for r in results)} broken",
+                    (
+                        f"\r{len(results)} of {len(jobs)} runs, "
+                        f"{sum(r.broken for r in results)} broken"
+                    ),
                     nl=False,
                     err=True,
                 )
@@ -108,8 +131,12 @@
             if name != "by_fault":
                 click.echo(f"{name:40} {value}")
         for kind, row in figures["by_fault"].items():
-            click.echo(f"  {kind:14} broken {row['broken']:3}  over {row['worst_overshoot_share']:7.4f}  calls a kept request "
-                       f"{row['calls_per_kept_request']:.3f}  refused with room {row['refused_with_room_share']:.4f}")  # fmt: skip
+            click.echo(
+                f"  {kind:14} broken {row['broken']:3}  over "
+                f"{row['worst_overshoot_share']:7.4f}  calls a kept request "
+                f"{row['calls_per_kept_request']:.3f}  refused with room "
+                f"{row['refused_with_room_share']:.4f}"
+            )
     sys.exit(1 if figures["broken"] else 0)
 
 
@@ -122,16 +149,26 @@
     help="Of runs, without the store and with it in turn.",
 )
 @click.option(
-    "--requests", default=8000, show_default=True, type=click.IntRange(160, 1_000_000), help="In each run."
+    "--requests",
+    default=8000,
+    show_default=True,
+    type=click.IntRange(160, 1_000_000),
+    help="In each run.",
 )
 @click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def cpu_(pairs: int, requests: int, file: str | None) -> None:
-    """CPU a request of a limiter on sockets, with a store and without. Needs a quiet machine: only the ratio counts."""
+    """CPU a request of a limiter on sockets, with a store and without.
+
+    Needs a quiet machine: only the ratio counts.
+    """
     rows = []
     for row in cpu.compare(pairs, requests):
         rows.append(row)
         click.echo(
-            f"{len(rows)} of {pairs}: {row['without_us']:.0f} and {row['with_us']:.0f} µs, ratio {row['ratio']:.3f}",
+            (
+                f"{len(rows)} of {pairs}: {row['without_us']:.0f} and {row['with_us']:.0f} "
+                f"µs, ratio {row['ratio']:.3f}"
+            ),
             err=True,
         )
     _put(cpu.summary(rows), file)
@@ -147,10 +184,18 @@
 
 @bench.command("fleet")
 @click.option(
-    "--sizes", default="20,100", show_default=True, metavar="N,M", help="Members of each fleet, 3 to 2000."
+    "--sizes",
+    default="20,100",
+    show_default=True,
+    metavar="N,M",
+    help="Members of each fleet, 3 to 2000.",
 )
 @click.option(
-    "--seeds", default=5, show_default=True, type=click.IntRange(1, 1000), help="Fleets of each size."
+    "--seeds",
+    default=5,
+    show_default=True,
+    type=click.IntRange(1, 1000),
+    help="Fleets of each size.",
 )
 @click.option(
     "--lose",
@@ -167,9 +212,15 @@
     help="Of that loss, on the virtual clock.",
 )
 @click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
-@click.option("--plot", metavar="FILE", help="Draw them by size as SVG or PNG (needs requirements-plot.txt).")
-def fleet_(sizes: str, seeds: int, lose: float, minutes: float, file: str | None, plot: str | None) -> None:
-    """The view of the fleet in memory: seconds to settle after a start, a crash, a crash of half, a split and its heal.
+@click.option(
+    "--plot", metavar="FILE", help="Draw them by size as SVG or PNG (needs requirements-plot.txt)."
+)
+def fleet_(
+    sizes: str, seeds: int, lose: float, minutes: float, file: str | None, plot: str | None
+) -> None:
+    """The view of the fleet in memory.
+
+    Seconds to settle after a start, a crash, a crash of half, a split and its heal.
 
     Exit status 1: some fleet did not settle within a minute.
     """
@@ -198,15 +249,20 @@
         if file:
             Path(file).write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
         for size, row in found.items():
-            shown = [f"{key} {row[key]['median']} (worst {row[key]['worst']})" for key in fleets.SHOWN]
+            shown = [
+                f"{key} {row[key]['median']} (worst {row[key]['worst']})" for key in fleets.SHOWN
+            ]
             click.echo(f"{size} members: " + ", ".join(shown))
             if "false_deaths" in row:
                 click.echo(
-                    f"  {row['false_deaths']} false deaths in {row['member_minutes']:.0f} member-minutes at {lose:.0%} loss"
+                    f"  {row['false_deaths']} false deaths in {row['member_minutes']:.0f} "
+                    f"member-minutes at {lose:.0%} loss"
                 )
     if plot:
         plots.fleet(found, plot)
-    sys.exit(1 if any(row[key]["not_settled"] for row in found.values() for key in fleets.SHOWN) else 0)
+    sys.exit(
+        1 if any(row[key]["not_settled"] for row in found.values() for key in fleets.SHOWN) else 0
+    )
 
 
 def _numbers(text: str, least: int, most: int) -> list[int]:
@@ -219,10 +275,18 @@
 
 @bench.command("zones")
 @click.option(
-    "--sizes", default="50,116", show_default=True, metavar="N,M", help="Members of each fleet, 6 to 2000."
+    "--sizes",
+    default="50,116",
+    show_default=True,
+    metavar="N,M",
+    help="Members of each fleet, 6 to 2000.",
 )
 @click.option(
-    "--seeds", default=1, show_default=True, type=click.IntRange(1, 1000), help="Fleets of each size."
+    "--seeds",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 1000),
+    help="Fleets of each size.",
 )
 @click.option(
     "--lose",
@@ -243,10 +307,13 @@
 def zones_(
     sizes: str, seeds: int, lose: float, bytes_per_s: float, contended: bool, file: str | None
 ) -> None:
-    """The view while a sixth of the members dies at once and comes back, and a region of three is cut off and healed.
+    """The view while a sixth of the members dies at once and comes back.
+
+    And a region of three is cut off and healed.
 
-    Figures by phase: seconds until all agree, and bytes a second with headers of the member that sent most. Exit status 1: a
-    member that was up was held dead, or a phase did not settle within a minute.
+    Figures by phase: seconds until all agree, and bytes a second with headers of the member that
+    sent most. Exit status 1: a member that was up was held dead, or a phase did not settle within a
+    minute.
     """
     try:
         counts = _numbers(sizes, 6, 2000)
@@ -261,7 +328,10 @@
     for row in rows:
         click.echo(f"false deaths: {row['false_deaths']}")
     unsettled = any(
-        phase["settled_s"] is None for row in rows for phase in row.values() if isinstance(phase, dict)
+        phase["settled_s"] is None
+        for row in rows
+        for phase in row.values()
+        if isinstance(phase, dict)
     )
     sys.exit(1 if unsettled or any(row["false_deaths"] for row in rows) else 0)
 
@@ -275,7 +345,11 @@
     help="That a limiter which begins is told of.",
 )
 @click.option(
-    "--lose", default="0,10,30", show_default=True, metavar="P,Q", help="Of a hundred datagrams, lost."
+    "--lose",
+    default="0,10,30",
+    show_default=True,
+    metavar="P,Q",
+    help="Of a hundred datagrams, lost.",
 )
 @click.option(
     "--fleets",
@@ -287,9 +361,12 @@
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 1000))
 @click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def replica_(customers: str, lose: str, fleets: str, seeds: int, file: str | None) -> None:
-    """What limiters keep alike, in memory: catch-up, steady cost, the heal of a split, bytes for a count.
+    """What limiters keep alike, in memory.
 
-    Exit status 1: some catch-up was not whole within ten minutes, or was told of a customer not once.
+    Catch-up, steady cost, the heal of a split, bytes for a count.
+
+    Exit status 1: some catch-up was not whole within ten minutes, or was told of a customer not
+    once.
     """
     try:
         sizes, losses, members = (
@@ -329,10 +406,16 @@
     type=click.IntRange(0, 5),
     help="Of gossip and of counts, in all.",
 )
-@click.option("--turns", default=3, show_default=True, type=click.IntRange(0, 6), help="Of the period.")
+@click.option(
+    "--turns", default=3, show_default=True, type=click.IntRange(0, 6), help="Of the period."
+)
 @click.option("--crashes", default=1, show_default=True, type=click.IntRange(0, 3))
 @click.option(
-    "--copies", default=1, show_default=True, type=click.IntRange(0, 3), help="Datagrams that come again."
+    "--copies",
+    default=1,
+    show_default=True,
+    type=click.IntRange(0, 3),
+    help="Datagrams that come again.",
 )
 @click.option(
     "--lags",
@@ -342,8 +425,12 @@
     help="Turns that one clock comes late to.",
 )
 @click.option("--depth", default=6, show_default=True, type=click.IntRange(1, 20), help="Steps.")
-@click.option("--plant", type=click.Choice(sorted(models.MISTAKES)), help="A mistake that it must find.")
-@click.option("--plan", "file", metavar="FILE", help="Write what broke as a plan for `fleet replay`.")
+@click.option(
+    "--plant", type=click.Choice(sorted(models.MISTAKES)), help="A mistake that it must find."
+)
+@click.option(
+    "--plan", "file", metavar="FILE", help="Write what broke as a plan for `fleet replay`."
+)
 def model_(
     members: int,
     charges: int,
@@ -356,9 +443,11 @@
     plant: str | None,
     file: str | None,
 ) -> None:
-    """Every order in which charges, datagrams, crashes and catch-up can come, up to these bounds, on the real merge and catch-up.
+    """Every order in which charges, datagrams, crashes and catch-up can come, up to these bounds,
+    on the real merge and catch-up.
 
-    Exit status 1: something counted twice or was forgotten; the steps are printed, no shorter ones do it.
+    Exit status 1: something counted twice or was forgotten; the steps are printed, no shorter ones
+    do it.
     """
     bounds = models.Bounds(members, charges, sends, turns, crashes, copies, lags, depth)
     tty = sys.stderr.isatty()
--- a/hazelhollow/bench/cpu.py
+++ b/hazelhollow/bench/cpu.py
@@ -1,6 +1,9 @@
-"""CPU a request of a limiter on real sockets, with an operator file and without, as a ratio of runs taken in turn.
+"""CPU a request of a limiter on real sockets, with an operator file and without.
 
-Machines are noisy, so only the ratio within one session says anything: the runs alternate, and each pair gives one ratio.
+As a ratio of runs taken in turn.
+
+Machines are noisy, so only the ratio within one session says anything: the runs alternate, and each
+pair gives one ratio.
 """
 
 from __future__ import annotations
@@ -21,7 +24,8 @@
 
 from hazelhollow.net import resp
 
-CUSTOMERS = 40  # each asks 20 times a second, well inside its quota: both ways of running serve them all
+# each asks 20 times a second, well inside its quota: both ways of running serve them all
+CUSTOMERS = 40
 IN_FLIGHT = 16  # connections that ask at once ...
 BEAT = 0.02  # ... so often, in seconds
 READY = 15.0  # seconds for a program to say so
@@ -47,11 +51,21 @@
 
 
 @contextmanager
-def program(*words: str, env: dict[str, str] | None = None, ready: bool = True) -> Iterator[tuple[int, str]]:
-    """One of our commands as a process of its own: its number and, where it tells one, its address."""
+def program(
+    *words: str, env: dict[str, str] | None = None, ready: bool = True
+) -> Iterator[tuple[int, str]]:
+    """One of our commands as a process of its own.
+
+    Its number and, where it tells one, its address.
+    """
     with tempfile.TemporaryFile() as sink:
-        process = subprocess.Popen([sys.executable, "-m", "hazelhollow", *words], env={**os.environ, **(env or {})},
-                                   stdout=subprocess.PIPE, stderr=sink, text=True)  # fmt: skip
+        process = subprocess.Popen(
+            [sys.executable, "-m", "hazelhollow", *words],
+            env={**os.environ, **(env or {})},
+            stdout=subprocess.PIPE,
+            stderr=sink,
+            text=True,
+        )
         try:
             assert process.stdout
             line = process.stdout.readline().split() if ready else []
@@ -62,7 +76,10 @@
 
 
 def cpu_of(pid: int) -> float:
-    """Seconds that a process has been on a CPU (schedstat: nanoseconds, where stat counts hundredths of a second)."""
+    """Seconds that a process has been on a CPU (schedstat.
+
+    Nanoseconds, where stat counts hundredths of a second).
+    """
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
@@ -76,8 +93,21 @@
 def one_run(folder: Path, node: str, operator: str | None, requests: int) -> tuple[float, int]:
     """Seconds of CPU a request, and how many were served."""
     port = free_port()
-    known = {"index": 1, "snapshot": True, "endpoints": [{"name": "s-1", "address": node, "zone": "a", "group": 0, "status": "in_service",
-             "weight": 1.0, "since_ms": 0}]}  # fmt: skip
+    known = {
+        "index": 1,
+        "snapshot": True,
+        "endpoints": [
+            {
+                "name": "s-1",
+                "address": node,
+                "zone": "a",
+                "group": 0,
+                "status": "in_service",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+        ],
+    }
     told = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
@@ -89,7 +119,9 @@
     config = folder / "config.json"
     config.write_bytes(orjson.dumps(told))
     extra = ["--operator", operator] if operator else []
-    with program("serve", "--log-level", "error", *extra, env={"RELAY_CONFIG": str(config)}, ready=False) as (
+    with program(
+        "serve", "--log-level", "error", *extra, env={"RELAY_CONFIG": str(config)}, ready=False
+    ) as (
         pid,
         _,
     ):
@@ -136,7 +168,10 @@
 
 
 def compare(pairs: int, requests: int) -> Iterator[dict[str, float]]:
-    """So many pairs of runs, without and with the store in turn; each gives its figures in µs a request and the ratio."""
+    """So many pairs of runs, without and with the store in turn.
+
+    Each gives its figures in µs a request and the ratio.
+    """
     with (
         tempfile.TemporaryDirectory() as name,
         program("standin", "node", "--work", "0.0005", "--cores", "64") as (_, node),
@@ -148,12 +183,22 @@
         for _ in range(pairs):
             without, served = one_run(folder, node, None, requests)
             with_store, kept = one_run(folder, node, str(operator), requests)
-            yield {"without_us": without * 1e6, "with_us": with_store * 1e6, "ratio": with_store / without,
-                   "served_without": served, "served_with": kept}  # fmt: skip
+            yield {
+                "without_us": without * 1e6,
+                "with_us": with_store * 1e6,
+                "ratio": with_store / without,
+                "served_without": served,
+                "served_with": kept,
+            }
 
 
 def summary(rows: list[dict[str, float]]) -> dict[str, object]:
     ratios = sorted(row["ratio"] for row in rows)
-    return {"pairs": len(rows), "ratio_median": round(median(ratios), 4), "ratio_least_most": [round(ratios[0], 4), round(ratios[-1], 4)],
-            "without_us_median": round(median(r["without_us"] for r in rows), 1), "with_us_median": round(median(r["with_us"] for r in rows), 1),
-            "rows": rows}  # fmt: skip
+    return {
+        "pairs": len(rows),
+        "ratio_median": round(median(ratios), 4),
+        "ratio_least_most": [round(ratios[0], 4), round(ratios[-1], 4)],
+        "without_us_median": round(median(r["without_us"] for r in rows), 1),
+        "with_us_median": round(median(r["with_us"] for r in rows), 1),
+        "rows": rows,
+    }
--- a/hazelhollow/bench/documents.py
+++ b/hazelhollow/bench/documents.py
@@ -1,6 +1,7 @@
 """How long a document of settings takes to reach members within their budgets of control traffic.
 
-The audit's own cutting, asking and giving, on a virtual clock, with a model of datagrams that are all taken 20 ms to arrive.
+The audit's own cutting, asking and giving, on a virtual clock, with a model of datagrams that are
+all taken 20 ms to arrive.
 """
 
 from __future__ import annotations
@@ -63,8 +64,11 @@
 def seconds_to_all(
     members: int, holders: int, texts: int, bytes_per_s: float, contended: bool, seed: int
 ) -> float:
-    """Until every member has a document of so many pieces, which `holders` of them have at the start; of none: until it has the
-    difference from what it acts on, in one."""
+    """Until every member has a document of so many pieces.
+
+    Which `holders` of them have at the start; of none: until it has the difference from what it
+    acts on, in one.
+    """
     settings, chance, now = settings_for(bytes_per_s), random.Random(seed), 0.0
     if contended:
         own = settings.roles[Role.CONFIGURATION]
@@ -79,7 +83,9 @@
         having = [number for number, one in enumerate(all_members) if one.has]
         mail = list[tuple[int, int, str]]()
         for number, one in enumerate(all_members):
-            if not one.has and round(now / STEP) % round(BEAT / STEP) == number % round(BEAT / STEP):
+            if not one.has and round(now / STEP) % round(BEAT / STEP) == number % round(
+                BEAT / STEP
+            ):
                 text = takers[number].wants_few(chance, now, bool(takers[number].base))
                 few = not takers[number].base and 2 * len(having) < members - 1
                 of_others = few and not (takers[number].short() and chance.random() < ASK_HOLDERS)
@@ -91,7 +97,9 @@
         for sender, receiver, text in mail:
             said, one = transfer.read(text), all_members[receiver]
             if isinstance(said, transfer.Asked):
-                for line in given.answer_at_once(said) if one.has else takers[receiver].answer(said):
+                for line in (
+                    given.answer_at_once(said) if one.has else takers[receiver].answer(said)
+                ):
                     if not one.waiting.holds((sender, line)):
                         one.waiting.add(GIVE_RANK, len(line), (sender, line), now)
             elif isinstance(said, transfer.Given) and not one.has:
--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -1,4 +1,7 @@
-"""The view's own modules on a virtual clock: many members, a model of datagrams, and what settling costs by size."""
+"""The view's own modules on a virtual clock.
+
+Many members, a model of datagrams, and what settling costs by size.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +20,17 @@
 DELAY = (0.001, 0.02)  # seconds on the way
 LONGEST = 60.0  # seconds until a scenario counts as not settled
 SHOWN = (
-    "start", "one_suspected", "one_dead", "one_joins", "half_dead", "half_join", "split", "heal", "messages", "bytes",
-)  # fmt: skip
+    "start",
+    "one_suspected",
+    "one_dead",
+    "one_joins",
+    "half_dead",
+    "half_join",
+    "split",
+    "heal",
+    "messages",
+    "bytes",
+)
 LOOK = 0.05  # seconds between looks at whether all agree
 
 
@@ -33,8 +45,11 @@
 
 
 class Sim:
-    """`lose`: the share of datagrams that is lost; `allowance`: makes one for a member that starts; `versions`: of what all members
-    act on. The same seed plays the same."""
+    """`lose`.
+
+    The share of datagrams that is lost; `allowance`: makes one for a member that starts;
+    `versions`: of what all members act on. The same seed plays the same.
+    """
 
     def __init__(
         self,
@@ -44,13 +59,19 @@
         allowance: Callable[[float], Allowance | None] = lambda now: None,
         versions: str = "",
     ) -> None:
-        self.count, self.random, self.lose, self.allowance = members, random.Random(seed), lose, allowance
+        self.count, self.random, self.lose, self.allowance = (
+            members,
+            random.Random(seed),
+            lose,
+            allowance,
+        )
         self.versions = versions
         self.now = START
         self.members: dict[int, Member] = {}
         self.cut: Callable[[int, int], bool] = lambda a, b: False
         self.sent = self.bytes = 0
-        self.suspected: dict[int, float] = {}  # when a member was first suspected or held dead since `watch`
+        # when a member was first suspected or held dead since `watch`
+        self.suspected: dict[int, float] = {}
         self.deaths: list[tuple[float, int, int]] = []  # when, who said so, of whom
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._serial = 0
@@ -62,7 +83,9 @@
         life = self.random.randrange(1 << 30)
         old = self.members.get(number)
         began, allowance = self.now - clock_back, self.allowance(self.now)
-        view = views.View(number, self.count, began, life, versions=self.versions, allowance=allowance)
+        view = views.View(
+            number, self.count, began, life, versions=self.versions, allowance=allowance
+        )
         one = Member(number, view)
         one.epoch = old.epoch + 1 if old else 0
         one.view.began = one.view.waking = one.view.last_beat = self.now
@@ -148,7 +171,9 @@
             call()
         self.now = until
 
-    def settle(self, met: Callable[[], bool] | None = None, longest: float = LONGEST) -> float | None:
+    def settle(
+        self, met: Callable[[], bool] | None = None, longest: float = LONGEST
+    ) -> float | None:
         """Seconds until all that are up agree and are right; nothing if they do not in time."""
         began, met = self.now, met or self.agreed
         while not met():
@@ -158,7 +183,9 @@
         return self.now - began
 
     def agreed(self, among: Iterable[int] | None = None) -> bool:
-        """Whether each of these holds all of these that are up as present, in the life that they have, and no other."""
+        """Whether each of these holds all of these that are up as present, in the life that they
+        have, and no other.
+        """
         numbers = set(self.members if among is None else among)
         up = {n: self.members[n].view.own.life for n in numbers if self.members[n].up}
         tables = [self.members[number].view.table for number in up]
@@ -178,7 +205,10 @@
 
 
 def scenarios(members: int, seed: int) -> dict[str, Any]:
-    """One fleet through a start, a crash, a crash of half, their return, a split and its heal. Times in seconds."""
+    """One fleet through a start, a crash, a crash of half, their return, a split and its heal.
+
+    Times in seconds.
+    """
     sim, found = Sim(members, seed), dict[str, Any]()
     sim.start_all()
     found["start"] = sim.settle()
--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -1,6 +1,9 @@
-"""What a budget of bytes for the quota gossip costs: real decision modules in virtual time, by rate and by order of the news.
+"""What a budget of bytes for the quota gossip costs.
 
-`python -m hazelhollow.bench.gossip_budget --help`. A seed gives the same figures on any machine, and all orders the same customers.
+Real decision modules in virtual time, by rate and by order of the news.
+
+`python -m hazelhollow.bench.gossip_budget --help`. A seed gives the same figures on any machine,
+and all orders the same customers.
 """
 
 from __future__ import annotations
@@ -15,7 +18,8 @@
 from hazelhollow.decisions.gossip_outbox import HEADER, News
 
 LOAD_PER_GATEWAY = 40.0  # units a second inside quotas
-HELD_BACK, FAR = 0.1, 0.5  # of the burst: what `HoldBack` keeps back, of customers with so much left
+# of the burst: what `HoldBack` keeps back, of customers with so much left
+HELD_BACK, FAR = 0.1, 0.5
 
 
 class FirstCome(Gateway):
@@ -42,7 +46,10 @@
 
 
 class HoldBack(UntoldByNearness):
-    """The same, but small charges of customers with much left wait until they add up or the period closes."""
+    """The same.
+
+    But small charges of customers with much left wait until they add up or the period closes.
+    """
 
     def _worth(self, peer: int, news: News) -> float:
         account, worth = self.accounts.get(news[0]), super()._worth(peer, news)
@@ -62,7 +69,11 @@
 
 
 class Figures(NamedTuple):
-    """Of one run; shares are of the worth offered inside quotas, bytes are a gateway's, a second, headers included."""
+    """Of one run.
+
+    Shares are of the worth offered inside quotas, bytes are a gateway's, a second, headers
+    included.
+    """
 
     served: float
     over: float
@@ -80,7 +91,9 @@
     fleet = Fleet(seed, gateways, load, make=ORDERS[order], gossip_bytes_per_s=rate)
     count, span = fleet.play(seconds), seconds * gateways
     sent = (count.message_bytes + HEADER * count.messages) / span
-    return Figures(count.served / count.offered, count.over / count.offered, sent, count.messages / span)
+    return Figures(
+        count.served / count.offered, count.over / count.offered, sent, count.messages / span
+    )
 
 
 def lines(
@@ -97,7 +110,8 @@
             means = [sum(values) / len(found) for values in zip(*found, strict=True)]
             mean_net = sum(one.net for one in found) / len(found)
             yield (
-                f"| {rate:,.0f} | {order if rate else 'no budget'} | {net} | {mean_net:.3f} | {means[1]:.3f} "
+                f"| {rate:,.0f} | {order if rate else 'no budget'} | {net} | "
+                f"{mean_net:.3f} | {means[1]:.3f} "
                 f"| {means[2]:,.0f} | {means[3]:.1f} |"
             )
 
@@ -106,10 +120,29 @@
 @click.option("--seed", "seeds", multiple=True, type=int, default=(1, 2, 3), show_default=True)
 @click.option("--gateways", default=50, show_default=True, type=click.IntRange(2, 1000))
 @click.option("--seconds", default=8.0, show_default=True, type=click.FloatRange(1.0, 600.0))
-@click.option("--rate", "rates", multiple=True, type=float, default=(0.0, 3000.0, 2000.0, 1600.0), show_default=True, help="Bytes a second for each gateway; 0: no budget.")  # fmt: skip
-@click.option("--order", "orders", multiple=True, type=click.Choice(list(ORDERS)), default=("nearest",), show_default=True)  # fmt: skip
+@click.option(
+    "--rate",
+    "rates",
+    multiple=True,
+    type=float,
+    default=(0.0, 3000.0, 2000.0, 1600.0),
+    show_default=True,
+    help="Bytes a second for each gateway; 0: no budget.",
+)
+@click.option(
+    "--order",
+    "orders",
+    multiple=True,
+    type=click.Choice(list(ORDERS)),
+    default=("nearest",),
+    show_default=True,
+)
 def main(
-    seeds: tuple[int, ...], gateways: int, seconds: float, rates: tuple[float, ...], orders: tuple[str, ...]
+    seeds: tuple[int, ...],
+    gateways: int,
+    seconds: float,
+    rates: tuple[float, ...],
+    orders: tuple[str, ...],
 ) -> None:
     """Worth served less the price of tries beyond quotas, under budgets of the gossip."""
     for line in lines(list(seeds), gateways, seconds, list(rates), list(orders)):
--- a/hazelhollow/bench/load.py
+++ b/hazelhollow/bench/load.py
@@ -1,7 +1,8 @@
 """Month-end load: customers, their ways of asking, and the arrivals drawn ahead from a seed.
 
-The ranges are those that the operators state for their site: shares of use by plan, rates and bursts, how many customers
-are calm, near their quota, heavy or spiky, and how their requests shift between their limiters.
+The ranges are those that the operators state for their site: shares of use by plan, rates and
+bursts, how many customers are calm, near their quota, heavy or spiky, and how their requests shift
+between their limiters.
 """
 
 from __future__ import annotations
@@ -53,7 +54,12 @@
         burst, times = rate * chance.uniform(*span.burst_s), chance.uniform(*span.ceiling)
         plans.append(
             api.Plan(
-                span.name, rate, burst, over_cost=1.2, ceiling_rate=times * rate, ceiling_burst=times * burst
+                span.name,
+                rate,
+                burst,
+                over_cost=1.2,
+                ceiling_rate=times * rate,
+                ceiling_burst=times * burst,
             )
         )
     return tuple(plans)
@@ -77,7 +83,10 @@
     calm_until: float = 0.0
 
     def rate(self, now: float) -> float:
-        """Units a second. Until `calm_until` every customer is calm: the fleet has been serving before the rush."""
+        """Units a second.
+
+        Until `calm_until` every customer is calm: the fleet has been serving before the rush.
+        """
         if now < self.calm_until:
             return self.plan.rate * min(self.times, CALM)
         spike = max([times for begin, end, times in self.spikes if begin <= now < end], default=0.0)
@@ -93,7 +102,10 @@
 def draw_customers(
     chance: random.Random, plans: tuple[api.Plan, ...], gateways: int, seconds: float, start: float
 ) -> list[Customer]:
-    """As many of each plan as make up its share of the use; with more limiters than three, as many more customers."""
+    """As many of each plan as make up its share of the use.
+
+    With more limiters than three, as many more customers.
+    """
     found = list[Customer]()
     for plan, span in zip(plans, RANGES, strict=True):
         left = INSIDE_PER_S * MEAN_UNITS * span.use * max(gateways / 3, 1.0)
@@ -108,8 +120,12 @@
     chance: random.Random, plan: api.Plan, gateways: int, seconds: float, start: float, number: int
 ) -> Customer:
     way = chance.choices(("calm", "full", "heavy", "spiky"), (0.62, 0.13, 0.09, 0.16))[0]
-    times = {"calm": chance.uniform(0.18, 0.39), "full": chance.uniform(0.9, 1.05), "heavy": chance.uniform(3.1, 4.7),
-             "spiky": chance.uniform(0.18, 0.39)}[way]  # fmt: skip
+    times = {
+        "calm": chance.uniform(0.18, 0.39),
+        "full": chance.uniform(0.9, 1.05),
+        "heavy": chance.uniform(3.1, 4.7),
+        "spiky": chance.uniform(0.18, 0.39),
+    }[way]
     spikes = []
     at = start + chance.uniform(0.0, 14.0)
     while way == "spiky" and at < start + seconds:
@@ -119,8 +135,19 @@
     skew = chance.uniform(0.21, 1.2)
     weights = [1.0 / (n + 1) ** skew for n in range(spread)]
     chance.shuffle(weights)
-    return Customer(f"{number:016x}", plan, chance.randrange(gateways), spread, way, times, spikes, weights,
-                    chance.uniform(8.4, 18.0), skew, start + chance.uniform(-8.0, 0.0))  # fmt: skip
+    return Customer(
+        f"{number:016x}",
+        plan,
+        chance.randrange(gateways),
+        spread,
+        way,
+        times,
+        spikes,
+        weights,
+        chance.uniform(8.4, 18.0),
+        skew,
+        start + chance.uniform(-8.0, 0.0),
+    )
 
 
 @dataclass(frozen=True)
@@ -131,9 +158,15 @@
     units: float
 
 
-def arrivals(chance: random.Random, customer: Customer, start: float, seconds: float) -> Iterator[Arrival]:
+def arrivals(
+    chance: random.Random, customer: Customer, start: float, seconds: float
+) -> Iterator[Arrival]:
     """Poisson at the customer's rate of the moment, by thinning."""
-    most = max([customer.times, *[times for *_, times in customer.spikes]]) * customer.plan.rate / MEAN_UNITS
+    most = (
+        max([customer.times, *[times for *_, times in customer.spikes]])
+        * customer.plan.rate
+        / MEAN_UNITS
+    )
     at = start
     while True:
         at += chance.expovariate(most)
--- a/hazelhollow/bench/losses.py
+++ b/hazelhollow/bench/losses.py
@@ -1,7 +1,9 @@
-"""What the loss of each state costs: a gateway is killed and started again, and all that it knew is given back but one thing.
+"""What the loss of each state costs.
 
-Real modules in memory, virtual time, datagrams that come late or never; some hosts are slow, one fails. The cost is the
-difference to the same run with everything given back.
+A gateway is killed and started again, and all that it knew is given back but one thing.
+
+Real modules in memory, virtual time, datagrams that come late or never; some hosts are slow, one
+fails. The cost is the difference to the same run with everything given back.
 """
 
 from __future__ import annotations
@@ -23,7 +25,9 @@
 class Killed(Fleet):
     """`lost`: the state that is not given back, one of STATES; `everything`, or nothing."""
 
-    def __init__(self, seed: int, lost: str, gateways: int = 5, hosts: int = 15, **changes: Any) -> None:
+    def __init__(
+        self, seed: int, lost: str, gateways: int = 5, hosts: int = 15, **changes: Any
+    ) -> None:
         self.lost, self._next = lost, 0
         super().__init__(seed, gateways=gateways, load=120.0, hosts=hosts, stay=0.3, **changes)
         self.at(self.now + EVERY, self._kill)
@@ -96,7 +100,8 @@
     "ceilings' shares": (("accounts", "due", "unclosed"), _no_ceilings),
     "requests open, keys not answered": (("held",), _no_open),
     "hosts that failed": (("servers", "banned", "table"), _no_failures),
-    # Together: what is asked for is reckoned in learned work, and one without the other refuses nearly all.
+    # Together: what is asked for is reckoned in learned work, and one without the other refuses
+    # nearly all.
     "work, paces and clients' ways learned": (
         ("learned", "wait", "stay", "patience", "asked"),
         _no_paces,
@@ -120,7 +125,11 @@
 def report(
     seeds: int, seconds: float, progress: Callable[[str], None], **changes: Any
 ) -> dict[str, dict[str, float]]:
-    """By state: how much less is served and how much more goes beyond than with everything given back; means and the spread."""
+    """By state.
+
+    How much less is served and how much more goes beyond than with everything given back; means and
+    the spread.
+    """
     base = [play(seed, "nothing", seconds, **changes) for seed in range(1, seeds + 1)]
     found = {}
     for lost in (*STATES, "everything"):
@@ -128,13 +137,17 @@
         rows = [play(seed, lost, seconds, **changes) for seed in range(1, seeds + 1)]
         found[lost] = {
             "served_less": round(
-                statistics.mean(b["served"] - r["served"] for b, r in zip(base, rows, strict=True)), 4
+                statistics.mean(b["served"] - r["served"] for b, r in zip(base, rows, strict=True)),
+                4,
             ),
             "over_more": round(
                 statistics.mean(r["over"] - b["over"] for b, r in zip(base, rows, strict=True)), 4
             ),
             "spread": round(
-                statistics.stdev(b["served"] - r["served"] for b, r in zip(base, rows, strict=True)), 4
+                statistics.stdev(
+                    b["served"] - r["served"] for b, r in zip(base, rows, strict=True)
+                ),
+                4,
             )
             if seeds > 1
             else 0.0,
--- a/hazelhollow/bench/model.py
+++ b/hazelhollow/bench/model.py
@@ -1,8 +1,11 @@
-"""All that can happen to counts, up to stated bounds: charges, datagrams late, lost, doubled or out of order, crashes, catch-up.
+"""All that can happen to counts, up to stated bounds.
 
-Breadth first over sequences of steps that drive the real functions (`state.Memory`, `state.Totals`, `replica.counts.Book`); each
-sequence is played anew from the start, so nothing of the product has to be copied. In every state nobody may hold more for
-used than was charged; and after all have heard all counts, each holds what was charged, once.
+Charges, datagrams late, lost, doubled or out of order, crashes, catch-up.
+
+Breadth first over sequences of steps that drive the real functions (`state.Memory`, `state.Totals`,
+`replica.counts.Book`); each sequence is played anew from the start, so nothing of the product has
+to be copied. In every state nobody may hold more for used than was charged; and after all have
+heard all counts, each holds what was charged, once.
 """
 
 from __future__ import annotations
@@ -120,9 +123,16 @@
         a = self.account()
         t = a.totals
         return (
-            round(a.budget.level - a.owed, 3), self.whole, a.copied, t.closed, t.knows, tuple(sorted(t.charged.items())), tuple(sorted(t.heard.items())),
-            tuple(sorted((t.bases or {}).items())), tuple(sorted((r.member, r.life, r.value) for r in self.book.rows(KEY))),
-        )  # fmt: skip
+            round(a.budget.level - a.owed, 3),
+            self.whole,
+            a.copied,
+            t.closed,
+            t.knows,
+            tuple(sorted(t.charged.items())),
+            tuple(sorted(t.heard.items())),
+            tuple(sorted((t.bases or {}).items())),
+            tuple(sorted((r.member, r.life, r.value) for r in self.book.rows(KEY))),
+        )
 
 
 class World:
@@ -130,7 +140,9 @@
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds, self.period = bounds, START
-        self.members = [Member(n, bounds.members, START, f"a{n}", True) for n in range(bounds.members)]
+        self.members = [
+            Member(n, bounds.members, START, f"a{n}", True) for n in range(bounds.members)
+        ]
         self.flying: list[tuple[int, int, str, Any]] = []
         self.charged: dict[tuple[int, str], int] = {}
         self.left = {
@@ -153,7 +165,9 @@
                 yield from (("turn", n) for n in numbers)
         if self.left["send"]:
             pairs = [(a, b) for a in numbers for b in numbers if a != b]
-            yield from (("gossip", a, b) for a, b in pairs if self.members[a].account().totals.charged)
+            yield from (
+                ("gossip", a, b) for a, b in pairs if self.members[a].account().totals.charged
+            )
             yield from (("counts", a, b) for a, b in pairs if self.members[a].book.customers)
         yield from (
             ("ask", n, g)
@@ -189,7 +203,9 @@
             self.flying.append((step[1], step[2], what, self._said(self.members[step[1]], what)))
         elif what == "ask":
             piece = self.members[step[2]].memory.copy_of(KEY)
-            self.flying.append((step[2], step[1], "piece", (self.members[step[1]].memory.life, piece)))
+            self.flying.append(
+                (step[2], step[1], "piece", (self.members[step[1]].memory.life, piece))
+            )
         elif what in ("deliver", "again"):
             a, b, kind, said = self.flying[step[1]]
             if what == "deliver":
@@ -234,11 +250,15 @@
         for number, one in enumerate(self.members):
             if one.whole and one.used() > total + NEAR:
                 raise Broken(
-                    f"member {number} holds {one.used():g} for used where {total} were charged: something counts twice"
+                    f"member {number} holds {one.used():g} for used where {total} were "
+                    "charged: something counts twice"
                 )
 
     def finish(self) -> None:
-        """All hear all; then each holds what was charged. What the dead charged and no row told may be known to some alone."""
+        """All hear all; then each holds what was charged.
+
+        What the dead charged and no row told may be known to some alone.
+        """
         live = {(n, one.memory.life) for n, one in enumerate(self.members)}
         for one in self.members:
             giver = next((g for g in self.members if g.whole), None)
@@ -258,11 +278,15 @@
             for who in self.charged
             if who not in live
         ]
-        least, most = sum(self.charged.get(who, 0) for who in live) + sum(told), sum(self.charged.values())
+        least, most = (
+            sum(self.charged.get(who, 0) for who in live) + sum(told),
+            sum(self.charged.values()),
+        )
         for number, one in enumerate(self.members):
             if not least - NEAR <= one.used() <= most + NEAR:
                 raise Broken(
-                    f"in the end member {number} holds {one.used():g} for used; {least} to {most} were charged"
+                    f"in the end member {number} holds {one.used():g} for used; {least} "
+                    f"to {most} were charged"
                 )
         sums = {tuple(one.book.sums()) for one in self.members}
         if len(sums) != 1:
@@ -292,9 +316,14 @@
 
 
 def explore(
-    bounds: Bounds, progress: Callable[[int], None] = lambda states: None, first: tuple[Step, ...] = ()
+    bounds: Bounds,
+    progress: Callable[[int], None] = lambda states: None,
+    first: tuple[Step, ...] = (),
 ) -> Found:
-    """Every state within the bounds that follows on `first`, or up to the first that is broken: no shorter sequence breaks one."""
+    """Every state within the bounds that follows on `first`, or up to the first that is broken.
+
+    No shorter sequence breaks one.
+    """
     seen, waiting, states = {play(bounds, first).shown()}, deque[tuple[Step, ...]]([first]), 0
     while waiting:
         steps = waiting.popleft()
@@ -360,7 +389,11 @@
 
 def _forgets_own(right: Callable[..., None]) -> Callable[..., None]:
     def adopt(
-        memory: state.Memory, account: state.Account, told: tuple[api.Count, ...], level: float, period: int
+        memory: state.Memory,
+        account: state.Account,
+        told: tuple[api.Count, ...],
+        level: float,
+        period: int,
     ) -> None:
         before, closed = account.totals.charged, account.totals.closed
         account.totals.charged, account.totals.closed = {}, 0.0
@@ -379,7 +412,11 @@
 
 
 def as_plan(bounds: Bounds, steps: tuple[Step, ...], name: str) -> Plan:
-    """The same as a drill: a second for each period, links cut where a datagram stayed away, processes killed where one ended."""
+    """The same as a drill.
+
+    A second for each period, links cut where a datagram stayed away, processes killed where one
+    ended.
+    """
     events, at, sent = list[Event](), 4.0, list[tuple[int, int]]()
     for step in steps:
         if step[0] == "turn":
@@ -407,7 +444,14 @@
     for a, b in dict.fromkeys(sent):
         events.append(
             Event(
-                at=4.0, what="cut", whom=(f"n{a}",), others=(f"n{b}",), lasts=max(1.0, at - 3.0), one_way=True
+                at=4.0,
+                what="cut",
+                whom=(f"n{a}",),
+                others=(f"n{b}",),
+                lasts=max(1.0, at - 3.0),
+                one_way=True,
             )
         )
-    return Plan(name=name, instances=max(2, bounds.members), seconds=at + 12.0, events=tuple(events))
+    return Plan(
+        name=name, instances=max(2, bounds.members), seconds=at + 12.0, events=tuple(events)
+    )
--- a/hazelhollow/bench/modules.py
+++ b/hazelhollow/bench/modules.py
@@ -1,8 +1,11 @@
-"""Forty real decision modules in one process: virtual time, a seed, datagrams that come late or never.
+"""Forty real decision modules in one process.
 
-Customers arrive as at a month's end: most use a part of their quota, some nearly all of it, some ask several times as
-much for seconds or all day. What all gateways together do is held against one store for each customer, which sees
-every try at once: the share of the worth that is let in, what goes beyond quotas, and what is refused with room.
+Virtual time, a seed, datagrams that come late or never.
+
+Customers arrive as at a month's end: most use a part of their quota, some nearly all of it, some
+ask several times as much for seconds or all day. What all gateways together do is held against one
+store for each customer, which sees every try at once: the share of the worth that is let in, what
+goes beyond quotas, and what is refused with room.
 """
 
 from __future__ import annotations
@@ -21,13 +24,21 @@
 CLASSES = (
     api.RequestClass("read", aim=5.0, deadline=15.0, worth=2.0, effect="safe"),
     api.RequestClass("check", aim=3.0, deadline=8.0, worth=1.0, effect="safe"),
-    api.RequestClass("order", aim=4.0, deadline=15.0, worth=2.0, effect="keyed", group="cell", window=30.0),
+    api.RequestClass(
+        "order", aim=4.0, deadline=15.0, worth=2.0, effect="keyed", group="cell", window=30.0
+    ),
 )
 PLANS = (
     api.Plan("small", rate=1.0, burst=12.0, over_cost=0.6),
     api.Plan("middle", rate=3.0, burst=14.0, over_cost=1.2),
     api.Plan(
-        "wide", rate=9.0, burst=24.0, over_cost=1.2, open_limit=8, ceiling_rate=18.0, ceiling_burst=50.0
+        "wide",
+        rate=9.0,
+        burst=24.0,
+        over_cost=1.2,
+        open_limit=8,
+        ceiling_rate=18.0,
+        ceiling_burst=50.0,
     ),
     api.Plan("partner", rate=18.0, burst=36.0, over_cost=1.0),
 )
@@ -80,21 +91,47 @@
 class Fleet:
     """`gateways` of them and their customers; `play` runs them for so many seconds."""
 
-    def __init__(self, seed: int, gateways: int = 40, load: float = 450.0, make: Callable[..., Gateway] = Gateway,
-                 hosts: int = 60, stay: float = 0.5, loss: float = 0.05, intake: int = 60, **changes: Any) -> None:  # fmt: skip
+    def __init__(
+        self,
+        seed: int,
+        gateways: int = 40,
+        load: float = 450.0,
+        make: Callable[..., Gateway] = Gateway,
+        hosts: int = 60,
+        stay: float = 0.5,
+        loss: float = 0.05,
+        intake: int = 60,
+        **changes: Any,
+    ) -> None:
         self.random, self.number, self.intake = random.Random(seed), gateways, intake
         self.stay, self.loss, self.count = stay, loss, Count()
         self.now = self.start = 1_000_000.0 + self.random.random()
         self.changes, self.make = changes, make
-        self.hosts = [api.ServerEntry(f"s{i}", "up", "abc"[i % 3], i // 4, 1.0) for i in range(hosts)]
+        self.hosts = [
+            api.ServerEntry(f"s{i}", "up", "abc"[i % 3], i // 4, 1.0) for i in range(hosts)
+        ]
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.serial = 0
         self.gateways = [self._gateway(i, self.start) for i in range(gateways)]
         self.heard: list[list[float]] = [[] for _ in range(gateways)]
         self.customers = list(self._customers(load))
-        self.truth = {c.name: Store(PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start) for c in self.customers}  # fmt: skip
-        self.ideal = {c.name: Store(PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start) for c in self.customers}  # fmt: skip
-        self.ceilings = {c.name: Store(PLANS[c.plan].ceiling_rate, PLANS[c.plan].ceiling_burst, PLANS[c.plan].ceiling_burst, self.start) for c in self.customers}  # fmt: skip
+        self.truth = {
+            c.name: Store(PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start)
+            for c in self.customers
+        }
+        self.ideal = {
+            c.name: Store(PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start)
+            for c in self.customers
+        }
+        self.ceilings = {
+            c.name: Store(
+                PLANS[c.plan].ceiling_rate,
+                PLANS[c.plan].ceiling_burst,
+                PLANS[c.plan].ceiling_burst,
+                self.start,
+            )
+            for c in self.customers
+        }
         self.out: Counter[str] = Counter()
         self.owners: dict[
             str, tuple[Customer, int, int, bool]
@@ -102,11 +139,26 @@
 
     def _gateway(self, me: int, now: float) -> Gateway:
         values: dict[str, Any] = dict(
-            me=me, gateways=self.number, classes=CLASSES, plans=PLANS, zone="abc"[me % 3], max_units=6.0,
-            max_attempts=6, peers=True, messages_in_per_s=float(self.intake), max_retry_after=1.0, cold_for=10.0, cold_from=0.35,
-            fall_multiple=2.0, fall_time=3.0, cancelling=True, parallel_tries=True,
-        )  # fmt: skip
-        gateway = self.make(api.Settings(**{**values, **self.changes}), seed=self.random.randrange(1 << 30))
+            me=me,
+            gateways=self.number,
+            classes=CLASSES,
+            plans=PLANS,
+            zone="abc"[me % 3],
+            max_units=6.0,
+            max_attempts=6,
+            peers=True,
+            messages_in_per_s=float(self.intake),
+            max_retry_after=1.0,
+            cold_for=10.0,
+            cold_from=0.35,
+            fall_multiple=2.0,
+            fall_time=3.0,
+            cancelling=True,
+            parallel_tries=True,
+        )
+        gateway = self.make(
+            api.Settings(**{**values, **self.changes}), seed=self.random.randrange(1 << 30)
+        )
         self.at(
             now + self.random.uniform(0.0, 0.1),
             lambda: self.tell(me, api.Servers("cached", tuple(self.hosts))),
@@ -119,7 +171,9 @@
         for plan, share in enumerate(SHARES):
             asked = 0.0
             while asked < share * load:
-                way = chance.choices(("calm", "full", "heavy", "spiky"), (0.61, 0.14, 0.09, 0.16))[0]
+                way = chance.choices(("calm", "full", "heavy", "spiky"), (0.61, 0.14, 0.09, 0.16))[
+                    0
+                ]
                 use = {"calm": 0.28, "full": 0.97, "heavy": 3.9, "spiky": 0.28}[way]
                 spikes = (
                     (chance.uniform(0, 20), chance.uniform(14, 24), chance.uniform(0.8, 4.9))
@@ -127,9 +181,17 @@
                     else (0.0, 1.0, 0.0)
                 )
                 spread = chance.randint(self.number // 2, self.number)
-                if PLANS[plan].ceiling_rate:  # so few gateways that a share holds two of the largest requests
+                # so few gateways that a share holds two of the largest requests
+                if PLANS[plan].ceiling_rate:
                     spread = min(spread, int(PLANS[plan].ceiling_burst / (2 * max(UNITS))))
-                one = Customer(f"{chance.getrandbits(33):016x}", plan, chance.randrange(self.number), spread, use * chance.uniform(0.85, 1.15), spikes)  # fmt: skip
+                one = Customer(
+                    f"{chance.getrandbits(33):016x}",
+                    plan,
+                    chance.randrange(self.number),
+                    spread,
+                    use * chance.uniform(0.85, 1.15),
+                    spikes,
+                )
                 skew = chance.uniform(0.21, 1.2)
                 one.weights = [(i + 1) ** -skew for i in range(spread)]
                 chance.shuffle(one.weights)
@@ -165,7 +227,9 @@
                 if store.fill(self.now) >= units:
                     store.level -= units
                     self.count.offered += units * PRICES[customer.plan]
-                    self.count.seconds["offered", int(self.now - self.start)] += units * PRICES[customer.plan]
+                    self.count.seconds["offered", int(self.now - self.start)] += (
+                        units * PRICES[customer.plan]
+                    )
                     self.count.by_plan[PLANS[customer.plan].name, "offered"] += units
                 self._ask(customer, units, 2)
             self.at(self.now + self.random.expovariate(top), come)
@@ -173,13 +237,26 @@
         self.at(self.now + self.random.expovariate(top), come)
 
     def _ask(self, customer: Customer, units: int, left: int) -> None:
-        me = (customer.first + self.random.choices(range(customer.spread), customer.weights)[0]) % self.number
+        me = (
+            customer.first + self.random.choices(range(customer.spread), customer.weights)[0]
+        ) % self.number
         self.serial += 1
         name, kind = f"r{self.serial}", self.random.choices(CLASSES, (0.47, 0.44, 0.09))[0]
         self.owners[name] = (customer, units, left, False)
         self.count.tries += 1
-        self.tell(me, api.Request(name, kind.name, PLANS[customer.plan].name, customer.name, float(units),
-                                  kind.deadline, customer.first, customer.spread))  # fmt: skip
+        self.tell(
+            me,
+            api.Request(
+                name,
+                kind.name,
+                PLANS[customer.plan].name,
+                customer.name,
+                float(units),
+                kind.deadline,
+                customer.first,
+                customer.spread,
+            ),
+        )
 
     def tell(self, me: int, event: api.Event) -> None:
         for action in self.gateways[me].handle(event, self.now):
@@ -206,7 +283,9 @@
             return
 
         def arrive() -> None:
-            self.heard[action.gateway] = [t for t in self.heard[action.gateway] if t > self.now - 1.0]
+            self.heard[action.gateway] = [
+                t for t in self.heard[action.gateway] if t > self.now - 1.0
+            ]
             if len(self.heard[action.gateway]) >= self.intake:
                 self.count.lost_in_room += 1
                 return
@@ -243,10 +322,15 @@
             self.owners.pop(action.id, None)
             if inside and status == "ok":
                 self.count.served += units * PRICES[customer.plan]
-                self.count.seconds["served", int(self.now - self.start)] += units * PRICES[customer.plan]
+                self.count.seconds["served", int(self.now - self.start)] += (
+                    units * PRICES[customer.plan]
+                )
                 self.count.by_plan[plan.name, "served"] += units
             if self.gateways[me] is gateway:
-                self.tell(me, api.Outcome(action.id, 0, action.server, status, elapsed, final=status == "ok"))
+                self.tell(
+                    me,
+                    api.Outcome(action.id, 0, action.server, status, elapsed, final=status == "ok"),
+                )
 
         self.at(self.now + elapsed, done)
 
@@ -269,4 +353,7 @@
                 self.count.half_unused[f"{plan.name} {action.why}"] += 1
             self.count.by_plan[plan.name, "refused with room"] += units
         if left:
-            self.at(self.now + self.random.uniform(0.03, 0.24), lambda: self._ask(customer, units, left - 1))
+            self.at(
+                self.now + self.random.uniform(0.03, 0.24),
+                lambda: self._ask(customer, units, left - 1),
+            )
--- a/hazelhollow/bench/plots.py
+++ b/hazelhollow/bench/plots.py
@@ -33,10 +33,18 @@
             label=f"{name} a second and member",
         )
     left.set(
-        xscale="log", xlabel="members", ylabel="seconds until all agree", title="Settling", ylim=(0, None)
+        xscale="log",
+        xlabel="members",
+        ylabel="seconds until all agree",
+        title="Settling",
+        ylim=(0, None),
     )
     right.set(
-        xscale="log", yscale="log", xlabel="members", title="Cost while nothing happens", ylim=(1, 1000)
+        xscale="log",
+        yscale="log",
+        xlabel="members",
+        title="Cost while nothing happens",
+        ylim=(1, 1000),
     )
     for side in (left, right):
         side.legend(fontsize=8, loc="upper center", bbox_to_anchor=(0.5, -0.18), ncols=2)
--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -1,5 +1,8 @@
-"""The replica's own modules on a virtual clock: how long and how many bytes until one that begins is whole, what keeping alike
-costs each second, and how much memory a count takes."""
+"""The replica's own modules on a virtual clock.
+
+How long and how many bytes until one that begins is whole, what keeping alike costs each second,
+and how much memory a count takes.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +42,8 @@
     def slice(self, key: str) -> Slice | None:
         through = int(START) - 2
         recents = tuple(
-            Recent(n, f"7p{n}", Value(through - 50, through, 1234 + n), 20, 10) for n in range(self.lives)
+            Recent(n, f"7p{n}", Value(through - 50, through, 1234 + n), 20, 10)
+            for n in range(self.lives)
         )
         return Slice(key, "7kq", 0, self.lives, 217, recents)
 
@@ -58,7 +62,7 @@
         self.cut: Callable[[int, int], bool] = lambda a, b: False
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         for one in self.all:
-            self._at(self.now + self.random.random() * exchange.BEAT, lambda one=one: self._beat(one))  # type: ignore[misc]
+            self._at(self.now + self.random.random() * exchange.BEAT, partial(self._beat, one))
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
         self._serial += 1
@@ -68,7 +72,10 @@
         self._at(self.now + exchange.BEAT, lambda: self._beat(one))
         self._pass(
             one,
-            one.beat(self.now, [n for n in range(len(self.all)) if n != one.me and not self.cut(n, one.me)]),
+            one.beat(
+                self.now,
+                [n for n in range(len(self.all)) if n != one.me and not self.cut(n, one.me)],
+            ),
         )
 
     def _pass(self, one: exchange.Exchange, sends: list[exchange.Send]) -> None:
@@ -95,8 +102,13 @@
 
 
 def catch_up(customers: int, lose: float, seed: int) -> dict[str, float]:
-    """One that begins beside two that know all and two that have begun themselves: seconds and bytes until it is whole."""
-    sim = Sim([Known(customers), Known(customers), *(Known(0) for _ in range(LIVES - 2))], seed, lose)
+    """One that begins beside two that know all and two that have begun themselves.
+
+    Seconds and bytes until it is whole.
+    """
+    sim = Sim(
+        [Known(customers), Known(customers), *(Known(0) for _ in range(LIVES - 2))], seed, lose
+    )
     for other in sim.all[:-1]:
         other.whole, other.told_by = True, None if other.me > 1 else other.me
     new = sim.all[-1]
@@ -129,7 +141,9 @@
 
 
 def steady(members: int, customers: int, seed: int, seconds: int = 20) -> dict[str, float]:
-    """Datagrams and bytes that a member sends a second while a tenth of the customers is charged each second."""
+    """Datagrams and bytes that a member sends a second while a tenth of the customers is charged
+    each second.
+    """
     sim = Sim([Known(0) for _ in range(members)], seed)
     for one in sim.all:
         one.whole = True
@@ -143,7 +157,9 @@
 
 
 def heal(members: int, customers: int, seed: int, lose: float = 0.1) -> float:
-    """Seconds after two parts hear each other again until all books are alike, with nothing charged meanwhile."""
+    """Seconds after two parts hear each other again until all books are alike, with nothing charged
+    meanwhile.
+    """
     sim = Sim([Known(0) for _ in range(members)], seed, lose)
     for one in sim.all:
         one.whole = True
@@ -182,7 +198,11 @@
 
 
 def report(
-    sizes: list[int], losses: list[float], seeds: int, fleets: list[int], progress: Callable[[str], None]
+    sizes: list[int],
+    losses: list[float],
+    seeds: int,
+    fleets: list[int],
+    progress: Callable[[str], None],
 ) -> dict[str, Any]:
     found: dict[str, Any] = {
         "catch_up": [],
--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -1,4 +1,7 @@
-"""`hazelhollow bench store`: seeded runs of month-end load against the stand-in, without faults and with each kind."""
+"""`hazelhollow bench store`.
+
+Seeded runs of month-end load against the stand-in, without faults and with each kind.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,8 @@
 def _spell(kind: str, least: float, most: float) -> Plan:
     """All commands for a while, twice."""
     return lambda chance: [
-        Fault(kind, at=at + chance.uniform(0, 6), lasts=chance.uniform(least, most)) for at in (4, 22)
+        Fault(kind, at=at + chance.uniform(0, 6), lasts=chance.uniform(least, most))
+        for at in (4, 22)
     ]
 
 
@@ -55,7 +59,8 @@
 
 FAULTS: dict[str, Plan] = {
     "none": lambda chance: [],
-    EVEN: lambda chance: [Fault("down")],  # never there: each limiter has its even share of the same limits
+    # never there: each limiter has its even share of the same limits
+    EVEN: lambda chance: [Fault("down")],
     TODAY: lambda chance: [],  # no store: quotas by gossip, ceilings evenly split
     "slow": _share("slow", 0.2, delay=0.08),
     "late": _share("late", 0.2, delay=0.1),
@@ -75,18 +80,23 @@
     "stall": _spell("stall", 0.5, 3.0),
     "down": _spell("down", 6.0, 12.0),
     "clock_jump": lambda chance: [
-        Fault("clock_jump", at=chance.uniform(5, 20), by=by) for by in (30.0, -45.0, chance.uniform(-3, 3))
+        Fault("clock_jump", at=chance.uniform(5, 20), by=by)
+        for by in (30.0, -45.0, chance.uniform(-3, 3))
     ],
 }
 # What goes wrong with limiters while the store is well.
 MEMBERS = ("partition", "kill", "pause", "clocks")
-WHOLE = ("none", EVEN, TODAY)  # played with all customers; the others with those whose limits the store keeps
+# played with all customers; the others with those whose limits the store keeps
+WHOLE = ("none", EVEN, TODAY)
 KINDS = tuple(k for k in (*FAULTS, *MEMBERS, "mixed") if k not in (EVEN, TODAY))
 
 
 @dataclass(frozen=True)
 class Job:
-    """One run. `store`: with it, or as limiters do without (quotas by gossip, ceilings evenly split)."""
+    """One run.
+
+    `store`: with it, or as limiters do without (quotas by gossip, ceilings evenly split).
+    """
 
     seed: int
     kind: str
@@ -116,19 +126,26 @@
 
 
 class Watch:
-    """Independent buckets beside the run: what was sent, and what one limiter that had it all to itself would have sent."""
+    """Independent buckets beside the run.
+
+    What was sent, and what one limiter that had it all to itself would have sent.
+    """
 
     def __init__(self, fleet: Fleet, job: Job) -> None:
         held = [
-            c for c in fleet.customers if c.plan.name in job.plans or (c.plan.ceiling_rate and not job.plans)
+            c
+            for c in fleet.customers
+            if c.plan.name in job.plans or (c.plan.ceiling_rate and not job.plans)
         ]
         self.quota = {c.id: _quota(c.plan) for c in held}
         self.ceiling = {c.id: _ceiling(c.plan) for c in held if c.plan.ceiling_rate}
         self.ideal = {
-            c.id: [_quota(c.plan), *([_ceiling(c.plan)] if c.plan.ceiling_rate else [])] for c in held
+            c.id: [_quota(c.plan), *([_ceiling(c.plan)] if c.plan.ceiling_rate else [])]
+            for c in held
         }
         self.could, self.did = dict.fromkeys(self.quota, 0.0), dict.fromkeys(self.quota, 0.0)
-        self._taken: set[int] = set()  # arrivals that the ideal has let in: it sees no retries of those
+        # arrivals that the ideal has let in: it sees no retries of those
+        self._taken: set[int] = set()
         self._kept: list[load.Arrival] = []  # so that no other arrival gets the same identity
         self._world = fleet.world
         self.requests = 0
@@ -174,8 +191,14 @@
         else chance.sample([k for k in KINDS if k not in ("none", EVEN, TODAY, "mixed")], 3)
     )
     plan = [fault for kind in kinds if kind in FAULTS for fault in FAULTS[kind](chance)]
-    fleet = Fleet(job.seed, job.limiters, job.seconds, terms(job.hold, job.plans) if job.store else None,
-                  lambda clock: Node(clock, job.seed, "", plan), job.uneven)  # fmt: skip
+    fleet = Fleet(
+        job.seed,
+        job.limiters,
+        job.seconds,
+        terms(job.hold, job.plans) if job.store else None,
+        lambda clock: Node(clock, job.seed, "", plan),
+        job.uneven,
+    )
     for kind in kinds:
         if kind in MEMBERS:
             _trouble(kind, fleet, chance)
@@ -249,7 +272,10 @@
 
 
 def summary(results: list[Result]) -> dict[str, Any]:
-    """The report's top level. The even split and the way without a store are told apart from the runs with one."""
+    """The report's top level.
+
+    The even split and the way without a store are told apart from the runs with one.
+    """
     even = [r for r in results if r.kind == EVEN]
     today = [r for r in results if r.kind == TODAY]
     results = [r for r in results if r.kind not in (EVEN, TODAY)]
@@ -270,7 +296,9 @@
         "refused_with_room_share": _refused(calm),
         "refused_with_room_share_even_split": _refused(even),
         "refused_with_room_share_no_store": _refused(today),
-        "worst_overshoot_of_quota_no_store": round(max((r.over_quota for r in today), default=0.0), 4),
+        "worst_overshoot_of_quota_no_store": round(
+            max((r.over_quota for r in today), default=0.0), 4
+        ),
         "by_fault": {
             kind: _of_kind([r for r in results if r.kind == kind])
             for kind in dict.fromkeys(r.kind for r in results)
--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -1,7 +1,9 @@
-"""A world in virtual time: limiters (the real decision module, ledger, link), one stand-in store, clients, and what fails.
+"""A world in virtual time.
 
-Nothing here decides what the product decides. The network delays bytes and keeps the order within a connection; backend
-hosts answer everything after a short while, so that only limits refuse.
+Limiters (the real decision module, ledger, link), one stand-in store, clients, and what fails.
+
+Nothing here decides what the product decides. The network delays bytes and keeps the order within a
+connection; backend hosts answer everything after a short while, so that only limits refuse.
 """
 
 from __future__ import annotations
@@ -32,7 +34,8 @@
 ANSWER = 0.02  # seconds in which a backend host answers
 CALL_COST = 0.00004  # seconds that a store takes for a call
 HOSTS = 12
-WARM_UP = 8.0  # seconds in which a fleet and its store get to know their customers, who are calm meanwhile
+# seconds in which a fleet and its store get to know their customers, who are calm meanwhile
+WARM_UP = 8.0
 
 
 class World:
@@ -78,7 +81,10 @@
 
 
 class Wire:
-    """One connection of a limiter to the store: bytes in their order, after a delay, or lost while the way is cut."""
+    """One connection of a limiter to the store.
+
+    Bytes in their order, after a delay, or lost while the way is cut.
+    """
 
     def __init__(self, member: Member, host: StoreHost, session: Session) -> None:
         self.member, self.host, self.session, self.world = member, host, session, member.world
@@ -128,9 +134,20 @@
     """One limiter, through all its lives."""
 
     def __init__(
-        self, world: World, number: int, settings: api.Settings, terms: Terms | None, host: StoreHost | None
+        self,
+        world: World,
+        number: int,
+        settings: api.Settings,
+        terms: Terms | None,
+        host: StoreHost | None,
     ) -> None:
-        self.world, self.number, self.settings, self.terms, self.host = world, number, settings, terms, host
+        self.world, self.number, self.settings, self.terms, self.host = (
+            world,
+            number,
+            settings,
+            terms,
+            host,
+        )
         self.peers: list[Member] = []
         self.cut_off = self.paused = False
         self.dead = True  # until its start
@@ -194,7 +211,9 @@
                 outcome = api.Outcome(action.id, 0, action.server, "ok", ANSWER, final=True)
                 self.world.at(self.world.now + ANSWER, self._event, self._life, outcome)
             elif isinstance(action, api.SetTimer):
-                self.world.at(self.world.now + action.delay, self._event, self._life, api.Timer(action.name))
+                self.world.at(
+                    self.world.now + action.delay, self._event, self._life, api.Timer(action.name)
+                )
             elif isinstance(action, api.Tell) and self.world.chance.random() >= PEER_LOSS:
                 self.world.at(
                     self.world.now + self.world.chance.uniform(*TO_PEER),
@@ -275,14 +294,23 @@
 class Fleet:
     """All limiters, the store and the clients of one run."""
 
-    def __init__(self, seed: int, gateways: int, seconds: float, terms: Terms | None,
-                 node: Callable[[Callable[[], float]], Node], uneven: bool = False) -> None:  # fmt: skip
+    def __init__(
+        self,
+        seed: int,
+        gateways: int,
+        seconds: float,
+        terms: Terms | None,
+        node: Callable[[Callable[[], float]], Node],
+        uneven: bool = False,
+    ) -> None:
         self.world, self.seconds, self.gateways = World(seed), seconds, gateways
         self.log = Log()
         draw = random.Random(f"load {seed}")  # the load is the same whatever the store does
         self.plans = load.draw_plans(draw)
         self.host = StoreHost(self.world, node(lambda: self.world.now)) if terms else None
-        self.members = [Member(self.world, n, self._settings(n), terms, self.host) for n in range(gateways)]
+        self.members = [
+            Member(self.world, n, self._settings(n), terms, self.host) for n in range(gateways)
+        ]
         for member in self.members:
             member.peers = self.members
             # Limiters start one after another, and their store is there before them.
@@ -297,8 +325,17 @@
         self._ids = 0
 
     def _settings(self, number: int) -> api.Settings:
-        return api.Settings(number, self.gateways, load.CLASSES, self.plans, zone="a", max_units=max(load.UNITS),
-                            max_attempts=3, peers=True, max_retry_after=1.0)  # fmt: skip
+        return api.Settings(
+            number,
+            self.gateways,
+            load.CLASSES,
+            self.plans,
+            zone="a",
+            max_units=max(load.UNITS),
+            max_attempts=3,
+            peers=True,
+            max_retry_after=1.0,
+        )
 
     def run(self) -> Log:
         warm = START + 1.0
@@ -333,8 +370,16 @@
         self._ids += 1
         customer = arrival.customer
         kind = next(c for c in load.CLASSES if c.name == arrival.kind)
-        request = api.Request(f"r{self._ids}", kind.name, customer.plan.name, customer.id, arrival.units, kind.deadline,
-                              customer.first, customer.spread)  # fmt: skip
+        request = api.Request(
+            f"r{self._ids}",
+            kind.name,
+            customer.plan.name,
+            customer.id,
+            arrival.units,
+            kind.deadline,
+            customer.first,
+            customer.spread,
+        )
         self.log.requests += 1
         actions = member.handle(request)
         sent = any(isinstance(a, api.Send) and a.id == request.id for a in actions)
@@ -349,7 +394,8 @@
     def calls(self) -> float:
         """What the store was asked, over all lives of all limiters."""
         return sum(
-            m.calls + (m.ledger.counts["calls"] if m.ledger and not m.dead else 0.0) for m in self.members
+            m.calls + (m.ledger.counts["calls"] if m.ledger and not m.dead else 0.0)
+            for m in self.members
         )
 
 
--- a/hazelhollow/bench/zones.py
+++ b/hazelhollow/bench/zones.py
@@ -1,7 +1,9 @@
-"""The view of a large fleet while a zone dies, comes back, and a region is cut off: what a member sends, and how long all take.
+"""The view of a large fleet while a zone dies, comes back, and a region is cut off.
 
-The view's own modules on the virtual clock of `bench/fleet.py`. Rates are of datagrams with their headers (28 bytes each), the
-greatest of any member; times are seconds.
+What a member sends, and how long all take.
+
+The view's own modules on the virtual clock of `bench/fleet.py`. Rates are of datagrams with their
+headers (28 bytes each), the greatest of any member; times are seconds.
 """
 
 from __future__ import annotations
@@ -57,11 +59,18 @@
 
     def mean(self, seconds: float) -> float:
         """Bytes a second of a member on the average."""
-        return sum(sum(slots.values()) for slots in self.bytes.values()) / max(1, len(self.bytes)) / seconds
+        return (
+            sum(sum(slots.values()) for slots in self.bytes.values())
+            / max(1, len(self.bytes))
+            / seconds
+        )
 
 
 class CountingSim(Sim):
-    """A simulation that knows what each member sends, and which deaths were told of members that were up and within reach."""
+    """A simulation that knows what each member sends.
+
+    And which deaths were told of members that were up and within reach.
+    """
 
     def __init__(
         self, members: int, seed: int, lose: float, allowance: Callable[[float], Allowance | None]
@@ -98,8 +107,11 @@
 
 
 def allowances(bytes_per_s: float, contended: bool) -> Callable[[float], Allowance | None]:
-    """What makes the view's part of a budget of so many bytes a second (0: no bound). `contended`: the other roles use all
-    that they can get, so that the view has its guaranteed rate and no more. Raises ValueError for too few bytes."""
+    """What makes the view's part of a budget of so many bytes a second (0: no bound).
+
+    `contended`: the other roles use all that they can get, so that the view has its guaranteed rate
+    and no more. Raises ValueError for too few bytes.
+    """
     if not bytes_per_s:
         return lambda now: None
     settings = settings_for(bytes_per_s)
@@ -116,7 +128,9 @@
     allowance: Callable[[float], Allowance | None],
     progress: Callable[[str], None],
 ) -> dict[str, Any]:
-    """One fleet through a start, peace, the loss of a zone, its return, a region's cut and its heal: figures by phase."""
+    """One fleet through a start, peace, the loss of a zone, its return, a region's cut and its
+    heal: figures by phase.
+    """
     sim = CountingSim(members, seed, lose, allowance)
     found = dict[str, Any]()
 
--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -1,4 +1,7 @@
-"""The command line. What the platform's path does not need is imported only by the command that needs it."""
+"""The command line.
+
+What the platform's path does not need is imported only by the command that needs it.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,9 @@
 
 
 class Commands(click.Group):
-    """A group, some of whose commands are found in modules that are not imported before they are asked for."""
+    """A group, some of whose commands are found in modules that are not imported before they are
+    asked for.
+    """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted([*super().list_commands(ctx), *LATER])
@@ -42,7 +47,10 @@
 
 
 def _missing(name: str, library: str) -> click.Command:
-    """Stands for a command whose libraries this installation lacks, so that the others go on working."""
+    """Stands for a command whose libraries this installation lacks.
+
+    So that the others go on working.
+    """
 
     def explain(words: tuple[str, ...]) -> None:
         _fail(f"'{name}' needs {library}: pip install -r requirements-all.txt")
@@ -52,18 +60,26 @@
     )  # its own sub-commands are not known here
     text = f"(needs {library}, which is not installed)"
     return click.Command(
-        name, callback=explain, params=[rest], context_settings={"ignore_unknown_options": True}, help=text
+        name,
+        callback=explain,
+        params=[rest],
+        context_settings={"ignore_unknown_options": True},
+        help=text,
     )
 
 
-@click.group(cls=Commands, help="A rate limiter that holds quotas by plan across a fleet of gateways.")
+@click.group(
+    cls=Commands, help="A rate limiter that holds quotas by plan across a fleet of gateways."
+)
 def main() -> None:
     pass
 
 
 @main.command()
 @click.option(
-    "--operator", metavar="FILE", help="Our own settings (see `config --help`): the shared store, logs."
+    "--operator",
+    metavar="FILE",
+    help="Our own settings (see `config --help`): the shared store, logs.",
 )
 @click.option(
     "--log-level",
@@ -81,8 +97,9 @@
 def serve(operator: str | None, log_level: str, counters: float | None) -> None:
     """Serve until SIGTERM, as the RELAY_ variables say.
 
-    SIGHUP reads RELAY_CONFIG and the operator file again, SIGUSR1 prints the counters. With --counters, the lines
-    of many limiters can be added up by second: that shows what one of them alone does not.
+    SIGHUP reads RELAY_CONFIG and the operator file again, SIGUSR1 prints the counters. With
+    --counters, the lines of many limiters can be added up by second: that shows what one of them
+    alone does not.
     """
     attached = None
     if operator is not None:
@@ -107,14 +124,19 @@
     """Read the configuration and say what it holds, or what is wrong with it."""
     told = _load()
     click.echo(
-        f"{told.name}: gateway {told.settings.me} of {told.settings.gateways}, listens at {told.listen}"
+        f"{told.name}: gateway {told.settings.me} of {told.settings.gateways}, listens at "
+        f"{told.listen}"
     )
 
 
 @main.command("call")
 @click.argument("words", nargs=-1, required=True)
 @click.option(
-    "--to", "address", default="127.0.0.1:7000", show_default=True, help="The operator address, host:port."
+    "--to",
+    "address",
+    default="127.0.0.1:7000",
+    show_default=True,
+    help="The operator address, host:port.",
 )
 def call(words: tuple[str, ...], address: str) -> None:
     """Make one call at a limiter's operator address and print its answer.
@@ -125,7 +147,8 @@
     hazelhollow call fleet           who is there, where the operator file switches the view on
     hazelhollow call set-down s-7    leave server s-7 out until `set-up s-7`
 
-    Exit status 0 for an answer that begins with `done` (or the figures), 1 for `error`, 2 when nobody answers.
+    Exit status 0 for an answer that begins with `done` (or the figures), 1 for `error`, 2 when
+    nobody answers.
     """
     from hazelhollow.net import operator_client
 
--- a/hazelhollow/config.py
+++ b/hazelhollow/config.py
@@ -42,7 +42,8 @@
 def load(environment: Mapping[str, str], again: bool = False) -> Config:
     """The file, with the variables before what it says of the same.
 
-    Read `again` by a running limiter, the file is newer than the variables: where discovery is now, it says alone.
+    Read `again` by a running limiter, the file is newer than the variables: where discovery is now,
+    it says alone.
     """
     path = environment.get("RELAY_CONFIG")
     if not path:
@@ -55,7 +56,9 @@
         raise ConfigError(f"{path}: {error}") from None
     if not isinstance(document, dict):
         raise ConfigError(f"{path}: not a JSON object")
-    for key in ("name", "listen", "operator") if again else ("name", "listen", "discovery", "operator"):
+    for key in (
+        ("name", "listen", "operator") if again else ("name", "listen", "discovery", "operator")
+    ):
         if f"RELAY_{key.upper()}" in environment:
             document[key] = environment[f"RELAY_{key.upper()}"]
     try:
@@ -90,7 +93,9 @@
 def address(text: str, least_port: int = 1) -> Address:
     """`host:port`; a port of 0, where it is allowed, lets the system pick one."""
     host, colon, port = text.rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and least_port <= int(port) < 65536):
+    if not (
+        colon and host and port.isascii() and port.isdigit() and least_port <= int(port) < 65536
+    ):
         raise ValueError(f"'{text}' is not host:port")
     return host, int(port)
 
--- a/hazelhollow/configuration/acts.py
+++ b/hazelhollow/configuration/acts.py
@@ -1,4 +1,7 @@
-"""What a member writes down of its own acts and of what it hears, as the record's entries. No I/O: the record writes."""
+"""What a member writes down of its own acts and of what it hears, as the record's entries.
+
+No I/O: the record writes.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,9 @@
 class Acts:
     """Member `me`'s. Each entry is written when it differs from what was written before."""
 
-    def __init__(self, me: int, record: Record, limiter: Limiter, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, me: int, record: Record, limiter: Limiter, clock: Callable[[], float]
+    ) -> None:
         self._me, self._record, self._limiter, self._clock = me, record, limiter, clock
         self._settings = ("", 0, False)
         self._out: set[str] = set()
@@ -73,7 +78,9 @@
             told = _settings_of(one)
             if number != self._me and self._told.get(number) != told:
                 self._told[number] = told
-                self._record.add(self._clock(), "heard", versions.write(one), order=order, other=number)
+                self._record.add(
+                    self._clock(), "heard", versions.write(one), order=order, other=number
+                )
 
     def second(self, digest: str, order: int) -> None:
         """What was done in the last second, under these settings."""
--- a/hazelhollow/configuration/commands.py
+++ b/hazelhollow/configuration/commands.py
@@ -1,4 +1,7 @@
-"""`hazelhollow fleet audit` and `hazelhollow fleet config`: who acted on which settings, and settings that some members try first."""
+"""`hazelhollow fleet audit` and `hazelhollow fleet config`.
+
+Who acted on which settings, and settings that some members try first.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,10 @@
 
 @click.command("audit")
 @click.argument(
-    "folder", metavar="[DIR]", required=False, type=click.Path(exists=True, file_okay=False, path_type=Path)
+    "folder",
+    metavar="[DIR]",
+    required=False,
+    type=click.Path(exists=True, file_okay=False, path_type=Path),
 )
 @click.option(
     "--live",
@@ -27,13 +33,21 @@
     help="Ask a running limiter at its operator address; may be given again.",
 )
 @click.option(
-    "--request", metavar="ID", help="Say only where this request was decided, if it was written down."
+    "--request",
+    metavar="ID",
+    help="Say only where this request was decided, if it was written down.",
 )
 @click.option(
-    "--since", type=float, default=0.0, metavar="SECONDS", help="Unix seconds; what ended before is left out."
+    "--since",
+    type=float,
+    default=0.0,
+    metavar="SECONDS",
+    help="Unix seconds; what ended before is left out.",
 )
 @click.option("--json", "file", metavar="FILE", help="Write all of it there; `-`: print it.")
-@click.option("--html", metavar="FILE", help="Write a page with the time line of members by version.")
+@click.option(
+    "--html", metavar="FILE", help="Write a page with the time line of members by version."
+)
 def audit(
     folder: Path | None,
     live: tuple[str, ...],
@@ -42,10 +56,13 @@
     file: str | None,
     html: str | None,
 ) -> None:
-    """Who acted on which settings, from the records of many limiters in or below DIR, or of running ones, whose clocks may differ.
+    """Who acted on which settings, from the records of many limiters in or below DIR.
 
-    Exit status 1: somebody acted on old settings it had heard were old, one order meant two things, or a host was used after it was
-    put out by hand. 2: there are no records. What cannot be known is said.
+    Or of running ones, whose clocks may differ.
+
+    Exit status 1: somebody acted on old settings it had heard were old, one order meant two things,
+    or a host was used after it was put out by hand. 2: there are no records. What cannot be known
+    is said.
     """
     troubles, whole = list[str](), merge.Fleet()
     if folder is None and not live:
@@ -53,10 +70,12 @@
     for entry in _entries(folder, live, troubles):
         if request and request in entry.samples:
             click.echo(
-                f"member {entry.member} decided {request} in the second before {entry.t:.1f} under order {entry.order} ({entry.version})"
+                f"member {entry.member} decided {request} in the second before "
+                f"{entry.t:.1f} under order {entry.order} ({entry.version})"
             )
             sys.exit(0)
-        if entry.t >= since or entry.what in ("settings", "hands", "ruling"):  # which say what held then
+        # which say what held then
+        if entry.t >= since or entry.what in ("settings", "hands", "ruling"):
             whole.take(entry)
     if not whole.entries:
         _fail("; ".join(troubles) or f"{folder}: no records (audit-*.seg) of limiters")
@@ -100,12 +119,14 @@
     click.echo(f"{len(found['members'])} members, {found['entries']} entries")
     for change in found["changes"]:
         click.echo(
-            f"order {change['order']} ({', '.join(change['digests'])}): {len(change['members'])} members acted on it; the last acted on an "
+            f"order {change['order']} ({', '.join(change['digests'])}): "
+            f"{len(change['members'])} members acted on it; the last acted on an "
             f"older one {change['last_old_after_s']:.2f} s after it was out"
         )
     for step in found["rollout"]:
         click.echo(
-            f"{step['t']:.1f} order {step['order']} {step['step']} at member {step['member']}: {step['why']}"
+            f"{step['t']:.1f} order {step['order']} {step['step']} at member "
+            f"{step['member']}: {step['why']}"
         )
     for finding in found["findings"]:
         click.echo(f"{finding['t']:.1f} {finding['what']}: {finding['text']}")
@@ -129,7 +150,8 @@
     \b
     hazelhollow fleet config push next.json --order 7 --canaries 3 --after 600 --at 10.0.0.4:7000
     hazelhollow fleet config status --at 10.0.0.4:7000
-    hazelhollow fleet config hold --at 10.0.0.4:7000        those that try it go on, nobody else takes it
+    hazelhollow fleet config hold --at 10.0.0.4:7000        those that try it go on, nobody else
+      takes it
     hazelhollow fleet config release --at 10.0.0.4:7000     it is in force for all now
     hazelhollow fleet config rollback --at 10.0.0.4:7000    the settings from before, for all
 
@@ -139,14 +161,24 @@
 
 @config.command("push")
 @click.argument("file")
-@click.option("--order", required=True, type=click.IntRange(1, 46655), help="Above all that are out.")
 @click.option(
-    "--canaries", default=1, show_default=True, type=click.IntRange(1, 35), help="Limiters that try it first."
+    "--order", required=True, type=click.IntRange(1, 46655), help="Above all that are out."
 )
 @click.option(
-    "--after", default=600.0, show_default=True, type=click.FloatRange(0.0, 86_400.0), metavar="SECONDS",
+    "--canaries",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 35),
+    help="Limiters that try it first.",
+)
+@click.option(
+    "--after",
+    default=600.0,
+    show_default=True,
+    type=click.FloatRange(0.0, 86_400.0),
+    metavar="SECONDS",
     help="When all act on it, if nothing speaks against it.",
-)  # fmt: skip
+)
 @at_option
 def push(file: str, order: int, canaries: int, after: float, at: str) -> None:
     """Try the settings of FILE, a configuration in the folder of that limiter's operator file."""
@@ -170,7 +202,10 @@
 @config.command("rollback")
 @at_option
 def rollback(at: str) -> None:
-    """Go back to the settings from before those that are tried, or else from before those that are in force."""
+    """Go back to the settings from before those that are tried.
+
+    Or else from before those that are in force.
+    """
     _carry_out(at, "rollback")
 
 
--- a/hazelhollow/configuration/config_call.py
+++ b/hazelhollow/configuration/config_call.py
@@ -1,4 +1,5 @@
-"""The calls at the operator address by which settings are tried by some members first, held, released and rolled back.
+"""The calls at the operator address by which settings are tried by some members first, held,
+released and rolled back.
 
 config push FILE ORDER CANARIES SECONDS     FILE: a configuration in the folder of the operator file
 config hold
@@ -48,7 +49,9 @@
     match words:
         case ("push", *told):
             push = read_push(told)
-            return driver.push(push.order, push.canaries, push.after, read_settings(folder / push.file))
+            return driver.push(
+                push.order, push.canaries, push.after, read_settings(folder / push.file)
+            )
         case ("hold",):
             return driver.hold()
         case ("release",):
@@ -76,7 +79,10 @@
 
 
 def read_settings(path: Path) -> Mapping[str, Any]:
-    """The settings of a configuration file. Raises ConfigCallError where there are none; what they say is not checked."""
+    """The settings of a configuration file.
+
+    Raises ConfigCallError where there are none; what they say is not checked.
+    """
     try:
         document = orjson.loads(path.read_bytes())
     except OSError as error:
--- a/hazelhollow/configuration/difference.py
+++ b/hazelhollow/configuration/difference.py
@@ -1,11 +1,14 @@
-"""What has changed between two documents of settings, and a document made again from that. No I/O, no clock.
+"""What has changed between two documents of settings, and a document made again from that.
 
-A change is a list that JSON can hold. Its path names the way from the top: the names of fields, and in a list whose entries
-all have a `name` of their own, that name.
+No I/O, no clock.
+
+A change is a list that JSON can hold. Its path names the way from the top: the names of fields, and
+in a list whose entries all have a `name` of their own, that name.
 
     ["=", path, value]              that place holds this value now
     ["-", path]                     that field is gone
-    ["*", path, names, entries]     of a list with names: these are gone, and then these came, each with its index
+    ["*", path, names, entries]     of a list with names: these are gone, and then these came, each
+      with its index
 
 Routes and plans are such lists, so that one changed route of thousands is one short change.
 """
@@ -32,8 +35,9 @@
 
 
 def difference(base: Mapping[str, Any], new: Mapping[str, Any]) -> list[Change]:
-    """The changes that make the new document from the base, in the order in which they are to be made. They follow from what
-    the two say alone, whatever the order of their fields."""
+    """The changes that make the new document from the base, in the order in which they are to be
+    made. They follow from what the two say alone, whatever the order of their fields.
+    """
     found = list[Change]()
     pairs = deque([Pair(base, new, [])])
     while pairs:
@@ -42,7 +46,10 @@
 
 
 def compare(pair: Pair, found: list[Change]) -> list[Pair]:
-    """Adds to `found` what has changed at that place itself; places below it that are still to be compared, after this one."""
+    """Adds to `found` what has changed at that place itself.
+
+    Places below it that are still to be compared, after this one.
+    """
     base, new, path = pair
     if base is new:
         return []
@@ -62,7 +69,10 @@
 
 
 def apply(base: Mapping[str, Any], changes: Sequence[Change]) -> dict[str, Any]:
-    """A new document; what did not change is the base's own. Raises ValueError for changes that do not fit the base."""
+    """A new document; what did not change is the base's own.
+
+    Raises ValueError for changes that do not fit the base.
+    """
     try:
         return _Copy(base).changed(changes)
     except (KeyError, IndexError, TypeError, AttributeError) as error:
@@ -85,7 +95,12 @@
 
 
 def _compare_lists(
-    base: list[Any], before: list[str], new: list[Any], after: list[str], path: list[str], found: list[Change]
+    base: list[Any],
+    before: list[str],
+    new: list[Any],
+    after: list[str],
+    path: list[str],
+    found: list[Change],
 ) -> list[Pair]:
     """Lists of entries with names: `before` and `after`, in order."""
     if before == after:
@@ -120,8 +135,10 @@
 
     def __init__(self, base: Mapping[str, Any]) -> None:
         self._top: dict[str, Any] = dict(base)
-        self._own: dict[int, Any] = {id(self._top): self._top}  # containers that are no longer the base's
-        self._places: dict[int, dict[str, int]] = {}  # of lists with names, by the list: index by name
+        # containers that are no longer the base's
+        self._own: dict[int, Any] = {id(self._top): self._top}
+        # of lists with names, by the list: index by name
+        self._places: dict[int, dict[str, int]] = {}
 
     def changed(self, changes: Sequence[Change]) -> dict[str, Any]:
         for what, path, *rest in changes:
--- a/hazelhollow/configuration/documents.py
+++ b/hazelhollow/configuration/documents.py
@@ -1,4 +1,7 @@
-"""Documents of settings between members: whom this one asks, what it gives, within its allowance. No I/O, no clock."""
+"""Documents of settings between members: whom this one asks, what it gives, within its allowance.
+
+No I/O, no clock.
+"""
 
 from __future__ import annotations
 
@@ -42,8 +45,11 @@
 
 
 class DocumentExchange:
-    """`send` gets the number of a member and what it is told; `progressed` the order of a document of which a piece has come.
-    `allowance`: what may be sent; nothing: all."""
+    """`send` gets the number of a member and what it is told.
+
+    `progressed` the order of a document of which a piece has come. `allowance`: what may be sent;
+    nothing: all.
+    """
 
     def __init__(
         self,
@@ -67,8 +73,14 @@
     # What this member asks for
 
     def fetch(self, target: Target, known: Collection[int], now: float) -> None:
-        """To be called at each beat, as long as it wants these settings. `known`: the members that are up."""
-        if self._taker is None or (self._taker.order, self._taker.digest) != (target.order, target.digest):
+        """To be called at each beat, as long as it wants these settings.
+
+        `known`: the members that are up.
+        """
+        if self._taker is None or (self._taker.order, self._taker.digest) != (
+            target.order,
+            target.digest,
+        ):
             base = self._history.document(self._history.current)
             assert base is not None  # what it acts on
             self._taker = transfer.Taker(
@@ -81,12 +93,18 @@
             return
         text = self._taker.wants_few(self._random, now, bool(givers))
         if text is not None:
-            number = self._random.choice(givers) if givers else self._holder(self._taker, target, known)
+            number = (
+                self._random.choice(givers) if givers else self._holder(self._taker, target, known)
+            )
             self._send(number, text, ASK_RANK, now)
 
     def _holder(self, taker: transfer.Taker, target: Target, known: Collection[int]) -> int:
-        """Whom to ask for some pieces of a whole document: one that has all, or where those are few another one that lacks it
-        too, who may have some: else all would ask the first that has it. Of a short one that has it is asked half of the times."""
+        """Whom to ask for some pieces of a whole document.
+
+        One that has all, or where those are few another one that lacks it too, who may have some:
+        else all would ask the first that has it. Of a short one that has it is asked half of the
+        times.
+        """
         others = [number for number in known if number != self._me]
         few = 2 * len(target.givers) < len(others)
         of_others = few and not (taker.short() and self._random.random() < ASK_HOLDERS)
@@ -105,7 +123,9 @@
             self._taker.refused(sender, said)
         return None
 
-    def _take(self, taker: transfer.Taker, sender: int, given: transfer.Given, now: float) -> Arrived | None:
+    def _take(
+        self, taker: transfer.Taker, sender: int, given: transfer.Given, now: float
+    ) -> Arrived | None:
         if given.order == taker.order:
             self._progressed(given.order)
         document = taker.take(given)
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -1,5 +1,8 @@
-"""The thin driver of the audit: versions ride with the view, stragglers are ruled on, documents passed on, candidates tried, acts
-written down."""
+"""The thin driver of the audit.
+
+Versions ride with the view, stragglers are ruled on, documents passed on, candidates tried, acts
+written down.
+"""
 
 from __future__ import annotations
 
@@ -27,8 +30,8 @@
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.sparse import Sparse
 
-# Seconds at most until settings are on record, before a request is served by them: a peer's, and an operator's, which are
-# in force already, so that nobody is served meanwhile.
+# Seconds at most until settings are on record, before a request is served by them: a peer's, and an
+# operator's, which are in force already, so that nobody is served meanwhile.
 WAIT_FOR_RECORD = 1.0
 BLOCKS_FOR_RECORD = 0.05
 LOOKS_EVERY = 0.005  # seconds between looks whether they are
@@ -44,10 +47,16 @@
         """Its settings as it was told them."""
 
     def check(self, document: Mapping[str, Any]) -> str:
-        """What is wrong with others' settings, as far as a running limiter would take them, or nothing."""
+        """What is wrong with others' settings.
+
+        As far as a running limiter would take them, or nothing.
+        """
 
     def take(self, document: Mapping[str, Any]) -> str:
-        """Takes others' settings, as far as a running limiter can; what is wrong with them, or nothing."""
+        """Takes others' settings, as far as a running limiter can.
+
+        What is wrong with them, or nothing.
+        """
 
 
 @dataclass(frozen=True)
@@ -63,8 +72,11 @@
 
 
 class Driver:
-    """`order`: the operator's number of the settings, as the operator file says it now; `allowance`: what it may send; nothing:
-    all."""
+    """`order`.
+
+    The operator's number of the settings, as the operator file says it now; `allowance`: what it
+    may send; nothing: all.
+    """
 
     def __init__(
         self,
@@ -86,7 +98,8 @@
         self._log = Sparse(log, scheduler.clock)
         self._heard_before = peers.heard
         self._given_order = 0  # of settings that a peer gave, or that are tried
-        self._current = ("", 0, False)  # digest and order of the settings, and whether they are tried
+        # digest and order of the settings, and whether they are tried
+        self._current = ("", 0, False)
         self._history = History()
         self._documents = DocumentExchange(
             me, self._history, random.Random(seed), self._tell, self._progressed, allowance
@@ -96,7 +109,8 @@
         self._known = KnownVersions()
         self._woke = scheduler.clock()
         self._second, self._ended, self._working = int(scheduler.clock()), False, False
-        self._document: tuple[Mapping[str, Any] | None, str] = (None, "")  # what the digest was made of
+        # what the digest was made of
+        self._document: tuple[Mapping[str, Any] | None, str] = (None, "")
         self._pending: _Pending | None = None
 
     def start(self) -> None:
@@ -104,7 +118,9 @@
         self._fleet.view.set_versions(versions.write(self.versions()))
         self._fleet.view.table.watch(self._known.note)
         self._fleet.rule = self.shut
-        self.record.add(self._scheduler.clock(), "program", __version__, "began", order=self.order())
+        self.record.add(
+            self._scheduler.clock(), "program", __version__, "began", order=self.order()
+        )
         self._write_versions("began")
         self._beat()
 
@@ -144,15 +160,28 @@
         return self._known
 
     def shut(self, now: float) -> bool:
-        """Asked by the view's driver before it tells the decision module: so one that wakes is judged before it acts."""
+        """Asked by the view's driver before it tells the decision module.
+
+        So one that wakes is judged before it acts.
+        """
         if not self._fleet.view.acting:
             self._woke = now
-        before, self.ruling = self.ruling, self.rule.look(self.known(), now, now - self._woke < ASK_FOR)
+        before, self.ruling = (
+            self.ruling,
+            self.rule.look(self.known(), now, now - self._woke < ASK_FOR),
+        )
         if self.ruling.state != before.state:
             self.record.add(now, "ruling", self.ruling.state, self.ruling.why, order=self.order())
-            level = logging.WARNING if self.ruling.state in ("shut out", "contradiction") else logging.INFO
+            level = (
+                logging.WARNING
+                if self.ruling.state in ("shut out", "contradiction")
+                else logging.INFO
+            )
             self._log.say(
-                level, "audit: %s%s", self.ruling.state, f": {self.ruling.why}" if self.ruling.why else ""
+                level,
+                "audit: %s%s",
+                self.ruling.state,
+                f": {self.ruling.why}" if self.ruling.why else "",
             )
         return self.ruling.shut
 
@@ -189,15 +218,20 @@
             self._work()
 
     def write_changes(self, why: str) -> None:
-        """Writes down what this member acts on now, if it changed for the reason `why`, and tells the others.
+        """Writes down what this member acts on now, if it changed for the reason `why`.
+
+        And tells the others.
 
-        To be called in the same turn as the change, before a request is served by it: one killed right after has new settings
-        on record, but where the disk takes longer than BLOCKS_FOR_RECORD, which is logged.
+        To be called in the same turn as the change, before a request is served by it: one killed
+        right after has new settings on record, but where the disk takes longer than
+        BLOCKS_FOR_RECORD, which is logged.
         """
         if self._write_versions(why):
             self.record.flush()
             if not self.record.written(BLOCKS_FOR_RECORD):
-                log.warning("audit: the disk is slow; what this member acts on is not on record yet")
+                log.warning(
+                    "audit: the disk is slow; what this member acts on is not on record yet"
+                )
         self._fleet.view.set_versions(versions.write(self.versions()))
 
     def _write_versions(self, why: str) -> bool:
@@ -216,22 +250,36 @@
     def end(self) -> None:
         if not self._ended:
             self._ended = True
-            self.record.add(self._scheduler.clock(), "program", __version__, "ended", order=self.order())
+            self.record.add(
+                self._scheduler.clock(), "program", __version__, "ended", order=self.order()
+            )
             self.record.close()
 
     # Documents
 
     def _fetch(self) -> None:
-        """Settings that this member is to act on: those in force, or else those that it is to try."""
+        """Settings that this member is to act on.
+
+        Those in force, or else those that it is to try.
+        """
         known, candidate = self.known(), None
         order, digests = known.newest()
-        target = Target(order, next(iter(digests)), self.ruling.ask) if self.ruling.ask and digests else None
+        target = (
+            Target(order, next(iter(digests)), self.ruling.ask)
+            if self.ruling.ask and digests
+            else None
+        )
         invitation = None if target else self.rollout.invitation(known)
         if invitation is not None:
-            target, candidate = Target(invitation.order, invitation.digest, invitation.givers), invitation
+            target, candidate = (
+                Target(invitation.order, invitation.digest, invitation.givers),
+                invitation,
+            )
         if target is None or self._is_pending(target.order, target.digest):
             return
-        document = self._history.document(target.digest) if self._history.knows(target.digest) else None
+        document = (
+            self._history.document(target.digest) if self._history.knows(target.digest) else None
+        )
         if document is not None:
             why = f"told of by member {min(target.givers)}, known from before"
             self._take(target.order, target.digest, document, why, candidate)
@@ -249,7 +297,11 @@
             self._heard_before(sender, text)
             return
         plain = self._seal.open(text)
-        arrived = self._documents.heard(sender, plain, self._scheduler.clock()) if plain is not None else None
+        arrived = (
+            self._documents.heard(sender, plain, self._scheduler.clock())
+            if plain is not None
+            else None
+        )
         if arrived is not None:
             # In a turn of its own: a long document takes as long to check as to put together.
             self._scheduler.at(self._scheduler.clock() + SLICE_EVERY, self._take_arrived, arrived)
@@ -269,7 +321,12 @@
             self._take(arrived.order, arrived.digest, arrived.document, why, invitation)
 
     def _take(
-        self, order: int, digest: str, document: Mapping[str, Any], why: str, invitation: Invitation | None
+        self,
+        order: int,
+        digest: str,
+        document: Mapping[str, Any],
+        why: str,
+        invitation: Invitation | None,
     ) -> None:
         """These settings are to be acted on, as soon as that is on record."""
         if self._is_pending(order, digest):
@@ -285,7 +342,10 @@
         self._take_pending(self._pending)
 
     def _is_pending(self, order: int, digest: str) -> bool:
-        return self._pending is not None and (self._pending.order, self._pending.digest) == (order, digest)
+        return self._pending is not None and (self._pending.order, self._pending.digest) == (
+            order,
+            digest,
+        )
 
     def _take_pending(self, pending: _Pending) -> None:
         if self._ended or pending is not self._pending:
@@ -319,7 +379,9 @@
     # Candidates
 
     def _look_at_rollout(self, now: float) -> None:
-        verdict = self.rollout.look(self.known(), self._port.figures(), now, self._fleet.view.acting)
+        verdict = self.rollout.look(
+            self.known(), self._port.figures(), now, self._fleet.view.acting
+        )
         if verdict is None:
             return
         if verdict.step is Step.HELD:
@@ -341,7 +403,10 @@
     # What an operator does here; each gives what is wrong, or nothing
 
     def settings_in_force(self) -> None:
-        """The limiter has read its files again, and acts on what they say: candidates and what peers gave no longer count."""
+        """The limiter has read its files again, and acts on what they say.
+
+        Candidates and what peers gave no longer count.
+        """
         self._given_order, self._pending = 0, None
         self.rollout.end()
         self.write_changes("read again")
@@ -349,8 +414,10 @@
         self._fetch()
 
     def push(self, order: int, canaries: int, after: float, document: Mapping[str, Any]) -> str:
-        """These settings are tried here and by others, `canaries` members in all, and in force for all after so many seconds, if
-        nothing speaks against it."""
+        """These settings are tried here and by others, `canaries` members in all.
+
+        And in force for all after so many seconds, if nothing speaks against it.
+        """
         trouble = self._push_trouble(order, canaries, document) or self._port.take(document)
         if trouble:
             return trouble
@@ -369,10 +436,16 @@
         if self.ruling.state != "current":
             return f"this member is not on the newest settings: {self.ruling.state}"
         if not greatest < order <= MOST_ORDER:
-            return f"order {order} is not above {greatest}, the greatest that is out, or above {MOST_ORDER}"
+            return (
+                f"order {order} is not above {greatest}, the greatest that is out, or above "
+                f"{MOST_ORDER}"
+            )
         most = min(MOST_CANARIES, len(known) - 1)
         if not 1 <= canaries <= most:
-            return f"{canaries} members cannot try it first: of {len(known)} that are up {most} at most"
+            return (
+                f"{canaries} members cannot try it first: of {len(known)} that are up {most} "
+                "at most"
+            )
         if versions.settings_digest(document) == self._digest():
             return "these are the settings that this member acts on"
         return ""
@@ -389,7 +462,10 @@
         if self.rollout.candidate is None:
             return self._no_candidate()
         if len(meanings(self.known(), self.order())) > 1:
-            return f"order {self.order()} stands for other settings at others: push one of them under a greater order"
+            return (
+                f"order {self.order()} stands for other settings at others: push one of them "
+                "under a greater order"
+            )
         self._release("by an operator")
         return ""
 
@@ -400,14 +476,20 @@
         return f"this member tries no settings; members that do: {', '.join(map(str, trying))}"
 
     def roll_back(self) -> str:
-        """The settings from before come into force for all, under an order above all that are out: those from before the
-        candidate, where there is one, else those from before the ones that are in force."""
+        """The settings from before come into force for all, under an order above all that are out.
+
+        Those from before the candidate, where there is one, else those from before the ones that
+        are in force.
+        """
         known = self.known()
         earlier = self._in_force if known.candidates() else self._in_force[:-1]
         digest = earlier[-1] if earlier else ""
         document = self._history.document(digest) if digest else None
         if document is None:
-            return "this member knows of no earlier settings; ask another, or give them under a greater order"
+            return (
+                "this member knows of no earlier settings; ask another, or give them under a "
+                "greater order"
+            )
         order = known.greatest() + 1
         if order > MOST_ORDER:
             return f"there is no order above {MOST_ORDER}"
@@ -442,4 +524,8 @@
 
 
 def _shown(candidate: Candidate | None) -> dict[str, Any] | None:
-    return {"canaries": candidate.canaries, "phase": candidate.phase.name.lower()} if candidate else None
+    return (
+        {"canaries": candidate.canaries, "phase": candidate.phase.name.lower()}
+        if candidate
+        else None
+    )
--- a/hazelhollow/configuration/files.py
+++ b/hazelhollow/configuration/files.py
@@ -11,7 +11,10 @@
 
 
 def segments(folder: Path) -> list[Path]:
-    """Of all limiters whose folders are in this one, or that wrote here; by limiter, life and number."""
+    """Of all limiters whose folders are in this one, or that wrote here.
+
+    By limiter, life and number.
+    """
     return sorted(folder.rglob("audit-*.seg"), key=lambda path: path.name)
 
 
@@ -24,9 +27,14 @@
 
 
 def entries(
-    folder: Path, trouble: Callable[[str], None], progress: Callable[[int, int], None] = lambda done, of: None
+    folder: Path,
+    trouble: Callable[[str], None],
+    progress: Callable[[int, int], None] = lambda done, of: None,
 ) -> Iterator[Entry]:
-    """`trouble` gets a line for what cannot be read; `progress`: bytes read so far, and of how many."""
+    """`trouble` gets a line for what cannot be read.
+
+    `progress`: bytes read so far, and of how many.
+    """
     paths = segments(folder)
     sizes = [path.stat().st_size for path in paths]
     done, whole = 0, sum(sizes)
--- a/hazelhollow/configuration/history.py
+++ b/hazelhollow/configuration/history.py
@@ -1,8 +1,10 @@
-"""The settings that a member has acted on lately: the newest whole, and the changes from each back to the one before. No I/O, no
-clock.
+"""The settings that a member has acted on lately.
 
-With these a member gives another the difference from settings that were in force hours ago, and goes back to earlier ones by itself.
-The changes of a step are worked out in slices; whoever asks for earlier settings before that is done has them worked out at once.
+The newest whole, and the changes from each back to the one before. No I/O, no clock.
+
+With these a member gives another the difference from settings that were in force hours ago, and
+goes back to earlier ones by itself. The changes of a step are worked out in slices; whoever asks
+for earlier settings before that is done has them worked out at once.
 """
 
 from __future__ import annotations
@@ -26,7 +28,10 @@
 
 @dataclass(frozen=True)
 class _Step:
-    """`changes`: from the settings that came next back to those of this digest; `size`: of them, as JSON."""
+    """`changes`.
+
+    From the settings that came next back to those of this digest; `size`: of them, as JSON.
+    """
 
     digest: str
     changes: list[Change]
@@ -52,7 +57,9 @@
 
     def knows(self, digest: str) -> bool:
         """Whether these settings can be had from here."""
-        return digest in (self._current, self._before) or any(one.digest == digest for one in self._steps)
+        return digest in (self._current, self._before) or any(
+            one.digest == digest for one in self._steps
+        )
 
     def put(self, digest: str, document: Document) -> None:
         """This member acts on these now."""
@@ -91,7 +98,9 @@
     def _add(self, one: _Step) -> None:
         self._steps.appendleft(one)
         self._size += one.size
-        while self._steps and (len(self._steps) > self._most_steps or self._size > self._most_bytes):
+        while self._steps and (
+            len(self._steps) > self._most_steps or self._size > self._most_bytes
+        ):
             self._size -= self._steps.pop().size
 
 
--- a/hazelhollow/configuration/known.py
+++ b/hazelhollow/configuration/known.py
@@ -15,9 +15,11 @@
 
     def __init__(self, known: Mapping[int, Versions] | None = None) -> None:
         self._by_member: dict[int, Versions] = {}
-        self._settings = Counter[tuple[int, str]]()  # members by order and digest of the settings in force
+        # members by order and digest of the settings in force
+        self._settings = Counter[tuple[int, str]]()
         self._candidates = dict[int, Versions]()  # by member, of those that try settings
-        self._changed = dict[int, None]()  # members whose versions changed since they were asked for
+        # members whose versions changed since they were asked for
+        self._changed = dict[int, None]()
         for number, one in (known or {}).items():
             self.put(number, one)
 
@@ -51,7 +53,10 @@
         self._changed[number] = None
 
     def newest(self) -> tuple[int, set[str]]:
-        """The greatest order in force at any member, and the digests under it: more than one is a contradiction."""
+        """The greatest order in force at any member, and the digests under it.
+
+        More than one is a contradiction.
+        """
         order = max((order for order, _ in self._settings), default=0)
         return order, {settings for at, settings in self._settings if at == order}
 
@@ -61,14 +66,22 @@
         return max(tried, self.newest()[0])
 
     def candidates(self) -> Mapping[int, Versions]:
-        """By member: the settings that members try, as far as they are newer than all that are in force."""
+        """By member.
+
+        The settings that members try, as far as they are newer than all that are in force.
+        """
         newest = self.newest()[0]
         return {number: one for number, one in self._candidates.items() if one.order > newest}
 
     def take_changed(self) -> list[tuple[int, Versions]]:
-        """Members whose versions have changed since this was called last, as far as they are still known."""
+        """Members whose versions have changed since this was called last.
+
+        As far as they are still known.
+        """
         changed, self._changed = self._changed, {}
-        return [(number, self._by_member[number]) for number in changed if number in self._by_member]
+        return [
+            (number, self._by_member[number]) for number in changed if number in self._by_member
+        ]
 
     def _remove(self, number: int) -> None:
         before = self._by_member.pop(number, None)
--- a/hazelhollow/configuration/merge.py
+++ b/hazelhollow/configuration/merge.py
@@ -1,7 +1,10 @@
-"""Records of many limiters in one order: who acted on which version when, and which promise was broken. No I/O.
+"""Records of many limiters in one order.
 
-Clocks differ. A `heard` entry ties two of them: nobody hears of a version before its member began to act on it. `Offsets` are the
-smallest that contradict none of these; where none exist, that is said. Entries are read one by one and only spans are kept.
+Who acted on which version when, and which promise was broken. No I/O.
+
+Clocks differ. A `heard` entry ties two of them: nobody hears of a version before its member began
+to act on it. `Offsets` are the smallest that contradict none of these; where none exist, that is
+said. Entries are read one by one and only spans are kept.
 """
 
 from __future__ import annotations
@@ -15,14 +18,18 @@
 from hazelhollow.configuration.record import Entry
 
 HEARD_WITHIN = (
-    3.0  # seconds after which one that could hear of a newer version should have ceased to act on the older
+    # seconds after which one that could hear of a newer version should have ceased to act on the
+    # older
+    3.0
 )
 OUT_WITHIN = 1.0  # seconds after which nothing more goes to a host that was put out by hand
 
 
 @dataclass
 class Span:
-    """One member under one version of the settings, in its own time until `Fleet.settle`, then in the fleet's."""
+    """One member under one version of the settings, in its own time until `Fleet.settle`, then in
+    the fleet's.
+    """
 
     member: int
     life: int
@@ -43,7 +50,8 @@
     lives: list[int] = field(default_factory=list)
     first: float = 0.0
     last: float = 0.0
-    out: dict[str, float] = field(default_factory=dict)  # hosts that are out by hand here, and since when
+    # hosts that are out by hand here, and since when
+    out: dict[str, float] = field(default_factory=dict)
     ruling: str = "current"
     gaps: int = 0  # entries that are missing, by their numbers
 
@@ -117,10 +125,13 @@
     def _nothing(self, entry: Entry, one: Member) -> None: ...
 
     def _settings(self, entry: Entry, one: Member) -> None:
-        if one.spans and one.spans[-1].life == entry.life:  # else it ended unseen, after its last entry
+        # else it ended unseen, after its last entry
+        if one.spans and one.spans[-1].life == entry.life:
             one.spans[-1].end = max(entry.t, one.spans[-1].begin)
         self._began.setdefault((entry.member, entry.order, entry.version), entry.t)
-        span = Span(entry.member, entry.life, entry.order, entry.version, entry.t, entry.t, entry.why)
+        span = Span(
+            entry.member, entry.life, entry.order, entry.version, entry.t, entry.t, entry.why
+        )
         span.tried = entry.candidate
         one.spans.append(span)
         one.ruling = "current"
@@ -161,7 +172,9 @@
             self._ties.append(tie)
 
     def _rollout(self, entry: Entry, one: Member) -> None:
-        self.rollout.append(RolloutStep(entry.t, entry.member, entry.order, entry.version, entry.why))
+        self.rollout.append(
+            RolloutStep(entry.t, entry.member, entry.order, entry.version, entry.why)
+        )
 
     # One order
 
@@ -199,7 +212,8 @@
         for tie in self._ties:
             began = self._began.get((tie.other, tie.order, tie.digest))
             if began is not None:
-                ties.append((tie.hearer, tie.other, began - tie.at))  # offset[hearer] - offset[other] >= that
+                # offset[hearer] - offset[other] >= that
+                ties.append((tie.hearer, tie.other, began - tie.at))
         for _ in range(len(self.members) + 1):
             moved = False
             for hearer, other, least in ties:
@@ -208,11 +222,15 @@
             if not moved:
                 return
         self.troubles.append(
-            "the clocks cannot be brought into one order: what some heard contradicts what others wrote"
+            "the clocks cannot be brought into one order: what some heard contradicts "
+            "what others wrote"
         )
 
     def changes(self) -> list[dict[str, Any]]:
-        """For each order that was in force: when the first member acted on it, and when the last ceased to act on an older one."""
+        """For each order that was in force.
+
+        When the first member acted on it, and when the last ceased to act on an older one.
+        """
         spans = [span for one in self.members.values() for span in one.spans if not span.tried]
         found = []
         for order in sorted({span.order for span in spans}):
@@ -220,14 +238,18 @@
             older = [span for span in spans if span.order < order and span.end > out]
             acted = [span for span in older if not self._idle(span, out)]
             last = max((span.end for span in acted), default=out)
-            found.append({
-                "order": order,
-                "digests": sorted({span.settings for span in spans if span.order == order}),
-                "out_at": out,
-                "last_old_after_s": round(last - out, 3),
-                "requests_under_older_since": sum(span.requests for span in older if span.begin >= out),
-                "members": sorted({span.member for span in spans if span.order == order}),
-            })  # fmt: skip
+            found.append(
+                {
+                    "order": order,
+                    "digests": sorted({span.settings for span in spans if span.order == order}),
+                    "out_at": out,
+                    "last_old_after_s": round(last - out, 3),
+                    "requests_under_older_since": sum(
+                        span.requests for span in older if span.begin >= out
+                    ),
+                    "members": sorted({span.member for span in spans if span.order == order}),
+                }
+            )
         return found
 
     @staticmethod
@@ -253,7 +275,10 @@
                     and span.worked - heard > HEARD_WITHIN + 1.0
                     and not self._idle(span, heard)
                 ):
-                    text = f"member {hearer} heard of order {order} from member {other} and acted on {span.order} for {span.worked - heard:.1f} s more"
+                    text = (
+                        f"member {hearer} heard of order {order} from member {other} and "
+                        f"acted on {span.order} for {span.worked - heard:.1f} s more"
+                    )
                     if not any(
                         f.what == "old" and f.members == (hearer,) and f"order {order} " in f.text
                         for f in self.findings
@@ -274,7 +299,10 @@
             for place, digest in enumerate(digests):
                 for other in digests[place + 1 :]:
                     a, b = first[digest], first[other]
-                    text = f"order {order} is {digest} at member {a.member} and {other} at member {b.member}"
+                    text = (
+                        f"order {order} is {digest} at member {a.member} and {other} at "
+                        f"member {b.member}"
+                    )
                     self.findings.append(
                         Finding("contradiction", max(a.begin, b.begin), (a.member, b.member), text)
                     )
@@ -294,7 +322,16 @@
                     "lives": len(one.lives),
                     "offset_s": round(self.offsets.get(number, 0.0), 3),
                     "spans": [
-                        {"order": s.order, "settings": s.settings, "tried": s.tried, "begin": s.begin, "end": s.end, "why": s.why, "requests": s.requests, "shut_out": s.shut}
+                        {
+                            "order": s.order,
+                            "settings": s.settings,
+                            "tried": s.tried,
+                            "begin": s.begin,
+                            "end": s.end,
+                            "why": s.why,
+                            "requests": s.requests,
+                            "shut_out": s.shut,
+                        }
                         for s in one.spans
                     ],
                 }
@@ -302,11 +339,15 @@
             },
             "changes": self.changes(),
             "rollout": [
-                {"t": s.t, "member": s.member, "order": s.order, "step": s.step, "why": s.why} for s in self.rollout
+                {"t": s.t, "member": s.member, "order": s.order, "step": s.step, "why": s.why}
+                for s in self.rollout
+            ],
+            "findings": [
+                {"what": f.what, "t": f.t, "members": list(f.members), "text": f.text}
+                for f in self.findings
             ],
-            "findings": [{"what": f.what, "t": f.t, "members": list(f.members), "text": f.text} for f in self.findings],
             "not_known": self.troubles,
-        }  # fmt: skip
+        }
 
 
 def merged(entries: Iterable[Entry]) -> Fleet:
--- a/hazelhollow/configuration/record.py
+++ b/hazelhollow/configuration/record.py
@@ -1,7 +1,9 @@
-"""What a limiter writes down of its own acts: bounded, in memory, and in segments where there is a disk.
+"""What a limiter writes down of its own acts.
 
-A segment is a row of entries, each with its length and checksum, so that a tail that was torn off shows and the rest is good. A
-new life begins a new segment; the oldest go when there are too many.
+Bounded, in memory, and in segments where there is a disk.
+
+A segment is a row of entries, each with its length and checksum, so that a tail that was torn off
+shows and the rest is good. A new life begins a new segment; the oldest go when there are too many.
 """
 
 from __future__ import annotations
@@ -34,14 +36,19 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """`t`: the writer's clock, Unix seconds. `what`: `settings`, `list`, `hands`, `program`: it began to act on `version` for the
-    reason `why`; `ruling`: its own case (`version` the state); `heard`: it heard for the first time that member `other` acts
-    on `version` (all versions, as the view tells them); `second`: `counts` of the second before `t`, decided under `version`, the
-    settings, with `hosts` that were sent something.
+    """`t`: the writer's clock, Unix seconds.
+
+    `what`: `settings`, `list`, `hands`, `program`: it began to act on `version` for the reason
+    `why`; `ruling`: its own case (`version` the state); `heard`: it heard for the first time that
+    member `other` acts on `version` (all versions, as the view tells them); `second`: `counts` of
+    the second before `t`, decided under `version`, the settings, with `hosts` that were sent
+    something.
 
-    `rollout`: what became of settings that some members try first (`version` the step). `candidate`: the settings are tried.
+    `rollout`: what became of settings that some members try first (`version` the step).
+    `candidate`: the settings are tried.
 
-    `order`: of the settings then. `hosts` of `hands`: those that are out, with 1."""
+    `order`: of the settings then. `hosts` of `hands`: those that are out, with 1.
+    """
 
     t: float
     member: int
@@ -83,8 +90,11 @@
 
 
 class Segments:
-    """The files of one limiter, written by `writer`. A disk that fails costs the record alone: it is said once, and tried again
-    with the next segment."""
+    """The files of one limiter, written by `writer`.
+
+    A disk that fails costs the record alone: it is said once, and tried again with the next
+    segment.
+    """
 
     def __init__(self, folder: Path, member: int, life: int, writer: Writer | None = None) -> None:
         self._folder, self._member, self._life = folder, member, life
@@ -130,7 +140,10 @@
 
 
 class Record:
-    """Entries in memory, the last of them; those not yet on disk are written by `flush`, never by a request."""
+    """Entries in memory, the last of them.
+
+    Those not yet on disk are written by `flush`, never by a request.
+    """
 
     def __init__(self, member: int, life: int, segments: Segments | None = None) -> None:
         self.member, self.life, self._segments = member, life, segments
--- a/hazelhollow/configuration/rollout.py
+++ b/hazelhollow/configuration/rollout.py
@@ -1,9 +1,11 @@
-"""Settings that a few members try before all act on them: who tries them, when they are held, when they come into force. No I/O,
-no clock.
+"""Settings that a few members try before all act on them.
 
-A member that tries settings says so with its versions, so that no other follows it but those that are to try them too. Which these
-are follows from the order and the members' numbers alone. Where one of them fails, or is gone, the settings are held: nobody else
-takes them until an operator releases them or goes back.
+Who tries them, when they are held, when they come into force. No I/O, no clock.
+
+A member that tries settings says so with its versions, so that no other follows it but those that
+are to try them too. Which these are follows from the order and the members' numbers alone. Where
+one of them fails, or is gone, the settings are held: nobody else takes them until an operator
+releases them or goes back.
 """
 
 from __future__ import annotations
@@ -18,7 +20,9 @@
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
 
 SETTLES = (
-    2.0  # seconds that a member which takes no work, or has just woken, waits before it judges the others
+    # seconds that a member which takes no work, or has just woken, waits before it judges the
+    # others
+    2.0
 )
 LEAST_REQUESTS = 50  # under the candidate, before its failures say anything
 MOST_FAILED = 0.02  # of them
@@ -54,7 +58,10 @@
 
 @dataclass
 class _Lead:
-    """Of the member that was given the candidate. `due`: when it comes into force; `seen`: members that have acted on it."""
+    """Of the member that was given the candidate.
+
+    `due`: when it comes into force; `seen`: members that have acted on it.
+    """
 
     due: float
     seen: set[int] = field(default_factory=set)
@@ -80,7 +87,10 @@
 
 
 class Rollout:
-    """Member `me`'s part. `candidate`: what is said with its versions, while what it acts on is tried."""
+    """Member `me`'s part.
+
+    `candidate`: what is said with its versions, while what it acts on is tried.
+    """
 
     def __init__(self, me: int) -> None:
         self.me = me
@@ -90,7 +100,10 @@
         self._refused = set[tuple[int, str]]()
 
     def push(self, canaries: int, due: float, figures: Mapping[str, int]) -> None:
-        """This member was given a candidate, which comes into force at `due` if nothing speaks against it."""
+        """This member was given a candidate.
+
+        Which comes into force at `due` if nothing speaks against it.
+        """
         self.candidate = Candidate(canaries, Phase.BAKING)
         self._lead, self._health = _Lead(due), Health(figures)
 
@@ -131,7 +144,10 @@
     def look(
         self, known: KnownVersions, figures: Mapping[str, int], now: float, acting: bool
     ) -> Verdict | None:
-        """To be called at each beat. `acting`: whether it takes work, and so knows of the others."""
+        """To be called at each beat.
+
+        `acting`: whether it takes work, and so knows of the others.
+        """
         own = known[self.me]
         if self.candidate is None or own.candidate is None:
             return None
@@ -147,13 +163,19 @@
         }
         if len(meanings(known, own.order)) > 1:
             return Verdict(Step.HELD, f"order {own.order} stands for other settings at others")
-        held = sorted(n for n, one in with_it.items() if one.candidate and one.candidate.phase is Phase.HELD)
+        held = sorted(
+            n for n, one in with_it.items() if one.candidate and one.candidate.phase is Phase.HELD
+        )
         if held:
             return Verdict(Step.HELD, f"member {held[0]} holds it")
         trouble = self._health.trouble(figures) if self._health else ""
         if trouble:
             return Verdict(Step.HELD, trouble)
-        return self._look_as_leader(self._lead, set(with_it), len(known), now, acting) if self._lead else None
+        return (
+            self._look_as_leader(self._lead, set(with_it), len(known), now, acting)
+            if self._lead
+            else None
+        )
 
     def _look_as_leader(
         self, lead: _Lead, with_it: set[int], up: int, now: float, acting: bool
@@ -179,8 +201,10 @@
 
 
 def canaries(order: int, wanted: int, trying: Collection[int], up: Collection[int]) -> set[int]:
-    """Members that are to try the settings of that order: those that do, and as many more as are wanted, the same for all that
-    know of the same members."""
+    """Members that are to try the settings of that order.
+
+    Those that do, and as many more as are wanted, the same for all that know of the same members.
+    """
     others = sorted((n for n in up if n not in trying), key=lambda n: _rank(order, n))
     return {*trying, *others[: max(0, wanted - len(trying))]}
 
--- a/hazelhollow/configuration/slices.py
+++ b/hazelhollow/configuration/slices.py
@@ -1,6 +1,9 @@
-"""Work on documents that is too long for one turn of the event loop, cut into steps. No I/O, no clock.
+"""Work on documents that is too long for one turn of the event loop, cut into steps.
 
-Each class here is made of what it works on, and does one step with each call of `step`, until that says that it is done.
+No I/O, no clock.
+
+Each class here is made of what it works on, and does one step with each call of `step`, until that
+says that it is done.
 """
 
 from __future__ import annotations
@@ -25,7 +28,10 @@
 
 
 class Comparison:
-    """What has changed between two documents; `changes` once it is done, in the order in which they are to be made."""
+    """What has changed between two documents.
+
+    `changes` once it is done, in the order in which they are to be made.
+    """
 
     def __init__(self, base: Mapping[str, Any], new: Mapping[str, Any]) -> None:
         self.changes = list[Change]()
@@ -38,7 +44,10 @@
 
 
 class Packing:
-    """Anything that JSON can hold as compressed text, in pieces of `size` characters; `pieces` once it is done."""
+    """Anything that JSON can hold as compressed text, in pieces of `size` characters.
+
+    `pieces` once it is done.
+    """
 
     def __init__(self, value: Any, size: int) -> None:
         self.pieces = list[str]()
--- a/hazelhollow/configuration/stragglers.py
+++ b/hazelhollow/configuration/stragglers.py
@@ -1,4 +1,7 @@
-"""What a limiter does that is behind, or that hears of a contradiction: one rule, from what the view says. No I/O, no clock."""
+"""What a limiter does that is behind, or that hears of a contradiction.
+
+One rule, from what the view says. No I/O, no clock.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,10 @@
 
 @dataclass(frozen=True)
 class Ruling:
-    """`shut`: it takes nothing new. `ask`: members that act on the newest order, one of which is to be asked for it."""
+    """`shut`: it takes nothing new.
+
+    `ask`: members that act on the newest order, one of which is to be asked for it.
+    """
 
     state: State
     shut: bool = False
@@ -27,7 +33,10 @@
 
 
 def _is_behind(one: Versions, order: int, digests: set[str]) -> bool:
-    """`order`: the newest in force anywhere. Candidates give way to what is in force under the same order."""
+    """`order`: the newest in force anywhere.
+
+    Candidates give way to what is in force under the same order.
+    """
     if one.candidate and one.order == order:
         return one.settings not in digests
     return one.order < order
@@ -38,7 +47,8 @@
 
     def __init__(self, me: int) -> None:
         self.me = me
-        self._since: dict[int, float] = {}  # orders that are newer than its own, and when each was heard of
+        # orders that are newer than its own, and when each was heard of
+        self._since: dict[int, float] = {}
         self._progress: dict[int, float] = {}  # and when a piece of its document came last
         self._refused: dict[int, str] = {}  # and those that it cannot take, and why
         self._back = -1e9
@@ -58,8 +68,10 @@
         return now - max(since, heard) < ASK_FOR
 
     def look(self, known: KnownVersions, now: float, fresh: bool = False) -> Ruling:
-        """`known`: what the members that are up act on, this one among them. `fresh`: it has just begun or woken, and must not
-        act on what was in force then."""
+        """`known`: what the members that are up act on, this one among them.
+
+        `fresh`: it has just begun or woken, and must not act on what was in force then.
+        """
         own = known[self.me]
         order, digests = known.newest()
         if not _is_behind(own, order, digests):
@@ -68,7 +80,10 @@
             if len(digests) > 1:
                 return Ruling(
                     "contradiction",
-                    why=f"order {order} stands for {len(digests)} settings: {', '.join(sorted(digests))}",
+                    why=(
+                        f"order {order} stands for {len(digests)} settings: "
+                        f"{', '.join(sorted(digests))}"
+                    ),
                 )
             return Ruling("current")
         self._since.setdefault(order, now)
@@ -82,15 +97,20 @@
             )
         if order not in self._refused and self._asks_on(order, now):
             shut = fresh and self._may_go(known, order)
-            return Ruling("asking", shut, givers, why=f"order {order} is out, {own.order} acts here")
+            return Ruling(
+                "asking", shut, givers, why=f"order {order} is out, {own.order} acts here"
+            )
         why = self._refused.get(order, f"nobody gave order {order} within {ASK_FOR:g} s")
         if now - self._back < STEADY or not self._may_go(known, order):
             return Ruling("behind", ask=givers, why=f"{why}; it goes on, or too few would serve")
         return Ruling("shut out", True, givers, why)
 
     def _may_go(self, known: KnownVersions, order: int) -> bool:
-        """Whether enough serve without it: those that are not behind and, of those that are, the ones with the smaller numbers,
-        up to the floor. All that see the same reckon the same."""
+        """Whether enough serve without it.
+
+        Those that are not behind and, of those that are, the ones with the smaller numbers, up to
+        the floor. All that see the same reckon the same.
+        """
         digests = known.newest()[1]
         behind = sorted(n for n, one in known.items() if _is_behind(one, order, digests))
         current, least = len(known) - len(behind), FLOOR * len(known)
--- a/hazelhollow/configuration/transfer.py
+++ b/hazelhollow/configuration/transfer.py
@@ -1,13 +1,15 @@
 """The settings document from one member to another, in datagrams. No I/O, no clock.
 
-    d1q 002 0-1-2                 asks for order 2, pieces 0, 1 and 2 (none named: the first, which says how many there are)
+    d1q 002 0-1-2                 asks for order 2, pieces 0, 1 and 2 (none named: the first, which
+      says how many there are)
     d1q 002 0-1-2 a0x1            the same of its difference from the settings whose digest is a0x1
     d1g 002 k3f9 3-12 TEXT        piece 3 of 12 of order 2, whose digest is k3f9
     d1g 002 k3f9 0-1 TEXT a0x1    piece 0 of 1 of its difference from those settings
     d1n 002 a0x1                  no difference from those can be given
 
-What travels is compressed, as base64. A document is taken when all pieces are there and its digest is the one that the view told.
-Who acts on older settings asks for the difference from them first, and for the whole document where nobody gives one.
+What travels is compressed, as base64. A document is taken when all pieces are there and its digest
+is the one that the view told. Who acts on older settings asks for the difference from them first,
+and for the whole document where nobody gives one.
 """
 
 from __future__ import annotations
@@ -34,15 +36,21 @@
 MOST_DOCUMENT = 4 << 20  # bytes, whatever the compressed text says
 AT_ONCE = 16  # pieces asked for, and given, at once
 FEW = 4  # pieces asked for at once of one member, where a budget bounds what each gives
-MOST_REFUSALS = 3  # members that can give no difference, after which the whole document is asked for
+# members that can give no difference, after which the whole document is asked for
+MOST_REFUSALS = 3
 MOST_UNANSWERED = 6  # asks in a row for a difference that nobody answered, after which it is too
-FIRST_AGAIN_AFTER = 1.0  # seconds after which the first piece, which tells of how many, is asked for again
-DIFFERENCE_AGAIN_AFTER = 1.0  # seconds after which a piece of a difference, which has few, is asked for again
+# seconds after which the first piece, which tells of how many, is asked for again
+FIRST_AGAIN_AFTER = 1.0
+# seconds after which a piece of a difference, which has few, is asked for again
+DIFFERENCE_AGAIN_AFTER = 1.0
 AGAIN_AFTER = 3.0  # seconds after which a piece that was asked for so is asked for again
 
 
 class Asked(NamedTuple):
-    """`base`: the digest of the settings from which the difference is asked for; nothing: the whole document."""
+    """`base`.
+
+    The digest of the settings from which the difference is asked for; nothing: the whole document.
+    """
 
     order: int
     pieces: tuple[int, ...]
@@ -108,7 +116,12 @@
 
 def _read_given(order: int, digest: str, place: str, text: str, base: str = "") -> Given | None:
     piece, total = (number36(part, MOST_ORDER + 1) for part in place.split("-"))
-    sound = piece < total <= MOST_PIECES and len(text) <= PIECE and digest.isalnum() and _digest_or_none(base)
+    sound = (
+        piece < total <= MOST_PIECES
+        and len(text) <= PIECE
+        and digest.isalnum()
+        and _digest_or_none(base)
+    )
     return Given(order, digest, piece, total, text, base) if sound else None
 
 
@@ -119,14 +132,19 @@
 def _unpack(text: str) -> Any:
     """Nothing for what is none."""
     try:
-        unpacked = zlib.decompressobj().decompress(base64.b64decode(text, validate=True), MOST_DOCUMENT)
+        unpacked = zlib.decompressobj().decompress(
+            base64.b64decode(text, validate=True), MOST_DOCUMENT
+        )
         return orjson.loads(unpacked)
     except (binascii.Error, zlib.error, orjson.JSONDecodeError):
         return None
 
 
 class _Making:
-    """A text that is given, on its way to pieces: of a whole document, or of the difference from a base."""
+    """A text that is given, on its way to pieces.
+
+    Of a whole document, or of the difference from a base.
+    """
 
     def __init__(self, document: Mapping[str, Any], base: Mapping[str, Any] | None = None) -> None:
         self._document = document
@@ -153,11 +171,18 @@
 
 
 class Giver:
-    """One document, cut up, and the difference from earlier ones that `history` knows, each made in slices when it is asked for
-    first. All that know both documents make the same pieces."""
+    """One document, cut up.
+
+    And the difference from earlier ones that `history` knows, each made in slices when it is asked
+    for first. All that know both documents make the same pieces.
+    """
 
     def __init__(
-        self, order: int, document: Mapping[str, Any], history: History | None = None, digest: str = ""
+        self,
+        order: int,
+        document: Mapping[str, Any],
+        history: History | None = None,
+        digest: str = "",
     ) -> None:
         """`digest`: the document's, where it is known already."""
         self.order, self.digest = order, digest or settings_digest(document)
@@ -206,7 +231,10 @@
         if len(texts) > MOST_PIECES or (asked.base and not texts):
             return [give_no_difference(NoDifference(asked.order, asked.base))] if asked.base else []
         wanted = [n for n in asked.pieces or (0,) if n < len(texts)]
-        return [give(Given(self.order, self.digest, n, len(texts), texts[n], asked.base)) for n in wanted]
+        return [
+            give(Given(self.order, self.digest, n, len(texts), texts[n], asked.base))
+            for n in wanted
+        ]
 
 
 class _Pieces:
@@ -224,8 +252,11 @@
         return ask(self._order, missing, self._base)
 
     def wants_few(self, chance: random.Random, now: float) -> str | None:
-        """Some missing pieces by chance, none of them asked for lately, so that members that lack the same give each other
-        what they have. Nothing while all are on their way."""
+        """Some missing pieces by chance, none of them asked for lately.
+
+        So that members that lack the same give each other what they have. Nothing while all are on
+        their way.
+        """
         places = [n for n in range(self._total) if n not in self._texts] if self._total else [0]
         again_after = self._again_after if self._total else FIRST_AGAIN_AFTER
         due = [n for n in places if now - self._asked.get(n, -again_after) >= again_after]
@@ -243,7 +274,8 @@
         """What is here, though it is not whole."""
         wanted = [n for n in asked.pieces if n in self._texts]
         return [
-            give(Given(self._order, self._digest, n, self._total, self._texts[n], self._base)) for n in wanted
+            give(Given(self._order, self._digest, n, self._total, self._texts[n], self._base))
+            for n in wanted
         ]
 
     def due(self, given: Given) -> bool:
@@ -264,10 +296,14 @@
 
 
 class Taker:
-    """One document on its way here, whoever gives it; `base`: what this member acts on, so that the difference will do.
+    """One document on its way here, whoever gives it.
+
+    `base`: what this member acts on, so that the difference will do.
 
-    It asks for the difference as long as there is a member that may give it, and for the whole document meanwhile of those
-    that cannot: the first that has taken the whole can give the others the difference."""
+    It asks for the difference as long as there is a member that may give it, and for the whole
+    document meanwhile of those that cannot: the first that has taken the whole can give the others
+    the difference.
+    """
 
     def __init__(self, order: int, digest: str, base: Base | None = None) -> None:
         self.order, self.digest, self._base = order, digest, base
@@ -278,11 +314,17 @@
 
     @property
     def base(self) -> str:
-        """The digest of the settings from which it takes the difference; nothing once it takes the whole alone."""
+        """The digest of the settings from which it takes the difference.
+
+        Nothing once it takes the whole alone.
+        """
         return self._base.digest if self._base else ""
 
     def may_differ(self, givers: Sequence[int]) -> list[int]:
-        """Those of whom the difference can be asked for: none once it was asked for so often without an answer."""
+        """Those of whom the difference can be asked for.
+
+        None once it was asked for so often without an answer.
+        """
         if self._base is None or self._unanswered >= MOST_UNANSWERED:
             return []
         return [number for number in givers if number not in self._refused]
@@ -319,8 +361,14 @@
                 self._base = None
 
     def take(self, given: Given) -> dict[str, Any] | None:
-        """The document, once it is whole. Pieces of another one are left; a whole one that is not what was told is thrown away."""
-        if (given.order, given.digest) != (self.order, self.digest) or given.base not in ("", self.base):
+        """The document, once it is whole.
+
+        Pieces of another one are left; a whole one that is not what was told is thrown away.
+        """
+        if (given.order, given.digest) != (self.order, self.digest) or given.base not in (
+            "",
+            self.base,
+        ):
             return None
         if given.base:
             self._unanswered = 0
@@ -345,7 +393,10 @@
             return None
 
     def _throw_away(self, difference: bool) -> None:
-        """A false difference is not asked for again; a false document is, from its first piece on."""
+        """A false difference is not asked for again.
+
+        A false document is, from its first piece on.
+        """
         if difference:
             self._base = None
         else:
--- a/hazelhollow/configuration/versions.py
+++ b/hazelhollow/configuration/versions.py
@@ -3,8 +3,10 @@
 Example, and what each part of it is:
 
 - `i 4pz 002 k3f9 005w a1c z0q1 3b`
-- dialect, program, order, settings, list, discovery, hosts by hand; of settings that are tried first, the number of members that are
-  to try them and the phase. A program that knows of no candidates leaves versions of that length out, and so never follows one.
+- dialect, program, order, settings, list, discovery, hosts by hand; of settings that are tried
+  first, the number of members that are
+  to try them and the phase. A program that knows of no candidates leaves versions of that length
+    out, and so never follows one.
 """
 
 from __future__ import annotations
@@ -41,8 +43,12 @@
 
 
 class Versions(NamedTuple):
-    """`order`: the operator's number of the settings; `listed`: discovery's index of the list, modulo 36**4; the others are
-    digests. `dialect`: of the gossip. `candidate`: where the settings are tried, and not in force for all."""
+    """`order`.
+
+    The operator's number of the settings; `listed`: discovery's index of the list, modulo 36**4;
+    the others are digests. `dialect`: of the gossip. `candidate`: where the settings are tried, and
+    not in force for all.
+    """
 
     dialect: str
     program: str
@@ -72,7 +78,15 @@
 
 def write(one: Versions) -> str:
     numbers = base36(min(one.order, MOST_ORDER)), base36(one.listed % 36**4)
-    parts = (one.dialect, one.program, numbers[0], one.settings, numbers[1], one.discovery, one.hands)
+    parts = (
+        one.dialect,
+        one.program,
+        numbers[0],
+        one.settings,
+        numbers[1],
+        one.discovery,
+        one.hands,
+    )
     text = "".join(part.rjust(width, "0") for part, width in zip(parts, _WIDTHS, strict=True))
     if one.candidate:
         text += base36(min(one.candidate.canaries, MOST_CANARIES)) + one.candidate.phase
--- a/hazelhollow/control_budget/budget.py
+++ b/hazelhollow/control_budget/budget.py
@@ -1,8 +1,11 @@
-"""A hierarchical token bucket over a limiter's control traffic. No I/O, no clock: the time is passed in, in seconds.
+"""A hierarchical token bucket over a limiter's control traffic.
 
-Each role has a bucket of its own that nobody else draws on: its guaranteed rate. What a full bucket cannot hold, and the rate
-that no role is guaranteed, fills a shared pool, which is lent by priority. Tokens are bytes and only move, so that in any
-window of `w` seconds at most `rate * w + burst` bytes leave, whatever the roles ask for. `docs/design/control-budget.md` says why.
+No I/O, no clock: the time is passed in, in seconds.
+
+Each role has a bucket of its own that nobody else draws on: its guaranteed rate. What a full bucket
+cannot hold, and the rate that no role is guaranteed, fills a shared pool, which is lent by
+priority. Tokens are bytes and only move, so that in any window of `w` seconds at most `rate * w +
+burst` bytes leave, whatever the roles ask for. `docs/design/control-budget.md` says why.
 """
 
 from __future__ import annotations
@@ -17,7 +20,8 @@
 SUSTAINED = 0.9  # of bytes_per_s; the rest is what a full burst adds to the worst ten seconds
 BURST_SECONDS = 1.0  # of bytes_per_s, over all
 POOL_KEPT = 0.15  # share of the pool that each role leaves to each one before it
-LEAST_BYTES_PER_S = 3000.0  # below this the view is guaranteed less than its probes and answers need
+# below this the view is guaranteed less than its probes and answers need
+LEAST_BYTES_PER_S = 3000.0
 
 
 class Role(Enum):
@@ -31,7 +35,10 @@
 
 @dataclass(frozen=True)
 class Share:
-    """`rate`: of bytes_per_s that a role is guaranteed; `seconds`: of that rate that its bucket holds."""
+    """`rate`.
+
+    Of bytes_per_s that a role is guaranteed; `seconds`: of that rate that its bucket holds.
+    """
 
     rate: float
     seconds: float
@@ -74,20 +81,30 @@
 
 
 def settings_for(bytes_per_s: float) -> BudgetSettings:
-    """Buckets by which at most that many bytes a second leave over the worst ten seconds. Raises ValueError for too few."""
+    """Buckets by which at most that many bytes a second leave over the worst ten seconds.
+
+    Raises ValueError for too few.
+    """
     if bytes_per_s < LEAST_BYTES_PER_S:
         raise ValueError(f"{bytes_per_s:g} bytes a second is less than {LEAST_BYTES_PER_S:g}")
     roles = {
-        role: Bucket(share.rate * bytes_per_s, max(LARGEST, share.seconds * share.rate * bytes_per_s))
+        role: Bucket(
+            share.rate * bytes_per_s, max(LARGEST, share.seconds * share.rate * bytes_per_s)
+        )
         for role, share in SHARES.items()
     }
     held = sum(bucket.burst for bucket in roles.values())
-    return BudgetSettings(SUSTAINED * bytes_per_s, roles, max(LARGEST, BURST_SECONDS * bytes_per_s - held))
+    return BudgetSettings(
+        SUSTAINED * bytes_per_s, roles, max(LARGEST, BURST_SECONDS * bytes_per_s - held)
+    )
 
 
 @dataclass
 class Usage:
-    """Of one role since the start: datagrams and bytes sent; messages that had to wait, and those given up."""
+    """Of one role since the start.
+
+    Datagrams and bytes sent; messages that had to wait, and those given up.
+    """
 
     sent: int = 0
     bytes: int = 0
@@ -96,7 +113,10 @@
 
 
 class ControlBudget:
-    """The budget of one limiter. A clock that goes back gives nothing for that time; one that jumps ahead, the burst."""
+    """The budget of one limiter.
+
+    A clock that goes back gives nothing for that time; one that jumps ahead, the burst.
+    """
 
     def __init__(self, settings: BudgetSettings, now: float) -> None:
         self.settings = settings
@@ -105,7 +125,9 @@
         self._tokens = {role: bucket.burst for role, bucket in settings.roles.items()}
         self._pool = settings.pool_burst
         self._unguaranteed = settings.rate - sum(bucket.rate for bucket in settings.roles.values())
-        self._kept = {role: POOL_KEPT * place * settings.pool_burst for place, role in enumerate(self._roles)}
+        self._kept = {
+            role: POOL_KEPT * place * settings.pool_burst for place, role in enumerate(self._roles)
+        }
         self._at = now
 
     def available(self, role: Role, now: float) -> float:
@@ -114,7 +136,10 @@
         return self._tokens[role] + max(0.0, self._pool - self._kept[role])
 
     def take(self, role: Role, size: int, now: float, keep: float = 0.0) -> bool:
-        """Whether a datagram of that size, headers included, may leave now; `keep`: bytes that must be left to the role."""
+        """Whether a datagram of that size, headers included, may leave now.
+
+        `keep`: bytes that must be left to the role.
+        """
         if self.available(role, now) - size < keep:
             self.usage[role].deferred += 1
             return False
@@ -122,8 +147,11 @@
         return True
 
     def debit(self, role: Role, size: int, now: float) -> None:
-        """A datagram that has left without being asked about: what the role's bucket lacks is the pool's debt, so that
-        nothing is lent until it is made good. The debt is at most as large as the burst."""
+        """A datagram that has left without being asked about.
+
+        What the role's bucket lacks is the pool's debt, so that nothing is lent until it is made
+        good. The debt is at most as large as the burst.
+        """
         self._refill(now)
         self._spend(role, size)
         self._pool = max(self._pool, -self.settings.burst)
@@ -141,7 +169,10 @@
         }
 
     def _spend(self, role: Role, size: int) -> None:
-        """What is lent goes first: the role's own bucket, once full, fills the pool again, and a full pool is lost."""
+        """What is lent goes first.
+
+        The role's own bucket, once full, fills the pool again, and a full pool is lost.
+        """
         lent = min(size, max(0.0, self._pool - self._kept[role]))
         own = min(self._tokens[role], size - lent)
         self._tokens[role] -= own
@@ -162,7 +193,10 @@
 
 
 class RoleBudget:
-    """One role's side of the budget, as a producer asks it; `overhead`: bytes beyond a message's text."""
+    """One role's side of the budget, as a producer asks it.
+
+    `overhead`: bytes beyond a message's text.
+    """
 
     def __init__(self, budget: ControlBudget, role: Role, overhead: int = HEADER_BYTES) -> None:
         self.budget, self.role, self.overhead = budget, role, overhead
@@ -177,7 +211,10 @@
         return self.budget.available(self.role, now) - self.overhead
 
     def take(self, length: int, now: float, keep: float = 0.0) -> bool:
-        """Whether a text of that length may leave now; `keep`: share of the role's own burst that must be left."""
+        """Whether a text of that length may leave now.
+
+        `keep`: share of the role's own burst that must be left.
+        """
         return self.budget.take(self.role, length + self.overhead, now, keep * self.burst)
 
     def drop(self) -> None:
--- a/hazelhollow/control_budget/limiter.py
+++ b/hazelhollow/control_budget/limiter.py
@@ -1,25 +1,39 @@
-"""The control budget of one limiter, as its subsystems are given it: a part for each role, and the gossip's debit."""
+"""The control budget of one limiter, as its subsystems are given it.
+
+A part for each role, and the gossip's debit.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import replace
 
-from hazelhollow.control_budget.budget import HEADER_BYTES, ControlBudget, Role, RoleBudget, settings_for
+from hazelhollow.control_budget.budget import (
+    HEADER_BYTES,
+    ControlBudget,
+    Role,
+    RoleBudget,
+    settings_for,
+)
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.gossip_codec import BEFORE, DIALECT
 from hazelhollow.net.peers import Peers
 
 
 def with_gossip_rate(settings: api.Settings, bytes_per_s: float) -> api.Settings:
-    """Settings whose gossip keeps to the QUOTA role's part of so many bytes a second of control traffic."""
+    """Settings whose gossip keeps to the QUOTA role's part of so many bytes a second of control
+    traffic.
+    """
     quota = settings_for(bytes_per_s).roles[Role.QUOTA]
     return replace(settings, gossip_bytes_per_s=quota.rate)
 
 
 class LimiterBudget:
-    """`bytes_per_s`: of all control traffic, headers included. `seal_bytes`: that a keyed hash adds to a datagram. Raises
-    ValueError for too few bytes a second."""
+    """`bytes_per_s`: of all control traffic, headers included.
+
+    `seal_bytes`: that a keyed hash adds to a datagram. Raises ValueError for too few bytes a
+    second.
+    """
 
     def __init__(
         self, bytes_per_s: float, peers: Peers, clock: Callable[[], float], seal_bytes: int = 0
--- a/hazelhollow/control_budget/waiting.py
+++ b/hazelhollow/control_budget/waiting.py
@@ -1,4 +1,7 @@
-"""Messages that wait for their role's part of the budget, the most useful first. No I/O, no clock."""
+"""Messages that wait for their role's part of the budget, the most useful first.
+
+No I/O, no clock.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +49,10 @@
             self._drop(max(self._heap))
 
     def due(self, now: float) -> list[Payload]:
-        """What may leave now, which is taken out. One that finds no room holds back all that are less useful."""
+        """What may leave now, which is taken out.
+
+        One that finds no room holds back all that are less useful.
+        """
         for entry in [entry for entry in self._heap if entry.until < now]:
             self._drop(entry)
         found = list[Payload]()
--- a/hazelhollow/decisions/accounts.py
+++ b/hazelhollow/decisions/accounts.py
@@ -1,4 +1,7 @@
-"""One customer's budget as a gateway knows it: stores, charges by period and what was left to others. No decision."""
+"""One customer's budget as a gateway knows it.
+
+Stores, charges by period and what was left to others. No decision.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +29,10 @@
 
 
 class Totals:
-    """Charges by period, this one and the last: this gateway's own and those heard of others'. Where counts are kept, also
-    what the periods before those come to."""
+    """Charges by period, this one and the last: this gateway's own and those heard of others'.
+
+    Where counts are kept, also what the periods before those come to.
+    """
 
     __slots__ = ("period", "since", "knows", "charged", "closed", "last", "fresh", "heard", "bases")
 
@@ -69,14 +74,19 @@
                 self.fresh.add(who)
 
     def told(self, who: str, since: int, through: int, total: float) -> float:
-        """A peer's count of closed periods, whatever way it came; what it adds. What gossip told is part of it; of one that
-        began before this gateway knew the customer the first word adds nothing."""
+        """A peer's count of closed periods, whatever way it came; what it adds.
+
+        What gossip told is part of it; of one that began before this gateway knew the customer the
+        first word adds nothing.
+        """
         assert self.bases is not None
         base = self.bases.get(who)
         if base and since < base[0]:
             return 0.0  # old word
         begun, before, known = base or (0, 0, 0.0)
-        heard = sum(v for (peer, period), v in self.heard.items() if peer == who and period <= through)
+        heard = sum(
+            v for (peer, period), v in self.heard.items() if peer == who and period <= through
+        )
         if begun and since > begun:
             known, before = 0.0, 0  # the peer had let the customer go and counts anew
         more = total - known - heard
@@ -85,20 +95,28 @@
         return max(more, 0.0) if begun or since >= self.knows else 0.0
 
     def charge(self, units: float, period: int) -> float:
-        """What it changes. What is given back belongs to its charge's period: no total falls below nothing."""
+        """What it changes.
+
+        What is given back belongs to its charge's period: no total falls below nothing.
+        """
         before = self.charged.get(period, 0.0)
         self.charged[period] = max(before + units, 0.0)
         return self.charged[period] - before
 
     def hear(self, life: str, period: int, total: float) -> float:
         """What it changes. A repeated total changes nothing, and the next one heals a lost one."""
-        if period < self.period - 1 or (self.bases and period <= self.bases.get(life, (0, 0, 0.0))[1]):
+        if period < self.period - 1 or (
+            self.bases and period <= self.bases.get(life, (0, 0, 0.0))[1]
+        ):
             return 0.0
         before, self.heard[life, period] = self.heard.get((life, period), 0.0), total
         return total - before
 
     def heard_rate(self, span: float) -> float:
-        """Units a second that peers charged; `span`: since the start of the period before this one."""
+        """Units a second that peers charged.
+
+        `span`: since the start of the period before this one.
+        """
         return sum(self.heard.values()) / span if self.heard else 0.0
 
     def sum(self) -> float:
@@ -113,13 +131,34 @@
 class Account:
     """One customer: its budget as this gateway knows it, and what its set was told of it last.
 
-    There is one for each customer seen lately, and many come only once: small objects keep memory flat.
+    There is one for each customer seen lately, and many come only once: small objects keep memory
+    flat.
     """
 
     __slots__ = (
-        "plan", "used", "open", "budget", "told", "telling", "ceiling", "totals", "theirs", "first", "spread", "hubs",
-        "kept", "owed", "aside", "apart", "apart_at", "back", "copied", "name", "due", "set_mask",
-    )  # fmt: skip
+        "plan",
+        "used",
+        "open",
+        "budget",
+        "told",
+        "telling",
+        "ceiling",
+        "totals",
+        "theirs",
+        "first",
+        "spread",
+        "hubs",
+        "kept",
+        "owed",
+        "aside",
+        "apart",
+        "apart_at",
+        "back",
+        "copied",
+        "name",
+        "due",
+        "set_mask",
+    )
 
     def __init__(
         self,
@@ -139,15 +178,25 @@
         )  # the name that this gateway has it under
         self.budget = Store(plan.rate, plan.burst, level, now)
         self.told, self.telling = Store(plan.rate, plan.burst, plan.burst, now), False
-        # Empty at the start, unless it is known that nobody was there before: an earlier life of this gateway may
-        # have spent it.
-        self.ceiling, self.totals = Store(0.0, 0.0, plan.ceiling_burst if whole else 0.0, born), Totals(0)
+        # Empty at the start, unless it is known that nobody was there before: an earlier life of
+        # this gateway may have spent it.
+        self.ceiling, self.totals = (
+            Store(0.0, 0.0, plan.ceiling_burst if whole else 0.0, born),
+            Totals(0),
+        )
         self.totals.bases = {} if keeps else None
         self.due = 0.0  # when it is looked at next, whether it may be forgotten
-        self.theirs: dict[int, tuple[float, int]] = {}  # when peers told how many requests they had open
-        # Where counts are kept: units to be paid back; what was left to each member that could not be heard; who those are,
-        # since when that was reckoned up, and when one that is back was heard again; whether a peer told it all.
-        self.owed, self.aside, self.apart, self.apart_at = 0.0, dict[int, float](), frozenset[int](), born
+        # when peers told how many requests they had open
+        self.theirs: dict[int, tuple[float, int]] = {}
+        # Where counts are kept: units to be paid back; what was left to each member that could not
+        # be heard; who those are, since when that was reckoned up, and when one that is back was
+        # heard again; whether a peer told it all.
+        self.owed, self.aside, self.apart, self.apart_at = (
+            0.0,
+            dict[int, float](),
+            frozenset[int](),
+            born,
+        )
         self.back, self.copied = dict[int, float](), False
         self.kept = False  # its quota is kept elsewhere: what peers charge is counted there
         self.first, self.spread = 0, 0  # the set, once a request or a charge has named it
@@ -172,15 +221,22 @@
         hubs: int,
         lost: frozenset[int] = frozenset(),
     ) -> None:
-        """The set, and those of it that hear every charge: all, or in a large one so many hubs that can be heard."""
+        """The set, and those of it that hear every charge.
+
+        All, or in a large one so many hubs that can be heard.
+        """
         self.first, self.spread = first, spread
         self.set_mask = _mask_of_set(first, spread, told.gateways)
         start, step = (number % spread, spread // hubs) if hubs else (0, 1)
         places = range(start, start + step * (hubs or spread), step)
-        self.hubs = [(first + place % spread) % told.gateways for place in places] if told.peers else []
+        self.hubs = (
+            [(first + place % spread) % told.gateways for place in places] if told.peers else []
+        )
         if hubs and lost.intersection(self.hubs):
             heard = [n for n in self.members(told.gateways) if n not in lost]
-            self.hubs = [heard[(number + place) % len(heard)] for place in range(min(hubs, len(heard)))]
+            self.hubs = [
+                heard[(number + place) % len(heard)] for place in range(min(hubs, len(heard)))
+            ]
 
     def hubs_hear(self, me: int) -> bool:
         """Whether that member hears every charge: else it is told the level."""
@@ -194,7 +250,10 @@
         return [(self.first + place) % gateways for place in range(self.spread)]
 
     def busiest(self, gateways: int, most: int, chance: Random) -> list[int]:
-        """The set, or so many of it: those of which most charges were heard lately, those alike by chance."""
+        """The set, or so many of it.
+
+        Those of which most charges were heard lately, those alike by chance.
+        """
         if self.spread <= most:
             return self.members(gateways)
         units = dict[int, float]()
@@ -207,15 +266,20 @@
         busy = sorted(busy, key=lambda n: -units[n])[:most]
         return busy + self._others(units, most - len(busy), gateways, chance)
 
-    def _others(self, known: dict[int, float], count: int, gateways: int, chance: Random) -> list[int]:
+    def _others(
+        self, known: dict[int, float], count: int, gateways: int, chance: Random
+    ) -> list[int]:
         """So many members that are not among those, by chance."""
         places = {(number - self.first) % gateways for number in known}
         drawn = chance.sample(range(self.spread), min(self.spread, count + len(places)))
         return [(self.first + place) % gateways for place in drawn if place not in places][:count]
 
     def may_be_forgotten_at(self, now: float, least: float) -> float:
-        """When it is worth while to look again, at latest in a minute; by now, if it may be forgotten: it was not used for so
-        long, and a new account would have as much."""
+        """When it is worth while to look again, at latest in a minute.
+
+        By now, if it may be forgotten: it was not used for so long, and a new account would have as
+        much.
+        """
         unused = self.used + least + self.plan.ceiling_burst / (self.plan.ceiling_rate or 1.0)
         if now < unused:
             return unused
@@ -239,8 +303,10 @@
         return self.budget.level
 
     def _set_aside(self, apart: frozenset[int], scaled: float, now: float) -> None:
-        """What is left to those that cannot be heard: their part of what comes in, and, of those that have only just
-        gone, of what there was."""
+        """What is left to those that cannot be heard.
+
+        Their part of what comes in, and, of those that have only just gone, of what there was.
+        """
         for number in self.apart:
             self.aside[number] += self.plan.rate / self.spread * (now - self.apart_at)
         new = apart - self.apart
@@ -252,7 +318,10 @@
         self.apart, self.apart_at = apart, now
 
     def missed(self, number: int, units: float) -> None:
-        """What a member charged without its being heard: first of what was left to it; the rest is paid back."""
+        """What a member charged without its being heard.
+
+        First of what was left to it; the rest is paid back.
+        """
         left = min(max(units, 0.0), self.aside.get(number, 0.0))
         if left:
             self.aside[number] -= left
@@ -264,22 +333,35 @@
         for number, at in list(self.back.items()):
             if number not in away and now - at >= settled:
                 del self.back[number]
-                self.budget.level = min(self.budget.most, self.budget.level + self.aside.pop(number, 0.0))
+                self.budget.level = min(
+                    self.budget.most, self.budget.level + self.aside.pop(number, 0.0)
+                )
 
     def leave_to(self, lost: frozenset[int], gateways: int, now: float) -> None:
-        """The even part of those that cannot be heard is theirs, of the rate and of what has come in; what comes back with
-        them is not more than what has been kept here. Not where going over earns more than it costs."""
+        """The even part of those that cannot be heard is theirs, of the rate and of what has come
+        in; what comes back with them is not more than what has been kept here. Not where going
+        over earns more than it costs.
+        """
         lost = lost if self.plan.over_cost > self.plan.over_worth else frozenset()
-        part = 1.0 - len(lost.intersection(self.members(gateways))) / max(self.spread, 1) if lost else 1.0
+        part = (
+            1.0 - len(lost.intersection(self.members(gateways))) / max(self.spread, 1)
+            if lost
+            else 1.0
+        )
         rate, before = self.plan.rate * part, self.budget.level
         if rate < self.budget.rate and self.budget.level > 0:
             self.budget.level *= rate / self.budget.rate
         if self.totals.bases is not None and self.spread:
-            self._set_aside(lost.intersection(self.members(gateways)), before - self.budget.level, now)
+            self._set_aside(
+                lost.intersection(self.members(gateways)), before - self.budget.level, now
+            )
         self.budget.rate, self.budget.most = rate, self.plan.burst * part
 
     def reclaim(self, unused: tuple[tuple[int, float], ...], gateways: int) -> float:
-        """Units of this customer in those seconds of members' parts; where counts are kept, of what was left to them."""
+        """Units of this customer in those seconds of members' parts.
+
+        Where counts are kept, of what was left to them.
+        """
         members, found = self.members(gateways) if unused else [], 0.0
         for number, seconds in unused:
             share = self.plan.rate * seconds / self.spread if number in members else 0.0
--- a/hazelhollow/decisions/class_statistics.py
+++ b/hazelhollow/decisions/class_statistics.py
@@ -1,4 +1,7 @@
-"""What a gateway learns of request classes: units, work, worth, how long clients wait. No decision."""
+"""What a gateway learns of request classes: units, work, worth, how long clients wait.
+
+No decision.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,18 @@
 def changed_classes(
     before: Mapping[str, api.RequestClass], now: Iterable[api.RequestClass]
 ) -> list[api.RequestClass]:
-    """Classes that are new, or not as they were under that name. One that is the same object needs no comparison."""
+    """Classes that are new, or not as they were under that name.
+
+    One that is the same object needs no comparison.
+    """
     return [kind for kind in now if (known := before.get(kind.name)) is not kind and known != kind]
 
 
 class Asked:
-    """What was asked for lately, by class: worth, and seconds of work. Each request makes all before it count less."""
+    """What was asked for lately, by class: worth, and seconds of work.
+
+    Each request makes all before it count less.
+    """
 
     def __init__(self, span: float) -> None:
         """`span`: requests after which one counts for some third."""
@@ -47,7 +56,10 @@
 
 
 class Patience:
-    """How long clients of a class wait: the few values that most tries come with, by votes that cancel out."""
+    """How long clients of a class wait.
+
+    The few values that most tries come with, by votes that cancel out.
+    """
 
     __slots__ = ("votes", "most")
     MOST, COMMON, ENOUGH, SAME = 3, 5, 1000, 0.001  # the last in seconds
@@ -78,8 +90,11 @@
 
 
 class Highest:
-    """Numbers at places: the highest of all, and the first place that holds at least so much, in time that grows with the
-    logarithm of their number (a segment tree)."""
+    """Numbers at places.
+
+    The highest of all, and the first place that holds at least so much, in time that grows with the
+    logarithm of their number (a segment tree).
+    """
 
     def __init__(self, values: Sequence[float]) -> None:
         self._leaves = 1 << max(0, len(values) - 1).bit_length()
@@ -93,7 +108,9 @@
         nodes[low:high] = values
         while low > 1:
             low, high = low >> 1, (high + 1) >> 1
-            nodes[low:high] = map(max, nodes[2 * low : 2 * high : 2], nodes[2 * low + 1 : 2 * high : 2])
+            nodes[low:high] = map(
+                max, nodes[2 * low : 2 * high : 2], nodes[2 * low + 1 : 2 * high : 2]
+            )
 
     def put(self, place: int, value: float) -> None:
         nodes, node = self._nodes, place + self._leaves
@@ -121,20 +138,27 @@
 
 
 class ClassStats:
-    """What is learned of each class: the units that its requests ask for, the seconds of work that one is, and what it is worth
-    for a second of work. No pass over all classes for a request."""
+    """What is learned of each class.
+
+    The units that its requests ask for, the seconds of work that one is, and what it is worth for a
+    second of work. No pass over all classes for a request.
+    """
 
     def __init__(self, classes: Sequence[api.RequestClass]) -> None:
         self.units: dict[str, float] = {}  # of a mean request
         self.work: dict[str, float] = {}  # seconds of one
-        self.sized: dict[tuple[str, int], float] = {}  # by class and size: times what the class alone says
+        # by class and size: times what the class alone says
+        self.sized: dict[tuple[str, int], float] = {}
         self._all_units = 0.0
         self._by_name = dict[str, api.RequestClass]()
         self._place = dict[str, int]()
         self.retune(classes)
 
     def retune(self, classes: Sequence[api.RequestClass]) -> None:
-        """Classes come, go or change. What was learned of one that stays, or comes back, is kept."""
+        """Classes come, go or change.
+
+        What was learned of one that stays, or comes back, is kept.
+        """
         changed = changed_classes(self._by_name, classes)
         self._by_name = {kind.name: kind for kind in classes}
         if list(self._by_name) == list(self._place):
@@ -183,14 +207,19 @@
         self._all_units += more
         self._changed(kind.name)
 
-    def learn_work(self, kind: api.RequestClass, size: int, by_class: float, by_size: float) -> None:
+    def learn_work(
+        self, kind: api.RequestClass, size: int, by_class: float, by_size: float
+    ) -> None:
         """Factors by which a request of that size and class turned out to be more work."""
         self.work[kind.name] *= by_class
         self.sized[kind.name, size] = self.sized.get((kind.name, size), 1.0) * by_size
         self._changed(kind.name)
 
     def work_of(self, kind: str, units: float, size: int) -> float:
-        """Seconds of work that a request is taken to be: its class's, at first by half its units, and what its size showed."""
+        """Seconds of work that a request is taken to be.
+
+        Its class's, at first by half its units, and what its size showed.
+        """
         usual = self.work[kind] * 0.5 * (1.0 + units / self.units[kind])
         return usual * self.sized.get((kind, size), 1.0)
 
--- a/hazelhollow/decisions/endpoints.py
+++ b/hazelhollow/decisions/endpoints.py
@@ -1,7 +1,8 @@
 """What a gateway knows of the servers, kept up change by change. No decision.
 
-A change to the list costs what it changes, and a whole list that says what is known costs a comparison for each entry:
-the mean weight, the names in messages, the servers that are up and those that are still cold are kept beside the servers.
+A change to the list costs what it changes, and a whole list that says what is known costs a
+comparison for each entry: the mean weight, the names in messages, the servers that are up and those
+that are still cold are kept beside the servers.
 """
 
 from __future__ import annotations
@@ -17,7 +18,8 @@
 from hazelhollow.decisions import interface as api
 
 TAGS = 36**3  # of servers' names in messages
-HEALTHS = 16  # classes that a server may have failed, until it is looked which of them are forgotten
+# classes that a server may have failed, until it is looked which of them are forgotten
+HEALTHS = 16
 BULK = 64  # changes in one list from which on it is cheaper to sort anew
 Group = tuple[str, str | int]  # "zone" or "cell", and which
 
@@ -66,7 +68,10 @@
 
 
 class Weights:
-    """Weights of many servers, of which few differ: their number, their mean, and the sum of the widths they come to."""
+    """Weights of many servers, of which few differ.
+
+    Their number, their mean, and the sum of the widths they come to.
+    """
 
     __slots__ = ("counts", "number", "mean")
 
@@ -91,8 +96,11 @@
 
 
 class Server:
-    """What this gateway knows of one server. `weights`: those of all listed servers; `middling`: the requests that one of
-    mean weight works on at once."""
+    """What this gateway knows of one server.
+
+    `weights`: those of all listed servers; `middling`: the requests that one of mean weight works
+    on at once.
+    """
 
     __slots__ = (
         "entry",
@@ -107,7 +115,9 @@
         "_middling",
     )
 
-    def __init__(self, entry: api.ServerEntry, cold_span: float, weights: Weights, middling: float) -> None:
+    def __init__(
+        self, entry: api.ServerEntry, cold_span: float, weights: Weights, middling: float
+    ) -> None:
         self.entry, self.pace = entry, 1.0
         self.tag = gossip.base36(crc32(entry.server.encode()) % TAGS)  # its name in messages
         self.out: dict[tuple[str, int], float] = {}  # attempts out and their work
@@ -129,11 +139,16 @@
         return self._sent
 
     def health_of(self, kind: str, now: float, memory: float) -> Health:
-        """Of a class that it may never have failed before. Those whose failures are forgotten are let go of first."""
+        """Of a class that it may never have failed before.
+
+        Those whose failures are forgotten are let go of first.
+        """
         known = self.health.get(kind)
         if known is None:
             if len(self.health) >= HEALTHS:
-                self.health = {k: h for k, h in self.health.items() if now < max(h.until, h.at) + memory}
+                self.health = {
+                    k: h for k, h in self.health.items() if now < max(h.until, h.at) + memory
+                }
             known = self.health[kind] = Health()
         return known
 
@@ -150,7 +165,10 @@
 
 
 class Ring:
-    """Servers in the order of their tags, which all gateways share. Many changes at once are sorted when it is next read."""
+    """Servers in the order of their tags, which all gateways share.
+
+    Many changes at once are sorted when it is next read.
+    """
 
     def __init__(self, servers: Sequence[Server] = ()) -> None:
         self._members = {s.entry.server: (s.tag, s.entry.server) for s in servers}
@@ -189,8 +207,8 @@
 class ServerTable:
     """The listed servers by name, in the order of the list, and what follows from all of them.
 
-    `middling`: the requests that a server of mean weight works on at once; `fall_time`: seconds over which the work sent to a
-    cold server is summed up.
+    `middling`: the requests that a server of mean weight works on at once; `fall_time`: seconds
+    over which the work sent to a cold server is summed up.
     """
 
     def __init__(self, middling: float, settings: api.Settings) -> None:
@@ -204,9 +222,11 @@
         self.weights, self._warm_weights = Weights(), Weights()
         self._cold: set[str] = set()
         self._cooling: list[tuple[float, str]] = []  # a heap of the starts of the cold
-        self._rings = {False: Ring(), True: Ring()}  # of those that are up, by whether they are cold
+        # of those that are up, by whether they are cold
+        self._rings = {False: Ring(), True: Ring()}
         self._tagged: dict[str, Server] = {}
-        self._same_tag: dict[str, dict[str, Server]] = {}  # where several servers have one name in messages
+        # where several servers have one name in messages
+        self._same_tag: dict[str, dict[str, Server]] = {}
         self._warm_width: float | None = None
         self._all: list[Server] | None = None
         self._all_up: list[Server] | None = None
@@ -238,7 +258,10 @@
         return list(self._groups.get(group, {}).values())
 
     def ring(self, cold: bool, now: float) -> list[tuple[str, str]]:
-        """Tag and name of those that are up, and cold or not, in an order that all gateways share."""
+        """Tag and name of those that are up.
+
+        And cold or not, in an order that all gateways share.
+        """
         self._warm_up(now)
         return self._rings[cold].read()
 
@@ -272,8 +295,10 @@
         self.weights.settle()
 
     def put_back(self, back: dict[str, float], now: float) -> None:
-        """A server put back by hand has been restarted meanwhile, whatever the list says: it is cold from then. `back`: names
-        and when; those of long ago are taken out."""
+        """A server put back by hand has been restarted meanwhile, whatever the list says.
+
+        It is cold from then. `back`: names and when; those of long ago are taken out.
+        """
         for name, at in list(back.items()):
             if at < now - self.settings.cold_for:
                 del back[name]
@@ -302,7 +327,10 @@
             self._reckon_anew(now)
 
     def _news(self, entries: tuple[api.ServerEntry, ...]) -> list[api.ServerEntry]:
-        """Those that say something new. A dataclass's own comparison takes twice the time, and a whole list may be long."""
+        """Those that say something new.
+
+        A dataclass's own comparison takes twice the time, and a whole list may be long.
+        """
         news, servers = list[api.ServerEntry](), self.servers
         for entry in entries:
             known = servers.get(entry.server)
@@ -342,7 +370,10 @@
         return Server(entry, self.settings.fall_time, self.weights, self.middling)
 
     def _apply_at_once(self, gone: list[str], news: list[api.ServerEntry], now: float) -> None:
-        """The same as one by one, where so much is new that all that follows from it is cheaper to reckon anew."""
+        """The same as one by one.
+
+        Where so much is new that all that follows from it is cheaper to reckon anew.
+        """
         for name in gone:
             del self.servers[name]
         for entry in news:
@@ -363,7 +394,9 @@
         self._cooling = [(s.entry.started, s.entry.server) for s in cold]
         heapq.heapify(self._cooling)
         self.weights.count([s.entry.weight for s in servers])
-        self._warm_weights.count([s.entry.weight for s in servers if s.entry.server not in self._cold])
+        self._warm_weights.count(
+            [s.entry.weight for s in servers if s.entry.server not in self._cold]
+        )
         up = [s for s in servers if s.entry.state == "up" and s.entry.server not in self.banned]
         self.up = {s.entry.server: s for s in up}
         self._rings = {
