--- a/hazelhollow/decisions/engine.py
+++ b/hazelhollow/decisions/engine.py
@@ -1,7 +1,10 @@
-"""Every decision of the gateway, every table and every tuned value. Its types: hazelhollow/interface.py.
+"""Every decision of the gateway, every table and every tuned value.
 
-`_request` checks the budget, `_choose` picks a server, `_charge` takes the guess, `_outcome` settles the true
-units, `_proceed` tries again or ends. `_book` gossips charges; in a large set hubs sum them and `_announce`.
+Its types: hazelhollow/interface.py.
+
+`_request` checks the budget, `_choose` picks a server, `_charge` takes the guess, `_outcome`
+settles the true units, `_proceed` tries again or ends. `_book` gossips charges; in a large set hubs
+sum them and `_announce`.
 """
 
 from __future__ import annotations
@@ -20,18 +23,25 @@
 PERIOD = 1.0  # seconds from one renewal of the budgets to the next
 FLUSHES = 15  # gossip rounds a period
 INTAKE_SHARE = 0.8  # of the told intake of messages: what a gateway sends at most
-PAY_BACK, RECKONED = 0.5, 4.0  # of the rate, for what went over unheard; periods until counts are in
-TOGETHER_AGAIN = 0.5  # of the burst, where the view is kept: those that began together may have been there
-DIRECT = 8  # the largest set whose members tell each other, and the largest fleet whose gateways tell loads
+# of the rate, for what went over unheard; periods until counts are in
+PAY_BACK, RECKONED = 0.5, 4.0
+# of the burst, where the view is kept: those that began together may have been there
+TOGETHER_AGAIN = 0.5
+# the largest set whose members tell each other, and the largest fleet whose gateways tell loads
+DIRECT = 8
 HUBS = 2  # members of a larger set that sum its charges and tell the rest how much is spent
 BUSY = 0.6  # of its rate: a customer that uses less is not worth telling about
 UNHEARD = 0.06  # seconds of peers' charges that are on their way
 OPEN_RISK = 0.04  # of passing a limit on requests open, which a request may take
-RESERVE, WIDER = 1.0, 2.0  # of the burst: the part in which a large set, and one told late, lets in by chance
-NEWS, PASS_ON = 0.6, 0.5  # of the burst by which the set must be wrong; seconds in which it passes that on
+# of the burst: the part in which a large set, and one told late, lets in by chance
+RESERVE, WIDER = 1.0, 2.0
+# of the burst by which the set must be wrong; seconds in which it passes that on
+NEWS, PASS_ON = 0.6, 0.5
 NEAREST = 0.05  # of the burst: the least level that counts for how pressing news are
-FAILURES_TOLD, PASSED_ON, LOADS_TOLD = 2, 5, 64  # in one message: the latest; what is passed on; the busiest
-CLOSED_A_BEAT, FORGOTTEN_A_BEAT = 256, 60  # customers at most: final figures told; looked at to be forgotten
+# in one message: the latest; what is passed on; the busiest
+FAILURES_TOLD, PASSED_ON, LOADS_TOLD = 2, 5, 64
+# customers at most: final figures told; looked at to be forgotten
+CLOSED_A_BEAT, FORGOTTEN_A_BEAT = 256, 60
 AWAY_A_BEAT = 64  # peers that are away, whose news are gone through for old ones
 COUNTS_A_BEAT = 45  # counts, where they are kept, that are handed on as their periods close
 TOGETHER, MEETING = 1.0, 3.0  # seconds between the starts of gateways that began as one; to meet in
@@ -41,19 +51,22 @@
 CANDIDATES = 4  # servers compared for a request, where loads are not known
 SURVEYED = 60  # servers compared at most, where loads are known or no other way found one
 GAIN = 0.1  # of the newest sample in a learned mean
-PRESSURE = 0.35  # a first try is refused when the shortest wait passes this share of the tightest aim
+# a first try is refused when the shortest wait passes this share of the tightest aim
+PRESSURE = 0.35
 NEAR = 0.01  # of the deadline: tries whose patience differs by less come with the same
 ADVICE = 0.25  # of the aim: how long to stay away under pressure and still come back in time
 LEFTOVER = 0.1  # the same for excess worth its cost, and its share of the charges inside budgets
 RETRY_SHARE = 0.1  # further attempts for each first one, so that retries cannot feed an overload
 MIX = 300.0  # requests over which it is learned what is asked for
 YIELD = 2.0  # the power of its worth for its work, against the mean, by which a class gives way
-CALM, HUSH = 0.1, 0.6  # of the tightest aim: a wait that no overload explains; silence that is too long
+# of the tightest aim: a wait that no overload explains; silence that is too long
+CALM, HUSH = 0.1, 0.6
 HANGS = 8.0  # times what is usual, after which an attempt is held to hang
 ZONE_DELAY = 2.0  # aims of delay that crossing zones is held to be worth, times its price
 EJECT_AFTER = 2.5  # failures, each of which counts less as it ages, and half after an answer
 EJECT_FOR, EJECT_AT_MOST = 1.0, 8.0  # seconds, doubled each time the trial after it fails
-COLD_MARGIN, COLD_PART = 2.0, 0.75  # times the cold share of the warm ones' load; of the fall multiple
+# times the cold share of the warm ones' load; of the fall multiple
+COLD_MARGIN, COLD_PART = 2.0, 0.75
 EXTRAS = Extras(PASS_ON, PASSED_ON, FAILURES_TOLD, SILENT * PERIOD, LOADS_TOLD)
 NEVER_RAN = ("full", "connect_failed", "moot")
 
@@ -69,12 +82,16 @@
     if held.kind.effect == "unsafe" or now + settings.tick >= held.repeat_until():
         return False
     group = held.kind.group
-    return group == "all" or all(getattr(a.server.entry, group) == getattr(server.entry, group) for a in ran)
+    return group == "all" or all(
+        getattr(a.server.entry, group) == getattr(server.entry, group) for a in ran
+    )
 
 
 def may_refuse(held: Held) -> bool:
     """The gate of rule 2 for a refusal, which promises that trying again is harmless."""
-    harmless = held.kind.effect == "safe" or (held.kind.effect == "keyed" and held.kind.group == "all")
+    harmless = held.kind.effect == "safe" or (
+        held.kind.effect == "keyed" and held.kind.group == "all"
+    )
     return harmless or not any(a.may_have_run for a in held.attempts)
 
 
@@ -84,7 +101,8 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, EXTRAS, random.Random(seed))
         self.tight = self.learned.tightest()
-        self.stay, self.retries = self.tight / 6, 1.0 / RETRY_SHARE  # learned seconds that an attempt is out
+        # learned seconds that an attempt is out
+        self.stay, self.retries = self.tight / 6, 1.0 / RETRY_SHARE
         self.asked = state.Asked(MIX)  # inside quotas
         self.table = state.ServerTable(WIDTH, settings)
         self.servers, self.banned = self.table.servers, self.table.banned
@@ -106,7 +124,9 @@
         self.actions = []
         if not self.life:
             self.born, self.life = now, gossip.life(now)
-            self.actions.append(api.SetTimer(self.flush_every * self.random.uniform(0.5, 1.0), "beat"))
+            self.actions.append(
+                api.SetTimer(self.flush_every * self.random.uniform(0.5, 1.0), "beat")
+            )
             self.actions += [api.Subscribe()] if self.settings.ask_for_servers else []
         self.now, self.period = now, int(now // PERIOD)
         if isinstance(event, api.Request):
@@ -137,8 +157,9 @@
     def _account(self, key: str, plan: api.Plan, first: int, spread: int) -> Account:
         account, large = self.accounts.get(name := self.name_of(key, plan)), spread > DIRECT
         if account is None:
-            # A new gateway allows the burst divided by its gateways, and the rate since its start. In a large
-            # set, whose hubs will tell when it is spent, one request at least, or the quiet would be refused.
+            # A new gateway allows the burst divided by its gateways, and the rate since its start.
+            # In a large set, whose hubs will tell when it is spent, one request at least, or the
+            # quiet would be refused.
             least = self.settings.max_units if large and not self.keeps else 0.0
             part = max(plan.burst / max(spread, 1), least)
             part += max(plan.burst - part, 0.0) * self.together if self.whole else 0.0
@@ -146,16 +167,22 @@
             account = Account(plan, level, self.born, self.now, self.whole, self.keeps, name)
             self.remember(account, SILENT * PERIOD)
         if spread and (account.first, account.spread) != (first, spread):
-            account.place(first, spread, self.settings, int(key, 36), HUBS if large else 0, self.lost)
+            account.place(
+                first, spread, self.settings, int(key, 36), HUBS if large else 0, self.lost
+            )
             self.leave_to_lost(account)
             if large and self.settings.me in account.hubs and not account.telling:
-                account.budget.level = plan.burst  # it hears what is used, and from the other hub what was
+                # it hears what is used, and from the other hub what was
+                account.budget.level = plan.burst
             account.share_ceiling(spread)  # shares sum to the second store, so each is safe alone
         account.fill(self.now, PAY_BACK, self.period)
         return account
 
     def _allow(self, event: api.Allowance) -> None:
-        """A limit kept elsewhere is as told right before the request: no rate, share or peer changes it."""
+        """A limit kept elsewhere is as told right before the request.
+
+        No rate, share or peer changes it.
+        """
         plan = self.plans.get(event.plan_name)
         if plan is None:
             return
@@ -173,7 +200,9 @@
             self.actions.append(api.Refuse(event.id, why="unknown"))
             return
         if not self.acting:  # it stood still, and may be dead to the others: what it knows is old
-            self.actions.append(api.Refuse(event.id, min(PERIOD, self.settings.max_retry_after), "away"))
+            self.actions.append(
+                api.Refuse(event.id, min(PERIOD, self.settings.max_retry_after), "away")
+            )
             return
         spread = max(1, min(event.spread, self.settings.gateways))
         account = self._account(self._key(event.customer), plan, event.first_gateway, spread)
@@ -185,37 +214,54 @@
         if held.inside:
             self.asked.add(kind.name, kind.worth * event.units, self.work_of(held))
         if plan.ceiling_rate and account.ceiling.fill(self.now) < event.units:
-            self._refuse(held, (event.units - account.ceiling.level) / account.ceiling.rate, "ceiling")
-        elif not held.inside and not (plan.over_worth > plan.over_cost and self.leftover >= event.units):
+            self._refuse(
+                held, (event.units - account.ceiling.level) / account.ceiling.rate, "ceiling"
+            )
+        elif not held.inside and not (
+            plan.over_worth > plan.over_cost and self.leftover >= event.units
+        ):
             wait = (event.units - account.budget.level) / plan.rate if plan.rate else PERIOD
-            self._refuse(held, wait, "quota" if wait > 0 else "open" if plan.open_limit else "reserve")
+            self._refuse(
+                held, wait, "quota" if wait > 0 else "open" if plan.open_limit else "reserve"
+            )
         else:
             self._admit(held)
 
     def _admit(self, held: Held) -> None:
         server, delay = self._choose(held)
-        wait, limit = delay - (server.pace if server else 1.0) * self.work_of(held), self._limit(held.kind)
-        # One gateway of many sees no queue: it goes by how long answers waited here and at its peers, by
-        # chance so that not all shed at once. Holds against any overload; may hurt just after its end.
+        wait, limit = (
+            delay - (server.pace if server else 1.0) * self.work_of(held),
+            self._limit(held.kind),
+        )
+        # One gateway of many sees no queue: it goes by how long answers waited here and at its
+        # peers, by chance so that not all shed at once. Holds against any overload; may hurt just
+        # after its end.
         wait = wait if self.small else max(wait, self.wait * self.random.uniform(0.5, 1.0))
-        # A retry's cut patience shows its age: past its aim it must not take the place of one that can be in
-        # time, whatever the pressure comes from. A patience that many come with is the clients' way, no age;
-        # in a large fleet each sees too few to tell, and goes by the longest seen.
+        # A retry's cut patience shows its age: past its aim it must not take the place of one that
+        # can be in time, whatever the pressure comes from. A patience that many come with is the
+        # clients' way, no age; in a large fleet each sees too few to tell, and goes by the longest
+        # seen.
         kind, patience, known = held.kind, held.event.patience, self.patience[held.kind.name]
-        usual = known.common(patience, NEAR * kind.deadline) if self.small else known.longest(patience)
+        usual = (
+            known.common(patience, NEAR * kind.deadline) if self.small else known.longest(patience)
+        )
         first = usual or (self.settings.marks_retry and not held.event.repeat)
         late = not first and kind.deadline - patience > kind.aim
         if server is None or wait > (LEFTOVER if late or not held.inside else PRESSURE) * limit:
-            self._refuse(held, ADVICE * kind.aim, "late" if late else "pressure" if server else "no server")
+            self._refuse(
+                held, ADVICE * kind.aim, "late" if late else "pressure" if server else "no server"
+            )
             return
         self.held[held.event.id] = held
         self._charge(held.account, held)
         self._send(held, server)
 
     def _limit(self, kind: api.RequestClass) -> float:
-        """A class may fill the queues only as far as each class worth as much for its work can bear: by its
-        own aim the longest took all. What is worth less than the mean gives way, but not the class that is
-        served worst where the goal weighs that. A large fleet, told late, keeps to the tightest."""
+        """A class may fill the queues only as far as each class worth as much for its work can
+        bear: by its own aim the longest took all. What is worth less than the mean gives way,
+        but not the class that is served worst where the goal weighs that. A large fleet, told
+        late, keeps to the tightest.
+        """
         value = self.learned.value(kind.name)
         if not self.small:
             return self.tight * value / self.learned.highest_value()
@@ -226,10 +272,15 @@
 
     def _inside(self, held: Held) -> bool:
         account, plan = held.account, held.account.plan
-        # What a large set was told is soon old: as the level falls fewer are let in, by chance, so that it
-        # settles above nothing, where being a little wrong lets in a few more or less and none beyond.
+        # What a large set was told is soon old: as the level falls fewer are let in, by chance, so
+        # that it settles above nothing, where being a little wrong lets in a few more or less and
+        # none beyond.
         heard = account.totals.heard_rate(self.now - (self.period - 1) * PERIOD)
-        part = account.telling * plan.burst * (WIDER if account.spread > self.messages.most else RESERVE)
+        part = (
+            account.telling
+            * plan.burst
+            * (WIDER if account.spread > self.messages.most else RESERVE)
+        )
         reserve = 0.0 if account.kept else UNHEARD * heard + (part and part * self.random.random())
         room = not plan.open_limit or self._may_open(account, plan.open_limit, heard)
         return room and (not plan.rate or account.budget.level >= held.event.units + reserve)
@@ -237,14 +288,18 @@
     def _may_open(self, account: Account, limit: int, heard: float) -> bool:
         """Shares of so small a limit turn away what the set as a whole has room for."""
         share, left = max(1, limit // account.spread), limit - account.open
-        others = max(heard / self.learned.mean_units() * self.stay, account.told_open(self.now, self.stay))
+        others = max(
+            heard / self.learned.mean_units() * self.stay, account.told_open(self.now, self.stay)
+        )
         return account.open < share or at_least(left, others) <= OPEN_RISK
 
     def _charge(self, account: Account, held: Held) -> None:
         units, account.open = held.event.units, account.open + 1
         account.ceiling.level -= units if account.plan.ceiling_rate else 0.0
         self.retries = min(self.retries + RETRY_SHARE, 1.0 / RETRY_SHARE)
-        self.leftover = min(self.leftover + (LEFTOVER if held.inside else -1.0) * units, account.plan.burst)
+        self.leftover = min(
+            self.leftover + (LEFTOVER if held.inside else -1.0) * units, account.plan.burst
+        )
         if held.inside:
             self._book(held.key, account, units, self.period)
 
@@ -273,8 +328,8 @@
             if peer not in self.away and self.messages.level >= 1.0:
                 self.tell(peer)
         self.forget_old_news(AWAY_A_BEAT)
-        # In a sudden slowing the answers that would tell of it are late: what is out, not what hangs,
-        # tells sooner. With all refused nothing tells: what is known of the wait grows old.
+        # In a sudden slowing the answers that would tell of it are late: what is out, not what
+        # hangs, tells sooner. With all refused nothing tells: what is known of the wait grows old.
         out = self.out_since(self.now - self.tight)
         late = sum(self.now - a.sent_at > 2 * a.work + self.wait for a in out)
         self.wait *= 0.5 ** (self.flush_every / (SILENT * PERIOD))
@@ -288,7 +343,10 @@
         self._news(key, account)
 
     def _mark(self, peers: list[int], key: str, period: int, word: str = "") -> None:
-        """Told at the next flush; in a large fleet at once, where two charges seldom have the same way."""
+        """Told at the next flush.
+
+        In a large fleet at once, where two charges seldom have the same way.
+        """
         for peer in [peer for peer in peers if peer != self.settings.me]:
             if self.outbox:
                 self.put_in_outbox(peer, (key, period), word)
@@ -298,40 +356,65 @@
                 self.tell(peer)
 
     def _news(self, key: str, account: Account) -> None:
-        """First the first hub, or all where one cannot tell the set in a second; another if it is dead."""
+        """First the first hub, or all where one cannot tell the set in a second.
+
+        Another if it is dead.
+        """
         if account.spread > DIRECT and self.settings.me in account.hubs:
             self.late.setdefault(key, self.now)
             if account.hubs[0] == self.settings.me or account.spread > self.messages.most:
                 self._announce(key)
 
     def _announce(self, key: str) -> None:
-        """A set, or its busiest, is told what changes its decisions: of the busy, near the limit, misled."""
+        """A set, or its busiest, is told what changes its decisions.
+
+        Of the busy, near the limit, misled.
+        """
         self.late.pop(key, None)
         account, need = self.accounts.get(key), self.learned.mean_units()
         if not account:
             return
-        plan, level, believed = account.plan, account.budget.fill(self.now), account.told.fill(self.now)
-        busy = account.totals.sum() >= BUSY * plan.rate * (self.now - (account.totals.period - 1) * PERIOD)
+        plan, level, believed = (
+            account.plan,
+            account.budget.fill(self.now),
+            account.told.fill(self.now),
+        )
+        busy = account.totals.sum() >= BUSY * plan.rate * (
+            self.now - (account.totals.period - 1) * PERIOD
+        )
         near = min(level, believed) < need + RESERVE * plan.burst
         if busy and near and abs(believed - level) >= max(need / 2, NEWS * plan.burst):
             account.told.level, account.telling = level, True
-            spent = gossip.Spent(state.key_of(key), gossip.tag(plan.name), max(plan.burst - level, 0.0))
+            spent = gossip.Spent(
+                state.key_of(key), gossip.tag(plan.name), max(plan.burst - level, 0.0)
+            )
             told = account.busiest(self.settings.gateways, int(self.messages.most), self.random)
             self._mark(told, key, SPENT, gossip.write(spent))
 
     def _worth(self, peer: int, news: News) -> float:
-        """Of telling it, under a budget of bytes: what the customer has left, if anything is untold."""
+        """Of telling it, under a budget of bytes.
+
+        What the customer has left, if anything is untold.
+        """
         account = self.accounts.get(news[0])
         if not account or self.untold(account, peer, news) <= 0:
             return 0.0
         return 1.0 / max(account.budget.fill(self.now) / (account.plan.burst or 1.0), NEAREST)
 
     def _peer(self, event: api.PeerMessage) -> None:
-        """Garbled, foreign or stale messages change nothing: all is read before anything is applied."""
+        """Garbled, foreign or stale messages change nothing.
+
+        All is read before anything is applied.
+        """
         told = self.settings
         message = self.read(event)
         behind = (self.period - message.period) % 36 if message else 2
-        if not message or behind > 1 or event.sender == told.me or not 0 <= event.sender < told.gateways:
+        if (
+            not message
+            or behind > 1
+            or event.sender == told.me
+            or not 0 <= event.sender < told.gateways
+        ):
             return
         self.meet(event.sender, message.life, TOGETHER, MEETING)
         for word in message.words:
@@ -342,7 +425,9 @@
             elif isinstance(word, gossip.Spent):
                 self._hear_spent(word, event.sender)
             elif isinstance(word, gossip.Charge) and behind + word.age <= 1:
-                account = self._account(word.customer, self.plan_of[word.plan], word.first, word.spread)
+                account = self._account(
+                    word.customer, self.plan_of[word.plan], word.first, word.spread
+                )
                 life, period = f"{event.sender}.{message.life}", self.period - behind - word.age
                 account.budget.level -= account.totals.hear(life, period, word.total)
                 account.used = self.now
@@ -359,19 +444,25 @@
         account = self._account(word.customer, self.plan_of[word.plan], 0, 0)
         self.told_spent(account, word, sender, self.messages.most)
         young = self.now - self.born < account.plan.burst / (account.plan.rate or 1.0)
-        if self.settings.me not in account.hubs or (young and account.told.level < account.budget.level):
+        if self.settings.me not in account.hubs or (
+            young and account.told.level < account.budget.level
+        ):
             account.budget.level = account.told.level
 
     # Servers
 
     def _list(self, event: api.Servers) -> None:
-        self.actions += [api.Subscribe()] if event.kind == "failed" else []  # the old list still holds
+        # the old list still holds
+        self.actions += [api.Subscribe()] if event.kind == "failed" else []
         self.table.apply(event, self.now)
         self.table.put_back(self.back, self.now)
         self.near_until = 0.0
 
     def _ban(self, event: api.Ban) -> None:
-        """One left out gets nothing new, not even as a rescue; back, it is cold, since it was restarted."""
+        """One left out gets nothing new, not even as a rescue.
+
+        Back, it is cold, since it was restarted.
+        """
         if event.down or event.server in self.banned:
             self.table.ban(event.server, event.down, self.now)
             self.back.update({} if event.down else {event.server: self.now})
@@ -380,13 +471,24 @@
 
     def _choose(self, held: Held) -> tuple[Server | None, float]:
         """The server of least expected delay among those that the gate allows, and that delay."""
-        work, kind, best, heard = self.work_of(held), held.kind, None, self.heard_loads(SILENT * PERIOD)
+        work, kind, best, heard = (
+            self.work_of(held),
+            held.kind,
+            None,
+            self.heard_loads(SILENT * PERIOD),
+        )
         again, away = bool(held.attempts), ZONE_DELAY * self.settings.cross_zone_price * kind.aim
         for rescue, servers in self._candidates(held.bound_to() if again else None):
             for server in servers:
-                if not self._up(server) or (again and not may_send(held, server, self.settings, self.now)):
+                if not self._up(server) or (
+                    again and not may_send(held, server, self.settings, self.now)
+                ):
                     continue
-                if not rescue and (server.out or server.health) and not self._fit(server, kind.name):
+                if (
+                    not rescue
+                    and (server.out or server.health)
+                    and not self._fit(server, kind.name)
+                ):
                     continue
                 if server.entry.started and not self._warm(server, work):
                     continue
@@ -401,9 +503,12 @@
         return None, 0.0
 
     def _candidates(self, bound: state.Group | None = None) -> Iterator[tuple[bool, list[Server]]]:
-        """All where gateways know each other's loads. Else a few drawn, since many that rank by little of
-        their own would herd, of the hosts that this gateway keeps to; then of all; then ejected ones too:
-        with most ejected the rest would fall. Of many servers never more than so many are compared."""
+        """All where gateways know each other's loads.
+
+        Else a few drawn, since many that rank by little of their own would herd, of the hosts that
+        this gateway keeps to; then of all; then ejected ones too: with most ejected the rest would
+        fall. Of many servers never more than so many are compared.
+        """
         servers = self.table.all()
         many = len(servers) > SURVEYED
         if many:
@@ -428,21 +533,38 @@
 
     def avoided(self) -> set[str]:
         """The listed servers that get nothing new now: draining, or ejected for every class."""
-        unfit = {name for name, s in self.table.up.items() if (s.health or s.out) and not self._fit(s, "")}
+        unfit = {
+            name
+            for name, s in self.table.up.items()
+            if (s.health or s.out) and not self._fit(s, "")
+        }
         return unfit | (self.servers.keys() - self.table.up.keys())
 
     def _up(self, server: Server) -> bool:
         return server.entry.state == "up" and server.entry.server not in self.banned
 
     def _fit(self, server: Server, kind: str) -> bool:
-        """It may fail one class and serve the rest. Its term over, it comes back by one attempt at a time."""
-        known = [server.health[name] for name in ("", kind) if name in server.health] if server.health else []
-        well = all([h.failures < EJECT_AFTER or (self.now >= h.until and not server.out) for h in known])
+        """It may fail one class and serve the rest.
+
+        Its term over, it comes back by one attempt at a time.
+        """
+        known = (
+            [server.health[name] for name in ("", kind) if name in server.health]
+            if server.health
+            else []
+        )
+        well = all(
+            [h.failures < EJECT_AFTER or (self.now >= h.until and not server.out) for h in known]
+        )
         return well and not server.silent(self.now, HUSH * self.tight)
 
     def _warm(self, server: Server, work: float) -> bool:
-        """Rule 4: a cold server's load stays under its share of what the warm ones are sent, by each gateway
-        for itself. What is less than one request is sent by chance, so that the sum over gateways holds."""
+        """Rule 4.
+
+        A cold server's load stays under its share of what the warm ones are sent, by each gateway
+        for itself. What is less than one request is sent by chance, so that the sum over gateways
+        holds.
+        """
         age, told = max(self.now - server.entry.started, 0.0), self.settings
         if not server.cold(self.now, told):
             return True
@@ -463,11 +585,16 @@
         held.attempts.append(Attempt(server, self.now, work, backlog))
         server.since = server.since if server.out else self.now
         server.out[held.event.id, number] = work
-        (server.sent if server.cold(self.now, self.settings) else self.warm_sent).add(self.now, work)
+        (server.sent if server.cold(self.now, self.settings) else self.warm_sent).add(
+            self.now, work
+        )
         self.actions.append(api.Send(held.event.id, server.entry.server, begin_by=until))
 
     def _leave(self) -> None:
-        """What hangs goes elsewhere while that may be in time. Not in an overload, in which all wait."""
+        """What hangs goes elsewhere while that may be in time.
+
+        Not in an overload, in which all wait.
+        """
         calm = self.settings.cancelling and self.retries >= 1.0 and self.wait < CALM * self.tight
         for held, number in self.hanging(HANGS, HUSH * self.tight) if calm else ():
             if held.kind.effect == "safe" and self.now + self.stay < held.aim_at:
@@ -477,7 +604,11 @@
 
     def _outcome(self, event: api.Outcome) -> None:
         held = self.held.get(event.id)
-        if not held or not 0 <= event.attempt < len(held.attempts) or not held.attempts[event.attempt].out:
+        if (
+            not held
+            or not 0 <= event.attempt < len(held.attempts)
+            or not held.attempts[event.attempt].out
+        ):
             return
         attempt = held.attempts[event.attempt]
         attempt.out, attempt.may_have_run = False, event.status not in NEVER_RAN
@@ -491,11 +622,16 @@
         held.ended = held.ended or event.final
         if not held.ended and not held.out():
             # What broke off at once cost the servers nothing: another try cannot feed an overload.
-            self._proceed(held, 1.0 if event.status == "full" else min(event.elapsed / attempt.work, 1.0))
+            self._proceed(
+                held, 1.0 if event.status == "full" else min(event.elapsed / attempt.work, 1.0)
+            )
         self.drop(event.id)
 
     def _proceed(self, held: Held, price: float) -> None:
-        """With no attempt out: another where it is legal and may yet be in time, else the final answer."""
+        """With no attempt out.
+
+        Another where it is legal and may yet be in time, else the final answer.
+        """
         server, delay = self._choose(held)
         if server and self.retries >= price and self.now + delay < min(held.aim_at, held.deadline):
             self.retries -= price
@@ -503,24 +639,29 @@
         else:
             held.ended = True
             fail, advice = api.Fail(held.event.id), ADVICE * held.kind.aim
-            self._refuse(held, advice, "given up") if may_refuse(held) else self.actions.append(fail)
+            self._refuse(held, advice, "given up") if may_refuse(held) else self.actions.append(
+                fail
+            )
 
     def _learn(self, attempt: Attempt, held: Held, event: api.Outcome) -> None:
         kind = held.kind
         server, waited = attempt.server, event.elapsed - attempt.work > self.wait
         server.since = self.now if event.status in ("ok", "error", "full") else server.since
-        # Late while others hardly wait is a failure of this server, whatever slowed it; it may die next. In
-        # an overload all are late, and ejecting would make it worse.
+        # Late while others hardly wait is a failure of this server, whatever slowed it; it may die
+        # next. In an overload all are late, and ejecting would make it worse.
         slow = event.elapsed > kind.aim and self.wait < PRESSURE * self.tight
         if event.status == "ok":
             self.stay += GAIN * (event.elapsed - self.stay)
-            # Bounded steps: a few costly requests must not pass for a slow server; many slow answers must. By
-            # faster ones, which follow single answers, a gateway kept to servers that had looked well once.
+            # Bounded steps: a few costly requests must not pass for a slow server; many slow
+            # answers must. By faster ones, which follow single answers, a gateway kept to servers
+            # that had looked well once.
             base = server.pace * (attempt.work + attempt.backlog / server.width)
             step = GAIN * min(event.elapsed / max(base, self.settings.tick) - 1, 1.0)
             self.learned.learn_work(kind, held.size, 1 + step / 5, 1 + step / 20)
             server.pace *= 1 + step / 2
-            for health in [server.health[n] for n in ("", kind.name) if n in server.health and not slow]:
+            for health in [
+                server.health[n] for n in ("", kind.name) if n in server.health and not slow
+            ]:
                 health.failures, health.ejections = health.failures / 2, 0
         if (slow or event.status != "ok") and event.status not in ("cancelled", "moot"):
             # What broke or failed at once did not wait: a lost zone or a bad host is no overload.
@@ -528,14 +669,21 @@
             name = "" if event.status in (*NEVER_RAN, "timeout") else kind.name
             refused = event.status == "connect_failed" and not self.small
             self._failure(server, name, EJECT_AFTER if refused else 1.0)
-            if event.status != "full" and not self.small:  # one that is short must not eject itself so
+            # one that is short must not eject itself so
+            if event.status != "full" and not self.small:
                 self.note_failed(server.tag, gossip.tag(name) if name else gossip.EVERY)
-        # The middle of what answers waited, not the mean: a few slow or failing servers are no overload.
+        # The middle of what answers waited, not the mean: a few slow or failing servers are no
+        # overload.
         self.wait = max(0.0, self.wait + GAIN * self.tight * (1 if waited else -1))
 
     def _failure(self, server: Server, kind: str, weight: float = 1.0) -> None:
         health = server.health_of(kind, self.now, EJECT_AT_MOST)
-        if health.count(self.now, EJECT_AT_MOST, weight) >= EJECT_AFTER and self.now >= health.until:
+        if (
+            health.count(self.now, EJECT_AT_MOST, weight) >= EJECT_AFTER
+            and self.now >= health.until
+        ):
             health.eject(self.now, EJECT_FOR, EJECT_AT_MOST)
             if health.ejections == 1:
-                self.actions.append(api.Log(f"ejected {server.entry.server}: {kind or 'every class'} fails"))
+                self.actions.append(
+                    api.Log(f"ejected {server.entry.server}: {kind or 'every class'} fails")
+                )
--- a/hazelhollow/decisions/gossip_codec.py
+++ b/hazelhollow/decisions/gossip_codec.py
@@ -1,7 +1,8 @@
 """Messages between gateways: values to few bytes of text and back. Translation only.
 
-Plans and classes go by tags of their names, so that a message means the same under settings that list others beside them. The
-dialect is the first letter; the one before this one told places in the sender's settings, and is still read.
+Plans and classes go by tags of their names, so that a message means the same under settings that
+list others beside them. The dialect is the first letter; the one before this one told places in the
+sender's settings, and is still read.
 """
 
 from __future__ import annotations
@@ -20,8 +21,9 @@
 
 
 class Charge(NamedTuple):
-    """What the sender charged a customer, in all, in the period that lies `age` before the message's; and the
-    requests it has open for it, where the plan limits them."""
+    """What the sender charged a customer, in all, in the period that lies `age` before the
+    message's; and the requests it has open for it, where the plan limits them.
+    """
 
     customer: str
     plan: str
@@ -80,7 +82,10 @@
 
 
 def number36(text: str, most: int) -> int:
-    """A number below `most`. Raises ValueError for anything else: int() would read signs, spaces and underscores too."""
+    """A number below `most`.
+
+    Raises ValueError for anything else: int() would read signs, spaces and underscores too.
+    """
     if not (text.isascii() and text.isalnum() and text == text.lower()):
         raise ValueError(text)
     number = int(text, 36)
@@ -126,9 +131,14 @@
     return f" {word.server}!{word.kind}"
 
 
-def read(text: str, plans: Collection[str], gateways: int, kinds: Collection[str]) -> Message | None:
-    """The message, or nothing where any part of it cannot be: too long, foreign, garbled, out of range. `plans`, `kinds`: the
-    reader's own tags, in the order of its settings."""
+def read(
+    text: str, plans: Collection[str], gateways: int, kinds: Collection[str]
+) -> Message | None:
+    """The message, or nothing where any part of it cannot be.
+
+    Too long, foreign, garbled, out of range. `plans`, `kinds`: the reader's own tags, in the order
+    of its settings.
+    """
     try:
         first, *words = text.split(" ")
         if len(text) > MOST_BYTES or first[0] not in (DIALECT, BEFORE) or not first.isalnum():
@@ -157,7 +167,9 @@
     return part
 
 
-def _word(text: str, plans: Collection[str], gateways: int, kinds: Collection[str], places: bool) -> Word:
+def _word(
+    text: str, plans: Collection[str], gateways: int, kinds: Collection[str], places: bool
+) -> Word:
     mark = ":" if ":" in text else "/" if "/" in text else "!" if "!" in text else "="
     name, *rest = text.split(mark)
     if not text.replace(mark, "").isalnum():  # int() would read signs and spaces too
@@ -168,7 +180,13 @@
         _, first, spread, age, total, *open_now = numbers
         if first < gateways and 0 < spread <= gateways:
             return Charge(
-                name, _known(rest[0], plans, places), first, spread, age, total / _TENTHS, sum(open_now)
+                name,
+                _known(rest[0], plans, places),
+                first,
+                spread,
+                age,
+                total / _TENTHS,
+                sum(open_now),
             )
     elif mark == "/" and len(numbers) == 2:
         return Spent(name, _known(rest[0], plans, places), numbers[1] / _TENTHS)
--- a/hazelhollow/decisions/gossip_outbox.py
+++ b/hazelhollow/decisions/gossip_outbox.py
@@ -1,4 +1,7 @@
-"""News that wait to be told under a budget of bytes: told most useful first, those of least use let go of. No decision."""
+"""News that wait to be told under a budget of bytes.
+
+Told most useful first, those of least use let go of. No decision.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +18,12 @@
 
 
 class Outbox:
-    """A bucket of bytes, and the news of each peer; of a customer and period the newest total is the one that is told.
+    """A bucket of bytes, and the news of each peer.
+
+    Of a customer and period the newest total is the one that is told.
 
-    `rate`: bytes a second with headers; `worth`: of news for a peer now, 0 for what is of no use any more.
+    `rate`: bytes a second with headers; `worth`: of news for a peer now, 0 for what is of no use
+    any more.
     """
 
     def __init__(self, rate: float, worth: Callable[[int, News], float]) -> None:
@@ -39,7 +45,9 @@
         waiting[news] = word
         self._pressing[peer] = self._pressing.get(peer, 0.0) + worth
         if len(waiting) > MOST_WAITING:
-            best = heapq.nlargest(MOST_WAITING // 2, waiting, key=lambda one: self._worth(peer, one))
+            best = heapq.nlargest(
+                MOST_WAITING // 2, waiting, key=lambda one: self._worth(peer, one)
+            )
             self.waiting[peer] = {one: waiting[one] for one in best}
         return True
 
@@ -51,9 +59,16 @@
         return max(peers, key=lambda peer: (self._pressing[peer], peer)) if peers else None
 
     def take(
-        self, peer: int, line: str, render: Callable[[str, int], str], units: Callable[[News], float]
+        self,
+        peer: int,
+        line: str,
+        render: Callable[[str, int], str],
+        units: Callable[[News], float],
     ) -> str:
-        """The line with the most useful news that it holds; `units`: what the words tell of, by news."""
+        """The line with the most useful news that it holds.
+
+        `units`: what the words tell of, by news.
+        """
         waiting = self.waiting.pop(peer, {})
         worth = {news: self._worth(peer, news) for news in waiting}
         left = dict[News, str]()
@@ -73,7 +88,10 @@
         self.bytes.level -= len(text) + HEADER
 
     def renew(self, period: int) -> None:
-        """What was told of periods that nobody hears of any more is forgotten, and so are news of them."""
+        """What was told of periods that nobody hears of any more is forgotten.
+
+        And so are news of them.
+        """
         self.told = {key: units for key, units in self.told.items() if key[2] >= period - 1}
         for peer, waiting in list(self.waiting.items()):
             left = {news: word for news, word in waiting.items() if word or news[1] >= period - 1}
--- a/hazelhollow/decisions/gossip_schedule.py
+++ b/hazelhollow/decisions/gossip_schedule.py
@@ -1,4 +1,7 @@
-"""How news are put into messages to peers, and what goes along with them. No decision on what is news."""
+"""How news are put into messages to peers, and what goes along with them.
+
+No decision on what is news.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,11 @@
 
 
 class Extras(NamedTuple):
-    """What goes along with news: of what hubs told, for so many seconds, so many words; so many failures of so many seconds;
-    the loads of so many servers."""
+    """What goes along with news.
+
+    Of what hubs told, for so many seconds, so many words; so many failures of so many seconds; the
+    loads of so many servers.
+    """
 
     pass_on_for: float
     passed_on: int
@@ -50,15 +56,23 @@
             self.outbox.renew(self.period)
 
     def forget_old_news(self, most: int) -> None:
-        """Of so many peers that are away: what is news when they are back is of this period or the last."""
+        """Of so many peers that are away.
+
+        What is news when they are back is of this period or the last.
+        """
         for peer in islice(self._with_old_news, most):
             if peer in self.dirty:
                 news = self.dirty[peer]
-                self.dirty[peer] = {key: word for key, word in news.items() if key[1] >= self.period - 1}
+                self.dirty[peer] = {
+                    key: word for key, word in news.items() if key[1] >= self.period - 1
+                }
 
     def tell(self, peer: int) -> None:
-        """What finds no room waits: a large fleet's loads must not crowd out the charges, nor many customers the told intake.
-        No gateway sends more than it may take in, so that the mean one hears no more."""
+        """What finds no room waits.
+
+        A large fleet's loads must not crowd out the charges, nor many customers the told intake. No
+        gateway sends more than it may take in, so that the mean one hears no more.
+        """
         waiting, number = self.dirty[peer], 0
         head, seen = self._head_and_seen()
         while self.messages.fill(self.now) >= 1.0 and (waiting or (self.small and not number)):
@@ -77,8 +91,15 @@
             self.tell_most_useful(at_once=True)
 
     def tell_most_useful(self, at_once: bool = False) -> None:
-        """Under a budget of bytes: the peers that miss most, as far as it goes. `at_once`: as long as there is plenty."""
-        while self.outbox and self.messages.fill(self.now) >= 1.0 and (self.outbox.plenty() or not at_once):
+        """Under a budget of bytes: the peers that miss most, as far as it goes.
+
+        `at_once`: as long as there is plenty.
+        """
+        while (
+            self.outbox
+            and self.messages.fill(self.now) >= 1.0
+            and (self.outbox.plenty() or not at_once)
+        ):
             peer = self.outbox.most_pressing(self.now, self.away)
             if peer is None:
                 return
@@ -90,7 +111,10 @@
                 self.outbox.sent(line)
 
     def untold(self, account: Account, peer: int, news: News) -> float:
-        """The share of the burst that the peer was not told of; 0 for periods that nobody hears of any more."""
+        """The share of the burst that the peer was not told of.
+
+        0 for periods that nobody hears of any more.
+        """
         period = news[1]
         if period == SPENT:
             return 1.0
@@ -114,10 +138,15 @@
         return self.passed_on(peer, extras.pass_on_for, extras.passed_on, self.random)
 
     def _seen(self) -> list[str]:
-        """Of servers: in a small fleet the busiest; in a large one failures, of which each sees too few."""
+        """Of servers.
+
+        In a small fleet the busiest; in a large one failures, of which each sees too few.
+        """
         if self.small:
             loads = sorted([(work, tag) for tag, work in self.work_out().items()], reverse=True)
-            return [gossip.write(gossip.Load(tag, work)) for work, tag in loads[: self._extras.loads]]
+            return [
+                gossip.write(gossip.Load(tag, work)) for work, tag in loads[: self._extras.loads]
+            ]
         failed = self.latest_failed(self._extras.failures, self._extras.failures_for)
         return [gossip.write(gossip.Failed(*one)) for one in failed]
 
--- a/hazelhollow/decisions/interface.py
+++ b/hazelhollow/decisions/interface.py
@@ -33,7 +33,10 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What each customer of a plan may use, over all gateways together; a zero means no such limit."""
+    """What each customer of a plan may use, over all gateways together.
+
+    A zero means no such limit.
+    """
 
     name: str
     rate: float
@@ -72,7 +75,8 @@
     fall_time: float = 1.0
     ask_for_servers: bool = False
     cross_zone_price: float = 0.0
-    class_weight: float = 0.0  # of the worst-served class in the goal, against that of all worth together
+    # of the worst-served class in the goal, against that of all worth together
+    class_weight: float = 0.0
 
     def __post_init__(self) -> None:
         """Settings that cannot be acted on are refused at once, by name."""
@@ -81,10 +85,14 @@
             "max_attempts: less than one": self.max_attempts < 1,
             "messages_in_per_s: not above zero": self.peers and self.messages_in_per_s <= 0,
             "gossip_bytes_per_s: below zero": not self.gossip_bytes_per_s >= 0,
-            "classes: none, or an aim not above zero": min((c.aim for c in self.classes), default=0) <= 0,
+            "classes: none, or an aim not above zero": min((c.aim for c in self.classes), default=0)
+            <= 0,
             "classes: a deadline not above zero": any(c.deadline <= 0 for c in self.classes),
-            "classes: a name that comes twice": len({c.name for c in self.classes}) != len(self.classes),
-            "plans: a rate without a burst": any(p.rate < 0 or p.rate > 0 >= p.burst for p in self.plans),
+            "classes: a name that comes twice": len({c.name for c in self.classes})
+            != len(self.classes),
+            "plans: a rate without a burst": any(
+                p.rate < 0 or p.rate > 0 >= p.burst for p in self.plans
+            ),
         }
         for trouble in [t for t, so in troubles.items() if so]:
             raise ValueError(trouble)
@@ -178,8 +186,11 @@
 
 
 class Allowance(NamedTuple):
-    """Comes right before a request of a customer whose limits are kept elsewhere: what this gateway may let in of each,
-    in units. Nothing for a limit that the gateway keeps itself."""
+    """Comes right before a request of a customer whose limits are kept elsewhere.
+
+    What this gateway may let in of each, in units. Nothing for a limit that the gateway keeps
+    itself.
+    """
 
     customer: str
     plan_name: str
@@ -191,7 +202,10 @@
 
 @dataclass(frozen=True)
 class Ban:
-    """An operator leaves a server out (`down`) or puts it back; whatever the list says, until the call back."""
+    """An operator leaves a server out (`down`) or puts it back.
+
+    Whatever the list says, until the call back.
+    """
 
     server: str
     down: bool
@@ -201,11 +215,12 @@
 class Fleet:
     """Who is there, by the view that the gateways keep. Without this event all are taken to be.
 
-    `acting`: whether this one may take new work: not before it knows what the others hold of it. `present`: numbers of
-    those that are up, this one among them; `unheard`: those of them that this one cannot hear; `deaf`: those that
-    cannot hear this one. `lost`: those that cannot be heard and may go on letting in, so that their even part of each
-    quota is left to them; `unused`: members, and seconds of such a part that turned out to be nobody's. `keeps`: what each
-    has charged is told again by counts (Copied), so that what was missed can be made up for; Closed is wanted.
+    `acting`: whether this one may take new work: not before it knows what the others hold of it.
+    `present`: numbers of those that are up, this one among them; `unheard`: those of them that this
+    one cannot hear; `deaf`: those that cannot hear this one. `lost`: those that cannot be heard and
+    may go on letting in, so that their even part of each quota is left to them; `unused`: members,
+    and seconds of such a part that turned out to be nobody's. `keeps`: what each has charged is
+    told again by counts (Copied), so that what was missed can be made up for; Closed is wanted.
     """
 
     acting: bool
@@ -218,8 +233,11 @@
 
 
 class Count(NamedTuple):
-    """What a member, in the life of that name, charged a customer from the period `since` (0: not known) on, up to `through`,
-    the last that it charged in and that is closed; and, where they are told, in the two that are open. Units."""
+    """What a member, in the life of that name, charged a customer from the period `since` (0.
+
+    Not known) on, up to `through`, the last that it charged in and that is closed; and, where they
+    are told, in the two that are open. Units.
+    """
 
     member: int
     life: str
@@ -231,9 +249,12 @@
 
 
 class Copied(NamedTuple):
-    """What others know of a customer (by its key in messages). With `level`, all that a peer knows, for one that has just
-    begun: units left of the burst, the counts being part of that, in the giver's `period`. Without, counts that have come since. No key: it is
-    whole now, and a customer that it was not told of has its whole burst."""
+    """What others know of a customer (by its key in messages).
+
+    With `level`, all that a peer knows, for one that has just begun: units left of the burst, the
+    counts being part of that, in the giver's `period`. Without, counts that have come since. No
+    key: it is whole now, and a customer that it was not told of has its whole burst.
+    """
 
     key: str
     plan_name: str = ""
@@ -263,8 +284,11 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Start an attempt; `timeout` 0 lets it run until the client gives up. What has not gone out whole at `begin_by` (an
-    instant) must never go out: where a request may be repeated for so long only, its connection may come up too late."""
+    """Start an attempt; `timeout` 0 lets it run until the client gives up.
+
+    What has not gone out whole at `begin_by` (an instant) must never go out: where a request may be
+    repeated for so long only, its connection may come up too late.
+    """
 
     id: str
     server: str
@@ -317,7 +341,10 @@
 
 
 class Closed(NamedTuple):
-    """A count of a customer, one period further: this gateway's own, or another's as it was heard; where counts are kept."""
+    """A count of a customer, one period further.
+
+    This gateway's own, or another's as it was heard; where counts are kept.
+    """
 
     key: str
     plan_name: str
--- a/hazelhollow/decisions/state.py
+++ b/hazelhollow/decisions/state.py
@@ -16,9 +16,21 @@
 from hazelhollow.decisions.endpoints import Group, Health, Server, ServerTable, Window
 
 __all__ = [
-    "Account", "Asked", "Attempt", "Group", "Health", "Held", "Memory", "Server", "ServerTable", "Store", "Totals", "Window", "at_least",
+    "Account",
+    "Asked",
+    "Attempt",
+    "Group",
+    "Health",
+    "Held",
+    "Memory",
+    "Server",
+    "ServerTable",
+    "Store",
+    "Totals",
+    "Window",
+    "at_least",
     "key_of",
-]  # fmt: skip
+]
 
 NEWS_LOOKED_AT = 500  # of what waits for a peer, for one message: most of it may be too old by now
 
@@ -33,7 +45,13 @@
     """A request that is owed its final answer, or whose attempts are still out."""
 
     def __init__(
-        self, event: api.Request, kind: api.RequestClass, key: str, account: Account, now: float, most: int
+        self,
+        event: api.Request,
+        kind: api.RequestClass,
+        key: str,
+        account: Account,
+        now: float,
+        most: int,
     ):
         self.event, self.kind, self.key, self.account = event, kind, key, account
         self.most = most  # attempts, as the settings said when it came: they may say fewer later
@@ -46,12 +64,18 @@
         return any([a.out for a in self.attempts])
 
     def repeat_until(self) -> float:
-        """When what may have run may no longer be repeated: the window counts from the first such attempt."""
+        """When what may have run may no longer be repeated.
+
+        The window counts from the first such attempt.
+        """
         ran = next((a for a in self.attempts if a.may_have_run), None)
         return ran.sent_at + self.kind.window if ran and self.kind.effect != "safe" else math.inf
 
     def bound_to(self) -> Group | None:
-        """The zone or cell that a further attempt has to go to, if any: the servers that drop a repeat of what may have run."""
+        """The zone or cell that a further attempt has to go to, if any.
+
+        The servers that drop a repeat of what may have run.
+        """
         if self.kind.effect != "keyed" or self.kind.group == "all":
             return None
         ran = next((a for a in self.attempts if a.may_have_run), None)
@@ -79,11 +103,13 @@
             tuple[float, int, Account]
         ] = []  # a heap: when accounts are looked at whether to forget them
         self.due_number = 0  # tells apart those of one moment
-        # Accounts with charges in periods that may get more, where counts are kept; those looked at last stand last. The period
-        # in which they were looked at, and how many of them still are to be in it.
+        # Accounts with charges in periods that may get more, where counts are kept; those looked at
+        # last stand last. The period in which they were looked at, and how many of them still are
+        # to be in it.
         self.unclosed: dict[str, None] = {}
         self.looked_period = self.to_look_at = 0
-        self.closing: Iterator[str] = iter(())  # customers charged before, whose final figure is due
+        # customers charged before, whose final figure is due
+        self.closing: Iterator[str] = iter(())
         self.servers: dict[str, Server] = {}  # the listed ones
         self.near: list[Server] = []  # those that this gateway keeps to, and until when that holds
         self.near_until = 0.0
@@ -94,7 +120,8 @@
         )  # by the fleet's view: whether to take new work; whom not to tell
         self.lost = frozenset[int]()  # by the same: who cannot be heard and may let in
         self.back: dict[str, float] = {}  # servers put back by hand, and when: they start cold then
-        self.dirty: dict[int, dict[tuple[str, int], str]] = {}  # by whom to tell: customer, period, word
+        # by whom to tell: customer, period, word
+        self.dirty: dict[int, dict[tuple[str, int], str]] = {}
         self.booked: dict[str, None] = {}  # customers charged since the last renewal
         self.keeps, self.known_from = (
             False,
@@ -104,10 +131,12 @@
         self.late: dict[str, float] = {}  # news that the first hub should have told, and since when
         self.lives: dict[int, str] = {}  # peers met at the start, and when they began
         self.failed: dict[tuple[str, str], float] = {}  # servers' failures seen here, and when
-        self.loads: dict[int, tuple[float, dict[str, float]]] = {}  # peers' work out, by server's tag
+        # peers' work out, by server's tag
+        self.loads: dict[int, tuple[float, dict[str, float]]] = {}
         self.heard, self.heard_at = dict[str, float](), -1.0  # the same added up, and when
         self.warm_sent = Window(settings.fall_time)  # work sent to warm servers
-        self.said: tuple[float, str, list[str]] = (-1.0, "", [])  # when, head and words of the last message
+        # when, head and words of the last message
+        self.said: tuple[float, str, list[str]] = (-1.0, "", [])
         self.latest = ("", "")  # customer and key
         self.leftover = self.wait = 0.0  # units; seconds that answers waited lately
         self.together = 1.0  # the part of the burst that those that began together begin with
@@ -119,9 +148,16 @@
         self.actions: list[api.Action] = []
 
     def retune(self, settings: api.Settings) -> None:
-        """Settings read again: classes come, go or change, attempts may be fewer. What is open keeps its class and
-        its attempts; what was learned of a class that stays is kept."""
-        before, self.settings, self.classes = self.classes, settings, {c.name: c for c in settings.classes}
+        """Settings read again: classes come, go or change, attempts may be fewer.
+
+        What is open keeps its class and its attempts; what was learned of a class that stays is
+        kept.
+        """
+        before, self.settings, self.classes = (
+            self.classes,
+            settings,
+            {c.name: c for c in settings.classes},
+        )
         if before.keys() != self.classes.keys():
             self.class_of = {gossip.tag(c.name): c.name for c in settings.classes}
         self.learned.retune(settings.classes)
@@ -131,8 +167,11 @@
                 known.forget()  # how long clients waited under another deadline says nothing of now
 
     def name_of(self, key: str, plan: api.Plan) -> str:
-        """What an account of that key in messages is called here. Two customers may come to one key, and one may change
-        its plan: neither goes by the other's plan, so the second plan's account has a name of its own."""
+        """What an account of that key in messages is called here.
+
+        Two customers may come to one key, and one may change its plan: neither goes by the other's
+        plan, so the second plan's account has a name of its own.
+        """
         known = self.accounts.get(key)
         if known and known.plan is plan:
             return key
@@ -161,15 +200,20 @@
                 continue  # what its members can hear of each other is as it was
             account.budget.fill(self.now)
             if account.spread > direct:
-                account.place(account.first, account.spread, self.settings, int(key_of(key), 36), hubs, lost)
+                account.place(
+                    account.first, account.spread, self.settings, int(key_of(key), 36), hubs, lost
+                )
             self.leave_to_lost(account)
             account.budget.level += account.reclaim(event.unused, gateways)
 
     # Counts, where they are kept
 
     def closed(self, most: int) -> list[api.Action]:
-        """The counts that have grown by periods that get no more charges: each customer once a period, those that waited longest
-        first, and no more customers once there are so many counts. What is left is told at the next call."""
+        """The counts that have grown by periods that get no more charges.
+
+        Each customer once a period, those that waited longest first, and no more customers once
+        there are so many counts. What is left is told at the next call.
+        """
         found = list[api.Action]()
         if not self.keeps:
             return found
@@ -186,8 +230,11 @@
         return found
 
     def _closed_counts(self, account: Account) -> list[api.Action]:
-        """Of one customer. Others' counts too, as they were heard: of one that has died nobody else can tell them, and of one
-        that lives they are what it tells itself."""
+        """Of one customer.
+
+        Others' counts too, as they were heard: of one that has died nobody else can tell them, and
+        of one that lives they are what it tells itself.
+        """
         totals, found = account.totals, list[api.Action]()
         if account.spread:
             totals.turn(self.period)
@@ -196,9 +243,12 @@
                 count = self._own_count(account) if not who else self._heard_count(account, who)
                 if count.since:
                     plan = account.plan.name
-                    found.append(api.Closed(key_of(account.name), plan, account.first, account.spread, count))
+                    found.append(
+                        api.Closed(key_of(account.name), plan, account.first, account.spread, count)
+                    )
         if not account.spread or totals.charged or totals.heard:
-            self.unclosed[account.name] = None  # looked at again in the next period, after the others
+            # looked at again in the next period, after the others
+            self.unclosed[account.name] = None
         return found
 
     def _own_count(self, account: Account) -> api.Count:
@@ -212,7 +262,9 @@
         return api.Count(int(member), life, *(account.totals.bases or {}).get(who, (0, 0, 0.0)))
 
     def _counts_with_recent(self, account: Account) -> list[api.Count]:
-        """All that is known of a customer, with the charges of the period before this one and of this one."""
+        """All that is known of a customer, with the charges of the period before this one and of
+        this one.
+        """
         totals, recent = account.totals, (self.period - 1, self.period)
         first, second = (totals.charged.get(period, 0.0) for period in recent)
         counts = [self._own_count(account)._replace(first=first, second=second)]
@@ -237,12 +289,15 @@
             return None
         a.totals.turn(self.period)
         counts = self._counts_with_recent(a)
-        counts.sort(key=lambda c: c.first + c.second, reverse=True)  # what is on its way by gossip too
+        # what is on its way by gossip too
+        counts.sort(key=lambda c: c.first + c.second, reverse=True)
         level = (a.budget if a.hubs_hear(self.settings.me) else a.told).fill(self.now) - a.owed
         level += sum(
             units for (_, at), units in a.totals.heard.items() if at > self.period
         )  # of a clock that is ahead: not told
-        return api.Copied(key_of(key), a.plan.name, a.first, a.spread, tuple(counts), level, self.period)
+        return api.Copied(
+            key_of(key), a.plan.name, a.first, a.spread, tuple(counts), level, self.period
+        )
 
     def copied(
         self, event: api.Copied, make: Callable[[str, api.Plan, int, int], Account], pay_back: float
@@ -252,8 +307,11 @@
         account = self.accounts.get(self.name_of(event.key, plan)) if plan else None
         if not event.key and self.known_from == math.inf:
             self.known_from = -math.inf
-            for one in self.accounts.values():  # nobody has used what its cautious beginning left to others
-                one.budget.level += 0.0 if one.copied else one.plan.burst * (1.0 - 1.0 / max(one.spread, 1))
+            # nobody has used what its cautious beginning left to others
+            for one in self.accounts.values():
+                one.budget.level += (
+                    0.0 if one.copied else one.plan.burst * (1.0 - 1.0 / max(one.spread, 1))
+                )
         if plan is None or not 0 < event.spread <= self.settings.gateways:
             return
         if event.level is not None:
@@ -270,10 +328,13 @@
                 account.fill(self.now, pay_back, self.period)
                 who = f"{count.member}.{count.life}"
                 account.missed(
-                    count.member, account.totals.told(who, count.since, count.through, count.total) - come_in
+                    count.member,
+                    account.totals.told(who, count.since, count.through, count.total) - come_in,
                 )
 
-    def _adopt(self, account: Account, counts: tuple[api.Count, ...], level: float, period: int) -> None:
+    def _adopt(
+        self, account: Account, counts: tuple[api.Count, ...], level: float, period: int
+    ) -> None:
         """What the giver knew in that period, less what has come to be known here beyond that."""
         totals, account.copied = account.totals, True
         assert totals.bases is not None
@@ -335,8 +396,11 @@
         return [a for one in held for a in one.attempts if a.out and a.sent_at > start]
 
     def meet(self, sender: int, life: str, together: float, within: float) -> None:
-        """Once all others are met and all began with this gateway, nothing was spent before: the whole burst is
-        there, less what was charged since. Of one that starts among older ones it is not known."""
+        """Once all others are met and all began with this gateway, nothing was spent before.
+
+        The whole burst is there, less what was charged since. Of one that starts among older ones
+        it is not known.
+        """
         if self.whole or self.now - self.born > within:
             return
         self.lives[sender] = life
@@ -347,7 +411,9 @@
                 self.together if self.known_from == math.inf else 0.0
             )  # else it has been told what there is
             for account in self.accounts.values():
-                account.budget.level += account.plan.burst * (1.0 - 1.0 / max(account.spread, 1)) * part
+                account.budget.level += (
+                    account.plan.burst * (1.0 - 1.0 / max(account.spread, 1)) * part
+                )
                 account.ceiling.level += account.ceiling.most or account.plan.ceiling_burst
 
     def latest_failed(self, count: int, span: float) -> list[tuple[str, str]]:
@@ -362,8 +428,11 @@
         self.failed[server, kind] = self.now
 
     def told_spent(self, account: Account, word: gossip.Spent, sender: int, most: float) -> None:
-        """`most`: members of the largest set that one hub tells by itself. In a larger one it is to be passed on, but not
-        what has been passed on already: that grows old."""
+        """`most`: members of the largest set that one hub tells by itself.
+
+        In a larger one it is to be passed on, but not what has been passed on already: that grows
+        old.
+        """
         account.told.fill(self.now)
         account.told.level, account.telling = account.plan.burst - word.units, True
         if sender in account.hubs and account.spread > most:
@@ -371,7 +440,9 @@
             self.news[account.name] = self.now, gossip.write(word)
 
     def passed_on(self, peer: int, span: float, most: int, chance: Random) -> list[str]:
-        """Some of what hubs told here within that span, of customers who may come to the peer as well."""
+        """Some of what hubs told here within that span, of customers who may come to the peer as
+        well.
+        """
         while self.news and self.now - next(iter(self.news.values()))[0] >= span:
             del self.news[next(iter(self.news))]
         gateways, found = self.settings.gateways, list[str]()
@@ -382,7 +453,10 @@
         return chance.sample(found, min(len(found), most))
 
     def heard_loads(self, latest: float) -> dict[str, float]:
-        """By server's tag, of the peers that spoke within so many seconds; added up once for each event."""
+        """By server's tag, of the peers that spoke within so many seconds.
+
+        Added up once for each event.
+        """
         if self.heard_at != self.now:
             self.heard_at, self.heard = self.now, dict[str, float]()
             for at, load in self.loads.values():
@@ -401,7 +475,9 @@
                 else "plan or class that these settings do not have"
             )
             if not self.unread[what]:
-                self.actions.append(api.Log(f"gateway {event.sender} tells of a {what}: {event.text[:40]}"))
+                self.actions.append(
+                    api.Log(f"gateway {event.sender} tells of a {what}: {event.text[:40]}")
+                )
             self.unread[what] += 1 if message is None else message.unknown
         return message
 
@@ -418,8 +494,13 @@
         return gossip.write(word)
 
     def late_for(self, span: float) -> list[str]:
-        """Customers whose first hub should have told of them for so long; the oldest stand first."""
-        return [key for key, _ in takewhile(lambda late: self.now - late[1] >= span, self.late.items())]
+        """Customers whose first hub should have told of them for so long.
+
+        The oldest stand first.
+        """
+        return [
+            key for key, _ in takewhile(lambda late: self.now - late[1] >= span, self.late.items())
+        ]
 
     def units_charged(self, news: tuple[str, int]) -> float:
         """By an account's name and a period."""
@@ -427,7 +508,10 @@
         return account.totals.charged.get(news[1], 0.0) if account else 0.0
 
     def take_news(self, line: str, waiting: dict[tuple[str, int], str]) -> str:
-        """The line with as much of what waits, in its order, as a message holds; that waits no more."""
+        """The line with as much of what waits, in its order, as a message holds.
+
+        That waits no more.
+        """
         taken = list[tuple[str, int]]()
         for news, word in waiting.items():
             if not word and news[1] >= self.period - 1:  # else it is too old for them
@@ -454,7 +538,10 @@
         return [self.accounts[key] for key in islice(self.closing, most) if key in self.accounts]
 
     def mark_unclosed(self, account: Account) -> None:
-        """It was charged, here or elsewhere; where counts are kept, they grow once the period has closed."""
+        """It was charged, here or elsewhere.
+
+        Where counts are kept, they grow once the period has closed.
+        """
         if account.totals.bases is not None:
             self.unclosed[account.name] = None
 
@@ -474,9 +561,12 @@
         heapq.heappush(self.due, (when, self.due_number, account))
 
     def forget(self, most: int, least: float, settled: float) -> None:
-        """Let go of accounts that would have filled up by now anyway, looking at so many at most. `least`: seconds since their last
-        use; `settled`: seconds after which members that are back have told all. `used` counts charges heard of too: an account
-        that was let go of in between would take a total that is said again for a new one."""
+        """Let go of accounts that would have filled up by now anyway, looking at so many at most.
+
+        `least`: seconds since their last use; `settled`: seconds after which members that are back
+        have told all. `used` counts charges heard of too: an account that was let go of in between
+        would take a total that is said again for a new one.
+        """
         while most and self.due and self.due[0][0] <= self.now:
             when, _, account = heapq.heappop(self.due)
             if account.due != when or self.accounts.get(account.name) is not account:
--- a/hazelhollow/fault_injection/__init__.py
+++ b/hazelhollow/fault_injection/__init__.py
@@ -1,1 +1,4 @@
-"""The rig: a whole fleet of real processes on loopback, faults between them, and a checker of what came of it."""
+"""The rig.
+
+A whole fleet of real processes on loopback, faults between them, and a checker of what came of it.
+"""
--- a/hazelhollow/fault_injection/audited.py
+++ b/hazelhollow/fault_injection/audited.py
@@ -1,4 +1,7 @@
-"""The audit of a drill against what was seen from outside: where they contradict, one of them is wrong, and it is the audit."""
+"""The audit of a drill against what was seen from outside.
+
+Where they contradict, one of them is wrong, and it is the audit.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,14 @@
             shut.update([entry.member] if entry.version == "shut out" else [])
     if not fleet.entries:
         return dict.fromkeys(
-            ("brought_up", "shut_out", "came_back", "contradictions_unseen", "audit_wrong", "audit_findings")
+            (
+                "brought_up",
+                "shut_out",
+                "came_back",
+                "contradictions_unseen",
+                "audit_wrong",
+                "audit_findings",
+            )
         )
     fleet.settle()
     unseen, wrong = _against(fleet, folder)
@@ -45,8 +55,11 @@
 
 
 def _against(fleet: Fleet, folder: Path) -> tuple[int, int]:
-    """Probes that saw a member serve by older settings where the audit has it on the newest, and the other way. All clocks of a
-    drill are this machine's, so the writers' own times are taken."""
+    """Probes that saw a member serve by older settings where the audit has it on the newest.
+
+    And the other way. All clocks of a drill are this machine's, so the writers' own times are
+    taken.
+    """
     unseen = wrong = 0
     for row in rows(folder / "probes.jsonl"):
         number = int(row["to"].removeprefix(FIRST))
--- a/hazelhollow/fault_injection/checker.py
+++ b/hazelhollow/fault_injection/checker.py
@@ -1,9 +1,12 @@
-"""What came of a drill, from files alone: what crossed the relay, the clients', the hosts' and the views' lines.
+"""What came of a drill, from files alone.
+
+What crossed the relay, the clients', the hosts' and the views' lines.
 
 It shares no code with the program. Files of the folder, JSON or a JSON line each:
 
     plan.json       what was asked for (seconds, instances, rates)
-    faults.jsonl    what was done: {"t", "what", "whom", "pairs", "on"}; when the load began and ended; when the drill itself was
+    faults.jsonl    what was done: {"t", "what", "whom", "pairs", "on"}; when the load began and
+      ended; when the drill itself was
                     late (an answer that did not come then counts as `unsure`, not as `lost`)
     clients.jsonl   each request and its end
     hN.jsonl        each request that host N began
@@ -89,8 +92,13 @@
     def was_down(self, name: str, since: float, until: float) -> bool:
         return any(a <= until and b >= since for a, b in self.down.get(name, []))
 
-    def link_hit(self, a: str, b: str, since: float, until: float, but: tuple[str, ...] = ()) -> bool:
-        return any(s <= until and e >= since and what not in but for s, e, what in self.links.get((a, b), []))
+    def link_hit(
+        self, a: str, b: str, since: float, until: float, but: tuple[str, ...] = ()
+    ) -> bool:
+        return any(
+            s <= until and e >= since and what not in but
+            for s, e, what in self.links.get((a, b), [])
+        )
 
     def gone_at_end(self) -> set[str]:
         return {name for name, spans in self.down.items() if spans and spans[-1][1] == float("inf")}
@@ -111,12 +119,17 @@
 
 
 def check(folder: Path) -> dict[str, Any]:
-    """The figures of one drill. Raises nothing for lines that are missing: an empty drill shows as `requests` 0."""
+    """The figures of one drill.
+
+    Raises nothing for lines that are missing: an empty drill shows as `requests` 0.
+    """
     plan = json.loads((folder / "plan.json").read_text())
     lines = rows(folder / "faults.jsonl")
     faults = Faults(lines)
     requests = rows(folder / "clients.jsonl")
-    ran = [row | {"host": path.stem} for path in sorted(folder.glob("h*.jsonl")) for row in rows(path)]
+    ran = [
+        row | {"host": path.stem} for path in sorted(folder.glob("h*.jsonl")) for row in rows(path)
+    ]
     found: dict[str, Any] = {
         "requests": len(requests),
         "accepted": sum(row["outcome"] == "served" for row in requests),
@@ -125,7 +138,9 @@
     found |= answers(requests, ran, faults)
     found |= {
         "kills": sum(len(line["whom"]) for line in lines if line["what"] == "kill" and line["on"]),
-        "stalls": sum(len(line["whom"]) for line in lines if line["what"] == "pause" and line["on"]),
+        "stalls": sum(
+            len(line["whom"]) for line in lines if line["what"] == "pause" and line["on"]
+        ),
         "cuts": sum(line["what"] == "cut" and line["on"] for line in lines),
     }
     found |= units(plan, requests, ran, faults)
@@ -135,7 +150,9 @@
     return found
 
 
-def answers(requests: list[dict[str, Any]], ran: list[dict[str, Any]], faults: Faults) -> dict[str, Any]:
+def answers(
+    requests: list[dict[str, Any]], ran: list[dict[str, Any]], faults: Faults
+) -> dict[str, Any]:
     """Each request against what the hosts began."""
     begun = Counter(row["id"] for row in ran)
     lost, unsure, doubled, untrue = list[str](), 0, 0, 0
@@ -145,13 +162,17 @@
             faults.link_hit(a, b, since, until) for a, b in (("c", row["to"]), (row["to"], "c"))
         )
         late = row["end"] - row["t"] > row["patience"] + SLACK
-        if not excused and (late or row["outcome"] in ("silent", "closed", "crossed", "reset", "refused")):
+        if not excused and (
+            late or row["outcome"] in ("silent", "closed", "crossed", "reset", "refused")
+        ):
             if any(a <= until and b >= since for a, b in faults.late):
                 unsure += 1
             else:
                 lost.append(row["id"])
         doubled += row["extra"]
-        if row["outcome"] == "served" and (row["value"] != f"served {row['id']}" or not begun[row["id"]]):
+        if row["outcome"] == "served" and (
+            row["value"] != f"served {row['id']}" or not begun[row["id"]]
+        ):
             untrue += 1
         if row["outcome"] == "busy" and row["kind"] == "buy" and begun[row["id"]]:
             untrue += 1  # busy, which promises that it has not run
@@ -162,14 +183,19 @@
         "unsure": unsure,
         "doubled": doubled,
         "untrue_answers": untrue,
-        "repeats_not_allowed": sum(count > 1 for request, count in begun.items() if request in once),
+        "repeats_not_allowed": sum(
+            count > 1 for request, count in begun.items() if request in once
+        ),
     }
 
 
 def units(
     plan: dict[str, Any], requests: list[dict[str, Any]], ran: list[dict[str, Any]], faults: Faults
 ) -> dict[str, Any]:
-    """What customers used against their quotas and ceilings. A try counts once, when its first attempt began."""
+    """What customers used against their quotas and ceilings.
+
+    A try counts once, when its first attempt began.
+    """
     first: dict[str, float] = {}
     for row in ran:
         first[row["id"]] = min(row["t"], first.get(row["id"], row["t"]))
@@ -258,7 +284,10 @@
 
 
 def _false_deaths(said: dict[str, list[dict[str, Any]]], names: list[str], faults: Faults) -> int:
-    """One that was running and could be heard, and was declared dead all the same: by life, however many said so."""
+    """One that was running and could be heard, and was declared dead all the same.
+
+    By life, however many said so.
+    """
     found = set[tuple[int, Any]]()
     for observer, lines in said.items():
         before: dict[str, Any] = {}
@@ -266,18 +295,25 @@
             for number, entry in line["members"].items():
                 whom, at = names[int(number)], line["t"]
                 if entry[0] == "dead" and before.get(number, [""])[0] != "dead":
-                    hit = faults.was_down(whom, at - AFTER, at) or faults.was_down(observer, at - AFTER, at)
+                    hit = faults.was_down(whom, at - AFTER, at) or faults.was_down(
+                        observer, at - AFTER, at
+                    )
                     cut = any(
-                        faults.link_hit(a, b, at - AFTER, at, but=("lose", "delay", "double", "reorder"))
-                        for a in names for b in names
-                    )  # fmt: skip
+                        faults.link_hit(
+                            a, b, at - AFTER, at, but=("lose", "delay", "double", "reorder")
+                        )
+                        for a in names
+                        for b in names
+                    )
                     if not hit and not cut:
                         found.add((int(number), entry[1]))
             before = line["members"]
     return len(found)
 
 
-def _suspected(said: dict[str, list[dict[str, Any]]], names: list[str], faults: Faults) -> float | None:
+def _suspected(
+    said: dict[str, list[dict[str, Any]]], names: list[str], faults: Faults
+) -> float | None:
     """The longest time until a stopped or killed process was suspected by anybody."""
     worst: float | None = None
     for name, spans in faults.down.items():
@@ -300,7 +336,10 @@
 
 
 def settings(folder: Path, plan: dict[str, Any], faults: Faults) -> dict[str, Any]:
-    """Who served by older settings after newer ones were out and could be heard of, as probes saw it from outside."""
+    """Who served by older settings after newer ones were out and could be heard of.
+
+    As probes saw it from outside.
+    """
     probes = rows(folder / "probes.jsonl")
     if not probes or not faults.changed:
         return {"acted_on_old_after_s_p99": None, "stragglers": None}
@@ -311,7 +350,10 @@
         old = [
             row["t"]
             for row in probes
-            if row["to"] == name and row["t"] > out and row["new"] == "unknown" and row["look"] == "served"
+            if row["to"] == name
+            and row["t"] > out
+            and row["new"] == "unknown"
+            and row["look"] == "served"
         ]
         hidden = [
             end
@@ -323,7 +365,10 @@
         down = [end for begin, end in faults.down.get(name, []) if end > out]
         later = [at for at in old if at > max([out, *hidden, *down])]
         after.append(
-            max((at - max([out, *(t for t in [*hidden, *down] if t <= at)]) for at in later), default=0.0)
+            max(
+                (at - max([out, *(t for t in [*hidden, *down] if t <= at)]) for at in later),
+                default=0.0,
+            )
         )
     return {
         "acted_on_old_after_s_p99": quantile(after, 0.99),
--- a/hazelhollow/fault_injection/clients.py
+++ b/hazelhollow/fault_injection/clients.py
@@ -1,4 +1,6 @@
-"""The clients of a drill: requests at times laid down ahead, each on a connection of its own while it is out.
+"""The clients of a drill.
+
+Requests at times laid down ahead, each on a connection of its own while it is out.
 
 What became of each goes into a file, a JSON line a request. Times are Unix seconds.
 """
@@ -43,14 +45,25 @@
 
 class Clients:
     def __init__(self, scheduler: sch.Scheduler, seed: int, out: IO[bytes], spread: int) -> None:
-        self.scheduler, self.random, self._out, self.spread = scheduler, random.Random(seed), out, spread
+        self.scheduler, self.random, self._out, self.spread = (
+            scheduler,
+            random.Random(seed),
+            out,
+            spread,
+        )
         self.sent = self.open = 0
-        self.most_late = 0.0  # seconds by which a request went out after its time: the drill's own slowness
+        # seconds by which a request went out after its time: the drill's own slowness
+        self.most_late = 0.0
         self.outcomes: dict[str, int] = {}
 
-    def run(self, door: Door, load: Load, begin: float, end: float, phase: float | None = None) -> None:
-        """Until `end`: a request each 1/rate seconds, whatever becomes of the ones before. `phase`: the part of that time
-        after `begin` at which the first goes out; drawn where none is given."""
+    def run(
+        self, door: Door, load: Load, begin: float, end: float, phase: float | None = None
+    ) -> None:
+        """Until `end`: a request each 1/rate seconds, whatever becomes of the ones before.
+
+        `phase`: the part of that time after `begin` at which the first goes out; drawn where none
+        is given.
+        """
         at = begin + (self.random.random() if phase is None else phase) / load.rate
         while at < end:
             now = self.scheduler.clock()
@@ -65,11 +78,20 @@
         began = self.scheduler.clock()
         self.sent, self.open = self.sent + 1, self.open + 1
         row: dict[str, Any] = {
-            "t": began, "due": due, "id": request, "to": door.name, "customer": load.customer, "plan": load.plan, "kind": load.kind,
-            "units": load.units, "patience": PATIENCE.get(load.kind, USUAL_PATIENCE), "extra": 0,
-        }  # fmt: skip
+            "t": began,
+            "due": due,
+            "id": request,
+            "to": door.name,
+            "customer": load.customer,
+            "plan": load.plan,
+            "kind": load.kind,
+            "units": load.units,
+            "patience": PATIENCE.get(load.kind, USUAL_PATIENCE),
+            "extra": 0,
+        }
         outcome, value = self._ask(door, load, request, began, row)
-        if outcome == "crossed":  # the limiter ended the connection between requests, as it may: once more
+        # the limiter ended the connection between requests, as it may: once more
+        if outcome == "crossed":
             outcome, value = self._ask(door, load, request, began, row, fresh=True)
         row |= {"end": self.scheduler.clock(), "outcome": outcome, "value": value}
         self._out.write(orjson.dumps(row) + b"\n")
@@ -77,7 +99,13 @@
         self.open -= 1
 
     def _ask(
-        self, door: Door, load: Load, request: str, began: float, row: dict[str, Any], fresh: bool = False
+        self,
+        door: Door,
+        load: Load,
+        request: str,
+        began: float,
+        row: dict[str, Any],
+        fresh: bool = False,
     ) -> tuple[str, str]:
         patience = PATIENCE.get(load.kind, USUAL_PATIENCE)
         line = None if fresh or not door.idle else door.idle.pop()
@@ -88,7 +116,10 @@
                 return "refused", ""
             line = Line(made)
         left = int((began + patience - self.scheduler.clock()) * 1000)
-        fields = f"c={load.kind},t={load.plan},d={max(left, 1)},units={load.units},spread={self.spread},first={load.first}"
+        fields = (
+            f"c={load.kind},t={load.plan},d={max(left, 1)},"
+            f"units={load.units},spread={self.spread},first={load.first}"
+        )
         verb = b"Q.DO" if load.kind == KEYED else b"Q.ASK"
         words = [
             verb,
--- a/hazelhollow/fault_injection/commands.py
+++ b/hazelhollow/fault_injection/commands.py
@@ -1,4 +1,7 @@
-"""`hazelhollow fleet`: a fleet of real processes on this machine, faults between them, and drills."""
+"""`hazelhollow fleet`.
+
+A fleet of real processes on this machine, faults between them, and drills.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +20,20 @@
 from hazelhollow.fault_injection import control, cost, plan, shrink, world
 from hazelhollow.fault_injection.drill import Drill
 
-CONTROL_BYTES_PER_S = 4000.0  # of a limiter's control traffic, headers included, where drills bound it
-NEVER = ("crashes", "lost", "doubled", "untrue_answers", "repeats_not_allowed", "ceilings_passed", "views_differ", "false_deaths",
-         "contradictions_unseen", "audit_wrong")  # fmt: skip
+# of a limiter's control traffic, headers included, where drills bound it
+CONTROL_BYTES_PER_S = 4000.0
+NEVER = (
+    "crashes",
+    "lost",
+    "doubled",
+    "untrue_answers",
+    "repeats_not_allowed",
+    "ceilings_passed",
+    "views_differ",
+    "false_deaths",
+    "contradictions_unseen",
+    "audit_wrong",
+)
 
 
 def default_state() -> Path:
@@ -35,10 +49,15 @@
 )
 
 with_option = click.option(
-    "--with", "what", type=click.Choice(["nothing", "view", "replica", "disk", "audit", "control"]), default="replica", show_default=True,
-    help="What limiters have beyond the platform's: nothing; the view of the fleet; what they keep alike too; a disk; the audit; and one budget for all that"
+    "--with",
+    "what",
+    type=click.Choice(["nothing", "view", "replica", "disk", "audit", "control"]),
+    default="replica",
+    show_default=True,
+    help="What limiters have beyond the platform's: nothing; the view of the fleet; what they "
+    "keep alike too; a disk; the audit; and one budget for all that"
     " control sends.",
-)  # fmt: skip
+)
 
 
 @click.group("fleet")
@@ -46,13 +65,15 @@
     """Run a fleet on this machine, break it, and see what came of it.
 
     \b
-    hazelhollow fleet up --instances 5        real limiters, hosts, discovery and a relay, until Ctrl-C
+    hazelhollow fleet up --instances 5        real limiters, hosts, discovery and a relay, until
+      Ctrl-C
     hazelhollow fleet status                  what runs and what each limiter knows of the others
     hazelhollow fleet cut n0 n1 --one-way     a link that loses all; `heal` makes every link whole
     hazelhollow fleet drill two_parts         a plan of faults under load, and the checker's figures
     hazelhollow fleet drill --seed 7          the same with faults drawn from a seed
 
-    Everything is on loopback. After `down`, Ctrl-C or the supervisor's own death no process, socket or file is left.
+    Everything is on loopback. After `down`, Ctrl-C or the supervisor's own death no process, socket
+    or file is left.
     """
 
 
@@ -60,12 +81,17 @@
 @click.option("--instances", default=3, show_default=True, type=click.IntRange(1, 64))
 @click.option("--hosts", default=2, show_default=True, type=click.IntRange(1, 32))
 @click.option(
-    "--operator", type=click.Path(exists=True, path_type=Path), help="An operator file that all limiters get."
+    "--operator",
+    type=click.Path(exists=True, path_type=Path),
+    help="An operator file that all limiters get.",
 )
 @with_option
 @state_option
 def up(instances: int, hosts: int, operator: Path | None, what: str, state: Path | None) -> None:
-    """Start limiters n0, n1, ..., hosts h0, h1, ... and discovery d, and stay until Ctrl-C or `down`."""
+    """Start limiters n0, n1, ..., hosts h0, h1, ... and discovery d.
+
+    And stay until Ctrl-C or `down`.
+    """
     folder = state or default_state()
     try:
         folder.mkdir(mode=0o700, parents=True)
@@ -74,7 +100,9 @@
     text = operator.read_text() if operator else ""
     files = (lambda *_: text) if operator else WITH[what]
     try:
-        one = control.Supervisor(plan.Plan(name="up", instances=instances, hosts=hosts), folder, files)
+        one = control.Supervisor(
+            plan.Plan(name="up", instances=instances, hosts=hosts), folder, files
+        )
         one.run(_show_ready)
     except world.RigError as error:
         shutil.rmtree(folder, ignore_errors=True)
@@ -91,7 +119,10 @@
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 @state_option
 def status(as_json: bool, state: Path | None) -> None:
-    """What runs, and what each limiter says of itself and of the others. Exit status 1: not all run and are ready."""
+    """What runs, and what each limiter says of itself and of the others.
+
+    Exit status 1: not all run and are ready.
+    """
     found = _command(state, do="status")
     if as_json:
         click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
@@ -102,7 +133,9 @@
 
 
 def _table(found: dict[str, Any]) -> None:
-    click.echo(f"{'name':<5} {'pid':>8} {'state':<8} {'starts':>6} {'ready':<6} its view of the others")
+    click.echo(
+        f"{'name':<5} {'pid':>8} {'state':<8} {'starts':>6} {'ready':<6} its view of the others"
+    )
     for row in found["processes"]:
         seen = " ".join(
             f"n{number}:{entry['state']}"
@@ -110,11 +143,13 @@
         )
         ready = {True: "yes", False: "no", None: ""}[row.get("ready")]
         click.echo(
-            f"{row['name']:<5} {row['pid'] or '':>8} {row['state']:<8} {row['starts']:>6} {ready:<6} {seen}"
+            f"{row['name']:<5} {row['pid'] or '':>8} {row['state']:<8} {row['starts']:>6} "
+            f"{ready:<6} {seen}"
         )
     for link in found["links"]:
         click.echo(
-            f"link {link['from']} > {link['to']}: {link['faults']} faults, {link['lost']} datagrams lost"
+            f"link {link['from']} > {link['to']}: {link['faults']} faults, {link['lost']} "
+            "datagrams lost"
         )
 
 
@@ -173,10 +208,16 @@
 # Drills
 
 instances_option = click.option(
-    "--instances", default=None, type=click.IntRange(1, 64), help="Limiters; else 5, or 8 for a seed."
+    "--instances",
+    default=None,
+    type=click.IntRange(1, 64),
+    help="Limiters; else 5, or 8 for a seed.",
 )
 seconds_option = click.option(
-    "--seconds", default=None, type=click.FloatRange(5, 3600), help="Of load; else 24, or 60 for a seed."
+    "--seconds",
+    default=None,
+    type=click.FloatRange(5, 3600),
+    help="Of load; else 24, or 60 for a seed.",
 )
 json_option = click.option(
     "--json", "file", metavar="FILE", help="Write figures and plan there; `-`: print them."
@@ -192,7 +233,9 @@
 @fleet.command("drill")
 @click.argument("name", required=False, metavar="[PLAN]")
 @click.option(
-    "--seed", type=int, help="Draw the faults from this seed; with a plan's name, that plan with this seed."
+    "--seed",
+    type=int,
+    help="Draw the faults from this seed; with a plan's name, that plan with this seed.",
 )
 @instances_option
 @seconds_option
@@ -200,7 +243,9 @@
 @keep_option
 @with_option
 @click.option(
-    "--changes", is_flag=True, help="With --seed alone: settings change meanwhile too (see --with audit)."
+    "--changes",
+    is_flag=True,
+    help="With --seed alone: settings change meanwhile too (see --with audit).",
 )
 @click.option("--show", is_flag=True, help="Print the plan and do nothing.")
 def drill(
@@ -216,8 +261,8 @@
 ) -> None:
     """Play a plan of faults on a fleet under load and check what came of it from outside.
 
-    PLAN is a file, or one of the names that `drill --show nothing` lists. Exit status 0: no promise was broken. 1: one
-    was (the figures say which). 2: the drill could not be made.
+    PLAN is a file, or one of the names that `drill --show nothing` lists. Exit status 0: no promise
+    was broken. 1: one was (the figures say which). 2: the drill could not be made.
     """
     try:
         if name is None and seed is None:
@@ -249,17 +294,25 @@
 @keep_option
 @with_option
 def replay(source: Path, file: str | None, keep: Path | None, what: str) -> None:
-    """Play the plan of an earlier drill again, from the file that `--json` wrote. Exit status as for `drill`."""
+    """Play the plan of an earlier drill again, from the file that `--json` wrote.
+
+    Exit status as for `drill`.
+    """
     _finish(_play(_earlier(source), keep, what), file)
 
 
 @fleet.command("shrink")
 @click.argument("source", metavar="FILE", type=click.Path(exists=True, path_type=Path))
-@click.option("--trials", default=20, show_default=True, type=click.IntRange(1, 1000), help="Drills at most.")
+@click.option(
+    "--trials", default=20, show_default=True, type=click.IntRange(1, 1000), help="Drills at most."
+)
 @json_option
 @with_option
 def shrink_(source: Path, trials: int, file: str | None, what: str) -> None:
-    """Find a smaller plan that breaks the same promise. Exit status 0: found. 1: the plan did not fail again."""
+    """Find a smaller plan that breaks the same promise.
+
+    Exit status 0: found. 1: the plan did not fail again.
+    """
     one = _earlier(source)
     broken = _broken(_play(one, None, what)["figures"])
     if not broken:
@@ -269,7 +322,10 @@
         one, lambda p: bool(broken & _broken(_play(p, None, what)["figures"])), trials
     )
     click.echo(
-        f"{len(one.events)} events became {len(smaller.events)} in {made} drills; it still breaks {', '.join(sorted(broken))}",
+        (
+            f"{len(one.events)} events became {len(smaller.events)} in {made} drills; it "
+            f"still breaks {', '.join(sorted(broken))}"
+        ),
         err=True,
     )
     text = plan.write(smaller)
@@ -289,11 +345,18 @@
     help="Requests a second at each limiter.",
 )
 @click.option(
-    "--seconds", default=10.0, show_default=True, type=click.FloatRange(5, 600), help="Of load in each run."
+    "--seconds",
+    default=10.0,
+    show_default=True,
+    type=click.FloatRange(5, 600),
+    help="Of load in each run.",
 )
 @click.option("--rounds", default=5, show_default=True, type=click.IntRange(1, 100))
 def cost_(instances: int, rate: float, seconds: float, rounds: int) -> None:
-    """CPU a request and memory without an operator file, with a bare one, and with the view, in runs that take turns."""
+    """CPU a request and memory without an operator file, with a bare one.
+
+    And with the view, in runs that take turns.
+    """
     ways: dict[str, cost.Operator | None] = {
         "plain": None,
         "operator file": cost.quiet_file,
@@ -320,8 +383,13 @@
 
 
 def view_file(name: str, home: Path) -> str:
-    """An operator file that switches on the view, whose lines go where the checker and `status` look for them."""
-    return f'package operator\nlog: format: "console"\nfleet: view_file: "{home.parent / name}.view.jsonl"\n'
+    """An operator file that switches on the view, whose lines go where the checker and `status`
+    look for them.
+    """
+    return (
+        'package operator\nlog: format: "console"\nfleet: view_file: '
+        f'"{home.parent / name}.view.jsonl"\n'
+    )
 
 
 def replica_file(name: str, home: Path) -> str:
--- a/hazelhollow/fault_injection/control.py
+++ b/hazelhollow/fault_injection/control.py
@@ -1,4 +1,7 @@
-"""A fleet that stays up: its supervisor takes one JSON line a connection at an address that a file names."""
+"""A fleet that stays up.
+
+Its supervisor takes one JSON line a connection at an address that a file names.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,9 @@
 
 
 class Supervisor:
-    def __init__(self, plan: Plan, folder: Path, operator: Callable[[str, Path], str] | None = None) -> None:
+    def __init__(
+        self, plan: Plan, folder: Path, operator: Callable[[str, Path], str] | None = None
+    ) -> None:
         self.scheduler, self.folder = sch.Scheduler(sch.Clock()), folder
         self.world = World(self.scheduler, plan, folder, operator=operator)
         self.token, self._stopping = secrets.token_hex(16), False
@@ -56,8 +61,14 @@
     def _begin(self, ready: Callable[[World], None]) -> None:
         try:
             self.world.start()
-            document = {"address": list(self._sock.getsockname()), "token": self.token, "pid": os.getpid()}
-            with open(os.open(self.folder / FILE, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "wb") as file:
+            document = {
+                "address": list(self._sock.getsockname()),
+                "token": self.token,
+                "pid": os.getpid(),
+            }
+            with open(
+                os.open(self.folder / FILE, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "wb"
+            ) as file:
                 file.write(orjson.dumps(document))
             self.scheduler.spawn_lasting(self._accept, "control")
             ready(self.world)
@@ -73,7 +84,9 @@
 
     def _accept(self) -> None:
         for sock in stream.accepted(self.scheduler, self._sock):
-            self.scheduler.spawn(self._serve, stream.Stream(self.scheduler, sock, MOST), name="command")
+            self.scheduler.spawn(
+                self._serve, stream.Stream(self.scheduler, sock, MOST), name="command"
+            )
 
     def _serve(self, driver: stream.Stream) -> None:
         until, held = self.scheduler.clock() + WITHIN, b""
@@ -137,21 +150,30 @@
             raise CommandError(f"{name} does not run")
         else:
             crew.signal(
-                name, {"kill": signal.SIGKILL, "pause": signal.SIGSTOP, "resume": signal.SIGCONT}[verb]
+                name,
+                {"kill": signal.SIGKILL, "pause": signal.SIGSTOP, "resume": signal.SIGCONT}[verb],
             )
         return f"{verb} {name}"
 
     def _view(self, name: str) -> dict[str, Any]:
-        """What a limiter says of the others: by number, the state and for how long; nothing where it keeps no view."""
+        """What a limiter says of the others.
+
+        By number, the state and for how long; nothing where it keeps no view.
+        """
         first, _, _ = self.world.call(name, "fleet").partition(b"\n")
         members: dict[str, Any] = orjson.loads(first)["members"] if first.startswith(b"{") else {}
         return members
 
     def status(self) -> dict[str, Any]:
-        """What runs, what each limiter says of itself and of the others, and which links are not whole."""
+        """What runs, what each limiter says of itself and of the others.
+
+        And which links are not whole.
+        """
         found: dict[str, Any] = {"processes": [], "links": []}
         for name, one in self.world.crew.members.items():
-            state = "paused" if one.paused and one.running else "running" if one.running else "ended"
+            state = (
+                "paused" if one.paused and one.running else "running" if one.running else "ended"
+            )
             row = {"name": name, "pid": one.pid, "state": state, "starts": one.starts}
             if name in self.world.names and state == "running":
                 row["ready"] = self.world.call(name, "check").startswith(b"done")
@@ -160,7 +182,9 @@
             found["processes"].append(row)
         for (a, b), link in sorted(self.world.relay.links.items()):
             if link.faults:
-                found["links"].append({"from": a, "to": b, "faults": len(link.faults), "lost": link.lost})
+                found["links"].append(
+                    {"from": a, "to": b, "faults": len(link.faults), "lost": link.lost}
+                )
         return found
 
 
--- a/hazelhollow/fault_injection/cost.py
+++ b/hazelhollow/fault_injection/cost.py
@@ -1,4 +1,7 @@
-"""What the view costs: calm drills in turn, without an operator file, with one that switches nothing on, and with the view."""
+"""What the view costs.
+
+Calm drills in turn, without an operator file, with one that switches nothing on, and with the view.
+"""
 
 from __future__ import annotations
 
@@ -27,11 +30,20 @@
     ways: dict[str, Operator | None],
     progress: Progress,
 ) -> dict[str, Any]:
-    """CPU a request in µs and most memory in MB by way, and each way's ratio to the first and to the one before it, round
-    by round, so that a machine whose speed drifts does not matter; medians."""
+    """CPU a request in µs and most memory in MB by way.
+
+    And each way's ratio to the first and to the one before it, round by round, so that a machine
+    whose speed drifts does not matter; medians.
+    """
     load = (Load(customer="00000000b4d65521", rate=rate),)
     plan = Plan(
-        name="cost", instances=instances, hosts=2, seconds=seconds, per_second=1e6, burst=1e6, load=load
+        name="cost",
+        instances=instances,
+        hosts=2,
+        seconds=seconds,
+        per_second=1e6,
+        burst=1e6,
+        load=load,
     )
     cpu: dict[str, list[float]] = {way: [] for way in ways}
     memory: dict[str, float] = dict.fromkeys(ways, 0.0)
@@ -40,7 +52,10 @@
         for way in order:
             progress(f"round {number + 1} of {rounds}, {way}")
             found = Drill(
-                plan, Path(tempfile.mkdtemp(prefix="hazelhollow-cost-")), lambda text: None, ways[way]
+                plan,
+                Path(tempfile.mkdtemp(prefix="hazelhollow-cost-")),
+                lambda text: None,
+                ways[way],
             ).run()
             cpu[way].append(found["cpu_per_request_us"])
             memory[way] = max(memory[way], found["most_memory_mb"])
--- a/hazelhollow/fault_injection/drill.py
+++ b/hazelhollow/fault_injection/drill.py
@@ -1,4 +1,8 @@
-"""One drill: a fleet comes up, clients ask, the plan's faults happen, and files of all of it are left for the checker."""
+"""One drill.
+
+A fleet comes up, clients ask, the plan's faults happen, and files of all of it are left for the
+checker.
+"""
 
 from __future__ import annotations
 
@@ -29,13 +33,19 @@
 
 LISTED_AFTER = 1.5  # seconds until discovery knows that a host has died or is back
 END_WITHIN = 4.0  # seconds for requests that are out, and for processes that were told to end
-SETTLE_WITHIN = 6.0  # seconds past the last fault that a drill goes on at least, so that views can settle
+# seconds past the last fault that a drill goes on at least, so that views can settle
+SETTLE_WITHIN = 6.0
 TICK, TOO_LATE = (
     0.05,
     0.1,
 )  # seconds between looks at the drill's own clock; by which it is too late to judge others
 GIVE_UP = 0.02  # seconds between looks
-SIGNALS = {"kill": signal.SIGKILL, "pause": signal.SIGSTOP, "restart": signal.SIGTERM, "old": signal.SIGKILL}
+SIGNALS = {
+    "kill": signal.SIGKILL,
+    "pause": signal.SIGSTOP,
+    "restart": signal.SIGTERM,
+    "old": signal.SIGKILL,
+}
 
 Progress = Callable[[str], None]
 
@@ -105,7 +115,12 @@
             door = Door(name, world.names.index(name), world.door(name))
             for load in plan.load:
                 self.scheduler.spawn(
-                    self.clients.run, door, load, self.begin, self.begin + plan.seconds, name="clients"
+                    self.clients.run,
+                    door,
+                    load,
+                    self.begin,
+                    self.begin + plan.seconds,
+                    name="clients",
                 )
         self.scheduler.spawn_lasting(self._count, "count")
         self.scheduler.spawn_lasting(self._watch_itself, "watch itself")
@@ -116,7 +131,8 @@
         end = self.begin + max(plan.seconds, last_end(plan) + SETTLE_WITHIN if plan.events else 0.0)
         while (now := self.scheduler.clock()) < end:
             self.progress(
-                f"{plan.name}: {now - self.begin:5.1f} of {end - self.begin:.0f} s, {self.clients.sent} requests"
+                f"{plan.name}: {now - self.begin:5.1f} of {end - self.begin:.0f} s, "
+                f"{self.clients.sent} requests"
             )
             self.scheduler.sleep(min(1.0, end - now))
             self._look_for_crashes()
@@ -150,7 +166,10 @@
         self._faults.flush()
 
     def _watch_itself(self) -> None:
-        """When the drill itself was late: what it measured then may be the machine's doing, not the limiters'."""
+        """When the drill itself was late.
+
+        What it measured then may be the machine's doing, not the limiters'.
+        """
         while True:
             due = self.scheduler.clock() + TICK
             self.scheduler.sleep(TICK)
@@ -163,7 +182,9 @@
         for name in [*self.world.names, *self.world.hosts]:
             if name not in self._in_hand and name not in self._gone and crew.reap(name):
                 self._gone.add(name)
-                self.crashes.append(f"{name} ended by itself with status {crew.members[name].status}")
+                self.crashes.append(
+                    f"{name} ended by itself with status {crew.members[name].status}"
+                )
 
     # Faults
 
@@ -176,7 +197,9 @@
             self.scheduler.stop()
 
     def _make(self, event: Event) -> None:
-        self.progress(f"{self.plan.name}: {event.what} {' '.join(event.whom)} for {event.lasts:g} s")
+        self.progress(
+            f"{self.plan.name}: {event.what} {' '.join(event.whom)} for {event.lasts:g} s"
+        )
         if event.what in LINKS:
             self._links(event)
         elif event.what == "settings":
@@ -189,7 +212,9 @@
             self._note(what=event.what, whom=["d"], on=False)
         else:
             for name in event.whom[1:]:
-                self.scheduler.spawn(self._happen, msgspec.structs.replace(event, whom=(name,)), name="fault")
+                self.scheduler.spawn(
+                    self._happen, msgspec.structs.replace(event, whom=(name,)), name="fault"
+                )
             self._process(event, event.whom[0])
 
     def _settings(self, event: Event) -> None:
@@ -288,7 +313,8 @@
                 if set(k.split(">")) <= set(self.world.names)
             }
             now = {
-                kind: sum(count[kind] for count in counts.values()) for kind in ("passed", "lost", "bytes")
+                kind: sum(count[kind] for count in counts.values())
+                for kind in ("passed", "lost", "bytes")
             }
             if before:
                 row = {
--- a/hazelhollow/fault_injection/janitor.py
+++ b/hazelhollow/fault_injection/janitor.py
@@ -1,8 +1,10 @@
-"""Ends what a rig started when the rig itself is gone: started beside it, it waits for the end of its standard input.
+"""Ends what a rig started when the rig itself is gone.
 
-`python -m hazelhollow.fault_injection.janitor FOLDER`: the folder holds `pids`, a line `PID START` for each process, START as the
-system's own count of when it began, so that another process that has got the number since is left alone. Then it
-removes the folder. It imports nothing of the rest.
+Started beside it, it waits for the end of its standard input.
+
+`python -m hazelhollow.fault_injection.janitor FOLDER`: the folder holds `pids`, a line `PID START`
+for each process, START as the system's own count of when it began, so that another process that has
+got the number since is left alone. Then it removes the folder. It imports nothing of the rest.
 """
 
 from __future__ import annotations
@@ -28,7 +30,10 @@
         lines = (folder / "pids").read_text().splitlines()
     except OSError:
         lines = []
-    found = [(int(pid), start) for pid, start in (line.split() for line in lines if len(line.split()) == 2)]
+    found = [
+        (int(pid), start)
+        for pid, start in (line.split() for line in lines if len(line.split()) == 2)
+    ]
     alive = [pid for pid, start in found if started(pid) == start]
     for pid in alive:
         os.kill(pid, signal.SIGKILL)
--- a/hazelhollow/fault_injection/plan.py
+++ b/hazelhollow/fault_injection/plan.py
@@ -1,6 +1,7 @@
 """What a drill does, as data: written by hand, drawn from a seed, printed, read again. No I/O.
 
-A plan names processes as `n0`, `n1`, ... (limiters), `h0`, ... (hosts), `d` (discovery); `*` stands for all limiters.
+A plan names processes as `n0`, `n1`, ... (limiters), `h0`, ... (hosts), `d` (discovery); `*` stands
+for all limiters.
 """
 
 from __future__ import annotations
@@ -41,19 +42,23 @@
 SETTLE = 8.0  # seconds that a drawn plan leaves after its last fault
 
 
-class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
+class Record(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True
+):
     """All of them are so."""
 
 
 class Event(Record, frozen=True):
     """At `at` seconds something happens to `whom` that lasts for `lasts` seconds.
 
-    A fault of links is between each of `whom` and each of `others` (none: every limiter that is not in `whom`), both
-    ways unless `one_way`, which is from `whom` to `others`. `amount`: the share that is lost, doubled or overtaken,
-    seconds of delay, datagrams a second that pass a thinned link. A killed process starts again when `lasts` is over,
-    or never if that is 0. `settings`: `whom` get the settings whose order is `amount`, and SIGHUP; from PLANS_FROM on they
-    change a plan, which a running limiter cannot take. `old`: killed, and back after `lasts` with the settings that it had
-    first. `z0`, `z1`, ... among `whom` and `others` stand for all limiters and hosts of a zone. `repeat`: it comes again after so many seconds until `until`.
+    A fault of links is between each of `whom` and each of `others` (none: every limiter that is not
+    in `whom`), both ways unless `one_way`, which is from `whom` to `others`. `amount`: the share
+    that is lost, doubled or overtaken, seconds of delay, datagrams a second that pass a thinned
+    link. A killed process starts again when `lasts` is over, or never if that is 0. `settings`:
+    `whom` get the settings whose order is `amount`, and SIGHUP; from PLANS_FROM on they change a
+    plan, which a running limiter cannot take. `old`: killed, and back after `lasts` with the
+    settings that it had first. `z0`, `z1`, ... among `whom` and `others` stand for all limiters and
+    hosts of a zone. `repeat`: it comes again after so many seconds until `until`.
     """
 
     at: float
@@ -68,8 +73,11 @@
 
 
 class Load(Record, frozen=True):
-    """One customer: `rate` requests a second at each limiter, evenly spaced, from the first second to `Plan.seconds`. `first`: the
-    first limiter of its set."""
+    """One customer.
+
+    `rate` requests a second at each limiter, evenly spaced, from the first second to
+    `Plan.seconds`. `first`: the first limiter of its set.
+    """
 
     customer: str
     plan: str = "gold"
@@ -124,13 +132,23 @@
         strange = sorted({*event.whom, *event.others} - known)
         if strange:
             raise PlanError(f"event {number} ({event.what}): no process {', '.join(strange)}")
-        if not event.whom or event.at < 0 or event.lasts < 0 or event.at + event.lasts > plan.seconds:
-            raise PlanError(f"event {number} ({event.what}): needs somebody, and a time within the drill")
+        if (
+            not event.whom
+            or event.at < 0
+            or event.lasts < 0
+            or event.at + event.lasts > plan.seconds
+        ):
+            raise PlanError(
+                f"event {number} ({event.what}): needs somebody, and a time within the drill"
+            )
         if event.what in ("lose", "double", "reorder") and not 0 < event.amount <= 1:
-            raise PlanError(f"event {number} ({event.what}): amount is a share, more than 0 and at most 1")
+            raise PlanError(
+                f"event {number} ({event.what}): amount is a share, more than 0 and at most 1"
+            )
         if event.what == "settings" and (event.amount != int(event.amount) or event.amount < 1):
             raise PlanError(
-                f"event {number} (settings): amount is the settings' order, a whole number from 1 on"
+                f"event {number} (settings): amount is the settings' order, a whole "
+                "number from 1 on"
             )
         if event.what in ("delay", "thin") and event.amount <= 0:
             raise PlanError(f"event {number} ({event.what}): amount must be more than 0")
@@ -144,7 +162,8 @@
             or load.units < 1
         ):
             raise PlanError(
-                f"load of {load.customer}: classes are look and buy, plans gold and iron, more than nothing"
+                f"load of {load.customer}: classes are look and buy, plans gold and iron, "
+                "more than nothing"
             )
 
 
@@ -153,13 +172,19 @@
 
 
 def spread_out(plan: Plan) -> list[Event]:
-    """The events in the order of their times, with those that repeat written out and `*` replaced by all limiters."""
+    """The events in the order of their times, with those that repeat written out and `*` replaced
+    by all limiters.
+    """
     found = list[Event]()
     for event in plan.events:
-        event = msgspec.structs.replace(event, whom=_all(plan, event.whom), others=_all(plan, event.others))
+        event = msgspec.structs.replace(
+            event, whom=_all(plan, event.whom), others=_all(plan, event.others)
+        )
         at = event.at
         found.append(event)
-        while event.repeat and (at := at + event.repeat) + event.lasts <= (event.until or plan.seconds):
+        while event.repeat and (at := at + event.repeat) + event.lasts <= (
+            event.until or plan.seconds
+        ):
             found.append(msgspec.structs.replace(event, at=at))
     return sorted(found, key=lambda event: event.at)
 
@@ -169,7 +194,9 @@
         return tuple(limiters(plan))
     return tuple(
         dict.fromkeys(
-            one for name in names for one in (zone(plan, int(name[1:])) if name[0] == "z" else [name])
+            one
+            for name in names
+            for one in (zone(plan, int(name[1:])) if name[0] == "z" else [name])
         )
     )
 
@@ -191,7 +218,9 @@
 
 def pairs(plan: Plan, event: Event) -> list[tuple[str, str]]:
     """The directions that a fault of links hits."""
-    hosts = [f"h{n}" for n in range(plan.hosts)] if any(name[0] == "h" for name in event.whom) else []
+    hosts = (
+        [f"h{n}" for n in range(plan.hosts)] if any(name[0] == "h" for name in event.whom) else []
+    )
     others = event.others or tuple(n for n in [*limiters(plan), *hosts] if n not in event.whom)
     found = [(a, b) for a in event.whom for b in others if a != b]
     return list(dict.fromkeys(found if event.one_way else [*found, *((b, a) for a, b in found)]))
@@ -220,7 +249,8 @@
         "kill_most": (Event(at=6, what="kill", whom=rest, lasts=0.5, repeat=4, until=16),),
         "kill_all": (Event(at=6, what="kill", whom=tuple(names), lasts=0.5, repeat=4, until=16),),
         "roll": tuple(
-            Event(at=5 + 2 * n * 5 / instances, what="restart", whom=(names[n],)) for n in range(instances)
+            Event(at=5 + 2 * n * 5 / instances, what="restart", whom=(names[n],))
+            for n in range(instances)
         ),
         "pause": (Event(at=8, what="pause", whom=first, lasts=3),),
         "one_way": (Event(at=8, what="cut", whom=first, lasts=6, one_way=True),),
@@ -228,7 +258,9 @@
         "one_off": (Event(at=8, what="cut", whom=first, lasts=6),),
         "all_off": (Event(at=8, what="cut", whom=tuple(names), others=tuple(names), lasts=6),),
         "flap": (Event(at=8, what="cut", whom=half, lasts=0.5, repeat=1, until=14),),
-        "lossy": (Event(at=4, what="lose", whom=tuple(names), others=tuple(names), lasts=12, amount=0.1),),
+        "lossy": (
+            Event(at=4, what="lose", whom=tuple(names), others=tuple(names), lasts=12, amount=0.1),
+        ),
         "crash_half": (Event(at=8, what="kill", whom=half),),
         "gone": (Event(at=8, what="kill", whom=first),),
         "host_gone": (Event(at=8, what="kill", whom=("h0",), lasts=4),),
@@ -253,7 +285,10 @@
         ),
         "new_plan": (
             Event(at=4, what="settings", whom=rest, amount=PLANS_FROM),
-            *(Event(at=5 + 8 * n / instances, what="restart", whom=(name,)) for n, name in enumerate(rest)),
+            *(
+                Event(at=5 + 8 * n / instances, what="restart", whom=(name,))
+                for n, name in enumerate(rest)
+            ),
         ),
         "split_orders": (
             Event(at=5, what="cut", whom=half, lasts=6),
@@ -262,21 +297,47 @@
         ),
     }
     zones = 2 if name == "zone_off" else 1
-    return Plan(zones=zones, name=name, instances=instances, seconds=seconds, seed=seed, events=every[name])
+    return Plan(
+        zones=zones, name=name, instances=instances, seconds=seconds, seed=seed, events=every[name]
+    )
 
 
 NAMED = (
-    "calm", "kill", "kill_most", "kill_all", "roll", "pause", "one_way", "two_parts", "one_off", "all_off", "flap", "lossy",
-    "crash_half", "gone", "host_gone", "discovery", "zone_off", "roll_settings", "one_changed", "roll_lossy", "back_on_old",
-    "paused_on_old", "new_plan", "split_orders",
-)  # fmt: skip
+    "calm",
+    "kill",
+    "kill_most",
+    "kill_all",
+    "roll",
+    "pause",
+    "one_way",
+    "two_parts",
+    "one_off",
+    "all_off",
+    "flap",
+    "lossy",
+    "crash_half",
+    "gone",
+    "host_gone",
+    "discovery",
+    "zone_off",
+    "roll_settings",
+    "one_changed",
+    "roll_lossy",
+    "back_on_old",
+    "paused_on_old",
+    "new_plan",
+    "split_orders",
+)
 
 
 def drawn(
     seed: int, instances: int = 8, seconds: float = 60.0, hosts: int = 2, changes: bool = False
 ) -> Plan:
-    """Faults that overlap, the same for the same seed. The last `SETTLE` seconds are without a new one. `changes`: settings of
-    three orders are given to one limiter or several meanwhile, and somebody comes back on the first."""
+    """Faults that overlap, the same for the same seed.
+
+    The last `SETTLE` seconds are without a new one. `changes`: settings of three orders are given
+    to one limiter or several meanwhile, and somebody comes back on the first.
+    """
     chance, quiet = random.Random(seed), max(seconds - SETTLE, seconds / 2)
     names, events = [f"n{n}" for n in range(instances)], list[Event]()
     at = 3.0 + chance.random()
@@ -323,7 +384,9 @@
     return found
 
 
-def _drawn_event(chance: random.Random, names: list[str], hosts: int, at: float, quiet: float) -> Event:
+def _drawn_event(
+    chance: random.Random, names: list[str], hosts: int, at: float, quiet: float
+) -> Event:
     what: Any = chance.choices(
         (
             "cut",
@@ -350,7 +413,9 @@
         return Event(at=at, what="discovery_down", whom=("d",), lasts=lasts)
     if what == "kill":
         whole = chance.random() < 0.1
-        return Event(at=at, what="kill", whom=tuple(names) if whole else some[:2], lasts=max(lasts, 0.3))
+        return Event(
+            at=at, what="kill", whom=tuple(names) if whole else some[:2], lasts=max(lasts, 0.3)
+        )
     if what in ("pause", "restart"):
         return Event(at=at, what=what, whom=some[:1], lasts=lasts if what == "pause" else 0.0)
     amount = {
--- a/hazelhollow/fault_injection/probes.py
+++ b/hazelhollow/fault_injection/probes.py
@@ -1,4 +1,7 @@
-"""By which settings a limiter serves, seen from outside: a request of a class that only the newest have, and one that all have."""
+"""By which settings a limiter serves, seen from outside.
+
+A request of a class that only the newest have, and one that all have.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,9 @@
 
 
 class Prober:
-    def __init__(self, scheduler: sch.Scheduler, door: Door, order: int, out: IO[bytes], spread: int) -> None:
+    def __init__(
+        self, scheduler: sch.Scheduler, door: Door, order: int, out: IO[bytes], spread: int
+    ) -> None:
         self._scheduler, self._door, self._order, self._out, self._spread = (
             scheduler,
             door,
@@ -44,7 +49,10 @@
             self._out.flush()
 
     def ask(self, kind: str) -> str:
-        """Sends a request of class `kind`: served, busy, unknown (no such class), or nothing if there was no answer."""
+        """Sends a request of class `kind`.
+
+        Served, busy, unknown (no such class), or nothing if there was no answer.
+        """
         made = stream.connect(self._scheduler, self._door.address, MOST_OUT, WITHIN)
         if isinstance(made, Ending):
             return ""
--- a/hazelhollow/fault_injection/processes.py
+++ b/hazelhollow/fault_injection/processes.py
@@ -1,4 +1,7 @@
-"""Real processes: started, killed, stopped, reaped, and gone when the rig is, however the rig ends."""
+"""Real processes.
+
+Started, killed, stopped, reaped, and gone when the rig is, however the rig ends.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,10 @@
 
 @dataclass
 class Process:
-    """`running` from its start until it was reaped; `cpu`: seconds of this and its earlier lives."""
+    """`running` from its start until it was reaped.
+
+    `cpu`: seconds of this and its earlier lives.
+    """
 
     name: str
     command: Sequence[str]
@@ -50,7 +56,13 @@
 
     def __init__(self, folder: Path, keep: bool) -> None:
         self.folder, self.members = folder, dict[str, Process]()
-        words = [sys.executable, "-m", "hazelhollow.fault_injection.janitor", *(["--keep"] if keep else []), str(folder)]
+        words = [
+            sys.executable,
+            "-m",
+            "hazelhollow.fault_injection.janitor",
+            *(["--keep"] if keep else []),
+            str(folder),
+        ]
         self._janitor = subprocess.Popen(words, stdin=subprocess.PIPE, start_new_session=True)
 
     def add(self, name: str, command: Sequence[str], environment: Mapping[str, str]) -> Process:
@@ -80,7 +92,9 @@
     def signal(self, name: str, number: int) -> None:
         one = self.members[name]
         if one.popen:
-            one.paused = {signal.SIGSTOP: True, signal.SIGCONT: False}.get(signal.Signals(number), one.paused)
+            one.paused = {signal.SIGSTOP: True, signal.SIGCONT: False}.get(
+                signal.Signals(number), one.paused
+            )
             os.kill(one.pid, number)
 
     def reap(self, name: str, wait: bool = False) -> bool:
--- a/hazelhollow/fault_injection/shrink.py
+++ b/hazelhollow/fault_injection/shrink.py
@@ -1,4 +1,7 @@
-"""From a plan that fails to a smaller one that still does. Knows nothing of how a plan is played."""
+"""From a plan that fails to a smaller one that still does.
+
+Knows nothing of how a plan is played.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,11 @@
 
 
 def shrink(plan: Plan, fails: Callable[[Plan], bool], most: int) -> tuple[Plan, int]:
-    """The smallest plan found with at most so many trials, and how many were made. First events go, in halves, then
-    quarters, then one by one; then the time after the last; then limiters that no event names."""
+    """The smallest plan found with at most so many trials, and how many were made.
+
+    First events go, in halves, then quarters, then one by one; then the time after the last; then
+    limiters that no event names.
+    """
     trials = 0
 
     def still(one: Plan) -> bool:
--- a/hazelhollow/fault_injection/world.py
+++ b/hazelhollow/fault_injection/world.py
@@ -1,7 +1,7 @@
 """A fleet on loopback: limiters, hosts and discovery, with the relay between all of them.
 
-Every process has an address of its own in 127.0.0.0/8, drawn anew for each rig, so that ports can be the usual ones.
-What a limiter is told are the relay's addresses, one for each pair.
+Every process has an address of its own in 127.0.0.0/8, drawn anew for each rig, so that ports can
+be the usual ones. What a limiter is told are the relay's addresses, one for each pair.
 """
 
 from __future__ import annotations
@@ -39,7 +39,10 @@
 
 
 class World:
-    """`operator`: gives the text of a limiter's operator file by its name and folder; None: without one."""
+    """`operator`.
+
+    Gives the text of a limiter's operator file by its name and folder; None: without one.
+    """
 
     def __init__(
         self,
@@ -121,7 +124,9 @@
                 str(self.folder / f"{name}.jsonl"),
             ]
             self.crew.add(name, [sys.executable, "-m", "hazelhollow", *words], {})
-            reached = {n: _text(self.relayed(100 + h, RELAYED + a)) for a, n in enumerate(self.names)}
+            reached = {
+                n: _text(self.relayed(100 + h, RELAYED + a)) for a, n in enumerate(self.names)
+            }
             self.discovery.change(Host(name, reached))
 
     def _limiter(self, number: int, name: str, operator: Callable[[str, Path], str] | None) -> None:
@@ -132,7 +137,9 @@
         words = ["-m", "hazelhollow", "serve"]
         if operator:
             words += ["--operator", str(home / "operator.cue")]
-        self.crew.add(name, [sys.executable, *words], {"RELAY_CONFIG": str(config), "TMPDIR": str(home)})
+        self.crew.add(
+            name, [sys.executable, *words], {"RELAY_CONFIG": str(config), "TMPDIR": str(home)}
+        )
 
     def write_files(self, name: str, order: int) -> None:
         """What a limiter reads at its start and at SIGHUP, with the settings of that order."""
@@ -179,7 +186,9 @@
             while not self.call(name, "check").startswith(b"done"):
                 if self.crew.reap(name):
                     tail = self.crew.members[name].log.read_text(errors="replace")[-600:]
-                    raise RigError(f"{name} ended with status {self.crew.members[name].status}: {tail}")
+                    raise RigError(
+                        f"{name} ended with status {self.crew.members[name].status}: {tail}"
+                    )
                 if self.scheduler.clock() > until:
                     raise RigError(f"{name} was not ready within {READY_WITHIN:.0f} s")
                 self.scheduler.sleep(0.02)
@@ -223,8 +232,11 @@
 
 
 def settings(plan: Plan, number: int, order: int = 0) -> dict[str, Any]:
-    """The settings object that all limiters of a rig share, but for the position. Those of an order have a class of its name,
-    by which it shows from outside whether they are in force."""
+    """The settings object that all limiters of a rig share, but for the position.
+
+    Those of an order have a class of its name, by which it shows from outside whether they are in
+    force.
+    """
     new = (
         [{"name": f"o{order}", "objective": 0.5, "deadline": 1.5, "effect": "pure", "credit": 1.0}]
         if order
@@ -237,20 +249,47 @@
         "step": 0.001,
         "grades": [
             {"name": "look", "objective": 0.5, "deadline": 1.5, "effect": "pure", "credit": 1.0},
-            {"name": "buy", "objective": 0.5, "deadline": 1.0, "effect": "side_effect", "credit": 3.0},
+            {
+                "name": "buy",
+                "objective": 0.5,
+                "deadline": 1.0,
+                "effect": "side_effect",
+                "credit": 3.0,
+            },
             *new,
         ],
         "tariffs": [
-            {"name": "gold", "per_second": plan.per_second + (order >= PLANS_FROM), "most_at_once": plan.burst, "excess_cost": 1.0},
             {
-                "name": "iron", "per_second": 10.0, "most_at_once": 20.0, "ceiling_rate": 12.0, "hard_burst": 24.0,
+                "name": "gold",
+                "per_second": plan.per_second + (order >= PLANS_FROM),
+                "most_at_once": plan.burst,
+                "excess_cost": 1.0,
+            },
+            {
+                "name": "iron",
+                "per_second": 10.0,
+                "most_at_once": 20.0,
+                "ceiling_rate": 12.0,
+                "hard_burst": 24.0,
                 "excess_cost": 1.0,
             },
         ],
         "family_info": {"max_units": 4, "inbox_per_s": 100.0},
-        "policy_limits": {"max_attempts": 3, "peers": True, "retry_after": True, "max_retry_after": 1.0, "cancelling": True},
-        "safety": {"cold": COLD_FOR, "cold_from": COLD_FROM, "drain_grace": 0.25, "tip_after": 2.0, "tip_multiple": 4.0},
-    }  # fmt: skip
+        "policy_limits": {
+            "max_attempts": 3,
+            "peers": True,
+            "retry_after": True,
+            "max_retry_after": 1.0,
+            "cancelling": True,
+        },
+        "safety": {
+            "cold": COLD_FOR,
+            "cold_from": COLD_FROM,
+            "drain_grace": 0.25,
+            "tip_after": 2.0,
+            "tip_multiple": 4.0,
+        },
+    }
 
 
 def _text(address: Address) -> str:
--- a/hazelhollow/membership/__init__.py
+++ b/hazelhollow/membership/__init__.py
@@ -1,1 +1,4 @@
-"""The view of the fleet that the limiters keep themselves: who is there, in which life, and who hears whom."""
+"""The view of the fleet that the limiters keep themselves.
+
+Who is there, in which life, and who hears whom.
+"""
--- a/hazelhollow/membership/allowance.py
+++ b/hazelhollow/membership/allowance.py
@@ -7,8 +7,11 @@
 
 
 class Use(Enum):
-    """What a datagram is for, the most useful first. The value is the share of the burst that it leaves to those before it
-    (trunk reservation), so that a table in pieces never keeps an answer from going out."""
+    """What a datagram is for, the most useful first.
+
+    The value is the share of the burst that it leaves to those before it (trunk reservation), so
+    that a table in pieces never keeps an answer from going out.
+    """
 
     ANSWER = 0.0  # one that is not given makes a member that is up look dead
     PROBE = 0.25  # its own; where those take all that there is, answers still find room
@@ -32,7 +35,10 @@
         """Bytes of text that may leave now in one datagram."""
 
     def take(self, length: int, now: float, keep: float = 0.0) -> bool:
-        """Whether a text of that length may leave now; `keep`: share of the burst that must be left."""
+        """Whether a text of that length may leave now.
+
+        `keep`: share of the burst that must be left.
+        """
 
     def drop(self) -> None:
         """A message was given up."""
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -1,4 +1,7 @@
-"""The thin driver of the view: its datagrams go with the gossip's, its beats on the limiter's clock."""
+"""The thin driver of the view.
+
+Its datagrams go with the gossip's, its beats on the limiter's clock.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,8 @@
 from hazelhollow.storage.append_file import AppendFile
 
 MARK = DIALECT[0]  # what a datagram of the view begins with; the gossip's begin with another letter
-YOUNG, TWIN_EVERY = 3.0, 2.0  # seconds of life in which a twin is told at each beat; between tellings later
+# seconds of life in which a twin is told at each beat; between tellings later
+YOUNG, TWIN_EVERY = 3.0, 2.0
 TALKS = 8  # members of the largest fleet whose gossip comes at every beat
 TROUBLE_EVERY = 10.0  # seconds between lines about datagrams that were dropped
 
@@ -31,9 +35,12 @@
 
 
 class Driver:
-    """`told` gets what the decision module is to know, whenever it changes; `yielded` is called once if another process
-    has this one's number. `lines`: a file that gets the view as a JSON line whenever it changes. `paced_gossip`: the gossip
-    keeps to a budget of bytes, so that its silence says nothing."""
+    """`told` gets what the decision module is to know, whenever it changes.
+
+    `yielded` is called once if another process has this one's number. `lines`: a file that gets the
+    view as a JSON line whenever it changes. `paced_gossip`: the gossip keeps to a budget of bytes,
+    so that its silence says nothing.
+    """
 
     def __init__(
         self,
@@ -84,8 +91,11 @@
         self._pass_on(self.view.heard(sender, plain, self._scheduler.clock()))
 
     def _stranger(self, text: str, source: tuple[str, int]) -> bool:
-        """From an address that is no peer's: a process that has this one's number and address (of what peers send here
-        each gets a part, by chance), or, where members are found by seeds, one that is not known yet."""
+        """From an address that is no peer's.
+
+        A process that has this one's number and address (of what peers send here each gets a part,
+        by chance), or, where members are found by seeds, one that is not known yet.
+        """
         plain = self._seal.open(text) if text.startswith(MARK) else None
         if plain is None:
             return False
@@ -100,12 +110,15 @@
         return True
 
     def _tell_twin(self) -> None:
-        """Datagrams to the own address go to one of the processes that listen there, by the port that they come from:
-        so each comes from another."""
+        """Datagrams to the own address go to one of the processes that listen there, by the port
+        that they come from: so each comes from another.
+        """
         if self._ended:
             return
         young = self._scheduler.clock() - self.view.began < YOUNG
-        self._scheduler.at(self._scheduler.clock() + (views.BEAT if young else TWIN_EVERY), self._tell_twin)
+        self._scheduler.at(
+            self._scheduler.clock() + (views.BEAT if young else TWIN_EVERY), self._tell_twin
+        )
         word = self.view.own_word()
         if self.view.allowance and not self.view.allowance.take(len(word), self._scheduler.clock()):
             return  # at the next time
@@ -144,9 +157,15 @@
         self._scheduler.at(now + self.view.wait(), self._due)
 
     def _woken(self) -> None:
-        """Before anything is read that came while the process stood still: what is taken by what it knew then, or
-        answered to those who hold it dead, would be a member's act."""
-        if not self._ended and self._scheduler.clock() - self.view.last_beat > views.BEAT + views.STALL:
+        """Before anything is read that came while the process stood still.
+
+        What is taken by what it knew then, or answered to those who hold it dead, would be a
+        member's act.
+        """
+        if (
+            not self._ended
+            and self._scheduler.clock() - self.view.last_beat > views.BEAT + views.STALL
+        ):
             self._pass_on(self.view.beat(self._scheduler.clock()))
 
     def _due(self) -> None:
@@ -201,11 +220,16 @@
             self._write(shown)
         if view.yielded and not self._ended:
             self._ended = True
-            log.error("view: another process has number %d and began later; this one leaves", view.me)
+            log.error(
+                "view: another process has number %d and began later; this one leaves", view.me
+            )
             self._yielded()
 
     def _tell(self) -> bool:
-        """The decision module, of what is new to it; whether this one has begun or ceased to act."""
+        """The decision module, of what is new to it.
+
+        Whether this one has begun or ceased to act.
+        """
         view, now = self.view, self._scheduler.clock()
         shut = self.rule(now) if self.rule else False
         view.set_shut(shut)
@@ -236,8 +260,11 @@
         return acts
 
     def document(self) -> dict[str, Any]:
-        """The view as operators see it: state, life, seconds in that state and whom it cannot hear, by number;
-        and whose part of the quotas is left to them because they cannot be heard."""
+        """The view as operators see it.
+
+        State, life, seconds in that state and whom it cannot hear, by number; and whose part of the
+        quotas is left to them because they cannot be heard.
+        """
         now, view, members = self._scheduler.clock(), self.view, {}
         for record in sorted(view.table):
             members[str(record.number)] = {
--- a/hazelhollow/membership/messages.py
+++ b/hazelhollow/membership/messages.py
@@ -1,13 +1,17 @@
-"""The view's datagrams: values to at most 256 bytes of text and back. Translation only; knows no rule and no socket.
+"""The view's datagrams: values to at most 256 bytes of text and back.
+
+Translation only; knows no rule and no socket.
 
     v1p 3.9k2jd01xa.2.1.1f.abcde 7 5.9k2jd00aa.0.2 ...
 
-Dialect and kind; the sender's number, life, turn, state, the message's serial and the digest of the sender's table; what
-the kind needs; records. Numbers are base 36. A message that any part of is not so is none.
+Dialect and kind; the sender's number, life, turn, state, the message's serial and the digest of the
+sender's table; what the kind needs; records. Numbers are base 36. A message that any part of is not
+so is none.
 
-A record may be written relative to the sender's, ` 5.+1ab.0.2=`: how much later its life began (or `-`, earlier), and `=` behind
-the state where its versions are the sender's. Most of a fleet began within days of each other and acts on the same versions, so
-that a datagram holds twice to three times as many.
+A record may be written relative to the sender's, ` 5.+1ab.0.2=`: how much later its life began (or
+`-`, earlier), and `=` behind the state where its versions are the sender's. Most of a fleet began
+within days of each other and acts on the same versions, so that a datagram holds twice to three
+times as many.
 """
 
 from __future__ import annotations
@@ -31,7 +35,8 @@
 )  # of relative records: the sender's versions; before what their lives are apart by
 KEPT = 4096  # records whose words are known both ways: most that come have come before
 PING, ANSWER = "p", "a"
-ASK, INDIRECT, RELAYED = "q", "i", "j"  # of a helper; by it to the target; its answer, by way of the helper
+# of a helper; by it to the target; its answer, by way of the helper
+ASK, INDIRECT, RELAYED = "q", "i", "j"
 SUMS, PIECE = "s", "t"  # of a table's buckets; records that the other's table lacks
 BITS = "b"  # who is there, as a bitmap: the first member's number and BITS_SPAN bits
 BITS_SPAN = 1008  # members in one bitmap: 168 characters
@@ -49,8 +54,11 @@
 
 
 class Message(NamedTuple):
-    """`parts`: PING, ANSWER: the probe's number. ASK: that and the target. INDIRECT: that and the asker. RELAYED: that,
-    the asker and the target. SUMS: one a bucket. BITS: the first member, and the bitmap, whose lowest bit is that member's."""
+    """`parts`: PING, ANSWER: the probe's number.
+
+    ASK: that and the target. INDIRECT: that and the asker. RELAYED: that, the asker and the target.
+    SUMS: one a bucket. BITS: the first member, and the bitmap, whose lowest bit is that member's.
+    """
 
     kind: str
     sender: Record
@@ -75,8 +83,10 @@
 
 @lru_cache(KEPT)
 def relative_word(record: Record, life: int, versions: str) -> str:
-    """One record, with the space before it, for a reader who knows the sender's life and versions; the full word where that is
-    not longer."""
+    """One record, with the space before it, for a reader who knows the sender's life and versions.
+
+    The full word where that is not longer.
+    """
     apart, same = record.life - life, bool(versions) and record.versions == versions
     sign = "-" if apart < 0 else "+"
     state = f"{record.state}{SAME if same else ''}"
@@ -88,11 +98,16 @@
 def write(
     message: Message, records: Sequence[Record], most: int = MOST_BYTES, relative: bool = False
 ) -> tuple[str, int]:
-    """The text with as many of the records, in their order, as fit into so many bytes, and their number. `relative`: records are
-    written relative to the sender's."""
+    """The text with as many of the records, in their order.
+
+    As fit into so many bytes, and their number. `relative`: records are written relative to the
+    sender's.
+    """
     own = record_word(message.sender)[1:]
     line = f"{DIALECT}{message.kind} {own}/{base36(message.serial)}/{base36(message.digest)} "
-    line += _bits_word(*message.parts) if message.kind == BITS else "-".join(map(base36, message.parts))
+    line += (
+        _bits_word(*message.parts) if message.kind == BITS else "-".join(map(base36, message.parts))
+    )
     for number, record in enumerate(records):
         word = (
             relative_word(record, message.sender.life, message.sender.versions)
@@ -106,7 +121,10 @@
 
 
 def read(text: str, members: int) -> Message | None:
-    """The message; nothing where any part of it cannot be: too long, of another dialect, garbled, out of range."""
+    """The message.
+
+    Nothing where any part of it cannot be: too long, of another dialect, garbled, out of range.
+    """
     try:
         head, own, parts, *records = text.split(" ")
         sender, serial, digest = own.split("/")
@@ -123,9 +141,15 @@
         if kind in (ASK, INDIRECT, RELAYED) and any(n >= members for n in numbers[1:]):
             return None
         message = Message(
-            kind, _record(sender, members), number36(serial, _MOST), number36(digest, SUM_RANGE), numbers
+            kind,
+            _record(sender, members),
+            number36(serial, _MOST),
+            number36(digest, SUM_RANGE),
+            numbers,
+        )
+        return message._replace(
+            records=tuple([_told(word, members, message.sender) for word in records])
         )
-        return message._replace(records=tuple([_told(word, members, message.sender) for word in records]))
     except (ValueError, KeyError):
         return None
 
--- a/hazelhollow/membership/received.py
+++ b/hazelhollow/membership/received.py
@@ -17,7 +17,9 @@
     def fresh(self, serial: int) -> bool:
         """Whether this serial has not come before; far behind the newest counts as if it had."""
         if serial > self.highest:
-            self.mask = ((self.mask << min(serial - self.highest, WINDOW)) | 1) & ((1 << WINDOW) - 1)
+            self.mask = ((self.mask << min(serial - self.highest, WINDOW)) | 1) & (
+                (1 << WINDOW) - 1
+            )
             self.highest = serial
             return True
         behind = self.highest - serial
--- a/hazelhollow/membership/records.py
+++ b/hazelhollow/membership/records.py
@@ -1,4 +1,7 @@
-"""What is known of each member, and the one rule by which two records of one member become one. No I/O, no clock."""
+"""What is known of each member, and the one rule by which two records of one member become one.
+
+No I/O, no clock.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +18,13 @@
 
 
 class Record(NamedTuple):
-    """`life`: when it began, and a random part; `turn` within the life, which the member alone raises; `unheard`: members
-    that it cannot hear though others can; `versions`: of what it acts on; `address`: twelve hex digits, where the configuration
-    does not say it. The order of the fields is the rule's."""
+    """`life`.
+
+    When it began, and a random part; `turn` within the life, which the member alone raises;
+    `unheard`: members that it cannot hear though others can; `versions`: of what it acts on;
+    `address`: twelve hex digits, where the configuration does not say it. The order of the fields
+    is the rule's.
+    """
 
     number: int
     life: int
@@ -29,7 +36,10 @@
 
 
 def merge(one: Record, other: Record) -> Record:
-    """Of two records of a member the greater by life, turn and state: in any order, however often, the same."""
+    """Of two records of a member the greater by life, turn and state.
+
+    In any order, however often, the same.
+    """
     return max(one, other)
 
 
@@ -50,7 +60,10 @@
 
 
 class Table:
-    """The records, with sums by which two tables show that they are the same, or in which buckets they are not."""
+    """The records, with sums by which two tables show that they are the same.
+
+    Or in which buckets they are not.
+    """
 
     def __init__(self) -> None:
         self._records: dict[int, Record] = {}
@@ -105,7 +118,10 @@
         return [record for records in found.values() for record in records]
 
     def presence(self, start: int, span: int) -> int:
-        """A bitmap of the members from `start` on: 1 for each that has joined and is not suspected."""
+        """A bitmap of the members from `start` on.
+
+        1 for each that has joined and is not suspected.
+        """
         bits = 0
         for place in range(span):
             record = self._records.get(start + place)
--- a/hazelhollow/membership/rumours.py
+++ b/hazelhollow/membership/rumours.py
@@ -1,4 +1,7 @@
-"""Which records ride on a member's datagrams: those that were passed on least, until each has been often enough. No I/O, no clock."""
+"""Which records ride on a member's datagrams.
+
+Those that were passed on least, until each has been often enough. No I/O, no clock.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,9 @@
 
 TIMES = 3  # times log2 of the fleet that a record is passed on
 TIMES_WITHIN = (
-    1  # the same, where an allowance bounds what is sent: exchanges of tables find the rest with fewer bytes
+    # the same, where an allowance bounds what is sent: exchanges of tables find the rest with fewer
+    # bytes
+    1
 )
 SAME = 4  # members in a row with the same table, after which no rumour is worth passing on
 MOST_NEWS = 24  # records that a datagram may have room for
@@ -28,11 +33,15 @@
 
     def changed(self, record: Record) -> None:
         """That record is new here."""
-        self._passed[record.number] = -REFUTED_FIRST if record.turn > 1 and record.state == ALIVE else 0
+        self._passed[record.number] = (
+            -REFUTED_FIRST if record.turn > 1 and record.state == ALIVE else 0
+        )
 
     def compared(self, same: bool) -> None:
-        """A member has shown whether its table is as this one's: once several in a row are, what others lack shows by
-        their digests."""
+        """A member has shown whether its table is as this one's.
+
+        Once several in a row are, what others lack shows by their digests.
+        """
         self._same = self._same + 1 if same else 0
         if self._same >= SAME:
             self._passed.clear()
@@ -43,7 +52,10 @@
             self._passed[record.number] += 1
 
     def news(self, table: Table, me: int) -> list[Record]:
-        """What a datagram may hold, the most useful first. This member's own record goes with each anyway."""
+        """What a datagram may hold, the most useful first.
+
+        This member's own record goes with each anyway.
+        """
         found = list[Record]()
         for number in heapq.nsmallest(MOST_NEWS, self._passed, key=self._passed.__getitem__):
             record = table.get(number)
--- a/hazelhollow/membership/seal.py
+++ b/hazelhollow/membership/seal.py
@@ -1,4 +1,7 @@
-"""A keyed hash at the end of a message, with keys that can be changed while the fleet runs. No I/O."""
+"""A keyed hash at the end of a message, with keys that can be changed while the fleet runs.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,11 @@
 
 
 class Seal:
-    """The first key seals; each of them opens. To change keys: the new one goes second everywhere, then first
-    everywhere, then the old one goes. No keys: nothing is sealed, and nothing is asked for."""
+    """The first key seals; each of them opens.
+
+    To change keys: the new one goes second everywhere, then first everywhere, then the old one
+    goes. No keys: nothing is sealed, and nothing is asked for.
+    """
 
     def __init__(self, keys: Sequence[bytes] = ()) -> None:
         self.keys = list(keys)
@@ -31,10 +37,18 @@
         """The text without its hash; nothing if none of the keys made that."""
         if not self.keys:
             return text
-        plain, mark, given = text[:-LENGTH], text[-LENGTH : -LENGTH + len(MARK)], text[-LENGTH + len(MARK) :]
+        plain, mark, given = (
+            text[:-LENGTH],
+            text[-LENGTH : -LENGTH + len(MARK)],
+            text[-LENGTH + len(MARK) :],
+        )
         if mark != MARK or not given.isascii():
             return None
-        return plain if any([hmac.compare_digest(_hash(key, plain), given) for key in self.keys]) else None
+        return (
+            plain
+            if any([hmac.compare_digest(_hash(key, plain), given) for key in self.keys])
+            else None
+        )
 
 
 def _hash(key: bytes, text: str) -> str:
@@ -42,7 +56,10 @@
 
 
 def read_keys(data: bytes) -> list[bytes]:
-    """One a line; blank lines and those that begin with # say nothing. Raises ValueError for a key that is too short."""
+    """One a line; blank lines and those that begin with # say nothing.
+
+    Raises ValueError for a key that is too short.
+    """
     lines = [line.strip() for line in data.splitlines()]
     keys = [line for line in lines if line and not line.startswith(b"#")]
     short = [number for number, key in enumerate(keys, 1) if len(key) < LEAST_KEY]
--- a/hazelhollow/membership/shares.py
+++ b/hazelhollow/membership/shares.py
@@ -1,8 +1,10 @@
-"""Whose part of the quotas is out of reach: members that cannot be heard and may go on letting in. No I/O, no clock.
+"""Whose part of the quotas is out of reach: members that cannot be heard and may go on letting in.
 
-While a link is down neither side hears what the other lets in. So each side leaves the other its even part. `docs/design/
-replication.md` has the rule and its bound. What is kept changes with the records that change: a look goes through those, the
-lost ones and, in a small fleet, through all.
+No I/O, no clock.
+
+While a link is down neither side hears what the other lets in. So each side leaves the other its
+even part. `docs/design/ replication.md` has the rule and its bound. What is kept changes with the
+records that change: a look goes through those, the lost ones and, in a small fleet, through all.
 """
 
 from __future__ import annotations
@@ -12,13 +14,18 @@
 from hazelhollow.membership.records import DEAD, LEFT, SUSPECT, Record
 
 QUIET = 0.35  # seconds without gossip after which one that is told at every beat cannot be heard
-PATIENCE = 10.0  # seconds after which the larger side takes over what the smaller does not say that it uses
+# seconds after which the larger side takes over what the smaller does not say that it uses
+PATIENCE = 10.0
 
 
 @dataclass
 class Peer:
-    """`told_life`: the life that the view knows; `life`: the one it was last known to let in with; `gone`: whether the view
-    holds it suspect or dead; `lost`: since when its part is out of reach, 0 where it is not; `taken`: over, by the larger side."""
+    """`told_life`.
+
+    The life that the view knows; `life`: the one it was last known to let in with; `gone`: whether
+    the view holds it suspect or dead; `lost`: since when its part is out of reach, 0 where it is
+    not; `taken`: over, by the larger side.
+    """
 
     heard: float  # when it was last heard by gossip or by the view
     told_life: int
@@ -29,7 +36,10 @@
 
 
 class Shares:
-    """`members`: how many the fleet has. `talks`: gossip comes at every beat, so that silence tells at once."""
+    """`members`: how many the fleet has.
+
+    `talks`: gossip comes at every beat, so that silence tells at once.
+    """
 
     def __init__(self, me: int, members: int, now: float, talks: bool) -> None:
         self.me, self.members, self.talks, self.began = me, members, talks, now
@@ -50,8 +60,11 @@
             peer.heard = now
 
     def look(self, now: float) -> list[tuple[int, float]]:
-        """To be called at each beat of the view and when it changes. Gives seconds of a member's part that nobody used: it came
-        back in another life, before its part was taken over."""
+        """To be called at each beat of the view and when it changes.
+
+        Gives seconds of a member's part that nobody used: it came back in another life, before its
+        part was taken over.
+        """
         changed, self._changed = self._changed, {}
         for record in changed.values():
             self._take(record, now)
@@ -78,7 +91,10 @@
             self.peers[number] = Peer(now, record.life, record.life, gone)
 
     def _judge(self, number: int, peer: Peer, now: float) -> list[tuple[int, float]]:
-        """Whether its part is out of reach from now on, or within it again; the seconds of it that nobody used."""
+        """Whether its part is out of reach from now on, or within it again.
+
+        The seconds of it that nobody used.
+        """
         unused = list[tuple[int, float]]()
         if peer.gone or (self.talks and now - peer.heard > QUIET):
             if not peer.lost:
@@ -94,7 +110,10 @@
         return unused
 
     def _take_over(self, now: float) -> bool:
-        """The larger side alone: both would take what the other uses. The smaller keeps to its own part. Whether anything was."""
+        """The larger side alone: both would take what the other uses.
+
+        The smaller keeps to its own part. Whether anything was.
+        """
         everybody, taken = len(self.peers) + 1, False
         if 2 * (everybody - len(self._out_of_reach)) <= everybody:
             return False
--- a/hazelhollow/membership/standing.py
+++ b/hazelhollow/membership/standing.py
@@ -8,13 +8,16 @@
 
 
 class Standing:
-    """What the decision module is told of the members, without a pass over all of them at each change."""
+    """What the decision module is told of the members, without a pass over all of them at each
+    change.
+    """
 
     def __init__(self, me: int) -> None:
         self._me = me
         self._present = list[int]()  # in order
         self._deaf = list[int]()  # in order
-        self._told: tuple[tuple[int, ...], tuple[int, ...]] | None = None  # until one of the lists changes
+        # until one of the lists changes
+        self._told: tuple[tuple[int, ...], tuple[int, ...]] | None = None
 
     def note(self, record: Record) -> None:
         """That record is new."""
--- a/hazelhollow/membership/suspicions.py
+++ b/hazelhollow/membership/suspicions.py
@@ -1,8 +1,11 @@
-"""Members whose death is not certain yet: suspicions of this member's own, and deaths that others tell. No I/O, no clock.
+"""Members whose death is not certain yet.
 
-Each is asked whether it is there before it is held dead. With many at once the asking is spread over the beats, and those that
-wait are not held dead for want of a turn; but once several in a row that were asked have said nothing, the rest need no
-asking of their own: a whole zone is gone. One that answers ends that.
+Suspicions of this member's own, and deaths that others tell. No I/O, no clock.
+
+Each is asked whether it is there before it is held dead. With many at once the asking is spread
+over the beats, and those that wait are not held dead for want of a turn; but once several in a row
+that were asked have said nothing, the rest need no asking of their own: a whole zone is gone. One
+that answers ends that.
 """
 
 from __future__ import annotations
@@ -13,12 +16,16 @@
 from hazelhollow.membership.records import Record
 
 ASKED = 2  # times that a member is asked about its death that others tell
-SAMPLE = 8  # asked in a row that said nothing, after which the others are held for dead without being asked
+# asked in a row that said nothing, after which the others are held for dead without being asked
+SAMPLE = 8
 
 
 @dataclass
 class Suspicion:
-    """`until`: when it ends in death, if the suspect was asked by then; `asked`: how often it was."""
+    """`until`.
+
+    When it ends in death, if the suspect was asked by then; `asked`: how often it was.
+    """
 
     record: Record
     since: float
@@ -41,7 +48,10 @@
         return one.record if one else None
 
     def many(self) -> bool:
-        """Whether several in a row were asked in vain: then asking more is worth less than telling of those that are gone."""
+        """Whether several in a row were asked in vain.
+
+        Then asking more is worth less than telling of those that are gone.
+        """
         return self._silent >= SAMPLE
 
     def add(self, record: Record, now: float, seconds: float) -> None:
@@ -61,8 +71,11 @@
         self._silent = 0
 
     def spoke(self, number: int, now: float, seconds: float) -> None:
-        """That member, which is held suspect or dead, has been heard. Where many have been silent, what kept them so may have
-        been a cut that is over: each has its time anew."""
+        """That member, which is held suspect or dead, has been heard.
+
+        Where many have been silent, what kept them so may have been a cut that is over: each has
+        its time anew.
+        """
         if self.many():
             self.restart(now, seconds)
             return
@@ -82,7 +95,10 @@
             one.asked += 1
 
     def ended(self, now: float) -> list[Record]:
-        """Suspicions whose time is over, which are taken out; the others wait until their suspect was asked."""
+        """Suspicions whose time is over, which are taken out.
+
+        The others wait until their suspect was asked.
+        """
         found = list[Record]()
         for number, one in list(self._suspicions.items()):
             if now >= one.until and (one.asked or self._silent >= SAMPLE):
@@ -99,7 +115,10 @@
 
 @dataclass
 class Doubt:
-    """A death that others told; `until`: when the member's time to answer is over, where it was asked; `asked`: how often."""
+    """A death that others told.
+
+    `until`: when the member's time to answer is over, where it was asked; `asked`: how often.
+    """
 
     record: Record
     since: float
@@ -149,8 +168,9 @@
         self._silent = 0
 
     def to_ask(self, most: int, most_open: int) -> list[int]:
-        """Members to ask now, drawn by chance so that others ask other ones, those first that were asked once; at most so many
-        open at once."""
+        """Members to ask now, drawn by chance so that others ask other ones, those first that were
+        asked once; at most so many open at once.
+        """
         waiting = [number for number, one in self._doubts.items() if one.until is None]
         self._random.shuffle(waiting)
         waiting.sort(key=lambda number: -self._doubts[number].asked)
@@ -162,7 +182,10 @@
             one.until, one.asked = until, one.asked + 1
 
     def ended(self, now: float, wait: float) -> list[Record]:
-        """Deaths to be believed now, which are taken out; `wait`: seconds that each has at least."""
+        """Deaths to be believed now, which are taken out.
+
+        `wait`: seconds that each has at least.
+        """
         found = list[Record]()
         for number, one in list(self._doubts.items()):
             if one.until is not None and now >= one.until:
--- a/hazelhollow/membership/table_exchange.py
+++ b/hazelhollow/membership/table_exchange.py
@@ -1,7 +1,10 @@
-"""Anti-entropy between two members' tables: who is asked for what this one lacks, and what another lacks is given. No I/O, no clock.
+"""Anti-entropy between two members' tables.
 
-A digest in each message shows whether two tables are the same. One that differs is asked at the next beat, by digests of buckets
-or by a bitmap of who is there, and answers with the records that differ.
+Who is asked for what this one lacks, and what another lacks is given. No I/O, no clock.
+
+A digest in each message shows whether two tables are the same. One that differs is asked at the
+next beat, by digests of buckets or by a bitmap of who is there, and answers with the records that
+differ.
 """
 
 from __future__ import annotations
@@ -28,7 +31,10 @@
 
 
 class Sender(Protocol):
-    """Sends one message, without rumours; how many of the records it holds, or nothing where there is no room for it."""
+    """Sends one message, without rumours.
+
+    How many of the records it holds, or nothing where there is no room for it.
+    """
 
     def __call__(
         self, number: int, kind: str, parts: tuple[int, ...], first: list[Record], use: Use
@@ -36,7 +42,11 @@
 
 
 class TableExchange:
-    """`me` of `members`; `bounded`: whether an allowance bounds what is sent; `wait`: seconds between two members that are asked."""
+    """`me` of `members`.
+
+    `bounded`: whether an allowance bounds what is sent; `wait`: seconds between two members that
+    are asked.
+    """
 
     def __init__(
         self,
@@ -54,7 +64,10 @@
         self._to_ask: int | None = None
 
     def compare(self, message: Message, now: float) -> bool:
-        """Whether the sender's table is the same; if it is not, its sender is asked at the next beat."""
+        """Whether the sender's table is the same.
+
+        If it is not, its sender is asked at the next beat.
+        """
         same = message.digest == self._table.digest()
         if not same and message.kind in COMPARED and now - self._noted_at >= self._wait:
             self._noted_at, self._to_ask = (
@@ -80,8 +93,11 @@
             self._give_members(source, *parts)
 
     def _ask(self, number: int, beats: int) -> None:
-        """For what this one lacks of another's table. Within an allowance mostly by a bitmap, which shows exactly who is there at one
-        and not at the other; digests of buckets show the rest."""
+        """For what this one lacks of another's table.
+
+        Within an allowance mostly by a bitmap, which shows exactly who is there at one and not at
+        the other; digests of buckets show the rest.
+        """
         if not self._bounded or beats % SUMS_EVERY == 0:
             self._send(number, messages.SUMS, tuple(self._table.sums()), [], Use.TABLE)
             return
@@ -93,7 +109,8 @@
         """Records of the buckets in which the other's table is not as this one."""
         pairs = zip(self._table.sums(), sums, strict=True)
         differ = [bucket for bucket, (one, other) in enumerate(pairs) if one != other]
-        self._random.shuffle(differ)  # whole buckets: parts of all would leave each to be sent again
+        # whole buckets: parts of all would leave each to be sent again
+        self._random.shuffle(differ)
         self._give(number, self._table.of_buckets(differ))
 
     def _give_members(self, number: int, start: int, bits: int) -> None:
@@ -104,9 +121,16 @@
         self._give(number, [record for n in numbers if (record := self._table.get(n)) is not None])
 
     def _newer(self, records: Sequence[Record]) -> list[Record]:
-        """What this one knows better than the one that told these. It has the difference before it, and the other, whom all
-        ask whose tables are not as its own, may find no room to ask for it."""
-        known = [(self._table.get(record.number), record) for record in records if record.number != self._me]
+        """What this one knows better than the one that told these.
+
+        It has the difference before it, and the other, whom all ask whose tables are not as its
+        own, may find no room to ask for it.
+        """
+        known = [
+            (self._table.get(record.number), record)
+            for record in records
+            if record.number != self._me
+        ]
         return [here for here, told in known if here is not None and here[:4] > told[:4]]
 
     def _give(self, number: int, records: list[Record]) -> None:
--- a/hazelhollow/membership/view.py
+++ b/hazelhollow/membership/view.py
@@ -1,8 +1,11 @@
-"""One member's view of the fleet: probes, suspicions, rumours. Events in, datagrams out; no I/O, no clock.
+"""One member's view of the fleet: probes, suspicions, rumours.
 
-SWIM's probes and rumours, with Lifeguard's care for a member that is itself slow, and digests for what rumours miss. Where it
-is given an allowance it stays within it, the most useful first (`allowance.py`). `docs/design/fleet-view.md` and
-`docs/design/control-budget.md` say why, `docs/operators/fleet-view.md` what each state means.
+Events in, datagrams out; no I/O, no clock.
+
+SWIM's probes and rumours, with Lifeguard's care for a member that is itself slow, and digests for
+what rumours miss. Where it is given an allowance it stays within it, the most useful first
+(`allowance.py`). `docs/design/fleet-view.md` and `docs/design/control-budget.md` say why,
+`docs/operators/fleet-view.md` what each state means.
 """
 
 from __future__ import annotations
@@ -63,7 +66,10 @@
 
 
 class Probe:
-    """`asked`: others were, or could not be (`starved`: for want of allowance, so that silence shows nothing)."""
+    """`asked`.
+
+    Others were, or could not be (`starved`: for want of allowance, so that silence shows nothing).
+    """
 
     __slots__ = ("target", "at", "asked", "direct", "relayed", "starved")
 
@@ -78,8 +84,10 @@
 
 
 class View:
-    """`members`: how many there may be; this one is number `me`. `most`: bytes that a text may have. `allowance`: what it may send;
-    nothing: all."""
+    """`members`: how many there may be; this one is number `me`.
+
+    `most`: bytes that a text may have. `allowance`: what it may send; nothing: all.
+    """
 
     def __init__(
         self,
@@ -100,12 +108,14 @@
         self.own = Record(me, new_life(now, self.random), 0, JOINING, (), versions, address)
         self.table.put(self.own)
         self.since: dict[int, float] = {me: now}  # when each state was first seen here
-        self.acting, self.waking = False, now  # whether it may take; since when it waits for a first answer
+        # whether it may take; since when it waits for a first answer
+        self.acting, self.waking = False, now
         self.yielded = False  # another process has its number and began later
         self.changed = True
         self.moved = [me]  # members whose state or life has changed since the driver emptied this
         self.counts: Counter[str] = Counter()
-        self._raised = False  # its life, over that of a process that it took for its own earlier one
+        # its life, over that of a process that it took for its own earlier one
+        self._raised = False
         self._out: list[Send] = []
         self._serial = self._beats = self._number = 0
         self._health = 0
@@ -116,7 +126,8 @@
         self._doubts = Doubts(self.random)
         self._rumours = Rumours(members, allowance is not None)
         self._received: dict[int, Received] = {}
-        self._silent: Counter[int] = Counter()  # probes in a row that were answered by others' words alone
+        # probes in a row that were answered by others' words alone
+        self._silent: Counter[int] = Counter()
         self._unheard: set[int] = set()
         self._exchange = TableExchange(
             me, members, self.table, self.random, allowance is not None, BEAT, self._send_table
@@ -125,7 +136,10 @@
     # What the driver calls
 
     def beat(self, now: float) -> list[Send]:
-        """To be called every BEAT seconds, and before anything else after a time in which the process stood still."""
+        """To be called every BEAT seconds.
+
+        And before anything else after a time in which the process stood still.
+        """
         late, self.now, self.last_beat, self._out = now - self.last_beat - BEAT, now, now, []
         if self.yielded or self.own.state == LEFT:
             return []
@@ -145,13 +159,19 @@
         return self._out
 
     def due(self, now: float) -> list[Send]:
-        """Once after each beat, `wait` seconds after it: probes that have had no direct answer are passed to others."""
+        """Once after each beat, `wait` seconds after it.
+
+        Probes that have had no direct answer are passed to others.
+        """
         self.now, self._out = now, []
         if not self.yielded and now - self.last_beat < BEAT + STALL:  # else a beat must come first
             for number, probe in self._probes.items():
                 if not probe.asked and not probe.direct and now - probe.at >= 0.99 * self.wait():
                     probe.asked = True
-                    if self._suspicions.record(probe.target) is None and not self._suspicions.many():
+                    if (
+                        self._suspicions.record(probe.target) is None
+                        and not self._suspicions.many()
+                    ):
                         self._ask_others(number, probe)
         return self._out
 
@@ -181,8 +201,11 @@
         return self._out
 
     def heard_twin(self, text: str) -> bool:
-        """From this machine: whether it is of a process with this one's number, or of this one itself. The later start
-        goes on."""
+        """From this machine.
+
+        Whether it is of a process with this one's number, or of this one itself. The later start
+        goes on.
+        """
         message = messages.read(text, self.members)
         if message is None or message.sender.number != self.me:
             return False
@@ -193,7 +216,11 @@
     def introduced(self, text: str, source: tuple[str, int]) -> int | None:
         """The number of a sender that says itself that this is its address."""
         message = messages.read(text, self.members)
-        if message is None or not message.sender.address or unpack_address(message.sender.address) != source:
+        if (
+            message is None
+            or not message.sender.address
+            or unpack_address(message.sender.address) != source
+        ):
             return None
         return message.sender.number if message.sender.number != self.me else None
 
@@ -226,7 +253,7 @@
         return {record.number: (NAMES[record.state], record.life) for record in sorted(self.table)}
 
     def older(self, seconds: float) -> set[int]:
-        """Members whose life began so many seconds or more before this one's, by their own clocks."""
+        """Members whose life began so many seconds or more before this one's."""
         latest = self.own.life - int(seconds * LIVES_A_S)
         return {record.number for record in self.table if record.life and record.life <= latest}
 
@@ -245,7 +272,11 @@
     # Its own record
 
     def _restate(
-        self, state: int, life: int | None = None, turn: int | None = None, versions: str | None = None
+        self,
+        state: int,
+        life: int | None = None,
+        turn: int | None = None,
+        versions: str | None = None,
     ) -> None:
         self.own = Record(
             self.me,
@@ -259,8 +290,11 @@
         self._put(self.own)
 
     def _own_heard(self, record: Record) -> None:
-        """Others' word of this member. A later life of its number goes on; this one yields, unless it has only just begun
-        and takes that for its own earlier life, whose clock ran ahead: then it goes past it, once."""
+        """Others' word of this member.
+
+        A later life of its number goes on; this one yields, unless it has only just begun and takes
+        that for its own earlier life, whose clock ran ahead: then it goes past it, once.
+        """
         if record.life > self.own.life:
             if self.own.state == JOINING and not self._raised:
                 self._raised = True
@@ -283,7 +317,10 @@
             self._restate(ALIVE)
 
     def _stood_still(self) -> None:
-        """Nothing that was timed before holds; and it may be dead to the others, which it must hear before it acts."""
+        """Nothing that was timed before holds.
+
+        And it may be dead to the others, which it must hear before it acts.
+        """
         self.counts["stood_still"] += 1
         self._probes.clear()
         self._doubts.clear()
@@ -344,7 +381,9 @@
     def _probe_absent(self) -> None:
         """Nobody else would find out that a cut has healed."""
         if not self._absent and self.table.present_count < self.members:
-            self._absent = [n for n in range(self.members) if n != self.me and not self._is_present(n)]
+            self._absent = [
+                n for n in range(self.members) if n != self.me and not self._is_present(n)
+            ]
             self.random.shuffle(self._absent)
         if self._absent:
             number = self._absent.pop()
@@ -409,7 +448,8 @@
             self.counts["earlier_life"] += 1
             if known is None:
                 known = self._received[source] = Received(newest)
-            if told and self.now - known.hinted >= HINT_EVERY:  # it must learn that another has its number
+            # it must learn that another has its number
+            if told and self.now - known.hinted >= HINT_EVERY:
                 known.hinted = self.now
                 self._send(source, messages.PIECE, (), [told], rumours=False)
             return False
@@ -441,8 +481,11 @@
             self._put(record)
 
     def _doubted(self, record: Record) -> bool:
-        """A death that others tell of one that is well here is first asked about: after a cut each side holds the other's
-        members dead, and tells so to those who have heard them all the time."""
+        """A death that others tell of one that is well here is first asked about.
+
+        After a cut each side holds the other's members dead, and tells so to those who have heard
+        them all the time.
+        """
         known = self.table.get(record.number)
         if (
             record.state != DEAD
@@ -495,7 +538,8 @@
         source, parts = message.sender.number, message.parts
         if message.kind == messages.PING:
             told = self.table.get(source)
-            about = [told] if told is not None and told > message.sender else []  # it is thought dead, say
+            # it is thought dead, say
+            about = [told] if told is not None and told > message.sender else []
             doubt = self._doubts.record(source)
             same = message.digest == self.table.digest()
             self._send(source, messages.ANSWER, parts, [doubt] if doubt else about, news=not same)
@@ -503,7 +547,8 @@
                 self._doubts.asked(source, self.now + ANSWER_BY * self._patience())
         elif message.kind == messages.ANSWER:
             probe = self._probes.get(parts[0])
-            if probe and probe.target == source:  # else it may be of before this one stood still, or began
+            # else it may be of before this one stood still, or began
+            if probe and probe.target == source:
                 probe.direct = True
                 self._woken()
         elif message.kind == messages.ASK:
@@ -539,8 +584,11 @@
         news: bool = True,
         use: Use = Use.ANSWER,
     ) -> int | None:
-        """One datagram; how many of the records in `first` it holds, or nothing if the allowance has no room for it. `rumours`:
-        whether others ride along, unless there is no `news` for that member."""
+        """One datagram.
+
+        How many of the records in `first` it holds, or nothing if the allowance has no room for it.
+        `rumours`: whether others ride along, unless there is no `news` for that member.
+        """
         own = self.own
         if kind in (messages.SUMS, messages.BITS):
             own = own._replace(unheard=(), versions="")  # else they find no room
@@ -580,5 +628,7 @@
 
 
 def _death_of(record: Record) -> Record:
-    """The record of a member that is held for dead, without what matters of one that is there alone."""
+    """The record of a member that is held for dead, without what matters of one that is there
+    alone.
+    """
     return record._replace(state=DEAD, unheard=(), versions="")
--- a/hazelhollow/net/admission.py
+++ b/hazelhollow/net/admission.py
@@ -1,16 +1,23 @@
-"""Which clients' connections have a place: how many at most, and which one goes first where room is needed."""
+"""Which clients' connections have a place.
+
+How many at most, and which one goes first where room is needed.
+"""
 
 from __future__ import annotations
 
 from hazelhollow.net.ending import Ending
 from hazelhollow.net.session import Session
 
-KEPT_SHARE = 0.25  # of the descriptors: connections that have brought a command. Clients hold a third of the
-# descriptors at most, and many ask once and keep theirs for good; past that others would find none left to ask on.
+# of the descriptors: connections that have brought a command. Clients hold a third of the
+KEPT_SHARE = 0.25
+# descriptors at most, and many ask once and keep theirs for good; past that others would find none
+# left to ask on.
 MEMORY_SHARE = 0.25  # of the limit: what all clients together may make this limiter hold
 LEAST_REST = 0.1  # seconds that it stays in any case, or a client could not use it again
 MOST_LINGERING = (
-    8  # connections ended here and not yet by their clients, beyond the clients' share of the descriptors
+    # connections ended here and not yet by their clients, beyond the clients' share of the
+    # descriptors
+    8
 )
 
 
@@ -21,7 +28,8 @@
         """`most`: connections; `most_kept`: of those that have brought a command."""
         self.most, self.most_kept = most, most_kept
         self.sessions: set[Session] = set()
-        self.lingering: dict[Session, None] = {}  # ended here, not yet by their clients; the oldest first
+        # ended here, not yet by their clients; the oldest first
+        self.lingering: dict[Session, None] = {}
         # Those that may go when room is needed, the longest silent or idle first.
         self._silent: dict[Session, None] = {}  # that have never sent a whole command
         self._idle: dict[Session, None] = {}
@@ -57,24 +65,34 @@
                 self._idle.pop(oldest)
 
     def lingers(self, session: Session) -> None:
-        """It has ended here. It holds a descriptor until the client ends it too, so their number has a bound."""
+        """It has ended here.
+
+        It holds a descriptor until the client ends it too, so their number has a bound.
+        """
         self.lingering[session] = None
         self._bound_lingering()
 
     def _bound_lingering(self) -> None:
-        while self.lingering and len(self.sessions) + len(self.lingering) > self.most + MOST_LINGERING:
+        while (
+            self.lingering and len(self.sessions) + len(self.lingering) > self.most + MOST_LINGERING
+        ):
             self.forgo_oldest()
 
     def forgo_oldest(self) -> bool:
-        """Waits no more for the client's end of the connection that was ended here first, where there is one."""
+        """Waits no more for the client's end of the connection that was ended here first.
+
+        Where there is one.
+        """
         oldest = next(iter(self.lingering), None)
         if oldest:
             oldest.forgo()
         return oldest is not None
 
     def idlest(self) -> Session | None:
-        """The one to go where room is needed. Those that have not said a word go first: a usual client speaks as soon
-        as it is connected."""
+        """The one to go where room is needed.
+
+        Those that have not said a word go first: a usual client speaks as soon as it is connected.
+        """
         for places in (self._silent, self._idle):
             for session in list(places):
                 if session.resting():
--- a/hazelhollow/net/backend.py
+++ b/hazelhollow/net/backend.py
@@ -1,4 +1,7 @@
-"""Attempts to backend hosts: the one owner of their connections, which opens, reuses, closes and gives them up."""
+"""Attempts to backend hosts.
+
+The one owner of their connections, which opens, reuses, closes and gives them up.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,13 @@
 from hazelhollow.net.stats import Stats
 
 MOST_OUT = resp.MOST_BYTES + 8 * 1024  # one command
-IDLE_SHARE = 0.5  # of the time after which the host may close an idle connection: past it none is reused
+# of the time after which the host may close an idle connection: past it none is reused
+IDLE_SHARE = 0.5
 SWEEP = 0.25  # seconds between looks for idle connections and for answers that stop half-way
 HALFWAY = 0.5  # seconds without a byte in the middle of an answer, after which no more is expected
-SETTLE = 0.03  # seconds in which a second copy of an answer may still be on its way: so long no attempt begins on that line
+# seconds in which a second copy of an answer may still be on its way: so long no attempt begins on
+# that line
+SETTLE = 0.03
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +71,8 @@
         self.look: Callable[[], object] | None = look
         self.line: Line | None = None
         self.timer: sch.Timer | None = None  # at which it is given up before its request is
-        self.begin_timer: sch.Timer | None = None  # at which it is given up if it has not gone out whole
+        # at which it is given up if it has not gone out whole
+        self.begin_timer: sch.Timer | None = None
 
     def finish(self, result: Result) -> None:
         done, self.done, self.look = self.done, None, None
@@ -131,7 +138,8 @@
     def __init__(self, name: str, address: tuple[str, int]) -> None:
         self.name, self.address = name, address
         self.lines: set[Line] = set()
-        self.idle: list[Line] = []  # the most recently used last: the others get to rest and are closed
+        # the most recently used last: the others get to rest and are closed
+        self.idle: list[Line] = []
         self.listed = True
 
 
@@ -161,8 +169,8 @@
     def update(self, addresses: Mapping[str, tuple[str, int]]) -> None:
         """The hosts that may get new attempts from now on, and where they are.
 
-        An attempt whose first byte has not left must not reach a host that drains or is gone, so it ends here as
-        never run, and the module may choose anew. What is under way goes on.
+        An attempt whose first byte has not left must not reach a host that drains or is gone, so it
+        ends here as never run, and the module may choose anew. What is under way goes on.
         """
         for name, host in list(self._hosts.items()):
             if addresses.get(name) != host.address:
@@ -184,8 +192,11 @@
         done: Callable[[Result], None],
         look: Callable[[], object] = lambda: None,
     ) -> Attempt:
-        """`done` is called once, and never before this returns. `look` is called once its connection is up and before
-        anything is written: it holds the attempt back where nobody waits for it any more."""
+        """`done` is called once, and never before this returns.
+
+        `look` is called once its connection is up and before anything is written: it holds the
+        attempt back where nobody waits for it any more.
+        """
         now, host = self._scheduler.clock(), self._hosts.get(name)
         attempt = Attempt(host or Host(name, ("", 0)), command, done, look, now)
         self._stats.attempts += 1
@@ -197,7 +208,8 @@
             if now - line.idle_since >= self._rest:
                 self.end(line, Ending.IDLE)
             elif not line.stream or not line.stream.alive():
-                self.end(line, Ending.CLOSED)  # an attempt written to it would be a reset, which may have run
+                # an attempt written to it would be a reset, which may have run
+                self.end(line, Ending.CLOSED)
             else:
                 line.attempt, attempt.line = attempt, line
                 self._stats.reused += 1
@@ -206,7 +218,9 @@
                 return attempt
         if len(self._lines) >= self._most and not self.spare():
             self._stats.no_descriptor += 1
-            self._scheduler.later(lambda: attempt.finish(Result(outcome(Ending.NO_DESCRIPTOR, False))))
+            self._scheduler.later(
+                lambda: attempt.finish(Result(outcome(Ending.NO_DESCRIPTOR, False)))
+            )
             return attempt
         line = Line(host)
         line.attempt, attempt.line = attempt, line
@@ -216,8 +230,12 @@
         return attempt
 
     def _settled(self, host: Host, now: float) -> int | None:
-        """The place of the idle line that was used last, of those on which nothing can still be on its way."""
-        return next((n for n in range(len(host.idle) - 1, -1, -1) if host.idle[n].settled_at <= now), None)
+        """The place of the idle line that was used last, of those on which nothing can still be on
+        its way.
+        """
+        return next(
+            (n for n in range(len(host.idle) - 1, -1, -1) if host.idle[n].settled_at <= now), None
+        )
 
     def give_up(self, attempt: Attempt, ending: Ending) -> None:
         """The host learns of it by the connection's end; bytes that were not written never are."""
@@ -310,7 +328,8 @@
                 line.partial_since = self._scheduler.clock()
                 continue
             result = read_answer(answer)
-            # Nobody asked, the answer is none, or it came before the request was out: what this connection says next could be taken for another request's answer.
+            # Nobody asked, the answer is none, or it came before the request was out: what this
+            # connection says next could be taken for another request's answer.
             if result is None or not line.whole():
                 return Ending.MALFORMED
             attempt, line.attempt, line.partial_since = line.attempt, None, 0.0
@@ -320,8 +339,8 @@
             if line.parser.idle():
                 self._rest_line(line)
             else:
-                # The answer is whole and this attempt's own. What lies behind it is nobody's: it must reach no other
-                # attempt, and no more of it is read.
+                # The answer is whole and this attempt's own. What lies behind it is nobody's: it
+                # must reach no other attempt, and no more of it is read.
                 self.end(line, Ending.MALFORMED)
             attempt.finish(result)
         return driver.ending
@@ -339,6 +358,9 @@
         for host in self._hosts.values():
             while host.idle and now - host.idle[0].idle_since >= self._rest:
                 self.end(host.idle[0], Ending.IDLE)
-        for line in [x for x in self._lines if x.partial_since and now - x.partial_since >= HALFWAY]:
-            # The host had done the work and was sending: the attempt can wait for the deadline in vain only.
+        for line in [
+            x for x in self._lines if x.partial_since and now - x.partial_since >= HALFWAY
+        ]:
+            # The host had done the work and was sending: the attempt can wait for the deadline in
+            # vain only.
             self.end(line, Ending.STALLED)
--- a/hazelhollow/net/backoff.py
+++ b/hazelhollow/net/backoff.py
@@ -4,8 +4,11 @@
 
 
 class Backoff:
-    """Seconds to wait before the next attempt: doubled each time up to a bound, and drawn between half and whole of
-    that, so that limiters which lost the same service together do not come back together."""
+    """Seconds to wait before the next attempt.
+
+    Doubled each time up to a bound, and drawn between half and whole of that, so that limiters
+    which lost the same service together do not come back together.
+    """
 
     def __init__(self, least: float, most: float) -> None:
         self.least, self.most, self.failures = least, most, 0
--- a/hazelhollow/net/bans.py
+++ b/hazelhollow/net/bans.py
@@ -1,7 +1,9 @@
-"""Servers left out by hand, kept in a file of `$TMPDIR` so that a restart or a new version beside this one holds them.
+"""Servers left out by hand, kept in a file of `$TMPDIR` so that a restart or a new version beside
+this one holds them.
 
-The file is written whole and then put in place, so that a reader meets the old or the new, never a part. A file that
-is broken, or of another format or version, is not taken: the limiter says so once and goes on without it.
+The file is written whole and then put in place, so that a reader meets the old or the new, never a
+part. A file that is broken, or of another format or version, is not taken: the limiter says so once
+and goes on without it.
 """
 
 from __future__ import annotations
@@ -19,7 +21,10 @@
 
 
 def folder_of(directory: str | None = None) -> Path:
-    """Where what must outlast a process is kept: `$TMPDIR`, which the processes of one upgrade share."""
+    """Where what must outlast a process is kept.
+
+    `$TMPDIR`, which the processes of one upgrade share.
+    """
     return Path(directory or os.environ.get("TMPDIR") or tempfile.gettempdir())
 
 
@@ -40,7 +45,10 @@
         self._said = ""
 
     def read(self) -> set[str] | None:
-        """The bans, when the file is new to this process; None when it is as it was, absent or not to be taken."""
+        """The bans, when the file is new to this process.
+
+        None when it is as it was, absent or not to be taken.
+        """
         try:
             status = self.path.stat()
             seen = (status.st_size, status.st_mtime_ns)
@@ -55,7 +63,9 @@
         if not isinstance(document, dict) or document.get("format") != FORMAT:
             return self._refuse("is not a file of bans")
         if document.get("version") != VERSION:
-            return self._refuse(f"is of version {document.get('version')!r}, this one reads {VERSION}")
+            return self._refuse(
+                f"is of version {document.get('version')!r}, this one reads {VERSION}"
+            )
         down = document.get("down")
         if not isinstance(down, list) or not all(isinstance(name, str) for name in down):
             return self._refuse("'down' is not a list of server ids")
@@ -70,7 +80,9 @@
             status = self.path.stat()
             self._seen = (status.st_size, status.st_mtime_ns)
         except OSError as error:
-            log.error("bans: %s cannot be written, they hold in this process alone: %s", self.path, error)
+            log.error(
+                "bans: %s cannot be written, they hold in this process alone: %s", self.path, error
+            )
 
     def _refuse(self, why: str) -> set[str] | None:
         if why != self._said:
--- a/hazelhollow/net/calls.py
+++ b/hazelhollow/net/calls.py
@@ -23,14 +23,20 @@
 
 
 class Parser:
-    """Collects bytes until the first end of line, then says which call it was; what comes after it is not read."""
+    """Collects bytes until the first end of line, then says which call it was.
+
+    What comes after it is not read.
+    """
 
     def __init__(self) -> None:
         self._held = bytearray()
         self._call: Call | None = None
 
     def feed(self, data: bytes) -> Call | None:
-        """The call, once its line is whole; None while it is not. Raises CallError for a call that cannot be."""
+        """The call, once its line is whole; None while it is not.
+
+        Raises CallError for a call that cannot be.
+        """
         if self._call is not None:
             return self._call
         self._held += data
--- a/hazelhollow/net/collector.py
+++ b/hazelhollow/net/collector.py
@@ -1,8 +1,9 @@
 """The cycle collector in passes so short that no request waits for one.
 
-Nearly all that a limiter lets go of is freed by its reference counts; what the collector finds are cycles, which are rare. But a pass
-goes through every object of its generation, and holds up the loop meanwhile. So the young generations are kept small. The oldest
-one, in which stands all that lives long, is collected once, before serving, and set aside.
+Nearly all that a limiter lets go of is freed by its reference counts; what the collector finds are
+cycles, which are rare. But a pass goes through every object of its generation, and holds up the
+loop meanwhile. So the young generations are kept small. The oldest one, in which stands all that
+lives long, is collected once, before serving, and set aside.
 """
 
 from __future__ import annotations
@@ -11,7 +12,8 @@
 
 YOUNG = 500  # objects more than were let go of, after which the youngest generation is collected
 YOUNG_PASSES = 8  # of those, after which the middle generation is collected too
-MIDDLE_PASSES = 10_000  # of those, after which all that came since is: after more than a limiter ever holds
+# of those, after which all that came since is: after more than a limiter ever holds
+MIDDLE_PASSES = 10_000
 
 
 def collect_in_short_passes() -> None:
--- a/hazelhollow/net/ending.py
+++ b/hazelhollow/net/ending.py
@@ -1,4 +1,7 @@
-"""Every way in which a connection can end, and what each means for the attempt that was out on it."""
+"""Every way in which a connection can end.
+
+And what each means for the attempt that was out on it.
+"""
 
 from __future__ import annotations
 
@@ -33,9 +36,9 @@
 def outcome(ending: Ending, written: bool) -> Status:
     """The module's word for an attempt whose connection ended so.
 
-    It turns on whether the last byte of the attempt's request had been written. Up to then no backend host can have
-    begun it, even where the wait ran out, and unsent bytes are dropped; from then on it may have run, whatever
-    ended the connection.
+    It turns on whether the last byte of the attempt's request had been written. Up to then no
+    backend host can have begun it, even where the wait ran out, and unsent bytes are dropped; from
+    then on it may have run, whatever ended the connection.
     """
     if written:
         return _MAY_HAVE_RUN.get(ending, "reset")
