--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -1,4 +1,7 @@
-"""The client side's listening socket: who is let in, when commands are taken, and the look at all connections."""
+"""The client side's listening socket.
+
+Who is let in, when commands are taken, and the look at all connections.
+"""
 
 from __future__ import annotations
 
@@ -35,8 +38,11 @@
         most_held: int,
         spare: Callable[[], bool],
     ) -> None:
-        """`most_held`: bytes on the account of all clients; `spare`: ends an idle connection to a backend host, where
-        there is one, and says whether it did."""
+        """`most_held`.
+
+        Bytes on the account of all clients; `spare`: ends an idle connection to a backend host,
+        where there is one, and says whether it did.
+        """
         self.scheduler, self.stats, self.limiter, self.terms = scheduler, stats, limiter, terms
         self.places = Places(most_sessions, most_kept)
         self._most_held, self._spare = most_held, spare
@@ -45,7 +51,8 @@
         scheduler.at(scheduler.clock() + TIDY, self._tidy)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # A new version starts beside the running one and listens at the same address before this one leaves.
+        # A new version starts beside the running one and listens at the same address before this
+        # one leaves.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.setblocking(False)
         self._sock.bind(listen)
@@ -97,7 +104,8 @@
                 self.scheduler.sleep(ACCEPT_PAUSE)  # poll would say at once that a client waits
             return error.errno in stream.NO_DESCRIPTOR
         self.stats.accepted += 1
-        # Only now is it known that room is needed; the one that has come must not be the one that goes.
+        # Only now is it known that room is needed; the one that has come must not be the one that
+        # goes.
         if in_excess:
             in_excess.end(Ending.NO_DESCRIPTOR)
         self._begin(sock)
@@ -115,7 +123,10 @@
         self.places.works(session)
 
     def free_descriptor(self) -> bool:
-        """Of a connection that nobody needs: one ended here, an idle one to a backend host, an idle client's."""
+        """Of a connection that nobody needs.
+
+        One ended here, an idle one to a backend host, an idle client's.
+        """
         if self.places.forgo_oldest() or self._spare():
             return True
         idlest = self.places.idlest()
@@ -131,7 +142,8 @@
             ending = session.overdue(now)
             if ending:
                 session.end(ending)
-        # Many slow clients at once may hold more than there is, each within its own bound: the largest go.
+        # Many slow clients at once may hold more than there is, each within its own bound: the
+        # largest go.
         held = {session: session.held() for session in self.sessions}
         total = sum(held.values())
         for session in sorted(held, key=held.__getitem__, reverse=True):
@@ -142,13 +154,19 @@
             session.end(Ending.STALLED)
 
     def finish(self, taking: bool = True) -> None:
-        """Sessions end between requests; new ones are still taken, and commands of those that have not ended too."""
+        """Sessions end between requests.
+
+        New ones are still taken, and commands of those that have not ended too.
+        """
         for session in list(self.sessions):
             session.finish(taking)
 
     def close(self) -> None:
-        """What waits in the listener's queue is taken in the same turn in which it closes: closed with it, each of
-        those connections would be reset, though the client had been let in by the system."""
+        """What waits in the listener's queue is taken in the same turn in which it closes.
+
+        Closed with it, each of those connections would be reset, though the client had been let in
+        by the system.
+        """
         while len(self.sessions) < self.places.most + BATCH:
             try:
                 sock, _ = self._sock.accept()
--- a/hazelhollow/net/http1.py
+++ b/hazelhollow/net/http1.py
@@ -23,7 +23,10 @@
 
 
 class Parser:
-    """Fed bytes as they come; gives whole answers. Bodies by length, in chunks, or up to the end of the connection."""
+    """Fed bytes as they come; gives whole answers.
+
+    Bodies by length, in chunks, or up to the end of the connection.
+    """
 
     def __init__(self) -> None:
         self.ring = Ring(MOST_HEAD + MOST_BODY)
@@ -32,7 +35,8 @@
     def _restart(self) -> None:
         self._status = 0  # 0: the head is yet to come
         self._keep = True
-        self._left = -1  # bytes of the body, or of this chunk, to come; -1: a chunk's size comes next
+        # bytes of the body, or of this chunk, to come; -1: a chunk's size comes next
+        self._left = -1
         self._chunked = self._endless = False
         self._trailer = False
         self._body = bytearray()
@@ -54,8 +58,11 @@
         return self._whole()
 
     def end(self) -> Answer | None:
-        """The other side has ended the connection in good order: the answer that ends with it, if there is one. A reset
-        is no end, and what came before it is no answer."""
+        """The other side has ended the connection in good order.
+
+        The answer that ends with it, if there is one. A reset is no end, and what came before it is
+        no answer.
+        """
         if not self._endless:
             return None
         self._body += self.ring.take(len(self.ring))
@@ -92,7 +99,9 @@
             fields[name.strip().lower()] = value.strip()
         connection = fields.get(b"connection", b"").lower()
         self._status = int(words[1])
-        self._keep = connection == b"keep-alive" if words[0] == b"HTTP/1.0" else connection != b"close"
+        self._keep = (
+            connection == b"keep-alive" if words[0] == b"HTTP/1.0" else connection != b"close"
+        )
         self._chunked = fields.get(b"transfer-encoding", b"").lower() == b"chunked"
         bodiless = self._status < 200 or self._status in (204, 304)
         self._endless = not (self._chunked or bodiless or b"content-length" in fields)
--- a/hazelhollow/net/limiter.py
+++ b/hazelhollow/net/limiter.py
@@ -1,4 +1,7 @@
-"""Between the network and the decision module: events in, actions out. Alone knows both, decides nothing."""
+"""Between the network and the decision module: events in, actions out.
+
+Alone knows both, decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,9 @@
 from hazelhollow.simulator import wire
 
 TIMER_AGAIN = 1.0  # seconds until a timer at which the module failed comes again
-# Seconds since the sockets were looked at, past which a client is looked at anew before an attempt begins for it: one
-# that has gone must get none that begins over 0.1 s later, also from a process that has been busy for longer.
+# Seconds since the sockets were looked at, past which a client is looked at anew before an attempt
+# begins for it: one that has gone must get none that begins over 0.1 s later, also from a process
+# that has been busy for longer.
 STALE = 0.03
 
 log = logging.getLogger(__name__)
@@ -33,7 +37,10 @@
 
 
 class Caller(Protocol):
-    """The client side of one request, whatever protocol it came by. It gets one of these calls, once."""
+    """The client side of one request, whatever protocol it came by.
+
+    It gets one of these calls, once.
+    """
 
     def served(self, value: bytes) -> None: ...
     def refused(self, wait_ms: int) -> None: ...
@@ -55,7 +62,17 @@
 class Open:
     """A request that is owed its answer, or whose attempts are still out."""
 
-    __slots__ = ("id", "ask", "caller", "deadline", "attempts", "out", "answered", "timer", "__weakref__")
+    __slots__ = (
+        "id",
+        "ask",
+        "caller",
+        "deadline",
+        "attempts",
+        "out",
+        "answered",
+        "timer",
+        "__weakref__",
+    )
 
     def __init__(self, key: str, ask: Ask, caller: Caller, deadline: float) -> None:
         self.id, self.ask, self.caller, self.deadline = key, ask, caller, deadline
@@ -67,7 +84,12 @@
 
 class Limiter:
     def __init__(
-        self, decisions: Decisions, scheduler: sch.Scheduler, backend: Backend, stats: Stats, most_open: int
+        self,
+        decisions: Decisions,
+        scheduler: sch.Scheduler,
+        backend: Backend,
+        stats: Stats,
+        most_open: int,
     ) -> None:
         self._decisions, self._scheduler = decisions, scheduler
         self._backend, self._stats, self._most_open = backend, stats, most_open
@@ -87,7 +109,10 @@
     # The client side
 
     def ask(self, ask: Ask, caller: Caller) -> Open | None:
-        """Takes a request. What is not answered at once gives a record, to be given to `gone` if its client leaves."""
+        """Takes a request.
+
+        What is not answered at once gives a record, to be given to `gone` if its client leaves.
+        """
         request = ask.request
         self._stats.requests += 1
         if len(self.open) >= self._most_open:
@@ -102,8 +127,8 @@
             request = ask.request = replace(request, id=f"{request.id}/{request.customer}")
             known = self.open.get(request.id)
         if known:
-            # Every request of a customer has an id of its own, a retry too. The one that came first gets the
-            # answer, and what the host would say to a second of that name is nobody's.
+            # Every request of a customer has an id of its own, a retry too. The one that came first
+            # gets the answer, and what the host would say to a second of that name is nobody's.
             self._stats.failed += 1
             self._stats.reply(request.class_name, "error")
             caller.failed()
@@ -121,8 +146,11 @@
         return sum([not one.answered for one in self.open.values()])
 
     def gone(self, one: Open) -> None:
-        """The client has left: nothing is owed any more. What has not gone out whole can be begun by no host yet,
-        however long its connection takes to come up, and never will be."""
+        """The client has left: nothing is owed any more.
+
+        What has not gone out whole can be begun by no host yet, however long its connection takes
+        to come up, and never will be.
+        """
         if not one.answered:
             self._stats.clients_gone += 1
             one.answered = True
@@ -181,8 +209,11 @@
         self._handle(event, one)
 
     def _true_units(self, result: Result) -> float:
-        """Of a good answer, also where the client has left: the host did the work. Figures that cannot be true are
-        left out; the value that came with them has been passed on all the same."""
+        """Of a good answer, also where the client has left: the host did the work.
+
+        Figures that cannot be true are left out; the value that came with them has been passed on
+        all the same.
+        """
         if result.status != "ok" or not self.most_units:
             return 0.0
         try:
@@ -197,7 +228,10 @@
     # To the module and back
 
     def _handle(self, event: api.Event, one: Open | None = None) -> None:
-        """An action may bring about the next event at once: the module gets it after, not within, this one."""
+        """An action may bring about the next event at once.
+
+        The module gets it after, not within, this one.
+        """
         self._events.append((event, one))
         if self._busy:
             return
@@ -260,7 +294,12 @@
         one = self.open.get(action.id)
         if one is None or self._has_ended(one) or now >= one.deadline:
             self._events.append(
-                (api.Outcome(action.id, len(one.attempts) if one else 0, action.server, "moot", 0.0), one)
+                (
+                    api.Outcome(
+                        action.id, len(one.attempts) if one else 0, action.server, "moot", 0.0
+                    ),
+                    one,
+                )
             )
             return
         if self.sent is not None:
@@ -284,10 +323,15 @@
                 action.begin_by, self._backend.hold_back, attempt, Ending.NEVER_UP
             )
         if now + left < one.deadline:
-            attempt.timer = self._scheduler.at(now + left, self._backend.give_up, attempt, Ending.TIMED_OUT)
+            attempt.timer = self._scheduler.at(
+                now + left, self._backend.give_up, attempt, Ending.TIMED_OUT
+            )
 
     def _has_ended(self, one: Open) -> bool:
-        """Whether nothing is owed any more, as the system knows it where the sockets were looked at too long ago."""
+        """Whether nothing is owed any more.
+
+        As the system knows it where the sockets were looked at too long ago.
+        """
         if not one.answered and self._scheduler.knowledge_age() > STALE and one.caller.has_left():
             self.gone(one)
         return one.answered
--- a/hazelhollow/net/operator.py
+++ b/hazelhollow/net/operator.py
@@ -35,7 +35,10 @@
         """What this limiter has written down of its acts, where it does."""
 
     def config(self, words: tuple[str, ...]) -> str | None:
-        """The answer to a call about settings that some members try first, where there is such a thing."""
+        """The answer to a call about settings that some members try first.
+
+        Where there is such a thing.
+        """
 
     def set_down(self, server: str) -> str | None:
         """None, or why it cannot be."""
@@ -68,7 +71,9 @@
 class Address:
     """The listening socket and its callers."""
 
-    def __init__(self, scheduler: sch.Scheduler, stats: Stats, desk: Desk, listen: tuple[str, int]) -> None:
+    def __init__(
+        self, scheduler: sch.Scheduler, stats: Stats, desk: Desk, listen: tuple[str, int]
+    ) -> None:
         self._scheduler, self._stats, self._desk = scheduler, stats, desk
         self._callers: dict[stream.Stream, None] = {}  # the oldest first
         self._log = Sparse(log, scheduler.clock)
--- a/hazelhollow/net/peers.py
+++ b/hazelhollow/net/peers.py
@@ -1,4 +1,7 @@
-"""Datagrams between limiters. The sender is known by its address; what is not a peer's is dropped."""
+"""Datagrams between limiters.
+
+The sender is known by its address; what is not a peer's is dropped.
+"""
 
 from __future__ import annotations
 
@@ -29,10 +32,12 @@
         self._numbers = {address: number for number, address in enumerate(peers)}
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
-        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)  # a new version beside this one
+        # a new version beside this one
+        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.bind(listen)
         self.address: tuple[str, int] = self._sock.getsockname()
-        # Gets what comes from an address that is no peer's, and says whether it was for this limiter.
+        # Gets what comes from an address that is no peer's, and says whether it was for this
+        # limiter.
         self.stranger: Callable[[str, tuple[str, int]], bool] | None = None
         self.meter: Callable[[str], None] | None = None  # is told of each datagram that has left
 
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -1,4 +1,7 @@
-"""A request as a client words it: what the settings let it say, and the command that goes on to a backend host."""
+"""A request as a client words it.
+
+What the settings let it say, and the command that goes on to a backend host.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +23,17 @@
 
 
 class Terms:
-    """What the settings let a request say. Nothing else may reach the module or a backend host: there a single
-    `nan`, or a wait of years, would spoil what is learned from all the others."""
+    """What the settings let a request say.
+
+    Nothing else may reach the module or a backend host: there a single `nan`, or a wait of years,
+    would spoil what is learned from all the others.
+    """
 
     def __init__(self, settings: api.Settings, before: Terms | None = None) -> None:
-        """`before`: those that held until now, and by which requests that are on their way were made."""
+        """`before`.
+
+        Those that held until now, and by which requests that are on their way were made.
+        """
         self.classes = {c.name: c for c in settings.classes}
         known = before.longest if before else dict[str, float]()
         changed = changed_classes(before.classes if before else {}, settings.classes)
@@ -54,9 +63,13 @@
             raise BadCommand("a field comes twice")
         if kind is None or plan not in self.plans:
             raise BadCommand("no such class or plan")
-        if (kind.effect == "safe") != (len(words) == 4) or (kind.effect == "keyed" and not fields.get("k")):
+        if (kind.effect == "safe") != (len(words) == 4) or (
+            kind.effect == "keyed" and not fields.get("k")
+        ):
             raise BadCommand("not the command for this class")
-        if not _WHOLE.fullmatch(patience) or int(patience) > math.ceil(self.longest[kind.name] * 1000):
+        if not _WHOLE.fullmatch(patience) or int(patience) > math.ceil(
+            self.longest[kind.name] * 1000
+        ):
             raise BadCommand("d out of range")
         if not _UNITS.fullmatch(units) or not 0 < float(units) <= self.most_units:
             raise BadCommand("units out of range")
@@ -91,4 +104,6 @@
 
     def command(self, wait_ms: int) -> bytes:
         words = self._words
-        return resp.command([*words[:3], b"%b%d%b" % (self._before, wait_ms, self._after), *words[4:]])
+        return resp.command(
+            [*words[:3], b"%b%d%b" % (self._before, wait_ms, self._after), *words[4:]]
+        )
--- a/hazelhollow/net/resp.py
+++ b/hazelhollow/net/resp.py
@@ -62,7 +62,9 @@
         return not self.ring and not self._stack and self._bulk < 0
 
     def _whole(self) -> list[Value] | None:
-        """The usual case, all that has come is one array of plain strings, in a quarter of the steps."""
+        """The usual case, all that has come is one array of plain strings, in a quarter of the
+        steps.
+        """
         view = self.ring.peek()
         if len(view) != len(self.ring) or len(view) > MOST_LINE or view[0] != 42:  # `*`
             return None
@@ -70,7 +72,9 @@
         words = parts[2::2]
         if parts[-1] or len(parts) != 2 * len(words) + 2 or not words or len(words) > MOST_ITEMS:
             return None
-        if parts[0] != b"*%d" % len(words) or parts[1:-1:2] != [b"$%d" % len(word) for word in words]:
+        if parts[0] != b"*%d" % len(words) or parts[1:-1:2] != [
+            b"$%d" % len(word) for word in words
+        ]:
             return None
         self.ring.clear()
         return list(words)
@@ -121,7 +125,8 @@
                 elif kind == b"-":
                     value = Fault(line[1:])
                 elif kind == b":":
-                    # Unreadable, it is still whole on its line and ruins nothing beside it: no number.
+                    # Unreadable, it is still whole on its line and ruins nothing beside it: no
+                    # number.
                     value = int(line[1:]) if _NUMBER.fullmatch(line, 1) else None
                 else:
                     raise ProtocolError("an unknown type")
--- a/hazelhollow/net/ring.py
+++ b/hazelhollow/net/ring.py
@@ -10,7 +10,10 @@
 
 
 class Ring:
-    """Bytes in their order; the buffer starts small, grows up to `most` and shrinks once it is empty."""
+    """Bytes in their order.
+
+    The buffer starts small, grows up to `most` and shrinks once it is empty.
+    """
 
     __slots__ = ("most", "_buffer", "_head", "_size")
 
@@ -38,8 +41,13 @@
         self._size = need
 
     def peek(self) -> memoryview:
-        """The bytes that lie in one piece from the head on: all of them unless the ring has wrapped."""
-        return memoryview(self._buffer)[self._head : min(self._head + self._size, len(self._buffer))]
+        """The bytes that lie in one piece from the head on.
+
+        All of them unless the ring has wrapped.
+        """
+        return memoryview(self._buffer)[
+            self._head : min(self._head + self._size, len(self._buffer))
+        ]
 
     def drop(self, count: int) -> None:
         self._size -= count
--- a/hazelhollow/net/routing.py
+++ b/hazelhollow/net/routing.py
@@ -1,4 +1,7 @@
-"""The routing table: a watch on discovery that starts from the last known list and never gives up."""
+"""The routing table.
+
+A watch on discovery that starts from the last known list and never gives up.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,20 @@
 from hazelhollow.net.stats import Stats
 
 PATH = "/discovery/hosts"
-HOLD = 1.5  # seconds that a call waits for news: a watch that has fallen silent shows so much sooner
+# seconds that a call waits for news: a watch that has fallen silent shows so much sooner
+HOLD = 1.5
 SILENCE = 0.5  # past the wait: then the call is held to be lost and a new one is made
-# Past these another call is made: what the agent has counts as told, and a drain is to be kept within 0.3 s of that. The
-# agent is on this machine, lets in and answers at once; one that takes longer is still heard, up to PATIENT.
+# Past these another call is made: what the agent has counts as told, and a drain is to be kept
+# within 0.3 s of that. The agent is on this machine, lets in and answers at once; one that takes
+# longer is still heard, up to PATIENT.
 AT_ONCE = CONNECT = 0.15  # seconds
 PATIENT = 2.0
 PAUSE = 0.1  # before another try, under the 200 ms in which a watch goes on
-_STATES: dict[str, api.ServerState] = {"in_service": "up", "terminating": "draining", "terminated": "gone"}
+_STATES: dict[str, api.ServerState] = {
+    "in_service": "up",
+    "terminating": "draining",
+    "terminated": "gone",
+}
 
 log = logging.getLogger(__name__)
 
@@ -44,12 +53,15 @@
         self.ever: set[str] = set()  # the names that a list of this life has held
 
     def apply(self, document: Any, cached: bool = False, least: int = 0) -> api.Servers:
-        """Takes in a list or the changes to it; gives the module's event. All is read before any is applied.
+        """Takes in a list or the changes to it; gives the module's event.
+
+        All is read before any is applied.
 
-        `least`: the version that changes must not go back behind. Raises TableError, with nothing changed.
-        An entry of a whole list that cannot be read is left out: asked again, discovery would only say the same, and
-        one odd entry must not hide all the others. Among changes to a list that stands it may be a drain that would
-        be missed, so there it is an error, after which the whole list is asked for.
+        `least`: the version that changes must not go back behind. Raises TableError, with nothing
+        changed. An entry of a whole list that cannot be read is left out: asked again, discovery
+        would only say the same, and one odd entry must not hide all the others. Among changes to a
+        list that stands it may be a drain that would be missed, so there it is an error, after
+        which the whole list is asked for.
         """
         try:
             version, whole, entries = (
@@ -84,7 +96,11 @@
 
     def open_addresses(self) -> dict[str, tuple[str, int]]:
         """Of the hosts that may get new work."""
-        return {name: self.addresses[name] for name, entry in self.entries.items() if entry.state == "up"}
+        return {
+            name: self.addresses[name]
+            for name, entry in self.entries.items()
+            if entry.state == "up"
+        }
 
 
 def _entry(e: Any) -> api.ServerEntry:
@@ -99,8 +115,11 @@
 
 
 class Watch:
-    """Keeps the table as discovery has it. Whatever fails, the next call follows within PAUSE and without back-off: the
-    agent is on this machine, and what it has counts as told. After a failure the call is for the whole list."""
+    """Keeps the table as discovery has it.
+
+    Whatever fails, the next call follows within PAUSE and without back-off: the agent is on this
+    machine, and what it has counts as told. After a failure the call is for the whole list.
+    """
 
     def __init__(
         self,
@@ -114,7 +133,8 @@
         """`make_room`: frees a descriptor, where one can be had, and says whether it did."""
         self._scheduler, self._stats, self.address = scheduler, stats, address
         self._table, self._changed, self._make_room = table, changed, make_room
-        self.heard = False  # whether the list that stands is the one that this watch has gone on from
+        # whether the list that stands is the one that this watch has gone on from
+        self.heard = False
         self._log = Sparse(log, scheduler.clock)
         self._driver: stream.Stream | None = None
         self._slow: stream.Stream | None = (
@@ -139,7 +159,8 @@
                 ending = self._connection()
             finally:
                 if ending is not Ending.ANSWERED:
-                    # What was told meanwhile, and to whom discovery counts it as told, is not known: so the whole list.
+                    # What was told meanwhile, and to whom discovery counts it as told, is not
+                    # known: so the whole list.
                     self.heard = False
                     self._stats.watches_lost += 1
                     self._log.say(logging.INFO, "discovery: %s", ending.name.lower())
@@ -161,7 +182,9 @@
             if late and self._slow is None:
                 self._slow = driver
                 tables = self._stats.tables
-                self._scheduler.spawn(self._await_slow, driver, parser, is_up, tables, name="slow discovery")
+                self._scheduler.spawn(
+                    self._await_slow, driver, parser, is_up, tables, name="slow discovery"
+                )
             else:
                 driver.close(ending)
         return ending
@@ -180,7 +203,9 @@
             self._log.warning("discovery: %s", error)
             return Ending.MALFORMED
 
-    def _await_slow(self, driver: stream.Stream, parser: http1.Parser, is_up: bool, tables: int) -> None:
+    def _await_slow(
+        self, driver: stream.Stream, parser: http1.Parser, is_up: bool, tables: int
+    ) -> None:
         """The answer to a call that another has followed. One call at a time is waited for so."""
         ending = Ending.BROKEN_HERE
         try:
@@ -189,9 +214,14 @@
             driver.close(ending)
             self._slow = None
 
-    def _hear_slow(self, driver: stream.Stream, parser: http1.Parser, is_up: bool, tables: int) -> Ending:
+    def _hear_slow(
+        self, driver: stream.Stream, parser: http1.Parser, is_up: bool, tables: int
+    ) -> Ending:
         """`is_up`: whether the connection was, so that the call has been sent.
-        `tables`: how many lists had been heard when it was begun; where one has come since, this one is older."""
+
+        `tables`: how many lists had been heard when it was begun; where one has come since, this
+        one is older.
+        """
         until = self._scheduler.clock() + PATIENT
         if not is_up:
             failure = driver.await_established(until)
@@ -210,7 +240,8 @@
 
     def _calls(self, driver: stream.Stream, parser: http1.Parser) -> Ending:
         while True:
-            # A watch begins with the whole list, which must come at once: the one known may be too old.
+            # A watch begins with the whole list, which must come at once: the one known may be too
+            # old.
             query = f"?from={self._table.version}&hold_ms={int(HOLD * 1000)}" if self.heard else ""
             self._ask(driver, PATH + query)
             patience = HOLD + SILENCE if self.heard else AT_ONCE
@@ -224,7 +255,9 @@
             if not answer.keep:
                 return Ending.ANSWERED
 
-    def _answer(self, driver: stream.Stream, parser: http1.Parser, until: float) -> http1.Answer | Ending:
+    def _answer(
+        self, driver: stream.Stream, parser: http1.Parser, until: float
+    ) -> http1.Answer | Ending:
         answer = parser.next()
         while answer is None:
             late = driver.wait(until) == sch.TIMEOUT
@@ -242,7 +275,9 @@
         return answer
 
     def _heard(self, body: bytes) -> None:
-        event = self._table.apply(orjson.loads(body), least=self._table.version if self.heard else 0)
+        event = self._table.apply(
+            orjson.loads(body), least=self._table.version if self.heard else 0
+        )
         self._stats.tables += 1
         self.heard = True
         if event.entries or event.kind == "full":
--- a/hazelhollow/net/scheduler.py
+++ b/hazelhollow/net/scheduler.py
@@ -1,4 +1,7 @@
-"""Greenlets over select.poll: tasks that wait for sockets, for a time or to be woken, and a heap of timers."""
+"""Greenlets over select.poll.
+
+Tasks that wait for sockets, for a time or to be woken, and a heap of timers.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,8 @@
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 TROUBLE = select.POLLERR | select.POLLHUP | select.POLLNVAL
-GONE = select.POLLRDHUP  # the other side has ended its sending, also where bytes lie before that end
+# the other side has ended its sending, also where bytes lie before that end
+GONE = select.POLLRDHUP
 TIMEOUT, WOKEN = 0, -1  # what `wait` gives beside poll's bits
 LONGEST = 1.0  # seconds in poll at most
 STILL = 0.5  # seconds by which a turn must be late for the process to have stood still
@@ -26,8 +30,8 @@
 class Clock:
     """Unix time in seconds: read once, then carried on by the monotonic clock.
 
-    Limiters share their periods and `since_ms` is Unix time, so it must be the wall's time. But a wall clock
-    can be set back, and the decision module must never see time go back.
+    Limiters share their periods and `since_ms` is Unix time, so it must be the wall's time. But a
+    wall clock can be set back, and the decision module must never see time go back.
     """
 
     def __init__(
@@ -84,7 +88,8 @@
         self._current: Task | None = None
         self._stopped = False
         self._looked = self._polled  # when it was last looked whether the process had stood still
-        # Called after a time in which the process stood still, before any task reads what came meanwhile.
+        # Called after a time in which the process stood still, before any task reads what came
+        # meanwhile.
         self.stood_still: Callable[[], object] | None = None
 
     # What tasks call
@@ -110,7 +115,9 @@
         return self._current
 
     def wait(self, fd: int = -1, events: int = 0, until: float | None = None) -> int:
-        """Until the descriptor is ready (poll's bits), the time has come (TIMEOUT) or a wake-up (WOKEN)."""
+        """Until the descriptor is ready (poll's bits), the time has come (TIMEOUT) or a wake-up
+        (WOKEN).
+        """
         task = self.current()
         if fd >= 0:
             self._waiters[fd] = task
@@ -123,7 +130,8 @@
         if timer:
             timer.cancel()
         if fd >= 0 and self._waiters.get(fd) is task:
-            del self._waiters[fd]  # poll goes on watching; `_collect` stops it if nobody waits any more
+            # poll goes on watching; `_collect` stops it if nobody waits any more
+            del self._waiters[fd]
         return result
 
     def sleep(self, seconds: float) -> None:
@@ -143,7 +151,10 @@
             self._poll.register(fd, known | events)
 
     def knowledge_age(self) -> float:
-        """Seconds since sockets were looked at last. What has happened on them since is not known here."""
+        """Seconds since sockets were looked at last.
+
+        What has happened on them since is not known here.
+        """
         return self.clock() - self._polled
 
     def forget(self, fd: int) -> None:
@@ -208,7 +219,8 @@
         ready = self._poll.poll(pause * 1000)
         self._polled = self.clock()
         self._notice_standstill(expected=pause)
-        # What is readable at once may have come any time since the last poll; else it has come just now.
+        # What is readable at once may have come any time since the last poll; else it has come just
+        # now.
         self.started_turn = before if self._polled - now < 0.0005 else self._polled
         for fd, bits in ready:
             task = self._waiters.get(fd)
@@ -219,8 +231,11 @@
                 self.wake(task, bits)
 
     def _notice_standstill(self, expected: float = 0.0) -> None:
-        """The process may be stopped at any point of a turn, not in poll alone: without this, what came meanwhile would be
-        read by what was known before. `expected`: seconds that it meant to pause."""
+        """The process may be stopped at any point of a turn, not in poll alone.
+
+        Without this, what came meanwhile would be read by what was known before. `expected`:
+        seconds that it meant to pause.
+        """
         if self.stood_still is None:
             return
         since, self._looked = self._looked, self.clock()
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -28,14 +28,19 @@
 from hazelhollow.net.stats import Stats
 from hazelhollow.simulator import wire
 
-READY_WITHIN = 0.5  # seconds: then it serves with the list it knows, though discovery has not answered
-LEAVE_AFTER = 0.5  # seconds past SIGTERM: clients come for up to 0.4 s; then connections end between requests
+# seconds: then it serves with the list it knows, though discovery has not answered
+READY_WITHIN = 0.5
+# seconds past SIGTERM: clients come for up to 0.4 s; then connections end between requests
+LEAVE_AFTER = 0.5
 STAY = (
-    0.7  # seconds past SIGTERM: what comes later might not be answered before SIGKILL, and is taken by nobody
+    # seconds past SIGTERM: what comes later might not be answered before SIGKILL, and is taken by
+    # nobody
+    0.7
 )
 STEP = 0.02
 BANS_EVERY = (
-    0.25  # seconds between looks at the file of bans, which a process beside this one may have changed
+    # seconds between looks at the file of bans, which a process beside this one may have changed
+    0.25
 )
 RESERVE = 32  # descriptors for all that is neither a client's nor a backend host's
 
@@ -45,10 +50,15 @@
 
 
 class Attachment(Protocol):
-    """What an operator file adds to a limiter; without one there is none, and nothing of it is imported."""
+    """What an operator file adds to a limiter.
+
+    Without one there is none, and nothing of it is imported.
+    """
 
     def settings(self, settings: api.Settings) -> api.Settings: ...
-    def decisions(self, inner: Decisions, settings: api.Settings, seed: int, now: float) -> Decisions: ...
+    def decisions(
+        self, inner: Decisions, settings: api.Settings, seed: int, now: float
+    ) -> Decisions: ...
     def begin(self, service: Service) -> None: ...
     def reload(self, taken: bool) -> None: ...
     def settings_in_force(self) -> None: ...
@@ -61,11 +71,17 @@
 
 
 class Service:
-    def __init__(self, config: Config, scheduler: sch.Scheduler, attached: Attachment | None = None) -> None:
+    def __init__(
+        self, config: Config, scheduler: sch.Scheduler, attached: Attachment | None = None
+    ) -> None:
         self.scheduler, self.stats = scheduler, Stats()
         room = max(16, config.sockets - RESERVE)
         self.backend = Backend(
-            scheduler, self.stats, config.connect_timeout, config.conn_idle, most_lines=room * 2 // 5
+            scheduler,
+            self.stats,
+            config.connect_timeout,
+            config.conn_idle,
+            most_lines=room * 2 // 5,
         )
         self.attached = attached
         self.settings, self.document = self._own(config.settings), config.document
@@ -82,7 +98,12 @@
             self.limiter.told(self.table.apply(config.known, cached=True))
             self.backend.update(self.table.open_addresses())
         self.watch = Watch(
-            scheduler, self.stats, config.discovery, self.table, self._changed, self._free_descriptor
+            scheduler,
+            self.stats,
+            config.discovery,
+            self.table,
+            self._changed,
+            self._free_descriptor,
         )
         self.backend.make_room = self._free_descriptor
         if config.peer_listen:
@@ -110,7 +131,10 @@
         )
 
     def _free_descriptor(self) -> bool:
-        """For a connection to a backend host or to discovery, which serve all clients: an idle one goes for it."""
+        """For a connection to a backend host or to discovery, which serve all clients.
+
+        An idle one goes for it.
+        """
         return self.frontend.free_descriptor()
 
     def start(self) -> None:
@@ -172,18 +196,25 @@
                 self.scheduler.clock() - self.began,
                 self.stats.requests,
             )
-        # First the module: an attempt that has not left for a host that goes ends with `update`, and the module
-        # then chooses anew from the list as it stands.
+        # First the module: an attempt that has not left for a host that goes ends with `update`,
+        # and the module then chooses anew from the list as it stands.
         self.limiter.told(event)
         self._update_hosts()
         self.frontend.ready()
 
     def _update_hosts(self) -> None:
-        """An attempt that has not left for a host that drains, is gone or was put out by hand never will."""
-        self.backend.update({k: v for k, v in self.table.open_addresses().items() if k not in self.banned})
+        """An attempt that has not left for a host that drains, is gone or was put out by hand never
+        will.
+        """
+        self.backend.update(
+            {k: v for k, v in self.table.open_addresses().items() if k not in self.banned}
+        )
 
     def reload(self, reread: Callable[[], Config]) -> None:
-        """Takes the addresses of the new file; clients, attempts and budgets stay. A bad file changes nothing."""
+        """Takes the addresses of the new file; clients, attempts and budgets stay.
+
+        A bad file changes nothing.
+        """
         try:
             config = reread()
             _changeable(self.settings, config.settings)
@@ -210,7 +241,8 @@
     def _retune(self, told: api.Settings, document: Mapping[str, Any]) -> None:
         self.document, settings = document, self._own(told)
         if settings != self.settings:
-            # Requests that are open keep the class and the attempts that they came with; new ones take the new.
+            # Requests that are open keep the class and the attempts that they came with; new ones
+            # take the new.
             self.settings = settings
             self.gateway.retune(settings)
             self.frontend.terms = Terms(settings, self.frontend.terms)
@@ -227,7 +259,10 @@
         return ""
 
     def take_settings(self, document: Mapping[str, Any]) -> str:
-        """Settings that a peer has given, as a file's would be read; what is wrong with them, or nothing."""
+        """Settings that a peer has given, as a file's would be read.
+
+        What is wrong with them, or nothing.
+        """
         trouble = self.check_settings(document) if document is not self._checked[0] else ""
         settings, self._checked = self._checked[1], (None, self.settings)
         if not trouble:
@@ -279,7 +314,10 @@
 
 
 def _changeable(old: api.Settings, new: api.Settings) -> None:
-    """What a running limiter cannot take: who it is among the others, and the plans that its budgets belong to."""
+    """What a running limiter cannot take.
+
+    Who it is among the others, and the plans that its budgets belong to.
+    """
     if (old.me, old.gateways, old.plans) != (new.me, new.gateways, new.plans):
         raise ConfigError("plans, position and the number of limiters change with a restart only")
 
@@ -336,8 +374,8 @@
 ) -> None:
     """Until SIGTERM or SIGINT. SIGHUP reads the configuration again, SIGUSR1 prints the counters.
 
-    `counters`: seconds after which they are printed again and again, at whole multiples of that on the clock, so that
-    the lines of several limiters belong together.
+    `counters`: seconds after which they are printed again and again, at whole multiples of that on
+    the clock, so that the lines of several limiters belong together.
     """
     scheduler = sch.Scheduler(sch.Clock())
     service = Service(config, scheduler, attached)
@@ -364,7 +402,8 @@
     while True:
         service.scheduler.wait(source.fileno(), sch.READ)
         for number in source.recv(64):
-            # Each in a task of its own: where one fails, those that came with it are acted on all the same.
+            # Each in a task of its own: where one fails, those that came with it are acted on all
+            # the same.
             service.scheduler.spawn(_act_on, number, service, reread, name="signal")
 
 
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -14,7 +14,8 @@
 if TYPE_CHECKING:
     from hazelhollow.net.frontend import Frontend
 
-MOST_PIPELINED = 64  # commands of one connection that are not answered yet; past it nothing more is read
+# commands of one connection that are not answered yet; past it nothing more is read
+MOST_PIPELINED = 64
 MOST_OUT = 4 * resp.MOST_BYTES  # answers that a client has not taken
 CHUNK = 16 * 1024  # read at a time
 BATCH = 16  # commands of one connection that are taken before others get their turn
@@ -27,7 +28,8 @@
 REST = 10.0  # seconds that a connection may be idle
 LINGER = 1.0  # seconds in which a client may end its side of a connection that has been ended here
 LINGER_BYTES = 1 << 20  # that it may still send meanwhile
-FIRST_WITHIN = 0.25  # seconds in which a new connection's first command may come to a limiter that leaves
+# seconds in which a new connection's first command may come to a limiter that leaves
+FIRST_WITHIN = 0.25
 # Endings that owe nothing more: the client has had its answers, and must be able to read them.
 ORDERLY = (Ending.IDLE, Ending.NO_DESCRIPTOR, Ending.SHUTDOWN, Ending.MALFORMED)
 
@@ -43,8 +45,9 @@
         self.open: Open | None = None
 
     def settle(self, answer: bytes) -> None:
-        # Without `open`: a record and its place would hold each other, and both hold the session and its rings,
-        # until the cycle collector came. Memory would grow by all that it had not found yet.
+        # Without `open`: a record and its place would hold each other, and both hold the session
+        # and its rings, until the cycle collector came. Memory would grow by all that it had not
+        # found yet.
         self.answer, self.size, self.open = answer, len(answer), None
         self.session.push()
 
@@ -76,20 +79,24 @@
         self._parser = resp.Parser()
         self._slots: deque[Slot] = deque()
         self._progress = (0, 0.0)  # bytes taken by the client, and since when
-        self._connected, self._spoke = now, False  # since when, and whether it has ever sent a whole command
+        # since when, and whether it has ever sent a whole command
+        self._connected, self._spoke = now, False
         self._begun: float | None = (
             now  # since when a command is awaited: the first, or one of which a part came
         )
         self._more = False  # there may be another whole command among what was read
         self._came = now  # what was read last, which may have to wait here for its turn
         self._bad = 0  # commands in a row
-        self._allowed, self._allowed_at = TURNED_AWAY_AT_ONCE, now  # to be turned away without having to wait
+        # to be turned away without having to wait
+        self._allowed, self._allowed_at = TURNED_AWAY_AT_ONCE, now
         self._doomed: float | None = None  # since when only what is owed is still answered
         self.idle_since = now
         self.finishing = False
         self.taking = True  # more commands; else it ends once what was taken is answered
-        self._awaited = 0.0  # until when its first command is waited for, even by a limiter that leaves
-        self._lingers: Ending | None = None  # why it has ended here, while the client may still be sending
+        # until when its first command is waited for, even by a limiter that leaves
+        self._awaited = 0.0
+        # why it has ended here, while the client may still be sending
+        self._lingers: Ending | None = None
 
     def run(self) -> None:
         ending = Ending.BROKEN_HERE
@@ -101,9 +108,12 @@
                 self._linger()
 
     def end(self, ending: Ending) -> None:
-        """The one place in which a client's connection ends. To close it over unread bytes, or while some are on
-        their way, would reset it, and the client would lose its last answer: where nothing more is owed the
-        sending side alone is shut, and the session's own task reads on to the client's end."""
+        """The one place in which a client's connection ends.
+
+        To close it over unread bytes, or while some are on their way, would reset it, and the
+        client would lose its last answer: where nothing more is owed the sending side alone is
+        shut, and the session's own task reads on to the client's end.
+        """
         if self._lingers:
             return
         frontend = self._frontend
@@ -123,7 +133,10 @@
                 frontend.limiter.gone(one)
 
     def _linger(self) -> None:
-        """What comes now crossed the end: it is read by nobody, and its client sends it again elsewhere."""
+        """What comes now crossed the end.
+
+        It is read by nobody, and its client sends it again elsewhere.
+        """
         self._parser = resp.Parser()  # what it holds is nobody's any more
         self._driver.drain(LINGER, LINGER_BYTES)
         self.forgo()
@@ -134,8 +147,16 @@
         self._frontend.places.lingering.pop(self, None)
 
     def resting(self) -> bool:
-        """Between requests, so that it may be closed: also none waits unread, which the client would have lost."""
-        return not self._is_awaited() and self._settled() and self._parser.idle() and self._driver.alive()
+        """Between requests, so that it may be closed.
+
+        Also none waits unread, which the client would have lost.
+        """
+        return (
+            not self._is_awaited()
+            and self._settled()
+            and self._parser.idle()
+            and self._driver.alive()
+        )
 
     def _is_awaited(self) -> bool:
         return self._frontend.scheduler.clock() < self._awaited
@@ -145,17 +166,26 @@
 
     def held(self) -> int:
         """Bytes in memory on this client's account."""
-        return self._parser.held() + len(self._driver.out) + sum([slot.size for slot in self._slots])
+        return (
+            self._parser.held() + len(self._driver.out) + sum([slot.size for slot in self._slots])
+        )
 
     def finish(self, taking: bool = True) -> None:
-        """To be closed between requests, now or after the last answer. `taking`: its commands until then."""
-        if not self.finishing and not self._spoke:  # the client has been let in, and may just be sending
+        """To be closed between requests, now or after the last answer.
+
+        `taking`: its commands until then.
+        """
+        # the client has been let in, and may just be sending
+        if not self.finishing and not self._spoke:
             self._awaited = self._connected + FIRST_WITHIN
         self.finishing, self.taking = True, self.taking and taking
         self._driver.wake()
 
     def overdue(self, now: float) -> Ending | None:
-        """Why it has to go, if it has: who is slow or says nothing must not keep others from a place."""
+        """Why it has to go, if it has.
+
+        Who is slow or says nothing must not keep others from a place.
+        """
         if self._driver.out:
             if self._progress[0] != self._driver.written or not self._progress[1]:
                 self._progress = self._driver.written, now
@@ -176,8 +206,10 @@
         return self._driver.other_side_ended()
 
     def turned_away(self) -> None:
-        """Whoever asks again at once, however often, takes no more than its share of the processor. Refusals and
-        errors count, and what asks for no work."""
+        """Whoever asks again at once, however often, takes no more than its share of the processor.
+
+        Refusals and errors count, and what asks for no work.
+        """
         self._refill()
         self._allowed -= 1.0
 
@@ -214,13 +246,18 @@
                 if self.finishing and (self.resting() or (not self._takes() and self._settled())):
                     return Ending.SHUTDOWN
             until, events = None, sch.READ
-            if not self._takes() or len(self._slots) >= MOST_PIPELINED or len(driver.out) > MOST_OUT // 2:
+            if (
+                not self._takes()
+                or len(self._slots) >= MOST_PIPELINED
+                or len(driver.out) > MOST_OUT // 2
+            ):
                 events = 0
             elif self._allowed < 0.0:
                 until, events = self._allowed_at - self._allowed / TURNED_AWAY, 0
             elif self._more:
                 until, events = clock(), 0  # the next turn: others come first
-            # That the client has gone shows also while nothing is read, or behind what is not read yet.
+            # That the client has gone shows also while nothing is read, or behind what is not read
+            # yet.
             bits = driver.wait(until, events | sch.GONE)
             self.push()
             if self._lingers:
@@ -271,7 +308,11 @@
                 elif self._begun is None:
                     self._begun = self._frontend.scheduler.clock()
                 return
-            if not isinstance(value, list) or not value or not all(isinstance(w, bytes) for w in value):
+            if (
+                not isinstance(value, list)
+                or not value
+                or not all(isinstance(w, bytes) for w in value)
+            ):
                 raise resp.ProtocolError("a command is an array of strings")
             words: list[bytes] = [w for w in value if isinstance(w, bytes)]
             slot = Slot(self)
@@ -280,7 +321,8 @@
             self._begun, self._awaited, self._spoke = None, 0.0, True
             self._command(words, slot)
             if self._bad >= MOST_BAD:
-                # Each bad command has had its answer: one more would be taken for the answer to the next.
+                # Each bad command has had its answer: one more would be taken for the answer to the
+                # next.
                 self._frontend.stats.malformed += 1
                 self._doomed = self._frontend.scheduler.clock()
                 return
@@ -308,8 +350,9 @@
             if frontend.is_ready():
                 self._ask(words, slot, came)
             else:
-                # The list that it was started with may be old: a host that it names may drain by now. Discovery's
-                # first answer comes within some milliseconds; until then, or READY_WITHIN, requests wait here.
+                # The list that it was started with may be old: a host that it names may drain by
+                # now. Discovery's first answer comes within some milliseconds; until then, or
+                # READY_WITHIN, requests wait here.
                 frontend.when_ready(lambda: self._ask(words, slot, came))
             return
         self.turned_away()
--- a/hazelhollow/net/sparse.py
+++ b/hazelhollow/net/sparse.py
@@ -30,6 +30,9 @@
         self._allowed -= 1.0
         untold, self.untold = self.untold, 0
         self._log.log(
-            level, text + (" (%d more not logged)" if untold else ""), *args, *((untold,) if untold else ())
+            level,
+            text + (" (%d more not logged)" if untold else ""),
+            *args,
+            *((untold,) if untold else ()),
         )
         return True
--- a/hazelhollow/net/stats.py
+++ b/hazelhollow/net/stats.py
@@ -1,4 +1,7 @@
-"""Counters: what the limiter takes in, sends and answers. Plain numbers, printed on request and at exit."""
+"""Counters: what the limiter takes in, sends and answers.
+
+Plain numbers, printed on request and at exit.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,8 @@
         self.rescued = 0  # requests answered here because the module had not
         self.attempts = self.reused = self.opened = self.no_descriptor = 0  # backend hosts
         self.ok_seconds = 0.0  # that attempts which served took, together
-        self.settled = self.figures_bad = 0  # answers with true units, and with figures that cannot be true
+        # answers with true units, and with figures that cannot be true
+        self.settled = self.figures_bad = 0
         self.outcomes: Counter[str] = Counter()
         self.endings: Counter[Ending] = Counter()
         self.tables = self.watches_lost = 0  # routing
@@ -33,7 +37,8 @@
         self.view: Counter[str] = Counter()  # the fleet's, where an operator file switches it on
         self.replica: Counter[str] = Counter()
         self.control: dict[str, Any] = {}  # the budget's, by role, where an operator file sets one
-        self.store: dict[str, dict[str, Any]] = {}  # the shared store, where an operator file has one
+        # the shared store, where an operator file has one
+        self.store: dict[str, dict[str, Any]] = {}
 
     def reply(self, kind: str, what: str) -> None:
         """A final answer to a request of that class: `success`, `overload` or `error`."""
@@ -50,6 +55,8 @@
             if name == "replies":
                 value = {kind: dict(counts) for kind, counts in value.items()}
             elif isinstance(value, Counter):
-                value = {str(getattr(key, "name", key)).lower(): count for key, count in value.items()}
+                value = {
+                    str(getattr(key, "name", key)).lower(): count for key, count in value.items()
+                }
             values[name] = value
         return orjson.dumps(values).decode()
--- a/hazelhollow/net/stream.py
+++ b/hazelhollow/net/stream.py
@@ -22,7 +22,10 @@
     timeout: float,
     keep: Callable[[Stream], None] = lambda stream: None,
 ) -> Stream | Ending:
-    """A new connection. Blocks its task until it is up or has failed; `keep` gets hold of it before."""
+    """A new connection.
+
+    Blocks its task until it is up or has failed; `keep` gets hold of it before.
+    """
     stream = unconnected(scheduler, most)
     if isinstance(stream, Ending):
         return stream
@@ -34,7 +37,10 @@
 
 
 def unconnected(scheduler: sch.Scheduler, most: int) -> Stream | Ending:
-    """A socket for a connection that `Stream.establish` begins; NO_DESCRIPTOR where this machine has none left."""
+    """A socket for a connection that `Stream.establish` begins.
+
+    NO_DESCRIPTOR where this machine has none left.
+    """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
@@ -45,8 +51,11 @@
 def accepted(
     scheduler: sch.Scheduler, listener: socket.socket, pause: float = 0.05
 ) -> Iterator[socket.socket]:
-    """Connections as they come to a listening socket. With no descriptor left it pauses first: poll would say at once
-    that a connection waits, and the loop would take the processor from all else."""
+    """Connections as they come to a listening socket.
+
+    With no descriptor left it pauses first: poll would say at once that a connection waits, and the
+    loop would take the processor from all else.
+    """
     while True:
         scheduler.wait(listener.fileno(), sch.READ)
         try:
@@ -60,7 +69,17 @@
 class Stream:
     """One connection; one task at a time reads from it."""
 
-    __slots__ = ("scheduler", "out", "written", "ending", "on_broken", "_sock", "_fd", "_dirty", "_task")
+    __slots__ = (
+        "scheduler",
+        "out",
+        "written",
+        "ending",
+        "on_broken",
+        "_sock",
+        "_fd",
+        "_dirty",
+        "_task",
+    )
 
     def __init__(self, scheduler: sch.Scheduler, sock: socket.socket, most: int) -> None:
         sock.setblocking(False)
@@ -74,7 +93,10 @@
         self._task: sch.Task | None = None
 
     def establish(self, address: tuple[str, int], until: float) -> Ending | None:
-        """Begins to connect and blocks its task until the connection is up or has failed; why it has, if it has."""
+        """Begins to connect and blocks its task until the connection is up or has failed.
+
+        Why it has, if it has.
+        """
         return self._await_connected(self._sock.connect_ex(address), until)
 
     def await_established(self, until: float) -> Ending | None:
@@ -100,7 +122,8 @@
         """Until there is something to read, or a part of what waits to be written has gone out."""
         self._task = self.scheduler.current()
         if self._dirty:
-            self.flush()  # else poll would be asked for room to write, which there is, and come back at once
+            # else poll would be asked for room to write, which there is, and come back at once
+            self.flush()
         if self.ending:
             return sch.WOKEN
         bits = self.scheduler.wait(self._fd, events | (sch.WRITE if self.out else 0), until)
@@ -109,10 +132,11 @@
         return bits
 
     def rest(self) -> None:
-        """Until woken, with nothing expected from the other side and so without a place in poll's list.
+        """Until woken, with nothing expected from the other side and so without a place in poll's
+        list.
 
-        Each blocking poll costs some 0.35 µs of CPU a descriptor in its list, and most connections to backend
-        hosts are idle. Their end shows by `alive` before they are used again.
+        Each blocking poll costs some 0.35 µs of CPU a descriptor in its list, and most connections
+        to backend hosts are idle. Their end shows by `alive` before they are used again.
         """
         self._task = self.scheduler.current()
         self.scheduler.forget(self._fd)
@@ -129,7 +153,7 @@
         return False
 
     def other_side_ended(self) -> bool:
-        """Whether the other side has ended its sending, also behind bytes that nobody has read yet."""
+        """Whether the other side has ended its sending, also behind unread bytes."""
         if self.ending is not None:
             return True
         poll = select.poll()
@@ -183,7 +207,10 @@
             self.close(ending)
 
     def end_sending(self) -> None:
-        """The other side reads all that was written and then the end; what it says meanwhile can still be read."""
+        """The other side reads all that was written and then the end.
+
+        What it says meanwhile can still be read.
+        """
         self.flush()
         if self.ending is None:
             try:
@@ -192,8 +219,10 @@
                 self.close(Ending.RESET)
 
     def drain(self, seconds: float, most: int) -> None:
-        """Blocks its task until the other side has ended too, for so long and so many bytes at most. Closed over bytes
-        that nobody has read, a connection is reset, and what the other side has not read yet may be lost with it."""
+        """Blocks its task until the other side has ended too, for so long and so many bytes at
+        most. Closed over bytes that nobody has read, a connection is reset, and what the other
+        side has not read yet may be lost with it.
+        """
         until = self.scheduler.clock() + seconds
         while self.ending is None and most > 0 and self.wait(until) != sch.TIMEOUT:
             data = self.read(CHUNK)
--- a/hazelhollow/net/tls.py
+++ b/hazelhollow/net/tls.py
@@ -1,4 +1,6 @@
-"""TLS as a layer that is fed bytes: `ssl.MemoryBIO` either way, no socket (RFC 8446; the `ssl` module's documentation).
+"""TLS as a layer that is fed bytes.
+
+`ssl.MemoryBIO` either way, no socket (RFC 8446; the `ssl` module's documentation).
 
 Not imported where no operator file asks for it.
 """
@@ -33,7 +35,9 @@
     def __init__(self, made: ssl.SSLContext, server_name: str = "") -> None:
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
         side = made.protocol == ssl.PROTOCOL_TLS_SERVER
-        self._tls = made.wrap_bio(self._in, self._out, server_side=side, server_hostname=server_name or None)
+        self._tls = made.wrap_bio(
+            self._in, self._out, server_side=side, server_hostname=server_name or None
+        )
         self._shaken = False
         self._held = bytearray()  # plain bytes that wait for the handshake
 
@@ -51,7 +55,10 @@
         return self._out.read()
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Bytes from the other side: the plain ones they hold, and what is to be sent in turn. Raises `ssl.SSLError`."""
+        """Bytes from the other side: the plain ones they hold, and what is to be sent in turn.
+
+        Raises `ssl.SSLError`.
+        """
         self._in.write(data)
         if not self._shaken:
             self._shake()
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -1,4 +1,7 @@
-"""What an operator file switches on in a running limiter: its logs now, its subsystems as they are built."""
+"""What an operator file switches on in a running limiter.
+
+Its logs now, its subsystems as they are built.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +84,10 @@
 
 
 class Attached:
-    """One limiter's subsystems, from its start to its end. Every call comes from the limiter's own thread."""
+    """One limiter's subsystems, from its start to its end.
+
+    Every call comes from the limiter's own thread.
+    """
 
     def __init__(self, file: str, operator: records.Operator) -> None:
         self.file, self.operator = file, operator
@@ -104,7 +110,9 @@
             return settings
         return with_gossip_rate(settings, terms.bytes_per_s)
 
-    def decisions(self, inner: Decisions, settings: api.Settings, seed: int, now: float) -> Decisions:
+    def decisions(
+        self, inner: Decisions, settings: api.Settings, seed: int, now: float
+    ) -> Decisions:
         """The decision module, with what stands before it."""
         self._seed = seed
         terms = self.operator.store
@@ -132,7 +140,8 @@
         settings, peers = service.settings, service.limiter.peers
         if peers is None or not settings.peers or settings.gateways < 2:
             log.warning(
-                "no view of the fleet: the configuration allows no datagrams between limiters, or there is one alone"
+                "no view of the fleet: the configuration allows no datagrams between "
+                "limiters, or there is one alone"
             )
             return
         if terms.control:
@@ -170,7 +179,9 @@
             self._begin_audit(service, self.fleet, terms.audit)
 
     def _begin_control(self, service: Service, peers: Peers, terms: records.Control) -> None:
-        self._budget = LimiterBudget(terms.bytes_per_s, peers, service.scheduler.clock, self.seal.length)
+        self._budget = LimiterBudget(
+            terms.bytes_per_s, peers, service.scheduler.clock, self.seal.length
+        )
         self.control = self._budget.budget
         service.stats.control = {role.value: self.control.usage[role] for role in Role}
 
@@ -178,7 +189,9 @@
         """What that role asks before it sends; nothing where there is no budget."""
         return self._budget.part(role) if self._budget else None
 
-    def _begin_replica(self, service: Service, fleet: FleetDriver, terms: records.Replicate) -> None:
+    def _begin_replica(
+        self, service: Service, fleet: FleetDriver, terms: records.Replicate
+    ) -> None:
         peers = service.limiter.peers
         assert peers is not None
         file = (
@@ -204,9 +217,15 @@
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: FleetDriver, terms: records.Audit) -> None:
-        peers, me, life = service.limiter.peers, service.settings.me, int(service.scheduler.clock() * 1000)
+        peers, me, life = (
+            service.limiter.peers,
+            service.settings.me,
+            int(service.scheduler.clock() * 1000),
+        )
         assert peers is not None
-        segments = Segments(Path(terms.state_dir), me, life, self._writer) if terms.state_dir else None
+        segments = (
+            Segments(Path(terms.state_dir), me, life, self._writer) if terms.state_dir else None
+        )
         service.limiter.sent, service.limiter.most_samples = Counter(), terms.samples
         self.audit = AuditDriver(
             service.scheduler,
@@ -226,7 +245,10 @@
         return terms.order if terms else 0
 
     def ready(self) -> bool:
-        """Whether it may be given work: as a member that the others know, and on no older settings than they."""
+        """Whether it may be given work.
+
+        As a member that the others know, and on no older settings than they.
+        """
         return self.fleet is None or self.fleet.acts()
 
     def view(self) -> dict[str, Any] | None:
@@ -272,8 +294,11 @@
             log.warning("the disk is too slow: what was to be written last is lost")
 
     def reload(self, taken: bool) -> None:
-        """SIGHUP: takes what can be taken live and says what needs a restart. A bad file changes nothing. `taken`: whether the
-        configuration was; else the order that goes with it is not this limiter's yet."""
+        """SIGHUP: takes what can be taken live and says what needs a restart.
+
+        A bad file changes nothing. `taken`: whether the configuration was; else the order that goes
+        with it is not this limiter's yet.
+        """
         try:
             new = load.load(self.file)
         except CueError as error:
@@ -303,7 +328,10 @@
 
 
 def open_file(file: str) -> Attached:
-    """Reads the file and sets up logs. Ends the program, with a line for each trouble, if it cannot be used."""
+    """Reads the file and sets up logs.
+
+    Ends the program, with a line for each trouble, if it cannot be used.
+    """
     try:
         operator = load.load(file)
     except CueError as error:
--- a/hazelhollow/operator/commands.py
+++ b/hazelhollow/operator/commands.py
@@ -20,8 +20,9 @@
 def config() -> None:
     """Look at operator files: our own settings, in a subset of CUE.
 
-    An operator file switches on what the platform's JSON does not know, such as the shared store. Start from
-    deploy/operator.cue; hazelhollow/operator/schema.cue lists every setting with its limits and its default.
+    An operator file switches on what the platform's JSON does not know, such as the shared store.
+    Start from deploy/operator.cue; hazelhollow/operator/schema.cue lists every setting with its
+    limits and its default.
     """
 
 
@@ -31,15 +32,24 @@
 def check(file: str, as_json: bool) -> None:
     """Say what is wrong with FILE, all of it at once.
 
-    Exit status 0: the file can be used. 2: it cannot; each trouble is one line with file, line, column, path, what was
-    found and what is allowed.
+    Exit status 0: the file can be used. 2: it cannot; each trouble is one line with file, line,
+    column, path, what was found and what is allowed.
     """
     try:
         load.load(file)
     except CueError as error:
         if as_json:
-            rows = [{"file": t.place.file, "line": t.place.line, "column": t.place.column, "path": t.path, "found": t.found,
-                     "allowed": t.allowed} for t in error.troubles]  # fmt: skip
+            rows = [
+                {
+                    "file": t.place.file,
+                    "line": t.place.line,
+                    "column": t.place.column,
+                    "path": t.path,
+                    "found": t.found,
+                    "allowed": t.allowed,
+                }
+                for t in error.troubles
+            ]
             click.echo(orjson.dumps(rows).decode())
             sys.exit(BAD)
         fail(error)
@@ -72,7 +82,8 @@
             lines += [label + "{", *_lines(part, depth + 1), "\t" * depth + "}"]
         else:
             lines.append(
-                label + ("[" + ", ".join(map(show, part)) + "]" if isinstance(part, list) else show(part))
+                label
+                + ("[" + ", ".join(map(show, part)) + "]" if isinstance(part, list) else show(part))
             )
     return lines
 
--- a/hazelhollow/operator/constraints.py
+++ b/hazelhollow/operator/constraints.py
@@ -1,4 +1,7 @@
-"""Bounds on a value: comparisons and patterns, which operands they take, and whether a value keeps to them."""
+"""Bounds on a value.
+
+Comparisons and patterns, which operands they take, and whether a value keeps to them.
+"""
 
 from __future__ import annotations
 
--- a/hazelhollow/operator/describe.py
+++ b/hazelhollow/operator/describe.py
@@ -26,7 +26,9 @@
     if isinstance(expr, Conjunction):
         return " & ".join(map(describe, expr.parts))
     if isinstance(expr, Disjunction):
-        return " | ".join("*" * choice.is_default + describe(choice.expr) for choice in expr.choices)
+        return " | ".join(
+            "*" * choice.is_default + describe(choice.expr) for choice in expr.choices
+        )
     if isinstance(expr, Struct):
         return "{" + ", ".join(field.label for field in expr.fields) + "}"
     return "a list of " + (describe(expr.rest) if expr.rest else "values")
--- a/hazelhollow/operator/diagnostics.py
+++ b/hazelhollow/operator/diagnostics.py
@@ -8,7 +8,10 @@
 
 
 class Diagnostics:
-    """The troubles of one evaluation. `own_file`: whose places are told where there is a choice of places."""
+    """The troubles of one evaluation.
+
+    `own_file`: whose places are told where there is a choice of places.
+    """
 
     def __init__(self, own_file: str) -> None:
         self.own_file = own_file
--- a/hazelhollow/operator/evaluate.py
+++ b/hazelhollow/operator/evaluate.py
@@ -1,8 +1,9 @@
 """Syntax trees to plain values: unification, closed definitions, defaults, references.
 
-Source: the CUE language specification, sections "Values", "Structs", "References", "Default values". A node stands for
-one path; it gathers the expressions that bear on it (its conjuncts, each with the scope it was written in) and is worked
-out when all of them are known. Work is bounded by MOST_STEPS, whatever a file refers to.
+Source: the CUE language specification, sections "Values", "Structs", "References", "Default
+values". A node stands for one path; it gathers the expressions that bear on it (its conjuncts, each
+with the scope it was written in) and is worked out when all of them are known. Work is bounded by
+MOST_STEPS, whatever a file refers to.
 """
 
 from __future__ import annotations
@@ -45,7 +46,10 @@
 
 
 class Fit(NamedTuple):
-    """A combination of choices that unifies: whether all are defaults, the value, and the node that has it."""
+    """A combination of choices that unifies.
+
+    Whether all are defaults, the value, and the node that has it.
+    """
 
     is_default: bool
     value: Value
@@ -53,7 +57,10 @@
 
 
 class Evaluator:
-    """Works out nodes and gathers what is wrong. `own_file`: whose places are told where there is a choice of places."""
+    """Works out nodes and gathers what is wrong.
+
+    `own_file`: whose places are told where there is a choice of places.
+    """
 
     def __init__(self, own_file: str) -> None:
         self._diagnostics = Diagnostics(own_file)
@@ -75,19 +82,29 @@
         self._diagnostics.report(node, own_place, found, self._allowed(node) or allowed)
 
     def _allowed(self, node: Node) -> str:
-        """What the others say of this node: the definitions' words, names of definitions looked through."""
+        """What the others say of this node.
+
+        The definitions' words, names of definitions looked through.
+        """
         words = []
         for conjunct in node.conjuncts:
             if not self._diagnostics.is_own(conjunct.expr.place):
                 is_reference = isinstance(conjunct.expr, Reference)
                 target = self._target(node, conjunct, quiet=True) if is_reference else None
-                words += [describe(c.expr) for c in target.conjuncts] if target else [describe(conjunct.expr)]
+                words += (
+                    [describe(c.expr) for c in target.conjuncts]
+                    if target
+                    else [describe(conjunct.expr)]
+                )
         return " & ".join(dict.fromkeys(words))
 
     # Gathering
 
     def expand(self, node: Node) -> None:
-        """Takes all conjuncts apart: what kinds, bounds and fields there are. Values of fields wait."""
+        """Takes all conjuncts apart: what kinds, bounds and fields there are.
+
+        Values of fields wait.
+        """
         if node.state is not State.NEW:
             return
         node.state = State.OPEN
@@ -104,7 +121,10 @@
         node.state = State.DONE
 
     def _take(self, node: Node, conjunct: Conjunct) -> list[Conjunct]:
-        """Takes one conjunct; gives those it consists of, where it does not bear on the node by itself."""
+        """Takes one conjunct.
+
+        Gives those it consists of, where it does not bear on the node by itself.
+        """
         expr = conjunct.expr
         if isinstance(expr, Conjunction):
             return [conjunct.with_expr(part) for part in expr.parts]
@@ -130,7 +150,9 @@
         if both:
             node.kinds = both
         else:
-            self._report_value(node, place, self._diagnostics.found(node), " or ".join(sorted(node.kinds)))
+            self._report_value(
+                node, place, self._diagnostics.found(node), " or ".join(sorted(node.kinds))
+            )
 
     def _set_value(self, node: Node, value: Concrete, place: Place) -> None:
         if node.is_known and (node.value != value or kind_of(node.value) != kind_of(value)):
@@ -186,13 +208,18 @@
     # Disjunctions
 
     def _choose(self, node: Node) -> None:
-        """Tries each combination; the one that fits is taken, or of several the one that is the default."""
+        """Tries each combination.
+
+        The one that fits is taken, or of several the one that is the default.
+        """
         fits = self._fits(node)
         best = [fit for fit in fits if fit.is_default] or fits
         if best and all(fit.value == best[0].value for fit in best):
             node.adopt(best[0].node)
             return
-        found = "several values fit, and none is the default" if best else self._diagnostics.found(node)
+        found = (
+            "several values fit, and none is the default" if best else self._diagnostics.found(node)
+        )
         self._diagnostics.report(
             node, self._diagnostics.own_place(node, node.place), found, self._allowed(node)
         )
@@ -201,7 +228,10 @@
     def _fits(self, node: Node) -> list[Fit]:
         combinations = list(product(*[disjunction.choices for disjunction, _ in node.disjunctions]))
         self._nested_disjunctions += 1
-        if len(combinations) > MOST_COMBINATIONS or self._nested_disjunctions > MOST_NESTED_DISJUNCTIONS:
+        if (
+            len(combinations) > MOST_COMBINATIONS
+            or self._nested_disjunctions > MOST_NESTED_DISJUNCTIONS
+        ):
             raise WorkLimitError
         is_single = len(combinations) == 1 and len(node.disjunctions) == 1
         must_fit = is_single and all(isinstance(c.expr, Disjunction) for c in node.conjuncts)
@@ -213,7 +243,9 @@
         self._nested_disjunctions -= 1
         return fits
 
-    def _try_combination(self, node: Node, combination: tuple[Choice, ...], must_fit: bool) -> Fit | None:
+    def _try_combination(
+        self, node: Node, combination: tuple[Choice, ...], must_fit: bool
+    ) -> Fit | None:
         chosen = [
             conjunct.with_expr(choice.expr)
             for choice, (_, conjunct) in zip(combination, node.disjunctions, strict=True)
@@ -232,7 +264,10 @@
         return Fit(is_default, value, trial)
 
     def _without_disjunctions(self, node: Node) -> list[Conjunct]:
-        """The conjuncts with references and conjunctions taken apart, so that no disjunction is left in them."""
+        """The conjuncts with references and conjunctions taken apart.
+
+        So that no disjunction is left in them.
+        """
         flat: list[Conjunct] = []
         pending, followed = list(node.conjuncts), set[int]()
         while pending:
@@ -277,7 +312,8 @@
                 child.place = child.place if is_own else node.place
                 values[label] = self.value(child)
             elif is_own and child.conjuncts and self._nested_disjunctions == 0:
-                self.expand(child)  # definitions need not be whole, but must not contradict themselves
+                # definitions need not be whole, but must not contradict themselves
+                self.expand(child)
         return values
 
     def _list_value(self, node: Node) -> Value:
@@ -287,7 +323,9 @@
 
     def _scalar_value(self, node: Node) -> Value:
         if not node.is_known:
-            found = "is no definite value" if self._diagnostics.own_conjuncts(node) else "is missing"
+            found = (
+                "is no definite value" if self._diagnostics.own_conjuncts(node) else "is missing"
+            )
             self._diagnostics.report(
                 node, self._diagnostics.own_place(node, node.place), found, self._allowed(node)
             )
@@ -295,7 +333,9 @@
         for constraint in node.constraints:
             if not constraint.allows(node.value):
                 found = f"{show(node.value)} is not allowed here"
-                self._report_value(node, constraint.place, found, constraint.sign + show(constraint.operand))
+                self._report_value(
+                    node, constraint.place, found, constraint.sign + show(constraint.operand)
+                )
         return node.value
 
 
@@ -313,11 +353,16 @@
 
 
 def evaluate(own: Struct, schema: Struct | None = None, definition: str = "") -> Value:
-    """The file's value, unified with a definition of the schema. Raises `CueError` with all that is wrong."""
+    """The file's value, unified with a definition of the schema.
+
+    Raises `CueError` with all that is wrong.
+    """
     return evaluate_placed(own, schema, definition)[0]
 
 
-def evaluate_placed(own: Struct, schema: Struct | None, definition: str) -> tuple[Value, dict[str, Place]]:
+def evaluate_placed(
+    own: Struct, schema: Struct | None, definition: str
+) -> tuple[Value, dict[str, Place]]:
     """As `evaluate`, and for each path where the file bears on it, or what it stands in does."""
     evaluator = Evaluator(own.place.file)
     root = Node("", own.place)
--- a/hazelhollow/operator/load.py
+++ b/hazelhollow/operator/load.py
@@ -14,14 +14,31 @@
 
 SCHEMA = Path(__file__).parent / "schema.cue"
 SECRETS = frozenset({"password", "secret"})  # labels; files that hold secrets are named, not shown
-LIVE = frozenset({"log.level", "log.format", "store.call_timeout", "store.connect_timeout", "store.retry_least", "store.retry_most",
-                  "fleet.audit.order", "store.address", "store.username", "store.password_file", "store.tls", "store.database"})  # fmt: skip
+LIVE = frozenset(
+    {
+        "log.level",
+        "log.format",
+        "store.call_timeout",
+        "store.connect_timeout",
+        "store.retry_least",
+        "store.retry_most",
+        "fleet.audit.order",
+        "store.address",
+        "store.username",
+        "store.password_file",
+        "store.tls",
+        "store.database",
+    }
+)
 _DURATION = re.compile(r"([0-9]+)(ms|s|m|h)")
 _UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 _TIMES = {
     *("store." + name for name in ("call_timeout", "connect_timeout", "retry_least", "retry_most")),
-    "store.lease.term", "store.lease.ahead", "store.presence.every", "store.presence.term",
-}  # fmt: skip
+    "store.lease.term",
+    "store.lease.ahead",
+    "store.presence.every",
+    "store.presence.term",
+}
 
 
 def seconds(text: str) -> float:
@@ -37,7 +54,10 @@
 
 
 def effective(data: bytes, file: str) -> dict[str, Any]:
-    """The file's values with all defaults, in the file's own words. Raises `CueError` with all that is wrong."""
+    """The file's values with all defaults, in the file's own words.
+
+    Raises `CueError` with all that is wrong.
+    """
     value, places = evaluate_placed(parse(data, file), schema(), "#Operator")
     assert isinstance(value, dict)
     troubles = _across(value, places)
@@ -55,7 +75,10 @@
 
 
 def load(path: str) -> records.Operator:
-    """The records. Raises `CueError` with every trouble of the file, or with the one that keeps it from being read."""
+    """The records.
+
+    Raises `CueError` with every trouble of the file, or with the one that keeps it from being read.
+    """
     return read(text_of(path), path)
 
 
@@ -95,13 +118,18 @@
             if path in _TIMES and seconds(str(text)) <= 0:
                 found.append((path, str(text), "more than nothing"))
         if not found and seconds(lease["term"]) < 4 * seconds(store["call_timeout"]):
-            found.append(("store.lease.term", lease["term"], "at least four times store.call_timeout"))
+            found.append(
+                ("store.lease.term", lease["term"], "at least four times store.call_timeout")
+            )
         if not found and seconds(presence["term"]) < 2 * seconds(presence["every"]):
-            found.append(("store.presence.term", presence["term"], "at least twice store.presence.every"))
+            found.append(
+                ("store.presence.term", presence["term"], "at least twice store.presence.every")
+            )
         if seconds(store["retry_most"]) < seconds(store["retry_least"]):
             found.append(("store.retry_most", store["retry_most"], "at least store.retry_least"))
     return [
-        Trouble(places[path], path, f"{text} is not allowed here", allowed) for path, text, allowed in found
+        Trouble(places[path], path, f"{text} is not allowed here", allowed)
+        for path, text, allowed in found
     ]
 
 
@@ -120,7 +148,9 @@
     before, after = _flat(msgspec.to_builtins(old)), _flat(msgspec.to_builtins(new))
     differ = sorted(path for path in {*before, *after} if before.get(path) != after.get(path))
     come_or_gone = [
-        name for name in ("store", "fleet") if (getattr(old, name) is None) != (getattr(new, name) is None)
+        name
+        for name in ("store", "fleet")
+        if (getattr(old, name) is None) != (getattr(new, name) is None)
     ]
     if come_or_gone:
         return [p for p in differ if p.startswith("log.")], come_or_gone
--- a/hazelhollow/operator/logs.py
+++ b/hazelhollow/operator/logs.py
@@ -1,4 +1,7 @@
-"""Events through structlog: one line each, as JSON or for a console. What the rest says by `logging` goes the same way."""
+"""Events through structlog: one line each, as JSON or for a console.
+
+What the rest says by `logging` goes the same way.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,10 @@
 
 
 def configure(log: Log, sink: TextIO | None = None) -> None:
-    """From now on, on `sink` (standard error). May be called again when the operator file has changed."""
+    """From now on, on `sink` (standard error).
+
+    May be called again when the operator file has changed.
+    """
     stamp = structlog.processors.TimeStamper(fmt="iso", utc=True, key="at")
     shared: list[Any] = [structlog.stdlib.add_log_level, structlog.stdlib.add_logger_name, stamp]
     last: Any = (
--- a/hazelhollow/operator/nodes.py
+++ b/hazelhollow/operator/nodes.py
@@ -1,4 +1,7 @@
-"""What the evaluator knows of each path: its conjuncts, each with the scope it was written in, and what came of them."""
+"""What the evaluator knows of each path.
+
+Its conjuncts, each with the scope it was written in, and what came of them.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,10 @@
 
 @dataclass(frozen=True, eq=False)
 class Scope:
-    """The struct an expression was written in: its labels, the node they are found at, and what is round it."""
+    """The struct an expression was written in.
+
+    Its labels, the node they are found at, and what is round it.
+    """
 
     labels: frozenset[str]
     node: Node
@@ -78,7 +84,8 @@
     lists: list[tuple[ListLiteral, Conjunct]] = field(default_factory=list)
     disjunctions: list[tuple[Disjunction, Conjunct]] = field(default_factory=list)
     items: list[Node] | None = None
-    followed: set[int] = field(default_factory=set)  # ids of nodes whose conjuncts it has taken by reference
+    # ids of nodes whose conjuncts it has taken by reference
+    followed: set[int] = field(default_factory=set)
 
     def child_path(self, label: str) -> str:
         """The path of a field."""
--- a/hazelhollow/operator/records.py
+++ b/hazelhollow/operator/records.py
@@ -65,8 +65,10 @@
 
 
 class Audit(Record, frozen=True):
-    """`order`: of the settings, raised by the operator with each change. A folder that outlives the process, or none. `samples`:
-    requests that are written down a second."""
+    """`order`: of the settings, raised by the operator with each change.
+
+    A folder that outlives the process, or none. `samples`: requests that are written down a second.
+    """
 
     order: int = 0
     state_dir: str = ""
@@ -74,7 +76,10 @@
 
 
 class Control(Record, frozen=True):
-    """`bytes_per_s`: of all control traffic of one limiter, headers included, over any ten seconds."""
+    """`bytes_per_s`.
+
+    Of all control traffic of one limiter, headers included, over any ten seconds.
+    """
 
     bytes_per_s: float
 
--- a/hazelhollow/operator/structs.py
+++ b/hazelhollow/operator/structs.py
@@ -1,4 +1,7 @@
-"""The fields of a node: what its structs list, which of them are optional or required, and what a closed one refuses."""
+"""The fields of a node.
+
+What its structs list, which of them are optional or required, and what a closed one refuses.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,9 @@
             node.required[field.label] = field.place
 
 
-def _take_regular_field(node: Node, field: Field, conjunct: Conjunct, diagnostics: Diagnostics) -> None:
+def _take_regular_field(
+    node: Node, field: Field, conjunct: Conjunct, diagnostics: Diagnostics
+) -> None:
     label = field.label
     if label not in node.fields:
         node.fields[label] = Node(node.child_path(label), field.place)
@@ -39,7 +44,10 @@
 
 
 def settle_fields(node: Node, diagnostics: Diagnostics) -> None:
-    """When all structs are taken: optional fields bear on those that are there; a closed struct takes no others."""
+    """When all structs are taken.
+
+    Optional fields bear on those that are there; a closed struct takes no others.
+    """
     for label, parts in node.optional.items():
         if label in node.fields:
             known = {id(conjunct) for conjunct in node.fields[label].conjuncts}
@@ -47,7 +55,9 @@
     for label in node.required:
         if label not in node.fields:
             missing = Node(f"{node.path}.{label}", node.place)
-            diagnostics.report(missing, node.place, "is missing", describe(node.optional[label][0].expr))
+            diagnostics.report(
+                missing, node.place, "is missing", describe(node.optional[label][0].expr)
+            )
     for allowed in node.allowed_labels.values():
         for label in [x for x in node.fields if x not in allowed and not x.startswith(HIDDEN)]:
             _refuse_field(node, label, allowed, diagnostics)
--- a/hazelhollow/operator/syntax.py
+++ b/hazelhollow/operator/syntax.py
@@ -1,7 +1,10 @@
-"""Text to syntax tree: the subset of CUE that `cue.lark` describes, with a place in the file for every part.
+"""Text to syntax tree.
 
-Source: the CUE language specification, sections "Lexical elements" and "Commas". Bounds: MOST_BYTES of text and
-MOST_DEPTH of brackets, so that no file can take more than a moment or exhaust the stack.
+The subset of CUE that `cue.lark` describes, with a place in the file for every part.
+
+Source: the CUE language specification, sections "Lexical elements" and "Commas". Bounds: MOST_BYTES
+of text and MOST_DEPTH of brackets, so that no file can take more than a moment or exhaust the
+stack.
 """
 
 from __future__ import annotations
@@ -23,7 +26,18 @@
 MOST_ECHOED = 40  # characters of a token that an error repeats
 MOST_EXPECTED = 8  # names of what could stand at a place, in an error
 OPTIONAL, REQUIRED = "?", "!"  # marks of a field
-_COMMA_FOLLOWS = {"IDENT", "TRUE", "FALSE", "NULL", "NUMBER", "STRING", "RPAR", "RSQB", "RBRACE", "MARK"}
+_COMMA_FOLLOWS = {
+    "IDENT",
+    "TRUE",
+    "FALSE",
+    "NULL",
+    "NUMBER",
+    "STRING",
+    "RPAR",
+    "RSQB",
+    "RBRACE",
+    "MARK",
+}
 _OPENS, _CLOSES = {"LPAR", "LSQB", "LBRACE"}, {"RPAR", "RSQB", "RBRACE"}
 _ESCAPES = {
     "a": "\a",
@@ -48,9 +62,18 @@
     "Ti": 2**40,
 }
 _TOKEN_NAMES = {
-    "_COMMA": "a new line", "COLON": "':'", "IDENT": "a name", "STRING": "a string", "NUMBER": "a number",
-    "LBRACE": "'{'", "RBRACE": "'}'", "LSQB": "'['", "RSQB": "']'", "BOUND": "a bound", "$END": "the end",
-}  # fmt: skip
+    "_COMMA": "a new line",
+    "COLON": "':'",
+    "IDENT": "a name",
+    "STRING": "a string",
+    "NUMBER": "a number",
+    "LBRACE": "'{'",
+    "RBRACE": "'}'",
+    "LSQB": "'['",
+    "RSQB": "']'",
+    "BOUND": "a bound",
+    "$END": "the end",
+}
 _END_NAMES = {"$END": "the end of the file", "_COMMA": "the end of a line or of an item"}
 
 
@@ -77,7 +100,9 @@
 
     def __str__(self) -> str:
         path = f"{self.path}: " if self.path else ""
-        return f"{self.place}: {path}{self.found}" + (f"; allowed: {self.allowed}" if self.allowed else "")
+        return f"{self.place}: {path}{self.found}" + (
+            f"; allowed: {self.allowed}" if self.allowed else ""
+        )
 
 
 class CueError(Exception):
@@ -200,7 +225,10 @@
 
 
 def parse(data: bytes, file: str) -> Struct:
-    """The file's own struct. Raises `CueError`, with one trouble: after the first, the rest would be guesses."""
+    """The file's own struct.
+
+    Raises `CueError`, with one trouble: after the first, the rest would be guesses.
+    """
     begin = Place(file, 1, 1)
     if len(data) > MOST_BYTES:
         raise _error(begin, f"{len(data)} bytes", f"at most {MOST_BYTES}")
@@ -261,7 +289,9 @@
         if label.data == "name" and name == "_":
             raise _error(place, "'_' cannot be a label")
         inner = (
-            Struct(self._place(value), (self._field(value),)) if value.data == "field" else self.expr(value)
+            Struct(self._place(value), (self._field(value),))
+            if value.data == "field"
+            else self.expr(value)
         )
         return Field(place, name, str(mark[0]) if mark else "", inner)
 
@@ -290,7 +320,9 @@
             return Struct(place, self.fields(parts))
         rest = parts[-1] if parts and parts[-1].data == "rest" else None
         items = tuple(map(self.expr, parts[: len(parts) - (rest is not None)]))
-        element = self.expr(rest.children[1]) if rest is not None and len(rest.children) > 1 else None
+        element = (
+            self.expr(rest.children[1]) if rest is not None and len(rest.children) > 1 else None
+        )
         return ListLiteral(place, items, rest is not None, element)
 
     def _choice(self, tree: Any) -> Choice:
--- a/hazelhollow/replication/__init__.py
+++ b/hazelhollow/replication/__init__.py
@@ -1,1 +1,4 @@
-"""What limiters keep alike: what each has charged whom, and hosts put out by hand; with catch-up, and snapshots on disk."""
+"""What limiters keep alike.
+
+What each has charged whom, and hosts put out by hand; with catch-up, and snapshots on disk.
+"""
--- a/hazelhollow/replication/counts.py
+++ b/hazelhollow/replication/counts.py
@@ -1,9 +1,11 @@
-"""Who charged whom how much: counts that only grow, and the one rule by which two copies become one. No I/O, no clock.
+"""Who charged whom how much.
 
-A count belongs to one customer, one member and one life of it. Its value is what was charged in all periods from `since` on,
-`through` being the last that had charges; it is closed, so a value is never taken back. Two values become the greater
-(since, total) with the later `through`: in any order, doubled or late, all end with the same. `docs/design/replication.md`
-says why.
+Counts that only grow, and the one rule by which two copies become one. No I/O, no clock.
+
+A count belongs to one customer, one member and one life of it. Its value is what was charged in all
+periods from `since` on, `through` being the last that had charges; it is closed, so a value is
+never taken back. Two values become the greater (since, total) with the later `through`: in any
+order, doubled or late, all end with the same. `docs/design/replication.md` says why.
 """
 
 from __future__ import annotations
@@ -15,14 +17,18 @@
 from zlib import crc32
 
 BUCKETS = 32
-KEPT_FOR = 60  # periods: a count that nothing was added to for so long is let go by all at the same moment
+# periods: a count that nothing was added to for so long is let go by all at the same moment
+KEPT_FOR = 60
 AHEAD = 2  # periods by which a member's clock may run ahead
 SUM_RANGE = 36**4  # of a bucket's digest as it is sent
 
 
 class Value(NamedTuple):
-    """Periods as whole seconds; `total` in tenths of a unit. `sure`: 1 if the member itself said so, 0 if others heard it by
-    gossip, of which some may have been lost; nothing in a value's digest."""
+    """Periods as whole seconds; `total` in tenths of a unit.
+
+    `sure`: 1 if the member itself said so, 0 if others heard it by gossip, of which some may have
+    been lost; nothing in a value's digest.
+    """
 
     since: int
     through: int
@@ -31,7 +37,10 @@
 
 
 class Row(NamedTuple):
-    """One count as it is passed on. `plan`: the tag of its name, the same under any settings; the customer's set beside."""
+    """One count as it is passed on.
+
+    `plan`: the tag of its name, the same under any settings; the customer's set beside.
+    """
 
     key: str
     plan: str
@@ -45,9 +54,10 @@
 def merge(one: Value, other: Value) -> Value:
     """The least value that covers both: associative, commutative and idempotent.
 
-    Of a member that has died others tell what they heard, some of it less: a later `through` may come with a smaller `total`,
-    and neither is given up for the other. As `through` never falls, a count expires only when every copy of it has. The
-    result is sure only if the member itself said just that.
+    Of a member that has died others tell what they heard, some of it less: a later `through` may
+    come with a smaller `total`, and neither is given up for the other. As `through` never falls, a
+    count expires only when every copy of it has. The result is sure only if the member itself said
+    just that.
     """
     since, total = max((one.since, one.total), (other.since, other.total))
     through = max(one.through, other.through)
@@ -58,7 +68,9 @@
 def contradiction(one: Value, other: Value) -> str:
     """Why two values cannot both be true: nothing where they can."""
     if one.since != other.since or not (one.sure and other.sure):
-        return ""  # the member had let the customer go and began anew; or what was heard may be less than what was
+        # the member had let the customer go and began anew; or what was heard may be less than what
+        # was
+        return ""
     if one.through == other.through:
         return "two histories" if one.total != other.total else ""
     older, newer = sorted((one, other), key=lambda value: value.through)
@@ -85,7 +97,10 @@
 
 
 class Book:
-    """All counts that one member knows, its own and others'. `troubles` counts copies that could not both be true."""
+    """All counts that one member knows, its own and others'.
+
+    `troubles` counts copies that could not both be true.
+    """
 
     def __init__(self) -> None:
         self.customers: dict[str, Customer] = {}
@@ -107,7 +122,10 @@
         return len(self.customers)
 
     def put(self, row: Row) -> bool:
-        """Whether it changed anything. What is too old changes nothing, and what is from the future is said and left."""
+        """Whether it changed anything.
+
+        What is too old changes nothing, and what is from the future is said and left.
+        """
         value = row.value
         if value.through <= self.period - KEPT_FOR:
             return False
@@ -118,7 +136,9 @@
         if customer is None:
             customer = self.customers[row.key] = Customer(row.plan, row.first, row.spread)
         who = self._whos.setdefault((row.member, row.life), (row.member, row.life))
-        since, through = (self._periods.setdefault(period, period) for period in (value.since, value.through))
+        since, through = (
+            self._periods.setdefault(period, period) for period in (value.since, value.through)
+        )
         value = Value(since, through, value.total, value.sure)
         old = customer.counts.get(who)
         if old is not None:
@@ -177,7 +197,9 @@
     def differ(self, sums: Sequence[int]) -> list[int]:
         """Buckets in which another's sums are not as these."""
         return [
-            bucket for bucket, (one, other) in enumerate(zip(self.sums(), sums, strict=True)) if one != other
+            bucket
+            for bucket, (one, other) in enumerate(zip(self.sums(), sums, strict=True))
+            if one != other
         ]
 
     def newest(self, buckets: Sequence[int]) -> Iterator[str]:
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -1,4 +1,7 @@
-"""The thin driver of the replica: its datagrams go where the gossip's go, its beats on the limiter's clock."""
+"""The thin driver of the replica.
+
+Its datagrams go where the gossip's go, its beats on the limiter's clock.
+"""
 
 from __future__ import annotations
 
@@ -74,9 +77,12 @@
 
 
 class Driver:
-    """`told` is the decision module's handler of events; `banned` is called with hosts, and whether each is out by hand,
-    when others' calls have changed that. `file`: where snapshots go, at sites with a disk. `allowance`: what it may send; nothing:
-    all."""
+    """`told` is the decision module's handler of events.
+
+    `banned` is called with hosts, and whether each is out by hand, when others' calls have changed
+    that. `file`: where snapshots go, at sites with a disk. `allowance`: what it may send; nothing:
+    all.
+    """
 
     def __init__(
         self,
@@ -204,7 +210,9 @@
         if seen == self._seen:
             return
         self._seen = seen
-        self._here = [number for number in view.present() if number != view.me] if view.acting else []
+        self._here = (
+            [number for number in view.present() if number != view.me] if view.acting else []
+        )
         others = set(range(view.members)) - {view.me}
         away = others.difference(self._here) | self._fleet.lost() | set(view.unheard())
         for number in sorted(self._away - away):
@@ -251,12 +259,17 @@
         return found
 
     def _now_whole(self) -> None:
-        """Counts that came before a customer was told of have changed nothing yet: they are told again."""
+        """Counts that came before a customer was told of have changed nothing yet.
+
+        They are told again.
+        """
         self._was_whole = True
         one = self.exchange
         if one.told_by is not None:
             log.info(
-                "replica: whole, told by member %d of %d customers", one.told_by, len(self._memory.accounts)
+                "replica: whole, told by member %d of %d customers",
+                one.told_by,
+                len(self._memory.accounts),
             )
             self._told(api.Copied(""))
         elif self._snapshot:
@@ -274,9 +287,13 @@
         for left in kept.customers:
             plan = self._memory.plans.get(left.plan)
             if plan:
-                level = min(plan.burst, self._carried(left, plan, kept) + plan.rate * (now - self._began))
+                level = min(
+                    plan.burst, self._carried(left, plan, kept) + plan.rate * (now - self._began)
+                )
                 lives = self._lives_heard(left.key)
-                told = api.Copied(left.key, left.plan, left.first, left.spread, lives, level, int(now))
+                told = api.Copied(
+                    left.key, left.plan, left.first, left.spread, lives, level, int(now)
+                )
                 self._told(told)
         log.info(
             "replica: nobody to be told by; %d customers of a snapshot %.1f s old",
@@ -291,9 +308,16 @@
         return snapshot.least_left(left.level, plan.rate, plan.burst, kept, self._began)
 
     def _lives_heard(self, key: str) -> tuple[api.Count, ...]:
-        """Those that have charged a customer since all began anew: the snapshot knows nothing of what they charged."""
+        """Those that have charged a customer since all began anew.
+
+        The snapshot knows nothing of what they charged.
+        """
         known = self._memory.copy_of(key)
-        return tuple(api.Count(one.member, one.life, 0, 0, 0.0) for one in known.counts) if known else ()
+        return (
+            tuple(api.Count(one.member, one.life, 0, 0, 0.0) for one in known.counts)
+            if known
+            else ()
+        )
 
     def _tell_slice(self, one: Slice, period: int) -> None:
         name = self._plans.get(one.plan)
@@ -322,11 +346,16 @@
                 self.exchange.counts["plans unknown"] += 1
                 continue
             value = row.value
-            count = api.Count(row.member, row.life, value.since, value.through, value.total / TENTHS)
+            count = api.Count(
+                row.member, row.life, value.since, value.through, value.total / TENTHS
+            )
             self._told(api.Copied(row.key, name, row.first, row.spread, (count,)))
 
     def _save(self, final: bool = False) -> None:
-        """A snapshot of now. Before the end the customers are gone through in slices, so that no turn is long."""
+        """A snapshot of now.
+
+        Before the end the customers are gone through in slices, so that no turn is long.
+        """
         if self._file is None:
             return
         if not self.exchange.whole:
@@ -361,8 +390,11 @@
         self._file.save(taken)
 
     def _known_before_whole(self) -> list[snapshot.Left]:
-        """By the snapshot of the life before, less what was charged in this one. Until it is whole a member acts by its
-        cautious share, whatever was left; those of all come to one burst, which may be used before the next snapshot."""
+        """By the snapshot of the life before, less what was charged in this one.
+
+        Until it is whole a member acts by its cautious share, whatever was left; those of all come
+        to one burst, which may be used before the next snapshot.
+        """
         memory, left, seen = self._memory, list[snapshot.Left](), set[str]()
         since = self._scheduler.clock() - self._began
         for one in self._snapshot.customers if self._snapshot else ():
@@ -378,7 +410,9 @@
             if name not in seen and charged and account.spread:
                 level = account.plan.burst + account.plan.rate * since - charged
                 left.append(
-                    snapshot.Left(key_of(name), account.plan.name, account.first, account.spread, level)
+                    snapshot.Left(
+                        key_of(name), account.plan.name, account.first, account.spread, level
+                    )
                 )
         return left[: snapshot.MOST]
 
--- a/hazelhollow/replication/exchange.py
+++ b/hazelhollow/replication/exchange.py
@@ -1,7 +1,10 @@
-"""How members bring their copies together: digests against what differs, and catch-up for one that has just begun.
+"""How members bring their copies together.
 
-Events in, datagrams out; no I/O, no clock. What is new to this member gathers in `rows`, `slices` and `calls`, which the driver
-empties. A datagram may be lost, doubled, late or out of order anywhere: everything that is said may be said again.
+Digests against what differs, and catch-up for one that has just begun.
+
+Events in, datagrams out; no I/O, no clock. What is new to this member gathers in `rows`, `slices`
+and `calls`, which the driver empties. A datagram may be lost, doubled, late or out of order
+anywhere: everything that is said may be said again.
 """
 
 from __future__ import annotations
@@ -20,16 +23,25 @@
 SYNC_EVERY = 2  # beats between digests sent to a member drawn by chance
 PIECES = 4  # datagrams of counts for one whose digests differ
 PIECES_A_BEAT = 12  # for all of them
-WINDOW, ASKS = 40, 16  # customers asked for at once in a catch-up; gaps asked for at once in the end
+# customers asked for at once in a catch-up; gaps asked for at once in the end
+WINDOW, ASKS = 40, 16
 GIVES_A_S = 2000.0  # datagrams of catch-up that a giver sends a second, to all
 GIVES_AT_ONCE = 400.0
 QUIET = 0.2  # seconds without a piece after which the first that is missing is asked for again
 QUIET_WITHIN = 1.5  # the same, where a budget bounds what the giver sends
-# What goes first where a budget bounds it: an operator's call, then what a member that has just begun waits for.
+# What goes first where a budget bounds it: an operator's call, then what a member that has just
+# begun waits for.
 RANKS = {
     kind: rank
     for rank, kind in enumerate(
-        (messages.HANDS, messages.ASK, messages.NOT_WHOLE, messages.GIVE, messages.ROWS, messages.SUMS)
+        (
+            messages.HANDS,
+            messages.ASK,
+            messages.NOT_WHOLE,
+            messages.GIVE,
+            messages.ROWS,
+            messages.SUMS,
+        )
     )
 }
 TRIES, TRIES_BEGUN = (
@@ -37,8 +49,10 @@
     24,
 )  # that many times, then of another: of one that has given nothing yet, and of one that has
 ROUNDS = 5  # times that all are asked before silence counts as knowing nothing
-GIVES_AFTER = 4.0  # seconds of life after which one that nobody could tell anything knows as much as anybody
-MOST_REFUSALS = 16  # members that are not whole themselves, after which no more are asked: all began together
+# seconds of life after which one that nobody could tell anything knows as much as anybody
+GIVES_AFTER = 4.0
+# members that are not whole themselves, after which no more are asked: all began together
+MOST_REFUSALS = 16
 ALONE = 1.5  # seconds after which one that meets nobody knows all that there is to know
 LISTS = 16  # members that a giver serves at once
 LIST_FOR = 10.0  # seconds for which it remembers what it was giving one
@@ -59,14 +73,19 @@
 
 
 class Fetch:
-    """A catch-up that is under way: windows of places one after another, then the places that stayed away."""
+    """A catch-up that is under way.
+
+    Windows of places one after another, then the places that stayed away.
+    """
 
     def __init__(self, giver: int, number: int, now: float) -> None:
         self.giver, self.number = giver, number
         self.total = -1  # not told yet
         self.front = 0  # the first place that has not been asked for
-        self.lacks: dict[int, None] = {}  # places that were asked for and have not come, in their order
-        self.waits: set[int] = set()  # those of them that were asked for last, and how many those were
+        # places that were asked for and have not come, in their order
+        self.lacks: dict[int, None] = {}
+        # those of them that were asked for last, and how many those were
+        self.waits: set[int] = set()
         self.asked = 0
         self.heard, self.tries = now, 0
 
@@ -134,8 +153,11 @@
 
 
 class Exchange:
-    """`me` of `members`, in the life of that name (the gossip's); `most`: bytes that a text may have; `quiet`: seconds without a
-    piece after which it is asked for again."""
+    """`me` of `members`, in the life of that name (the gossip's).
+
+    `most`: bytes that a text may have; `quiet`: seconds without a piece after which it is asked for
+    again.
+    """
 
     def __init__(
         self,
@@ -173,8 +195,11 @@
     # What the driver calls
 
     def beat(self, now: float, present: Sequence[int], older: Set[int] | None = None) -> list[Send]:
-        """Every BEAT seconds; `present`: numbers of the others that are up; `older`: those of them that began so long before this
-        one that they give, if that is known."""
+        """Every BEAT seconds.
+
+        `present`: numbers of the others that are up; `older`: those of them that began so long
+        before this one that they give, if that is known.
+        """
         self._turn(now)
         self._beats += 1
         self._pieces = PIECES_A_BEAT
@@ -230,9 +255,13 @@
         self._began = self._began or now
         self.book.turn(int(now))
 
-    def _send(self, number: int, kind: str, parts: Sequence[int] = (), said: Sequence[str] = ()) -> int:
+    def _send(
+        self, number: int, kind: str, parts: Sequence[int] = (), said: Sequence[str] = ()
+    ) -> int:
         """How many of the words it holds."""
-        text, taken = messages.pack(messages.head(kind, self.life, self.book.period, parts), said, self.most)
+        text, taken = messages.pack(
+            messages.head(kind, self.life, self.book.period, parts), said, self.most
+        )
         self._out.append(Send(number, text))
         self.counts["bytes"] += len(text)
         self.counts["sent"] += 1
@@ -295,7 +324,8 @@
 
     def _send_hands(self, number: int) -> None:
         said = [
-            messages.hand_word(one) for one in sorted(self.hands.calls.values(), key=lambda one: -one.order)
+            messages.hand_word(one)
+            for one in sorted(self.hands.calls.values(), key=lambda one: -one.order)
         ]
         while said and self._pieces > 0:
             self._pieces -= 1
@@ -329,7 +359,9 @@
         if older is not None and self._knows_as_much(older):
             self.whole = True
         elif left:
-            self._fetch = Fetch(self.random.choice(givers or left), self.random.randrange(36**4), self._now)
+            self._fetch = Fetch(
+                self.random.choice(givers or left), self.random.randrange(36**4), self._now
+            )
             self._ask()
         elif self._silent and self._rounds < ROUNDS:
             self._silent, self._rounds = set(), self._rounds + 1
@@ -337,7 +369,10 @@
             self.whole = True  # nobody knows more
 
     def _knows_as_much(self, older: Set[int]) -> bool:
-        """As any other: all that are known began with it. In a large fleet that began together, asking each would take long."""
+        """As any other: all that are known began with it.
+
+        In a large fleet that began together, asking each would take long.
+        """
         if self._now - self._began < GIVES_AFTER:
             return False
         return older <= self._refused or len(self._refused) >= MOST_REFUSALS
@@ -360,7 +395,11 @@
         fetch.told(total)
         fetch.heard, fetch.tries = self._now, 0
         new = fetch.take(first, len(message.slices))
-        told = [one for place, one in enumerate(message.slices, first) if one is not None and place in new]
+        told = [
+            one
+            for place, one in enumerate(message.slices, first)
+            if one is not None and place in new
+        ]
         self.slices += [(one, message.period) for one in told]
         if fetch.whole():
             self.whole, self.told_by, self._fetch = True, source, None
@@ -389,7 +428,11 @@
             said, taken, size = list[str](), 0, 0
             for key in keys[first:end]:
                 one = self.source.slice(key)
-                word = messages.slice_word(one, self.book.period, room) if one else f" {messages.NOBODY}"
+                word = (
+                    messages.slice_word(one, self.book.period, room)
+                    if one
+                    else f" {messages.NOBODY}"
+                )
                 if size + len(word) > room:
                     break
                 said.append(word)
@@ -400,7 +443,10 @@
                 return
 
     def gives(self) -> bool:
-        """Whether what it knows is worth taking over: one that has just begun where nobody was knows its cautious share."""
+        """Whether what it knows is worth taking over.
+
+        One that has just begun where nobody was knows its cautious share.
+        """
         return self.whole and (
             self.told_by is not None or self.restored or self._now - self._began >= GIVES_AFTER
         )
--- a/hazelhollow/replication/gathering.py
+++ b/hazelhollow/replication/gathering.py
@@ -1,6 +1,7 @@
 """What a snapshot says of the customers, gathered in slices. No I/O, no clock.
 
-A slice is as old as the turn that it was gathered in, and the snapshot as the last one: what came in meanwhile is not counted.
+A slice is as old as the turn that it was gathered in, and the snapshot as the last one: what came
+in meanwhile is not counted.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
     def __init__(self, memory: Memory) -> None:
         self._memory = memory
         self._names = iter(list(memory.accounts))
-        self._found = list[tuple[float, Left]]()  # the part of the burst that is left, and the customer
+        # the part of the burst that is left, and the customer
+        self._found = list[tuple[float, Left]]()
 
     def step(self) -> bool:
         """Goes through one slice; whether all have been gone through."""
--- a/hazelhollow/replication/hands.py
+++ b/hazelhollow/replication/hands.py
@@ -1,8 +1,9 @@
 """Hosts put out by hand, alike at all members. No I/O, no clock.
 
-The rule: the call that was made after having seen the most others holds, whoever's clock says what (`order`, one more than
-the greatest known where it was made). Of two made at once, at both sides of a split, say, the one that puts the host out
-holds, since sending it nothing harms nobody; then the later by the clock, then the greater number of the member.
+The rule: the call that was made after having seen the most others holds, whoever's clock says what
+(`order`, one more than the greatest known where it was made). Of two made at once, at both sides of
+a split, say, the one that puts the host out holds, since sending it nothing harms nobody; then the
+later by the clock, then the greater number of the member.
 """
 
 from __future__ import annotations
--- a/hazelhollow/replication/messages.py
+++ b/hazelhollow/replication/messages.py
@@ -1,9 +1,12 @@
-"""The replica's datagrams: values to at most 256 bytes of text and back. Translation only; knows no rule and no socket.
+"""The replica's datagrams: values to at most 256 bytes of text and back.
+
+Translation only; knows no rule and no socket.
 
     c1r 9k2/7 4f3k0 8tl2m:7kq:1:5:3.9k2.4.2.1c-1.8aa.4.2.7
 
-Dialect and kind; the sender's life and the message's period; what the kind needs; words. Periods are told as so many before
-the message's. A message that any part of is not so is none; so is one of another dialect.
+Dialect and kind; the sender's life and the message's period; what the kind needs; words. Periods
+are told as so many before the message's. A message that any part of is not so is none; so is one of
+another dialect.
 """
 
 from __future__ import annotations
@@ -17,11 +20,13 @@
 DIALECT = "c1"
 MOST_BYTES = 256
 SUMS, ROWS = "s", "r"  # the digests of a book's buckets; counts
-ASK, GIVE, NOT_WHOLE = "q", "g", "n"  # for a catch-up; a piece of it; one that has not caught up itself
+# for a catch-up; a piece of it; one that has not caught up itself
+ASK, GIVE, NOT_WHOLE = "q", "g", "n"
 HEARD = ".h"  # behind a count that the member did not say itself
 NOBODY = "-"  # in place of a slice
 HANDS = "h"  # hosts put out or back by hand
-_PARTS = {SUMS: BUCKETS + 2, ROWS: 0, ASK: 3, GIVE: 3, NOT_WHOLE: 1, HANDS: 0}  # numbers that a kind needs
+# numbers that a kind needs
+_PARTS = {SUMS: BUCKETS + 2, ROWS: 0, ASK: 3, GIVE: 3, NOT_WHOLE: 1, HANDS: 0}
 _MOST = 36**7
 _MOST_NAME = 64  # of a host's name
 
@@ -37,7 +42,10 @@
 
 
 class Slice(NamedTuple):
-    """One customer as the giver knows it: `spent` of its burst, in tenths, and all that is part of that."""
+    """One customer as the giver knows it.
+
+    `spent` of its burst, in tenths, and all that is part of that.
+    """
 
     key: str
     plan: str
@@ -58,8 +66,12 @@
 
 
 class Message(NamedTuple):
-    """`parts`: SUMS: one a bucket, that of the hosts put out by hand, and whether it answers another's. ASK: the catch-up's number, the first piece wanted, how many. GIVE: that number, the piece's
-    and how many there are. NOT_WHOLE: that number."""
+    """`parts`.
+
+    SUMS: one a bucket, that of the hosts put out by hand, and whether it answers another's. ASK:
+    the catch-up's number, the first piece wanted, how many. GIVE: that number, the piece's and how
+    many there are. NOT_WHOLE: that number.
+    """
 
     kind: str
     life: str
@@ -80,7 +92,8 @@
         return ""
     one = rows[0]
     return f" {one.key}:{one.plan}:{base36(one.first)}:{base36(one.spread)}:" + "-".join(
-        f"{base36(r.member)}.{r.life}.{_value(r.value, period)}{'' if r.value.sure else HEARD}" for r in rows
+        f"{base36(r.member)}.{r.life}.{_value(r.value, period)}{'' if r.value.sure else HEARD}"
+        for r in rows
     )
 
 
@@ -89,7 +102,10 @@
     text = f" {one.key}:{one.plan}:{base36(one.first)}:{base36(one.spread)}:{base36(one.spent)}:"
     parts = list[str]()
     for r in one.recents:
-        part = f"{base36(r.member)}.{r.life}.{_value(r.value, period)}.{base36(r.first)}.{base36(r.second)}"
+        part = (
+            f"{base36(r.member)}.{r.life}.{_value(r.value, period)}"
+            f".{base36(r.first)}.{base36(r.second)}"
+        )
         room -= len(part) + 1
         if room < len(text):
             break
@@ -102,7 +118,10 @@
 
 
 def pack(line: str, words: Sequence[str], most: int) -> tuple[str, int]:
-    """The line with as many of the words, in their order, as fit into so many bytes, and their number."""
+    """The line with as many of the words, in their order.
+
+    As fit into so many bytes, and their number.
+    """
     for number, word in enumerate(words):
         if len(line) + len(word) > most:
             return line, number
@@ -111,7 +130,10 @@
 
 
 def read(text: str, members: int) -> Message | None:
-    """The message; nothing where any part of it cannot be: too long, of another dialect, garbled, out of range."""
+    """The message.
+
+    Nothing where any part of it cannot be: too long, of another dialect, garbled, out of range.
+    """
     try:
         first, own, parts, *rest = text.split(" ")
         life, told = own.split("/")
@@ -123,10 +145,14 @@
             return None
         message = Message(kind, _name(life), period, numbers)
         if kind == ROWS:
-            return message._replace(rows=tuple(row for word in rest for row in _rows(word, period, members)))
+            return message._replace(
+                rows=tuple(row for word in rest for row in _rows(word, period, members))
+            )
         if kind == GIVE:
             return message._replace(
-                slices=tuple(None if word == NOBODY else _slice(word, period, members) for word in rest)
+                slices=tuple(
+                    None if word == NOBODY else _slice(word, period, members) for word in rest
+                )
             )
         if kind == HANDS:
             return message._replace(hands=tuple(_hand(word, members) for word in rest))
@@ -136,7 +162,8 @@
 
 
 def _value(value: Value, period: int) -> str:
-    return f"{base36(max(0, period - value.since))}.{base36(max(0, period - value.through))}.{base36(value.total)}"
+    since, through = max(0, period - value.since), max(0, period - value.through)
+    return f"{base36(since)}.{base36(through)}.{base36(value.total)}"
 
 
 def _name(text: str) -> str:
@@ -146,10 +173,14 @@
 
 
 def _read_value(since: str, through: str, total: str, period: int) -> Value:
-    return Value(period - number36(since, _MOST), period - number36(through, _MOST), number36(total, _MOST))
+    return Value(
+        period - number36(since, _MOST), period - number36(through, _MOST), number36(total, _MOST)
+    )
 
 
-def _customer(key: str, plan: str, first: str, spread: str, members: int) -> tuple[str, str, int, int]:
+def _customer(
+    key: str, plan: str, first: str, spread: str, members: int
+) -> tuple[str, str, int, int]:
     width = number36(spread, members + 1)
     if width == 0:
         raise ValueError(spread)
@@ -176,9 +207,17 @@
         member, life, since, through, total, one, two = count.split(".")
         value = _read_value(since, through, total, period)
         found.append(
-            Recent(number36(member, members), _name(life), value, number36(one, _MOST), number36(two, _MOST))
+            Recent(
+                number36(member, members),
+                _name(life),
+                value,
+                number36(one, _MOST),
+                number36(two, _MOST),
+            )
         )
-    return Slice(*_customer(key, plan, first, spread, members), number36(spent, _MOST), tuple(found))
+    return Slice(
+        *_customer(key, plan, first, spread, members), number36(spent, _MOST), tuple(found)
+    )
 
 
 def _hand(word: str, members: int) -> Hand:
@@ -186,5 +225,9 @@
     if not 0 < len(host) <= _MOST_NAME or not host.isascii() or not host.isprintable():
         raise ValueError(host)
     return Hand(
-        host, number36(order, _MOST), number36(down, 2), number36(at, 36**9), number36(member, members)
+        host,
+        number36(order, _MOST),
+        number36(down, 2),
+        number36(at, 36**9),
+        number36(member, members),
     )
--- a/hazelhollow/replication/snapshot.py
+++ b/hazelhollow/replication/snapshot.py
@@ -1,7 +1,8 @@
 """What a limiter knew, on disk, so that all killed at once is not a new burst for everybody.
 
-A file is a checksum and a document of a format and version. It is written whole beside the old one and put in its place; what
-is spoilt, of another version or too old is set aside under another name and said, never trusted, never fatal.
+A file is a checksum and a document of a format and version. It is written whole beside the old one
+and put in its place; what is spoilt, of another version or too old is set aside under another name
+and said, never trusted, never fatal.
 """
 
 from __future__ import annotations
@@ -25,7 +26,10 @@
 
 
 class Left(msgspec.Struct, frozen=True, array_like=True):
-    """A customer: units left of the burst when the snapshot was made; below nothing, so many are to be paid back."""
+    """A customer.
+
+    Units left of the burst when the snapshot was made; below nothing, so many are to be paid back.
+    """
 
     key: str
     plan: str
@@ -35,7 +39,10 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """`at`: Unix seconds. `final`: written at an orderly end, after which this member has let nothing in."""
+    """`at`: Unix seconds.
+
+    `final`: written at an orderly end, after which this member has let nothing in.
+    """
 
     format: str
     version: int
@@ -52,8 +59,9 @@
 def least_left(level: float, rate: float, burst: float, kept: Snapshot, now: float) -> float:
     """Units that are left at `now` for certain, of a customer that `kept` says had `level`.
 
-    When the member died is not known, nor how long it had waited for its processor before, while others let in. So after a
-    kill all that was left, and all that has come in since, may have been used; what was owed is paid back by what came in.
+    When the member died is not known, nor how long it had waited for its processor before, while
+    others let in. So after a kill all that was left, and all that has come in since, may have been
+    used; what was owed is paid back by what came in.
     """
     came_in = rate * max(0.0, now - kept.at)
     return min(level + came_in, burst if kept.final else 0.0)
@@ -89,7 +97,10 @@
 
 
 class File:
-    """One limiter's snapshot in a folder that outlives it. It is written by `writer`; on a slow disk the newest alone waits."""
+    """One limiter's snapshot in a folder that outlives it.
+
+    It is written by `writer`; on a slow disk the newest alone waits.
+    """
 
     def __init__(self, folder: Path, member: int, writer: Writer | None = None) -> None:
         self.path, self.member = folder / f"replica-{member}", member
--- a/hazelhollow/request_client.py
+++ b/hazelhollow/request_client.py
@@ -16,7 +16,9 @@
 
 
 @click.command("ask")
-@click.option("--to", default="127.0.0.1:6379", show_default=True, metavar="HOST:PORT", help="The limiter.")
+@click.option(
+    "--to", default="127.0.0.1:6379", show_default=True, metavar="HOST:PORT", help="The limiter."
+)
 @click.option(
     "--class",
     "kind",
@@ -26,7 +28,10 @@
 )
 @click.option("--plan", default="gold", show_default=True, help="The customer's plan, likewise.")
 @click.option(
-    "--customer", default="00000000b4d65521", show_default=True, help="16 hex digits, a number below 2^33."
+    "--customer",
+    default="00000000b4d65521",
+    show_default=True,
+    help="16 hex digits, a number below 2^33.",
 )
 @click.option(
     "--units",
@@ -43,7 +48,10 @@
     help="So many, one after another.",
 )
 @click.option(
-    "--spread", default=1, show_default=True, help="Limiters that the customer's requests come through."
+    "--spread",
+    default=1,
+    show_default=True,
+    help="Limiters that the customer's requests come through.",
 )
 @click.option(
     "--wait",
@@ -66,7 +74,8 @@
 ) -> None:
     """Send requests to a limiter and show the answers.
 
-    Exit status 0: all were served. 1: some were refused or failed. 2: the limiter could not be reached.
+    Exit status 0: all were served. 1: some were refused or failed. 2: the limiter could not be
+    reached.
     """
     outcomes, shown = Counter[str](), ""
     began = time.monotonic()
@@ -74,20 +83,33 @@
         with socket.create_connection(config.address(to), timeout=wait + 1) as sock:
             parser = resp.Parser()
             for _ in range(count):
-                fields = f"c={kind},t={plan},d={int(wait * 1000)},units={units},spread={spread},first=0"
+                fields = (
+                    f"c={kind},t={plan},d={int(wait * 1000)},units={units},spread={spread},first=0"
+                )
                 sock.sendall(
                     resp.command(
-                        [b"Q.ASK", customer.encode(), secrets.token_hex(8).encode(), fields.encode()]
+                        [
+                            b"Q.ASK",
+                            customer.encode(),
+                            secrets.token_hex(8).encode(),
+                            fields.encode(),
+                        ]
                     )
                 )
                 answer = _answer(sock, parser)
                 word = (
-                    "served" if isinstance(answer, bytes) and not isinstance(answer, resp.Fault) else "failed"
+                    "served"
+                    if isinstance(answer, bytes) and not isinstance(answer, resp.Fault)
+                    else "failed"
                 )
                 if isinstance(answer, resp.Fault) and answer.startswith(b"BUSY"):
                     word = "refused"
                 outcomes[word] += 1
-                shown = bytes(answer).decode("utf-8", "replace") if isinstance(answer, bytes) else str(answer)
+                shown = (
+                    bytes(answer).decode("utf-8", "replace")
+                    if isinstance(answer, bytes)
+                    else str(answer)
+                )
     except (OSError, ValueError, resp.ProtocolError) as error:
         click.echo(f"hazelhollow: {to}: {error}", err=True)
         sys.exit(2)
--- a/hazelhollow/scale/agreement.py
+++ b/hazelhollow/scale/agreement.py
@@ -1,4 +1,7 @@
-"""Whether a member's view is right: held against what the run knows to be so, record by record as they change."""
+"""Whether a member's view is right.
+
+Held against what the run knows to be so, record by record as they change.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,10 @@
 
 
 class Watcher:
-    """One member's view, for as long as the run lasts. `wrong`: members of which it holds what is not so."""
+    """One member's view, for as long as the run lasts.
+
+    `wrong`: members of which it holds what is not so.
+    """
 
     def __init__(self, number: int, truth: Truth, clock: Callable[[], float]) -> None:
         self.number, self._truth, self._clock = number, truth, clock
@@ -64,7 +70,10 @@
             self.right_since = self._clock()
 
     def look(self, records: Iterable[Record]) -> None:
-        """The truth has changed: all of its table is looked at again, and what came before counts no more."""
+        """The truth has changed.
+
+        All of its table is looked at again, and what came before counts no more.
+        """
         known = {record.number: record for record in records}
         numbers = range(self._truth.limiters)
         self.wrong = {n for n in numbers if not self._truth.right(self.number, n, known.get(n))}
--- a/hazelhollow/scale/budgets.py
+++ b/hazelhollow/scale/budgets.py
@@ -1,8 +1,10 @@
-"""The planned size of the fleet and each budget that holds at that size, as typed constants with their units.
+"""The planned size of the fleet and each budget that holds at that size.
 
-The operators' figures are taken as they were given. Where a unit can be read in two ways the smaller one is taken: a kilobyte
-is 1,000 bytes. Two limits are derived: a limiter is one process on one core, and a turn of its loop delays every request that
-comes meanwhile.
+As typed constants with their units.
+
+The operators' figures are taken as they were given. Where a unit can be read in two ways the
+smaller one is taken: a kilobyte is 1,000 bytes. Two limits are derived: a limiter is one process on
+one core, and a turn of its loop delays every request that comes meanwhile.
 """
 
 from __future__ import annotations
@@ -35,7 +37,9 @@
 CONTROL_CPU = Budget(name="processor for control", unit="core", limit=0.025)
 CONTROL_MEMORY = Budget(name="memory", unit="B", limit=256e6)
 CONTROL_BYTES = Budget(name="bytes sent for control", unit="B/s", limit=4_000.0)
-WORST_BYTES = Budget(name="bytes sent for control, worst ten seconds", unit="B/s", limit=CONTROL_BYTES.limit)
+WORST_BYTES = Budget(
+    name="bytes sent for control, worst ten seconds", unit="B/s", limit=CONTROL_BYTES.limit
+)
 CHANGE_P99 = Budget(name="a change in force, 99 in 100", unit="s", limit=6.0)
 CHANGE_WORST = Budget(name="a change in force, worst", unit="s", limit=10.0)
 REQUEST_CPU = Budget(name="processor for requests", unit="core", limit=1.0, derived=True)
--- a/hazelhollow/scale/clock.py
+++ b/hazelhollow/scale/clock.py
@@ -9,8 +9,10 @@
 
 
 class DilatedClock(NamedTuple):
-    """Unix time that passes one second for each `dilation` seconds of the machine's monotonic clock, which all processes
-    share. `began`: the reading of that clock at which this one shows `shows`."""
+    """Unix time that passes one second for each `dilation` seconds of the machine's monotonic
+    clock, which all processes share. `began`: the reading of that clock at which this one shows
+    `shows`.
+    """
 
     began: float
     shows: float
@@ -22,8 +24,10 @@
 
 
 class DilatedPoller:
-    """`select.epoll` as the scheduler's poller: its pauses, which are the run's, take as much longer as the clock goes
-    slower."""
+    """`select.epoll` as the scheduler's poller.
+
+    Its pauses, which are the run's, take as much longer as the clock goes slower.
+    """
 
     def __init__(self, dilation: float) -> None:
         self._epoll, self._dilation = select.epoll(), dilation
--- a/hazelhollow/scale/commands.py
+++ b/hazelhollow/scale/commands.py
@@ -1,4 +1,7 @@
-"""`hazelhollow scale`: what limiters cost as the fleet, the servers, the routes and the tenants grow."""
+"""`hazelhollow scale`.
+
+What limiters cost as the fleet, the servers, the routes and the tenants grow.
+"""
 
 from __future__ import annotations
 
@@ -47,12 +50,14 @@
     type=click.Choice([one.value for one in Axis]),
     help="Play these axes alone.",
 )
-@click.option("--value", "values", multiple=True, type=int, help="Of each axis, play these values alone.")
+@click.option(
+    "--value", "values", multiple=True, type=int, help="Of each axis, play these values alone."
+)
 def run(plan_name: str, path: Path, axes: Sequence[str], values: Sequence[int]) -> None:
     """Play a plan (small, axes, together, or a TOML file) and write what was measured.
 
-    Hollow limiters run the real decisions, view, replication and audit over loopback, and a modelled load. A run that is
-    broken off keeps the points that it has; a second one adds to them.
+    Hollow limiters run the real decisions, view, replication and audit over loopback, and a
+    modelled load. A run that is broken off keeps the points that it has; a second one adds to them.
     """
     try:
         plan = plans.load(plan_name)
@@ -100,8 +105,13 @@
 
 def _line(point: results.Point) -> str:
     limiter_s = point.hollow * point.seconds or 1.0
-    cores = ", ".join(f"{one.role.value} {one.cpu_s / limiter_s:.2%}" for one in point.roles if one.calls)
-    return f"a core's part by role: {cores}; {point.memory_bytes / 2**20:.1f} MB; dilation {point.dilation:g}"
+    cores = ", ".join(
+        f"{one.role.value} {one.cpu_s / limiter_s:.2%}" for one in point.roles if one.calls
+    )
+    return (
+        f"a core's part by role: {cores}; {point.memory_bytes / 2**20:.1f} MB; dilation "
+        f"{point.dilation:g}"
+    )
 
 
 def _begin(plan: Plan, path: Path) -> list[Results]:
--- a/hazelhollow/scale/coordinator.py
+++ b/hazelhollow/scale/coordinator.py
@@ -1,6 +1,10 @@
-"""A scale run: for each point its workers are started, told of each other, watched and reaped, and their reports become one.
+"""A scale run.
 
-Workers are started by the rig's crew: they die with this process, whatever ends it, and the janitor beside it sweeps up.
+For each point its workers are started, told of each other, watched and reaped, and their reports
+become one.
+
+Workers are started by the rig's crew: they die with this process, whatever ends it, and the janitor
+beside it sweeps up.
 """
 
 from __future__ import annotations
@@ -65,12 +69,16 @@
                 return self._try(planned, dilation, may_slow)
             except Behind:
                 dilation *= SLOWER
-                self._progress(f"the workers fell behind; again with a clock {dilation:.2f} times slower")
+                self._progress(
+                    f"the workers fell behind; again with a clock {dilation:.2f} times slower"
+                )
         raise AssertionError("the last try never asks for a slower clock")
 
     def _guess(self, planned: PlannedPoint) -> float:
         size, limiters = planned.size, planned.terms.present or planned.size.limiters
-        cost = math.ceil(limiters / self._workers(limiters)) * (LIMITER_S + REQUEST_S * size.requests_per_s)
+        cost = math.ceil(limiters / self._workers(limiters)) * (
+            LIMITER_S + REQUEST_S * size.requests_per_s
+        )
         return max(1.0, round(cost / FILLED, 2))
 
     def _workers(self, limiters: int) -> int:
@@ -92,10 +100,19 @@
 
 
 class Table:
-    """One try at a point: the workers, and the folder in which they and this process leave each other messages."""
+    """One try at a point.
+
+    The workers, and the folder in which they and this process leave each other messages.
+    """
 
     def __init__(
-        self, plan: Plan, planned: PlannedPoint, dilation: float, may_slow: bool, folder: Path, crew: Crew
+        self,
+        plan: Plan,
+        planned: PlannedPoint,
+        dilation: float,
+        may_slow: bool,
+        folder: Path,
+        crew: Crew,
     ) -> None:
         self._plan, self._planned, self._folder, self._crew = plan, planned, folder, crew
         self._dilation, self._may_slow = dilation, may_slow
@@ -146,8 +163,13 @@
         self._crew.start(name)
         self._names.append(name)
 
-    def _wait(self, number: int, what: str, kind: type[messages.Message], seconds: float) -> messages.Message:
-        """A worker's message; raises RunError where the worker ends without it or the workers together grow too large."""
+    def _wait(
+        self, number: int, what: str, kind: type[messages.Message], seconds: float
+    ) -> messages.Message:
+        """A worker's message.
+
+        Raises RunError where the worker ends without it or the workers together grow too large.
+        """
         until = time.monotonic() + seconds
         while (found := messages.read(self._folder / f"{number}.{what}", kind)) is None:
             if time.monotonic() > until:
@@ -160,7 +182,9 @@
         for number, name in enumerate(self._names):
             over = self._crew.reap(name) and not (self._folder / f"{number}.report").exists()
             if over:
-                log = (self._folder / f"{name}.log").read_text(errors="replace").strip().splitlines()
+                log = (
+                    (self._folder / f"{name}.log").read_text(errors="replace").strip().splitlines()
+                )
                 raise RunError(f"worker {number} ended: {log[-1] if log else 'without a word'}")
         used = sum(_resident(self._crew.members[name].pid) for name in self._names)
         if used > MEMORY_SHARE * total_memory():
@@ -174,7 +198,9 @@
 def _resident(pid: int) -> int:
     try:
         return (
-            int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") if pid else 0
+            int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
+            if pid
+            else 0
         )
     except OSError:
         return 0
@@ -184,7 +210,11 @@
 
 
 def point_of(
-    plan: Plan, planned: PlannedPoint, dilation: float, reports: Sequence[Report], rows: Sequence[truth.Row]
+    plan: Plan,
+    planned: PlannedPoint,
+    dilation: float,
+    reports: Sequence[Report],
+    rows: Sequence[truth.Row],
 ) -> Point:
     """What the workers measured together; `rows`: all requests in the order of their times."""
     limiters = sum(report.limiters for report in reports)
@@ -264,7 +294,8 @@
     for report in reports:
         ledger.add(report.ledger)
     notes.append(
-        f"datagrams of the whole run: out {ledger.out}, in {ledger.came}, cut {ledger.cut}, to limiters that are down or"
+        f"datagrams of the whole run: out {ledger.out}, in {ledger.came}, cut "
+        f"{ledger.cut}, to limiters that are down or"
         f" not played {ledger.to_dead}, dropped by the system {ledger.dropped}"
     )
     if ledger.out != ledger.came + ledger.lost():
@@ -273,7 +304,9 @@
     notes += _behind(reports)
     if planned.size.requests_per_s < plan.planned.requests_per_s:
         rate = planned.size.requests_per_s
-        notes.append(f"{rate:g} requests a second a limiter, {plan.planned.requests_per_s:g} are planned")
+        notes.append(
+            f"{rate:g} requests a second a limiter, {plan.planned.requests_per_s:g} are planned"
+        )
     refusals = Counter[str]()
     for report in reports:
         refusals.update(report.refusals)
@@ -281,20 +314,25 @@
         words = ", ".join(f"{why} {count}" for why, count in refusals.most_common())
         notes.append(f"refused from the start to the end of measuring, by reason: {words}")
     before = max(report.memory_before for report in reports)
-    notes.append(f"a worker has {before / 2**20:.0f} MB before its limiters, which memory leaves out")
+    notes.append(
+        f"a worker has {before / 2**20:.0f} MB before its limiters, which memory leaves out"
+    )
     if any(report.shared_settings for report in reports):
         notes.append(
-            "the limiters of a process share one settings object, so that memory tells less than a real one's"
+            "the limiters of a process share one settings object, so that memory tells "
+            "less than a real one's"
         )
     roles = sum(one.cpu_ns for report in reports for one in report.roles.values()) / 1e9
     whole = sum(report.processor_s for report in reports)
     if whole:
         waited = sum(report.waited_s for report in reports)
         notes.append(
-            f"the workers ran for {whole:.1f} s while measuring, and waited {waited:.1f} s for a processor"
+            f"the workers ran for {whole:.1f} s while measuring, and waited {waited:.1f} "
+            "s for a processor"
         )
         notes.append(
-            f"{1 - roles / whole:.0%} of the workers' processor time is of no role: the load, the loop, the collector"
+            f"{1 - roles / whole:.0%} of the workers' processor time is of no role: the "
+            "load, the loop, the collector"
         )
     return notes
 
@@ -316,6 +354,7 @@
 
 def _late(what: str, lag: Lag) -> str:
     return (
-        f"{what}: workers fell behind the clock, by {lag.worst_s:.2f} s at the worst, in {lag.late} of {lag.looks} looks:"
+        f"{what}: workers fell behind the clock, by {lag.worst_s:.2f} s at the worst, in "
+        f"{lag.late} of {lag.looks} looks:"
         f" {NO_TIMES}"
     )
--- a/hazelhollow/scale/fleet.py
+++ b/hazelhollow/scale/fleet.py
@@ -20,7 +20,8 @@
 from hazelhollow.scale.topology import lay_out, open_network, region_cut
 
 LIST_EVERY_S = 1.0  # between changes of the list of servers
-SHARED_FROM = 200_000  # limiters times routes from which the limiters of a process share one settings object
+# limiters times routes from which the limiters of a process share one settings object
+SHARED_FROM = 200_000
 HOSTS = 250  # last numbers of addresses that are used
 RESTARTED = 3  # last digit of the numbers that restart
 TENTH = 10
@@ -30,7 +31,9 @@
 class Member:
     """One limiter through all its lives, and what is known of its view."""
 
-    def __init__(self, number: int, peers: HollowPeers, watcher: Watcher, requests: Requests) -> None:
+    def __init__(
+        self, number: int, peers: HollowPeers, watcher: Watcher, requests: Requests
+    ) -> None:
         self.number, self.peers, self.watcher, self.requests = number, peers, watcher, requests
         self.life: Life | None = None
         self.lives = 0
@@ -38,7 +41,10 @@
 
 
 class HollowFleet:
-    """`second`: of the window that is watched now, for bytes by second. The run begins with `begin`."""
+    """`second`: of the window that is watched now, for bytes by second.
+
+    The run begins with `begin`.
+    """
 
     def __init__(
         self,
@@ -48,10 +54,16 @@
         meter: Meter,
         second: Callable[[], int],
     ) -> None:
-        self._job, self._population, self._scheduler, self._meter = job, population, scheduler, meter
+        self._job, self._population, self._scheduler, self._meter = (
+            job,
+            population,
+            scheduler,
+            meter,
+        )
         self.wire = Wire(meter)
         self.truth = Truth(job.size.limiters)
-        self.rows = array("d")  # of each request: seconds into the run, tenant, units, whether it was let in
+        # of each request: seconds into the run, tenant, units, whether it was let in
+        self.rows = array("d")
         self.shares_settings = len(job.here) * job.size.routes >= SHARED_FROM
         self._topology = lay_out(job.size.limiters, job.fleet)
         self._servers = settings.servers(job.size, job.fleet)
@@ -70,13 +82,18 @@
             address = f"{job.net}.{1 + place // HOSTS}.{1 + place % HOSTS}"
             peers = HollowPeers(self._scheduler, self.wire, number, (address, 0), second)
             requests = Requests(parts[number], job.size.routes, number, job.seed)
-            yield number, Member(number, peers, Watcher(number, self.truth, self._scheduler.clock), requests)
+            yield (
+                number,
+                Member(number, peers, Watcher(number, self.truth, self._scheduler.clock), requests),
+            )
 
     def begin(self, addresses: dict[int, tuple[str, int]], began: float) -> None:
         """All addresses are known, and when the run begins."""
         self._began, self._played = began, set(addresses)
         self.truth.up_since = dict.fromkeys(self._played, began)
-        everybody = {n: addresses.get(n) or absent_address(n) for n in range(self._job.size.limiters)}
+        everybody = {
+            n: addresses.get(n) or absent_address(n) for n in range(self._job.size.limiters)
+        }
         for number, one in self.members.items():
             for other, address in everybody.items():
                 if other != number:
@@ -114,7 +131,8 @@
 
     def _prepare(self, one: Member) -> Life:
         one.lives += 1
-        seed = hash((self._job.seed, one.number, one.lives))  # of numbers: the same in every process
+        # of numbers: the same in every process
+        seed = hash((self._job.seed, one.number, one.lives))
         return Life(
             self._scheduler,
             self._meter,
@@ -129,7 +147,9 @@
     def _start(self, one: Member, life: Life | None = None) -> None:
         one.life = life or self._prepare(one)
         one.life.start(self._servers)
-        self._scheduler.at(self._scheduler.clock() + LIST_EVERY_S, self._change_list, one, one.life, 0)
+        self._scheduler.at(
+            self._scheduler.clock() + LIST_EVERY_S, self._change_list, one, one.life, 0
+        )
 
     def _change_list(self, one: Member, life: Life, change: int) -> None:
         """One server drains, or is back."""
@@ -138,7 +158,9 @@
         server = self._servers[change // 2 % len(self._servers)]
         entry = _replace(server, {"state": "up" if change % 2 else "draining"})
         life.list_servers(api.Servers("change", (entry,)))
-        self._scheduler.at(self._scheduler.clock() + LIST_EVERY_S, self._change_list, one, life, change + 1)
+        self._scheduler.at(
+            self._scheduler.clock() + LIST_EVERY_S, self._change_list, one, life, change + 1
+        )
 
     # Requests
 
@@ -165,7 +187,10 @@
         self.rows.extend((at, drawn.tenant, drawn.units, life.ask(drawn, request)))
 
     def ask_for_all(self, overdue: Callable[[], bool]) -> None:
-        """Each tenant of each limiter once, as fast as it goes; not to the end where that is overdue."""
+        """Each tenant of each limiter once, as fast as it goes.
+
+        Not to the end where that is overdue.
+        """
         for one in self.members.values():
             for tenant in one.requests.tenants:
                 if overdue() or one.life is None:
@@ -183,7 +208,10 @@
     # Events
 
     def happen(self, kind: EventKind, at_s: float) -> None:
-        """What is planned for that second of the run, the same in every process; what was counted before is forgotten."""
+        """What is planned for that second of the run, the same in every process.
+
+        What was counted before is forgotten.
+        """
         for one in self.members.values():
             one.peers.bytes_by_second.clear()
             one.acts_on = None
@@ -229,7 +257,10 @@
                 one.life = None
 
     def _bring_back(self, at_s: float) -> None:
-        """All that are down. Since when they are up is what was planned, the same in every process."""
+        """All that are down.
+
+        Since when they are up is what was planned, the same in every process.
+        """
         for number in self._played - set(self.truth.up_since):
             self.truth.up_since[number] = self._began + at_s
             if number in self.members:
@@ -254,7 +285,9 @@
         """Seconds of each member that is up from the event until it was right for good."""
         up = [one for one in self.members.values() if one.life]
         moments = [one.acts_on if kind in CONFIGURED else one.watcher.right_since for one in up]
-        return [None if moment is None else max(0.0, moment - self._began - at_s) for moment in moments]
+        return [
+            None if moment is None else max(0.0, moment - self._began - at_s) for moment in moments
+        ]
 
     def traffic(self) -> Traffic:
         """Since the last event."""
@@ -288,7 +321,10 @@
 
 
 def _replace(record: Any, values: dict[str, Any]) -> Any:
-    """A frozen record with other values, without what its constructor checks, which takes long for many routes."""
+    """A frozen record with other values, without what its constructor checks.
+
+    Which takes long for many routes.
+    """
     other = object.__new__(type(record))
     other.__dict__.update(record.__dict__ | values)
     return other
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -1,7 +1,10 @@
-"""A hollow limiter: the real decision module, view, replica and audit with their real drivers, without clients and servers.
+"""A hollow limiter.
 
-Many of them share one scheduler. Each life of one has a scheduler of its own in front of it, which counts every timer's call
-as the role of whom it calls, and which falls silent when the life ends.
+The real decision module, view, replica and audit with their real drivers, without clients and
+servers.
+
+Many of them share one scheduler. Each life of one has a scheduler of its own in front of it, which
+counts every timer's call as the role of whom it calls, and which falls silent when the life ends.
 """
 
 from __future__ import annotations
@@ -65,7 +68,9 @@
         self.alive = True
 
     def __getattr__(self, name: str) -> Any:
-        """What this one does not keep itself, such as when the loop polled last, is the shared one's."""
+        """What this one does not keep itself, such as when the loop polled last, is the shared
+        one's.
+        """
         return getattr(self._shared, name)
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> sch.Timer:
@@ -113,7 +118,10 @@
 
 
 class HollowRequest:
-    """One modelled request: what the limiter reads, and its client, who notes what becomes of it."""
+    """One modelled request.
+
+    What the limiter reads, and its client, who notes what becomes of it.
+    """
 
     __slots__ = ("request", "let_in")
 
@@ -139,10 +147,15 @@
 
 
 class Told:
-    """What a limiter is told at its start. `document`: its settings; `settings`: the same as the decision module takes them;
-    `order`: the operator's number of them."""
+    """What a limiter is told at its start.
 
-    def __init__(self, document: Mapping[str, Any], order: int, settings: api.Settings | None = None) -> None:
+    `document`: its settings; `settings`: the same as the decision module takes them; `order`: the
+    operator's number of them.
+    """
+
+    def __init__(
+        self, document: Mapping[str, Any], order: int, settings: api.Settings | None = None
+    ) -> None:
         self.document, self.order = document, order
         self.settings = settings or settings_wire.parse_settings(
             settings_wire.Fields("settings", dict(document))
@@ -150,7 +163,10 @@
 
 
 class Life:
-    """One limiter from its start to its end. Implements what the audit asks of a limiter (`audit.driver.Port`)."""
+    """One limiter from its start to its end.
+
+    Implements what the audit asks of a limiter (`audit.driver.Port`).
+    """
 
     def __init__(
         self,
@@ -189,14 +205,19 @@
     # Its start and its end
 
     def start(self, servers: tuple[api.ServerEntry, ...]) -> None:
-        """It is given its list of servers and meets the fleet, as the operator's file switches its subsystems on."""
+        """It is given its list of servers and meets the fleet.
+
+        As the operator's file switches its subsystems on.
+        """
         self._peers.renew(self.stats, self.limiter.heard)
         self.list_servers(api.Servers("full", servers))
         seal, number = Seal([KEY] if self._terms.sealed else []), self._settings.me
         now, most = self.scheduler.clock(), budget(seal)
         if self._terms.control_bytes_per_s:
             clock = self.scheduler.clock
-            self._budget = LimiterBudget(self._terms.control_bytes_per_s, self._peers, clock, seal.length)
+            self._budget = LimiterBudget(
+                self._terms.control_bytes_per_s, self._peers, clock, seal.length
+            )
         allowance = self._part(BudgetRole.VIEW)
         view = View(number, self._settings.gateways, now, self._seed, most, allowance=allowance)
         view.table.watch(self._saw)
@@ -312,7 +333,10 @@
         return settings_wire.parse_settings(settings_wire.Fields("settings", whole), known)
 
     def take(self, document: Mapping[str, Any]) -> str:
-        """Settings of the operator or of a peer, as `net.service.Service.take_settings` takes them."""
+        """Settings of the operator or of a peer.
+
+        As `net.service.Service.take_settings` takes them.
+        """
         trouble = self.check(document) if document is not self._checked[0] else ""
         if trouble:
             return trouble
--- a/hazelhollow/scale/load.py
+++ b/hazelhollow/scale/load.py
@@ -1,7 +1,8 @@
 """The modelled load: tenants by way of use, and the requests of one limiter, drawn from a seed.
 
-What a tenant asks is split over its limiters by uneven weights. A Poisson stream that is split so is one Poisson stream at each
-limiter, so that each limiter's requests are drawn by themselves: the same whichever process plays it.
+What a tenant asks is split over its limiters by uneven weights. A Poisson stream that is split so
+is one Poisson stream at each limiter, so that each limiter's requests are drawn by themselves: the
+same whichever process plays it.
 """
 
 from __future__ import annotations
@@ -33,11 +34,19 @@
     use: float
 
 
-WAYS = (Way("calm", 0.61, 0.28), Way("full", 0.14, 0.97), Way("heavy", 0.09, 3.9), Way("spiky", 0.16, 0.28))
+WAYS = (
+    Way("calm", 0.61, 0.28),
+    Way("full", 0.14, 0.97),
+    Way("heavy", 0.09, 3.9),
+    Way("spiky", 0.16, 0.28),
+)
 
 
 class Tariff(NamedTuple):
-    """A plan of tenants before it is scaled to the size: units a second, seconds of them at once, share of the tenants."""
+    """A plan of tenants before it is scaled to the size.
+
+    Units a second, seconds of them at once, share of the tenants.
+    """
 
     name: str
     rate: float
@@ -62,7 +71,10 @@
 
 
 class Tenant(NamedTuple):
-    """`asks`: requests a second on the mean; `spike`: first, every and for how many seconds, of a spiky one."""
+    """`asks`.
+
+    Requests a second on the mean; `spike`: first, every and for how many seconds, of a spiky one.
+    """
 
     number: int
     quota: int
@@ -110,7 +122,8 @@
     scale = asked or 1.0  # quotas stay as they are where nobody asks
     tenants = tuple(one._replace(asks=one.asks * asked, top=one.top * asked) for one in drawn)
     quotas = tuple(
-        Quota(one.name, one.rate * scale, max(one.rate * scale * one.burst_s, LEAST_BURST)) for one in TARIFFS
+        Quota(one.name, one.rate * scale, max(one.rate * scale * one.burst_s, LEAST_BURST))
+        for one in TARIFFS
     )
     return Population(tenants, quotas)
 
@@ -130,7 +143,9 @@
     asks = rate * way.use * chance.uniform(0.85, 1.15)
     skew = round(chance.uniform(0.21, 1.2), 1)  # few values, so that sums of weights are kept
     top = rate * SPIKE if spiky else asks
-    return Tenant(number, quota, chance.randrange(limiters), spread, way.name, asks, top, skew, spike)
+    return Tenant(
+        number, quota, chance.randrange(limiters), spread, way.name, asks, top, skew, spike
+    )
 
 
 def _mean(one: Tenant) -> float:
@@ -169,14 +184,19 @@
 class Requests:
     """The requests of one limiter, in the order of their times; drawn as they are asked for."""
 
-    def __init__(self, parts: Sequence[tuple[Tenant, float]], routes: int, limiter: int, seed: int) -> None:
+    def __init__(
+        self, parts: Sequence[tuple[Tenant, float]], routes: int, limiter: int, seed: int
+    ) -> None:
         self._chance = random.Random(f"requests {seed} {limiter}")
         self._routes = routes
         self.tenants = [one for one, _ in parts]
         self._sums = list(accumulate(one.top * part for one, part in parts))
 
     def __iter__(self) -> Iterator[Drawn]:
-        """Thinned arrivals: the highest rate draws, the present one keeps. Ends at once where nobody asks."""
+        """Thinned arrivals: the highest rate draws, the present one keeps.
+
+        Ends at once where nobody asks.
+        """
         chance, sums, at = self._chance, self._sums, 0.0
         while sums and sums[-1] > 0.0:
             at += chance.expovariate(sums[-1])
--- a/hazelhollow/scale/measure.py
+++ b/hazelhollow/scale/measure.py
@@ -30,8 +30,10 @@
 
 
 class Sums(msgspec.Struct):
-    """What one role came to. `turns`: by step of their time, as `step_of` counts them. Times in nanoseconds of the
-    processor."""
+    """What one role came to.
+
+    `turns`: by step of their time, as `step_of` counts them. Times in nanoseconds of the processor.
+    """
 
     calls: int = 0
     cpu_ns: int = 0
@@ -51,7 +53,10 @@
             self.turns[step] = self.turns.get(step, 0) + count
 
     def p99_ns(self) -> float:
-        """The upper end of the step in which the turn lies that 99 in 100 are not longer than; the longest bounds it."""
+        """The upper end of the step in which the turn lies that 99 in 100 are not longer than.
+
+        The longest bounds it.
+        """
         left = 0.99 * sum(self.turns.values())
         for step in sorted(self.turns):
             left -= self.turns[step]
@@ -89,8 +94,11 @@
 
 
 class Meter:
-    """Of one process. A turn is one call from outside into a limiter, and all that it leads to: a call within a turn is
-    part of it. The processor time of this thread is read before and after."""
+    """Of one process.
+
+    A turn is one call from outside into a limiter, and all that it leads to: a call within a turn
+    is part of it. The processor time of this thread is read before and after.
+    """
 
     def __init__(self, processor_ns: Callable[[], int] = time.thread_time_ns) -> None:
         self._processor_ns = processor_ns
@@ -118,7 +126,10 @@
         one.turns[step] = one.turns.get(step, 0) + 1
 
     def more(self, role: Role, spent: int) -> None:
-        """Processor time beside turns that is a role's all the same: the system's, in which its datagrams are read."""
+        """Processor time beside turns that is a role's all the same.
+
+        The system's, in which its datagrams are read.
+        """
         self.sums[role].cpu_ns += spent
 
     def sent(self, role: Role, size: int) -> None:
@@ -142,8 +153,10 @@
 
 
 class Traffic(msgspec.Struct):
-    """Bytes sent by the limiters of a process, headers included, by second since the window began: the sum over all, and
-    the most that one sent in it."""
+    """Bytes sent by the limiters of a process, headers included, by second since the window began.
+
+    The sum over all, and the most that one sent in it.
+    """
 
     sums: dict[int, int] = msgspec.field(default_factory=dict)
     most: dict[int, int] = msgspec.field(default_factory=dict)
@@ -155,8 +168,10 @@
             self.most[second] = max(self.most.get(second, 0), size)
 
     def worst(self, seconds: int, members: int, window_s: float) -> float:
-        """Bytes a second of the mean member in the worst stretch of so many seconds, or in the whole window if it is
-        shorter."""
+        """Bytes a second of the mean member in the worst stretch of so many seconds.
+
+        Or in the whole window if it is shorter.
+        """
         length = max(1, min(seconds, math.floor(window_s)))
         starts = range(min(self.sums, default=0), max(self.sums, default=0) + 1)
         found = [sum(self.sums.get(start + n, 0) for n in range(length)) for start in starts]
--- a/hazelhollow/scale/messages.py
+++ b/hazelhollow/scale/messages.py
@@ -1,4 +1,7 @@
-"""What the coordinator and its workers tell each other: JSON files in the run's folder, each written whole at once."""
+"""What the coordinator and its workers tell each other.
+
+JSON files in the run's folder, each written whole at once.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,10 @@
 
 
 class Wired(msgspec.Struct, frozen=True, kw_only=True):
-    """Where all limiters are, by number, and the run's clock: what it shows at which monotonic second."""
+    """Where all limiters are, by number, and the run's clock.
+
+    What it shows at which monotonic second.
+    """
 
     addresses: dict[int, tuple[str, int]]
     began: float
@@ -46,8 +52,10 @@
 
 
 class Lag(msgspec.Struct):
-    """How far a worker fell behind its clock: its regular looks that came late, of all, and the worst, in seconds of the
-    run's clock."""
+    """How far a worker fell behind its clock.
+
+    Its regular looks that came late, of all, and the worst, in seconds of the run's clock.
+    """
 
     looks: int = 0
     late: int = 0
@@ -60,8 +68,11 @@
 
 
 class SeenEvent(msgspec.Struct, kw_only=True):
-    """One event as a worker's members saw it. `until`: seconds of each member that is up at the end of the window until it
-    was right for good, nothing where it was not."""
+    """One event as a worker's members saw it.
+
+    `until`: seconds of each member that is up at the end of the window until it was right for good,
+    nothing where it was not.
+    """
 
     kind: EventKind
     at_s: float
@@ -75,9 +86,12 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
-    """What a worker measured. `refusals`: by reason, from the start to the end of measuring. `waited_s`: real seconds in
-    which other work had the processor. `missing`: of the point, if it ended early. `behind`: it asks for a slower clock and
-    has measured nothing."""
+    """What a worker measured.
+
+    `refusals`: by reason, from the start to the end of measuring. `waited_s`: real seconds in which
+    other work had the processor. `missing`: of the point, if it ended early. `behind`: it asks for
+    a slower clock and has measured nothing.
+    """
 
     limiters: int
     seconds: float = 0.0
--- a/hazelhollow/scale/network.py
+++ b/hazelhollow/scale/network.py
@@ -1,4 +1,7 @@
-"""The network side of hollow limiters: the real sockets between limiters, with meters, faults and a ledger of datagrams."""
+"""The network side of hollow limiters.
+
+The real sockets between limiters, with meters, faults and a ledger of datagrams.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +25,18 @@
 LOOPBACK_BYTES = 1 << 18  # that a socket may hold for a limiter whose worker has others to play
 
 ABSENT_PORT = (
-    9  # at which nobody listens on the loopback: of limiters that the settings name and the run does not play
+    # at which nobody listens on the loopback: of limiters that the settings name and the run does
+    # not play
+    9
 )
 
 
 class Ledger(msgspec.Struct):
-    """Datagrams of all limiters of a process over a whole run: what went out is what came in and what was lost. Words to a
-    limiter's own address are in neither."""
+    """Datagrams of all limiters of a process over a whole run.
+
+    What went out is what came in and what was lost. Words to a limiter's own address are in
+    neither.
+    """
 
     out: int = 0
     came: int = 0
@@ -57,7 +65,10 @@
 
 
 class Wire:
-    """What the limiters of one process share: the faults between limiters, the ledger and the meter."""
+    """What the limiters of one process share.
+
+    The faults between limiters, the ledger and the meter.
+    """
 
     def __init__(self, meter: Meter) -> None:
         self.meter, self.ledger = meter, Ledger()
@@ -65,7 +76,10 @@
 
 
 class HollowPeers(Peers):
-    """The real datagrams of one limiter, through all of its lives. While it is `dead`, what comes is counted and dropped."""
+    """The real datagrams of one limiter, through all of its lives.
+
+    While it is `dead`, what comes is counted and dropped.
+    """
 
     def __init__(
         self,
@@ -103,7 +117,8 @@
 
     def _take(self, data: bytes, sender: tuple[str, int]) -> None:
         wire, role = self._wire, role_of(data[:1].decode("latin-1"))
-        if sender[0] == self.address[0]:  # the view's word to a process that may have the same number
+        # the view's word to a process that may have the same number
+        if sender[0] == self.address[0]:
             if not self.dead:
                 wire.meter.turn(Role.VIEW, super()._take, data, sender)
             return
@@ -132,6 +147,9 @@
 
 
 def dropped(inodes: set[int]) -> int:
-    """Datagrams that the system has dropped at these sockets. Raises OSError where it does not tell."""
+    """Datagrams that the system has dropped at these sockets.
+
+    Raises OSError where it does not tell.
+    """
     rows = [line.split() for line in UDP_TABLE.read_text().splitlines()[1:]]
     return sum(int(row[DROPS]) for row in rows if int(row[INODE]) in inodes)
--- a/hazelhollow/scale/origin.py
+++ b/hazelhollow/scale/origin.py
@@ -17,7 +17,10 @@
 
 
 def begin(plan: str, planned: Size, file: Path) -> Results:
-    """The results that the file has, to be added to, or new ones. Raises OSError or ResultsError for a file that holds none."""
+    """The results that the file has, to be added to, or new ones.
+
+    Raises OSError or ResultsError for a file that holds none.
+    """
     return load(file) if file.exists() else fresh(plan, planned)
 
 
@@ -40,8 +43,18 @@
 
 def commit() -> str:
     """Of the program, where it runs from a repository; with a mark where it was changed since."""
-    words = ["git", "-C", str(Path(__file__).parent), "describe", "--always", "--dirty", "--abbrev=12"]
+    words = [
+        "git",
+        "-C",
+        str(Path(__file__).parent),
+        "describe",
+        "--always",
+        "--dirty",
+        "--abbrev=12",
+    ]
     try:
-        return subprocess.run(words, capture_output=True, text=True, check=True, timeout=10).stdout.strip()
+        return subprocess.run(
+            words, capture_output=True, text=True, check=True, timeout=10
+        ).stdout.strip()
     except (OSError, subprocess.SubprocessError):
         return "unknown"
--- a/hazelhollow/scale/plan.py
+++ b/hazelhollow/scale/plan.py
@@ -1,4 +1,7 @@
-"""Plans of scale runs: typed records, read from TOML. A plan that cannot be played is refused with the place of the trouble."""
+"""Plans of scale runs: typed records, read from TOML.
+
+A plan that cannot be played is refused with the place of the trouble.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,10 @@
 
 
 class PlannedEvent(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`window_s`: seconds of the run's clock for which its effects are watched; the next event comes after them."""
+    """`window_s`.
+
+    Seconds of the run's clock for which its effects are watched; the next event comes after them.
+    """
 
     kind: EventKind
     window_s: float
@@ -39,9 +45,12 @@
 
 
 class FleetTerms(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How the fleet is laid out and set. `spread_least`, `spread_most`: limiters that serve one tenant (0: half of the fleet, and
-    all of it); `service_s`: mean seconds that a modelled server takes; `control_bytes_per_s`: budget of a limiter's
-    control traffic, headers included (0: none)."""
+    """How the fleet is laid out and set.
+
+    `spread_least`, `spread_most`: limiters that serve one tenant (0: half of the fleet, and all of
+    it); `service_s`: mean seconds that a modelled server takes; `control_bytes_per_s`: budget of a
+    limiter's control traffic, headers included (0: none).
+    """
 
     regions: int = 3
     zones: int = 6
@@ -58,7 +67,9 @@
 
     def __post_init__(self) -> None:
         if not 0 < self.regions <= self.zones <= self.racks or self.zones % self.regions:
-            raise ValueError("regions, zones, racks: each must hold at least one of the next, all alike many")
+            raise ValueError(
+                "regions, zones, racks: each must hold at least one of the next, all alike many"
+            )
         if not 0 <= self.spread_least <= self.spread_most:
             raise ValueError("spread_least: above spread_most, or below nothing")
         if self.control_bytes_per_s and self.control_bytes_per_s < LEAST_BYTES_PER_S:
@@ -70,10 +81,12 @@
 class AxisPlan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The points of one axis: the base with one value changed, or, for `all`, the sizes named.
 
-    `base`, `fleet`: in place of the plan's. `present`: limiters that are played, of the fleet that the settings tell (0: all of it). `settle_s`: before measuring, from
-    the start of all. `dilation`: seconds of real time for one of the run's clock; 0: so much that the workers keep up.
-    `every_tenant_first`: each tenant asks once at each of its limiters right before measuring. `most_real_s`: after which a point ends,
-    whatever is missing then."""
+    `base`, `fleet`: in place of the plan's. `present`: limiters that are played, of the fleet that
+    the settings tell (0: all of it). `settle_s`: before measuring, from the start of all.
+    `dilation`: seconds of real time for one of the run's clock; 0: so much that the workers keep
+    up. `every_tenant_first`: each tenant asks once at each of its limiters right before measuring.
+    `most_real_s`: after which a point ends, whatever is missing then.
+    """
 
     axis: Axis
     values: tuple[int, ...] = ()
@@ -91,13 +104,17 @@
     def __post_init__(self) -> None:
         needs_sizes = self.axis is Axis.ALL
         if bool(self.sizes) != needs_sizes or bool(self.values) == needs_sizes:
-            raise ValueError(f"axis {self.axis.value}: give {'sizes' if needs_sizes else 'values'} alone")
+            raise ValueError(
+                f"axis {self.axis.value}: give {'sizes' if needs_sizes else 'values'} alone"
+            )
         if any(value < 1 for value in self.values):
             raise ValueError("values: one is below 1")
         if self.settle_s <= 0 or self.seconds <= 0 or self.most_real_s <= 0 or self.dilation < 0:
             raise ValueError("settle_s, seconds, most_real_s: not above zero, or dilation below it")
         if self.events and self.every_tenant_first:
-            raise ValueError("events: none where every_tenant_first, which takes as long as it takes")
+            raise ValueError(
+                "events: none where every_tenant_first, which takes as long as it takes"
+            )
         open_pairs = set[EventKind]()
         for event in self.events:
             if event.kind is EventKind.START:
@@ -126,12 +143,16 @@
             if not 2 <= point.size.limiters <= MOST_LIMITERS:
                 raise ValueError(f"limiters: {point.size.limiters} is not 2 to {MOST_LIMITERS}")
             if point.terms.present > point.size.limiters:
-                raise ValueError(f"present: {point.terms.present} of {point.size.limiters} limiters")
+                raise ValueError(
+                    f"present: {point.terms.present} of {point.size.limiters} limiters"
+                )
             if (
                 min(point.size.servers, point.size.routes, point.size.tenants) < 1
                 or point.size.requests_per_s < 0
             ):
-                raise ValueError("base, sizes: servers, routes or tenants below 1, or requests_per_s below 0")
+                raise ValueError(
+                    "base, sizes: servers, routes or tenants below 1, or requests_per_s below 0"
+                )
 
     def points(self) -> Iterator[PlannedPoint]:
         """All points, axis by axis, in the order of the plan."""
--- a/hazelhollow/scale/plots.py
+++ b/hazelhollow/scale/plots.py
@@ -33,14 +33,23 @@
     sizes = [start + (end - start) * step / STEPS for step in range(STEPS + 1)]
     figure, axes = pyplot.subplots(figsize=INCHES)
     axes.plot(sizes, [slope.curve.at(size) for size in sizes], label=f"fitted, {slope.curve.shape}")
-    axes.plot([size for size, _ in measured], [value for _, value in measured], "o", label="measured")
+    axes.plot(
+        [size for size, _ in measured], [value for _, value in measured], "o", label="measured"
+    )
     axes.axvline(target, linestyle=":", label="the plan")
     if row.quantity.budget:
         axes.axhline(row.quantity.budget.limit, linestyle="--", label="budget")
-    axes.set(xlabel=AXIS_WORDS[slope.axis], ylabel=row.quantity.unit, title=row.quantity.name, ylim=(0, None))
+    axes.set(
+        xlabel=AXIS_WORDS[slope.axis],
+        ylabel=row.quantity.unit,
+        title=row.quantity.name,
+        ylim=(0, None),
+    )
     axes.legend(fontsize=8)
     figure.tight_layout()
-    file = folder / f"{row.quantity.part}-{row.quantity.resource}-{slope.axis}.png".replace(" ", "_")
+    file = folder / f"{row.quantity.part}-{row.quantity.resource}-{slope.axis}.png".replace(
+        " ", "_"
+    )
     figure.savefig(file, dpi=90)
     pyplot.close(figure)
     return file
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -1,8 +1,10 @@
-"""What one real limiter adds to a request: real processes on loopback, and a client whose requests go out at times laid down
-ahead, through the limiter and straight to the server in turn.
+"""What one real limiter adds to a request.
 
-Latency is counted from the time at which a request was to go out, so that a slow limiter is not spared. Stretches in which the
-client itself was late give no figure: it would be the client's.
+Real processes on loopback, and a client whose requests go out at times laid down ahead, through the
+limiter and straight to the server in turn.
+
+Latency is counted from the time at which a request was to go out, so that a slow limiter is not
+spared. Stretches in which the client itself was late give no figure: it would be the client's.
 """
 
 from __future__ import annotations
@@ -38,9 +40,11 @@
 END_WITHIN_S = 3.0  # for requests that are out at the end
 MOST_LATE_P99_S = 0.0005  # by which the client's own requests may go out late
 MOST_STRAIGHT_P99_S = (
-    0.003  # of a request straight to a server that does no work: one that takes longer shows the machine
+    # of a request straight to a server that does no work: one that takes longer shows the machine
+    0.003
 )
-BLOCK_S = 0.1  # stretches that are judged by themselves: those in which the client was late are left out
+# stretches that are judged by themselves: those in which the client was late are left out
+BLOCK_S = 0.1
 LEAST_REQUESTS = 500  # by which a 99th in a hundred means something
 LIMITER, SERVER = "limiter", "server"
 
@@ -60,7 +64,10 @@
 
 
 class LatencyPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """`size.limiters`: how many the settings tell of; one runs. `seconds`: of requests that are counted."""
+    """`size.limiters`: how many the settings tell of; one runs.
+
+    `seconds`: of requests that are counted.
+    """
 
     size: Size
     seconds: float = 10.0
@@ -68,8 +75,11 @@
 
 
 class FinePoller:
-    """select.poll rounds its time up to a whole millisecond, which would make requests late by half of one on the mean;
-    select.select keeps microseconds. For the few descriptors of this client its longer work for each call does not matter."""
+    """select.poll rounds its time up to a whole millisecond.
+
+    Which would make requests late by half of one on the mean; select.select keeps microseconds. For
+    the few descriptors of this client its longer work for each call does not matter.
+    """
 
     def __init__(self) -> None:
         self._interest: dict[int, int] = {}
@@ -100,7 +110,10 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """What the client wrote of one request, in seconds: when it was to go out, when it did, when its answer came."""
+    """What the client wrote of one request, in seconds.
+
+    When it was to go out, when it did, when its answer came.
+    """
 
     to: str
     due: float
@@ -110,7 +123,10 @@
 
 
 def measure(plan: LatencyPlan) -> Latency:
-    """Plays it. Raises RealError where it gives no figure, LateClient where that is the client's fault."""
+    """Plays it.
+
+    Raises RealError where it gives no figure, LateClient where that is the client's fault.
+    """
     folder = Path(tempfile.mkdtemp(prefix="hazelhollow-latency-"))
     run = Run(plan, folder)
     try:
@@ -122,8 +138,10 @@
 
 
 def latency(size: Size, found: Sequence[Row], counted_from: float) -> Latency:
-    """The figures of the rows that were due from then on, without the blocks in which the client was late. Raises LateClient where
-    too few are left, BusyMachine where the straight way was slow too, RealError where it is neither's fault."""
+    """The figures of the rows that were due from then on, without the blocks in which the client
+    was late. Raises LateClient where too few are left, BusyMachine where the straight way was
+    slow too, RealError where it is neither's fault.
+    """
     blocks = _blocks(found, counted_from)
     on_time = [block for block in blocks if not _client_late(block)]
     counted = [row for block in on_time for row in block]
@@ -138,11 +156,14 @@
         )
     unserved = [row for row in counted if row.outcome != "served"]
     if unserved:
-        raise RealError(f"{len(unserved)} of {len(counted)} requests were not served ({unserved[0].outcome})")
+        raise RealError(
+            f"{len(unserved)} of {len(counted)} requests were not served ({unserved[0].outcome})"
+        )
     straight_p99 = quantile([row.end - row.due for row in straight], 0.99)
     if straight_p99 > MOST_STRAIGHT_P99_S:
         raise BusyMachine(
-            f"straight to the server one request in 100 took {1000 * straight_p99:.2f} ms: no figure"
+            f"straight to the server one request in 100 took {1000 * straight_p99:.2f} "
+            "ms: no figure"
         )
     return Latency(
         size=size,
@@ -169,7 +190,10 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """The least value that at least this share of the values does not exceed. `values` is not empty."""
+    """The least value that at least this share of the values does not exceed.
+
+    `values` is not empty.
+    """
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
 
@@ -195,7 +219,10 @@
         self.scheduler.run()
         if self._error:
             raise self._error
-        return [Row(row["to"], row["due"], row["t"], row["end"], row["outcome"]) for row in rows(self._file)]
+        return [
+            Row(row["to"], row["due"], row["t"], row["end"], row["outcome"])
+            for row in rows(self._file)
+        ]
 
     def close(self) -> None:
         """No process, socket or file is left."""
@@ -290,9 +317,16 @@
             {"name": name, "objective": 0.5, "deadline": 1.5, "effect": "pure", "credit": 1.0}
             for name in names
         ],
-        "tariffs": [{"name": PLAN, "per_second": UNBOUNDED, "most_at_once": UNBOUNDED, "excess_cost": 1.0}],
+        "tariffs": [
+            {"name": PLAN, "per_second": UNBOUNDED, "most_at_once": UNBOUNDED, "excess_cost": 1.0}
+        ],
         "family_info": {"max_units": 4},
-        "policy_limits": {"max_attempts": 3, "peers": False, "retry_after": True, "max_retry_after": 1.0},
+        "policy_limits": {
+            "max_attempts": 3,
+            "peers": False,
+            "retry_after": True,
+            "max_retry_after": 1.0,
+        },
     }
 
 
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -1,4 +1,7 @@
-"""`scale latency`: what one real limiter adds to a request. `scale compare`: real processes against hollow limiters."""
+"""`scale latency`: what one real limiter adds to a request.
+
+`scale compare`: real processes against hollow limiters.
+"""
 
 from __future__ import annotations
 
@@ -51,11 +54,14 @@
 )
 @click.option("--seconds", type=click.FloatRange(1.0, 120.0), default=10.0, show_default=True)
 @click.option("--tries", type=click.IntRange(1, 20), default=TRIES, show_default=True)
-def latency(path: Path, chosen: Sequence[tuple[int, int, float]], seconds: float, tries: int) -> None:
-    """Requests at times laid down ahead, through one real limiter and straight to its server in turn.
+def latency(
+    path: Path, chosen: Sequence[tuple[int, int, float]], seconds: float, tries: int
+) -> None:
+    """Requests at times laid down ahead, through one real limiter and straight to its server in
+    turn.
 
-    Wants a quiet machine: where the client itself was late there is no figure, and the size is tried again. Exit status 1 if a
-    size gave none.
+    Wants a quiet machine: where the client itself was late there is no figure, and the size is
+    tried again. Exit status 1 if a size gave none.
     """
     try:
         found = origin.begin("latency", PLANNED, path)
@@ -75,7 +81,9 @@
 
 
 def _measured(servers: int, routes: int, rate: float, seconds: float, tries: int) -> Latency | None:
-    size = Size(limiters=PLANNED.limiters, servers=servers, routes=routes, tenants=1, requests_per_s=rate)
+    size = Size(
+        limiters=PLANNED.limiters, servers=servers, routes=routes, tenants=1, requests_per_s=rate
+    )
     click.echo(f"{servers} servers, {routes} routes, {rate:g} requests/s ...", err=True)
     try:
         plan = LatencyPlan(size=size, seconds=seconds)
@@ -120,6 +128,7 @@
     for one in made:
         words = "apart by more than the margin" if one in apart else "alike"
         click.echo(
-            f"{one.figure}: real {shown(one.real, one.unit)}, hollow {shown(one.hollow, one.unit)}, {words}"
+            f"{one.figure}: real {shown(one.real, one.unit)}, hollow "
+            f"{shown(one.hollow, one.unit)}, {words}"
         )
     sys.exit(FAILED if apart else 0)
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -1,7 +1,9 @@
-"""The same figures from a fleet of real processes and from hollow limiters, at a size at which all can be real.
+"""The same figures from a fleet of real processes and from hollow limiters, at a size at which all
+can be real.
 
-Both are told the same settings and asked the same by the same tenants. What is compared: datagrams and bytes a second by role and
-processor time for control while nobody asks, the gossip under load, and seconds until all agree after a start and after one death.
+Both are told the same settings and asked the same by the same tenants. What is compared: datagrams
+and bytes a second by role and processor time for control while nobody asks, the gossip under load,
+and seconds until all agree after a start and after one death.
 """
 
 from __future__ import annotations
@@ -43,7 +45,8 @@
 
 MARGIN = 0.25  # by which real and hollow figures may differ, as a part of the real one
 HOLLOW_START_S = (
-    0.25  # over which hollow limiters start; agreement counts from its end, as from the last real start
+    # over which hollow limiters start; agreement counts from its end, as from the last real start
+    0.25
 )
 QUIET_RATE = 0.001  # requests a second: nobody asks
 CONTROL = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
@@ -63,8 +66,11 @@
 
 
 class FleetPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """`settle_s`: from the start until measuring; `rest_s`: of each measurement; `deaths`: limiters killed, one after another, each
-    watched for `death_s`."""
+    """`settle_s`.
+
+    From the start until measuring; `rest_s`: of each measurement; `deaths`: limiters killed, one
+    after another, each watched for `death_s`.
+    """
 
     limiters: int = 12
     servers: int = 2
@@ -89,7 +95,10 @@
 
     @property
     def terms(self) -> FleetTerms:
-        """A rack for each limiter, so that a lost rack is one death; each tenant at all limiters; no keys."""
+        """A rack for each limiter, so that a lost rack is one death.
+
+        Each tenant at all limiters; no keys.
+        """
         return FleetTerms(
             regions=1,
             zones=1,
@@ -113,7 +122,9 @@
 def comparisons(real: Figures, hollow: Figures) -> tuple[Comparison, ...]:
     """Of each figure that both have, in the order of the real ones."""
     return tuple(
-        Comparison(figure=name, unit=UNITS[name.split()[0]], real=value, hollow=hollow[name], margin=MARGIN)
+        Comparison(
+            figure=name, unit=UNITS[name.split()[0]], real=value, hollow=hollow[name], margin=MARGIN
+        )
         for name, value in real.items()
         if name in hollow
     )
@@ -125,7 +136,8 @@
 def operator_file(name: str, home: Path) -> str:
     """What `deploy/fleet.cue` switches on, with the view written to where its agreement is read."""
     return (
-        f'package operator\nlog: format: "console"\nfleet: view_file: "{view_file(home.parent, name)}"\n'
+        'package operator\nlog: format: "console"\nfleet: view_file: '
+        f'"{view_file(home.parent, name)}"\n'
         "fleet: replicate: {}\nfleet: audit: {}\n"
     )
 
@@ -200,7 +212,9 @@
         self._progress("under load")
         self.figures |= self._under_load()
         found = [self._one_death(number) for number in self._victims()]
-        self.figures["agreed after one death, median"] = statistics.mean(median for median, _ in found)
+        self.figures["agreed after one death, median"] = statistics.mean(
+            median for median, _ in found
+        )
         self.figures["agreed after one death, worst"] = statistics.mean(worst for _, worst in found)
 
     def _victims(self) -> list[int]:
@@ -261,7 +275,10 @@
                 )
 
     def _one_death(self, number: int) -> tuple[float, float]:
-        """Median and worst seconds until the others hold it as dead for good. It is back and known when this ends."""
+        """Median and worst seconds until the others hold it as dead for good.
+
+        It is back and known when this ends.
+        """
         name = self.world.names[number]
         self._progress(f"{name} is killed")
         at = self.scheduler.clock()
@@ -282,7 +299,9 @@
         until = self.scheduler.clock() + BACK_WITHIN_S
         while any(states(view) != whole for view in _last_views(self._lines(self.world.names))):
             if self.scheduler.clock() > until:
-                raise RealError(f"a limiter that was started again was not known within {BACK_WITHIN_S:g} s")
+                raise RealError(
+                    f"a limiter that was started again was not known within {BACK_WITHIN_S:g} s"
+                )
             self.scheduler.sleep(0.25)
 
     def _count(self, seconds: float) -> dict[tuple[str, Role], float]:
@@ -310,7 +329,10 @@
 
 
 def settled(lines: Sequence[Mapping[str, Any]], wanted: Mapping[str, str]) -> float:
-    """When the view became what is wanted, for good, in Unix seconds. Raises RealError if it is not so at the end."""
+    """When the view became what is wanted, for good, in Unix seconds.
+
+    Raises RealError if it is not so at the end.
+    """
     since: float | None = None
     for line in lines:
         right = states(line["members"]) == wanted
@@ -345,10 +367,14 @@
 
 
 def hollow_figures(plan: FleetPlan, progress: Progress) -> Figures:
-    """Of hollow limiters: at rest with a death, by as many seeds as there are deaths, and under load. Raises RunError or
-    RealError."""
+    """Of hollow limiters.
+
+    At rest with a death, by as many seeds as there are deaths, and under load. Raises RunError or
+    RealError.
+    """
     quiet = [
-        _played(plan, QUIET_RATE, plan.seed + number, progress, death=True) for number in range(plan.deaths)
+        _played(plan, QUIET_RATE, plan.seed + number, progress, death=True)
+        for number in range(plan.deaths)
     ]
     loaded = _played(plan, plan.requests_per_s, plan.seed, progress, death=False)
     return {
@@ -363,7 +389,9 @@
         "agreed after one death, median": statistics.mean(
             _death(point).until_agreed.median for point in quiet
         ),
-        "agreed after one death, worst": statistics.mean(_death(point).until_agreed.worst for point in quiet),
+        "agreed after one death, worst": statistics.mean(
+            _death(point).until_agreed.worst for point in quiet
+        ),
     }
 
 
@@ -409,7 +437,13 @@
     )
     size = msgspec.structs.replace(plan.size, requests_per_s=rate)
     whole = Plan(
-        name="compare", seed=seed, base=size, axes=(axis,), planned=size, workers=2, fleet=plan.terms
+        name="compare",
+        seed=seed,
+        base=size,
+        axes=(axis,),
+        planned=size,
+        workers=2,
+        fleet=plan.terms,
     )
     progress(f"{plan.limiters} hollow limiters, {rate:g} requests/s, seed {seed}")
     return Coordinator(whole, progress).play(PlannedPoint(Axis.LIMITERS, size, axis, plan.terms))
--- a/hazelhollow/scale/report.py
+++ b/hazelhollow/scale/report.py
@@ -13,8 +13,11 @@
 
 
 def read(files: Sequence[Path]) -> Runs:
-    """The runs of these files in the order of their names. Raises OSError, or ResultsError for a file that holds no results or
-    whose planned size is another one."""
+    """The runs of these files in the order of their names.
+
+    Raises OSError, or ResultsError for a file that holds no results or whose planned size is
+    another one.
+    """
     runs = [Run(file.name, load(file)) for file in sorted(files, key=lambda file: file.name)]
     for run in runs:
         if run.results.planned != runs[0].results.planned:
--- a/hazelhollow/scale/report_claims.py
+++ b/hazelhollow/scale/report_claims.py
@@ -1,4 +1,7 @@
-"""Figures from a first look, each held against what the runs measured: confirmed, refuted or not run."""
+"""Figures from a first look, each held against what the runs measured.
+
+Confirmed, refuted or not run.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,20 @@
 
 import msgspec
 
-from hazelhollow.scale.results import Axis, Event, EventKind, Latency, Point, Results, Role, RoleSums
+from hazelhollow.scale.results import (
+    Axis,
+    Event,
+    EventKind,
+    Latency,
+    Point,
+    Results,
+    Role,
+    RoleSums,
+)
 
 NEAR = 1.5  # times by which a measured figure may lie above or below the first one and confirm it
-PLAN = "first-look"  # of runs that are there for these figures alone: their base is not that of the others
+# of runs that are there for these figures alone: their base is not that of the others
+PLAN = "first-look"
 NEXT = 0.25  # part of a size by which a run may lie beside the one that is meant
 
 Measure = Callable[[Sequence[Results]], float | None]
@@ -99,7 +112,9 @@
     return measure
 
 
-def _event(results: Sequence[Results], kind: EventKind, limiters: int) -> tuple[Point, Event] | None:
+def _event(
+    results: Sequence[Results], kind: EventKind, limiters: int
+) -> tuple[Point, Event] | None:
     for point in _points(results, limiters=limiters):
         for event in point.events:
             if event.kind is kind and point.whole_fleet and point.axis in (Axis.LIMITERS, Axis.ALL):
@@ -171,25 +186,95 @@
 
 
 CLAIMS = (
-    Claim("a request, 930 limiters, 200 servers, 1 class", "s", 190e-6, request_cost(limiters=930, servers=200, routes=1)),
-    Claim("the same, 14,000 servers", "s", 727e-6, request_cost(limiters=930, servers=14_000, routes=10)),
-    Claim("the same, 14,000 servers and 11,000 classes", "s", 6_814e-6, request_cost(limiters=930, servers=14_000, routes=11_000)),
-    Claim("a request, fleet of three, 14 servers", "s", 143e-6, request_cost(limiters=3, servers=14, routes=1)),
-    Claim("the same, 14,000 servers", "s", 31_010e-6, request_cost(limiters=3, servers=14_000, routes=1)),
+    Claim(
+        "a request, 930 limiters, 200 servers, 1 class",
+        "s",
+        190e-6,
+        request_cost(limiters=930, servers=200, routes=1),
+    ),
+    Claim(
+        "the same, 14,000 servers",
+        "s",
+        727e-6,
+        request_cost(limiters=930, servers=14_000, routes=10),
+    ),
+    Claim(
+        "the same, 14,000 servers and 11,000 classes",
+        "s",
+        6_814e-6,
+        request_cost(limiters=930, servers=14_000, routes=11_000),
+    ),
+    Claim(
+        "a request, fleet of three, 14 servers",
+        "s",
+        143e-6,
+        request_cost(limiters=3, servers=14, routes=1),
+    ),
+    Claim(
+        "the same, 14,000 servers",
+        "s",
+        31_010e-6,
+        request_cost(limiters=3, servers=14_000, routes=1),
+    ),
     Claim("one changed server, list of 200", "s", 0.3e-3, mean_turn(Role.LIST, servers=200)),
-    Claim("one changed server, list of 14,000", "s", 13e-3, mean_turn(Role.LIST, limiters=930, servers=14_000)),
-    Claim("a beat of gossip, fleet of three, 300 customers", "s", 42e-3, longest_turn(Role.GOSSIP, Axis.TENANTS, limiters=3, tenants=300)),
-    Claim("the same, 10,000 customers charged in 1.5 s", "s", 4.580, longest_turn(Role.GOSSIP, Axis.TENANTS, limiters=3, tenants=10_000)),
-    Claim("gossip text at 50 members and 4,700 tenants", "B/s", 4_750.0, bytes_sent(Role.GOSSIP, limiters=50, tenants=4_700)),
-    Claim("all control, worst 10 s after a sixth dies (first look: the view alone), 50", "B/s", 1_000.0, event_bytes(EventKind.ZONE_LOST, 50)),
+    Claim(
+        "one changed server, list of 14,000",
+        "s",
+        13e-3,
+        mean_turn(Role.LIST, limiters=930, servers=14_000),
+    ),
+    Claim(
+        "a beat of gossip, fleet of three, 300 customers",
+        "s",
+        42e-3,
+        longest_turn(Role.GOSSIP, Axis.TENANTS, limiters=3, tenants=300),
+    ),
+    Claim(
+        "the same, 10,000 customers charged in 1.5 s",
+        "s",
+        4.580,
+        longest_turn(Role.GOSSIP, Axis.TENANTS, limiters=3, tenants=10_000),
+    ),
+    Claim(
+        "gossip text at 50 members and 4,700 tenants",
+        "B/s",
+        4_750.0,
+        bytes_sent(Role.GOSSIP, limiters=50, tenants=4_700),
+    ),
+    Claim(
+        "all control, worst 10 s after a sixth dies (first look: the view alone), 50",
+        "B/s",
+        1_000.0,
+        event_bytes(EventKind.ZONE_LOST, 50),
+    ),
     Claim("the same, 200 members in bytes", "B/s", 4_200.0, event_bytes(EventKind.ZONE_LOST, 200)),
     Claim("the same, 400 members in bytes", "B/s", 8_600.0, event_bytes(EventKind.ZONE_LOST, 400)),
     Claim("agreement at the start, 50 members", "s", 1.6, agreement(EventKind.START, 50)),
     Claim("the same, 200 members", "s", 4.5, agreement(EventKind.START, 200)),
     Claim("the same, 400 members", "s", 9.3, agreement(EventKind.START, 400)),
     Claim("the same, 1,000 members", "s", 26.0, agreement(EventKind.START, 1_000)),
-    Claim("added by a limiter, median, 200 servers, 1 class", "s", 0.9e-3, latency(_added_median, servers=200, routes=1)),
-    Claim("the same, 99 in 100 (1.9 to 2.4 ms)", "s", 2.15e-3, latency(_added_p99, servers=200, routes=1)),
-    Claim("memory of a limiter, 200 servers, 1 class", "B", 20e6, latency(_memory, servers=200, routes=1)),
-    Claim("the same, 14,000 servers and 11,000 classes", "B", 69e6, latency(_memory, servers=14_000, routes=11_000)),
-)  # fmt: skip
+    Claim(
+        "added by a limiter, median, 200 servers, 1 class",
+        "s",
+        0.9e-3,
+        latency(_added_median, servers=200, routes=1),
+    ),
+    Claim(
+        "the same, 99 in 100 (1.9 to 2.4 ms)",
+        "s",
+        2.15e-3,
+        latency(_added_p99, servers=200, routes=1),
+    ),
+    Claim(
+        "memory of a limiter, 200 servers, 1 class",
+        "B",
+        20e6,
+        latency(_memory, servers=200, routes=1),
+    ),
+    Claim(
+        "the same, 14,000 servers and 11,000 classes",
+        "B",
+        69e6,
+        latency(_memory, servers=14_000, routes=11_000),
+    ),
+)
--- a/hazelhollow/scale/report_commands.py
+++ b/hazelhollow/scale/report_commands.py
@@ -20,18 +20,24 @@
 
 @click.command("report")
 @click.argument("files", nargs=-1, required=True, type=FILE)
-@click.option("--page", type=FILE, help="Fill the marked blocks of this page; its other text stays.")
 @click.option(
-    "--check", is_flag=True, help="Write nothing; exit status 1 if the page is not what the files give."
+    "--page", type=FILE, help="Fill the marked blocks of this page; its other text stays."
 )
 @click.option(
-    "--plot", type=click.Path(file_okay=False, path_type=Path), help="Draw each slope into this folder."
+    "--check",
+    is_flag=True,
+    help="Write nothing; exit status 1 if the page is not what the files give.",
+)
+@click.option(
+    "--plot",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Draw each slope into this folder.",
 )
 def report(files: tuple[Path, ...], page: Path | None, check: bool, plot: Path | None) -> None:
     """Tables at the planned size from files that `scale run` wrote.
 
-    Files whose names begin with `before-` are of an earlier program and are shown beside the others. Without --page the tables
-    are printed. --plot needs requirements-plot.txt.
+    Files whose names begin with `before-` are of an earlier program and are shown beside the
+    others. Without --page the tables are printed. --plot needs requirements-plot.txt.
     """
     if check and page is None:
         raise click.UsageError("--check needs --page")
