--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -1,7 +1,10 @@
-"""The settings document by its number of routes, as the audit would hand it on, and the list of servers: worked out, not run.
+"""The settings document by its number of routes.
 
-Documents of routes that differ only in a running number compress far better than those of a real site. So both are worked out:
-alike ones, as the scale runs use them, and ones whose names and times have nothing in common.
+As the audit would hand it on, and the list of servers: worked out, not run.
+
+Documents of routes that differ only in a running number compress far better than those of a real
+site. So both are worked out: alike ones, as the scale runs use them, and ones whose names and times
+have nothing in common.
 """
 
 from __future__ import annotations
@@ -42,7 +45,10 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """`size`: bytes of its JSON; `characters`: of its compressed text; `pieces`: datagrams of one transfer."""
+    """`size`.
+
+    Bytes of its JSON; `characters`: of its compressed text; `pieces`: datagrams of one transfer.
+    """
 
     routes: int
     kind: Routes
@@ -97,7 +103,12 @@
 def _unlike(number: int, grade: dict[str, Any]) -> dict[str, Any]:
     digest = hashlib.sha256(str(number).encode()).hexdigest()
     deadline = 0.5 + int(digest[:4], 16) / 10_000
-    return {**grade, "name": digest[-NAME_DIGITS:], "deadline": deadline, "objective": round(deadline / 3, 3)}
+    return {
+        **grade,
+        "name": digest[-NAME_DIGITS:],
+        "deadline": deadline,
+        "objective": round(deadline / 3, 3),
+    }
 
 
 class ServerList(msgspec.Struct, frozen=True):
@@ -123,5 +134,7 @@
     for number in range(servers):
         name = f"server-{number:05d}"
         address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379"
-        discovery.hosts[name] = Host(name, {LIMITER: address}, f"zone-{number % 6}", started=1.7e9, index=1)
+        discovery.hosts[name] = Host(
+            name, {LIMITER: address}, f"zone-{number % 6}", started=1.7e9, index=1
+        )
     return len(discovery.document(LIMITER, None))
--- a/hazelhollow/scale/report_fit.py
+++ b/hazelhollow/scale/report_fit.py
@@ -1,4 +1,7 @@
-"""A figure as a function of one size: least squares through measured points, linear or logarithmic, whichever fits better."""
+"""A figure as a function of one size.
+
+Least squares through measured points, linear or logarithmic, whichever fits better.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,9 @@
 import msgspec
 
 SAME_FIT = (
-    1e-9  # difference of two sums of squares, as a part of the values', below which the linear shape is taken
+    # difference of two sums of squares, as a part of the values', below which the linear shape is
+    # taken
+    1e-9
 )
 
 
@@ -28,8 +33,11 @@
 
 
 class Fit(msgspec.Struct, frozen=True, kw_only=True):
-    """`value = intercept + slope * size`, or with the natural logarithm of the size. `least` and `most`: the range of sizes
-    measured. `error`: the greatest distance of a point from the curve, as a part of the greatest value measured."""
+    """`value = intercept + slope * size`, or with the natural logarithm of the size.
+
+    `least` and `most`: the range of sizes measured. `error`: the greatest distance of a point from
+    the curve, as a part of the greatest value measured.
+    """
 
     shape: Shape
     intercept: float
@@ -40,18 +48,27 @@
     error: float
 
     def at(self, size: float) -> float:
-        """The figure at that size, never below nothing. One that falls with the size is not taken to fall beyond the range."""
+        """The figure at that size, never below nothing.
+
+        One that falls with the size is not taken to fall beyond the range.
+        """
         if self.slope < 0.0:
             size = min(size, self.most)
         return max(0.0, self.intercept + self.slope * _scaled(self.shape, size))
 
     def growth(self, size: float, start: float) -> float:
-        """By how much the figure at `size` exceeds the one at `start`; below nothing where `size` is the smaller."""
+        """By how much the figure at `size` exceeds the one at `start`.
+
+        Below nothing where `size` is the smaller.
+        """
         return self.at(size) - self.at(start)
 
 
 def fit(samples: Sequence[Sample]) -> Fit | None:
-    """None where the samples have fewer than two sizes. A size that is not above nothing has no logarithm: then linear."""
+    """None where the samples have fewer than two sizes.
+
+    A size that is not above nothing has no logarithm: then linear.
+    """
     sizes = {sample.size for sample in samples}
     if len(sizes) < 2:
         return None
@@ -73,11 +90,15 @@
     mean_x = sum(scaled) / len(samples)
     mean_y = sum(sample.value for sample in samples) / len(samples)
     spread = sum((x - mean_x) ** 2 for x in scaled)
-    common = sum((x - mean_x) * (sample.value - mean_y) for x, sample in zip(scaled, samples, strict=True))
+    common = sum(
+        (x - mean_x) * (sample.value - mean_y) for x, sample in zip(scaled, samples, strict=True)
+    )
     slope = common / spread
     intercept = mean_y - slope * mean_x
     greatest = max(abs(sample.value) for sample in samples) or 1.0
-    distances = [abs(intercept + slope * x - sample.value) for x, sample in zip(scaled, samples, strict=True)]
+    distances = [
+        abs(intercept + slope * x - sample.value) for x, sample in zip(scaled, samples, strict=True)
+    ]
     return Fit(
         shape=shape,
         intercept=intercept,
--- a/hazelhollow/scale/report_order.py
+++ b/hazelhollow/scale/report_order.py
@@ -1,4 +1,7 @@
-"""Sums by budget, what is left of each, and the order in which the budgets are passed as the fleet grows."""
+"""Sums by budget, what is left of each.
+
+And the order in which the budgets are passed as the fleet grows.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,18 @@
 from hazelhollow.scale.report_rows import Known, Mark, Row, coordinate
 from hazelhollow.scale.results import Axis, Size
 
-ADDED_UP = (budgets.CONTROL_CPU, budgets.CONTROL_BYTES)  # of the other budgets the dearest row counts
+# of the other budgets the dearest row counts
+ADDED_UP = (budgets.CONTROL_CPU, budgets.CONTROL_BYTES)
 LEAST, MOST = 0.001, 10.0  # fractions of the plan between which a passing is looked for
 STEPS = 400  # from the least to the most, evenly on a logarithmic scale
 HALVINGS = 40
 
 
 class BudgetSum(msgspec.Struct, frozen=True, kw_only=True):
-    """What the rows of one budget take of it at the planned size. `value`: None where no row is known."""
+    """What the rows of one budget take of it at the planned size.
+
+    `value`: None where no row is known.
+    """
 
     budget: Budget
     known: tuple[Row, ...]
@@ -34,8 +41,12 @@
 
 
 class Passing(msgspec.Struct, frozen=True, kw_only=True):
-    """`fraction`: of the plan at which a row or a sum passes its budget; 0: at any size; None: not up to MOST, or not known.
-    `share`: of its budget at the planned size. `fitted`: a slope says so, and not runs at one size, which passed it there or before."""
+    """`fraction`.
+
+    Of the plan at which a row or a sum passes its budget; 0: at any size; None: not up to MOST, or
+    not known. `share`: of its budget at the planned size. `fitted`: a slope says so, and not runs
+    at one size, which passed it there or before.
+    """
 
     name: str
     budget: Budget
@@ -52,8 +63,10 @@
 
 
 def order(known: Known, more: Sequence[Passing] = ()) -> tuple[Passing, ...]:
-    """Rows and sums with a budget, and `more` that is known without runs: the first to pass first; those that do not pass next,
-    what is not known last."""
+    """Rows and sums with a budget, and `more` that is known without runs.
+
+    The first to pass first; those that do not pass next, what is not known last.
+    """
     passings = [_row_passing(row, known) for row in known.rows if row.quantity.budget]
     passings += [_sum_passing(one, known) for one in sums(known) if one.budget in ADDED_UP]
     return tuple(sorted([*passings, *more], key=_rank))
@@ -75,8 +88,10 @@
 
 
 def passes_at(value: Callable[[float], float | None], limit: float) -> float | None:
-    """The least fraction of the plan at which the value is above the limit: 0 if it is so from the least on, None if it is not
-    up to the greatest that is looked at."""
+    """The least fraction of the plan at which the value is above the limit.
+
+    0 if it is so from the least on, None if it is not up to the greatest that is looked at.
+    """
     before = LEAST
     if _above(value(LEAST), limit):
         return 0.0
@@ -134,7 +149,10 @@
 
 
 def _sum_passing(one: BudgetSum, known: Known) -> Passing:
-    """By the slopes, or by the least size at which the rows of one run came to more, whichever is passed first."""
+    """By the slopes.
+
+    Or by the least size at which the rows of one run came to more, whichever is passed first.
+    """
     limit = one.budget.limit
     by_slopes = passes_at(lambda fraction: _sum_at(one.known, fraction, known), limit)
     seen = _seen_above((*one.known, *one.unknown), limit, known.planned)
--- a/hazelhollow/scale/report_page.py
+++ b/hazelhollow/scale/report_page.py
@@ -1,4 +1,7 @@
-"""Marked blocks of a Markdown page: the program writes what stands between the markers, people what stands around them."""
+"""Marked blocks of a Markdown page.
+
+The program writes what stands between the markers, people what stands around them.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,17 @@
 
 
 class PageError(ValueError):
-    """Markers that do not fit the tables: unknown names, a block without its end, one name twice."""
+    """Markers that do not fit the tables.
+
+    Unknown names, a block without its end, one name twice.
+    """
 
 
 def render(page: str, tables: Mapping[str, str]) -> str:
-    """The page with each block filled anew. Tables without a block on the page are left out. Raises PageError."""
+    """The page with each block filled anew.
+
+    Tables without a block on the page are left out. Raises PageError.
+    """
     lines: list[str] = []
     seen = set[str]()
     inside = ""
@@ -39,10 +48,14 @@
     return "\n".join(lines)
 
 
-def _check(kind: str, name: str, inside: str, seen: set[str], tables: Mapping[str, str], number: int) -> None:
+def _check(
+    kind: str, name: str, inside: str, seen: set[str], tables: Mapping[str, str], number: int
+) -> None:
     if kind == "end":
         if inside != name:
-            raise PageError(f"line {number}: the end of {name!r} where {inside or 'no block'!r} is open")
+            raise PageError(
+                f"line {number}: the end of {name!r} where {inside or 'no block'!r} is open"
+            )
         return
     if inside:
         raise PageError(f"line {number}: {name!r} begins within {inside!r}")
--- a/hazelhollow/scale/report_rows.py
+++ b/hazelhollow/scale/report_rows.py
@@ -1,4 +1,7 @@
-"""What the runs say at the planned size: each quantity, fitted along each axis, with the mark that tells how it is known."""
+"""What the runs say at the planned size.
+
+Each quantity, fitted along each axis, with the mark that tells how it is known.
+"""
 
 from __future__ import annotations
 
@@ -28,8 +31,9 @@
 CONTROL = (Role.LIST, Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
 CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
 PROCESS = "process"  # what belongs to a limiter as a whole
-# Along which axes a role's figures say something. What members tell each other does not follow the servers; a request's cost does
-# not follow the limiters, of which its settings name as many as planned in every run that grows something else.
+# Along which axes a role's figures say something. What members tell each other does not follow the
+# servers; a request's cost does not follow the limiters, of which its settings name as many as
+# planned in every run that grows something else.
 AXES_OF_ROLE = {
     Role.REQUESTS: (Axis.SERVERS, Axis.ROUTES, Axis.TENANTS, Axis.ALL),
     Role.LIST: (Axis.SERVERS, Axis.ROUTES, Axis.ALL),
@@ -39,9 +43,12 @@
     Role.AUDIT: (Axis.LIMITERS, Axis.ALL),
     Role.TIMERS: tuple(Axis),
 }
-TALKING = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)  # roles that send datagrams to members
+# roles that send datagrams to members
+TALKING = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
 LEAST_SECONDS = 1.0  # of measuring, below which a run was broken off and has no rates
-TURNS_OF_A_REQUEST = 2.0  # its arrival and its answer; a run that has each tenant ask once at first has more turns than its rate says
+# its arrival and its answer; a run that has each tenant ask once at first has more turns than its
+# rate says
+TURNS_OF_A_REQUEST = 2.0
 SINGLE_AXES = (Axis.LIMITERS, Axis.SERVERS, Axis.ROUTES, Axis.TENANTS)
 
 
@@ -85,7 +92,10 @@
 
 
 class Observation(msgspec.Struct, frozen=True):
-    """One value of a quantity at one size; infinite for what some members did not reach within the run."""
+    """One value of a quantity at one size.
+
+    Infinite for what some members did not reach within the run.
+    """
 
     axis: Axis
     size: Size
@@ -93,8 +103,10 @@
 
 
 class Figure(msgspec.Struct, frozen=True, kw_only=True):
-    """A figure at the planned size, in the unit of its quantity; None where it is not known. `factor`: how far the planned
-    size lies beyond the greatest one measured, 1 where it does not."""
+    """A figure at the planned size, in the unit of its quantity; None where it is not known.
+
+    `factor`: how far the planned size lies beyond the greatest one measured, 1 where it does not.
+    """
 
     value: float | None
     mark: Mark
@@ -104,7 +116,10 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A quantity along one axis, the rest held; `figure` has that axis alone at the planned size."""
+    """A quantity along one axis, the rest held.
+
+    `figure` has that axis alone at the planned size.
+    """
 
     axis: Axis
     curve: Fit
@@ -124,13 +139,19 @@
     )
 
     def seen_above(self, limit: float, planned: Size) -> float | None:
-        """The least fraction of the plan at which a run gave more than the limit; None where none did."""
+        """The least fraction of the plan at which a run gave more than the limit.
+
+        None where none did.
+        """
         above = [_fraction(one, planned) for one in self.observations if one.value > limit]
         return min(above, default=None)
 
     def at(self, fraction: float, planned: Size) -> float | None:
-        """The value with every axis at that fraction of the plan; the dearer of the axes added up and of the runs in which
-        all grew together. None without a slope."""
+        """The value with every axis at that fraction of the plan.
+
+        The dearer of the axes added up and of the runs in which all grew together. None without a
+        slope.
+        """
         if self.never_from is not None and fraction >= self.never_from:
             return math.inf
         return _value(self.slopes, fraction, planned)
@@ -147,21 +168,28 @@
 
 
 def coordinate(size: Size, axis: Axis, planned: Size) -> float:
-    """The size along that axis. All together: the fraction of the plan that the number of limiters is."""
+    """The size along that axis.
+
+    All together: the fraction of the plan that the number of limiters is.
+    """
     if axis is Axis.ALL:
         return size.limiters / planned.limiters
     if axis is Axis.CONFIGURATION:
         return float(size.routes)
-    return float({
-        Axis.LIMITERS: size.limiters,
-        Axis.SERVERS: size.servers,
-        Axis.ROUTES: size.routes,
-        Axis.TENANTS: size.tenants,
-    }[axis])  # fmt: skip
+    return float(
+        {
+            Axis.LIMITERS: size.limiters,
+            Axis.SERVERS: size.servers,
+            Axis.ROUTES: size.routes,
+            Axis.TENANTS: size.tenants,
+        }[axis]
+    )
 
 
 def analyse(results: Sequence[Results], planned: Size = budgets.PLANNED) -> Known:
-    """Rows for each quantity that the results or a budget name, in the order of roles, events and latency."""
+    """Rows for each quantity that the results or a budget name, in the order of roles, events and
+    latency.
+    """
     found: dict[Quantity, list[Observation]] = {quantity: [] for quantity in _expected()}
     for one in results:
         for quantity, observation in _observations(one, planned):
@@ -176,11 +204,14 @@
     """The quantity of a role, with the budget that it draws on."""
     control = role in CONTROL
     if resource is Resource.PROCESSOR:
-        return Quantity(role, resource, "core", budgets.CONTROL_CPU if control else budgets.REQUEST_CPU)
+        return Quantity(
+            role, resource, "core", budgets.CONTROL_CPU if control else budgets.REQUEST_CPU
+        )
     if resource in (Resource.BYTES_SENT, Resource.BYTES_RECEIVED):
         sent = resource is Resource.BYTES_SENT and control
         return Quantity(role, resource, "B/s", budgets.CONTROL_BYTES if sent else None)
-    rare = resource is Resource.TURN_P99 and control  # beside the longest one it says how often, not whether
+    # beside the longest one it says how often, not whether
+    rare = resource is Resource.TURN_P99 and control
     return Quantity(role, resource, "s", None if rare else budgets.TURN)
 
 
@@ -190,7 +221,10 @@
         return Quantity(kind, resource, "B/s")
     if resource is Resource.WORST_TEN_SECONDS:
         return Quantity(kind, resource, "B/s", budgets.WORST_BYTES)
-    limits = {Resource.SETTLED_P99: budgets.CHANGE_P99, Resource.SETTLED_WORST: budgets.CHANGE_WORST}
+    limits = {
+        Resource.SETTLED_P99: budgets.CHANGE_P99,
+        Resource.SETTLED_WORST: budgets.CHANGE_WORST,
+    }
     return Quantity(kind, resource, "s", limits[resource] if kind in CONFIGURATION_EVENTS else None)
 
 
@@ -249,8 +283,10 @@
 
 
 def _of_role(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
-    """A few members of many tell nothing of what they would tell the others, but for the gossip's turns, in which it goes
-    through its tenants."""
+    """A few members of many tell nothing of what they would tell the others.
+
+    But for the gossip's turns, in which it goes through its tenants.
+    """
     alone = sums.role in TALKING and not point.whole_fleet
     if not alone and point.seconds >= LEAST_SECONDS:
         yield from _rates(point, sums, planned)
@@ -267,7 +303,9 @@
         yield role_quantity(sums.role, Resource.BYTES_SENT), size / limiter_seconds
     if sums.role is Role.REQUESTS:
         if sums.calls and point.size.requests_per_s:
-            turns = min(sums.calls / limiter_seconds / point.size.requests_per_s, TURNS_OF_A_REQUEST)
+            turns = min(
+                sums.calls / limiter_seconds / point.size.requests_per_s, TURNS_OF_A_REQUEST
+            )
             each = turns * sums.cpu_s / sums.calls
             yield role_quantity(sums.role, Resource.PROCESSOR), planned.requests_per_s * each
     elif sums.calls or sums.role is not Role.TIMERS:
@@ -280,12 +318,17 @@
     whole = spread.reached == spread.of
     if timed:
         yield event_quantity(event.kind, Resource.SETTLED_P99), spread.p99 if whole else math.inf
-        yield event_quantity(event.kind, Resource.SETTLED_WORST), spread.worst if whole else math.inf
+        yield (
+            event_quantity(event.kind, Resource.SETTLED_WORST),
+            spread.worst if whole else math.inf,
+        )
     yield event_quantity(event.kind, Resource.WORST_TEN_SECONDS), event.worst_ten_seconds_bytes_mean
     yield event_quantity(event.kind, Resource.WORST_SECOND), event.worst_second_bytes_most
 
 
-def _of_latencies(latencies: Sequence[Latency], planned: Size) -> Iterator[tuple[Quantity, Observation]]:
+def _of_latencies(
+    latencies: Sequence[Latency], planned: Size
+) -> Iterator[tuple[Quantity, Observation]]:
     """Those at the rate next to the planned one: at others a limiter is less busy."""
     rate = min(
         (one.size.requests_per_s for one in latencies),
@@ -327,7 +370,9 @@
     slopes = tuple(_slopes(reached, planned))
     never = [_fraction(one, planned) for one in seen if not math.isfinite(one.value)]
     if not never:
-        return Row(quantity, tuple(seen), slopes, _figure(reached, slopes, follows(quantity), planned))
+        return Row(
+            quantity, tuple(seen), slopes, _figure(reached, slopes, follows(quantity), planned)
+        )
     least = min(never)
     mark = Mark.MEASURED if max(never) >= 1.0 else Mark.EXTRAPOLATED
     figure = Figure(value=math.inf, mark=mark, factor=max(1.0, 1.0 / max(never)))
@@ -345,7 +390,9 @@
     for observation in seen:
         by_axis[observation.axis].append(observation)
     for axis in Axis:
-        samples = [Sample(coordinate(one.size, axis, planned), one.value) for one in by_axis.get(axis, ())]
+        samples = [
+            Sample(coordinate(one.size, axis, planned), one.value) for one in by_axis.get(axis, ())
+        ]
         curve = fit(samples)
         if curve is not None:
             held = _held(axis, seen, curve, planned)
@@ -353,8 +400,13 @@
 
 
 def _held(axis: Axis, seen: Iterable[Observation], curve: Fit, planned: Size) -> float:
-    """The commonest size along this axis in the runs along other ones; without such runs the least measured."""
-    others = Counter(coordinate(one.size, axis, planned) for one in seen if one.axis not in (axis, Axis.ALL))
+    """The commonest size along this axis in the runs along other ones.
+
+    Without such runs the least measured.
+    """
+    others = Counter(
+        coordinate(one.size, axis, planned) for one in seen if one.axis not in (axis, Axis.ALL)
+    )
     return others.most_common(1)[0][0] if others and axis is not Axis.ALL else curve.least
 
 
@@ -374,7 +426,9 @@
         return Axis.LIMITERS, Axis.ROUTES
     if quantity.part in set(EventKind):
         return (Axis.LIMITERS,)
-    role_axes = next((axes for role, axes in AXES_OF_ROLE.items() if role == quantity.part), SINGLE_AXES)
+    role_axes = next(
+        (axes for role, axes in AXES_OF_ROLE.items() if role == quantity.part), SINGLE_AXES
+    )
     return tuple(axis for axis in SINGLE_AXES if axis in role_axes)
 
 
@@ -395,28 +449,42 @@
     return Figure(value=value, mark=mark, factor=factor, without=without, rate=rate)
 
 
-def _covers(axis: Axis, seen: Sequence[Observation], slopes: Sequence[Slope], planned: Size) -> bool:
-    """Whether the figure says something of that axis: it has a slope, or the runs held it at the planned size."""
+def _covers(
+    axis: Axis, seen: Sequence[Observation], slopes: Sequence[Slope], planned: Size
+) -> bool:
+    """Whether the figure says something of that axis.
+
+    It has a slope, or the runs held it at the planned size.
+    """
     same = (axis, Axis.ALL, Axis.CONFIGURATION) if axis is Axis.ROUTES else (axis, Axis.ALL)
     return any(slope.axis in same for slope in slopes) or (
         bool(seen)
-        and all(coordinate(one.size, axis, planned) >= coordinate(planned, axis, planned) for one in seen)
+        and all(
+            coordinate(one.size, axis, planned) >= coordinate(planned, axis, planned)
+            for one in seen
+        )
     )
 
 
 def _reaches(size: Size, axes: Sequence[Axis], planned: Size) -> bool:
-    return all(coordinate(size, axis, planned) >= coordinate(planned, axis, planned) for axis in axes)
+    return all(
+        coordinate(size, axis, planned) >= coordinate(planned, axis, planned) for axis in axes
+    )
 
 
 def _value(slopes: Sequence[Slope], fraction: float, planned: Size) -> float | None:
-    """Each axis adds what it grows by from where it was held to the dearest of the values there: runs along one axis may ask
-    less than those along another. Axes that grew together stand for themselves."""
+    """Each axis adds what it grows by from where it was held to the dearest of the values there.
+
+    Runs along one axis may ask less than those along another. Axes that grew together stand for
+    themselves.
+    """
     values = []
     single = [slope for slope in slopes if slope.axis is not Axis.ALL]
     if single:
         base = max(slope.curve.at(slope.held) for slope in single)
         growth = sum(
-            slope.curve.growth(_scaled(slope.axis, fraction, planned), slope.held) for slope in single
+            slope.curve.growth(_scaled(slope.axis, fraction, planned), slope.held)
+            for slope in single
         )
         values.append(max(0.0, base + growth))
     values += [slope.curve.at(fraction) for slope in slopes if slope.axis is Axis.ALL]
--- a/hazelhollow/scale/report_tables.py
+++ b/hazelhollow/scale/report_tables.py
@@ -11,14 +11,30 @@
 from hazelhollow.scale.report_claims import CLAIMS, verdict
 from hazelhollow.scale.report_documents import Routes, documents, most, server_lists
 from hazelhollow.scale.report_fit import Fit, Shape
-from hazelhollow.scale.report_order import ADDED_UP, BudgetSum, Passing, document_passings, order, sums
+from hazelhollow.scale.report_order import (
+    ADDED_UP,
+    BudgetSum,
+    Passing,
+    document_passings,
+    order,
+    sums,
+)
 from hazelhollow.scale.report_rows import (
     Figure,
     Known,
     Mark,
     analyse,
 )
-from hazelhollow.scale.results import Axis, Comparison, Event, EventKind, Latency, Point, Results, Size
+from hazelhollow.scale.results import (
+    Axis,
+    Comparison,
+    Event,
+    EventKind,
+    Latency,
+    Point,
+    Results,
+    Size,
+)
 
 NONE = "-"
 NO_RUN = "no run yet"
@@ -53,7 +69,9 @@
     before: tuple[Run, ...] = ()
 
     def of_the_plan(self) -> Runs:
-        """Without those that were made for the figures of the first look alone, whose base is another."""
+        """Without those that were made for the figures of the first look alone, whose base is
+        another.
+        """
         return Runs(
             *(
                 tuple(run for run in group if run.results.plan != report_claims.PLAN)
@@ -133,13 +151,16 @@
 def size_text(size: Size) -> str:
     """A size in one cell."""
     return (
-        f"{size.limiters:,} limiters, {size.servers:,} servers, {size.routes:,} routes, {size.tenants:,} tenants, "
+        f"{size.limiters:,} limiters, {size.servers:,} servers, {size.routes:,} routes, "
+        f"{size.tenants:,} tenants, "
         f"{size.requests_per_s:g} requests/s"
     )
 
 
 def mark_text(figure: Figure) -> str:
-    """The mark, with how far the figure was carried, along which axes nothing is known and at how many requests it was run."""
+    """The mark, with how far the figure was carried, along which axes nothing is known and at how
+    many requests it was run.
+    """
     words = str(figure.mark)
     if figure.mark is Mark.EXTRAPOLATED or (figure.mark is Mark.MODELLED and figure.factor > 1.0):
         words += f" ({digits(figure.factor)} times the measured size)"
@@ -177,13 +198,26 @@
 def runs_table(runs: Iterable[Run]) -> str:
     """Which file was measured where, on which commit."""
     return table(
-        ["file", "commit", "began", "machine", "load at the begin", "points", "latencies", "comparisons"],
+        [
+            "file",
+            "commit",
+            "began",
+            "machine",
+            "load at the begin",
+            "points",
+            "latencies",
+            "comparisons",
+        ],
         (
             [
                 run.name,
                 run.results.commit[:12],
                 run.results.began,
-                f"{run.results.machine.cores} cores, {shown(run.results.machine.memory_bytes, 'B')}, Python {run.results.machine.python}",
+                (
+                    f"{run.results.machine.cores} cores, "
+                    f"{shown(run.results.machine.memory_bytes, 'B')}, Python "
+                    f"{run.results.machine.python}"
+                ),
                 digits(run.results.machine.load),
                 str(len(run.results.points)),
                 str(len(run.results.latencies)),
@@ -313,8 +347,19 @@
     """What each event did."""
     return table(
         [
-            "program", "event", "size", "settled: median", "99 in 100", "worst", "reached", "bytes a second: worst ten, mean member",
-            "worst one, worst member", "longest turn", "false deaths", "let in beyond quotas", "refused with room",
+            "program",
+            "event",
+            "size",
+            "settled: median",
+            "99 in 100",
+            "worst",
+            "reached",
+            "bytes a second: worst ten, mean member",
+            "worst one, worst member",
+            "longest turn",
+            "false deaths",
+            "let in beyond quotas",
+            "refused with room",
         ],
         (
             [state, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
@@ -322,7 +367,7 @@
             if point.whole_fleet
             for event in point.events
         ),
-    )  # fmt: skip
+    )
 
 
 def _event_cells(event: Event, timed: bool) -> list[str]:
@@ -343,7 +388,15 @@
 def quotas_table(runs: Runs) -> str:
     """What each run let in, against one store that sees every request at once."""
     return table(
-        ["program", "axis", "size", "asked", "let in", "beyond, of what was let in", "refused with room, of what was asked"],
+        [
+            "program",
+            "axis",
+            "size",
+            "asked",
+            "let in",
+            "beyond, of what was let in",
+            "refused with room, of what was asked",
+        ],
         (
             [
                 state,
@@ -352,25 +405,46 @@
                 digits(point.quotas.asked),
                 digits(point.quotas.let_in),
                 percent(point.quotas.beyond / point.quotas.let_in if point.quotas.let_in else None),
-                percent(point.quotas.refused_with_room / point.quotas.asked if point.quotas.asked else None),
+                percent(
+                    point.quotas.refused_with_room / point.quotas.asked
+                    if point.quotas.asked
+                    else None
+                ),
             ]
             for state, point in _points(runs)
             if point.quotas
         ),
-    )  # fmt: skip
+    )
 
 
 def latency_table(runs: Runs) -> str:
     """What a limiter adds to a request."""
     return table(
-        ["program", "size", "requests", "left out, client late", "straight: median", "99 in 100", "through: median", "99 in 100", "added: median", "99 in 100"],
+        [
+            "program",
+            "size",
+            "requests",
+            "left out, client late",
+            "straight: median",
+            "99 in 100",
+            "through: median",
+            "99 in 100",
+            "added: median",
+            "99 in 100",
+        ],
         (
-            [state, size_text(one.size), f"{one.requests:,}", percent(one.left_out), *_latency_cells(one)]
+            [
+                state,
+                size_text(one.size),
+                f"{one.requests:,}",
+                percent(one.left_out),
+                *_latency_cells(one),
+            ]
             for state, group in (("now", runs.now), ("before", runs.before))
             for run in group
             for one in run.results.latencies
         ),
-    )  # fmt: skip
+    )
 
 
 def _latency_cells(one: Latency) -> list[str]:
@@ -392,7 +466,13 @@
     return table(
         ["program", "figure", "real", "hollow", "apart by", "margin", "alike"],
         (
-            [state, one.figure, shown(one.real, one.unit), shown(one.hollow, one.unit), *_alike_cells(one)]
+            [
+                state,
+                one.figure,
+                shown(one.real, one.unit),
+                shown(one.hollow, one.unit),
+                *_alike_cells(one),
+            ]
             for state, group in (("now", runs.now), ("before", runs.before))
             for run in group
             for one in run.results.comparisons
@@ -413,7 +493,10 @@
 
 
 def claims_table(runs: Runs) -> str:
-    """Figures from a first look against what the program that they were of gave here, and what it gives now."""
+    """Figures from a first look against what the program that they were of gave here.
+
+    And what it gives now.
+    """
     before, now = ([run.results for run in group] for group in (runs.before, runs.now))
     rows = []
     for claim in CLAIMS:
@@ -447,7 +530,10 @@
         ),
     )
     reach = "; ".join(
-        f"{kind} routes: up to {most(kind):,}, {percent(most(kind) / budgets.PLANNED.routes)} of the plan"
+        (
+            f"{kind} routes: up to {most(kind):,}, "
+            f"{percent(most(kind) / budgets.PLANNED.routes)} of the plan"
+        )
         for kind in Routes
     )
     return f"{text}\n\nWorked out from the code, not run. The most that can be handed on, {reach}."
@@ -457,5 +543,8 @@
     """The whole list of servers by its length."""
     return table(
         ["servers", "bytes of a whole list", "taken by a limiter"],
-        ([f"{one.servers:,}", f"{one.size:,}", "yes" if one.taken else "**no**"] for one in server_lists()),
+        (
+            [f"{one.servers:,}", f"{one.size:,}", "yes" if one.taken else "**no**"]
+            for one in server_lists()
+        ),
     )
--- a/hazelhollow/scale/results.py
+++ b/hazelhollow/scale/results.py
@@ -11,7 +11,8 @@
 import msgspec
 
 FORMAT = 1  # raised when a field changes its meaning
-NO_TIMES = "no figures of time"  # how a note ends that names an event for which the machine was too slow
+# how a note ends that names an event for which the machine was too slow
+NO_TIMES = "no figures of time"
 HEADER_BYTES = 28  # of IPv4 and UDP, counted for each datagram
 
 
@@ -67,8 +68,11 @@
 
 
 class RoleSums(msgspec.Struct, frozen=True, kw_only=True):
-    """Sums over all measured limiters. `longest_turn_s`: processor time of the longest single call, `turn_p99_s`: of the
-    99th in a hundred. Bytes are those of the datagrams' text, without headers."""
+    """Sums over all measured limiters.
+
+    `longest_turn_s`: processor time of the longest single call, `turn_p99_s`: of the 99th in a
+    hundred. Bytes are those of the datagrams' text, without headers.
+    """
 
     role: Role
     calls: int
@@ -82,7 +86,9 @@
 
 
 class Quotas(msgspec.Struct, frozen=True, kw_only=True):
-    """Units over the whole fleet, against one store for each tenant that sees every request at once."""
+    """Units over the whole fleet, against one store for each tenant that sees every request at
+    once.
+    """
 
     asked: float
     let_in: float
@@ -101,9 +107,13 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """`until_agreed`: seconds from the event to the moment at which a member's view (of a configuration: what it acts on)
-    is right for good. Bytes: of one member, headers included; the mean over all and the worst member. `longest_turn_s`: of any
-    role at any member; nothing in files from before it was measured."""
+    """`until_agreed`.
+
+    Seconds from the event to the moment at which a member's view (of a configuration: what it acts
+    on) is right for good. Bytes: of one member, headers included; the mean over all and the worst
+    member. `longest_turn_s`: of any role at any member; nothing in files from before it was
+    measured.
+    """
 
     kind: EventKind
     at_s: float
@@ -117,9 +127,13 @@
 
 
 class Point(msgspec.Struct, frozen=True, kw_only=True):
-    """One size, measured for `seconds` of the run's clock, of the mean limiter. `dilation`: seconds of real time for one of the run's clock.
-    `memory_bytes`: of one hollow limiter, from the growth of its process. `loop_s`: mean processor time of one fixed loop,
-    played again and again while measuring: it tells how fast the machine was then, beside all else that ran on it."""
+    """One size, measured for `seconds` of the run's clock, of the mean limiter.
+
+    `dilation`: seconds of real time for one of the run's clock. `memory_bytes`: of one hollow
+    limiter, from the growth of its process. `loop_s`: mean processor time of one fixed loop, played
+    again and again while measuring: it tells how fast the machine was then, beside all else that
+    ran on it.
+    """
 
     axis: Axis
     size: Size
@@ -137,18 +151,27 @@
 
     @property
     def whole_fleet(self) -> bool:
-        """Whether all limiters of the size were played: what they tell each other is that of the size."""
+        """Whether all limiters of the size were played.
+
+        What they tell each other is that of the size.
+        """
         return self.hollow + self.real >= self.size.limiters
 
     def timed(self, event: Event) -> bool:
-        """Whether the event's seconds count: no note says that the machine was too slow for them."""
+        """Whether the event's seconds count.
+
+        No note says that the machine was too slow for them.
+        """
         return not any(
-            note.startswith(f"{event.kind.value}:") and note.endswith(NO_TIMES) for note in self.notes
+            note.startswith(f"{event.kind.value}:") and note.endswith(NO_TIMES)
+            for note in self.notes
         )
 
 
 class Latency(msgspec.Struct, frozen=True, kw_only=True):
-    """Seconds from the intended start to the answer, through one real limiter and straight to the server, interleaved."""
+    """Seconds from the intended start to the answer, through one real limiter and straight to the
+    server, interleaved.
+    """
 
     size: Size
     requests: int
--- a/hazelhollow/scale/settings.py
+++ b/hazelhollow/scale/settings.py
@@ -1,4 +1,7 @@
-"""The settings that hollow limiters are told: the document as a configuration holds it, and the list of servers."""
+"""The settings that hollow limiters are told.
+
+The document as a configuration holds it, and the list of servers.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,13 @@
         "step": 0.001,
         "grades": [_route(number, DEADLINE_S) for number in range(size.routes)],
         "tariffs": [
-            {"name": one.name, "per_second": one.rate, "most_at_once": one.burst, "excess_cost": 1.0} for one in quotas
+            {
+                "name": one.name,
+                "per_second": one.rate,
+                "most_at_once": one.burst,
+                "excess_cost": 1.0,
+            }
+            for one in quotas
         ],
         "family_info": {"max_units": MOST_UNITS, "inbox_per_s": terms.inbox_per_s},
         "policy_limits": {
@@ -38,7 +47,7 @@
             "cancelling": True,
         },
         "safety": {"cold": 10.0, "cold_from": 0.35, "tip_after": 3.0, "tip_multiple": 2.0},
-    }  # fmt: skip
+    }
 
 
 def _route(number: int, deadline: float) -> dict[str, Any]:
--- a/hazelhollow/scale/topology.py
+++ b/hazelhollow/scale/topology.py
@@ -1,4 +1,7 @@
-"""Where limiters stand, and which pairs of them cannot hear each other: regions of zones of racks, by the limiter's number."""
+"""Where limiters stand, and which pairs of them cannot hear each other.
+
+Regions of zones of racks, by the limiter's number.
+"""
 
 from __future__ import annotations
 
@@ -40,4 +43,6 @@
 
 def region_cut(topology: Topology, region: int) -> Cut:
     """The cut between one region and the others: no datagram passes, whoever sends it."""
-    return lambda source, target: (topology.region(source) == region) != (topology.region(target) == region)
+    return lambda source, target: (topology.region(source) == region) != (
+        topology.region(target) == region
+    )
--- a/hazelhollow/scale/truth.py
+++ b/hazelhollow/scale/truth.py
@@ -1,4 +1,6 @@
-"""What the fleet as a whole did with quotas, against one store for each tenant that sees every request at once."""
+"""What the fleet as a whole did with quotas, against one store for each tenant that sees every
+request at once.
+"""
 
 from __future__ import annotations
 
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -1,7 +1,7 @@
 """One process of a scale run: its limiters on one scheduler, from their start to the report.
 
-`python -m hazelhollow.scale.worker FOLDER NUMBER` reads `NUMBER.job`, writes `NUMBER.bound`, waits for `wired` and writes
-`NUMBER.report` and, with one row for each request, `NUMBER.requests`.
+`python -m hazelhollow.scale.worker FOLDER NUMBER` reads `NUMBER.job`, writes `NUMBER.bound`, waits
+for `wired` and writes `NUMBER.report` and, with one row for each request, `NUMBER.requests`.
 """
 
 from __future__ import annotations
@@ -43,8 +43,10 @@
 
 
 def waited_s() -> float:
-    """Real seconds in which this process could have run and other work had the processor; 0 where the system does not
-    tell."""
+    """Real seconds in which this process could have run and other work had the processor.
+
+    0 where the system does not tell.
+    """
     try:
         return int(Path("/proc/self/schedstat").read_text().split()[1]) / 1e9
     except (OSError, IndexError):
@@ -57,7 +59,10 @@
 
 
 class Worker:
-    """Plays its limiters through the start, the measuring and the events. The clock begins with `wire_up`."""
+    """Plays its limiters through the start, the measuring and the events.
+
+    The clock begins with `wire_up`.
+    """
 
     def __init__(self, job: Job) -> None:
         self._job = job
@@ -72,7 +77,8 @@
         self._scheduler.stood_still = self.fleet.stood_still
         self._began = self._window_began = self._real_until = self._processor = self._waited = 0.0
         self._began_measuring: float | None = None
-        self._burst_over = 0.0  # when every tenant had asked once, before which nothing could be in time
+        # when every tenant had asked once, before which nothing could be in time
+        self._burst_over = 0.0
         self._ended = False
 
     def bound(self) -> Bound:
@@ -115,7 +121,9 @@
             self._scheduler.turn()
         if not self._ended:
             passed, allowed = self._scheduler.clock() - self._began, self._job.terms.most_real_s
-            self._report.missing = f"ended after {allowed:g} s of real time, {passed:.1f} s into the run"
+            self._report.missing = (
+                f"ended after {allowed:g} s of real time, {passed:.1f} s into the run"
+            )
             if not self._report.seconds:
                 self._stop_measuring()
         self._settle()
@@ -130,7 +138,10 @@
         self._at(self._job.terms.settle_s, self._measure)
 
     def _measure(self) -> None:
-        """The start is over. Where the clock was too fast for it, nothing that follows is worth measuring."""
+        """The start is over.
+
+        Where the clock was too fast for it, nothing that follows is worth measuring.
+        """
         if self._job.may_slow and self._lag.late > START_LATE * self._lag.looks:
             self._report.behind = self._ended = True
             return
@@ -190,7 +201,10 @@
         self._ended = True
 
     def _settle(self) -> None:
-        """Nobody says anything more; what is on its way still comes in, so that the ledger is whole."""
+        """Nobody says anything more.
+
+        What is on its way still comes in, so that the ledger is whole.
+        """
         self.fleet.silence()
         self._scheduler.stood_still = None
         until = time.monotonic() + QUIET_S
--- a/hazelhollow/shared_store/__init__.py
+++ b/hazelhollow/shared_store/__init__.py
@@ -1,1 +1,4 @@
-"""The shared store: customers' limits kept in a Redis by leases, so that no request waits for it."""
+"""The shared store.
+
+Customers' limits kept in a Redis by leases, so that no request waits for it.
+"""
--- a/hazelhollow/shared_store/account.py
+++ b/hazelhollow/shared_store/account.py
@@ -1,4 +1,7 @@
-"""One customer's limits at this limiter, the rate at which it uses them, and the call to the store that is under way."""
+"""One customer's limits at this limiter, the rate at which it uses them.
+
+And the call to the store that is under way.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,8 @@
 
 RATE_WINDOW = 1.5  # seconds over which a customer's rate is averaged
 LARGEST_REQUEST_DECAY = 0.98  # a request: how the largest one seen lately is forgotten
-# Where one of the largest requests for each limiter takes no more than this part of a burst, the base has room for it.
+# Where one of the largest requests for each limiter takes no more than this part of a burst, the
+# base has room for it.
 BASE_ROOM = 0.5
 
 ScriptName = Literal["lease", "present"]
@@ -21,7 +25,10 @@
 
 @dataclass(eq=False)
 class Call:
-    """One call to the store, from when it is written to its one end: answered, failed or given up."""
+    """One call to the store, from when it is written to its one end.
+
+    Answered, failed or given up.
+    """
 
     kind: ScriptName
     key: str
@@ -82,15 +89,18 @@
 ) -> Account | None:
     """A customer's account; nothing where the store keeps none of the plan's limits.
 
-    A ceiling's base starts as if it had been empty when this process began (`started_at`): the process before may have
-    spent it. A quota's starts full, as the design's does: each restart may cost its base once more."""
+    A ceiling's base starts as if it had been empty when this process began (`started_at`): the
+    process before may have spent it. A quota's starts full, as the design's does: each restart may
+    cost its base once more.
+    """
     spread = max(1, min(request.spread, settings.gateways))
     base_share = store_settings.lease.base_share if spread > 1 else 1.0
 
     def pool(rate: float, burst: float, starts_full: bool) -> Pool:
         base_burst = base_share * burst / spread
         if spread > 1 and spread * settings.max_units <= BASE_ROOM * burst:
-            base_burst = max(base_burst, settings.max_units)  # so that the first request waits for no lease
+            # so that the first request waits for no lease
+            base_burst = max(base_burst, settings.max_units)
         base = TokenBucket(
             base_share * rate / spread, base_burst, base_burst if starts_full else 0.0, started_at
         )
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -1,4 +1,7 @@
-"""The thin driver between the exchange with the store and a socket: it connects, reads, writes and keeps one timer."""
+"""The thin driver between the exchange with the store and a socket.
+
+It connects, reads, writes and keeps one timer.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +55,10 @@
         self._advance()
 
     def change(self, store_settings: StoreSettings) -> None:
-        """The connection is opened anew by these settings, and the files that they name are read again."""
+        """The connection is opened anew by these settings.
+
+        And the files that they name are read again.
+        """
         self.exchange.store_settings = store_settings
         if self._stream:
             self._stream.close(Ending.MOVED)
--- a/hazelhollow/shared_store/exchange.py
+++ b/hazelhollow/shared_store/exchange.py
@@ -1,7 +1,10 @@
-"""The ledger and the link to the store put together, without I/O: bytes in and out, times given, one instant to be called at.
+"""The ledger and the link to the store put together, without I/O.
 
-A driver connects, and then: `opened`, `receive` with what comes, `take` for what goes out, `closed` at the end, after which
-it waits `retry_in` seconds. `advance` whenever `next_at` has come. A text that is given back is why the connection must end.
+Bytes in and out, times given, one instant to be called at.
+
+A driver connects, and then: `opened`, `receive` with what comes, `take` for what goes out, `closed`
+at the end, after which it waits `retry_in` seconds. `advance` whenever `next_at` has come. A text
+that is given back is why the connection must end.
 """
 
 from __future__ import annotations
@@ -26,7 +29,9 @@
     def __init__(self, ledger: Ledger, store_settings: StoreSettings, seed: int) -> None:
         self.ledger, self.store_settings = ledger, store_settings
         self.link: link_.Link | None = None
-        self.counts = dict.fromkeys(("connected", "broken", "answered", "failed", "late", "not_asked"), 0)
+        self.counts = dict.fromkeys(
+            ("connected", "broken", "answered", "failed", "late", "not_asked"), 0
+        )
         self.slowest_ms = 0.0
         self._random = random.Random(seed)
         self._backoff = Backoff(store_settings.retry_least, store_settings.retry_most)
@@ -72,7 +77,10 @@
     # Calls and time
 
     def pump(self, now: float) -> None:
-        """Writes what the ledger asks. A call that cannot be written now is not asked: nothing queues for a dead store."""
+        """Writes what the ledger asks.
+
+        A call that cannot be written now is not asked: nothing queues for a dead store.
+        """
         calls, self.ledger.outbox = self.ledger.outbox, []
         for call in calls:
             if not self.link or not self.link.call(call, now):
@@ -90,7 +98,9 @@
     def next_at(self, now: float) -> float:
         """When `advance` has something to do."""
         due = self.link.next_due() if self.link else None
-        return max(min(self._ledger_due, due if due is not None else self._ledger_due), now + LEAST_PAUSE)
+        return max(
+            min(self._ledger_due, due if due is not None else self._ledger_due), now + LEAST_PAUSE
+        )
 
     def _handle(self, events: list[link_.LinkEvent], now: float) -> str:
         """Tells the ledger; gives why the connection must end, if it must."""
--- a/hazelhollow/shared_store/leased_decisions.py
+++ b/hazelhollow/shared_store/leased_decisions.py
@@ -1,4 +1,7 @@
-"""The decision module with leases: it is told what the ledger may let in, and the ledger what the module let in."""
+"""The decision module with leases.
+
+It is told what the ledger may let in, and the ledger what the module let in.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,19 @@
 
 
 class LeasedDecisions:
-    """A decorator of the decision module. `on_calls` is called when the ledger has calls for the store."""
+    """A decorator of the decision module.
+
+    `on_calls` is called when the ledger has calls for the store.
+    """
 
     def __init__(self, inner: Decisions, ledger: Ledger, on_calls: Callable[[], None]) -> None:
         self._inner, self._ledger, self._on_calls = inner, ledger, on_calls
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """The inner module's actions. Before a request of a customer whose limits are kept, it gets an `Allowance`."""
+        """The inner module's actions.
+
+        Before a request of a customer whose limits are kept, it gets an `Allowance`.
+        """
         if not isinstance(event, api.Request):
             return self._inner.handle(event, now)
         account = self._ledger.account_for(event, now)
@@ -25,7 +34,9 @@
         quota = account.quota.available() if account.quota else None
         ceiling = account.ceiling.available() if account.ceiling else None
         self._inner.handle(
-            api.Allowance(event.customer, event.plan_name, event.first_gateway, event.spread, quota, ceiling),
+            api.Allowance(
+                event.customer, event.plan_name, event.first_gateway, event.spread, quota, ceiling
+            ),
             now,
         )
         actions = self._inner.handle(event, now)
--- a/hazelhollow/shared_store/ledger.py
+++ b/hazelhollow/shared_store/ledger.py
@@ -1,13 +1,18 @@
-"""The accounting of customers' limits that a shared store keeps. No I/O, no clock: times are given, calls are returned.
+"""The accounting of customers' limits that a shared store keeps.
 
-Each limit (a rate and a burst) of a customer whose requests come through `spread` limiters has two parts:
+No I/O, no clock: times are given, calls are returned.
+
+Each limit (a rate and a burst) of a customer whose requests come through `spread` limiters has two
+parts:
 
 - the base, `base_share` of it, divided evenly: each limiter refills its own and asks nobody;
-- the pool, the rest, in the store: limiters take units on lease ahead of need and spend them without asking.
+- the pool, the rest, in the store: limiters take units on lease ahead of need and spend them
+  without asking.
 
-While a limiter cannot reach the store it has its even share of the pool instead, and only once it is sure that the others
-and the store have counted it out and that all leases from before have ended. docs/design/redis-store.md has the proof that
-no order of these events lets more through than the limit, and the scripts `lease.lua` and `present.lua` are the store's part.
+While a limiter cannot reach the store it has its even share of the pool instead, and only once it
+is sure that the others and the store have counted it out and that all leases from before have
+ended. docs/design/redis-store.md has the proof that no order of these events lets more through than
+the limit, and the scripts `lease.lua` and `present.lua` are the store's part.
 """
 
 from __future__ import annotations
@@ -30,7 +35,8 @@
 
 GROWTH = 1.6  # times a customer's rate is asked for, so that a lease can follow one that speeds up
 ASK_AHEAD = 0.03  # seconds of use beside the largest request, below which more is asked for
-# Of the time a lease is asked for: who got little asks no sooner. What waits in the pool is not lost.
+# Of the time a lease is asked for: who got little asks no sooner. What waits in the pool is not
+# lost.
 SCARCE_PAUSE_SHARE = 0.25
 IDLE_SHARE = 0.4  # of a lease's term: who has not asked for so long does not need it
 RENEW_SHARE = 0.3  # of the term: what is left of it when a lease in use is renewed
@@ -39,11 +45,25 @@
 FORGET_AFTER = 30.0  # seconds without a request, after which a customer's account is closed
 MOST_ACCOUNTS = 50_000  # past it the longest idle is closed
 # These names are shown to operators: docs/operators/redis-store.md says what they mean.
-COUNTERS = ("calls", "granted", "refused_dry", "given_up", "late", "stale", "returned", "lost", "absences", "lapsed")  # fmt: skip
+COUNTERS = (
+    "calls",
+    "granted",
+    "refused_dry",
+    "given_up",
+    "late",
+    "stale",
+    "returned",
+    "lost",
+    "absences",
+    "lapsed",
+)
 
 
 class Ledger:
-    """All customers' accounts at one limiter. `incarnation` differs from that of every earlier process of this limiter."""
+    """All customers' accounts at one limiter.
+
+    `incarnation` differs from that of every earlier process of this limiter.
+    """
 
     def __init__(
         self, settings: api.Settings, store_settings: StoreSettings, incarnation: str, now: float
@@ -66,8 +86,10 @@
     # Requests
 
     def account_for(self, request: api.Request, now: float) -> Account | None:
-        """The customer's account, whose pools say what may be let in now; nothing where the store keeps none of its
-        limits. `record` must follow."""
+        """The customer's account, whose pools say what may be let in now.
+
+        Nothing where the store keeps none of its limits. `record` must follow.
+        """
         plan = self.plans.get(request.plan_name)
         if plan is None:
             return None
@@ -86,7 +108,10 @@
         return account
 
     def record(self, account: Account, units: float, sent: bool, now: float) -> None:
-        """The request that `account_for` was asked for was sent on, and its units are spent; or it was not."""
+        """The request that `account_for` was asked for was sent on, and its units are spent.
+
+        Or it was not.
+        """
         short = not sent and min([pool.available() for pool in account.pools]) < units
         if sent or short:  # what was refused for another reason is no use that a lease could serve
             account.learn(units, sent, now)
@@ -113,8 +138,11 @@
     # What is asked of the store
 
     def _lease_if_low(self, account: Account, refused: float, now: float) -> None:
-        """Asks for more where what is here will soon not do, and for what is on lease to last. `refused`: the units of a
-        request that was refused for want of them; a grant that would not let it in is of no use."""
+        """Asks for more where what is here will soon not do, and for what is on lease to last.
+
+        `refused`: the units of a request that was refused for want of them; a grant that would not
+        let it in is of no use.
+        """
         if len(account.limiters) == 1 or not self.presence.may_lease(now):
             return
         wanted = [self._units_wanted(account, pool) for pool in account.pools]
@@ -136,8 +164,11 @@
     def _lease(
         self, account: Account, wanted: list[float], held: list[float], refused: float, now: float
     ) -> None:
-        """A call that tells what was spent and is held, and asks for more. What the store holds to be on lease here and is
-        not named goes back, so an answer that was lost or came late costs nothing that lasts."""
+        """A call that tells what was spent and is held, and asks for more.
+
+        What the store holds to be on lease here and is not named goes back, so an answer that was
+        lost or came late costs nothing that lasts.
+        """
         self.sequence += 1
         presence = self.presence
         caller = LeaseCaller(
@@ -189,7 +220,9 @@
                 account.last_used_at + IDLE_SHARE * self.store_settings.lease.term,
                 account.lease_ends_at - RETURN_BEFORE_END,
             )
-            if now >= return_at and any(p.leased > WORTH_RETURNING * p.burst for p in account.pools):
+            if now >= return_at and any(
+                p.leased > WORTH_RETURNING * p.burst for p in account.pools
+            ):
                 self._return_lease(account, now)
             else:
                 look_again_at = min(look_again_at, max(return_at, now + RETURN_BEFORE_END))
@@ -214,7 +247,10 @@
     # The connection to the store
 
     def store_connected(self, store_started_at: float, store_now: float, now: float) -> None:
-        """The store answers. The first two are of its clock: when its process began, and what it is now."""
+        """The store answers.
+
+        The first two are of its clock: when its process began, and what it is now.
+        """
         self.presence.store_connected(store_started_at, store_now, now)
 
     def store_disconnected(self, now: float) -> None:
@@ -259,19 +295,27 @@
         for pool, held, grant in zip(account.pools, call.held, grants, strict=True):
             pool.forget_spending(call.sent_at)
             self.counts["granted"] += grant.granted
-            self.counts["lost"] += pool.add_grant(held, grant.kept, grant.granted, call.lease_expired)
+            self.counts["lost"] += pool.add_grant(
+                held, grant.kept, grant.granted, call.lease_expired
+            )
         if any(pool.leased > 0 for pool in account.pools):
             self._with_leases[account.key] = account
 
     def call_failed(self, call: Call, now: float) -> None:
-        """No answer in time, or an error in its place: it may have run. The next call says what is held, which mends it."""
+        """No answer in time, or an error in its place: it may have run.
+
+        The next call says what is held, which mends it.
+        """
         self.counts["given_up"] += 1
         if call.account and call.account.call is call:
             call.account.call = None
             call.account.next_ask_at = now + self.store_settings.call_timeout
 
     def answered_late(self, call: Call, answer: list[str]) -> None:
-        """An answer to a call that was given up: its units are not taken, and the next call hands them back."""
+        """An answer to a call that was given up.
+
+        Its units are not taken, and the next call hands them back.
+        """
         self.counts["late"] += 1
 
 
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -1,9 +1,12 @@
-"""The connection to the store as a state machine: bytes in, bytes out, and what became of each call. Knows no socket.
+"""The connection to the store as a state machine.
 
-Source: the public RESP2 page and the commands AUTH, SELECT, INFO, TIME, SCRIPT LOAD, EVALSHA. Answers come in the order of
-the commands, so each is matched with the oldest command that waits, also when that was given up long before: a late answer
-is told as one and is never taken for another call's. Bounds: so many calls at once; a store that is silent for SILENCE_FACTOR
-times a call's timeout is broken off, since all behind the first would wait in vain.
+Bytes in, bytes out, and what became of each call. Knows no socket.
+
+Source: the public RESP2 page and the commands AUTH, SELECT, INFO, TIME, SCRIPT LOAD, EVALSHA.
+Answers come in the order of the commands, so each is matched with the oldest command that waits,
+also when that was given up long before: a late answer is told as one and is never taken for another
+call's. Bounds: so many calls at once; a store that is silent for SILENCE_FACTOR times a call's
+timeout is broken off, since all behind the first would wait in vain.
 """
 
 from __future__ import annotations
@@ -87,7 +90,10 @@
 
 @dataclass
 class Link:
-    """One connection's life. `call_timeout` is in seconds. The driver writes `out` and empties it."""
+    """One connection's life.
+
+    `call_timeout` is in seconds. The driver writes `out` and empties it.
+    """
 
     credentials: Credentials
     call_timeout: float
@@ -144,7 +150,10 @@
         return self._pending[0].sent_at + SILENCE_FACTOR * self.call_timeout
 
     def tick(self, now: float) -> list[LinkEvent]:
-        """Gives up the calls whose time is over, and the connection where the store has been silent for too long."""
+        """Gives up the calls whose time is over.
+
+        And the connection where the store has been silent for too long.
+        """
         if not self.ready:
             is_late = now >= self._handshake_deadline
             return [ConnectionBroken("the handshake took too long")] if is_late else []
@@ -222,8 +231,9 @@
         except ValueError:
             return [ConnectionBroken("TIME gave no time")]
         self.ready = True
-        # The uptime is cut to whole seconds, so this is the latest instant at which the process can have begun. Too late
-        # a one closes some customers' pools for a moment; too early a one would trust what an older process wrote.
+        # The uptime is cut to whole seconds, so this is the latest instant at which the process can
+        # have begun. Too late a one closes some customers' pools for a moment; too early a one
+        # would trust what an older process wrote.
         return [Connected(store_now - self._store_uptime, store_now)]
 
     def close(self) -> list[LinkEvent]:
--- a/hazelhollow/shared_store/pool.py
+++ b/hazelhollow/shared_store/pool.py
@@ -1,4 +1,7 @@
-"""The units of one limit of one customer that this limiter may spend: its own bucket, leases, and a fallback. No I/O."""
+"""The units of one limit of one customer that this limiter may spend.
+
+Its own bucket, leases, and a fallback. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -21,22 +24,30 @@
 
 @dataclass
 class Pool:
-    """One limit of one customer at this limiter. `rate` (units a second) and `burst` (units) are the shared pool's."""
+    """One limit of one customer at this limiter.
+
+    `rate` (units a second) and `burst` (units) are the shared pool's.
+    """
 
     base: TokenBucket
     rate: float
     burst: float
     leased: float = 0.0  # units on lease that are not spent yet
     spent_from_leases: float = 0.0  # units since this limiter's process began
-    fallback: TokenBucket | None = None  # the even share of the pool, while the store cannot be reached
-    recent_spending: list[SpendingStep] = field(default_factory=list)  # not yet reported to the store
+    # the even share of the pool, while the store cannot be reached
+    fallback: TokenBucket | None = None
+    # not yet reported to the store
+    recent_spending: list[SpendingStep] = field(default_factory=list)
 
     def available(self) -> float:
         """Units that may be spent now."""
         return self.base.level + self.leased + (self.fallback.level if self.fallback else 0.0)
 
     def take(self, units: float, now: float) -> None:
-        """Spends units: from leases first, since those end, then from the fallback; the base owes the rest."""
+        """Spends units.
+
+        From leases first, since those end, then from the fallback; the base owes the rest.
+        """
         from_lease = min(units, self.leased)
         self.leased -= from_lease
         self.spent_from_leases += from_lease
@@ -49,15 +60,25 @@
             units -= from_fallback
         self.base.level -= units
 
-    def refill_fallback(self, limiters: int, isolated_since: float, now: float, restart: bool) -> None:
-        """Adds to the fallback; with `restart`, or where there is none, begins one that was empty at `isolated_since`."""
+    def refill_fallback(
+        self, limiters: int, isolated_since: float, now: float, restart: bool
+    ) -> None:
+        """Adds to the fallback.
+
+        With `restart`, or where there is none, begins one that was empty at `isolated_since`.
+        """
         if self.fallback is None or restart:
-            self.fallback = TokenBucket(self.rate / limiters, self.burst / limiters, 0.0, isolated_since)
+            self.fallback = TokenBucket(
+                self.rate / limiters, self.burst / limiters, 0.0, isolated_since
+            )
         self.fallback.fill(now)
 
     def add_grant(self, held: float, kept: float, granted: float, expired: bool) -> float:
-        """Applies the store's answer to a call that reported `held` units; gives the units that the store had lost.
-        `expired`: what was held when the call was written has ended since."""
+        """Applies the store's answer to a call that reported `held` units.
+
+        Gives the units that the store had lost. `expired`: what was held when the call was written
+        has ended since.
+        """
         lost = 0.0
         if not expired and kept < held - ROUNDING:
             lost = held - kept  # what was spent of it meanwhile is owed
@@ -73,7 +94,10 @@
         self.recent_spending = [step for step in self.recent_spending if step.until > until]
 
     def _record_spending(self, units: float, now: float) -> None:
-        """Merges into few steps, each dated by its last part: the store may refill for what it knows to be spent."""
+        """Merges into few steps, each dated by its last part.
+
+        The store may refill for what it knows to be spent.
+        """
         steps = self.recent_spending
         if steps and now - steps[-1].until < SPENDING_STEP:
             units += steps.pop().units
--- a/hazelhollow/shared_store/presence.py
+++ b/hazelhollow/shared_store/presence.py
@@ -1,7 +1,11 @@
-"""Whether this limiter can reach the store, who else can, and when it may fall back to its even share. No I/O, no clock.
+"""Whether this limiter can reach the store, who else can.
 
-A limiter shows that it is present by a heartbeat. While it cannot, it waits until nobody counts it as present any more and
-every lease from before has ended, and only then is isolated, which gives it its even share of each pool."""
+And when it may fall back to its even share. No I/O, no clock.
+
+A limiter shows that it is present by a heartbeat. While it cannot, it waits until nobody counts it
+as present any more and every lease from before has ended, and only then is isolated, which gives it
+its even share of each pool.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,8 @@
 
 CLOCK_DIFFERENCE = 0.1  # seconds by which limiters' clocks may differ
 ISOLATION_MARGIN = 0.1  # seconds beside all that is added up, before a limiter is isolated
-VIEW_MARGIN = 0.05  # seconds for which a view lasts beyond the heartbeat that should have renewed it
+# seconds for which a view lasts beyond the heartbeat that should have renewed it
+VIEW_MARGIN = 0.05
 CLOCK_JUMP = 0.5  # seconds of change in the store's clock against ours that is no drift
 
 
@@ -33,7 +38,10 @@
         self.isolations = 0  # how many times it was
 
     def store_connected(self, store_started_at: float, store_now: float, now: float) -> None:
-        """The store answers. The first two are of its clock: when its process began, and what it is now."""
+        """The store answers.
+
+        The first two are of its clock: when its process began, and what it is now.
+        """
         self.connected, self.next_heartbeat_at = True, now
         self.clock_offset = store_now - now
         self.store_started_at = min(store_started_at, store_now)
@@ -44,15 +52,23 @@
 
     def view_lifetime(self) -> float:
         """Seconds for which a limiter goes by what it was told of who is present."""
-        return self.store_settings.presence.every + 2 * self.store_settings.call_timeout + VIEW_MARGIN
+        return (
+            self.store_settings.presence.every + 2 * self.store_settings.call_timeout + VIEW_MARGIN
+        )
 
     def call_deadline(self, now: float) -> str:
-        """Of the store's clock, in milliseconds: a call that has its turn later than this has been given up for certain."""
+        """Of the store's clock, in milliseconds.
+
+        A call that has its turn later than this has been given up for certain.
+        """
         return milliseconds(now + self.clock_offset + self.store_settings.call_timeout)
 
     def isolated_at(self) -> float:
-        """From when the even share may be had: nobody counts this limiter as present any more, and every lease that was
-        taken while somebody did has ended."""
+        """From when the even share may be had.
+
+        Nobody counts this limiter as present any more, and every lease that was taken while
+        somebody did has ended.
+        """
         settings = self.store_settings
         return (
             self.last_heartbeat_at
@@ -78,15 +94,25 @@
 
     def next_due(self, now: float) -> float:
         """When to look again whether a heartbeat is due."""
-        return self.next_heartbeat_at if self.connected else now + self.store_settings.presence.every
+        return (
+            self.next_heartbeat_at if self.connected else now + self.store_settings.presence.every
+        )
 
     def heartbeat(self, now: float) -> Call:
-        """The call that shows this limiter as present. It ends isolation: fallbacks must be let go of before it is written."""
+        """The call that shows this limiter as present.
+
+        It ends isolation: fallbacks must be let go of before it is written.
+        """
         settings = self.store_settings
         self.next_heartbeat_at, self.last_heartbeat_at = now + settings.presence.every, now
         self.isolated = False
-        args = [str(self.limiter), milliseconds(now), self.call_deadline(now), milliseconds(settings.presence.term),
-                milliseconds(CLOCK_DIFFERENCE)]  # fmt: skip
+        args = [
+            str(self.limiter),
+            milliseconds(now),
+            self.call_deadline(now),
+            milliseconds(settings.presence.term),
+            milliseconds(CLOCK_DIFFERENCE),
+        ]
         return Call("present", presence_key(settings.prefix), args, now)
 
     def heartbeat_soon(self, now: float) -> None:
@@ -94,9 +120,13 @@
         self.next_heartbeat_at = min(self.next_heartbeat_at, now)
 
     def answered(self, call: Call, answer: PresenceAnswer, now: float) -> bool:
-        """Takes the answer to a heartbeat; false where that had its turn too late and shows nothing."""
+        """Takes the answer to a heartbeat.
+
+        False where that had its turn too late and shows nothing.
+        """
         offset = answer.store_now - (call.sent_at + now) / 2
-        if offset < self.clock_offset - CLOCK_JUMP:  # set back, by a process that did not begin anew
+        # set back, by a process that did not begin anew
+        if offset < self.clock_offset - CLOCK_JUMP:
             self.store_started_at += offset - self.clock_offset
         self.clock_offset = offset
         if answer.present is None:
--- a/hazelhollow/shared_store/scripts.py
+++ b/hazelhollow/shared_store/scripts.py
@@ -1,4 +1,7 @@
-"""The store's two scripts: their source, their arguments as text, and their answers as typed values. No I/O."""
+"""The store's two scripts.
+
+Their source, their arguments as text, and their answers as typed values. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,10 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """The store's answer for one limit, in units: still on lease of what was held, newly granted, left in the pool."""
+    """The store's answer for one limit, in units.
+
+    Still on lease of what was held, newly granted, left in the pool.
+    """
 
     kept: float
     granted: float
@@ -32,7 +38,10 @@
 
 @dataclass(frozen=True)
 class LeaseAnswer:
-    """`status` is `ok`, `late` or `stale`; `wait` is in seconds. Without `ok` there are no grants."""
+    """`status` is `ok`, `late` or `stale`; `wait` is in seconds.
+
+    Without `ok` there are no grants.
+    """
 
     status: str
     highest_total: float
@@ -42,7 +51,10 @@
 
 @dataclass(frozen=True)
 class PresenceAnswer:
-    """The store's clock in seconds, and the numbers of the limiters present; nothing where the call came too late."""
+    """The store's clock in seconds, and the numbers of the limiters present.
+
+    Nothing where the call came too late.
+    """
 
     store_now: float
     present: frozenset[int] | None
@@ -66,7 +78,10 @@
 
 @dataclass(frozen=True)
 class LeaseCaller:
-    """Who calls and when: what the arguments of `lease.lua` begin with. `deadline` is of the store's clock, as text."""
+    """Who calls and when: what the arguments of `lease.lua` begin with.
+
+    `deadline` is of the store's clock, as text.
+    """
 
     slot: str  # the limiter's number and incarnation
     sequence: int
@@ -78,18 +93,36 @@
 
 
 def lease_arguments(
-    caller: LeaseCaller, account: Account, held: Sequence[float], wanted: Sequence[float], refused: float
+    caller: LeaseCaller,
+    account: Account,
+    held: Sequence[float],
+    wanted: Sequence[float],
+    refused: float,
 ) -> list[str]:
-    """`lease.lua` names the arguments. `refused`: units of a request that could not be served, or 0."""
-    args = [caller.slot, str(caller.sequence), milliseconds(caller.now), caller.deadline, milliseconds(caller.store_started_at),
-            milliseconds(caller.term), str(caller.present), str(len(account.limiters)), f"{account.highest_total:.3f}",
-            str(len(account.pools))]  # fmt: skip
+    """`lease.lua` names the arguments.
+
+    `refused`: units of a request that could not be served, or 0.
+    """
+    args = [
+        caller.slot,
+        str(caller.sequence),
+        milliseconds(caller.now),
+        caller.deadline,
+        milliseconds(caller.store_started_at),
+        milliseconds(caller.term),
+        str(caller.present),
+        str(len(account.limiters)),
+        f"{account.highest_total:.3f}",
+        str(len(account.pools)),
+    ]
     for pool, units_held, units_wanted in zip(account.pools, held, wanted, strict=True):
         args += _limit_arguments(pool, units_held, units_wanted, refused, caller.now)
     return args
 
 
-def _limit_arguments(pool: Pool, held: float, wanted: float, refused: float, now: float) -> list[str]:
+def _limit_arguments(
+    pool: Pool, held: float, wanted: float, refused: float, now: float
+) -> list[str]:
     needed = min(max(refused - max(pool.base.level, 0.0) - held, 0.0), wanted)
     spending = ",".join(_spending_text(step, now) for step in pool.recent_spending)
     amounts = (pool.burst, pool.spent_from_leases, held, wanted, needed)
@@ -101,15 +134,23 @@
 
 
 def decode_lease(answer: Sequence[str]) -> LeaseAnswer:
-    """The answer of `lease.lua`. Raises `ValueError` where it is not one; `answer_text` has let no such through."""
+    """The answer of `lease.lua`.
+
+    Raises `ValueError` where it is not one; `answer_text` has let no such through.
+    """
     status = answer[0]
     numbers = [float(part) for part in answer[LEASE_HEAD:]] if status == "ok" else []
-    grants = [Grant(*numbers[at : at + PARTS_A_LIMIT]) for at in range(0, len(numbers), PARTS_A_LIMIT)]
+    grants = [
+        Grant(*numbers[at : at + PARTS_A_LIMIT]) for at in range(0, len(numbers), PARTS_A_LIMIT)
+    ]
     return LeaseAnswer(status, float(answer[1]), float(answer[2]) / 1000, grants)
 
 
 def decode_presence(answer: Sequence[str]) -> PresenceAnswer:
-    """The answer of `present.lua`. Raises `ValueError` where it is not one; `answer_text` has let no such through."""
+    """The answer of `present.lua`.
+
+    Raises `ValueError` where it is not one; `answer_text` has let no such through.
+    """
     store_now = float(answer[0]) / 1000
     if answer[1] == "late":
         return PresenceAnswer(store_now, None)
@@ -123,7 +164,11 @@
 
 def answer_text(kind: ScriptName, value: resp.Value) -> list[str] | None:
     """A script's answer as text; nothing where it does not have the form of one."""
-    if not isinstance(value, list) or not value or not all(isinstance(part, bytes) for part in value):
+    if (
+        not isinstance(value, list)
+        or not value
+        or not all(isinstance(part, bytes) for part in value)
+    ):
         return None
     answer = [text_of(part) for part in value]
     if kind == "present":
--- a/hazelhollow/signals.py
+++ b/hazelhollow/signals.py
@@ -1,4 +1,7 @@
-"""Signals that come before there is a limiter to act on them. Imports nothing: it is the first thing a start does."""
+"""Signals that come before there is a limiter to act on them.
+
+Imports nothing: it is the first thing a start does.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,11 @@
 
 
 def hold() -> None:
-    """From now on such a signal ends nothing: it is kept for `held`. Else SIGHUP, which asks for the configuration to
-    be read again, would end a process that has not got so far as to read it."""
+    """From now on such a signal ends nothing: it is kept for `held`.
+
+    Else SIGHUP, which asks for the configuration to be read again, would end a process that has not
+    got so far as to read it.
+    """
     for number in NUMBERS:
         signal.signal(number, _keep)
 
--- a/hazelhollow/simulator/wire.py
+++ b/hazelhollow/simulator/wire.py
@@ -106,12 +106,19 @@
 
     def report(self) -> dict[str, float]:
         values = self._checked("metrics", dict, {})
-        return {_REPORTS[k]: float(v) for k, v in values.items() if k in _REPORTS and type(v) in (int, float)}
+        return {
+            _REPORTS[k]: float(v)
+            for k, v in values.items()
+            if k in _REPORTS and type(v) in (int, float)
+        }
 
 
 def read_report(text: bytes) -> dict[str, float]:
-    """A load report as a real backend host words it: `inflight=7,queue=2`. What cannot be read is left out, and so are
-    figures on use, which an error line may hold before it."""
+    """A load report as a real backend host words it: `inflight=7,queue=2`.
+
+    What cannot be read is left out, and so are figures on use, which an error line may hold before
+    it.
+    """
     report = {}
     for item in text.decode("ascii", "replace").split(",") if len(text) <= _MOST_REPORT else ():
         name, _, value = item.partition("=")
@@ -123,11 +130,14 @@
 def read_cost(text: bytes, most: float) -> float:
     """The true units of a request in the figures on use, `used=37,cost=4`; 0 where they name none.
 
-    What cannot be true is a complaint: a figure that is believed is taken from a budget or given back to it.
+    What cannot be true is a complaint: a figure that is believed is taken from a budget or given
+    back to it.
     """
     if len(text) > _MOST_REPORT:
         raise WireError(f"figures on use of {len(text)} bytes")
-    items = [item.partition("=") for item in text.decode("ascii", "replace").split(",")] if text else []
+    items = (
+        [item.partition("=") for item in text.decode("ascii", "replace").split(",")] if text else []
+    )
     costs = [value for name, _, value in items if name == "cost"]
     if not costs:
         return 0.0
@@ -161,8 +171,10 @@
 
 
 def parse_settings(params: Fields, before: KnownSettings | None = None) -> api.Settings:
-    """The settings, which a real limiter's configuration holds in the same form. Classes that are the same objects as in the
-    document `before` are not parsed again."""
+    """The settings, which a real limiter's configuration holds in the same form.
+
+    Classes that are the same objects as in the document `before` are not parsed again.
+    """
     info, limits = params.part("family_info"), params.part("policy_limits")
     safety, costs, goal = params.part("safety"), params.part("costs"), params.part("goal")
     all_worth = max(goal.number("whole", 1.0) + goal.number("worst_window", 0.0), 1e-6)
@@ -180,8 +192,8 @@
         cancelling=limits.flag("cancelling"),
         peers=limits.flag("peers"),
         messages_in_per_s=info.number("inbox_per_s", 60.0),
-        # Also where `retry_after` is false: the simulator drops the advice then, but `-BUSY MS` costs nothing and
-        # a client that reads it need not guess when to come back.
+        # Also where `retry_after` is false: the simulator drops the advice then, but `-BUSY MS`
+        # costs nothing and a client that reads it need not guess when to come back.
         max_retry_after=limits.number("max_retry_after", 0.0),
         marks_retry=params.part("clients").flag("marks_retry"),
         cold_for=safety.number("cold", 0.0),
@@ -200,7 +212,9 @@
     told: Sequence[Any] = before.document.get("grades") or ()
     known = dict(zip(map(id, told), before.settings.classes, strict=True))
     items = params.items("grades")
-    return tuple(known.get(id(item)) or _request_class(params.entry("grades", item)) for item in items)
+    return tuple(
+        known.get(id(item)) or _request_class(params.entry("grades", item)) for item in items
+    )
 
 
 def _request_class(item: Fields) -> api.RequestClass:
--- a/hazelhollow/standins/__init__.py
+++ b/hazelhollow/standins/__init__.py
@@ -1,1 +1,3 @@
-"""Stand-ins for the outside systems that the limiter talks to, written from their public specifications."""
+"""Stand-ins for the outside systems that the limiter talks to, written from their public
+specifications.
+"""
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -54,14 +54,22 @@
     help="More than one: a cluster, a port each.",
 )
 @click.option("--tls-cert", metavar="FILE", help="Speak TLS, with this certificate.")
-@click.option("--tls-key", default="", metavar="FILE", help="Its key, where that is a file of its own.")
+@click.option(
+    "--tls-key", default="", metavar="FILE", help="Its key, where that is a file of its own."
+)
 def redis(
-    listen: str, seed: int, file: str | None, password: str, shards: int, tls_cert: str | None, tls_key: str
+    listen: str,
+    seed: int,
+    file: str | None,
+    password: str,
+    shards: int,
+    tls_cert: str | None,
+    tls_key: str,
 ) -> None:
     """A store that speaks RESP2 as Redis does, until SIGTERM or Ctrl-C.
 
-    Prints `ready HOST:PORT` for each shard once it can be reached. While it runs, any client can say
-    `STANDIN FAULT slow delay 200ms share 0.1 lasts 10s`, `STANDIN CLEAR` and `STANDIN STATS`.
+    Prints `ready HOST:PORT` for each shard once it can be reached. While it runs, any client can
+    say `STANDIN FAULT slow delay 200ms share 0.1 lasts 10s`, `STANDIN CLEAR` and `STANDIN STATS`.
     """
     try:
         address = _loopback(listen)
@@ -118,18 +126,24 @@
     type=click.FloatRange(0.01, 1.0),
     help="Share of its speed at the start.",
 )
-@click.option("--journal", metavar="FILE", help="Write a JSON line there for each request that it begins.")
+@click.option(
+    "--journal", metavar="FILE", help="Write a JSON line there for each request that it begins."
+)
 def node_(
     listen: str, work: float, cores: int, cold_for: float, cold_from: float, journal: str | None
 ) -> None:
-    """A backend host that serves every request after some work, until SIGTERM or Ctrl-C. Prints `ready HOST:PORT`.
+    """A backend host that serves every request after some work, until SIGTERM or Ctrl-C.
+
+    Prints `ready HOST:PORT`.
 
     SIGUSR1 makes it drain (it turns new requests away and finishes what it has), SIGUSR2 ends that.
     """
     scheduler = sch.Scheduler(sch.Clock())
     try:
         written = os.open(journal, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644) if journal else -1
-        one = node.Node(scheduler, _loopback(listen), work, cores, node.Cold(cold_from, cold_for), written)
+        one = node.Node(
+            scheduler, _loopback(listen), work, cores, node.Cold(cold_from, cold_for), written
+        )
     except ValueError as error:
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(2)
--- a/hazelhollow/standins/discovery.py
+++ b/hazelhollow/standins/discovery.py
@@ -1,4 +1,7 @@
-"""A stand-in for discovery: the whole list, watches that wait, and an address of each host for each limiter."""
+"""A stand-in for discovery.
+
+The whole list, watches that wait, and an address of each host for each limiter.
+"""
 
 from __future__ import annotations
 
@@ -76,7 +79,10 @@
             self.scheduler.wake(task)
 
     def document(self, limiter: str, since: int | None) -> bytes:
-        """The whole list, or what changed after that index; all of it for an index that this life never had."""
+        """The whole list, or what changed after that index.
+
+        All of it for an index that this life never had.
+        """
         whole = since is None or since > self.index
         shown = [
             host
@@ -139,7 +145,8 @@
                 break
         body = self.document(limiter, since)
         driver.write(
-            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body)
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+            % len(body)
             + body
         )
 
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -1,4 +1,6 @@
-"""A stand-in for a backend host: it answers each request after some work, so many at a time, and counts what it served.
+"""A stand-in for a backend host.
+
+It answers each request after some work, so many at a time, and counts what it served.
 
 It can start cold, drain, say how loaded it is, and write down each request that it began.
 """
@@ -33,7 +35,10 @@
 
 @dataclass(frozen=True)
 class Cold:
-    """How a host starts: at a share `start` of its speed, which grows evenly to the whole over `lasts` seconds."""
+    """How a host starts.
+
+    At a share `start` of its speed, which grows evenly to the whole over `lasts` seconds.
+    """
 
     start: float = 1.0
     lasts: float = 0.0
@@ -43,8 +48,11 @@
 
 
 class Node:
-    """`work`: seconds for a request; `cores`: how many it works on at once; `journal`: a descriptor that gets a JSON
-    line for each request as it begins."""
+    """`work`.
+
+    Seconds for a request; `cores`: how many it works on at once; `journal`: a descriptor that gets
+    a JSON line for each request as it begins.
+    """
 
     def __init__(
         self,
@@ -90,7 +98,9 @@
     def _take(self, line: Line, words: resp.Value) -> None:
         place: list[bytes] = []
         line.answers.append(place)
-        name = words[0] if isinstance(words, list) and words and isinstance(words[0], bytes) else b""
+        name = (
+            words[0] if isinstance(words, list) and words and isinstance(words[0], bytes) else b""
+        )
         if (
             name in (b"Q.ASK", b"Q.DO")
             and isinstance(words, list)
@@ -119,7 +129,9 @@
 
     def _write_down(self, words: list[resp.Value], now: float) -> None:
         if self.journal >= 0:
-            verb, customer, request, fields = (word.decode() for word in words[:4] if isinstance(word, bytes))
+            verb, customer, request, fields = (
+                word.decode() for word in words[:4] if isinstance(word, bytes)
+            )
             row = {"t": now, "verb": verb, "customer": customer, "id": request, "fields": fields}
             os.write(
                 self.journal, orjson.dumps(row) + b"\n"
@@ -132,7 +144,9 @@
         self.busy -= 1
         self.served += 1
         self._answer(
-            line, place, b"*3\r\n" + resp.bulk(b"served " + request) + b"$-1\r\n" + resp.bulk(self._report())
+            line,
+            place,
+            b"*3\r\n" + resp.bulk(b"served " + request) + b"$-1\r\n" + resp.bulk(self._report()),
         )
         self._begin()
 
--- a/hazelhollow/standins/redis/cluster.py
+++ b/hazelhollow/standins/redis/cluster.py
@@ -30,7 +30,10 @@
         ]
 
     def check_keys(self, keys: list[bytes]) -> None:
-        """Raises `CommandError` where the keys are not all in one slot, or that is another shard's."""
+        """Raises `CommandError` where the keys are not all in one slot.
+
+        Or that is another shard's.
+        """
         found = {slots.slot_of(key) for key in keys}
         if len(found) > 1:
             raise CommandError("CROSSSLOT Keys in request don't hash to the same slot")
@@ -60,7 +63,8 @@
     def nodes_reply(self) -> Reply:
         """CLUSTER NODES."""
         lines = [
-            f"{shard.id} {shard.host}:{shard.port}@{shard.port} {'myself,' if number == self.me else ''}master"
+            f"{shard.id} {shard.host}:{shard.port}@{shard.port} "
+            f"{'myself,' if number == self.me else ''}master"
             f" - 0 0 {number + 1} connected {shard.slots.start}-{shard.slots.stop - 1}"
             for number, shard in enumerate(self.shards)
         ]
@@ -78,5 +82,19 @@
 
 def _node_row(shard: Shard) -> Reply:
     host = shard.host.encode()
-    return [b"id", shard.id.encode(), b"port", shard.port, b"ip", host, b"endpoint", host, b"role", b"master",
-            b"replication-offset", 0, b"health", b"online"]  # fmt: skip
+    return [
+        b"id",
+        shard.id.encode(),
+        b"port",
+        shard.port,
+        b"ip",
+        host,
+        b"endpoint",
+        host,
+        b"role",
+        b"master",
+        b"replication-offset",
+        0,
+        b"health",
+        b"online",
+    ]
--- a/hazelhollow/standins/redis/command.py
+++ b/hazelhollow/standins/redis/command.py
@@ -1,4 +1,7 @@
-"""What the tables of commands on data say of each: who runs it, its arity, whether it writes, where its keys are."""
+"""What the tables of commands on data say of each.
+
+Who runs it, its arity, whether it writes, where its keys are.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,10 @@
 
 
 class KeyPositions(NamedTuple):
-    """Where a command's keys are among its words, as COMMAND INFO says it: `last` is from the end if negative."""
+    """Where a command's keys are among its words, as COMMAND INFO says it.
+
+    `last` is from the end if negative.
+    """
 
     first: int
     last: int
@@ -26,7 +32,10 @@
 
 
 def arity_fits(words: list[bytes], arity: int) -> bool:
-    """Whether there are as many words as an arity says; it counts the name, and below 0 means at least so many."""
+    """Whether there are as many words as an arity says.
+
+    It counts the name, and below 0 means at least so many.
+    """
     return len(words) == arity if arity > 0 else len(words) >= -arity
 
 
--- a/hazelhollow/standins/redis/connection_commands.py
+++ b/hazelhollow/standins/redis/connection_commands.py
@@ -17,8 +17,10 @@
     """AUTH [user] password."""
     user, password = (args[0], args[1]) if len(args) == 2 else (DEFAULT_USER, args[0])
     if not state.password and len(args) == 1:
-        raise CommandError("ERR AUTH <password> called without any password configured for the default user. "
-                           "Are you sure your configuration is correct?")  # fmt: skip
+        raise CommandError(
+            "ERR AUTH <password> called without any password configured for the default user. "
+            "Are you sure your configuration is correct?"
+        )
     if user != DEFAULT_USER or (state.password and password != state.password):
         raise CommandError("WRONGPASS invalid username-password pair or user is disabled.")
     session.authenticated = True
@@ -40,14 +42,34 @@
         elif option == b"SETNAME" and len(rest) >= 2:
             session.name, rest = rest[1], rest[2:]
         else:
-            raise CommandError(f"ERR Syntax error in HELLO option '{rest[0].decode('ascii', 'replace')}'")
+            raise CommandError(
+                f"ERR Syntax error in HELLO option '{rest[0].decode('ascii', 'replace')}'"
+            )
     if not session.authenticated:
-        raise CommandError("NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH "
-                           "<user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time")  # fmt: skip
+        raise CommandError(
+            "NOAUTH HELLO must be called with the client already authenticated, otherwise "
+            "the HELLO <proto> AUTH "
+            "<user> <pass> option can be used to authenticate the client and select the "
+            "RESP protocol version at the same time"
+        )
     mode = b"cluster" if state.cluster else b"standalone"
     role = b"replica" if state.engine.readonly else b"master"
-    return [b"server", b"redis", b"version", VERSION.encode(), b"proto", PROTOCOL, b"id", session.id, b"mode", mode,
-            b"role", role, b"modules", []]  # fmt: skip
+    return [
+        b"server",
+        b"redis",
+        b"version",
+        VERSION.encode(),
+        b"proto",
+        PROTOCOL,
+        b"id",
+        session.id,
+        b"mode",
+        mode,
+        b"role",
+        role,
+        b"modules",
+        [],
+    ]
 
 
 def select(state: ServerState, session: Session, args: list[bytes]) -> Reply:
@@ -76,7 +98,9 @@
     if subcommand == b"INFO":
         name = session.name.decode("ascii", "replace")
         return f"id={session.id} name={name} db={session.database} resp={PROTOCOL}\n".encode()
-    raise CommandError(f"ERR unknown subcommand '{args[0].decode('ascii', 'replace')}'. Try CLIENT HELP.")
+    raise CommandError(
+        f"ERR unknown subcommand '{args[0].decode('ascii', 'replace')}'. Try CLIENT HELP."
+    )
 
 
 def reset(state: ServerState, session: Session, args: list[bytes]) -> Reply:
--- a/hazelhollow/standins/redis/dispatch.py
+++ b/hazelhollow/standins/redis/dispatch.py
@@ -1,4 +1,7 @@
-"""A session's command to the function that runs it: authentication, slots, transactions and arity on the way."""
+"""A session's command to the function that runs it.
+
+Authentication, slots, transactions and arity on the way.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +60,9 @@
 
 
 def _exec(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    return transaction_commands.execute_queued(state, session, lambda words: execute(state, session, words))
+    return transaction_commands.execute_queued(
+        state, session, lambda words: execute(state, session, words)
+    )
 
 
 def _command(state: ServerState, session: Session, args: list[bytes]) -> Reply:
--- a/hazelhollow/standins/redis/engine.py
+++ b/hazelhollow/standins/redis/engine.py
@@ -1,12 +1,17 @@
 """Commands run on the keyspace: which there are, and whether one may run now.
 
-Source: the public command reference (redis.io/docs/latest/commands) at the level of Redis 7. Commands of a connection,
-of transactions and of scripts are not here; `dispatch.py` has them.
+Source: the public command reference (redis.io/docs/latest/commands) at the level of Redis 7.
+Commands of a connection, of transactions and of scripts are not here; `dispatch.py` has them.
 """
 
 from __future__ import annotations
 
-from hazelhollow.standins.redis import hash_commands, key_commands, sorted_set_commands, string_commands
+from hazelhollow.standins.redis import (
+    hash_commands,
+    key_commands,
+    sorted_set_commands,
+    string_commands,
+)
 from hazelhollow.standins.redis.command import Command
 from hazelhollow.standins.redis.keyspace import Keyspace
 from hazelhollow.standins.redis.values import OUT_OF_MEMORY, CommandError, Reply
@@ -24,7 +29,10 @@
     """A keyspace that runs commands by their words."""
 
     def call(self, database: int, words: list[bytes], scripted: bool = False) -> Reply:
-        """Runs a command of the tables on a database. Raises `CommandError` where it cannot be run."""
+        """Runs a command of the tables on a database.
+
+        Raises `CommandError` where it cannot be run.
+        """
         command = find_command(words)
         if scripted and not command.in_script:
             raise CommandError("ERR This Redis command is not allowed from script")
@@ -40,12 +48,17 @@
 
 
 def find_command(words: list[bytes]) -> Command:
-    """The command that the words call. Raises `CommandError` for an unknown one or a wrong number of arguments."""
+    """The command that the words call.
+
+    Raises `CommandError` for an unknown one or a wrong number of arguments.
+    """
     name = words[0].upper()
     command = COMMANDS.get(name)
     if command is None:
         given = words[0][:MOST_ECHOED].decode("ascii", "replace")
-        first = b" ".join(b"'%b'" % word[:MOST_ECHOED] for word in words[1:10]).decode("ascii", "replace")
+        first = b" ".join(b"'%b'" % word[:MOST_ECHOED] for word in words[1:10]).decode(
+            "ascii", "replace"
+        )
         raise CommandError(f"ERR unknown command '{given}', with args beginning with: {first}")
     if not command.fits(words):
         raise CommandError(wrong_arguments(name))
--- a/hazelhollow/standins/redis/faults.py
+++ b/hazelhollow/standins/redis/faults.py
@@ -1,4 +1,7 @@
-"""Faults by schedule and by seed: a plan read from a file or added by an admin command, and what it says now. No I/O."""
+"""Faults by schedule and by seed.
+
+A plan read from a file or added by an admin command, and what it says now. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -16,9 +19,13 @@
 MOMENTARY = frozenset({"restart_empty", "restart_old", "flush_scripts", "flush_data", "clock_jump"})
 ERRORS = {
     "loading": "LOADING Redis is loading the dataset in memory",
-    "busy": "BUSY Redis is busy running a script. You can only call SCRIPT KILL or SHUTDOWN NOSAVE.",
+    "busy": (
+        "BUSY Redis is busy running a script. You can only call SCRIPT KILL or SHUTDOWN " "NOSAVE."
+    ),
 }
-ALLOWED_WHILE_LOADING = frozenset({b"AUTH", b"HELLO", b"CLIENT", b"INFO", b"SELECT", b"QUIT", b"ROLE"})
+ALLOWED_WHILE_LOADING = frozenset(
+    {b"AUTH", b"HELLO", b"CLIENT", b"INFO", b"SELECT", b"QUIT", b"ROLE"}
+)
 OUTCOMES = frozenset({"lost", "cut_before", "cut_after", "half", "garbage"})
 TIMES = frozenset({"at", "lasts", "every", "delay", "age", "by"})  # fields that are spans of time
 MOST_JUNK = 40  # bytes in place of a reply
@@ -39,7 +46,10 @@
 
 
 class FaultEffect(msgspec.Struct):
-    """What becomes of one command: delayed (seconds) before it runs, its reply delayed, and how that goes out."""
+    """What becomes of one command.
+
+    Delayed (seconds) before it runs, its reply delayed, and how that goes out.
+    """
 
     delay_before: float = 0.0
     delay_after: float = 0.0
@@ -112,7 +122,9 @@
 
     def due(self, now: float) -> list[Fault]:
         """The momentary faults whose time has come, in their order."""
-        ready = sorted([m for m in self._momentary if m.at <= now], key=lambda momentary: momentary.at)
+        ready = sorted(
+            [m for m in self._momentary if m.at <= now], key=lambda momentary: momentary.at
+        )
         self._momentary = [m for m in self._momentary if m.at > now]
         for at, fault in ready:
             self._count(fault.kind)
@@ -129,20 +141,28 @@
         return max([found.end for found in self._active(kind, now)], default=now)
 
     def _active(self, kind: str, now: float) -> list[LastingFault]:
-        return [lasting for lasting in self._lasting if lasting.fault.kind == kind and lasting.is_active(now)]
+        return [
+            lasting
+            for lasting in self._lasting
+            if lasting.fault.kind == kind and lasting.is_active(now)
+        ]
 
     def effect_on(self, command: bytes, now: float) -> FaultEffect:
         """Draws for each fault that is active; of the outcomes the first counts."""
         effect = FaultEffect()
         for lasting in self._lasting:
             fault = lasting.fault
-            if not lasting.is_active(now) or (fault.share < 1 and self._random.random() >= fault.share):
+            if not lasting.is_active(now) or (
+                fault.share < 1 and self._random.random() >= fault.share
+            ):
                 continue
             if fault.kind == "slow":
                 effect.delay_before += self._draw(fault)
             elif fault.kind == "late":
                 effect.delay_after += self._draw(fault)
-            elif fault.kind in ERRORS and not (fault.kind == "loading" and command in ALLOWED_WHILE_LOADING):
+            elif fault.kind in ERRORS and not (
+                fault.kind == "loading" and command in ALLOWED_WHILE_LOADING
+            ):
                 effect.error = effect.error or ERRORS[fault.kind]
             elif fault.kind in OUTCOMES and not effect.outcome:
                 effect.outcome = fault.kind
--- a/hazelhollow/standins/redis/glob.py
+++ b/hazelhollow/standins/redis/glob.py
@@ -6,7 +6,10 @@
 
 
 def matches(pattern: bytes, key: bytes) -> bool:
-    """Whether a key fits: `*`, `?`, `[..]`, and a backslash before what is meant as it stands. Linear but for `*`."""
+    """Whether a key fits: `*`, `?`, `[..]`, and a backslash before what is meant as it stands.
+
+    Linear but for `*`.
+    """
     parts: list[bytes] = []
     at = 0
     while at < len(pattern):
--- a/hazelhollow/standins/redis/hash_commands.py
+++ b/hazelhollow/standins/redis/hash_commands.py
@@ -62,7 +62,9 @@
 
 COMMANDS: dict[bytes, Command] = {
     b"HSET": writer(_hset, -4),
-    b"HGET": reader(lambda keyspace, database, args: keyspace.hash(database, args[0]).get(args[1]), 3),
+    b"HGET": reader(
+        lambda keyspace, database, args: keyspace.hash(database, args[0]).get(args[1]), 3
+    ),
     b"HMGET": reader(_hmget, -3),
     b"HGETALL": reader(_hgetall, 2),
     b"HLEN": reader(lambda keyspace, database, args: len(keyspace.hash(database, args[0])), 2),
--- a/hazelhollow/standins/redis/key_commands.py
+++ b/hazelhollow/standins/redis/key_commands.py
@@ -1,4 +1,7 @@
-"""Commands on keys of any type and on whole databases: DEL, EXPIRE, SCAN, FLUSHALL, TIME and the like."""
+"""Commands on keys of any type and on whole databases.
+
+DEL, EXPIRE, SCAN, FLUSHALL, TIME and the like.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,9 @@
 
 
 def _delete(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
-    return sum(keyspace.find(database, key) is not None and keyspace.remove(database, key) for key in args)
+    return sum(
+        keyspace.find(database, key) is not None and keyspace.remove(database, key) for key in args
+    )
 
 
 def _exists(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
@@ -111,16 +116,28 @@
 COMMANDS: dict[bytes, Command] = {
     b"DEL": remover(_delete, -2, ALL_KEYS),
     b"EXISTS": reader(_exists, -2, ALL_KEYS),
-    b"EXPIRE": remover(lambda keyspace, database, args: _expire(keyspace, database, args, SECOND), -3),
-    b"PEXPIRE": remover(lambda keyspace, database, args: _expire(keyspace, database, args, MILLISECOND), -3),
-    b"TTL": reader(lambda keyspace, database, args: _time_to_live(keyspace, database, args, SECOND), 2),
-    b"PTTL": reader(lambda keyspace, database, args: _time_to_live(keyspace, database, args, MILLISECOND), 2),
+    b"EXPIRE": remover(
+        lambda keyspace, database, args: _expire(keyspace, database, args, SECOND), -3
+    ),
+    b"PEXPIRE": remover(
+        lambda keyspace, database, args: _expire(keyspace, database, args, MILLISECOND), -3
+    ),
+    b"TTL": reader(
+        lambda keyspace, database, args: _time_to_live(keyspace, database, args, SECOND), 2
+    ),
+    b"PTTL": reader(
+        lambda keyspace, database, args: _time_to_live(keyspace, database, args, MILLISECOND), 2
+    ),
     b"PERSIST": remover(_persist, 2),
     b"TYPE": reader(_type, 2),
     b"TIME": reader(_time, 1, NO_KEY),
-    b"PING": reader(lambda keyspace, database, args: args[0] if args else Status(b"PONG"), -1, NO_KEY),
+    b"PING": reader(
+        lambda keyspace, database, args: args[0] if args else Status(b"PONG"), -1, NO_KEY
+    ),
     b"ECHO": reader(lambda keyspace, database, args: args[0], 2, NO_KEY),
-    b"DBSIZE": reader(lambda keyspace, database, args: len(keyspace.databases[database].entries), 1, NO_KEY),
+    b"DBSIZE": reader(
+        lambda keyspace, database, args: len(keyspace.databases[database].entries), 1, NO_KEY
+    ),
     b"SCAN": reader(_scan, -2, NO_KEY),
     b"FLUSHALL": remover(_flush_all, -1, NO_KEY),
     b"FLUSHDB": remover(_flush_database, -1, NO_KEY),
--- a/hazelhollow/standins/redis/keyspace.py
+++ b/hazelhollow/standins/redis/keyspace.py
@@ -1,7 +1,7 @@
 """Keys, their values and their expiry. No I/O; the clock is given.
 
-Written for tests: plain dictionaries, one process, bounded sizes. The commands that work on it are functions in
-`*_commands.py`.
+Written for tests: plain dictionaries, one process, bounded sizes. The commands that work on it are
+functions in `*_commands.py`.
 """
 
 from __future__ import annotations
@@ -31,7 +31,10 @@
 
 
 class Keyspace:
-    """One server's data. `clock` gives seconds; `clock_skew` is added to it, so that the server's clock can jump."""
+    """One server's data.
+
+    `clock` gives seconds; `clock_skew` is added to it, so that the server's clock can jump.
+    """
 
     def __init__(self, clock: Callable[[], float], seed: int = 0) -> None:
         self._clock, self._random = clock, random.Random(seed)
--- a/hazelhollow/standins/redis/node.py
+++ b/hazelhollow/standins/redis/node.py
@@ -1,8 +1,10 @@
-"""One stand-in server without its sockets: connections' bytes in, replies and ends of connections out, at their times.
+"""One stand-in server without its sockets.
 
-Commands run one at a time in the order in which they came, as in Redis: one that is delayed delays all others. A driver
-feeds `Session.feed`, calls `turn` when `next_at` says so, and does what the returned `Output` values say. Real sockets,
-the simulation and the tests all drive this same code.
+Connections' bytes in, replies and ends of connections out, at their times.
+
+Commands run one at a time in the order in which they came, as in Redis: one that is delayed delays
+all others. A driver feeds `Session.feed`, calls `turn` when `next_at` says so, and does what the
+returned `Output` values say. Real sockets, the simulation and the tests all drive this same code.
 """
 
 from __future__ import annotations
@@ -19,7 +21,8 @@
 from hazelhollow.standins.redis.snapshots import SnapshotHistory
 from hazelhollow.standins.redis.values import OK, CommandError, Reply, encode
 
-LONGEST_OUTAGE = 3600.0  # seconds; a restart that is to last longer, as without a given span, is over at once
+# seconds; a restart that is to last longer, as without a given span, is over at once
+LONGEST_OUTAGE = 3600.0
 
 
 class Output(NamedTuple):
@@ -38,7 +41,10 @@
 
 
 class Node:
-    """One server, alone or a shard of a cluster. `clock` gives seconds and may be virtual; `plan` counts from now."""
+    """One server, alone or a shard of a cluster.
+
+    `clock` gives seconds and may be virtual; `plan` counts from now.
+    """
 
     def __init__(
         self,
@@ -65,7 +71,9 @@
         now = self.clock()
         if now < self._down_until or self.state.faults.active("down", now):
             return None
-        session = Session(self._next_number(), self._requests, authenticated=not self.state.password)
+        session = Session(
+            self._next_number(), self._requests, authenticated=not self.state.password
+        )
         self.state.sessions[session.id] = session
         return session
 
@@ -121,13 +129,17 @@
             request = self._requests.popleft()
             effect = self._effect_on(request, now)
             if effect.delay_before > 0:
-                self._delayed, self._busy_until = Delayed(request, effect), now + effect.delay_before
+                self._delayed, self._busy_until = (
+                    Delayed(request, effect),
+                    now + effect.delay_before,
+                )
                 return
         session = request.session
         if effect.outcome == "cut_before":
             self._send(Output(session, b"", True), now)
             return
-        # What had been written by a connection that has gone since still runs, as in Redis: its bytes were read.
+        # What had been written by a connection that has gone since still runs, as in Redis: its
+        # bytes were read.
         reply, closes = self._reply_to(request, effect)
         data = encode(reply)
         if effect.outcome == "lost":
@@ -179,7 +191,9 @@
 
     def _restart(self, fault: faults.Fault, now: float) -> list[Output]:
         old = fault.kind == "restart_old"
-        self.state.engine.restart(self.state.snapshots.latest_before(now - fault.age) if old else None)
+        self.state.engine.restart(
+            self.state.snapshots.latest_before(now - fault.age) if old else None
+        )
         self.state.scripts.flush()
         self._down_until = now + (fault.lasts if fault.lasts < LONGEST_OUTAGE else 0.0)
         return self._close_all()
--- a/hazelhollow/standins/redis/request_parser.py
+++ b/hazelhollow/standins/redis/request_parser.py
@@ -1,4 +1,7 @@
-"""A connection's bytes to commands: arrays of bulk strings, or inline commands of one line (the public protocol page)."""
+"""A connection's bytes to commands.
+
+Arrays of bulk strings, or inline commands of one line (the public protocol page).
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,10 @@
         self._buffer.clear()
 
     def next(self) -> list[bytes] | None:
-        """One command's words; none where a line was empty; None while it is not whole. Raises `ProtocolError`."""
+        """One command's words; none where a line was empty; None while it is not whole.
+
+        Raises `ProtocolError`.
+        """
         buffer = self._buffer
         if not buffer:
             return None
--- a/hazelhollow/standins/redis/script_commands.py
+++ b/hazelhollow/standins/redis/script_commands.py
@@ -16,7 +16,9 @@
 def eval_digest(state: ServerState, session: Session, args: list[bytes]) -> Reply:
     """EVALSHA digest count key ... arg ..."""
     keys, script_args = _keys_and_args(args)
-    return state.scripts.run(session.database, args[0].decode("ascii", "replace"), keys, script_args)
+    return state.scripts.run(
+        session.database, args[0].decode("ascii", "replace"), keys, script_args
+    )
 
 
 def _keys_and_args(args: list[bytes]) -> tuple[list[bytes], list[bytes]]:
@@ -40,4 +42,6 @@
         state.scripts.flush()
         return OK
     given = args[0].decode("ascii", "replace")
-    raise CommandError(f"ERR unknown subcommand or wrong number of arguments for '{given}'. Try SCRIPT HELP.")
+    raise CommandError(
+        f"ERR unknown subcommand or wrong number of arguments for '{given}'. Try SCRIPT HELP."
+    )
--- a/hazelhollow/standins/redis/scripts.py
+++ b/hazelhollow/standins/redis/scripts.py
@@ -1,7 +1,8 @@
 """EVAL in real Lua 5.1 (lupa), with Redis's conversions between Lua and RESP.
 
-Source: the public pages "Scripting with Lua" and "Redis Lua API reference". What a script can use is what is put in its
-globals here; a script that runs for too many instructions, or takes too much memory, ends with an error.
+Source: the public pages "Scripting with Lua" and "Redis Lua API reference". What a script can use
+is what is put in its globals here; a script that runs for too many instructions, or takes too much
+memory, ends with an error.
 """
 
 from __future__ import annotations
@@ -18,10 +19,12 @@
 MOST_INSTRUCTIONS = 5_000_000
 NO_SCRIPT = "NOSCRIPT No matching script. Please use EVAL."
 
-# Errors pass as tables with a field `err`, which is what redis.pcall gives and what redis.call raises.
+# Errors pass as tables with a field `err`, which is what redis.pcall gives and what redis.call
+# raises.
 PRELUDE = b"""
 local host, most = ...
-local sethook, setfenv, loadstring, type, error, pcall, tostring = debug.sethook, setfenv, loadstring, type, error, pcall, tostring
+local sethook, setfenv, loadstring, type, error, pcall, tostring =
+  debug.sethook, setfenv, loadstring, type, error, pcall, tostring
 local redis = {LOG_DEBUG = 0, LOG_VERBOSE = 1, LOG_NOTICE = 2, LOG_WARNING = 3}
 function redis.pcall(...) return host('call', ...) end
 function redis.call(...)
@@ -36,7 +39,8 @@
 function redis.setresp() end
 function redis.replicate_commands() return true end
 local globals, world = {redis = redis}, {}
-for _, name in pairs({'assert', 'error', 'getmetatable', 'ipairs', 'math', 'next', 'pairs', 'rawequal', 'rawget', 'select',
+for _, name in pairs({'assert', 'error', 'getmetatable', 'ipairs', 'math', 'next', 'pairs',
+  'rawequal', 'rawget', 'select',
                       'string', 'table', 'tonumber', 'tostring', 'type', 'unpack'}) do
   globals[name] = _G[name]
 end
@@ -51,7 +55,8 @@
   __index = function(_, name)
     local found = globals[name]
     if found == nil then
-      error({err = "ERR Script attempted to access nonexistent global variable '" .. tostring(name) .. "'"}, 0)
+      error({err = "ERR Script attempted to access nonexistent global variable '" ..
+        tostring(name) .. "'"}, 0)
     end
     return found
   end,
@@ -94,20 +99,28 @@
         self.known: dict[str, bytes] = {}
         self._chunks: dict[str, Any] = {}
         self._lua = lupa.LuaRuntime(
-            encoding=None, unpack_returned_tuples=True, register_eval=False, register_builtins=False, max_memory=MOST_MEMORY
-        )  # fmt: skip
+            encoding=None,
+            unpack_returned_tuples=True,
+            register_eval=False,
+            register_builtins=False,
+            max_memory=MOST_MEMORY,
+        )
         prelude = self._lua.compile(PRELUDE)
         self._compile, self._run = prelude(self._call_from_lua, MOST_INSTRUCTIONS)
 
     def load(self, text: bytes) -> str:
-        """Compiles a script and keeps it; gives its digest. Raises `CommandError` where it is no Lua."""
+        """Compiles a script and keeps it; gives its digest.
+
+        Raises `CommandError` where it is no Lua.
+        """
         digest = script_digest(text)
         if digest not in self._chunks:
             result = self._compile(text, b"@user_script")
             chunk, problem = result if isinstance(result, tuple) else (result, None)
             if chunk is None:
                 raise CommandError(
-                    f"ERR Error compiling script (new function): {problem.decode('utf-8', 'replace')}"
+                    "ERR Error compiling script (new function): "
+                    f"{problem.decode('utf-8', 'replace')}"
                 )
             self._chunks[digest] = chunk
         self.known[digest] = text
@@ -125,7 +138,9 @@
         self._database = database
         self._engine.frozen_time = self._engine.now()
         try:
-            result = self._run(self._chunks[digest], self._lua.table_from(keys), self._lua.table_from(args))
+            result = self._run(
+                self._chunks[digest], self._lua.table_from(keys), self._lua.table_from(args)
+            )
         except lupa.LuaError as error:
             raise CommandError(f"ERR {error}") from None
         finally:
@@ -142,9 +157,13 @@
         try:
             plain = [_word(word) for word in words]
             if not plain or None in plain:
-                raise CommandError("ERR Lua redis lib command arguments must be strings or integers")
+                raise CommandError(
+                    "ERR Lua redis lib command arguments must be strings or integers"
+                )
             return self._to_lua(
-                self._engine.call(self._database, [w for w in plain if w is not None], scripted=True)
+                self._engine.call(
+                    self._database, [w for w in plain if w is not None], scripted=True
+                )
             )
         except CommandError as error:
             return self._lua.table_from({b"err": error.text.encode()})
--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -115,7 +115,10 @@
     shards: int = 1,
     secure: ssl.SSLContext | None = None,
 ) -> list[Server]:
-    """So many servers, at ports in a row from `listen` or, with port 0, at any. More than one are a cluster."""
+    """So many servers, at ports in a row from `listen` or, with port 0, at any.
+
+    More than one are a cluster.
+    """
     host, port = listen
     servers = []
     for number in range(shards):
--- a/hazelhollow/standins/redis/server_commands.py
+++ b/hazelhollow/standins/redis/server_commands.py
@@ -19,7 +19,11 @@
     lines = []
     for section, rows in _info_sections(state).items():
         if not wanted or section in wanted or ALL_SECTIONS & wanted:
-            lines += [f"# {section.capitalize()}", *[f"{name}:{value}" for name, value in rows.items()], ""]
+            lines += [
+                f"# {section.capitalize()}",
+                *[f"{name}:{value}" for name, value in rows.items()],
+                "",
+            ]
     return "\r\n".join(lines).encode()
 
 
@@ -63,7 +67,9 @@
         return view.nodes_reply()
     if subcommand == b"INFO":
         return view.info_reply()
-    raise CommandError(f"ERR unknown subcommand '{args[0].decode('ascii', 'replace')}'. Try CLUSTER HELP.")
+    raise CommandError(
+        f"ERR unknown subcommand '{args[0].decode('ascii', 'replace')}'. Try CLUSTER HELP."
+    )
 
 
 def standin(state: ServerState, session: Session, args: list[bytes]) -> Reply:
--- a/hazelhollow/standins/redis/session.py
+++ b/hazelhollow/standins/redis/session.py
@@ -10,7 +10,10 @@
 
 
 class Request(NamedTuple):
-    """One command of a session. With a `protocol_error` it has no words, and the session ends after its reply."""
+    """One command of a session.
+
+    With a `protocol_error` it has no words, and the session ends after its reply.
+    """
 
     session: Session
     words: list[bytes]
@@ -19,7 +22,10 @@
 
 @dataclass(eq=False)
 class Session:
-    """One connection's state. Its commands go into `requests`, which all sessions of a node share."""
+    """One connection's state.
+
+    Its commands go into `requests`, which all sessions of a node share.
+    """
 
     id: int
     requests: deque[Request]
@@ -28,7 +34,8 @@
     name: bytes = b""
     transaction: list[list[bytes]] | None = None  # the commands since MULTI
     transaction_failed: bool = False  # an error while commands were queued
-    watched: dict[tuple[int, bytes], int] = field(default_factory=dict)  # versions by database and key
+    # versions by database and key
+    watched: dict[tuple[int, bytes], int] = field(default_factory=dict)
     muted: bool = False  # replies are lost from now on
     closed: bool = False
     last_reply_at: float = 0.0  # when the reply before goes out
--- a/hazelhollow/standins/redis/slots.py
+++ b/hazelhollow/standins/redis/slots.py
@@ -1,4 +1,7 @@
-"""Which shard a key belongs to, as the Redis Cluster specification says: CRC16 of the key or of its hash tag."""
+"""Which shard a key belongs to, as the Redis Cluster specification says.
+
+CRC16 of the key or of its hash tag.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,10 @@
 
 
 def slot_of(key: bytes) -> int:
-    """Of the part between the first `{` and the next `}`, where that is not empty; else of the whole key."""
+    """Of the part between the first `{` and the next `}`, where that is not empty.
+
+    Else of the whole key.
+    """
     start = key.find(b"{")
     end = key.find(b"}", start + 1) if start >= 0 else -1
     return crc16(key[start + 1 : end] if end > start + 1 else key) % SLOTS
--- a/hazelhollow/standins/redis/snapshots.py
+++ b/hazelhollow/standins/redis/snapshots.py
@@ -32,7 +32,10 @@
             self._snapshots.append(Snapshot(now, keyspace.snapshot()))
 
     def latest_before(self, at: float) -> list[Database] | None:
-        """The data as it was then; the oldest there is where none is so old; nothing where there is none."""
+        """The data as it was then.
+
+        The oldest there is where none is so old; nothing where there is none.
+        """
         old = [snapshot for snapshot in self._snapshots if snapshot.at <= at]
         if old:
             return old[-1].data
--- a/hazelhollow/standins/redis/sorted_set_commands.py
+++ b/hazelhollow/standins/redis/sorted_set_commands.py
@@ -49,7 +49,11 @@
         flags.add(words.pop(0).upper())
     if not words or len(words) % 2:
         raise CommandError(SYNTAX)
-    if {b"NX", b"XX"} <= flags or (b"NX" in flags and flags & {b"GT", b"LT"}) or {b"GT", b"LT"} <= flags:
+    if (
+        {b"NX", b"XX"} <= flags
+        or (b"NX" in flags and flags & {b"GT", b"LT"})
+        or {b"GT", b"LT"} <= flags
+    ):
         raise CommandError("ERR GT, LT, and/or NX options at the same time are not compatible")
     scores = [parse_float(text) for text in words[::2]]
     members, added, changed = keyspace.sorted_set(database, args[0]), 0, 0
@@ -80,7 +84,11 @@
         if options[at] == b"WITHSCORES":
             with_scores, at = True, at + 1
         elif options[at] == b"LIMIT" and at + 2 < len(options):
-            offset, count, at = parse_integer(options[at + 1]), parse_integer(options[at + 2]), at + 3
+            offset, count, at = (
+                parse_integer(options[at + 1]),
+                parse_integer(options[at + 2]),
+                at + 3,
+            )
         else:
             raise CommandError(SYNTAX)
     found = [item for item in keyspace.sorted_set(database, args[0]).ranked() if item[1] in scores]
@@ -119,6 +127,8 @@
     b"ZRANGEBYSCORE": reader(_zrangebyscore, -4),
     b"ZREM": remover(_zrem, -3),
     b"ZREMRANGEBYSCORE": remover(_zremrangebyscore, 4),
-    b"ZCARD": reader(lambda keyspace, database, args: len(keyspace.sorted_set(database, args[0])), 2),
+    b"ZCARD": reader(
+        lambda keyspace, database, args: len(keyspace.sorted_set(database, args[0])), 2
+    ),
     b"ZSCORE": reader(_zscore, 3),
 }
--- a/hazelhollow/standins/redis/string_commands.py
+++ b/hazelhollow/standins/redis/string_commands.py
@@ -63,7 +63,9 @@
             options.expires_at = _expiry(keyspace, word, words.pop(0))
         else:
             raise CommandError(SYNTAX)
-    if options.flags >= {b"NX", b"XX"} or (b"KEEPTTL" in options.flags and options.expires_at is not None):
+    if options.flags >= {b"NX", b"XX"} or (
+        b"KEEPTTL" in options.flags and options.expires_at is not None
+    ):
         raise CommandError(SYNTAX)
     return options
 
@@ -96,10 +98,12 @@
     b"INCR": writer(lambda keyspace, database, args: _add(keyspace, database, args[0], 1), 2),
     b"DECR": writer(lambda keyspace, database, args: _add(keyspace, database, args[0], -1), 2),
     b"INCRBY": writer(
-        lambda keyspace, database, args: _add(keyspace, database, args[0], parse_integer(args[1])), 3
+        lambda keyspace, database, args: _add(keyspace, database, args[0], parse_integer(args[1])),
+        3,
     ),
     b"DECRBY": writer(
-        lambda keyspace, database, args: _add(keyspace, database, args[0], -parse_integer(args[1])), 3
+        lambda keyspace, database, args: _add(keyspace, database, args[0], -parse_integer(args[1])),
+        3,
     ),
     b"INCRBYFLOAT": writer(_incrbyfloat, 3),
 }
--- a/hazelhollow/standins/redis/transaction_commands.py
+++ b/hazelhollow/standins/redis/transaction_commands.py
@@ -28,13 +28,16 @@
     return QUEUED
 
 
-def execute_queued(state: ServerState, session: Session, run: Callable[[list[bytes]], Reply]) -> Reply:
+def execute_queued(
+    state: ServerState, session: Session, run: Callable[[list[bytes]], Reply]
+) -> Reply:
     """EXEC: runs each queued command by `run`, or none of them where a watched key has changed."""
     if session.transaction is None:
         raise CommandError("ERR EXEC without MULTI")
     queued, failed = session.transaction, session.transaction_failed
     unchanged = all(
-        state.engine.version(database, key) == version for (database, key), version in session.watched.items()
+        state.engine.version(database, key) == version
+        for (database, key), version in session.watched.items()
     )
     session.end_transaction()
     if failed:
@@ -63,7 +66,9 @@
     if session.transaction is not None:
         raise CommandError("ERR WATCH inside MULTI is not allowed")
     for key in args:
-        session.watched.setdefault((session.database, key), state.engine.version(session.database, key))
+        session.watched.setdefault(
+            (session.database, key), state.engine.version(session.database, key)
+        )
     return OK
 
 
--- a/hazelhollow/standins/redis/values.py
+++ b/hazelhollow/standins/redis/values.py
@@ -1,4 +1,7 @@
-"""What the stand-in keeps and replies, and the bytes of a reply (RESP2, as the public protocol page has it)."""
+"""What the stand-in keeps and replies.
+
+And the bytes of a reply (RESP2, as the public protocol page has it).
+"""
 
 from __future__ import annotations
 
@@ -54,7 +57,10 @@
 
 @dataclass
 class Entry:
-    """One key: its value, when it ends (seconds of the keyspace's clock) and the number of its last change."""
+    """One key.
+
+    Its value, when it ends (seconds of the keyspace's clock) and the number of its last change.
+    """
 
     value: Value
     expires_at: float | None = None
--- a/hazelhollow/standins/relay.py
+++ b/hazelhollow/standins/relay.py
@@ -1,7 +1,10 @@
-"""A stand-in for the network: datagrams and TCP between processes of this machine, with faults by pair and direction.
+"""A stand-in for the network.
 
-Each process has a name (`n0`, `h1`, `d`). What goes from one to another passes a socket of the relay's that the sender
-takes for the other's own, and leaves by the one that the receiver takes for the sender's. The relay changes no byte.
+Datagrams and TCP between processes of this machine, with faults by pair and direction.
+
+Each process has a name (`n0`, `h1`, `d`). What goes from one to another passes a socket of the
+relay's that the sender takes for the other's own, and leaves by the one that the receiver takes for
+the sender's. The relay changes no byte.
 """
 
 from __future__ import annotations
@@ -85,7 +88,8 @@
         self.pipes: dict[Pipe, None] = {}
         self._serial = 0
         self._socks: list[socket.socket] = []
-        self._datagrams: dict[tuple[str, str], socket.socket] = {}  # by sender and whom it stands for
+        # by sender and whom it stands for
+        self._datagrams: dict[tuple[str, str], socket.socket] = {}
         self.watching: Callable[[bytes], None] | None = None  # gets each datagram that passes
 
     def link(self, sender: str, receiver: str) -> Link:
@@ -94,7 +98,7 @@
     # Faults
 
     def begin(self, fault: Fault, pairs: list[tuple[str, str]]) -> int:
-        """The fault holds for each of the directions until `end` gets the number that this gives."""
+        """The fault holds for each direction until `end` gets the number that this gives."""
         self._serial += 1
         for pair in pairs:
             link = self.link(*pair)
@@ -105,7 +109,10 @@
         return self._serial
 
     def end(self, number: int) -> None:
-        """A connection whose bytes a cut has kept back is broken by now; what a stall kept back goes on its way."""
+        """A connection whose bytes a cut has kept back is broken by now.
+
+        What a stall kept back goes on its way.
+        """
         for pair, link in self.links.items():
             if link.faults.pop(number, None) is None:
                 continue
@@ -137,7 +144,9 @@
     def datagrams(
         self, sender: str, receiver: str, listen: Address, source: Address, target: Address
     ) -> None:
-        """What `sender`, whose own address is `source`, sends to `listen` goes to `receiver` at `target`."""
+        """What `sender`, whose own address is `source`, sends to `listen` goes to `receiver` at
+        `target`.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         sock.bind(listen)
@@ -149,7 +158,13 @@
         )
 
     def _read(
-        self, sock: socket.socket, link: Link, sender: str, receiver: str, source: Address, target: Address
+        self,
+        sock: socket.socket,
+        link: Link,
+        sender: str,
+        receiver: str,
+        source: Address,
+        target: Address,
     ) -> None:
         while True:
             self.scheduler.wait(sock.fileno(), sch.READ)
@@ -169,7 +184,12 @@
         if fault is SOUND:
             send()
             return
-        if fault.cut or fault.reset or (fault.lose and chance() < fault.lose) or not _room(link, now):
+        if (
+            fault.cut
+            or fault.reset
+            or (fault.lose and chance() < fault.lose)
+            or not _room(link, now)
+        ):
             link.lost += 1
             return
         if fault.stalled:
@@ -265,7 +285,8 @@
         self._tasks.append(self.relay.scheduler.current())
         if self.out.link.now.reset or self.back.link.now.reset:
             self.break_off()
-        while not self.broken and self._shut(self.out) | self._shut(self.back):  # it does not come up
+        # it does not come up
+        while not self.broken and self._shut(self.out) | self._shut(self.back):
             self.relay.scheduler.wait()
         if self.broken:
             return
--- a/hazelhollow/storage/append_file.py
+++ b/hazelhollow/storage/append_file.py
@@ -12,7 +12,10 @@
 
 
 class AppendFile:
-    """Opened with the first record; if it can't be opened or written, that is logged once and tried again with the next."""
+    """Opened with the first record.
+
+    If it can't be opened or written, that is logged once and tried again with the next.
+    """
 
     def __init__(self, path: Path, writer: Writer | None = None) -> None:
         self.path = path
--- a/hazelhollow/storage/writer.py
+++ b/hazelhollow/storage/writer.py
@@ -1,8 +1,9 @@
 """Writes to disk beside the event loop.
 
-A write to a file system blocks its thread while the file system commits its journal, up to seconds on a busy disk, and a limiter
-answers nobody meanwhile. So jobs that write are queued and done in order by a thread of their own; the event loop never waits
-for one, but where it says for how long at most.
+A write to a file system blocks its thread while the file system commits its journal, up to seconds
+on a busy disk, and a limiter answers nobody meanwhile. So jobs that write are queued and done in
+order by a thread of their own; the event loop never waits for one, but where it says for how long
+at most.
 """
 
 from __future__ import annotations
@@ -20,8 +21,11 @@
 
 @dataclass(frozen=True)
 class WriteJob:
-    """`write` opens, writes or closes files and handles their OSErrors; `size`: the bytes that it holds. A job with the name
-    `replaces` takes the place of one of that name that still waits."""
+    """`write` opens, writes or closes files and handles their OSErrors.
+
+    `size`: the bytes that it holds. A job with the name `replaces` takes the place of one of that
+    name that still waits.
+    """
 
     write: Callable[[], None]
     size: int = 0
@@ -30,14 +34,20 @@
 
 class Writer(Protocol):
     def submit(self, job: WriteJob) -> bool:
-        """Takes a job, to be done after those before it. False: too much waits, and it was thrown away."""
+        """Takes a job, to be done after those before it.
+
+        False: too much waits, and it was thrown away.
+        """
 
     def finish(self, within: float) -> bool:
         """Waits until all that was submitted is done, `within` seconds at most; whether it is."""
 
 
 class DirectWriter:
-    """Does each job at once, in the caller's thread: for tools, and for models that have no disk to wait for."""
+    """Does each job at once, in the caller's thread.
+
+    For tools, and for models that have no disk to wait for.
+    """
 
     def submit(self, job: WriteJob) -> bool:
         job.write()
@@ -48,7 +58,10 @@
 
 
 class BackgroundWriter:
-    """Does the jobs in a thread, which begins with the first. The thread does not hold up the end of the process."""
+    """Does the jobs in a thread, which begins with the first.
+
+    The thread does not hold up the end of the process.
+    """
 
     def __init__(self, most_waiting: int = MOST_WAITING) -> None:
         self._most_waiting = most_waiting
--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -1,4 +1,7 @@
-"""A fleet of the audit's drivers in memory: one virtual clock, a network that delays, loses and cuts, a view that tells in time."""
+"""A fleet of the audit's drivers in memory.
+
+One virtual clock, a network that delays, loses and cuts, a view that tells in time.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,8 @@
     """Settings of some routes, one of which has another deadline."""
     return {
         "grades": [
-            {"name": f"route-{n}", "deadline": deadline if n == changed else 1.0} for n in range(routes)
+            {"name": f"route-{n}", "deadline": deadline if n == changed else 1.0}
+            for n in range(routes)
         ]
     }
 
@@ -48,10 +52,15 @@
 
 
 class Member:
-    """One member from start to end. It is what its driver takes for the scheduler, the peers, the view's driver, the view, its
-    table and the limiter."""
+    """One member from start to end.
+
+    It is what its driver takes for the scheduler, the peers, the view's driver, the view, its table
+    and the limiter.
+    """
 
-    def __init__(self, fleet: AuditFleet, number: int, document: Mapping[str, Any], order: int) -> None:
+    def __init__(
+        self, fleet: AuditFleet, number: int, document: Mapping[str, Any], order: int
+    ) -> None:
         self.fleet, self.me, self.alive, self.acting = fleet, number, True, True
         self.file: tuple[Mapping[str, Any], int] = (document, order)
         self.acts_on: Mapping[str, Any] = document
@@ -155,7 +164,9 @@
 class AuditFleet:
     """`lose`: the part of the datagrams that is lost."""
 
-    def __init__(self, members: int, document: Mapping[str, Any], lose: float = 0.0, seed: int = 1) -> None:
+    def __init__(
+        self, members: int, document: Mapping[str, Any], lose: float = 0.0, seed: int = 1
+    ) -> None:
         self.now, self.lose, self.random = BEGAN, lose, random.Random(seed)
         self.lives = itertools.count(1)
         self._due: list[tuple[float, int, Callable[[], object]]] = []
@@ -214,14 +225,21 @@
 
     def _spread(self, record: FleetRecord, sender: int = -1) -> None:
         one = self.members.get(record.number)
-        if one is None or record.life != one.life or (one.alive and record.versions != one.versions):
+        if (
+            one is None
+            or record.life != one.life
+            or (one.alive and record.versions != one.versions)
+        ):
             return  # an older word
         for other in self.members.values():
             if other.me != record.number and other.alive and (sender, other.me) not in self._cut:
                 other.note(record)
 
     def cut(self, some: set[int]) -> None:
-        """These and the others cannot hear each other from now on, and hold each other for dead after a while."""
+        """These and the others cannot hear each other from now on.
+
+        And hold each other for dead after a while.
+        """
         sides = some, set(self.members) - some
         self._cut = {pair for a, b in itertools.product(*sides) for pair in ((a, b), (b, a))}
         self.at(self.now + DEAD_AFTER, lambda: self._note_across(DEAD))
@@ -264,4 +282,6 @@
         return {n for n, one in self.members.items() if one.alive and one.acts_on == document}
 
     def merged(self) -> MergedFleet:
-        return merged(entry for one in (*self.ended, *self.members.values()) for entry in one.record.kept)
+        return merged(
+            entry for one in (*self.ended, *self.members.values()) for entry in one.record.kept
+        )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""The same examples in every run, with no limit on an example's time: CI must give the same verdict every time."""
+"""The same examples in every run, with no limit on an example's time.
+
+CI must give the same verdict every time.
+"""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -14,7 +17,10 @@
 
 @pytest.fixture(autouse=True)
 def own_tmpdir(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A limiter keeps its bans in $TMPDIR: each test has its own, or one test's bans would be another's."""
+    """A limiter keeps its bans in $TMPDIR.
+
+    Each test has its own, or one test's bans would be another's.
+    """
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
 """Tests that are known to fail: KNOWN-RED.txt at the root, a line each, `TEST | CAUSE | ISSUE`.
 
-A pytest plugin. Those tests are run and passed over whether they fail or not, and each is printed with its cause; one
-that passes is said to. Anything else that fails fails the run, and so does a line that is bad or names no test.
+A pytest plugin. Those tests are run and passed over whether they fail or not, and each is printed
+with its cause; one that passes is said to. Anything else that fails fails the run, and so does a
+line that is bad or names no test.
 """
 
 from __future__ import annotations
@@ -26,7 +27,10 @@
 
 
 def read(text: str) -> list[Known]:
-    """Blank lines and those that begin with `#` say nothing. Raises ValueError, which names the line."""
+    """Blank lines and those that begin with `#` say nothing.
+
+    Raises ValueError, which names the line.
+    """
     found: list[Known] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
@@ -38,7 +42,9 @@
         if "::" not in known.test:
             raise ValueError(f"{FILE}, line {number}: {known.test!r} names no test of a file")
         if not _ISSUE.fullmatch(known.issue):
-            raise ValueError(f"{FILE}, line {number}: {known.issue!r} is not `issue` and its number")
+            raise ValueError(
+                f"{FILE}, line {number}: {known.issue!r} is not `issue` and its number"
+            )
         if known.test in [k.test for k in found]:
             raise ValueError(f"{FILE}, line {number}: {known.test} stands twice")
         found.append(known)
@@ -56,18 +62,23 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    whole = config.args == config.getini("testpaths") or config.args == [str(config.invocation_params.dir)]
+    whole = config.args == config.getini("testpaths") or config.args == [
+        str(config.invocation_params.dir)
+    ]
     for known in _of(config):
         named = [item for item in items if item.nodeid == known.test]
         if whole and not named:
             raise pytest.UsageError(f"{FILE}: there is no test {known.test}")
         for item in named:
-            item.add_marker(pytest.mark.xfail(reason=f"{known.cause} ({known.issue})", strict=False))
+            item.add_marker(
+                pytest.mark.xfail(reason=f"{known.cause} ({known.issue})", strict=False)
+            )
 
 
 def _lines(config: pytest.Config, reporter: TerminalReporter) -> Iterator[str]:
     ends = {
-        kind: {report.nodeid for report in reporter.stats.get(kind, [])} for kind in ("xfailed", "xpassed")
+        kind: {report.nodeid for report in reporter.stats.get(kind, [])}
+        for kind in ("xfailed", "xpassed")
     }
     for known in _of(config):
         word = (
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,18 +1,23 @@
 """A small language for what happens on sockets, and the stage on which it is played.
 
-A scenario is a text of lines `WHO VERB WORDS`; a blank line or one that begins with `#` says nothing.
+A scenario is a text of lines `WHO VERB WORDS`; a blank line or one that begins with `#` says
+nothing.
 
     a send [PING]           client `a` (any name; it connects when first named) sends a command
-    s1 expect [Q.ASK ...]   backend host s1 gets just this on its newest connection; `s1.2`: on its second
+    s1 expect [Q.ASK ...]   backend host s1 gets just this on its newest connection; `s1.2`: on its
+      second
     s1 send -BUSY           a line; `\\r\\n` in the words and `[..]` commands are taken as they are
     a expect nothing        so far; `a expect closed`: the connection is over
-    s1 close                its end of the connection; `s1 stop` does not answer new ones from then on
-    disco send table 7 s1:terminating    discovery's answer to a watch; `whole 7 ...`: the whole list
+    s1 close                its end of the connection; `s1 stop` does not answer new ones from then
+      on
+    disco send table 7 s1:terminating    discovery's answer to a watch; `whole 7 ...`: the whole
+      list
     disco2 reload           the new configuration names this one as discovery
     p1 send TEXT            a datagram from the limiter numbered 1
     wait 0.5                the clock, which nothing else moves, goes on by half a second
 
-Sockets are real, on ports that the system picks; `expect` gives the kernel a moment, nothing sleeps.
+Sockets are real, on ports that the system picks; `expect` gives the kernel a moment, nothing
+sleeps.
 """
 
 from __future__ import annotations
@@ -31,18 +36,32 @@
 from hazelhollow.net.service import Attachment, Service
 
 LOOK = api.RequestClass("look", aim=1.0, deadline=3.0, worth=1.0, effect="safe")
-BUY = api.RequestClass("buy", aim=1.0, deadline=3.0, worth=1.0, effect="keyed", group="cell", window=5.0)
+BUY = api.RequestClass(
+    "buy", aim=1.0, deadline=3.0, worth=1.0, effect="keyed", group="cell", window=5.0
+)
 PLAN = api.Plan("basic", rate=100.0, burst=100.0)
 SETTINGS = api.Settings(
-    0, 2, (LOOK, BUY), (PLAN,), zone="a", max_attempts=3, peers=True, max_retry_after=1.0, max_units=500.0
+    0,
+    2,
+    (LOOK, BUY),
+    (PLAN,),
+    zone="a",
+    max_attempts=3,
+    peers=True,
+    max_retry_after=1.0,
+    max_units=500.0,
 )
 START = 1_000_000.0
-TURNS = 60  # of the loop, for what is under way to settle; each lets the kernel have a moment at need
+# of the loop, for what is under way to settle; each lets the kernel have a moment at need
+TURNS = 60
 HEAD = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
 
 
 def moment(sock: socket.socket) -> None:
-    """For the kernel. Not select(): a run of many stages may hold more descriptors than that can name."""
+    """For the kernel.
+
+    Not select(): a run of many stages may hold more descriptors than that can name.
+    """
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     poll.poll(2)
@@ -52,7 +71,10 @@
 
 
 class Stage:
-    """A whole limiter with a clock of its own, and all the parties round it. Closed after its test (conftest)."""
+    """A whole limiter with a clock of its own, and all the parties round it.
+
+    Closed after its test (conftest).
+    """
 
     def __init__(
         self, hosts: int = 2, attached: Attachment | None = None, heard: bool = True, **changes: Any
@@ -69,10 +91,16 @@
         self.ends: dict[str, list[socket.socket]] = {}
         known = self.table("whole", 1, *(f"s{n}:in_service" for n in range(1, hosts + 1)))
         values: dict[str, Any] = {
-            "name": "n0", "listen": ("127.0.0.1", 0), "seed": 1, "settings": SETTINGS, "known": known,
-            "discovery": self.listeners["disco"].getsockname(), "peer_listen": ("127.0.0.1", 0),
-            "peers": (("127.0.0.1", 9), self.peer.getsockname()), **changes,
-        }  # fmt: skip
+            "name": "n0",
+            "listen": ("127.0.0.1", 0),
+            "seed": 1,
+            "settings": SETTINGS,
+            "known": known,
+            "discovery": self.listeners["disco"].getsockname(),
+            "peer_listen": ("127.0.0.1", 0),
+            "peers": (("127.0.0.1", 9), self.peer.getsockname()),
+            **changes,
+        }
         self.config = Config(**values)
         self.service = Service(self.config, self.scheduler, attached)
         self.service.start()
@@ -109,7 +137,9 @@
         for host in hosts:
             name, status = host.split(":")
             address = "{}:{}".format(*self.listeners[name].getsockname())
-            entries.append({"name": name, "address": address, "zone": "a", "group": 0, "status": status})
+            entries.append(
+                {"name": name, "address": address, "zone": "a", "group": 0, "status": status}
+            )
         return {"index": version, "snapshot": kind == "whole", "endpoints": entries}
 
     def settle(self, turns: int = TURNS) -> None:
@@ -153,7 +183,9 @@
         elif not ends:
             operator = self.service.operator
             address = (
-                operator.address if name.startswith("op") and operator else self.service.frontend.address
+                operator.address
+                if name.startswith("op") and operator
+                else self.service.frontend.address
             )
             ends.append(socket.create_connection(address))
             ends[0].setblocking(False)
@@ -206,7 +238,9 @@
             assert not over and re.fullmatch(pattern, got, re.S), got or "nothing came"
 
     def _reload(self, who: str, words: str) -> None:
-        self.service.reload(lambda: replace(self.config, discovery=self.listeners[who].getsockname()))
+        self.service.reload(
+            lambda: replace(self.config, discovery=self.listeners[who].getsockname())
+        )
         self.settle()
 
     def _close(self, who: str, words: str) -> None:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,7 @@
-"""Versions, the rule about stragglers, documents on their way, the record and its merge: the modules alone."""
+"""Versions, the rule about stragglers, documents on their way, the record and its merge.
+
+The modules alone.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +50,8 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["", "i", "i" * 21, "i" * 23, "I" * 22, "-" * 22, "i" * 22 + "0b", "i" * 22 + "3x", "i" * 25]
+    "text",
+    ["", "i", "i" * 21, "i" * 23, "I" * 22, "-" * 22, "i" * 22 + "0b", "i" * 22 + "3x", "i" * 25],
 )
 def test_what_are_no_versions_are_none(text: str) -> None:
     assert versions.read(text) is None
@@ -81,7 +85,10 @@
             table[number] = read
         order = max((one.order for one in table.values()), default=0)
         assert dict(known) == table
-        assert known.newest() == (order, {one.settings for one in table.values() if one.order == order})
+        assert known.newest() == (
+            order,
+            {one.settings for one in table.values() if one.order == order},
+        )
         if turn % 3 == 0:
             heard.update(known.take_changed())
             assert {n: heard[n] for n in table} == table
@@ -134,7 +141,9 @@
         rule = Rule(me)
         for now in (0.0, ASK_FOR + 1.0):
             ruling = rule.look(KnownVersions({0: NEW, 1: OTHER, 2: own if me == 2 else OLD}), now)
-            assert ruling.state == "contradiction" and not ruling.shut and "2 settings" in ruling.why
+            assert (
+                ruling.state == "contradiction" and not ruling.shut and "2 settings" in ruling.why
+            )
 
 
 def test_the_operators_order_decides_and_not_the_majority() -> None:
@@ -173,7 +182,8 @@
         answers = giver.answer_at_once(asked)
         for text in chance.sample([*answers, *answers], 2 * len(answers)):
             given_ = transfer.read(text)
-            assert isinstance(given_, transfer.Given) and len(text) <= 256 - 18  # room for the keyed hash
+            # room for the keyed hash
+            assert isinstance(given_, transfer.Given) and len(text) <= 256 - 18
             if chance.random() >= lose and got is None:
                 got = taker.take(given_)
         if got is not None:
@@ -193,7 +203,9 @@
         ] in ([], [None])
     forged = transfer.Taker(4, giver.digest)
     assert forged.take(transfer.Given(4, giver.digest, 0, 1, "AAAA")) is None  # whole, and nonsense
-    assert isinstance(transfer.read(forged.wants(False)), transfer.Asked) and not forged._whole._texts
+    assert (
+        isinstance(transfer.read(forged.wants(False)), transfer.Asked) and not forged._whole._texts
+    )
 
 
 def test_pieces_of_an_older_document_that_come_late_spoil_nothing() -> None:
@@ -201,7 +213,9 @@
     taker, got = transfer.Taker(4, giver.digest), []
     for n, text in enumerate(giver.whole()):
         got.append(taker.take(transfer.Given(4, giver.digest, n, len(giver.whole()), text)))
-        got.append(taker.take(transfer.Given(3, older.digest, 0, len(giver.whole()), older.whole()[0])))
+        got.append(
+            taker.take(transfer.Given(3, older.digest, 0, len(giver.whole()), older.whole()[0]))
+        )
     assert [one for one in got if one] == [versions.common(DOCUMENT)]
 
 
@@ -249,7 +263,12 @@
 
 
 def entry(
-    t: float, member: int = 0, serial: int = 1, what: str = "settings", version: str = "aaaa", **more: Any
+    t: float,
+    member: int = 0,
+    serial: int = 1,
+    what: str = "settings",
+    version: str = "aaaa",
+    **more: Any,
 ) -> Entry:
     return Entry(t, member, more.pop("life", 1), serial, what, version, **more)  # type: ignore[arg-type]
 
@@ -312,24 +331,42 @@
 
 
 def two(skew: float, lag: float, **more: Any) -> list[Entry]:
-    """Member 0 takes order 2 at second 10; member 1, whose clock is `skew` ahead, hears of it 0.2 s later and takes it after `lag`."""
+    """Member 0 takes order 2 at second 10.
+
+    Member 1, whose clock is `skew` ahead, hears of it 0.2 s later and takes it after `lag`.
+    """
     return [
-        entry(1.0, 0, 1, order=1), entry(10.0, 0, 2, version="bbbb", order=2), entry(30.0, 0, 3, "second", "bbbb", order=2, counts={"requests": 5}),
-        entry(1.0 + skew, 1, 1, order=1), heard(10.2 + skew, 1, 2, 0, NEW),
+        entry(1.0, 0, 1, order=1),
+        entry(10.0, 0, 2, version="bbbb", order=2),
+        entry(30.0, 0, 3, "second", "bbbb", order=2, counts={"requests": 5}),
+        entry(1.0 + skew, 1, 1, order=1),
+        heard(10.2 + skew, 1, 2, 0, NEW),
         entry(10.1 + skew + lag, 1, 3, "second", "aaaa", order=1, counts={"requests": 9}),
-        entry(10.2 + skew + lag, 1, 4, version="bbbb", order=2), entry(30.0 + skew, 1, 5, "second", "bbbb", order=2),
-    ]  # fmt: skip
+        entry(10.2 + skew + lag, 1, 4, version="bbbb", order=2),
+        entry(30.0 + skew, 1, 5, "second", "bbbb", order=2),
+    ]
 
 
-def test_settings_that_are_tried_are_no_old_ones_at_others_and_count_once_they_are_in_force() -> None:
+def test_settings_that_are_tried_are_no_old_ones_at_others_and_count_once_they_are_in_force() -> (
+    None
+):
     tried = NEW._replace(candidate=Candidate(1, Phase.BAKING))
-    found = merge.merged([
-        entry(1.0, 0, 1, order=1), entry(10.0, 0, 2, version="bbbb", order=2, candidate=True),
-        entry(10.0, 0, 3, "rollout", "pushed", why="by an operator", order=2), entry(40.0, 0, 4, "rollout", "released", order=2),
-        entry(40.0, 0, 5, version="bbbb", order=2), entry(50.0, 0, 6, "second", "bbbb", order=2, counts={"requests": 5}),
-        entry(1.0, 1, 1, order=1), heard(10.2, 1, 2, 0, tried), entry(30.0, 1, 3, "second", "aaaa", order=1, counts={"requests": 9}),
-        heard(40.1, 1, 4, 0, NEW), entry(40.3, 1, 5, version="bbbb", order=2), entry(50.0, 1, 6, "second", "bbbb", order=2),
-    ])  # fmt: skip
+    found = merge.merged(
+        [
+            entry(1.0, 0, 1, order=1),
+            entry(10.0, 0, 2, version="bbbb", order=2, candidate=True),
+            entry(10.0, 0, 3, "rollout", "pushed", why="by an operator", order=2),
+            entry(40.0, 0, 4, "rollout", "released", order=2),
+            entry(40.0, 0, 5, version="bbbb", order=2),
+            entry(50.0, 0, 6, "second", "bbbb", order=2, counts={"requests": 5}),
+            entry(1.0, 1, 1, order=1),
+            heard(10.2, 1, 2, 0, tried),
+            entry(30.0, 1, 3, "second", "aaaa", order=1, counts={"requests": 9}),
+            heard(40.1, 1, 4, 0, NEW),
+            entry(40.3, 1, 5, version="bbbb", order=2),
+            entry(50.0, 1, 6, "second", "bbbb", order=2),
+        ]
+    )
     assert not found.findings and not found.troubles
     (_, change) = found.changes()
     assert change["out_at"] == 40.0 and change["last_old_after_s"] == pytest.approx(0.3)
@@ -342,10 +379,15 @@
 
 
 def test_one_that_goes_on_after_it_heard_that_they_are_in_force_is_found() -> None:
-    found = merge.merged([
-        entry(1.0, 0, 1, order=1), entry(10.0, 0, 2, version="bbbb", order=2),
-        entry(1.0, 1, 1, order=1), heard(10.2, 1, 2, 0, NEW), entry(30.0, 1, 3, "second", "aaaa", order=1, counts={"requests": 9}),
-    ])  # fmt: skip
+    found = merge.merged(
+        [
+            entry(1.0, 0, 1, order=1),
+            entry(10.0, 0, 2, version="bbbb", order=2),
+            entry(1.0, 1, 1, order=1),
+            heard(10.2, 1, 2, 0, NEW),
+            entry(30.0, 1, 3, "second", "aaaa", order=1, counts={"requests": 9}),
+        ]
+    )
     assert [finding.what for finding in found.findings] == ["old"]
 
 
@@ -361,7 +403,9 @@
 def test_clocks_are_set_by_what_was_heard_and_the_last_on_the_old_is_told(skew: float) -> None:
     found = merge.merged(two(skew, 0.5))
     assert (
-        found.offsets[1] == pytest.approx(max(0.0, -skew - 0.2)) and not found.findings and not found.troubles
+        found.offsets[1] == pytest.approx(max(0.0, -skew - 0.2))
+        and not found.findings
+        and not found.troubles
     )
     (_, change) = found.changes()
     assert change["last_old_after_s"] == pytest.approx(
@@ -373,9 +417,11 @@
     assert [(f.what, f.members) for f in merge.merged(two(0.0, 9.0)).findings] == [("old", (1,))]
     shut = two(0.0, 9.0)
     shut[5:] = [
-        entry(10.4, 1, 3, "ruling", "shut out", order=1), entry(19.0, 1, 4, "second", "aaaa", order=1, counts={"requests": 9}),
-        entry(19.2, 1, 5, version="bbbb", order=2), entry(30.0, 1, 6, "second", "bbbb", order=2),
-    ]  # fmt: skip
+        entry(10.4, 1, 3, "ruling", "shut out", order=1),
+        entry(19.0, 1, 4, "second", "aaaa", order=1, counts={"requests": 9}),
+        entry(19.2, 1, 5, version="bbbb", order=2),
+        entry(30.0, 1, 6, "second", "bbbb", order=2),
+    ]
     assert merge.merged(shut).findings == []
     still = two(0.0, 9.0)
     still[5] = entry(
@@ -394,7 +440,9 @@
 def test_a_host_that_was_used_after_it_was_put_out_is_found() -> None:
     begin = [entry(1.0, 0, 1, order=1), entry(5.0, 0, 2, "hands", "x", hosts={"h1": 1})]
     for t, what in ((5.9, []), (8.0, ["host used"])):
-        found = merge.merged([*begin, entry(t, 0, 3, "second", "aaaa", order=1, hosts={"h1": 2, "h2": 9})])
+        found = merge.merged(
+            [*begin, entry(t, 0, 3, "second", "aaaa", order=1, hosts={"h1": 2, "h2": 9})]
+        )
         assert [f.what for f in found.findings] == what
     again = [
         *begin,
@@ -422,15 +470,17 @@
 
 
 @given(st.permutations(range(2)), st.booleans())
-def test_whichever_record_is_read_first_or_twice_the_order_is_the_same(order: list[int], twice: bool) -> None:
+def test_whichever_record_is_read_first_or_twice_the_order_is_the_same(
+    order: list[int], twice: bool
+) -> None:
     one = two(-40.0, 9.0)
     rows = [e for number in order for e in one if e.member == number]
     found = merge.merged([*rows, *(rows if twice else [])])
     assert found.document()["changes"] == merge.merged(one).document()["changes"]
     assert {f.text for f in found.findings} == {f.text for f in merge.merged(one).findings}
-    assert found.document()["members"] == merge.merged(one).document()["members"] and found.entries == len(
-        one
-    )
+    assert found.document()["members"] == merge.merged(one).document()[
+        "members"
+    ] and found.entries == len(one)
 
 
 def test_who_acted_on_what_at_a_time_is_told_or_said_to_be_unknown() -> None:
@@ -451,7 +501,9 @@
 
 
 @pytest.mark.parametrize(("lag", "status"), [(0.5, 0), (9.0, 1)])
-def test_the_command_says_who_was_late_and_draws_it(lag: float, status: int, tmp_path: Path) -> None:
+def test_the_command_says_who_was_late_and_draws_it(
+    lag: float, status: int, tmp_path: Path
+) -> None:
     write(tmp_path, two(0.0, lag))
     (tmp_path / "n1" / "audit-1-00000000000002-0001.seg").write_bytes(b"torn")
     page = tmp_path / "page.html"
@@ -481,7 +533,13 @@
 
 def test_entries_are_read_in_each_limiters_own_order(tmp_path: Path) -> None:
     write(tmp_path, two(0.0, 0.5))
-    assert [e.serial for e in files.entries(tmp_path, lambda text: None) if e.member == 1] == [1, 2, 3, 4, 5]
+    assert [e.serial for e in files.entries(tmp_path, lambda text: None) if e.member == 1] == [
+        1,
+        2,
+        3,
+        4,
+        5,
+    ]
 
 
 def test_what_running_limiters_tell_is_merged_and_a_request_is_found(tmp_path: Path) -> None:
@@ -506,7 +564,13 @@
 def test_what_is_told_of_a_long_record_is_its_end_within_a_bound() -> None:
     one = Record(0, 1)
     for n in range(record.MOST_KEPT):
-        one.add(float(n), "second", "aaaa", hosts={f"s-{k}": 9 for k in range(20)}, samples=["0" * 16] * 3)
+        one.add(
+            float(n),
+            "second",
+            "aaaa",
+            hosts={f"s-{k}": 9 for k in range(20)},
+            samples=["0" * 16] * 3,
+        )
     last = one.last()
     assert last[-1][0] == record.MOST_KEPT - 1 and len(json.dumps(last)) < 1 << 20
 
--- a/tests/test_audit_processes.py
+++ b/tests/test_audit_processes.py
@@ -1,4 +1,7 @@
-"""Real processes that act on settings of different orders: brought up, shut out, back, and what their records say afterwards."""
+"""Real processes that act on settings of different orders.
+
+Brought up, shut out, back, and what their records say afterwards.
+"""
 
 from __future__ import annotations
 
@@ -70,20 +73,32 @@
     audited.world.crew.signal("n2", signal.SIGHUP)
 
     def why_of(found: merge.Fleet) -> dict[tuple[int, int], str]:
-        return {(span.member, span.order): span.why for one in found.members.values() for span in one.spans}
+        return {
+            (span.member, span.order): span.why
+            for one in found.members.values()
+            for span in one.spans
+        }
 
     audited.until(lambda: {(n, 2) for n in range(3)} <= set(why_of(audited.records())))
     audited.until(lambda: audited.orders() == [2, 2, 2])
     found = audited.records()
     why = why_of(found)
-    assert why[0, 1] == "read again" and why[1, 1].startswith("given by") and why[2, 1].startswith("given by")
+    assert (
+        why[0, 1] == "read again"
+        and why[1, 1].startswith("given by")
+        and why[2, 1].startswith("given by")
+    )
     assert why[2, 2] == "read again" and not found.findings
     assert why[0, 2].startswith("told of by member") and why[0, 2].endswith("known from before")
 
 
 @pytest.mark.parametrize("killed", ["n0", "n1"])
-def test_settings_are_on_record_before_a_request_is_served_by_them(audited: Audited, killed: str) -> None:
-    """The member that read the file (n0) and one that was given the settings (n1), killed in the turn of the first answer."""
+def test_settings_are_on_record_before_a_request_is_served_by_them(
+    audited: Audited, killed: str
+) -> None:
+    """The member that read the file (n0) and one that was given the settings (n1), killed in the
+    turn of the first answer.
+    """
     world = audited.world
     number = world.names.index(killed)
     answers: list[str] = []
@@ -109,10 +124,16 @@
 
     def live() -> merge.Fleet:
         return merge.merged(
-            [entry for name in audited.world.names for entry in files.told(audited.call(name, "audit"))]
+            [
+                entry
+                for name in audited.world.names
+                for entry in files.told(audited.call(name, "audit"))
+            ]
         )
 
-    audited.until(lambda: [span.order for one in live().members.values() for span in one.spans] == [0, 1] * 3)
+    audited.until(
+        lambda: [span.order for one in live().members.values() for span in one.spans] == [0, 1] * 3
+    )
     assert not live().findings
 
 
@@ -130,7 +151,9 @@
     assert "restart" in audited.audit("n2")["why"]
     audited.until(lambda: audited.call("n2", "check").startswith(b"error"))
     audited.until(lambda: audited.state("n0", 2) == "shut out")
-    assert audited.call("n0", "check").startswith(b"done") and audited.call("n1", "check").startswith(b"done")
+    assert audited.call("n0", "check").startswith(b"done") and audited.call(
+        "n1", "check"
+    ).startswith(b"done")
     audited.world.crew.kill("n2")
     audited.world.write_files("n2", PLANS_FROM)
     audited.world.crew.start("n2")
@@ -162,10 +185,13 @@
     audited.until(lambda: audited.orders("n0", "n1", "n2") == [1, 1, 1])
     audited.world.relay.end(number)
     audited.until(
-        lambda: {audited.audit(name).get("state") for name in audited.world.names} == {"contradiction"}
+        lambda: {audited.audit(name).get("state") for name in audited.world.names}
+        == {"contradiction"}
     )
     assert all(audited.call(name, "check").startswith(b"done") for name in audited.world.names)
-    audited.until(lambda: "contradiction" in {finding.what for finding in audited.records().findings})
+    audited.until(
+        lambda: "contradiction" in {finding.what for finding in audited.records().findings}
+    )
     audited.change("n2", 3)  # the operator raises the order: that settles it
     audited.until(
         lambda: audited.orders() == [3, 3, 3]
@@ -173,7 +199,9 @@
     )
 
 
-def test_a_drill_of_a_change_through_loss_a_pause_and_a_kill_finds_the_audit_right(tmp_path: Path) -> None:
+def test_a_drill_of_a_change_through_loss_a_pause_and_a_kill_finds_the_audit_right(
+    tmp_path: Path,
+) -> None:
     events = (
         plan.Event(at=2.0, what="lose", whom=("*",), others=("*",), lasts=6.0, amount=0.2),
         plan.Event(at=2.5, what="pause", whom=("n3",), lasts=3.0),
@@ -184,18 +212,28 @@
     folder = tmp_path / "drill"
     folder.mkdir()
     found = Drill(
-        plan.Plan(name="x", instances=4, seconds=11.0, events=events), folder, operator=audit_file, keep=True
+        plan.Plan(name="x", instances=4, seconds=11.0, events=events),
+        folder,
+        operator=audit_file,
+        keep=True,
     ).run()
     promises = [key for key in NEVER if key not in ("false_deaths", "views_differ")]
     assert {key: found[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
-    assert found["acted_on_old_after_s_p99"] <= 3.0 and found["brought_up"] >= 3 and found["shut_out"] == 0
+    assert (
+        found["acted_on_old_after_s_p99"] <= 3.0
+        and found["brought_up"] >= 3
+        and found["shut_out"] == 0
+    )
     assert not found["audit_findings"] and found["requests"] > 300
 
 
 def test_settings_are_tried_by_some_and_go_on_without_the_member_that_was_given_them(
     audited: Audited,
 ) -> None:
-    """The one that was given them is killed, and comes back on its old files; another releases them; a third goes back."""
+    """The one that was given them is killed, and comes back on its old files.
+
+    Another releases them; a third goes back.
+    """
     names = audited.world.names
     new = audited.world.config(0, 1)
     (audited.folder / "n0" / "next.json").write_text(json.dumps(new))
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,7 @@
-"""Servers out by hand: never sent anything new, whatever the list says; kept over a restart; back cold."""
+"""Servers out by hand.
+
+Never sent anything new, whatever the list says; kept over a restart; back cold.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,14 @@
     gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.Ban("s1", True), 100.0)
     sent = {
-        s.server for i in range(40) for s in only(ask(gateway, 100.0 + i / 100, customer=f"{i}"), api.Send)
+        s.server
+        for i in range(40)
+        for s in only(ask(gateway, 100.0 + i / 100, customer=f"{i}"), api.Send)
     }
     assert sent == {"s2"}
     gateway.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
-    assert not only(ask(gateway, 101.1), api.Send)  # the list says it is up: the ban holds all the same
+    # the list says it is up: the ban holds all the same
+    assert not only(ask(gateway, 101.1), api.Send)
 
 
 def test_a_server_put_back_is_cold() -> None:
@@ -66,9 +72,15 @@
 
 @pytest.mark.parametrize(
     "text",
-    [b"", b"{", b"[]", b'{"format": "other", "version": 1, "down": []}', b'{"format": "hazelhollow-bans", "version": 9}',
-     b'{"format": "hazelhollow-bans", "version": 1, "down": [1]}'],
-)  # fmt: skip
+    [
+        b"",
+        b"{",
+        b"[]",
+        b'{"format": "other", "version": 1, "down": []}',
+        b'{"format": "hazelhollow-bans", "version": 9}',
+        b'{"format": "hazelhollow-bans", "version": 1, "down": [1]}',
+    ],
+)
 def test_a_broken_or_foreign_file_is_not_taken(text: bytes, tmp_path: Path) -> None:
     path = path_for("n0", str(tmp_path))
     path.write_bytes(text)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -1,7 +1,9 @@
-"""A cold server under what all gateways of a fleet send together: each decides for itself, and no server may fall by the sum.
+"""A cold server under what all gateways of a fleet send together.
 
-The gateways are real decision modules; the servers are modelled: each works on so many requests at once, a cold one on fewer,
-by the share that the settings name. Time is simulated.
+Each decides for itself, and no server may fall by the sum.
+
+The gateways are real decision modules; the servers are modelled: each works on so many requests at
+once, a cold one on fewer, by the share that the settings name. Time is simulated.
 """
 
 from __future__ import annotations
@@ -36,7 +38,10 @@
 
 
 def allowed(age: float) -> float:
-    """Requests within FALL_TIME up to which a server of that age is sure to stand: N, and 2 x root of N + 2 for chance."""
+    """Requests within FALL_TIME up to which a server of that age is sure to stand.
+
+    N, and 2 x root of N + 2 for chance.
+    """
     expected = FALL_MULTIPLE * share(age) * CAPACITY * FALL_TIME
     return expected + 2.0 * math.sqrt(expected) + 2.0
 
@@ -61,9 +66,18 @@
 
     def _gateway(self, number: int, gateways: int, seed: int) -> Gateway:
         told = api.Settings(
-            number, gateways, (CLASS,), (FREE,), zone="a", max_attempts=3, max_units=1.0, cold_for=COLD_FOR,
-            cold_from=COLD_FROM, fall_multiple=FALL_MULTIPLE, fall_time=FALL_TIME,
-        )  # fmt: skip
+            number,
+            gateways,
+            (CLASS,),
+            (FREE,),
+            zone="a",
+            max_attempts=3,
+            max_units=1.0,
+            cold_for=COLD_FOR,
+            cold_from=COLD_FROM,
+            fall_multiple=FALL_MULTIPLE,
+            fall_time=FALL_TIME,
+        )
         one = Gateway(told, seed * 1000 + number)
         one.handle(servers("full", *(entry(name) for name in self.hosts)), START)
         return one
@@ -87,7 +101,9 @@
     def join(self, count: int) -> None:
         for number in range(count):
             self.hosts[f"c{number}"] = Host(self.now)
-        listed = servers("change", *(entry(f"c{number}", started=self.now) for number in range(count)))
+        listed = servers(
+            "change", *(entry(f"c{number}", started=self.now) for number in range(count))
+        )
         for one in self.gateways:
             one.handle(listed, self.now)
 
@@ -138,7 +154,10 @@
 
 
 def played(gateways: int, cold: int, load: float, seed: int) -> Fleet:
-    """`load`: of what the warm servers can do, from the moment in which so many cold ones join; before, less."""
+    """`load`.
+
+    Of what the warm servers can do, from the moment in which so many cold ones join; before, less.
+    """
     fleet = Fleet(gateways, seed)
     fleet.load(0.7 * load * CAPACITY * WARM, JOINS)
     fleet.run(JOINS)
@@ -169,7 +188,10 @@
 def test_nor_under_a_burst_that_the_warm_servers_cannot_work_off(
     gateways: int, cold: int, load: float
 ) -> None:
-    """What they are sent is then more than they can do, and says nothing of what a cold one bears."""
+    """What they are sent is then more than they can do.
+
+    And says nothing of what a cold one bears.
+    """
     for seed in (100, 101, 103, 107):
         for host in cold_hosts(played(gateways, cold, load, seed)):
             assert most_of_allowed(host) <= 1.0
@@ -178,7 +200,11 @@
 def test_a_cold_server_is_used_all_the_same() -> None:
     fleet = played(30, 1, 0.9, 1)
     (cold,) = cold_hosts(fleet)
-    warm = [len([at for at in host.got if at > JOINS]) for host in fleet.hosts.values() if not host.started]
+    warm = [
+        len([at for at in host.got if at > JOINS])
+        for host in fleet.hosts.values()
+        if not host.started
+    ]
     assert len(cold.got) >= COLD_FROM * sum(warm) / WARM
 
 
--- a/tests/test_control_budget.py
+++ b/tests/test_control_budget.py
@@ -1,4 +1,7 @@
-"""The budget of control traffic: what may leave in any window, what each role is sure of; and the view within its part."""
+"""The budget of control traffic.
+
+What may leave in any window, what each role is sure of; and the view within its part.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +50,8 @@
 budgets = st.floats(3000.0, 20_000.0).map(settings_for)
 roles = st.sampled_from(list(Role))
 asks = st.lists(
-    st.tuples(st.floats(0.0, 2.0), roles, st.integers(1, LARGEST), st.floats(0.0, 300.0)), max_size=200
+    st.tuples(st.floats(0.0, 2.0), roles, st.integers(1, LARGEST), st.floats(0.0, 300.0)),
+    max_size=200,
 )
 
 
@@ -132,7 +136,9 @@
         while budget.take(role, 50, now):
             sent += 50
     remainders = 50 * len(Role)
-    assert sent <= (0.0 if back else min(settings.burst, settings.rate * jump + remainders)) + ROUNDING
+    assert (
+        sent <= (0.0 if back else min(settings.burst, settings.rate * jump + remainders)) + ROUNDING
+    )
 
 
 @pytest.mark.parametrize("role", Role)
@@ -177,7 +183,11 @@
     part.drop()
     counts = budget.document()["roles"]
     assert counts["view"]["bytes"] == counts["view"]["sent"] * (100 + HEADER_BYTES) > 0
-    assert (counts["view"]["deferred"], counts["view"]["dropped"], counts["quota"]["sent"]) == (1, 1, 0)
+    assert (counts["view"]["deferred"], counts["view"]["dropped"], counts["quota"]["sent"]) == (
+        1,
+        1,
+        0,
+    )
 
 
 @pytest.mark.parametrize("bytes_per_s", [0.0, 2999.0, float("-inf")])
@@ -265,7 +275,9 @@
 
 
 @pytest.mark.parametrize(("state", "same_life"), [(SUSPECT, True), (DEAD, True), (DEAD, False)])
-def test_only_the_life_that_is_held_dead_ends_the_silence_of_many(state: int, same_life: bool) -> None:
+def test_only_the_life_that_is_held_dead_ends_the_silence_of_many(
+    state: int, same_life: bool
+) -> None:
     one = view.View(0, 40, START, 1)
     for number in range(1, 30):
         one.table.put(Record(number, 36**8, 1, ALIVE))
@@ -278,7 +290,11 @@
     one._expire()
     assert one._suspicions.many()
     sender = Record(20, 36**8 + (0 if same_life else 1), 1, ALIVE)
-    one.heard(20, messages.write(messages.Message(messages.PING, sender, 1, 7, (9,)), ())[0], one.now + 0.1)
+    one.heard(
+        20,
+        messages.write(messages.Message(messages.PING, sender, 1, 7, (9,)), ())[0],
+        one.now + 0.1,
+    )
     assert one._suspicions.many() is not same_life
 
 
@@ -390,7 +406,9 @@
 
 
 def test_one_to_whom_pieces_come_asks_on_and_is_not_shut_out_meanwhile() -> None:
-    known = {n: Versions("i", "p", 1 if n else 0, "new" if n else "old", 1, "d", "h") for n in range(4)}
+    known = {
+        n: Versions("i", "p", 1 if n else 0, "new" if n else "old", 1, "d", "h") for n in range(4)
+    }
     rule = Rule(0)
     for second in range(int(LONGEST_ASK) + 20):
         rule.progressed(1, START + second)
@@ -401,7 +419,9 @@
 # The operator file
 
 
-def test_without_a_control_block_there_is_no_budget_and_with_one_there_is_all_of_it(tmp_path: Path) -> None:
+def test_without_a_control_block_there_is_no_budget_and_with_one_there_is_all_of_it(
+    tmp_path: Path,
+) -> None:
     def read(text: str) -> records.Operator:
         return load.read(b"package operator\n" + text.encode(), "x.cue")
 
@@ -416,7 +436,9 @@
 
 
 def test_the_platforms_path_imports_nothing_of_it() -> None:
-    code = "import sys, hazelhollow.net.service; print(*[m for m in sys.modules if '.control' in m])"
+    code = (
+        "import sys, hazelhollow.net.service; print(*[m for m in sys.modules if '.control' in m])"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == ""
 
@@ -426,7 +448,10 @@
 
 @given(st.integers(0, 40), st.sets(st.integers(0, messages.BITS_SPAN - 1)))
 def test_a_bitmap_reads_as_it_was_and_fits(start: int, places: set[int]) -> None:
-    sender, bits = Record(3, 36**8, 2, ALIVE, (), "", "7f0000011f0a"), sum(1 << place for place in places)
+    sender, bits = (
+        Record(3, 36**8, 2, ALIVE, (), "", "7f0000011f0a"),
+        sum(1 << place for place in places),
+    )
     message = messages.Message(messages.BITS, sender, 36**4 - 1, 36**5 - 1, (start, bits))
     text, _ = messages.write(message, [])
     assert len(text) <= messages.MOST_BYTES - 18  # with a seal
@@ -434,7 +459,8 @@
 
 
 @pytest.mark.parametrize(
-    "parts", ["0", "0:!", "0:A", "zz:AQ==", "0:////", "0:____", "-1:AQ==", "0:AQ==:", "9:Ag==", "0:A Q=="]
+    "parts",
+    ["0", "0:!", "0:A", "zz:AQ==", "0:////", "0:____", "-1:AQ==", "0:AQ==:", "9:Ag==", "0:A Q=="],
 )
 def test_what_cannot_be_is_no_bitmap(parts: str) -> None:
     assert messages.read("v1b 3.1.1.1/1/1 8:AQ==", 10) is not None
@@ -445,7 +471,11 @@
     table = Table()
     for number, state in enumerate((JOINING, ALIVE, SUSPECT, DEAD, LEFT, ALIVE)):
         table.put(Record(number, 5, 1, state))
-    assert table.presence(0, 10) == 0b100010 and table.presence(5, 10) == 1 and table.presence(2, 3) == 0
+    assert (
+        table.presence(0, 10) == 0b100010
+        and table.presence(5, 10) == 1
+        and table.presence(2, 3) == 0
+    )
 
 
 # The view within its part
@@ -495,7 +525,9 @@
     for send in one.beat(START):
         ping = messages.read(send.text, 4)
         assert ping
-        answer = messages.Message(messages.ANSWER, Record(send.number, 36**8, 1, ALIVE), 1, 7, ping.parts)
+        answer = messages.Message(
+            messages.ANSWER, Record(send.number, 36**8, 1, ALIVE), 1, 7, ping.parts
+        )
         one.heard(send.number, messages.write(answer, ())[0], START)
     for turn in range(1, 12):
         now = START + turn * view.BEAT
@@ -537,17 +569,27 @@
 
 
 def test_all_members_learn_of_one_that_holds_an_older_record_by_what_it_gives() -> None:
-    """All ask the one whose table differs; what it gives that is older is answered with what is newer."""
+    """All ask the one whose table differs.
+
+    What it gives that is older is answered with what is newer.
+    """
     sim = Sim(8, 1)
     sim.start_all()
     assert sim.settle() is not None
     one = sim.members[2].view
     known = one.table.get(5)
     assert known is not None
-    older = messages.Message(messages.PIECE, Record(3, sim.members[3].view.own.life, 9, ALIVE), 10**6, 7)
+    older = messages.Message(
+        messages.PIECE, Record(3, sim.members[3].view.own.life, 9, ALIVE), 10**6, 7
+    )
     sends = one.heard(3, messages.write(older, [known._replace(turn=0)])[0], sim.now)
     message = messages.read(sends[-1].text, 8)
-    assert message and sends[-1].number == 3 and message.kind == messages.PIECE and known in message.records
+    assert (
+        message
+        and sends[-1].number == 3
+        and message.kind == messages.PIECE
+        and known in message.records
+    )
 
 
 def test_refutations_are_passed_on_before_other_news() -> None:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -1,4 +1,6 @@
-"""Real processes within a small budget of control traffic, while several are killed at once, cut off, and given new settings."""
+"""Real processes within a small budget of control traffic, while several are killed at once, cut
+off, and given new settings.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,8 @@
 
 MEMBERS = 6
 BUDGET = settings_for(LEAST_BYTES_PER_S)
-LATE = 1.0  # seconds by which the relay, which shares the machine with all of them, may read a datagram late
+# seconds by which the relay, which shares the machine with all of them, may read a datagram late
+LATE = 1.0
 
 
 # An operator file with everything on, and the smallest budget.
@@ -46,7 +49,8 @@
         self._relay = relay
         self._names = {id(link): sender for (sender, _), link in relay.links.items()}
         self._through = relay._pass
-        self.lives: dict[str, int] = defaultdict(int)  # each process has a budget, and a burst, of its own
+        # each process has a budget, and a burst, of its own
+        self.lives: dict[str, int] = defaultdict(int)
         self.sent: dict[tuple[str, int], list[Datagram]] = defaultdict(list)
         relay._pass = self._pass  # type: ignore[method-assign]
 
@@ -125,7 +129,10 @@
 
 
 def test_gossip_that_is_paced_takes_nobodys_part_out_of_reach(bounded: Bounded) -> None:
-    """In a fleet of eight or fewer gossip comes at every beat, and silence tells that a peer is gone; not under a budget."""
+    """In a fleet of eight or fewer gossip comes at every beat.
+
+    And silence tells that a peer is gone; not under a budget.
+    """
     enough = 600 + sum(map(len, bounded.meter.sent.values()))
 
     def looked_at_while_they_talk() -> bool:
@@ -200,7 +207,10 @@
 
     def reported(name: str) -> bool:
         found = bounded.audit(name).get("members", {})
-        return (found.get(behind, {}).get("order"), bounded.audit(name).get("order")) == (0, PLANS_FROM)
+        return (found.get(behind, {}).get("order"), bounded.audit(name).get("order")) == (
+            0,
+            PLANS_FROM,
+        )
 
     bounded.until(lambda: all(reported(name) for name in bounded.world.names[:-1]))
     bounded.until(lambda: bounded.audit(f"n{behind}").get("state") in ("behind", "shut out"))
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -1,8 +1,9 @@
-"""What a decision, a list and a beat cost does not grow with the fleet; and what is kept up for that says the same as the plain
-definitions, which stand here.
+"""What a decision, a list and a beat cost does not grow with the fleet.
 
-Cost is counted in bytecodes, which no other load on the machine changes; loops that run inside the interpreter's own functions
-are not in it, and are held by a ratio of process times, taken in turns.
+And what is kept up for that says the same as the plain definitions, which stand here.
+
+Cost is counted in bytecodes, which no other load on the machine changes; loops that run inside the
+interpreter's own functions are not in it, and are held by a ratio of process times, taken in turns.
 """
 
 from __future__ import annotations
@@ -70,7 +71,9 @@
 
 
 def kinds(count: int) -> tuple[api.RequestClass, ...]:
-    return tuple(api.RequestClass(f"c{n}", 1.0 + n % 7 / 10, 4.0, 1.0 + n % 3, "safe") for n in range(count))
+    return tuple(
+        api.RequestClass(f"c{n}", 1.0 + n % 7 / 10, 4.0, 1.0 + n % 3, "safe") for n in range(count)
+    )
 
 
 def gateway_of(hosts: int, classes: int, customers: int, gateways: int = LIMITERS) -> Gateway:
@@ -89,7 +92,10 @@
     costs, classes = [], list(gateway.classes)
     for number in range(count):
         now += 1 / 204
-        customer, kind = str(gateway.random.randrange(CUSTOMERS)), classes[number * 7919 % len(classes)]
+        customer, kind = (
+            str(gateway.random.randrange(CUSTOMERS)),
+            classes[number * 7919 % len(classes)],
+        )
         actions: list[api.Action] = []
         costs.append(cost(lambda: actions.extend(ask(gateway, now, kind, customer=customer))))  # noqa: B023
         for send in only(actions, api.Send):
@@ -105,7 +111,10 @@
 
 @pytest.mark.parametrize("gateways", [LIMITERS, 3])
 def test_a_decision_costs_at_the_planned_size_what_it_costs_at_a_small_one(gateways: int) -> None:
-    small, large = gateway_of(200, 1, 200, gateways), gateway_of(SERVERS, CLASSES, CUSTOMERS, gateways)
+    small, large = (
+        gateway_of(200, 1, 200, gateways),
+        gateway_of(SERVERS, CLASSES, CUSTOMERS, gateways),
+    )
     for one in (small, large):
         decide_some(one, 100.0, 5, bytecodes)  # what follows a whole list
     costs = [statistics.median(decide_some(one, 101.0, 60, bytecodes)) for one in (small, large)]
@@ -114,7 +123,8 @@
     for turn in range(9):
         spent = [sum(decide_some(one, 102.0 + turn, 60, seconds)) for one in (small, large)]
         ratios.append(spent[1] / spent[0])
-    assert statistics.median(ratios) <= 2 * MARGIN  # a pass over all of anything costs ten times as much
+    # a pass over all of anything costs ten times as much
+    assert statistics.median(ratios) <= 2 * MARGIN
 
 
 def test_a_change_to_the_list_costs_what_it_changes() -> None:
@@ -214,7 +224,9 @@
     gateway.renew()
     for beat in range(1, 6):
         gateway.forget_old_news(AWAY_A_BEAT)
-        short = [peer for peer, news in gateway.dirty.items() if set(news) == {("b", 102), ("c", 103)}]
+        short = [
+            peer for peer, news in gateway.dirty.items() if set(news) == {("b", 102), ("c", 103)}
+        ]
         assert len(short) == min(beat * AWAY_A_BEAT, peers)
     assert len(gateway.dirty[peers + 1]) == 3  # its news are told, or found too old then
 
@@ -223,7 +235,10 @@
 
 
 def charged_by_many(customers: int) -> Gateway:
-    """Counts are kept, and so many customers were charged one unit each by each of three members in the period of 100."""
+    """Counts are kept.
+
+    And so many customers were charged one unit each by each of three members in the period of 100.
+    """
     gateway = make(0, gateways=3)
     gateway.handle(api.Fleet(True, (0, 1, 2), keeps=True), 100.0)
     for number in range(customers):
@@ -237,7 +252,7 @@
     return gateway
 
 
-def test_however_many_counts_close_at_once_a_beat_hands_on_a_bounded_number_and_each_is_told_once() -> None:
+def test_a_beat_hands_on_a_bounded_number_of_closed_counts_and_each_is_told_once() -> None:
     customers, told = 3 * COUNTS_A_BEAT + 5, list[str]()
     gateway = charged_by_many(customers)
     gateway.now, gateway.period = 102.0, 102
@@ -290,10 +305,18 @@
 # What is kept up, against the plain definitions
 
 
-def plain_limit(gateway: Gateway, kind: api.RequestClass, worth: dict[str, float], work: float) -> float:
-    """As it was reckoned for each request, over all classes. `worth`, `work`: what was asked for lately."""
+def plain_limit(
+    gateway: Gateway, kind: api.RequestClass, worth: dict[str, float], work: float
+) -> float:
+    """As it was reckoned for each request, over all classes.
+
+    `worth`, `work`: what was asked for lately.
+    """
     learned = gateway.learned
-    value = {c.name: c.worth * learned.units[c.name] / learned.work[c.name] for c in gateway.settings.classes}
+    value = {
+        c.name: c.worth * learned.units[c.name] / learned.work[c.name]
+        for c in gateway.settings.classes
+    }
     if not gateway.small:
         return gateway.tight * value[kind.name] / max(value.values())
     longest = min(c.aim for c in gateway.settings.classes if value[c.name] >= value[kind.name])
@@ -305,14 +328,18 @@
 
 
 class_lists = st.lists(
-    st.tuples(st.sampled_from([0.5, 1.0, 2.0, 9.0]), st.sampled_from([0.5, 1.0, 3.0])), min_size=1, max_size=9
+    st.tuples(st.sampled_from([0.5, 1.0, 2.0, 9.0]), st.sampled_from([0.5, 1.0, 3.0])),
+    min_size=1,
+    max_size=9,
 ).map(
     lambda pairs: tuple(
         api.RequestClass(f"c{n}", aim, 20.0, worth, "safe") for n, (aim, worth) in enumerate(pairs)
     )
 )
 lessons = st.lists(
-    st.tuples(st.integers(0, 8), st.sampled_from([1.0, 2.0, 5.0]), st.sampled_from([0.9, 1.0, 1.1, 1.5])),
+    st.tuples(
+        st.integers(0, 8), st.sampled_from([1.0, 2.0, 5.0]), st.sampled_from([0.9, 1.0, 1.1, 1.5])
+    ),
     max_size=40,
 )
 
@@ -320,9 +347,12 @@
 @hyp(max_examples=150, deadline=None)
 @given(class_lists, class_lists, lessons, st.sampled_from([1, 3, 40]), st.sampled_from([0.0, 0.5]))
 def test_the_limit_of_a_class_is_what_a_look_at_all_classes_says(
-    classes: tuple[api.RequestClass, ...], later: tuple[api.RequestClass, ...],
-    learned: list[tuple[int, float, float]], gateways: int, weight: float,
-) -> None:  # fmt: skip
+    classes: tuple[api.RequestClass, ...],
+    later: tuple[api.RequestClass, ...],
+    learned: list[tuple[int, float, float]],
+    gateways: int,
+    weight: float,
+) -> None:
     gateway = make(0, gateways=gateways, classes=classes, class_weight=weight)
     worth, work = dict[str, float](), 0.0
     for turn, (number, units, factor) in enumerate(learned):
@@ -336,7 +366,9 @@
         worth[kind.name] = worth.get(kind.name, 0.0) + kind.worth * units
         work = work * (1.0 - 1.0 / MIX) + gateway.learned.work[kind.name]
         for one in gateway.settings.classes:
-            assert gateway._limit(one) == pytest.approx(plain_limit(gateway, one, worth, work), rel=1e-9)
+            assert gateway._limit(one) == pytest.approx(
+                plain_limit(gateway, one, worth, work), rel=1e-9
+            )
     means = gateway.learned.units
     assert gateway.learned.mean_units() == pytest.approx(sum(means.values()) / len(means))
 
@@ -357,7 +389,11 @@
             assert tree.first(least) == next(n for n, v in enumerate(plain) if v >= least)
 
 
-@given(st.lists(st.floats(0, 9), min_size=1, max_size=40), st.integers(0, 39), st.lists(st.floats(0, 9)))
+@given(
+    st.lists(st.floats(0, 9), min_size=1, max_size=40),
+    st.integers(0, 39),
+    st.lists(st.floats(0, 9)),
+)
 def test_numbers_put_at_many_places_at_once_are_as_those_put_one_by_one(
     start: list[float], first: int, values: list[float]
 ) -> None:
@@ -419,8 +455,12 @@
         stats.learn_work(kinds[0], 1, factor, 1.0)
 
 
-def test_one_changed_class_of_many_is_parsed_and_placed_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    grades = [{"name": f"c{n}", "objective": 0.5, "deadline": 1.0, "effect": "pure"} for n in range(50)]
+def test_one_changed_class_of_many_is_parsed_and_placed_alone(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    grades = [
+        {"name": f"c{n}", "objective": 0.5, "deadline": 1.0, "effect": "pure"} for n in range(50)
+    ]
     document = {"position": 0, "balancers": 1, "grades": grades}
     before = wire.KnownSettings(document, wire.parse_settings(wire.Fields("settings", document)))
     gateway = Gateway(before.settings, 1)
@@ -513,12 +553,19 @@
 
 names = st.integers(0, 9).map(lambda n: f"s{n}")
 entries = st.builds(
-    api.ServerEntry, names, st.sampled_from(["up", "up", "draining", "gone"]), st.sampled_from("ab"), st.integers(0, 1),
-    st.sampled_from([0.1, 1.0, 2.0]), st.sampled_from([0.0, 50.0, 95.0, 104.0]),
-)  # fmt: skip
+    api.ServerEntry,
+    names,
+    st.sampled_from(["up", "up", "draining", "gone"]),
+    st.sampled_from("ab"),
+    st.integers(0, 1),
+    st.sampled_from([0.1, 1.0, 2.0]),
+    st.sampled_from([0.0, 50.0, 95.0, 104.0]),
+)
 steps = st.lists(
     st.one_of(
-        st.tuples(st.sampled_from(["full", "cached", "change", "failed"]), st.lists(entries, max_size=9)),
+        st.tuples(
+            st.sampled_from(["full", "cached", "change", "failed"]), st.lists(entries, max_size=9)
+        ),
         st.tuples(st.sampled_from(["ban", "unban", "wait"]), names),
     ),
     max_size=14,
@@ -531,7 +578,8 @@
 ) -> None:
     """`bulk` 0: each list is taken as one that changes much."""
     monkeypatch.setattr("hazelhollow.decisions.endpoints.BULK", bulk)
-    monkeypatch.setattr("hazelhollow.decisions.endpoints.TAGS", 5)  # so that names in messages collide
+    # so that names in messages collide
+    monkeypatch.setattr("hazelhollow.decisions.endpoints.TAGS", 5)
 
     @hyp(max_examples=60, deadline=None)
     @given(steps)
@@ -565,7 +613,9 @@
     assert table.warm_width(now) == pytest.approx(sum(warm))
     for cold in (False, True):
         ring = sorted(
-            (table.servers[e.server].tag, e.server) for e in plain.up() if plain.cold(e, now) == cold
+            (table.servers[e.server].tag, e.server)
+            for e in plain.up()
+            if plain.cold(e, now) == cold
         )
         assert table.ring(cold, now) == ring
     for zone in "ab":
@@ -704,7 +754,8 @@
         now += passed
         present = tuple(n for n in everybody if n not in lost)
         gateway.handle(
-            api.Fleet(True, present, lost=tuple(sorted(lost)), unused=tuple(unused), keeps=True), now
+            api.Fleet(True, present, lost=tuple(sorted(lost)), unused=tuple(unused), keeps=True),
+            now,
         )
     gateway.now = now + 0.5
     found = []
@@ -713,7 +764,13 @@
         gateway.leave_to_lost(account)  # what is left to others is reckoned up to now
         aside = {number: pytest.approx(units) for number, units in account.aside.items()}
         found.append(
-            (pytest.approx(account.budget.level), account.budget.rate, account.hubs, aside, account.apart)
+            (
+                pytest.approx(account.budget.level),
+                account.budget.rate,
+                account.hubs,
+                aside,
+                account.apart,
+            )
         )
     return found
 
@@ -725,7 +782,8 @@
     quick = kept_apart(sets, told)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
-            "hazelhollow.decisions.accounts._mask_of_set", lambda first, spread, gateways: (1 << gateways) - 1
+            "hazelhollow.decisions.accounts._mask_of_set",
+            lambda first, spread, gateways: (1 << gateways) - 1,
         )
         assert quick == kept_apart(sets, told)
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,7 @@
-"""What the platform starts: the command of the deploy file, and that nothing in it or in the program is one deployment's."""
+"""What the platform starts.
+
+The command of the deploy file, and that nothing in it or in the program is one deployment's.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,27 @@
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-# Of the two organisations that run it and of the one that the operators add; those of the sites here are read from them.
+# Of the two organisations that run it and of the one that the operators add; those of the sites
+# here are read from them.
 NAMES = {
-    "espoo-main", "order-place", "schedule-read", "stock-check", "pieni", "perus", "laaja", "kumppani", "hall-a", "api-fleet",
-    "zaventem-main", "ticket-lookup", "groot", "machelen-room", "booking-servers", "hcm-lookup", "lookup-fleet",
-}  # fmt: skip
+    "espoo-main",
+    "order-place",
+    "schedule-read",
+    "stock-check",
+    "pieni",
+    "perus",
+    "laaja",
+    "kumppani",
+    "hall-a",
+    "api-fleet",
+    "zaventem-main",
+    "ticket-lookup",
+    "groot",
+    "machelen-room",
+    "booking-servers",
+    "hcm-lookup",
+    "lookup-fleet",
+}
 
 
 def names_of_sites() -> Iterator[str]:
@@ -65,7 +84,8 @@
     ) as program:
         assert program.stderr
         assert any("listens at" in line for line in program.stderr)
-        assert "serve" in Path(f"/proc/{program.pid}/cmdline").read_text().split("\0")  # the shell is gone
+        # the shell is gone
+        assert "serve" in Path(f"/proc/{program.pid}/cmdline").read_text().split("\0")
         assert status(program.pid)["Threads"] == "1"
         assert not Path(f"/proc/{program.pid}/task/{program.pid}/children").read_text().split()
         program.send_signal(signal.SIGHUP)
@@ -77,6 +97,10 @@
 def test_a_sighup_before_the_program_reads_anything_is_let_pass(tmp_path: Path) -> None:
     """In place of the limiter a program that says which signals it began with ignoring."""
     tail = DEPLOY["run"].partition("exec ")[0] + "exec cat /proc/self/status"
-    said = subprocess.run(["/bin/sh", "-c", tail], text=True, capture_output=True, timeout=30).stdout
-    ignored = int(next(line for line in said.splitlines() if line.startswith("SigIgn")).split()[1], 16)
+    said = subprocess.run(
+        ["/bin/sh", "-c", tail], text=True, capture_output=True, timeout=30
+    ).stdout
+    ignored = int(
+        next(line for line in said.splitlines() if line.startswith("SigIgn")).split()[1], 16
+    )
     assert ignored >> (signal.SIGHUP - 1) & 1 and not ignored >> (signal.SIGTERM - 1) & 1
