--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -1,4 +1,7 @@
-"""Documents of settings told by what has changed: the changes alone, and their way from member to member."""
+"""Documents of settings told by what has changed.
+
+The changes alone, and their way from member to member.
+"""
 
 from __future__ import annotations
 
@@ -28,15 +31,24 @@
     "step": 1,
     "grades": [{"name": f"class-{n}", "deadline": n} for n in range(9)],
 }
-NEW: dict[str, Any] = {**BASE, "grades": [{"name": f"class-{n}", "deadline": n + (n == 4)} for n in range(9)]}
-KNOWN = transfer.Base(settings_digest(BASE), {k: v for k, v in BASE.items() if k not in ("position", "zone")})
+NEW: dict[str, Any] = {
+    **BASE,
+    "grades": [{"name": f"class-{n}", "deadline": n + (n == 4)} for n in range(9)],
+}
+KNOWN = transfer.Base(
+    settings_digest(BASE), {k: v for k, v in BASE.items() if k not in ("position", "zone")}
+)
 
 # The changes
 
 names = st.sampled_from("abcde")
 leaf = st.none() | st.booleans() | st.integers(-2, 2) | st.sampled_from([0.0, 1.0, 1.5]) | names
-entries = st.lists(st.tuples(names, st.dictionaries(st.sampled_from("xyz"), leaf, max_size=2)), max_size=5)
-named_list = entries.map(lambda found: [{**fields, "name": name} for name, fields in dict(found).items()])
+entries = st.lists(
+    st.tuples(names, st.dictionaries(st.sampled_from("xyz"), leaf, max_size=2)), max_size=5
+)
+named_list = entries.map(
+    lambda found: [{**fields, "name": name} for name, fields in dict(found).items()]
+)
 same_names = entries.map(lambda found: [{**fields, "name": name} for name, fields in found])
 value = st.recursive(
     leaf | named_list | same_names,
@@ -77,27 +89,50 @@
         (NEW, [["=", ["grades", "class-4", "deadline"], 5]]),
         ({**BASE, "step": 1.0}, [["=", ["step"], 1.0]]),
         (
-            {**BASE, "grades": [{"name": f"class-{n}", "deadline": 1.0 if n == 1 else n} for n in range(9)]},
+            {
+                **BASE,
+                "grades": [
+                    {"name": f"class-{n}", "deadline": 1.0 if n == 1 else n} for n in range(9)
+                ],
+            },
             [["=", ["grades", "class-1", "deadline"], 1.0]],
         ),
         ({k: v for k, v in BASE.items() if k != "step"}, [["-", ["step"]]]),
         ({**BASE, "grades": BASE["grades"][1:]}, [["*", ["grades"], ["class-0"], []]]),
-        ({**BASE, "grades": [{"name": "new"}, *BASE["grades"]]}, [["*", ["grades"], [], [[0, {"name": "new"}]]]]),
+        (
+            {**BASE, "grades": [{"name": "new"}, *BASE["grades"]]},
+            [["*", ["grades"], [], [[0, {"name": "new"}]]]],
+        ),
         ({**BASE, "grades": BASE["grades"][::-1]}, [["=", ["grades"], BASE["grades"][::-1]]]),
     ],
-)  # fmt: skip
-def test_changes_are_told_as_shortly_as_they_can_be(new: dict[str, Any], changes: list[Change]) -> None:
+)
+def test_changes_are_told_as_shortly_as_they_can_be(
+    new: dict[str, Any], changes: list[Change]
+) -> None:
     assert difference(BASE, new) == changes
 
 
 @pytest.mark.parametrize(
     "changes",
     [
-        [["=", [], 1]], [["=", ["a", "b"], 1]], [["=", ["grades", "nobody", "x"], 1]], [["-", ["nothing"]]],
-        [["?", ["step"], 1]], [["=", ["step"]]], [["=", ["step"], 1, 2]], [["-", ["grades", "class-1"]]], [["=", ["step", "x"], 1]],
-        [["*", ["grades"], ["nobody"], []]], [["*", ["step"], [], []]], [["*", ["grades"], [], [[0]]]], [1], ["="], [[]], [["=", 3, 1]],
+        [["=", [], 1]],
+        [["=", ["a", "b"], 1]],
+        [["=", ["grades", "nobody", "x"], 1]],
+        [["-", ["nothing"]]],
+        [["?", ["step"], 1]],
+        [["=", ["step"]]],
+        [["=", ["step"], 1, 2]],
+        [["-", ["grades", "class-1"]]],
+        [["=", ["step", "x"], 1]],
+        [["*", ["grades"], ["nobody"], []]],
+        [["*", ["step"], [], []]],
+        [["*", ["grades"], [], [[0]]]],
+        [1],
+        ["="],
+        [[]],
+        [["=", 3, 1]],
     ],
-)  # fmt: skip
+)
 def test_changes_that_do_not_fit_are_an_error_and_nothing_else(changes: list[Any]) -> None:
     before = copy.deepcopy(BASE)
     with pytest.raises(ValueError):
@@ -134,7 +169,10 @@
     chance: random.Random | None = None,
     lose: float = 0.0,
 ) -> tuple[dict[str, Any] | None, list[transfer.Asked]]:
-    """The document that it takes, if it does, and what it asked for. Each ask goes to another member."""
+    """The document that it takes, if it does, and what it asked for.
+
+    Each ask goes to another member.
+    """
     chance, asked = chance or random.Random(1), list[transfer.Asked]()
     for number in range(asks):
         said = transfer.read(one.wants(bool(one.may_differ([number]))))
@@ -154,12 +192,19 @@
 
 
 def test_one_changed_route_of_thousands_is_one_datagram() -> None:
-    size, terms = Size(limiters=12, servers=3, routes=11_000, tenants=4, requests_per_s=1.0), FleetTerms()
+    size, terms = (
+        Size(limiters=12, servers=3, routes=11_000, tenants=4, requests_per_s=1.0),
+        FleetTerms(),
+    )
     before = settings.document(size, populate(size, terms, seed=1).quotas, terms)
     after = settings.changed(before, [5_000], 1)
     base = transfer.Base(settings_digest(before), before)
     document, asked = talk(taker(after, base), giver(after, base).answer_at_once)
-    assert len(asked) == 1 and document is not None and settings_digest(document) == settings_digest(after)
+    assert (
+        len(asked) == 1
+        and document is not None
+        and settings_digest(document) == settings_digest(after)
+    )
 
 
 @pytest.mark.parametrize("lose", [0.0, 0.4])
@@ -197,13 +242,12 @@
     whole = giver()
     document, asked = talk(taker(), lambda said: [] if said.base else whole.answer_at_once(said))
     assert (
-        document is not None and [said.base for said in asked].count(KNOWN.digest) == transfer.MOST_UNANSWERED
+        document is not None
+        and [said.base for said in asked].count(KNOWN.digest) == transfer.MOST_UNANSWERED
     )
 
 
-def test_where_the_only_holder_knows_no_difference_the_whole_is_asked_for_at_once_and_differences_of_later_holders() -> (
-    None
-):
+def test_the_whole_is_asked_for_where_the_only_holder_knows_no_difference() -> None:
     """One that began with the new settings has no others as a base."""
     one, origin = taker(), giver()
     assert one.may_differ([5]) == [5]
@@ -214,17 +258,22 @@
     assert one.may_differ([5]) == [] and one.may_differ([5, 6]) == [6]
     whole = transfer.read(one.wants(False))
     assert isinstance(whole, transfer.Asked) and whole.base == ""
-    (piece,) = giver(NEW, KNOWN).answer_at_once(transfer.Asked(ORDER, (), one.base))  # 6 has taken the whole
+    # 6 has taken the whole
+    (piece,) = giver(NEW, KNOWN).answer_at_once(transfer.Asked(ORDER, (), one.base))
     given_ = transfer.read(piece)
     assert isinstance(given_, transfer.Given) and one.take(given_) is not None
 
 
 def test_a_difference_that_makes_another_document_is_thrown_away_and_the_whole_asked_for() -> None:
     wrong = transfer.give(
-        transfer.Given(ORDER, settings_digest(NEW), 0, 1, packed([["-", ["step"]]])[0], KNOWN.digest)
+        transfer.Given(
+            ORDER, settings_digest(NEW), 0, 1, packed([["-", ["step"]]])[0], KNOWN.digest
+        )
     )
     whole = giver()
-    document, asked = talk(taker(), lambda said: [wrong] if said.base else whole.answer_at_once(said))
+    document, asked = talk(
+        taker(), lambda said: [wrong] if said.base else whole.answer_at_once(said)
+    )
     assert document is not None and settings_digest(document) == settings_digest(NEW)
     assert [said.base for said in asked][0] == KNOWN.digest and asked[1].base == ""
 
@@ -243,9 +292,7 @@
     assert talk(one, right.answer_at_once)[0] is not None
 
 
-def test_a_refusal_of_something_else_and_the_same_members_again_do_not_end_the_asking_for_a_difference() -> (
-    None
-):
+def test_a_refusal_of_something_else_does_not_end_the_asking_for_a_difference() -> None:
     one = taker()
     for sender in range(10):
         one.refused(sender, transfer.NoDifference(ORDER, "zzzz"))
@@ -256,7 +303,9 @@
 
 def test_a_difference_as_long_as_the_document_is_not_given() -> None:
     chance = random.Random(4)
-    base, new = ({"grades": [{"name": f"{n}", "key": chance.random()} for n in range(60)]} for _ in range(2))
+    base, new = (
+        {"grades": [{"name": f"{n}", "key": chance.random()} for n in range(60)]} for _ in range(2)
+    )
     known = transfer.Base(settings_digest(base), base)
     (text,) = giver(new, known).answer_at_once(transfer.Asked(ORDER, (), known.digest))
     assert transfer.read(text) == transfer.NoDifference(ORDER, known.digest)
@@ -265,7 +314,10 @@
 def test_members_that_lack_the_same_difference_give_each_other_its_pieces() -> None:
     chance = random.Random(5)
     base = {"grades": [{"name": f"class-{n}", "key": chance.random()} for n in range(400)]}
-    new = {"grades": [{**one, "key": chance.random()} for one in base["grades"][:80]] + base["grades"][80:]}
+    new = {
+        "grades": [{**one, "key": chance.random()} for one in base["grades"][:80]]
+        + base["grades"][80:]
+    }
     known = transfer.Base(settings_digest(base), base)
     first, second, other = taker(new, known), taker(new, known), taker(new, None)
     for text in giver(new, known).answer_at_once(transfer.Asked(ORDER, (0, 1), known.digest)):
@@ -275,4 +327,7 @@
     asked = transfer.Asked(ORDER, (0, 1, 2), known.digest)
     given_on = [transfer.read(text) for text in first.answer(asked)]
     assert [piece.piece for piece in given_on if isinstance(piece, transfer.Given)] == [0, 1]
-    assert second.answer(asked) == [] == other.answer(asked) and first.answer(asked._replace(base="")) == []
+    assert (
+        second.answer(asked) == [] == other.answer(asked)
+        and first.answer(asked._replace(base="")) == []
+    )
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -1,4 +1,7 @@
-"""Signals that come before a limiter has its handlers: each test holds the program at its configuration, a named pipe."""
+"""Signals that come before a limiter has its handlers.
+
+Each test holds the program at its configuration, a named pipe.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,7 @@
-"""What is still owed at the moment in which something ends. Each test forces the bad order on real connections."""
+"""What is still owed at the moment in which something ends.
+
+Each test forces the bad order on real connections.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,10 @@
 
 
 def to_the_end(stage: Stage, end: socket.socket) -> bytes:
-    """All that comes up to the orderly end of the connection; a reset is an error, and so is no end."""
+    """All that comes up to the orderly end of the connection.
+
+    A reset is an error, and so is no end.
+    """
     got = b""
     for _ in range(200):
         stage.settle(1)
@@ -39,7 +45,7 @@
 
 
 def say_after_the_look(monkeypatch: pytest.MonkeyPatch, end: socket.socket, words: bytes) -> None:
-    """What the client sends comes between the limiter's look at the socket and what it does then."""
+    """What the client sends comes between the limiter's look at the socket and its act."""
     whole = stream.Stream.alive
 
     def alive(self: stream.Stream) -> bool:
@@ -122,7 +128,8 @@
 def test_junk_behind_a_request_that_takes_long_costs_it_no_answer() -> None:
     stage = Stage(hosts=1)
     stage.play(
-        f"a send {ask(1, 2900)}\ns1 expect {ask(1, 2900)}\na send junk\nwait 2.6\na expect nothing\ns1 send {VALUE}"
+        f"a send {ask(1, 2900)}\ns1 expect {ask(1, 2900)}\na send junk\nwait 2.6\na "
+        f"expect nothing\ns1 send {VALUE}"
     )
     assert to_the_end(stage, stage._end("a")).startswith(b"$2\r\nhi\r\n-ERR protocol error")
 
@@ -153,7 +160,9 @@
     stage.play("b send [CLIENT]\nb expect +OK")
 
 
-def test_after_sigterm_a_client_that_never_stops_asking_has_each_answer_and_the_limiter_ends() -> None:
+def test_after_sigterm_a_client_that_never_stops_asking_has_each_answer_and_the_limiter_ends() -> (
+    None
+):
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}")
     stage.service.leave()
@@ -174,7 +183,8 @@
     stage._end("a")
     stage.settle()
     stage.play(
-        f"wait 0.1\na expect nothing\na send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi\na expect closed"
+        f"wait 0.1\na expect nothing\na send {ask(1)}\ns1 expect {ask(1)}\ns1 send "
+        f"{VALUE}\na expect $2\\r\\nhi\na expect closed"
     )
 
 
@@ -199,7 +209,10 @@
 def test_a_client_that_goes_is_seen_behind_its_own_unread_commands(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With all its places taken nothing more is read from it, and its end lies behind what is not read."""
+    """With all its places taken nothing more is read from it.
+
+    And its end lies behind what is not read.
+    """
     stage = Stage(hosts=1)
     held(monkeypatch, stage)
     for number in range(MOST_PIPELINED + 20):
@@ -260,7 +273,8 @@
 
     def narrow(*words: Any) -> Any:
         made: Any = connect(*words)
-        made._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # the system takes a part only
+        # the system takes a part only
+        made._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return made
 
     with pytest.MonkeyPatch.context() as patch:
@@ -273,7 +287,10 @@
 
 
 def test_of_many_that_leave_at_mixed_stages_nothing_is_sent_on_later() -> None:
-    """Waiting for a connection, behind pipelined ones, for readiness: what had no attempt then never gets one."""
+    """Waiting for a connection, behind pipelined ones, for readiness.
+
+    What had no attempt then never gets one.
+    """
     stage = Stage(hosts=2, heard=False)
     fillers = unanswering(stage, "s1") + unanswering(stage, "s2")
     for number in range(10):
@@ -294,7 +311,9 @@
     attempts = stage.service.stats.attempts
     stage.play("wait 3.5")
     assert stage.service.stats.attempts == attempts and stage.service.stats.dispatches == 0
-    assert not stage.service.limiter.open and not stage.service.frontend.sessions and len(fillers) == 4
+    assert (
+        not stage.service.limiter.open and not stage.service.frontend.sessions and len(fillers) == 4
+    )
 
 
 def test_a_flood_whose_client_has_gone_by_the_time_it_is_read_costs_no_attempt() -> None:
@@ -333,17 +352,20 @@
     stage.play(f"b send {ask(2)}\ns1.2 expect {ask(2)}")
     stage.now += 0.01
     stage.play(
-        f"s1.1 send {VALUE}\nb expect nothing\ns1.2 send {VALUE.replace('hi', 'no')}\nb expect $2\\r\\nno"
+        f"s1.1 send {VALUE}\nb expect nothing\ns1.2 send {VALUE.replace('hi', 'no')}\nb "
+        "expect $2\\r\\nno"
     )
 
 
 def test_half_an_answer_of_a_host_that_is_listed_no_more_is_given_up_too() -> None:
     stage = Stage(hosts=2)
     stage.play(
-        f"disco expect {GET}\ndisco send whole 1 s1:in_service\na send {ask(1)}\ns1 expect {ask(1)}\ns1 send *3\\r\\n$20\\r\\nhi"
+        f"disco expect {GET}\ndisco send whole 1 s1:in_service\na send {ask(1)}\ns1 "
+        f"expect {ask(1)}\ns1 send *3\\r\\n$20\\r\\nhi"
     )
     stage.play(
-        f"disco expect {WATCH.format(1)}\ndisco send whole 2 s2:in_service\nwait 0.8\ns1.1 expect closed\ns2 expect {ask(1, 500)}"
+        f"disco expect {WATCH.format(1)}\ndisco send whole 2 s2:in_service\nwait "
+        f"0.8\ns1.1 expect closed\ns2 expect {ask(1, 500)}"
     )
 
 
@@ -376,7 +398,8 @@
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE), parallel_tries=True))
     order = DO.format(1)
     stage.play(
-        f"s1 stop\na send {order}\ns2 expect {order}\ns2.1 expect nothing\ns2 close\na expect -ERR failed"
+        f"s1 stop\na send {order}\ns2 expect {order}\ns2.1 expect nothing\ns2 close\na "
+        "expect -ERR failed"
     )
     assert stage.service.stats.outcomes["reset"] == 1
 
@@ -421,7 +444,9 @@
     if order == "answer first":
         assert stage.service.stats.outcomes["ok"] == 1 and not one.out and len(backend._lines) == 1
     else:  # the module tries again, on another connection
-        stage.play(f"s1.1 expect closed\ns1.2 expect {ask(1)}\ns1.2 send {VALUE}\na expect $2\\r\\nhi")
+        stage.play(
+            f"s1.1 expect closed\ns1.2 expect {ask(1)}\ns1.2 send {VALUE}\na expect $2\\r\\nhi"
+        )
 
 
 def test_an_attempt_given_up_in_the_turn_in_which_its_connection_comes_up_is_not_sent() -> None:
@@ -442,7 +467,8 @@
     other = ask(1).replace("b4d65521", "0badcafe")
     stage.play(f"a send {ask(1)}\ns1.1 expect {ask(1)}\nb send {other}\ns1.2 expect {other}")
     stage.play(
-        f"s1.2 send {VALUE.replace('hi', 'no')}\nb expect $2\\r\\nno\ns1.1 send {VALUE}\na expect $2\\r\\nhi"
+        f"s1.2 send {VALUE.replace('hi', 'no')}\nb expect $2\\r\\nno\ns1.1 send "
+        f"{VALUE}\na expect $2\\r\\nhi"
     )
     assert not stage.service.limiter.open
 
@@ -451,13 +477,16 @@
     stage = Stage(hosts=1)
     other = ask(1).replace("b4d65521", "0badcafe")
     stage.play(
-        f"a send {ask(1)}\ns1.1 expect {ask(1)}\na close\nb send {other}\ns1.2 expect {other}\ns1.1 send {VALUE}\nb expect nothing"
+        f"a send {ask(1)}\ns1.1 expect {ask(1)}\na close\nb send {other}\ns1.2 expect "
+        f"{other}\ns1.1 send {VALUE}\nb expect nothing"
     )
     stage.play(f"s1.2 send {VALUE.replace('hi', 'no')}\nb expect $2\\r\\nno")
 
 
 def test_a_customer_does_not_go_by_the_plan_of_another_that_has_its_key_in_messages() -> None:
-    scarce = replace(SETTINGS.plans[0], name="scarce", rate=0.001, burst=2.0, over_worth=0.0, over_cost=1.0)
+    scarce = replace(
+        SETTINGS.plans[0], name="scarce", rate=0.001, burst=2.0, over_worth=0.0, over_cost=1.0
+    )
     stage = Stage(hosts=1, settings=replace(SETTINGS, gateways=1, plans=(*SETTINGS.plans, scarce)))
     first, second = same_key(stage.service.gateway)
     lean, full = (
@@ -473,7 +502,8 @@
 
 def watched(stage: Stage) -> None:
     stage.play(
-        f"disco expect {GET}\ndisco send whole 5 s1:in_service s2:in_service\ndisco expect {WATCH.format(5)}"
+        f"disco expect {GET}\ndisco send whole 5 s1:in_service s2:in_service\ndisco "
+        f"expect {WATCH.format(5)}"
     )
 
 
@@ -530,8 +560,12 @@
 
 DEATHS: dict[str, str] = {
     "silent while it waits": "wait 2.0",
-    "silent in mid-answer": "disco send HTTP/1.1 200 OK\\r\\nContent-Length: 400\\r\\n\\r\\n{\nwait 2.0",
-    "trickling": "disco send HTTP/1.1 200 OK\\r\\nContent-Le\nwait 1.2\ndisco send ngth: 40\nwait 0.8",
+    "silent in mid-answer": (
+        "disco send HTTP/1.1 200 OK\\r\\nContent-Length: 400\\r\\n\\r\\n{\n" "wait 2.0"
+    ),
+    "trickling": (
+        "disco send HTTP/1.1 200 OK\\r\\nContent-Le\nwait 1.2\n" "disco send ngth: 40\nwait 0.8"
+    ),
     "closed": "disco close",
     "not JSON": "disco send HTTP/1.1 200 OK\\r\\nContent-Length: 3\\r\\n\\r\\nno",
     "a change that goes back": "disco send table 3 s2:in_service",
@@ -553,7 +587,9 @@
     stage.play(f"disco expect {WATCH.format(2)}")
 
 
-def test_a_watch_moved_while_it_connects_or_rests_between_two_calls_asks_the_new_one_for_all() -> None:
+def test_a_watch_moved_while_it_connects_or_rests_between_two_calls_asks_the_new_one_for_all() -> (
+    None
+):
     for seconds in (0.0, 0.05, 0.12):
         stage = Stage(hosts=2)
         watched(stage)
@@ -562,7 +598,8 @@
         stage.now += seconds
         stage.settle(1)
         stage.play(
-            f"disco2 reload\nwait 0.15\ndisco2 expect {GET}\ndisco2 send whole 2 s1:terminating s2:in_service"
+            f"disco2 reload\nwait 0.15\ndisco2 expect {GET}\ndisco2 send whole 2 "
+            "s1:terminating s2:in_service"
         )
         assert s1_is_left(stage)
 
@@ -595,7 +632,8 @@
 def test_a_slow_list_changes_nothing_once_a_later_call_was_answered() -> None:
     stage = Stage(hosts=2)
     stage.play(
-        f"disco expect {GET}\nwait 0.3\ndisco.2 expect {GET}\ndisco.2 send whole 5 s1:terminating s2:in_service"
+        f"disco expect {GET}\nwait 0.3\ndisco.2 expect {GET}\ndisco.2 send whole 5 "
+        "s1:terminating s2:in_service"
     )
     stage.play("disco.1 send whole 4 s1:in_service s2:in_service")
     assert s1_is_left(stage)
@@ -604,14 +642,17 @@
 
 def test_a_slow_list_of_a_discovery_that_was_moved_from_is_nobodys() -> None:
     stage = Stage(hosts=2)
-    stage.play(f"disco expect {GET}\nwait 0.3\ndisco2 reload\ndisco2 expect {GET}\ndisco.1 expect closed")
+    stage.play(
+        f"disco expect {GET}\nwait 0.3\ndisco2 reload\ndisco2 expect {GET}\ndisco.1 expect closed"
+    )
     assert stage.service.stats.tables == 0
 
 
 def test_no_more_than_one_slow_call_is_waited_for() -> None:
     stage = Stage(hosts=2)
     stage.play(
-        f"disco expect {GET}\nwait 1.0\ndisco.2 expect {GET}\ndisco.2 expect closed\ndisco.1 expect nothing\nwait 1.5\ndisco.1 expect closed"
+        f"disco expect {GET}\nwait 1.0\ndisco.2 expect {GET}\ndisco.2 expect "
+        "closed\ndisco.1 expect nothing\nwait 1.5\ndisco.1 expect closed"
     )
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,7 @@
-"""Forty modules together: what their datagrams cost and what becomes of quotas, counted over the fleet."""
+"""Forty modules together.
+
+What their datagrams cost and what becomes of quotas, counted over the fleet.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,8 @@
 def test_large_sets_are_told_seldom_enough_that_charges_find_room() -> None:
     counts = [Fleet(seed).play(10.0) for seed in (1, 2)]
     sent, offered = sum(c.sent for c in counts), sum(c.offered for c in counts)
-    assert sum(c.message_bytes for c in counts) / sent < 150  # 189 where a quarter of a burst is news
+    # 189 where a quarter of a burst is news
+    assert sum(c.message_bytes for c in counts) / sent < 150
     assert sum(c.lost_in_room for c in counts) < 0.008 * sum(c.messages for c in counts)
     assert (
         sum(c.served for c in counts) / offered > 0.88
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -65,7 +65,9 @@
 
 def test_two_parts_each_settle_and_then_agree(tmp_path: Path) -> None:
     events = (Event(at=1.0, what="cut", whom=("n0", "n1"), lasts=6.0),)
-    found, folder = played(tmp_path, plan.Plan(name="parts", instances=5, seconds=8.0, events=events))
+    found, folder = played(
+        tmp_path, plan.Plan(name="parts", instances=5, seconds=8.0, events=events)
+    )
     assert kept(found) == dict.fromkeys(NEVER, 0) and found["settled_s_p99"] < 5.0
     for observer, number in (("n0", 4), ("n4", 0)):
         assert states(folder, observer, number)[-3:] == ["suspect", "dead", "alive"]
@@ -96,7 +98,8 @@
         """All hold all for alive."""
         views = [self.view(name) for name in self.world.names]
         return all(
-            len(view) == len(views) and {entry[0] for entry in view.values()} == {"alive"} for view in views
+            len(view) == len(views) and {entry[0] for entry in view.values()} == {"alive"}
+            for view in views
         )
 
     def view(self, name: str) -> dict[str, Any]:
@@ -135,11 +138,16 @@
     first = crew.members["n1"]
     life = fleet.view("n0")["1"][1]
     crew.add(
-        "again", first.command, {**first.environment, "RELAY_OPERATOR": f"{fleet.world.own(2, 0)[0]}:7001"}
+        "again",
+        first.command,
+        {**first.environment, "RELAY_OPERATOR": f"{fleet.world.own(2, 0)[0]}:7001"},
     )
     crew.start("again")
     fleet.until(lambda: crew.reap("n1"))
-    assert first.status == 0 and "another process has number 1 and began later" in first.log.read_text()
+    assert (
+        first.status == 0
+        and "another process has number 1 and began later" in first.log.read_text()
+    )
     fleet.until(lambda: fleet.view("n0")["1"][0] == "alive" and fleet.view("n0")["1"][1] > life)
     assert crew.members["again"].running
 
@@ -177,7 +185,10 @@
 
 
 def stuck_file(name: str, home: Path) -> str:
-    """The view's lines go to a pipe that nobody reads: opening it takes for ever, as on a disk that stands still."""
+    """The view's lines go to a pipe that nobody reads.
+
+    Opening it takes for ever, as on a disk that stands still.
+    """
     path = home.parent / f"{name}.view.jsonl"
     if not path.exists():
         os.mkfifo(path)
@@ -213,7 +224,9 @@
         return super().config(number, order) | {"peers": []}
 
 
-def test_members_without_a_list_of_peers_find_each_other_by_a_seed_that_may_die_later(tmp_path: Path) -> None:
+def test_members_without_a_list_of_peers_find_each_other_by_a_seed_that_may_die_later(
+    tmp_path: Path,
+) -> None:
     def seeded(name: str, home: Path) -> str:
         """Its own configuration, which stands there already, says in which net they are."""
         net = json.loads((home / "config.json").read_text())["peer_listen"].rpartition(".")[0]
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -21,7 +21,9 @@
 LIVES = {1: 11, 2: 12, 3: 13, 4: 14}
 
 
-def look(one: Shares, gone: dict[int, int], present: dict[int, int], now: float) -> list[tuple[int, float]]:
+def look(
+    one: Shares, gone: dict[int, int], present: dict[int, int], now: float
+) -> list[tuple[int, float]]:
     """Tells it of the lives of those that are gone and present now; who is in neither has left."""
     for number in one.peers.keys() - gone.keys() - present.keys():
         one.note(Record(number, one.peers[number].told_life, 9, LEFT))
@@ -42,7 +44,9 @@
         one.gossip(number, now)
 
 
-def test_silence_takes_a_part_out_of_reach_where_gossip_comes_at_every_beat_and_only_there() -> None:
+def test_silence_takes_a_part_out_of_reach_where_gossip_comes_at_every_beat_and_only_there() -> (
+    None
+):
     for talks, lost in ((True, {2, 3, 4}), (False, set())):
         one = told(talks)
         hears(one, 100.0 + QUIET, 1)
@@ -51,10 +55,13 @@
 
 def test_a_suspect_keeps_its_part_and_one_that_left_does_not() -> None:
     one = told(talks=False)
-    assert look(one, {3: 13}, {n: life for n, life in LIVES.items() if n != 3}, 101.0) == [] and one.lost == {
-        3
-    }
-    assert look(one, {}, {n: life for n, life in LIVES.items() if n != 3}, 102.0) == [] and one.lost == set()
+    assert look(
+        one, {3: 13}, {n: life for n, life in LIVES.items() if n != 3}, 101.0
+    ) == [] and one.lost == {3}
+    assert (
+        look(one, {}, {n: life for n, life in LIVES.items() if n != 3}, 102.0) == []
+        and one.lost == set()
+    )
 
 
 @pytest.mark.parametrize(("life", "unused"), [(13, []), (99, [(3, 4.0)])])
@@ -70,7 +77,10 @@
 def test_the_larger_side_takes_over_in_time_and_the_smaller_never() -> None:
     for gone, taken in ({3}, True), ({2, 3}, True), ({2, 3, 4}, False), ({1, 2, 3, 4}, False):
         one = told(talks=False)
-        away, others = {n: LIVES[n] for n in gone}, {n: life for n, life in LIVES.items() if n not in gone}
+        away, others = (
+            {n: LIVES[n] for n in gone},
+            {n: life for n, life in LIVES.items() if n not in gone},
+        )
         look(one, away, others, 101.0)
         look(one, away, others, 101.0 + PATIENCE - 0.1)
         assert one.lost == gone
@@ -87,7 +97,8 @@
 
 def test_a_member_that_starts_in_a_part_leaves_the_others_theirs() -> None:
     one = Shares(0, 5, 100.0, talks=False)
-    look(one, {2: 12, 3: 13, 4: 0}, {1: 11}, 100.0)  # 4 has never been seen: nobody keeps a part for it
+    # 4 has never been seen: nobody keeps a part for it
+    look(one, {2: 12, 3: 13, 4: 0}, {1: 11}, 100.0)
     assert one.lost == {2, 3}
 
 
@@ -95,14 +106,19 @@
 
 
 class WholeTableShares:
-    """The rule by a pass over all members at each look: what the shares that are kept up must come to."""
+    """The rule by a pass over all members at each look.
+
+    What the shares that are kept up must come to.
+    """
 
     def __init__(self, talks: bool) -> None:
         self.talks = talks
         self.heard, self.life = dict[int, float](), dict[int, int]()
         self.lost_since, self.taken = dict[int, float](), set[int]()
 
-    def look(self, table: dict[int, Record], now: float) -> tuple[list[tuple[int, float]], set[int]]:
+    def look(
+        self, table: dict[int, Record], now: float
+    ) -> tuple[list[tuple[int, float]], set[int]]:
         gone = {n: r.life for n, r in table.items() if r.state in (SUSPECT, DEAD)}
         present = {n: r.life for n, r in table.items() if r.state not in (SUSPECT, DEAD, LEFT)}
         for number, life in (gone | present).items():
@@ -136,7 +152,10 @@
 
 step = st.tuples(
     st.floats(0.05, PATIENCE),
-    st.lists(st.tuples(st.integers(1, 5), st.integers(0, 3), st.sampled_from(range(len(NAMES)))), max_size=4),
+    st.lists(
+        st.tuples(st.integers(1, 5), st.integers(0, 3), st.sampled_from(range(len(NAMES)))),
+        max_size=4,
+    ),
     st.lists(st.integers(1, 5), max_size=3),
 )
 
@@ -146,7 +165,12 @@
 def test_what_is_kept_up_record_by_record_is_what_a_pass_over_all_members_finds(
     talks: bool, steps: list[Any]
 ) -> None:
-    one, whole, table, now = Shares(0, 6, 100.0, talks), WholeTableShares(talks), dict[int, Record](), 100.0
+    one, whole, table, now = (
+        Shares(0, 6, 100.0, talks),
+        WholeTableShares(talks),
+        dict[int, Record](),
+        100.0,
+    )
     for passed, changes, heard in steps:
         now += passed
         for number in heard:
@@ -160,7 +184,11 @@
         assert sorted(one.look(now)) == sorted(unused) and one.lost == lost
 
 
-@given(changes=st.lists(st.tuples(st.integers(0, 5), st.sampled_from(range(len(NAMES))), st.booleans())))
+@given(
+    changes=st.lists(
+        st.tuples(st.integers(0, 5), st.sampled_from(range(len(NAMES))), st.booleans())
+    )
+)
 def test_who_is_present_and_who_is_deaf_is_kept_up_record_by_record(
     changes: list[tuple[int, int, bool]],
 ) -> None:
@@ -169,7 +197,9 @@
     for turn, (number, state, deaf) in enumerate(changes):
         table.put(Record(number, 1, turn, state, (2,) if deaf else ()))
         assert standing.present() == tuple(sorted(table.present()))
-        assert standing.deaf() == tuple(sorted(r.number for r in table if r.state in PRESENT and r.unheard))
+        assert standing.deaf() == tuple(
+            sorted(r.number for r in table if r.state in PRESENT and r.unheard)
+        )
         assert table.present_count == len(table.present())
 
 
@@ -178,7 +208,9 @@
 
 
 def gateway(gateways: int = 5, me: int = 0) -> Gateway:
-    settings = replace(SETTINGS, me=me, gateways=gateways, plans=(KEEPS, GOES_ON), messages_in_per_s=1000.0)
+    settings = replace(
+        SETTINGS, me=me, gateways=gateways, plans=(KEEPS, GOES_ON), messages_in_per_s=1000.0
+    )
     one = Gateway(settings, seed=me)
     one.handle(servers("full", *(entry(f"s{n}") for n in range(6))), 1000.0)
     return one
@@ -187,7 +219,9 @@
 def view(
     lost: tuple[int, ...] = (), unused: tuple[tuple[int, float], ...] = (), gateways: int = 5
 ) -> api.Fleet:
-    return api.Fleet(True, tuple(n for n in range(gateways) if n not in lost), lost=lost, unused=unused)
+    return api.Fleet(
+        True, tuple(n for n in range(gateways) if n not in lost), lost=lost, unused=unused
+    )
 
 
 def let_in(one: Gateway, begin: float, seconds: float, plan: str = "keeps", spread: int = 5) -> int:
@@ -240,7 +274,9 @@
         for peer in (1, 2, 3, 4):
             one.handle(api.PeerMessage(peer, gossip.head(1000, 0.0, one.life)), 1000.03)
         ask(one, 1000.04, "look", plan_name="keeps", spread=5, units=1e-6)
-        assert one.whole and next(iter(one.accounts.values())).budget.level == pytest.approx(level, abs=1.0)
+        assert one.whole and next(iter(one.accounts.values())).budget.level == pytest.approx(
+            level, abs=1.0
+        )
 
 
 def test_what_nobody_used_is_credited_to_those_that_the_customer_comes_through() -> None:
@@ -277,17 +313,25 @@
         for action in ask(one, 1000.3, "look", plan_name="keeps", spread=12)
         if isinstance(action, api.Tell)
     }
-    assert one.settings.me not in (first, second) and told == ({second} if gone else {first, second})
+    assert one.settings.me not in (first, second) and told == (
+        {second} if gone else {first, second}
+    )
 
 
 @given(st.lists(st.integers(0, 3), min_size=2, max_size=8))
 def test_for_any_split_the_parts_together_let_in_no_more_than_the_quota(part_of: list[int]) -> None:
-    """All ask for more than there is and know of the cut. Within a part gossip shares its quota: one speaks for it."""
+    """All ask for more than there is and know of the cut.
+
+    Within a part gossip shares its quota: one speaks for it.
+    """
     total, members = 0, len(part_of)
     for part in set(part_of):
         inside = [n for n in range(members) if part_of[n] == part]
         one = gateway(members, inside[0])
-        one.handle(view(tuple(n for n in range(members) if n not in inside), gateways=members), 1000.05)
+        one.handle(
+            view(tuple(n for n in range(members) if n not in inside), gateways=members), 1000.05
+        )
         let_in(one, 1000.1, 3.0, spread=members)  # the burst is gone
         total += let_in(one, 1003.1, 5.0, spread=members)
-    assert 0.9 * 100 - members <= total <= 100 + members  # a unit a part for where the five seconds begin
+    # a unit a part for where the five seconds begin
+    assert 0.9 * 100 - members <= total <= 100 + members
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,4 +1,7 @@
-"""The view of the fleet: its merge, its words, its seal; and what members come to hold when links and processes break."""
+"""The view of the fleet.
+
+Its merge, its words, its seal; and what members come to hold when links and processes break.
+"""
 
 from __future__ import annotations
 
@@ -86,7 +89,11 @@
 kinds = st.sampled_from(sorted(messages._PARTS)).flatmap(
     lambda kind: st.tuples(
         st.just(kind),
-        st.lists(st.integers(0, MEMBERS - 1), min_size=messages._PARTS[kind], max_size=messages._PARTS[kind]),
+        st.lists(
+            st.integers(0, MEMBERS - 1),
+            min_size=messages._PARTS[kind],
+            max_size=messages._PARTS[kind],
+        ),
     )
 )
 
@@ -131,13 +138,27 @@
 
 @pytest.mark.parametrize(
     "word",
-    ["4.+1.0.1=", "4.-zzzzzzzz.0.1", "4.+.0.1", "4.+1.0.9=", "4.+1.0.=", "4.+1.0.1==", "zz.+1.0.1", "4.+1.0.1=..abc",
-     "4.+1", "4.+-1.0.1", "4.+1.0.1=.1.i4"],
-)  # fmt: skip
+    [
+        "4.+1.0.1=",
+        "4.-zzzzzzzz.0.1",
+        "4.+.0.1",
+        "4.+1.0.9=",
+        "4.+1.0.=",
+        "4.+1.0.1==",
+        "zz.+1.0.1",
+        "4.+1.0.1=..abc",
+        "4.+1",
+        "4.+-1.0.1",
+        "4.+1.0.1=.1.i4",
+    ],
+)
 def test_what_cannot_be_relative_to_the_sender_is_no_message(word: str) -> None:
     versions = ".." + "i4" if word != "4.+1.0.1=" else ""  # else the sender's versions are none
     head = f"v1p 3.1000.1.1{versions}/1/1 1"
-    assert messages.read(head, MEMBERS) is not None and messages.read(f"{head} {word}", MEMBERS) is None
+    assert (
+        messages.read(head, MEMBERS) is not None
+        and messages.read(f"{head} {word}", MEMBERS) is None
+    )
 
 
 LONG = messages.write(
@@ -146,16 +167,34 @@
     999,
 )[0]
 SOUND = messages.write(
-    messages.Message(messages.ASK, Record(3, 9**9, 2, ALIVE), 7, 99, (5, 4)), [Record(4, 8**9, 1, DEAD)]
+    messages.Message(messages.ASK, Record(3, 9**9, 2, ALIVE), 7, 99, (5, 4)),
+    [Record(4, 8**9, 1, DEAD)],
 )[0]
 
 
 @pytest.mark.parametrize(
     "text",
-    ["", "v", "h123", LONG, "v2" + SOUND[2:], SOUND + " ", SOUND + "x" * 300, SOUND.replace("/", " "), SOUND.upper(),
-     "v1x 3.1.1.1/1/1 ", "v1p 3.1.1.9/1/1 1", "v1p zz.1.1.1/1/1 1", "v1q 3.1.1.1/1/1 1", "v1q 3.1.1.1/1/1 1-zz",
-     "v1p 3.1.1.1/1/1 -1", "v1p 3.1.1.1/1/1 1 4.1.1", "v1p 3.1.1.1/1/1 1 4.1.1.1.2.a.b", "v1p 3.1.1.1/1/1 1 4.1.1.1..\u0661"],
-)  # fmt: skip
+    [
+        "",
+        "v",
+        "h123",
+        LONG,
+        "v2" + SOUND[2:],
+        SOUND + " ",
+        SOUND + "x" * 300,
+        SOUND.replace("/", " "),
+        SOUND.upper(),
+        "v1x 3.1.1.1/1/1 ",
+        "v1p 3.1.1.9/1/1 1",
+        "v1p zz.1.1.1/1/1 1",
+        "v1q 3.1.1.1/1/1 1",
+        "v1q 3.1.1.1/1/1 1-zz",
+        "v1p 3.1.1.1/1/1 -1",
+        "v1p 3.1.1.1/1/1 1 4.1.1",
+        "v1p 3.1.1.1/1/1 1 4.1.1.1.2.a.b",
+        "v1p 3.1.1.1/1/1 1 4.1.1.1..\u0661",
+    ],
+)
 def test_what_cannot_be_is_no_message(text: str) -> None:
     assert messages.read(SOUND, MEMBERS) is not None and messages.read(text, MEMBERS) is None
 
@@ -218,13 +257,24 @@
 PEER = Record(1, 36**8, 1, ALIVE)
 
 
-def answered(one: view.View, now: float, serial: int = 1, told: tuple[Record, ...] = ()) -> list[view.Send]:
-    """The peer answers a ping of this beat; an answer to none that waits would wake nobody. What the beat sent."""
+def answered(
+    one: view.View, now: float, serial: int = 1, told: tuple[Record, ...] = ()
+) -> list[view.Send]:
+    """The peer answers a ping of this beat; an answer to none that waits would wake nobody.
+
+    What the beat sent.
+    """
     sent = one.beat(now)
     ping = next(
-        m for s in sent if s.number == 1 and (m := messages.read(s.text, 3)) and m.kind == messages.PING
+        m
+        for s in sent
+        if s.number == 1 and (m := messages.read(s.text, 3)) and m.kind == messages.PING
+    )
+    one.heard(
+        1,
+        from_peer(PEER, serial=serial, kind=messages.ANSWER, parts=ping.parts, told=told),
+        now + 0.1,
     )
-    one.heard(1, from_peer(PEER, serial=serial, kind=messages.ANSWER, parts=ping.parts, told=told), now + 0.1)
     return sent
 
 
@@ -240,7 +290,9 @@
         (1, from_peer(PEER._replace(life=PEER.life - 1), serial=9), "earlier_life"),
     ],
 )
-def test_what_is_dropped_is_counted_and_changes_nothing(source: int, text: str, counted: str) -> None:
+def test_what_is_dropped_is_counted_and_changes_nothing(
+    source: int, text: str, counted: str
+) -> None:
     one = alone()
     for serial in (4, 5):
         one.heard(1, from_peer(PEER, serial=serial), 1000.1)
@@ -294,7 +346,7 @@
     assert alone(me=1).introduced(text, ("127.0.0.9", 7946)) is None
 
 
-def test_one_whose_clock_was_set_back_goes_past_its_earlier_life_but_only_while_it_joins_and_once() -> None:
+def test_a_clock_set_back_goes_past_the_earlier_life_only_while_joining_and_once() -> None:
     one = alone()
     later = one.own.life + 10**9
     one.heard(1, from_peer(PEER, told=(one.own._replace(life=later),)), 1000.1)
@@ -464,7 +516,8 @@
     assert sim.settle(longest=10.0) is not None
     sim.run(10.0)
     missed = Record(6, 36**8, 3, LEFT)
-    sim.members[0].view.table.put(missed)  # as if the rumour of it had died out before it came to anybody
+    # as if the rumour of it had died out before it came to anybody
+    sim.members[0].view.table.put(missed)
     sim.run(5.0)
     assert {one.view.table.get(6) for one in sim.members.values()} == {missed}
 
@@ -509,11 +562,17 @@
 
 
 def told(one: Gateway, now: float) -> set[int]:
-    return {action.gateway for action in one.handle(api.Timer("beat"), now) if isinstance(action, api.Tell)}
+    return {
+        action.gateway
+        for action in one.handle(api.Timer("beat"), now)
+        if isinstance(action, api.Tell)
+    }
 
 
 @pytest.mark.parametrize("event", [api.Fleet(True, (0, 1)), api.Fleet(True, (0, 1, 2), deaf=(2,))])
-def test_those_that_are_gone_or_cannot_hear_are_not_told_until_they_are_back(event: api.Fleet) -> None:
+def test_those_that_are_gone_or_cannot_hear_are_not_told_until_they_are_back(
+    event: api.Fleet,
+) -> None:
     one = gateway()
     one.handle(event, 1000.1)
     ask(one, 1000.2, "look", spread=3)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,7 @@
-"""Clients that send more than is good for the others: those still get their answers, and what is held stays bounded."""
+"""Clients that send more than is good for the others.
+
+Those still get their answers, and what is held stays bounded.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from tests.test_scenarios import VALUE, ask
 
 
-def test_others_are_answered_beside_a_pipelined_flood_and_the_flood_has_no_more_than_its_places() -> None:
+def test_others_are_answered_beside_a_pipelined_flood_which_keeps_to_its_places() -> None:
     stage = Stage(hosts=1)
     flood = stage._end("a")
     words = b"".join(stage.bytes_of(ask(1000 + number)) for number in range(2000))
@@ -31,14 +34,17 @@
     other = stage._end("b")
     other.sendall(stage.bytes_of(ask(1)))
     stage.play("wait 0.1")
-    assert other.recv(99) == b"-BUSY 250\r\n"  # nor would the hosts take another: it is told so at once
+    # nor would the hosts take another: it is told so at once
+    assert other.recv(99) == b"-BUSY 250\r\n"
     flood.close()
     stage.play("wait 1.1")
     assert not stage.service.limiter.open and not stage.service.backend._lines
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half a command", "junk"])
-def test_hundreds_of_short_connections_keep_nobody_from_an_answer_and_leave_nothing(how: str) -> None:
+def test_hundreds_of_short_connections_keep_nobody_from_an_answer_and_leave_nothing(
+    how: str,
+) -> None:
     stage = Stage(hosts=1, sockets=96)
     most = stage.service.frontend.places.most + MOST_LINGERING
     for number in range(400):
@@ -52,10 +58,12 @@
         sock.close()
         stage.settle(2)
         frontend = stage.service.frontend
-        assert len(frontend.sessions) + len(frontend.lingering) <= most + 16  # as many are let in at a time
+        # as many are let in at a time
+        assert len(frontend.sessions) + len(frontend.lingering) <= most + 16
         if number % 100 == 50:
             stage.play(
-                f"b{number} send {ask(number)}\ns1 expect {ask(number)}\ns1 send {VALUE}\nb{number} expect $2\\r\\nhi\nwait 0.05"
+                f"b{number} send {ask(number)}\ns1 expect {ask(number)}\ns1 send "
+                f"{VALUE}\nb{number} expect $2\\r\\nhi\nwait 0.05"
             )
     for number in range(50, 400, 100):
         stage.play(f"b{number} close")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -19,17 +19,30 @@
 
 LOOKUP = api.RequestClass("lookup", aim=1.0, deadline=4.0, worth=1.0, effect="safe")
 ISSUE = api.RequestClass("issue", aim=2.0, deadline=6.0, worth=1.0, effect="unsafe")
-HOLD = api.RequestClass("hold", aim=1.0, deadline=4.0, worth=1.0, effect="keyed", group="zone", window=2.0)
+HOLD = api.RequestClass(
+    "hold", aim=1.0, deadline=4.0, worth=1.0, effect="keyed", group="zone", window=2.0
+)
 BASIC = api.Plan("basic", rate=4.0, burst=12.0, over_cost=1.0)
 HARD = api.Plan("hard", rate=4.0, burst=12.0, over_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
 
 
 def make(me: int = 0, **changes: Any) -> Gateway:
     values: dict[str, object] = dict(
-        me=me, gateways=3, classes=(LOOKUP, ISSUE, HOLD), plans=(BASIC, HARD), zone="a", max_units=4.0,
-        max_attempts=3, peers=True, messages_in_per_s=100.0, max_retry_after=2.0, cold_for=10.0,
-        cold_from=0.2, fall_multiple=4.0, fall_time=2.0,
-    )  # fmt: skip
+        me=me,
+        gateways=3,
+        classes=(LOOKUP, ISSUE, HOLD),
+        plans=(BASIC, HARD),
+        zone="a",
+        max_units=4.0,
+        max_attempts=3,
+        peers=True,
+        messages_in_per_s=100.0,
+        max_retry_after=2.0,
+        cold_for=10.0,
+        cold_from=0.2,
+        fall_multiple=4.0,
+        fall_time=2.0,
+    )
     gateway = Gateway(api.Settings(**{**values, **changes}), seed=7)
     gateway.handle(servers("cached", *(entry(f"s{i}", "ab"[i % 2]) for i in range(4))), 0.0)
     return gateway
@@ -49,9 +62,15 @@
 
 def ask(gateway: Gateway, now: float, kind: str = "lookup", **changes: Any) -> list[api.Action]:
     values: dict[str, object] = dict(
-        id=f"r{next(_ids)}", class_name=kind, plan_name="basic", customer="c", units=1.0, patience=4.0,
-        first_gateway=0, spread=3,
-    )  # fmt: skip
+        id=f"r{next(_ids)}",
+        class_name=kind,
+        plan_name="basic",
+        customer="c",
+        units=1.0,
+        patience=4.0,
+        first_gateway=0,
+        spread=3,
+    )
     return gateway.handle(api.Request(**{**values, **changes}), now)
 
 
@@ -200,12 +219,31 @@
 
 @pytest.mark.parametrize(
     "text",
-    ["", "h", "h1 2.0 100", "x{p}0aa {k}:0:0:3:0:2i", "h{p}0aa {k}:9:0:3:0:2i", "h{p}0aa {k}:0:9:3:0:2i",
-     "h{p}0aa {k}:0:0:9:0:2i", "h{p}0aa {k}:0:0:0:0:2i", "h{p}0aa {k}:0:0:3:0:-2i", "h{p}0aa {k}:0:0:3:0:2.5",
-     "h{p}0aa {k}:0:0:3:0", "h{p}0aa {k}:0:0:3:0:2i \x00", "h{p}0aa {k}:0:0:3:0:2i a=nan=", "h{p}0aa {k}/0/-1",
-     "h{p}0aa {k}/7/2i", "h{p}0aa {k}/0/inf.", "h{old}0aa {k}:0:0:3:0:2i", "h{old}0aa {k}/0/2i", "h{p}0aa s!9",
-     "h{p}0aa {k}:0:0:3:2:2i", "h{p}0aa {k}:0:0:3:0:2i  ", "h{p}0aa {k}:0:0:3:0:2i" + " s!0" * 99],
-)  # fmt: skip
+    [
+        "",
+        "h",
+        "h1 2.0 100",
+        "x{p}0aa {k}:0:0:3:0:2i",
+        "h{p}0aa {k}:9:0:3:0:2i",
+        "h{p}0aa {k}:0:9:3:0:2i",
+        "h{p}0aa {k}:0:0:9:0:2i",
+        "h{p}0aa {k}:0:0:0:0:2i",
+        "h{p}0aa {k}:0:0:3:0:-2i",
+        "h{p}0aa {k}:0:0:3:0:2.5",
+        "h{p}0aa {k}:0:0:3:0",
+        "h{p}0aa {k}:0:0:3:0:2i \x00",
+        "h{p}0aa {k}:0:0:3:0:2i a=nan=",
+        "h{p}0aa {k}/0/-1",
+        "h{p}0aa {k}/7/2i",
+        "h{p}0aa {k}/0/inf.",
+        "h{old}0aa {k}:0:0:3:0:2i",
+        "h{old}0aa {k}/0/2i",
+        "h{p}0aa s!9",
+        "h{p}0aa {k}:0:0:3:2:2i",
+        "h{p}0aa {k}:0:0:3:0:2i  ",
+        "h{p}0aa {k}:0:0:3:0:2i" + " s!0" * 99,
+    ],
+)
 def test_a_bad_message_changes_nothing(text: str) -> None:
     gateway = make(0)
     fields = {"k": _key_of("c"), "p": base36(100 % 36), "old": base36(97 % 36)}
@@ -308,9 +346,13 @@
 
 def test_a_draining_or_gone_server_gets_nothing_new() -> None:
     gateway = make()
-    gateway.handle(servers("change", entry("s0", state="draining"), entry("s2", state="gone")), 99.0)
+    gateway.handle(
+        servers("change", entry("s0", state="draining"), entry("s2", state="gone")), 99.0
+    )
     gateway.handle(servers("change", entry("s1", state="gone")), 99.0)
-    used = {s.server for _ in range(9) for s in only(ask(gateway, 100.0, customer=f"{_}"), api.Send)}
+    used = {
+        s.server for _ in range(9) for s in only(ask(gateway, 100.0, customer=f"{_}"), api.Send)
+    }
     assert used == {"s3"}
 
 
@@ -377,7 +419,8 @@
 def test_under_pressure_a_retry_past_its_aim_yields_to_one_that_can_be_in_time() -> None:
     gateway = make()
     for server in gateway.servers.values():
-        server.out["other", 0], server.since = 0.4, 100.0  # seconds of work: a wait between the two limits
+        # seconds of work: a wait between the two limits
+        server.out["other", 0], server.since = 0.4, 100.0
     assert only(ask(gateway, 100.1, customer="a", patience=2.5), api.Refuse)
     assert only(ask(gateway, 100.1, customer="b", patience=4.0), api.Send)
     assert only(ask(gateway, 100.1, customer="c", patience=3.5), api.Send)
@@ -385,9 +428,13 @@
 
 @pytest.mark.parametrize("marks", [False, True])
 def test_first_tries_that_come_with_a_part_of_the_time_are_not_taken_for_old(marks: bool) -> None:
-    """Some clients give a first try 60% of the time and its retry all that is left: that shows no age."""
+    """Some clients give a first try 60% of the time and its retry all that is left.
+
+    That shows no age.
+    """
     gateway = make(marks_retry=marks)
-    for turn in range(6 if not marks else 0):  # learned where clients mark nothing, known where they do
+    # learned where clients mark nothing, known where they do
+    for turn in range(6 if not marks else 0):
         spend(gateway, 100.0, 1, customer=f"{turn}", patience=2.4 + turn / 1000)
         spend(gateway, 100.0, 1, customer=f"r{turn}", patience=3.9)
     for server in gateway.servers.values():
@@ -398,14 +445,19 @@
 
 @pytest.mark.parametrize("gateways", [3, 12])
 def test_in_a_large_fleet_a_few_tries_alike_do_not_pass_for_the_clients_way(gateways: int) -> None:
-    """Each gateway of it sees little: retries after a fixed wait, cut alike, would hold for first tries."""
+    """Each gateway of it sees little.
+
+    Retries after a fixed wait, cut alike, would hold for first tries.
+    """
     gateway = make(gateways=gateways)
     spend(gateway, 100.0, 1, customer="first", patience=4.0)
     for turn in range(6):
         spend(gateway, 100.0, 1, customer=f"{turn}", patience=2.4)
     for server in gateway.servers.values():
         server.out["other", 0], server.since = 0.7 if gateways > 8 else 0.4, 100.0
-    late = [action.why for action in only(ask(gateway, 100.1, customer="a", patience=2.4), api.Refuse)]
+    late = [
+        action.why for action in only(ask(gateway, 100.1, customer="a", patience=2.4), api.Refuse)
+    ]
     assert late == ([] if gateways == 3 else ["late"])
 
 
@@ -428,9 +480,15 @@
 
 
 @pytest.mark.parametrize(
-    "name, value", [("me", 3), ("max_attempts", 0), ("messages_in_per_s", 0.0), ("classes", ()),
-                    ("plans", (api.Plan("p", 1.0, 0.0),))]
-)  # fmt: skip
+    "name, value",
+    [
+        ("me", 3),
+        ("max_attempts", 0),
+        ("messages_in_per_s", 0.0),
+        ("classes", ()),
+        ("plans", (api.Plan("p", 1.0, 0.0),)),
+    ],
+)
 def test_settings_that_cannot_be_acted_on_are_named(name: str, value: object) -> None:
     with pytest.raises(ValueError, match=name):
         make(**{str(name): value})  # type: ignore[arg-type]
@@ -444,7 +502,9 @@
             (send,) = only(ask(gateway, second + 0.1, customer=f"{second}-{n}"), api.Send)
             status: api.Status = "error" if n % 5 == 0 else "ok"
             gateway.handle(api.Outcome(send.id, 0, send.server, status, 0.1, True), second + 0.2)
-        gateway.handle(servers("change", entry(f"s{second % 4}", started=float(second))), second + 0.5)
+        gateway.handle(
+            servers("change", entry(f"s{second % 4}", started=float(second))), second + 0.5
+        )
         most = max(most, len(gateway.accounts))
     assert most <= 20 * 5 and not gateway.held and not gateway.failed and len(gateway.servers) == 4
 
@@ -456,7 +516,9 @@
     for tenth in range(10, 50):
         gateway.handle(api.Timer("beat"), tenth / 10)
         period = base36(tenth // 10)
-        gateway.handle(api.PeerMessage(1, head.format(period) + charge + base36(10)), tenth / 10 + 0.01)
+        gateway.handle(
+            api.PeerMessage(1, head.format(period) + charge + base36(10)), tenth / 10 + 0.01
+        )
         seen.add(id(gateway.accounts[base36(77)]))
     assert len(seen) == 1
 
@@ -467,7 +529,10 @@
 
 
 def test_a_limit_on_requests_open_goes_by_what_peers_are_likely_to_have_out() -> None:
-    """A fixed share of a small limit turns away what the set has room for; without it a busy set would pass the limit."""
+    """A fixed share of a small limit turns away what the set has room for.
+
+    Without it a busy set would pass the limit.
+    """
     few = api.Plan("few", rate=100.0, burst=300.0, open_limit=6)
     assert opened(make(plans=(few,)), 1.0) == 6
     key = base36(crc32(b"c") % 36**5)
@@ -482,23 +547,35 @@
         assert opened(gateway, 1.9) == most
 
 
-@pytest.mark.parametrize("lives, basic, hard", [((0.0, 0.6), 12, 8), ((0.0, -10.0), 4, 0), ((0.0,), 4, 0)])
+@pytest.mark.parametrize(
+    "lives, basic, hard", [((0.0, 0.6), 12, 8), ((0.0, -10.0), 4, 0), ((0.0,), 4, 0)]
+)
 def test_who_began_together_has_the_whole_burst_and_who_began_later_a_part(
     lives: tuple[float, ...], basic: int, hard: int
 ) -> None:
-    """Of one that starts among older ones, or has not met all, it is not known what was spent before."""
+    """Of one that starts among older ones.
+
+    Or has not met all, it is not known what was spent before.
+    """
     for plan, most in (("basic", basic), ("hard", hard)):
         gateway = make()
         gateway.born, gateway.life = 1000.0, life(1000.0)
         let_in = [ask(gateway, 1000.0, plan_name=plan)]
         for peer, start in enumerate(lives, 1):
-            gateway.handle(api.PeerMessage(peer, f"h{base36(1000 % 36)}0{life(1000.0 + start)}"), 1000.0)
+            gateway.handle(
+                api.PeerMessage(peer, f"h{base36(1000 % 36)}0{life(1000.0 + start)}"), 1000.0
+            )
         let_in += [ask(gateway, 1000.0, plan_name=plan) for _ in range(30)]
         assert sum(bool(only(actions, api.Send)) for actions in let_in) == most
 
 
-def test_an_attempt_that_broke_off_at_once_costs_few_retries_and_a_long_one_costs_a_whole_one() -> None:
-    """Resets by the dozen cost the servers nothing; were they to spend the retries, requests would fail for it."""
+def test_an_attempt_that_broke_off_at_once_costs_few_retries_and_a_long_one_costs_a_whole_one() -> (
+    None
+):
+    """Resets by the dozen cost the servers nothing.
+
+    Were they to spend the retries, requests would fail for it.
+    """
     for elapsed, most in ((0.0002, 200), (0.5, 30)):
         gateway, retried = make(), 0
         for number in range(200):
@@ -507,7 +584,9 @@
             again = only(gateway.handle(event, 1.0 + number), api.Send)
             retried += len(again)
             for further in again:
-                gateway.handle(api.Outcome(send.id, 1, further.server, "ok", 0.1, True), 1.0 + number)
+                gateway.handle(
+                    api.Outcome(send.id, 1, further.server, "ok", 0.1, True), 1.0 + number
+                )
         assert 0.9 * most <= retried <= most
 
 
@@ -527,21 +606,30 @@
         ask(gateway, 1.9, plan_name="quick", units=0.001)
         gateway.handle(api.PeerMessage(1, f"h10x {key}:0:0:3:0:{base36(10 * heard)}"), 1.9)
         gateway.accounts[key].budget.level = 10.0
-        assert sum(bool(only(ask(gateway, 1.9, plan_name="quick"), api.Send)) for _ in range(20)) == most
+        assert (
+            sum(bool(only(ask(gateway, 1.9, plan_name="quick"), api.Send)) for _ in range(20))
+            == most
+        )
 
 
 def hung(gateway: Gateway, kind: str, wait: float, answers: bool) -> tuple[list[str], str]:
-    """The host at which a request hangs after some usual ones, and those it goes to once the gateway has looked."""
+    """The host at which a request hangs after some usual ones.
+
+    And those it goes to once the gateway has looked.
+    """
     for number in range(30):
         for send in only(ask(gateway, 1.0 + number / 10, customer=str(number)), api.Send):
-            gateway.handle(api.Outcome(send.id, 0, send.server, "ok", 0.02, True), 1.02 + number / 10)
+            gateway.handle(
+                api.Outcome(send.id, 0, send.server, "ok", 0.02, True), 1.02 + number / 10
+            )
     (send,) = only(ask(gateway, 5.0, kind), api.Send)
     gateway.wait = wait
     if answers:
         gateway.servers[send.server].since = 5.7
     cancels = only(gateway.handle(api.Timer("beat"), 5.75), api.Cancel)
     actions = [
-        gateway.handle(api.Outcome(c.id, c.attempt, send.server, "cancelled", 0.75), 5.75) for c in cancels
+        gateway.handle(api.Outcome(c.id, c.attempt, send.server, "cancelled", 0.75), 5.75)
+        for c in cancels
     ]
     return [again.server for a in actions for again in only(a, api.Send)], send.server
 
@@ -551,7 +639,8 @@
     gateway = make(cancelling=True)
     (other,), first = hung(gateway, "lookup", 0.0, answers)
     assert other != first
-    assert bool(gateway.servers[first].health) is not answers  # one answer that is lost is no failing server
+    # one answer that is lost is no failing server
+    assert bool(gateway.servers[first].health) is not answers
 
 
 def test_what_hangs_stays_in_an_overload_and_where_it_may_not_be_repeated() -> None:
--- a/tests/test_gossip_budget.py
+++ b/tests/test_gossip_budget.py
@@ -1,4 +1,7 @@
-"""Gossip under a budget of bytes: never passed, those nearest their limits first, nothing told twice."""
+"""Gossip under a budget of bytes.
+
+Never passed, those nearest their limits first, nothing told twice.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,13 @@
 
 def words(texts: list[api.Tell], peer: int) -> list[str]:
     """Customers' keys, in the order in which the peer is told."""
-    return [word.split(":")[0] for t in texts if t.gateway == peer for word in t.text.split() if ":" in word]
+    return [
+        word.split(":")[0]
+        for t in texts
+        if t.gateway == peer
+        for word in t.text.split()
+        if ":" in word
+    ]
 
 
 def key(gateway: Gateway, customer: str) -> str:
@@ -116,7 +125,12 @@
     for name in worth:
         assert outbox.put(1, (name, 5), "")
     worth["gone"] = 0.0
-    line = outbox.take(1, "head", lambda name, period: rendered.append(name) or f" {name}", lambda news: 1.0)  # type: ignore[func-returns-value]
+
+    def render(name: str, period: int) -> str:
+        rendered.append(name)
+        return f" {name}"
+
+    line = outbox.take(1, "head", render, lambda news: 1.0)
     assert line == "head kept" and rendered == ["kept"]
     assert list(outbox.told) == [(1, "kept", 5)] and not outbox.waiting
 
@@ -149,7 +163,8 @@
     assert told(ask(scarce, 100.1, spread=30, units=4.0))  # there is plenty
     scarce.outbox.bytes.level = scarce.outbox.bytes.most / 2 - 1.0  # type: ignore[union-attr]
     assert not told(ask(scarce, 100.1, spread=30, units=4.0, customer="d"))
-    assert told(scarce.handle(api.Timer("beat"), 100.4))  # by then there is room for a whole datagram
+    # by then there is room for a whole datagram
+    assert told(scarce.handle(api.Timer("beat"), 100.4))
 
 
 @pytest.mark.parametrize("value", [-1.0, float("nan")])
@@ -158,17 +173,23 @@
         replace(make().settings, gossip_bytes_per_s=value)
 
 
-def drawn_run(gateway: Gateway, events: list[tuple[float, int, int, int]], spread: int) -> list[api.Action]:
-    """All actions of a run of requests (ids are the run's own), answers, peers' messages and beats."""
+def drawn_run(
+    gateway: Gateway, events: list[tuple[float, int, int, int]], spread: int
+) -> list[api.Action]:
+    """All actions of a run of requests (ids are the run's own), answers, gossip and beats."""
     actions, now = list[api.Action](), 100.0
     for number, (wait, customer, units, sender) in enumerate(events):
         now += wait
-        asked = ask(gateway, now, id=f"q{number}", customer=f"{customer}", units=float(units), spread=spread)
+        asked = ask(
+            gateway, now, id=f"q{number}", customer=f"{customer}", units=float(units), spread=spread
+        )
         actions += asked
         for send in only(asked, api.Send):
             actions += answer(gateway, send, now + 0.01)
         text = gossip.head(int(now) % 36, 0.1, "abc") + gossip.write(
-            gossip.Charge(key(gateway, f"{customer}"), gossip.tag("basic"), 0, spread, 0, float(units))
+            gossip.Charge(
+                key(gateway, f"{customer}"), gossip.tag("basic"), 0, spread, 0, float(units)
+            )
         )
         actions += gateway.handle(api.PeerMessage(sender, text), now + 0.01)
         actions += gateway.handle(api.Timer("beat"), now + 0.02)
@@ -179,7 +200,8 @@
 @hyp(max_examples=40, deadline=None)
 @given(
     st.lists(
-        st.tuples(st.floats(0.0, 0.4), st.integers(0, 20), st.integers(1, 4), st.integers(1, 2)), max_size=80
+        st.tuples(st.floats(0.0, 0.4), st.integers(0, 20), st.integers(1, 4), st.integers(1, 2)),
+        max_size=80,
     ),
     st.sampled_from([(3, 3), (40, 30)]),
 )
@@ -199,7 +221,10 @@
         def _worth(self, peer: int, news: News) -> float:
             raise AssertionError("there is no budget")
 
-    without, with_field = make(0, gateways=gateways), make(0, gateways=gateways, gossip_bytes_per_s=0.0)
+    without, with_field = (
+        make(0, gateways=gateways),
+        make(0, gateways=gateways, gossip_bytes_per_s=0.0),
+    )
     without.__class__ = WithoutBudget
     expected = drawn_run(without, events, spread)
     assert drawn_run(with_field, events, spread) == expected
--- a/tests/test_gossip_settings.py
+++ b/tests/test_gossip_settings.py
@@ -23,7 +23,14 @@
     me: int, *plans: api.Plan, classes: tuple[api.RequestClass, ...] = (LOOK,), gateways: int = 2
 ) -> Gateway:
     one = Gateway(
-        replace(SETTINGS, me=me, gateways=gateways, plans=plans, classes=classes, messages_in_per_s=1000.0),
+        replace(
+            SETTINGS,
+            me=me,
+            gateways=gateways,
+            plans=plans,
+            classes=classes,
+            messages_in_per_s=1000.0,
+        ),
         seed=me,
     )
     one.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
@@ -70,16 +77,17 @@
     ask(one, 1000.2, "look", plan_name="gold", spread=2, units=5.0, customer=gold)
     ask(one, 1000.3, "look", plan_name="bronze", spread=2, customer=bronze)
     told(one, peer, 1000.4)
-    assert {(a.plan.name, a.totals.sum()) for a in one.accounts.values()} == {("bronze", 2.0), ("gold", 5.0)}
+    assert {(a.plan.name, a.totals.sum()) for a in one.accounts.values()} == {
+        ("bronze", 2.0),
+        ("gold", 5.0),
+    }
     assert {(a.plan.name, sum(a.totals.heard.values())) for a in peer.accounts.values()} == {
         ("bronze", 2.0),
         ("gold", 5.0),
     }
 
 
-def test_a_customer_that_changes_its_plan_goes_by_the_new_one_also_after_the_old_account_is_forgotten() -> (
-    None
-):
+def test_a_changed_plan_holds_also_after_the_old_account_is_forgotten() -> None:
     one = gateway(0, BRONZE, GOLD)
     ask(one, 1000.1, "look", plan_name="bronze", spread=2)
     ask(one, 1000.2, "look", plan_name="gold", spread=2)
@@ -94,7 +102,9 @@
     for customer in "abc":
         ask(new, 1000.1, "look", plan_name="bronze", spread=2, customer=customer)
     ask(new, 1000.1, "look", plan_name="gold", spread=2, customer="d")
-    said = [a.text for now in (1000.2, 1000.3) for a in told(new, old, now) if isinstance(a, api.Log)]
+    said = [
+        a.text for now in (1000.2, 1000.3) for a in told(new, old, now) if isinstance(a, api.Log)
+    ]
     assert [a.plan.name for a in old.accounts.values()] == ["gold"]
     assert len(said) == 1 and "do not have" in said[0]
     assert sum(old.unread.values()) >= 3
@@ -104,17 +114,24 @@
     """Words kept on file: a program of the release before wrote them."""
     one = gateway(0, BRONZE, GOLD)
     life = gossip.life(1000.0)
-    one.handle(api.PeerMessage(1, f"h{gossip.base36(1000 % 36)}0{life} 1abcd:1:0:2:0:1e 0zz=5"), 1000.1)
+    one.handle(
+        api.PeerMessage(1, f"h{gossip.base36(1000 % 36)}0{life} 1abcd:1:0:2:0:1e 0zz=5"), 1000.1
+    )
     (account,) = one.accounts.values()
     assert account.plan == GOLD and sum(account.totals.heard.values()) == 5.0 and not one.unread
 
 
-@pytest.mark.parametrize("text", ["j{period}0{life} 1abcd:7kq:0:2:0:1e", "j{period}0{life}", "{period}", ""])
+@pytest.mark.parametrize(
+    "text", ["j{period}0{life} 1abcd:7kq:0:2:0:1e", "j{period}0{life}", "{period}", ""]
+)
 def test_a_dialect_that_is_newer_is_refused_whole_counted_and_said_once(text: str) -> None:
     one = gateway(0, GOLD)
     text = text.format(period=gossip.base36(1000 % 36), life=gossip.life(1000.0))
     said = [
-        a for _ in range(3) for a in one.handle(api.PeerMessage(1, text), 1000.1) if isinstance(a, api.Log)
+        a
+        for _ in range(3)
+        for a in one.handle(api.PeerMessage(1, text), 1000.1)
+        if isinstance(a, api.Log)
     ]
     assert not one.accounts and sum(one.unread.values()) == 3 and len(said) == 1
 
@@ -152,7 +169,9 @@
         st.integers(0, 99).map(float),
         st.integers(0, 9),
     ),
-    st.builds(gossip.Spent, st.just("1abcd"), st.sampled_from(["p1", "p2"]), st.integers(0, 99).map(float)),
+    st.builds(
+        gossip.Spent, st.just("1abcd"), st.sampled_from(["p1", "p2"]), st.integers(0, 99).map(float)
+    ),
     st.builds(gossip.Failed, st.just("0zz"), st.sampled_from(["c1", gossip.EVERY])),
 )
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -51,9 +51,9 @@
     history = History(steps, size)
     digests = [put(history, {"step": 1000 + n}) for n in range(10)]
     finished(history)
-    assert [history.document(digest) is not None for digest in digests] == [False] * (10 - known) + [
-        True
-    ] * known
+    assert [history.document(digest) is not None for digest in digests] == [False] * (
+        10 - known
+    ) + [True] * known
 
 
 def routes(count: int, seed: int = 1) -> dict[str, Any]:
@@ -115,7 +115,9 @@
         self.base = put(self.history, earlier)
         self.digest = put(self.history, document)
         tell = lambda number, text: self.sent.append((number, text))  # noqa: E731
-        self.exchange = DocumentExchange(0, self.history, random.Random(1), tell, lambda order: None, None)
+        self.exchange = DocumentExchange(
+            0, self.history, random.Random(1), tell, lambda order: None, None
+        )
         self.exchange.acts_on(5, self.digest, document)
 
     def finish(self) -> int:
@@ -178,5 +180,9 @@
     giver.exchange.heard(1, ask, 0.0)
     giver.finish()
     arrived = taker.exchange.heard(0, giver.sent[0][1], 0.0)
-    assert arrived is not None and (arrived.order, arrived.digest, arrived.sender) == (5, giver.digest, 0)
+    assert arrived is not None and (arrived.order, arrived.digest, arrived.sender) == (
+        5,
+        giver.digest,
+        0,
+    )
     assert settings_digest(arrived.document) == giver.digest
--- a/tests/test_hosts_end.py
+++ b/tests/test_hosts_end.py
@@ -1,4 +1,7 @@
-"""Connections to hosts that end at the wrong moment: whether the attempt may have run, and where it goes then."""
+"""Connections to hosts that end at the wrong moment.
+
+Whether the attempt may have run, and where it goes then.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,8 @@
 CELL = replace(BUY, group="cell", window=5.0)
 ANY = replace(BUY, group="all", window=5.0)
 SHORT = replace(BUY, group="all", window=0.3)
-# By class: what the client gets once the only attempt may have run, and whether another attempt is made.
+# By class: what the client gets once the only attempt may have run, and whether another attempt is
+# made.
 MAY_HAVE_RUN = {
     "safe": (LOOK, None, True),
     "unsafe": (UNSAFE, "-ERR failed", False),
@@ -29,13 +33,16 @@
 
 def command(kind: api.RequestClass, number: int, wait: int = 1000) -> str:
     return (
-        ask(number, wait) if kind.effect == "safe" else DO.format(number).replace("d=1000", f"d={wait}")
+        ask(number, wait)
+        if kind.effect == "safe"
+        else DO.format(number).replace("d=1000", f"d={wait}")
     ).replace("look", kind.name)
 
 
 def stage_of(kind: api.RequestClass) -> Stage:
     return Stage(
-        hosts=1, settings=replace(SETTINGS, classes=(LOOK, kind) if kind.name != "look" else (LOOK, BUY))
+        hosts=1,
+        settings=replace(SETTINGS, classes=(LOOK, kind) if kind.name != "look" else (LOOK, BUY)),
     )
 
 
@@ -64,10 +71,15 @@
 def test_a_connection_that_its_host_resets_just_as_it_is_used_again_may_have_run(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The host closes it between the limiter's look and its write; the request was written whole, so nobody can tell."""
+    """The host closes it between the limiter's look and its write.
+
+    The request was written whole, so nobody can tell.
+    """
     kind, said, again = MAY_HAVE_RUN[case]
     stage = stage_of(kind)
-    stage.play(f"b send {ask(9)}\ns1 expect {ask(9)}\ns1 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.35")
+    stage.play(
+        f"b send {ask(9)}\ns1 expect {ask(9)}\ns1 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.35"
+    )
     (line,) = stage.service.backend._hosts["s1"].idle
     end, whole = stage.ends["s1"].pop(), stream.Stream.alive
 
@@ -113,7 +125,9 @@
     assert (
         stage.service.stats.outcomes["connect_failed"] == 1
     )  # it never ran, so that even this class goes on
-    stage.play(f"s2 expect {DO.format(1).replace('d=1000', 'd=750')}\ns2 send {VALUE}\na expect $2\\r\\nhi")
+    stage.play(
+        f"s2 expect {DO.format(1).replace('d=1000', 'd=750')}\ns2 send {VALUE}\na expect $2\\r\\nhi"
+    )
     for filler in fillers:
         filler.close()
     got = b""
@@ -151,11 +165,13 @@
     stage.service._changed(
         stage.service.table.apply(stage.table("whole", 3, "s1:terminating", "s2:in_service"))
     )
-    stage.play(f"s1 expect {DO.format(1).replace('BODY', body)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
+    stage.play(
+        f"s1 expect {DO.format(1).replace('BODY', body)}\ns1 send {VALUE}\na expect $2\\r\\nhi"
+    )
     assert stage.service.stats.attempts == 1
 
 
-def test_a_class_that_becomes_harmless_by_name_does_not_reach_back_to_an_order_that_may_have_run() -> None:
+def test_a_class_made_safe_by_reload_does_not_reach_back_to_what_may_have_run() -> None:
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
     harmless = replace(SETTINGS, classes=(LOOK, replace(BUY, effect="safe")), max_attempts=9)
@@ -167,6 +183,8 @@
 def test_a_window_that_grows_by_name_does_not_reach_back_to_an_order_that_may_have_run() -> None:
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, SHORT)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
-    stage.service.reload(lambda: replace(stage.config, settings=replace(SETTINGS, classes=(LOOK, ANY))))
+    stage.service.reload(
+        lambda: replace(stage.config, settings=replace(SETTINGS, classes=(LOOK, ANY)))
+    )
     stage.play("wait 0.35\ns1 close\na expect -BUSY 250")
     assert stage.service.stats.attempts == 1
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -38,13 +38,17 @@
 
 
 def run(folder: Path, known: str | None, *args: str) -> tuple[int, str]:
-    (folder / "pytest.ini").write_text("[pytest]\ntestpaths = suite\naddopts = -p tests.known_red\n")
+    (folder / "pytest.ini").write_text(
+        "[pytest]\ntestpaths = suite\naddopts = -p tests.known_red\n"
+    )
     (folder / "suite").mkdir()
     (folder / "suite" / "test_it.py").write_text(SUITE)
     if known is not None:
         (folder / "KNOWN-RED.txt").write_text(known)
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *args]
-    done = subprocess.run(command, cwd=folder, env={"PYTHONPATH": str(ROOT)}, capture_output=True, text=True)
+    done = subprocess.run(
+        command, cwd=folder, env={"PYTHONPATH": str(ROOT)}, capture_output=True, text=True
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -53,15 +57,21 @@
 
 def test_a_known_red_test_is_passed_over_and_printed(tmp_path: Path) -> None:
     code, said = run(tmp_path, RED)
-    assert code == 0 and "known red, fails: suite/test_it.py::test_red: it is false (issue 31)" in said
+    assert (
+        code == 0 and "known red, fails: suite/test_it.py::test_red: it is false (issue 31)" in said
+    )
 
 
 def test_one_that_passes_is_said_to(tmp_path: Path) -> None:
     code, said = run(tmp_path, RED + "suite/test_it.py::test_green | was slow | issue 31\n")
-    assert code == 0 and "known red, PASSES, take its line out: suite/test_it.py::test_green" in said
+    assert (
+        code == 0 and "known red, PASSES, take its line out: suite/test_it.py::test_green" in said
+    )
 
 
-@pytest.mark.parametrize("known", [None, "", "suite/test_it.py::test_green | was slow | issue 31\n"])
+@pytest.mark.parametrize(
+    "known", [None, "", "suite/test_it.py::test_green | was slow | issue 31\n"]
+)
 def test_any_other_failure_fails_the_run(known: str | None, tmp_path: Path) -> None:
     assert run(tmp_path, known)[0] == 1
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -82,7 +82,9 @@
 
 @pytest.mark.parametrize("run", range(4))
 def test_summed_admission_holds_through_loss_delay_repeats_and_restarts(run: int) -> None:
-    """A customer that asks three times its rate through thirty gateways gets its quota and a quarter at most."""
+    """A customer that asks three times its rate through thirty gateways gets its quota and a
+    quarter at most.
+    """
     chance, gateways, waiting = random.Random(run), fleet(), list[tuple[float, int, int, str]]()
     beats, admitted, now, end = [i / FLEET / 10 + 100.0 for i in range(FLEET)], 0.0, 100.0, 130.0
     while now < end:
@@ -147,7 +149,10 @@
 
 
 def spend_in_vast(gateways: list[Gateway], turns: int, dead: int = -1, **changes: Any) -> int:
-    """A customer asks so often, each time at the next of 40 members; everything is delivered at once. How much goes out."""
+    """A customer asks so often, each time at the next of 40 members.
+
+    Everything is delivered at once. How much goes out.
+    """
     sent = 0
     for turn in range(turns):
         now, me = 100.0 + turn / 100, turn % 40
@@ -167,7 +172,9 @@
 
 
 def hubs_in_vast() -> list[int]:
-    return [t.gateway for t in only(ask(make(VAST - 1, gateways=VAST), 100.0, spread=WIDE), api.Tell)]
+    return [
+        t.gateway for t in only(ask(make(VAST - 1, gateways=VAST), 100.0, spread=WIDE), api.Tell)
+    ]
 
 
 def test_of_a_set_too_large_to_tell_the_members_that_charge_are_told_first_by_each_hub() -> None:
@@ -183,7 +190,9 @@
         assert sum(told_of(g) for g in gateways) < WIDE  # not all: one hub has a second's datagrams
 
 
-def test_what_a_hub_told_goes_on_with_other_messages_for_a_while_and_from_its_hearer_alone() -> None:
+def test_what_a_hub_told_goes_on_with_other_messages_for_a_while_and_from_its_hearer_alone() -> (
+    None
+):
     first, second = hubs_in_vast()
     me, other = [n for n in range(4) if n not in (first, second)][:2]
     one, two = make(me, gateways=VAST), make(other, gateways=VAST)
@@ -227,7 +236,9 @@
         one = make(3, gateways=VAST, messages_in_per_s=60.0)
         ask(one, 100.0, spread=spread)
         (name,) = one.accounts
-        text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Spent(name, gossip.tag("basic"), 3.0))
+        text = gossip.head(100, 0.0, "aa") + gossip.write(
+            gossip.Spent(name, gossip.tag("basic"), 3.0)
+        )
         let_in[spread] = 0
         for _ in range(100):
             one.handle(api.PeerMessage(VAST - 1, text), 100.1)
@@ -271,7 +282,8 @@
     many = [make(i, gateways=100) for i in range(100)]
     for me, gateway in enumerate(many):
         gateway.handle(
-            servers("full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)), 100.0
+            servers("full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)),
+            100.0,
         )
         gateway.random.seed(me)
     chance, counts = random.Random(1), dict.fromkeys([*(f"s{i}" for i in range(12)), "cold"], 0)
@@ -287,7 +299,9 @@
 def test_a_fleet_all_cold_is_still_sent_work() -> None:
     gateway = make(0, gateways=FLEET)
     gateway.handle(servers("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
-    sent = sum(len(only(ask(gateway, 100.0 + i / 50, customer=f"{i}"), api.Send)) for i in range(100))
+    sent = sum(
+        len(only(ask(gateway, 100.0 + i / 50, customer=f"{i}"), api.Send)) for i in range(100)
+    )
     assert 0 < sent < 100
 
 
@@ -299,7 +313,9 @@
     used = {"lookup": set[str](), "issue": set[str]()}
     for i in range(20):
         for kind, names in used.items():
-            names |= {s.server for s in only(ask(gateway, 100.4, kind, customer=f"{kind}{i}"), api.Send)}
+            names |= {
+                s.server for s in only(ask(gateway, 100.4, kind, customer=f"{kind}{i}"), api.Send)
+            }
     assert "s0" not in used["lookup"] and "s0" in used["issue"]
 
 
@@ -309,7 +325,9 @@
     for sender in (4, 5, 6):
         text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Failed(tag, gossip.tag("lookup")))
         gateway.handle(api.PeerMessage(sender, text), 100.1)
-    used = {s.server for i in range(40) for s in only(ask(gateway, 100.2, customer=f"{i}"), api.Send)}
+    used = {
+        s.server for i in range(40) for s in only(ask(gateway, 100.2, customer=f"{i}"), api.Send)
+    }
     assert "s1" not in used and len(used) == 3
 
 
@@ -363,7 +381,8 @@
 
 
 @pytest.mark.parametrize(
-    "status, pressed", [("error", False), ("connect_failed", False), ("reset", False), ("full", True)]
+    "status, pressed",
+    [("error", False), ("connect_failed", False), ("reset", False), ("full", True)],
 )
 def test_what_fails_at_once_is_no_overload_and_a_full_queue_is(status: str, pressed: bool) -> None:
     gateway = make(0, gateways=FLEET)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,7 +18,10 @@
 
 
 def test_who_waits_in_the_listeners_queue_as_it_closes_is_let_in_and_answered() -> None:
-    """They connect, and one has asked, in the turn in which the limiter closes its listening socket."""
+    """They connect.
+
+    And one has asked, in the turn in which the limiter closes its listening socket.
+    """
     stage = Stage(hosts=1)
     stage.service.leave()
     stage.play(f"wait {STAY - 0.05}")
@@ -32,7 +35,8 @@
     stage.play(f"s1 expect {ask(1, 950)}\ns1 send {VALUE}")
     assert to_the_end(stage, ends[7]) == b"$2\r\nhi\r\n"
     stage.play("wait 0.3")
-    assert all(to_the_end(stage, end) == b"" for end in ends if end is not ends[7])  # an end, not a reset
+    # an end, not a reset
+    assert all(to_the_end(stage, end) == b"" for end in ends if end is not ends[7])
     for end in ends:
         end.close()
     stage.play("wait 0.1")
@@ -79,7 +83,9 @@
     stage.service.leave()
     stage.play("wait 0.3\ndisco2 reload")
     stage.service.leave()
-    stage.play(f"wait 0.3\ns1 send {VALUE}\na expect $2\\r\\nhi\na expect closed\na close\nwait 0.2")
+    stage.play(
+        f"wait 0.3\ns1 send {VALUE}\na expect $2\\r\\nhi\na expect closed\na close\nwait 0.2"
+    )
     assert ended(stage)
 
 
@@ -95,11 +101,15 @@
 
 def test_a_limiter_that_is_ready_leaves_a_host_at_once_that_a_late_first_list_says_drains() -> None:
     stage = Stage(hosts=2, heard=False)
-    stage.play(f"disco expect {GET}\nwait 0.6\na send [PING]\na expect +PONG\nwait 0.3\ndisco expect {GET}")
-    stage.play(f"disco send whole 9 s1:terminating s2:in_service\nb send {ask(1)}\ns2 expect {ask(1)}")
+    stage.play(
+        f"disco expect {GET}\nwait 0.6\na send [PING]\na expect +PONG\nwait 0.3\ndisco expect {GET}"
+    )
+    stage.play(
+        f"disco send whole 9 s1:terminating s2:in_service\nb send {ask(1)}\ns2 expect {ask(1)}"
+    )
 
 
-def test_a_ping_behind_a_request_that_is_under_way_is_answered_in_its_turn_as_the_limiter_leaves() -> None:
+def test_a_ping_behind_a_request_in_flight_is_answered_in_turn_during_shutdown() -> None:
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\na send [PING]\ns1 expect {ask(1)}")
     stage.service.leave()
@@ -107,7 +117,9 @@
     assert to_the_end(stage, stage._end("a")) == b"$2\r\nhi\r\n+PONG\r\n"
 
 
-def test_a_request_of_which_half_has_come_by_the_end_is_taken_by_nobody_and_costs_no_answer() -> None:
+def test_a_request_of_which_half_has_come_by_the_end_is_taken_by_nobody_and_costs_no_answer() -> (
+    None
+):
     stage = Stage(hosts=1)
     stage.play("a send [SELECT 0]")
     whole = stage.bytes_of(ask(1))
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -22,7 +22,10 @@
 
 
 def test_no_pass_of_the_collector_goes_through_more_than_the_young_objects() -> None:
-    """In a process of its own, whose collector it is: the sizes of what each pass looks at, while much that lives long is made."""
+    """In a process of its own, whose collector it is.
+
+    The sizes of what each pass looks at, while much that lives long is made.
+    """
     script = """
 import gc
 from hazelhollow.net.collector import collect_in_short_passes
@@ -41,7 +44,9 @@
 
 
 class ReadablePoller:
-    """A poll that finds something readable each time, `late` seconds after it should have come back."""
+    """A poll that finds something readable each time, `late` seconds after it should have come
+    back.
+    """
 
     def __init__(self) -> None:
         self.now, self.late = 1000.0, 0.0
@@ -89,7 +94,10 @@
     assert seen == ["stood still", "read", "read"]
 
 
-STREAM = b"*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$0\r\n\r\n+OK\r\n-ERR failed a=1\r\n*-1\r\n*0\r\n:-12\r\n*1\r\n*1\r\n$1\r\nx\r\n"
+STREAM = (
+    b"*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$0\r\n\r\n+OK\r\n-ERR failed "
+    b"a=1\r\n*-1\r\n*0\r\n:-12\r\n*1\r\n*1\r\n$1\r\nx\r\n"
+)
 VALUES = [[b"va\r\nl", None, b""], b"OK", b"ERR failed a=1", None, [], -12, [[b"x"]]]
 
 
@@ -120,9 +128,22 @@
 
 @pytest.mark.parametrize(
     "junk",
-    [b"x\r\n", b"\r\n", b"$-2\r\n", b"$65537\r\n", b"$1\r\nabc", b"*65\r\n", b"*1\r\n" * 5, b"$\r\n",
-     b"+" + b"a" * 5000, b"$ 1\r\n", b"$--1\r\n", b"*1000000000\r\n", b"*2\r\n" + resp.bulk(b"x" * 65000) * 2],
-)  # fmt: skip
+    [
+        b"x\r\n",
+        b"\r\n",
+        b"$-2\r\n",
+        b"$65537\r\n",
+        b"$1\r\nabc",
+        b"*65\r\n",
+        b"*1\r\n" * 5,
+        b"$\r\n",
+        b"+" + b"a" * 5000,
+        b"$ 1\r\n",
+        b"$--1\r\n",
+        b"*1000000000\r\n",
+        b"*2\r\n" + resp.bulk(b"x" * 65000) * 2,
+    ],
+)
 def test_resp_that_is_malformed_or_too_large_is_an_error(junk: bytes) -> None:
     with pytest.raises(resp.ProtocolError):
         values([junk])
@@ -160,7 +181,8 @@
 def test_http_answers_by_length_and_in_chunks(step: int) -> None:
     stream = (
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
-        b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3;x\r\nabc\r\n1\r\nd\r\n0\r\nA: b\r\n\r\n"
+        b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\nConnection: "
+        b"close\r\n\r\n3;x\r\nabc\r\n1\r\nd\r\n0\r\nA: b\r\n\r\n"
     )
     parser, got = http1.Parser(), []
     for at in range(0, len(stream), step):
@@ -179,7 +201,9 @@
         (b"HTTP/1.0 200 OK\r\nContent-Length: 2\r\nConnection: Keep-Alive\r\n\r\n", True),
     ],
 )
-def test_whether_another_call_may_follow_an_answer_on_its_connection(head: bytes, keeps: bool) -> None:
+def test_whether_another_call_may_follow_an_answer_on_its_connection(
+    head: bytes, keeps: bool
+) -> None:
     parser = http1.Parser()
     parser.feed(head + b"{}")
     answer = parser.next()
@@ -205,9 +229,12 @@
 def test_every_ending_has_its_outcome_and_none_after_the_last_byte_says_never_ran() -> None:
     never = {"connect_failed", "full", "moot"}
     assert all(outcome(ending, written=True) not in never for ending in Ending)
-    assert all(outcome(e, written=False) == "connect_failed" for e in Ending if e is not Ending.CANCELLED)
+    assert all(
+        outcome(e, written=False) == "connect_failed" for e in Ending if e is not Ending.CANCELLED
+    )
     assert (
-        outcome(Ending.CLOSED, written=False) == "connect_failed" and outcome(Ending.CLOSED, True) == "reset"
+        outcome(Ending.CLOSED, written=False) == "connect_failed"
+        and outcome(Ending.CLOSED, True) == "reset"
     )
 
 
@@ -236,22 +263,44 @@
     assert seen[1:] == ["first", "task", "second"]
 
 
-GOOD = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff", "settings": {
-    "position": 0, "balancers": 1, "grades": [{"name": "a", "objective": 1, "deadline": 2, "effect": "pure"}],
-    "tariffs": [], "policy_limits": {"conn_idle": 12.0}}, "peers": ["127.0.0.1:3"], "limits": {"sockets": 99}}  # fmt: skip
+GOOD = {
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "ff",
+    "settings": {
+        "position": 0,
+        "balancers": 1,
+        "grades": [{"name": "a", "objective": 1, "deadline": 2, "effect": "pure"}],
+        "tariffs": [],
+        "policy_limits": {"conn_idle": 12.0},
+    },
+    "peers": ["127.0.0.1:3"],
+    "limits": {"sockets": 99},
+}
 
 
 @pytest.mark.parametrize(
     "change, word",
-    [({"listen": "nowhere"}, "nowhere"), ({"settings": {}}, "position"), ({"seed": "xyz"}, "xyz"),
-     ({"peers": [1]}, "peers"), ({"known": {"index": 1}}, "routing table"), ({"limits": {"sockets": "many"}}, "sockets"), (None, "No such file")],
-)  # fmt: skip
-def test_a_bad_configuration_ends_with_one_plain_line(tmp_path: Path, change: object, word: str) -> None:
+    [
+        ({"listen": "nowhere"}, "nowhere"),
+        ({"settings": {}}, "position"),
+        ({"seed": "xyz"}, "xyz"),
+        ({"peers": [1]}, "peers"),
+        ({"known": {"index": 1}}, "routing table"),
+        ({"limits": {"sockets": "many"}}, "sockets"),
+        (None, "No such file"),
+    ],
+)
+def test_a_bad_configuration_ends_with_one_plain_line(
+    tmp_path: Path, change: object, word: str
+) -> None:
     path = tmp_path / "config.json"
     if isinstance(change, dict):
         path.write_bytes(orjson.dumps({**GOOD, **change}))
     command = [sys.executable, "-m", "hazelhollow", "check-config"]
-    run = subprocess.run(command, env={"RELAY_CONFIG": str(path)}, text=True, capture_output=True, timeout=60)
+    run = subprocess.run(
+        command, env={"RELAY_CONFIG": str(path)}, text=True, capture_output=True, timeout=60
+    )
     assert run.returncode == 2 and len(run.stderr.splitlines()) == 1 and word in run.stderr
 
 
@@ -259,7 +308,12 @@
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(GOOD))
     told = config.load({"RELAY_CONFIG": str(path), "RELAY_LISTEN": "127.0.0.9:7"})
-    assert (told.listen, told.seed, told.conn_idle, told.sockets) == (("127.0.0.9", 7), 255, 12.0, 99)
+    assert (told.listen, told.seed, told.conn_idle, told.sockets) == (
+        ("127.0.0.9", 7),
+        255,
+        12.0,
+        99,
+    )
     assert told.peers == (("127.0.0.1", 3),) and told.settings.gateways == 1
     variables = {"RELAY_CONFIG": str(path), "RELAY_DISCOVERY": "127.0.0.1:9"}
     assert config.load(variables).discovery == ("127.0.0.1", 9)
@@ -278,7 +332,9 @@
     ) as program:
         assert program.stderr
         line = next(line for line in program.stderr if "listens at" in line)
-        with socket.create_connection(("127.0.0.1", int(line.rpartition(":")[2])), timeout=30) as client:
+        with socket.create_connection(
+            ("127.0.0.1", int(line.rpartition(":")[2])), timeout=30
+        ) as client:
             client.sendall(resp.command([b"PING"]))
             assert client.recv(99) == b"+PONG\r\n"  # though no discovery answers
             program.send_signal(signal.SIGUSR1)
@@ -293,11 +349,15 @@
             assert client.recv(99) == b"+OK\r\n"
             assert client.recv(99) == b""
         assert program.wait(30) == 0
-        assert program.stderr.read().count('"accepted":1') == 2  # at the second SIGUSR1 and at the end
+        # at the second SIGUSR1 and at the end
+        assert program.stderr.read().count('"accepted":1') == 2
 
 
 def test_the_platforms_path_imports_nothing_of_the_operators() -> None:
-    """Off means: not imported. The libraries of the operator file would cost each limiter some 10 MB."""
+    """Off means: not imported.
+
+    The libraries of the operator file would cost each limiter some 10 MB.
+    """
     code = "import sys, hazelhollow.cli, hazelhollow.net.service; print(*sys.modules)"
     names = subprocess.run(
         [sys.executable, "-c", code], text=True, capture_output=True, timeout=60
@@ -313,4 +373,6 @@
         "hazelhollow.shared_store",
         "hazelhollow.standins",
     )
-    assert "hazelhollow.decisions.engine" in names and not [n for n in names if n.startswith(foreign)]
+    assert "hazelhollow.decisions.engine" in names and not [
+        n for n in names if n.startswith(foreign)
+    ]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,7 @@
-"""The operator file: what is read, what is said of what cannot be, and that no bytes do worse than that."""
+"""The operator file.
+
+What is read, what is said of what cannot be, and that no bytes do worse than that.
+"""
 
 from __future__ import annotations
 
@@ -57,10 +60,22 @@
         ('log: format: "console"', {"log": {"format": "console"}}),
         ('kind: is: "b"\nkind: y: "z"', {"kind": {"is": "b", "y": "z"}}),
         ("n: >=4 & 5", {"n": 5}),
-        ('_a: "h:2"\nstore: {address: _a, plans: ["p",\n "q",\n], lease: level: 2, wait: _t.long}\n_t: long: "3s"',
-         {"store": {"address": "h:2", "wait": "3s", "plans": ["p", "q"], "lease": {"share": 1.5, "level": 2}}}),
+        (
+            (
+                '_a: "h:2"\nstore: {address: _a, plans: ["p",\n "q",\n], lease: level: 2, '
+                'wait: _t.long}\n_t: long: "3s"'
+            ),
+            {
+                "store": {
+                    "address": "h:2",
+                    "wait": "3s",
+                    "plans": ["p", "q"],
+                    "lease": {"share": 1.5, "level": 2},
+                }
+            },
+        ),
     ],
-)  # fmt: skip
+)
 def test_a_file_is_unified_with_its_definition(text: str, changes: dict[str, object]) -> None:
     assert read(text) == {**DEFAULT, **changes}
 
@@ -81,7 +96,8 @@
         ("l: [...{k: *1 | int}]\nl: [{}, {k: 2}]", {"l": [{"k": 1}, {"k": 2}]}),
         ("#L: {v: int, next?: #L}\nl: #L & {v: 1, next: v: 2}", {"l": {"v": 1, "next": {"v": 2}}}),
         ("least: 3\na: >=least & 3", {"least": 3, "a": 3}),
-        ("a: {b: 1}\nc: {a: 2, d: a}", {"a": {"b": 1}, "c": {"a": 2, "d": 2}}),  # the innermost is meant
+        # the innermost is meant
+        ("a: {b: 1}\nc: {a: 2, d: a}", {"a": {"b": 1}, "c": {"a": 2, "d": 2}}),
         ("a: null\nb: (1 | *2) & >1", {"a": None, "b": 2}),
     ],
 )
@@ -94,34 +110,69 @@
     [
         ("n: 99", ["f.cue:1:4: n: 99 is not allowed here; allowed: *3 | int & >=1 & <=64"]),
         ('n: "3"', ['f.cue:1:4: n: "3" is not allowed here; allowed: *3 | int & >=1 & <=64']),
-        ("lgo: 1", ["f.cue:1:1: lgo: there is no such field, is 'log' meant?; allowed: kind, log, n, store"]),
-        ('store: {lease: level: 1}', ['f.cue:1:1: store.address: is missing; allowed: =~"^[^:]+:[0-9]+$"']),
+        (
+            "lgo: 1",
+            [
+                (
+                    "f.cue:1:1: lgo: there is no such field, is 'log' meant?; allowed: kind, "
+                    "log, n, store"
+                )
+            ],
+        ),
+        (
+            "store: {lease: level: 1}",
+            ['f.cue:1:1: store.address: is missing; allowed: =~"^[^:]+:[0-9]+$"'],
+        ),
         ('store: {address: "a:1"}', ["f.cue:1:1: store.lease.level: is missing; allowed: int"]),
-        ('store: {address: "a:1", wait: "5x", plans: ["x", 3]\nlease: {share: -1, zz: 3, level: 1}}\nn: 0',
-         ['f.cue:1:31: store.wait: "5x" is not allowed here; allowed: *"50ms" | #Time',
-          "f.cue:1:50: store.plans[1]: 3 is not allowed here; allowed: string",
-          "f.cue:2:16: store.lease.share: -1 is not allowed here; allowed: *1.5 | number & >0",
-          "f.cue:2:20: store.lease.zz: there is no such field; allowed: level, odd, share",
-          "f.cue:3:4: n: 0 is not allowed here; allowed: *3 | int & >=1 & <=64"]),
+        (
+            (
+                'store: {address: "a:1", wait: "5x", plans: ["x", 3]\nlease: {share: -1, zz: '
+                "3, level: 1}}\nn: 0"
+            ),
+            [
+                'f.cue:1:31: store.wait: "5x" is not allowed here; allowed: *"50ms" | #Time',
+                "f.cue:1:50: store.plans[1]: 3 is not allowed here; allowed: string",
+                (
+                    "f.cue:2:16: store.lease.share: -1 is not allowed here; allowed: *1.5 | "
+                    "number & >0"
+                ),
+                "f.cue:2:20: store.lease.zz: there is no such field; allowed: level, odd, share",
+                "f.cue:3:4: n: 0 is not allowed here; allowed: *3 | int & >=1 & <=64",
+            ],
+        ),
     ],
-)  # fmt: skip
-def test_all_troubles_are_told_with_place_path_and_what_is_allowed(text: str, expected: list[str]) -> None:
+)
+def test_all_troubles_are_told_with_place_path_and_what_is_allowed(
+    text: str, expected: list[str]
+) -> None:
     assert troubles(text) == expected
 
 
 @pytest.mark.parametrize(
     "text, word",
     [
-        ("a: {", "f.cue:1:4: the end of the file"), ("a: 1 b: 2", "f.cue:1:6: 'b'"), ("a: @", "f.cue:1:4: '@'"),
-        ("a: b", "f.cue:1:4: a: there is no 'b'"), ("a: b\nb: a", "f.cue:1:4: a: is no definite value"),
-        ("a: 1 | 2", "several values fit"), ("a: 1\na: 2", "f.cue:2:4: a: 2 is not allowed here; allowed: 1"),
-        ('a: "\\(x)"', "the escape"), ('a: =~"(a+)+$" & "aaaa"', "repeats within repeats"), ('a: =~"(" & "x"', "the pattern"),
-        ("#L: {next: #L}\nl: #L", "too much"), ("a: " + "[" * 40 + "]" * 40, "at most 32 brackets deep"),
-        ("a: 1234567890123456789", "a number of 19 digits"), ("_: 1", "'_' cannot be a label"), ("a: [1]\na: [1, 2]", "a list of 2 values"),
-        ("#A: {a: int}\nb: #A & {a: 1, c: 2}", "b.c: there is no such field"), ("a: >1 & 1", "a: 1 is not allowed"), ("a: b.c\nb: 1", "there is no b.c"),
-        ("a: 1 & 1.0", "a: 1 & 1.0 is not allowed here"), ("package 1", "'1' cannot stand here"),
+        ("a: {", "f.cue:1:4: the end of the file"),
+        ("a: 1 b: 2", "f.cue:1:6: 'b'"),
+        ("a: @", "f.cue:1:4: '@'"),
+        ("a: b", "f.cue:1:4: a: there is no 'b'"),
+        ("a: b\nb: a", "f.cue:1:4: a: is no definite value"),
+        ("a: 1 | 2", "several values fit"),
+        ("a: 1\na: 2", "f.cue:2:4: a: 2 is not allowed here; allowed: 1"),
+        ('a: "\\(x)"', "the escape"),
+        ('a: =~"(a+)+$" & "aaaa"', "repeats within repeats"),
+        ('a: =~"(" & "x"', "the pattern"),
+        ("#L: {next: #L}\nl: #L", "too much"),
+        ("a: " + "[" * 40 + "]" * 40, "at most 32 brackets deep"),
+        ("a: 1234567890123456789", "a number of 19 digits"),
+        ("_: 1", "'_' cannot be a label"),
+        ("a: [1]\na: [1, 2]", "a list of 2 values"),
+        ("#A: {a: int}\nb: #A & {a: 1, c: 2}", "b.c: there is no such field"),
+        ("a: >1 & 1", "a: 1 is not allowed"),
+        ("a: b.c\nb: 1", "there is no b.c"),
+        ("a: 1 & 1.0", "a: 1 & 1.0 is not allowed here"),
+        ("package 1", "'1' cannot stand here"),
     ],
-)  # fmt: skip
+)
 def test_what_cannot_be_read_is_named(text: str, word: str) -> None:
     assert any(word in trouble for trouble in troubles(text, schema=False))
 
@@ -134,8 +185,41 @@
         parse(data, "f.cue")
 
 
-PIECES = ["a", "b", "#D", "_h", ":", "?", "{", "}", "[", "]", "...", ",", "\n", "|", "*", "&", ">=", "=~", "!=", "1", "-2.5", '"x"',
-          "int", "string", "number", "_", "(", ")", ".", "true", "//c\n", "null", "package "]  # fmt: skip
+PIECES = [
+    "a",
+    "b",
+    "#D",
+    "_h",
+    ":",
+    "?",
+    "{",
+    "}",
+    "[",
+    "]",
+    "...",
+    ",",
+    "\n",
+    "|",
+    "*",
+    "&",
+    ">=",
+    "=~",
+    "!=",
+    "1",
+    "-2.5",
+    '"x"',
+    "int",
+    "string",
+    "number",
+    "_",
+    "(",
+    ")",
+    ".",
+    "true",
+    "//c\n",
+    "null",
+    "package ",
+]
 
 
 @given(
@@ -175,12 +259,17 @@
 
 @pytest.mark.parametrize(
     "text, word",
-    [('store: {address: "a:99999"}', "x.cue:1:18: store.address: port 99999"),
-     ('store: {address: "a:1", lease: {term: "100ms"}}', "at least four times store.call_timeout"),
-     ('store: {address: "a:1", presence: {term: "600ms"}}', "twice store.presence.every"),
-     ('store: {address: "a:1", call_timeout: "0s"}', "more than nothing"),
-     ('store: {address: "a:1", retry_most: "1ms"}', "at least store.retry_least")],
-)  # fmt: skip
+    [
+        ('store: {address: "a:99999"}', "x.cue:1:18: store.address: port 99999"),
+        (
+            'store: {address: "a:1", lease: {term: "100ms"}}',
+            "at least four times store.call_timeout",
+        ),
+        ('store: {address: "a:1", presence: {term: "600ms"}}', "twice store.presence.every"),
+        ('store: {address: "a:1", call_timeout: "0s"}', "more than nothing"),
+        ('store: {address: "a:1", retry_most: "1ms"}', "at least store.retry_least"),
+    ],
+)
 def test_what_no_field_shows_by_itself_is_checked_too(text: str, word: str) -> None:
     with pytest.raises(CueError, match=word):
         load.read(text.encode(), "x.cue")
--- a/tests/test_operator_address.py
+++ b/tests/test_operator_address.py
@@ -1,4 +1,7 @@
-"""The operator address: its calls by tables and by every cut, and callers that are slow, silent or wrong."""
+"""The operator address.
+
+Its calls by tables and by every cut, and callers that are slow, silent or wrong.
+"""
 
 from __future__ import annotations
 
@@ -111,8 +114,14 @@
 def test_vars_gives_every_figure_of_the_page() -> None:
     found = figures(stage())
     assert set(found) == {
-        "replies", "dispatches", "concurrent", "targets", "targets_disabled", "reload_success", "reload_failure",
-    }  # fmt: skip
+        "replies",
+        "dispatches",
+        "concurrent",
+        "targets",
+        "targets_disabled",
+        "reload_success",
+        "reload_failure",
+    }
     assert found["targets"] == 1 and found["concurrent"] == found["dispatches"] == 0
 
 
@@ -126,7 +135,9 @@
     assert found["dispatches"] == 1
 
 
-@pytest.mark.parametrize(("line", "answer"), [(b"", b"error no call"), (b"chec", b"error half a call")])
+@pytest.mark.parametrize(
+    ("line", "answer"), [(b"", b"error no call"), (b"chec", b"error half a call")]
+)
 def test_a_caller_that_does_not_finish_is_told_and_closed(line: bytes, answer: bytes) -> None:
     assert call(stage(), line, advance=WITHIN).startswith(answer)
 
@@ -138,7 +149,9 @@
 def test_silent_callers_do_not_hold_back_a_check() -> None:
     one = stage()
     assert one.service.operator
-    silent = [socket.create_connection(one.service.operator.address) for _ in range(MOST_CALLERS + 8)]
+    silent = [
+        socket.create_connection(one.service.operator.address) for _ in range(MOST_CALLERS + 8)
+    ]
     one.settle()
     assert call(one, b"check\n") == b"done ready\n"
     for end in silent:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,7 @@
-"""Settings read again at SIGHUP: what changes for new requests, what stays for open ones, and broken files."""
+"""Settings read again at SIGHUP.
+
+What changes for new requests, what stays for open ones, and broken files.
+"""
 
 from __future__ import annotations
 
@@ -53,9 +56,16 @@
 
 
 KINDS = [
-    "empty", "cut off", "no settings", "a class without deadline", "deadline zero", "deadline below zero",
-    "attempts zero", "deadline a text", "not an object",
-]  # fmt: skip
+    "empty",
+    "cut off",
+    "no settings",
+    "a class without deadline",
+    "deadline zero",
+    "deadline below zero",
+    "attempts zero",
+    "deadline a text",
+    "not an object",
+]
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -106,7 +116,9 @@
     gateway = make(0, gateways=1, max_attempts=3)
     (first,) = only(ask(gateway, 100.0, id="r1"), api.Send)
     gateway.retune(replace(gateway.settings, max_attempts=1))
-    assert only(answer(gateway, first, 100.1, "error"), api.Send), "an open request lost its further attempts"
+    assert only(
+        answer(gateway, first, 100.1, "error"), api.Send
+    ), "an open request lost its further attempts"
     (later,) = only(ask(gateway, 100.2, id="r2"), api.Send)
     assert not only(answer(gateway, later, 100.3, "error"), api.Send)
 
@@ -117,7 +129,8 @@
     gateway.retune(replace(gateway.settings, classes=gateway.settings.classes[:1]))
     answer(gateway, first, 100.1, "ok")  # its class is gone: it ends all the same
     assert "r1" not in gateway.held or gateway.held["r1"].ended
-    assert not only(ask(gateway, 100.2, kind="issue"), api.Send)  # a class that is gone is sent nowhere
+    # a class that is gone is sent nowhere
+    assert not only(ask(gateway, 100.2, kind="issue"), api.Send)
 
 
 def test_how_long_clients_waited_under_another_deadline_says_nothing_of_now() -> None:
@@ -126,7 +139,9 @@
     for patience in known.values():
         assert patience.longest(3.0)
     lookup, *rest = gateway.settings.classes
-    gateway.retune(replace(gateway.settings, classes=(replace(lookup, deadline=lookup.deadline / 2), *rest)))
+    gateway.retune(
+        replace(gateway.settings, classes=(replace(lookup, deadline=lookup.deadline / 2), *rest))
+    )
     assert known["lookup"].longest(1.5) and not known["issue"].longest(1.5)
 
 
@@ -134,7 +149,10 @@
     stage = Stage(hosts=1, connect_timeout=2.0)
     fillers = unanswering(stage)
     stage.service.reload(lambda: replace(stage.config, connect_timeout=0.1))
-    stage.play("a send [Q.ASK 00000000b4d65521 r1 c=look,t=basic,d=1000,units=1,spread=2,first=0]\nwait 0.15")
+    stage.play(
+        "a send [Q.ASK 00000000b4d65521 r1 "
+        "c=look,t=basic,d=1000,units=1,spread=2,first=0]\nwait 0.15"
+    )
     assert stage.service.stats.outcomes["connect_failed"] == 1 and len(fillers) == 2
 
 
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -1,4 +1,6 @@
-"""The renewed terms of the standing test (docs/design/standing-test.md), each with its bad order forced on connections."""
+"""The renewed terms of the standing test (docs/design/standing-test.md), each with its bad order
+forced on connections.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +25,16 @@
 from hazelhollow.net.service import _signals
 from hazelhollow.net.session import BATCH, WHOLE_WITHIN
 from tests.scenario import SETTINGS, STAGES, Stage
-from tests.test_endings import DEATHS, ENDLESS, RESET, drains, leave, s1_is_left, unanswering, watched
+from tests.test_endings import (
+    DEATHS,
+    ENDLESS,
+    RESET,
+    drains,
+    leave,
+    s1_is_left,
+    unanswering,
+    watched,
+)
 from tests.test_scenarios import DO, GET, VALUE, WATCH, ask
 
 STEP = 0.05  # seconds by which the clock goes on
@@ -34,12 +45,16 @@
 
 
 class Agent:
-    """Discovery's agent: it answers at once with what it has, and holds a watch, or it fails as it is told to."""
+    """Discovery's agent.
+
+    It answers at once with what it has, and holds a watch, or it fails as it is told to.
+    """
 
     def __init__(self, stage: Stage, patch: pytest.MonkeyPatch) -> None:
         self.stage, self.mode, self.version, self.changed = stage, "well", 1, False
         self.address = stage.listeners["disco"].getsockname()
-        self._calls: list[tuple[socket.socket, str, float]] = []  # not answered: connection, call, since when
+        # not answered: connection, call, since when
+        self._calls: list[tuple[socket.socket, str, float]] = []
         self._open: list[socket.socket] = []
         self._fillers: list[socket.socket] = []
         self._late_up: dict[stream.Stream, float] = {}
@@ -152,7 +167,9 @@
         body = (
             drains(self.stage, self.version)
             if self.changed
-            else orjson.dumps(self.stage.table("whole", self.version, "s1:in_service", "s2:in_service"))
+            else orjson.dumps(
+                self.stage.table("whole", self.version, "s1:in_service", "s2:in_service")
+            )
         )
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
@@ -184,7 +201,9 @@
 
 
 def told_after(mix: list[tuple[str, float]], changed_at: int) -> float:
-    """Seconds from when discovery has the change and can be reached to when the limiter keeps to it."""
+    """Seconds from when discovery has the change and can be reached to when the limiter keeps to
+    it.
+    """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
@@ -195,7 +214,8 @@
                 agent.change()
             agent.turn_to(mode)
             agent.run(seconds)
-            assert "s2" in stage.service.backend._hosts  # nothing but a whole answer is taken for a list
+            # nothing but a whole answer is taken for a list
+            assert "s2" in stage.service.backend._hosts
         agent.turn_to("well")
         if not agent.changed:
             agent.change()
@@ -226,7 +246,10 @@
 
 @pytest.mark.parametrize("mode", ["late up", "slow"])
 def test_an_agent_that_is_late_with_all_that_it_does_is_heard_in_time(mode: str) -> None:
-    """Each of its connections comes up, or each of its answers comes, after another call has been begun."""
+    """Each of its connections comes up.
+
+    Or each of its answers comes, after another call has been begun.
+    """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
@@ -240,7 +263,10 @@
 
 
 def test_a_call_that_hangs_does_not_keep_a_later_slow_one_from_being_heard() -> None:
-    """One slow call at a time is waited for: the first, which is never answered, must make room for it soon."""
+    """One slow call at a time is waited for.
+
+    The first, which is never answered, must make room for it soon.
+    """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
@@ -252,8 +278,13 @@
         agent.close()
 
 
-def test_a_failure_of_our_own_as_a_list_is_taken_in_costs_no_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The version is known by then, and the module has not been told: only the whole list says it again."""
+def test_a_failure_of_our_own_as_a_list_is_taken_in_costs_no_change(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The version is known by then, and the module has not been told.
+
+    Only the whole list says it again.
+    """
     stage = Stage(hosts=2)
     watched(stage)
     with monkeypatch.context() as patch:
@@ -269,7 +300,9 @@
     table = stage.table("table", 6, "s1:terminating")
     del table["endpoints"][0]["address"]
     body = orjson.dumps(table)
-    stage._end("disco").sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+    stage._end("disco").sendall(
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+    )
     stage.play(f"wait 0.2\ndisco expect {GET}\ndisco send whole 6 s2:in_service")
     assert s1_is_left(stage)
 
@@ -280,7 +313,10 @@
     stage = Stage(hosts=2)
     watched(stage)
     for number in range(6, 16):
-        stage.play(f"wait 1.4\ndisco send table {number} s2:in_service\ndisco expect {WATCH.format(number)}")
+        stage.play(
+            f"wait 1.4\ndisco send table {number} s2:in_service\ndisco expect "
+            f"{WATCH.format(number)}"
+        )
     stage.play(DEATHS[death])
     for _ in range(10):
         try:
@@ -295,8 +331,13 @@
 # Clients that go
 
 
-def test_what_waits_behind_answers_that_a_client_does_not_take_is_not_begun_once_it_has_gone() -> None:
-    """Back pressure: the system takes no more of an answer while the limiter waits for the client's next command."""
+def test_what_waits_behind_answers_that_a_client_does_not_take_is_not_begun_once_it_has_gone() -> (
+    None
+):
+    """Back pressure.
+
+    The system takes no more of an answer while the limiter waits for the client's next command.
+    """
     stage = Stage(hosts=1)
     stage._end("a").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     value = VALUE.replace(r"$2\r\nhi", "$65536\\r\\n" + "v" * 65536)
@@ -312,10 +353,15 @@
 
 
 def test_an_attempt_does_not_begin_for_a_client_that_left_while_the_limiter_was_busy() -> None:
-    """What is due by then comes before the next look at the sockets, and a connection to a host lies ready for it."""
+    """What is due by then comes before the next look at the sockets.
+
+    And a connection to a host lies ready for it.
+    """
     stage = Stage(hosts=2, connect_timeout=0.25)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s2:in_service")
-    stage.play(f"b send {ask(9)}\ns2 expect {ask(9)}\ns2 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05")
+    stage.play(
+        f"b send {ask(9)}\ns2 expect {ask(9)}\ns2 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05"
+    )
     fillers = unanswering(stage, "s1")
     changed, table = stage.service._changed, stage.service.table
     changed(table.apply(stage.table("whole", 3, "s1:in_service")))
@@ -336,7 +382,10 @@
 def test_a_connection_that_comes_up_at_a_busy_limiter_carries_nothing_for_a_client_that_has_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client leaves and the connection comes up between two looks at the sockets; the connection is seen first."""
+    """The client leaves and the connection comes up between two looks at the sockets.
+
+    The connection is seen first.
+    """
     stage = Stage(hosts=1)
 
     def late(self: stream.Stream, address: tuple[str, int], until: float) -> Ending | None:
@@ -360,7 +409,10 @@
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 @pytest.mark.parametrize("whole", [False, True])
 def test_a_close_behind_a_part_of_a_command_is_seen(how: str, whole: bool) -> None:
-    """A client that cancels in the middle of what it sends; before it, perhaps, a request whose attempt waits."""
+    """A client that cancels in the middle of what it sends.
+
+    Before it, perhaps, a request whose attempt waits.
+    """
     stage = Stage(hosts=1)
     fillers = unanswering(stage)
     if whole:
@@ -405,7 +457,11 @@
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s2:in_service\ns1 send -ERR failed")
     assert stage.service.stats.attempts == 2 and len(stage.service.backend._lines) == 1
     leave(stage, "a", "close")
-    assert not stage.service.backend._lines and stage.service.stats.dispatches == 1 and len(fillers) == 2
+    assert (
+        not stage.service.backend._lines
+        and stage.service.stats.dispatches == 1
+        and len(fillers) == 2
+    )
     stage.play("wait 3.1")
     assert stage.service.stats.attempts == 2 and not stage.service.limiter.open
 
@@ -431,7 +487,9 @@
     assert not stage.service.limiter.open and stage.service.stats.dispatches == 1
 
 
-def test_who_leaves_while_all_connections_to_hosts_are_taken_gets_no_attempt_once_one_is_free() -> None:
+def test_who_leaves_while_all_connections_to_hosts_are_taken_gets_no_attempt_once_one_is_free() -> (
+    None
+):
     stage = Stage(hosts=2, sockets=0)  # room for six connections to hosts
     for number in range(9):
         stage.play(f"c{number} send {ask(number, 3000)}")
@@ -477,9 +535,11 @@
         stage.play(f"i{number} send [SELECT 0]\ni{number} expect +OK")
 
 
-def test_with_all_descriptors_held_by_idle_clients_requests_and_calls_to_discovery_find_theirs() -> None:
+def test_requests_and_discovery_get_descriptors_though_idle_clients_hold_all() -> None:
     stage = Stage(hosts=1)
-    watched_once = f"disco expect {GET}\ndisco send whole 5 s1:in_service\ndisco expect {WATCH.format(5)}"
+    watched_once = (
+        f"disco expect {GET}\ndisco send whole 5 s1:in_service\ndisco expect {WATCH.format(5)}"
+    )
     stage.play(watched_once)
     address = stage.listeners["disco"].getsockname()
     stage.listeners["disco"].close()  # discovery is down
@@ -521,14 +581,20 @@
 
 
 def test_clients_that_hold_half_a_command_each_take_no_more_than_the_clients_share() -> None:
-    """None of them rests, so none of them may be ended to let in another: the others wait in the queue."""
+    """None of them rests, so none of them may be ended to let in another.
+
+    The others wait in the queue.
+    """
     stage = Stage(hosts=1, sockets=96)
     frontend = stage.service.frontend
     for number in range(200):
         stage._end(f"h{number}").sendall(stage.bytes_of(ask(number))[:40])
         stage.settle(2)
         assert len(frontend.sessions) <= frontend.places.most
-        assert len(frontend.sessions) + len(frontend.lingering) <= frontend.places.most + MOST_LINGERING
+        assert (
+            len(frontend.sessions) + len(frontend.lingering)
+            <= frontend.places.most + MOST_LINGERING
+        )
     assert len(frontend.sessions) == frontend.places.most
     stage.play(f"z send [PING]\nwait {WHOLE_WITHIN + 0.5}")
     for number in range(200):
@@ -540,7 +606,11 @@
 # Starts
 
 
-FILLS: dict[str, bytes] = {"nobody": b"", "idle clients": b"", "clients with half a command": b"*4\r\n$5\r\n"}
+FILLS: dict[str, bytes] = {
+    "nobody": b"",
+    "idle clients": b"",
+    "clients with half a command": b"*4\r\n$5\r\n",
+}
 AGENTS = ("well", "silent", "refused", "never up", "late up", "slow", "503", "half", "not HTTP")
 
 
@@ -549,7 +619,10 @@
 def test_a_limiter_is_ready_within_seconds_whatever_discovery_and_clients_do(
     mode: str, fill: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """10 s are allowed; what it needs is READY_WITHIN, and the time in which a command must come to its end."""
+    """10 s are allowed.
+
+    What it needs is READY_WITHIN, and the time in which a command must come to its end.
+    """
     stage = Stage(hosts=2, heard=False, sockets=0)
     agent = Agent(stage, monkeypatch)
     agent.turn_to(mode)
@@ -584,15 +657,20 @@
     stage.play("wait 0.3\nwait 0.3")
     left = 1500
     stage.play(
-        f"b expect +PONG\ns1 expect {ask(1, left)}\ns1 send {VALUE}\na expect $2\\r\\nhi\na close\nb close\nwait 1"
+        f"b expect +PONG\ns1 expect {ask(1, left)}\ns1 send {VALUE}\na expect "
+        "$2\\r\\nhi\na close\nb close\nwait 1"
     )
     assert stage.scheduler._stopped
 
 
 def test_a_sighup_before_the_first_list_moves_the_watch_and_delays_no_readiness() -> None:
     stage = Stage(hosts=2, heard=False)
-    stage.play(f"a send [PING]\nb send {ask(1)}\nwait 0.2\ndisco2 reload\na expect nothing\nwait 0.1")
-    stage.play(f"disco2 expect {GET}\ndisco2 send whole 2 s1:terminating s2:in_service\na expect +PONG")
+    stage.play(
+        f"a send [PING]\nb send {ask(1)}\nwait 0.2\ndisco2 reload\na expect nothing\nwait 0.1"
+    )
+    stage.play(
+        f"disco2 expect {GET}\ndisco2 send whole 2 s1:terminating s2:in_service\na expect +PONG"
+    )
     stage.play(f"s2 expect {ask(1, 700)}")
 
 
@@ -614,7 +692,7 @@
 # Whole lists that leave out what drains
 
 
-def test_a_host_that_a_whole_list_leaves_out_is_gone_though_it_answers_and_finishes_what_it_has() -> None:
+def test_a_host_that_a_whole_list_leaves_out_is_gone_though_it_still_answers() -> None:
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service")
     stage.play(f"a send {ask(1)}\ns1.1 expect {ask(1)}\nb send {ask(2)}\ns1.2 expect {ask(2)}")
@@ -626,7 +704,9 @@
     assert stage.service.stats.outcomes["ok"] == 2 and set(stage.service.backend._hosts) == {"s2"}
 
 
-def test_an_attempt_that_has_not_left_for_a_host_that_a_whole_list_leaves_out_goes_to_another() -> None:
+def test_an_attempt_that_has_not_left_for_a_host_that_a_whole_list_leaves_out_goes_to_another() -> (
+    None
+):
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s1")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {DO.format(1)}")
@@ -636,8 +716,12 @@
 
 def test_a_host_that_was_left_out_and_is_named_again_serves_again() -> None:
     stage = Stage(hosts=1)
-    stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\ndisco expect {WATCH.format(2)}")
-    stage.play(f"disco send whole 3\ndisco expect {WATCH.format(3)}\na send {ask(1)}\na expect -BUSY 250")
+    stage.play(
+        f"disco expect {GET}\ndisco send whole 2 s1:in_service\ndisco expect {WATCH.format(2)}"
+    )
+    stage.play(
+        f"disco send whole 3\ndisco expect {WATCH.format(3)}\na send {ask(1)}\na expect -BUSY 250"
+    )
     stage.play(f"disco send whole 4 s1:in_service\na send {ask(2)}\ns1 expect {ask(2)}")
 
 
@@ -650,6 +734,7 @@
         stage.settle(2)
         if number == len(words) // 2:
             stage.play(
-                f"b send {ask(2)}\ns1.1 expect {ask(2)}\ns1 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05"
+                f"b send {ask(2)}\ns1.1 expect {ask(2)}\ns1 send {VALUE}\nb expect "
+                "$2\\r\\nhi\nwait 0.05"
             )
     stage.play(f"s1 expect {DO.format(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,7 @@
-"""Counts that only grow, their merge and exchange, catch-up, hosts put out by hand, and snapshots: the modules alone."""
+"""Counts that only grow, their merge and exchange, catch-up, hosts put out by hand, and snapshots.
+
+The modules alone.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,11 @@
 
 NOW = 1_700_000_000
 values = st.builds(
-    Value, st.integers(NOW - 9, NOW - 7), st.integers(NOW - 6, NOW), st.integers(0, 40), st.integers(0, 1)
+    Value,
+    st.integers(NOW - 9, NOW - 7),
+    st.integers(NOW - 6, NOW),
+    st.integers(0, 40),
+    st.integers(0, 1),
 )
 rows = st.builds(
     Row,
@@ -46,17 +53,24 @@
 
 
 @given(values, values, values)
-def test_the_merge_of_counts_is_associative_commutative_and_idempotent(a: Value, b: Value, c: Value) -> None:
+def test_the_merge_of_counts_is_associative_commutative_and_idempotent(
+    a: Value, b: Value, c: Value
+) -> None:
     assert merge(a, merge(b, c)) == merge(merge(a, b), c)
     assert merge(a, b) == merge(b, a) and merge(a, a) == a
 
 
 @given(values, values)
-def test_a_merge_lowers_nothing_and_is_sure_only_of_what_the_member_said(a: Value, b: Value) -> None:
+def test_a_merge_lowers_nothing_and_is_sure_only_of_what_the_member_said(
+    a: Value, b: Value
+) -> None:
     one = merge(a, b)
     for value in (a, b):
         assert one.through >= value.through and (one.since, one.total) >= (value.since, value.total)
-    assert one.through in (a.through, b.through) and (one.since, one.total) in (a[::2][:2], b[::2][:2])
+    assert one.through in (a.through, b.through) and (one.since, one.total) in (
+        a[::2][:2],
+        b[::2][:2],
+    )
     assert one.sure == any(value.sure and value[:3] == one[:3] for value in (a, b))
 
 
@@ -86,8 +100,10 @@
 
 
 def true_history(some: list[Row]) -> list[Row]:
-    """The same rows, so that all of one count can be true: of two the later `through` has the greater (since, total), and the
-    same `through` has the same."""
+    """The same rows, so that all of one count can be true.
+
+    Of two the later `through` has the greater (since, total), and the same `through` has the same.
+    """
     by_count: dict[tuple[str, int, str], list[Value]] = {}
     for row in some:
         by_count.setdefault((row.key, row.member, row.life), []).append(row.value)
@@ -135,14 +151,19 @@
 
 
 @given(st.lists(rows, max_size=20), st.integers(1, KEPT_FOR + 8))
-@example([heard(NOW - 6, 1), heard(NOW - 5, 0)], KEPT_FOR - 6)  # the greater total is the first too old
-@example([heard(NOW - 6, 0, since=NOW - 8), heard(NOW - 5, 5)], KEPT_FOR - 6)  # so is the later beginning
+# the greater total is the first too old
+@example([heard(NOW - 6, 1), heard(NOW - 5, 0)], KEPT_FOR - 6)
+# so is the later beginning
+@example([heard(NOW - 6, 0, since=NOW - 8), heard(NOW - 5, 5)], KEPT_FOR - 6)
 @example([heard(NOW - 6, 3), heard(NOW - 5, 2), heard(NOW - 4, 1)], KEPT_FOR - 5)
 def test_what_is_folded_in_is_let_go_by_all_at_once_also_where_hearsay_contradicts_itself(
     some: list[Row], later: int
 ) -> None:
-    """One that begins late refuses what is too old, so that it may know less of a count than another; which counts are kept,
-    and until when, is the same at both before they have told each other anything, and one exchange makes up for the rest."""
+    """One that begins late refuses what is too old.
+
+    So that it may know less of a count than another; which counts are kept, and until when, is the
+    same at both before they have told each other anything, and one exchange makes up for the rest.
+    """
     early, late = book_of(some), book_of(some, NOW + later)
     early.turn(NOW + later)
     kept = counts_in(early)
@@ -182,7 +203,9 @@
 
 
 def test_contradictions_are_counted_and_settled_by_the_rule_not_by_who_spoke_last() -> None:
-    low, high = (Row("a", "pl", 0, 3, 1, "l1", Value(NOW - 9, NOW - 4, total)) for total in (10, 12))
+    low, high = (
+        Row("a", "pl", 0, 3, 1, "l1", Value(NOW - 9, NOW - 4, total)) for total in (10, 12)
+    )
     for order in ((low, high), (high, low)):
         book = book_of(list(order))
         assert held(book) == {high} and book.troubles == {"two histories": 1}
@@ -210,9 +233,24 @@
 # Words
 
 slices = st.builds(
-    Slice, st.sampled_from(["a1", "zz9"]), st.just("pl"), st.integers(0, 4), st.integers(1, 5), st.integers(0, 9999),
-    st.lists(st.builds(Recent, st.integers(0, 4), st.just("l1"), values.map(lambda value: value._replace(sure=1)), st.integers(0, 99), st.integers(0, 99)), max_size=3).map(tuple),
-)  # fmt: skip
+    Slice,
+    st.sampled_from(["a1", "zz9"]),
+    st.just("pl"),
+    st.integers(0, 4),
+    st.integers(1, 5),
+    st.integers(0, 9999),
+    st.lists(
+        st.builds(
+            Recent,
+            st.integers(0, 4),
+            st.just("l1"),
+            values.map(lambda value: value._replace(sure=1)),
+            st.integers(0, 99),
+            st.integers(0, 99),
+        ),
+        max_size=3,
+    ).map(tuple),
+)
 
 
 @given(slices, st.lists(rows, min_size=1, max_size=3), hands)
@@ -225,7 +263,9 @@
     message = messages.read(line, 5)
     assert message is not None and message.slices == (one, None) and message.parts == (1, 2, 3)
     alike = [row._replace(key="a") for row in some]
-    message = messages.read(messages.head(messages.ROWS, "l1", NOW) + messages.row_words(alike, NOW), 5)
+    message = messages.read(
+        messages.head(messages.ROWS, "l1", NOW) + messages.row_words(alike, NOW), 5
+    )
     assert message is not None and list(message.rows) == alike
     message = messages.read(messages.head(messages.HANDS, "l1", NOW) + messages.hand_word(call), 5)
     assert message is not None and message.hands == (call,)
@@ -239,12 +279,24 @@
 @pytest.mark.parametrize(
     "text",
     [
-        "c1r l1/1", "c2r l1/1 ", "c1x l1/1 ", "c1r l1/1  a:pl:0:0:1.l1.1.1.1", "c1r l1/1  a:pl:9:1:1.l1.1.1.1",
-        "c1r l1/1  a:pl:0:1:9.l1.1.1.1", "c1r l1/1  a:pl:0:1:1.l1.1.1", "c1r l1/1  a:pl:0:1:1.l1.-1.1.1", "c1q l1/1 1-2",
-        "c1q l1/1 1-2-3 a", "c1h l1/1  h:1:2:1:1", "c1h l1/1  :1:1:1:1", "c1r " + "l" * 9 + "/1 ", "c1r l1/1 " + " " * 300,
-        "c1g l1/1 1-2-3 a:pl:0:1:1:1.l1.1.1.1.1", "c1r L1/1 ",
+        "c1r l1/1",
+        "c2r l1/1 ",
+        "c1x l1/1 ",
+        "c1r l1/1  a:pl:0:0:1.l1.1.1.1",
+        "c1r l1/1  a:pl:9:1:1.l1.1.1.1",
+        "c1r l1/1  a:pl:0:1:9.l1.1.1.1",
+        "c1r l1/1  a:pl:0:1:1.l1.1.1",
+        "c1r l1/1  a:pl:0:1:1.l1.-1.1.1",
+        "c1q l1/1 1-2",
+        "c1q l1/1 1-2-3 a",
+        "c1h l1/1  h:1:2:1:1",
+        "c1h l1/1  :1:1:1:1",
+        "c1r " + "l" * 9 + "/1 ",
+        "c1r l1/1 " + " " * 300,
+        "c1g l1/1 1-2-3 a:pl:0:1:1:1.l1.1.1.1.1",
+        "c1r L1/1 ",
     ],
-)  # fmt: skip
+)
 def test_a_message_that_any_part_of_is_not_so_is_none(text: str) -> None:
     assert messages.read(text, 5) is None
 
@@ -279,7 +331,10 @@
 
 
 class Net:
-    """Exchanges that hear each other, with a clock; what is lost, doubled or late is drawn from a seed."""
+    """Exchanges that hear each other, with a clock.
+
+    What is lost, doubled or late is drawn from a seed.
+    """
 
     def __init__(
         self,
@@ -289,9 +344,15 @@
         double: float = 0.0,
         whole: tuple[int, ...] = (0, 1),
     ) -> None:
-        self.random, self.now, self.lose, self.double = random.Random(seed), float(NOW), lose, double
+        self.random, self.now, self.lose, self.double = (
+            random.Random(seed),
+            float(NOW),
+            lose,
+            double,
+        )
         self.all = [
-            exchange.Exchange(n, len(sources), f"l{n}", seed + n, source) for n, source in enumerate(sources)
+            exchange.Exchange(n, len(sources), f"l{n}", seed + n, source)
+            for n, source in enumerate(sources)
         ]
         for number in whole:
             self.all[number].whole, self.all[number].told_by = True, number
@@ -350,14 +411,16 @@
 
 @settings(max_examples=15, deadline=None)
 @given(st.integers(0, 1000), st.sampled_from([0.0, 0.1, 0.3]))
-def test_books_that_differ_are_brought_together_through_loss_and_doubling(seed: int, lose: float) -> None:
+def test_books_that_differ_are_brought_together_through_loss_and_doubling(
+    seed: int, lose: float
+) -> None:
     net = Net([Known() for _ in range(4)], seed, lose, double=0.2, whole=(0, 1, 2, 3))
     told = {charge(net, n, base36(36**2 + k), 10 * k + n) for n in range(4) for k in range(12)}
     net.run(30.0, net.same)
     assert [held(one.book) for one in net.all] == [told] * 4 and net.most <= messages.MOST_BYTES
 
 
-def test_what_was_charged_while_two_parts_could_not_hear_each_other_is_told_by_any_that_knows_it() -> None:
+def test_charges_made_during_a_partition_are_told_by_any_member_that_knows_them() -> None:
     net = Net([Known() for _ in range(3)], whole=(0, 1, 2))
     net.cut = lambda a, b: {a, b} == {0, 2}  # these two never hear each other
     row = charge(net, 0, "a", 40)
@@ -383,7 +446,10 @@
     net.run(2.0)
     before = net.bytes
     net.run(10.0)
-    assert net.bytes - before < 3 * 10 * (1 / (exchange.BEAT * exchange.SYNC_EVERY)) * messages.MOST_BYTES
+    assert (
+        net.bytes - before
+        < 3 * 10 * (1 / (exchange.BEAT * exchange.SYNC_EVERY)) * messages.MOST_BYTES
+    )
 
 
 @settings(max_examples=12, deadline=None)
@@ -412,7 +478,9 @@
     net = Net([Known(30), Known(30), Known()])
     silent = 1
     net.deaf = lambda a, b: a == silent and b == 2  # it hears and is not heard, though it is there
-    net.all[2].random = random.Random(next(s for s in range(99) if random.Random(s).choice([0, 1]) == silent))
+    net.all[2].random = random.Random(
+        next(s for s in range(99) if random.Random(s).choice([0, 1]) == silent)
+    )
     net.run(20.0, lambda: net.all[2].whole)
     assert net.all[2].told_by == 0 and net.all[2].counts["givers lost"] == 1
 
@@ -595,13 +663,14 @@
     net.carry(0, net.all[0].call("h2", True, net.now - 500.0))  # its clock is behind
     net.carry(3, net.all[3].call("h1", False, net.now + 500.0))
     net.carry(3, net.all[3].call("h2", True, net.now))
-    net.carry(3, net.all[3].call("h2", False, net.now))  # made after having seen that it was out: goes on
+    # made after having seen that it was out: goes on
+    net.carry(3, net.all[3].call("h2", False, net.now))
     net.cut = lambda a, b: False
     net.run(20.0, lambda: len({one.hands.digest() for one in net.all}) == 1)
     assert [one.hands.out() for one in net.all] == [{"h1": False, "h2": False}] * 4
 
 
-def test_of_two_calls_made_at_once_the_one_that_puts_the_host_out_holds_whatever_the_clocks_say() -> None:
+def test_of_two_concurrent_overrides_the_disabling_one_holds_whatever_the_clocks() -> None:
     out, back = Hand("h", 2, 1, 5, 0), Hand("h", 2, 0, 900, 3)
     for order in ((out, back), (back, out)):
         one = Hands()
@@ -648,7 +717,10 @@
         (snapshot.write(snapshot.Snapshot("other", 1, NOW, 2, [], [])), "other"),
         (snapshot.write(snapshot.Snapshot(snapshot.FORMAT, 2, NOW, 2, [], [])), "version 2"),
         (snapshot.write(snapshot.Snapshot(snapshot.FORMAT, 1, NOW, 1, [], [])), "member 1"),
-        (snapshot.write(snapshot.Snapshot(snapshot.FORMAT, 1, NOW - 7200.0, 2, [], [])), "7200 s old"),
+        (
+            snapshot.write(snapshot.Snapshot(snapshot.FORMAT, 1, NOW - 7200.0, 2, [], [])),
+            "7200 s old",
+        ),
         (b"\x8b\x98w\x07abc", "spoilt"),
     ],
 )
--- a/tests/test_replica_bench.py
+++ b/tests/test_replica_bench.py
@@ -1,4 +1,7 @@
-"""The model of all that can happen to counts finds what is planted and nothing else; catch-up, measured, tells all once."""
+"""The model of all that can happen to counts finds what is planted and nothing else.
+
+Catch-up, measured, tells all once.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_replica_module.py
+++ b/tests/test_replica_module.py
@@ -1,4 +1,7 @@
-"""What the decision module does with counts that are told again: nothing twice, nothing forgotten."""
+"""What the decision module does with counts that are told again.
+
+Nothing twice, nothing forgotten.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +26,11 @@
 
 
 class Cluster:
-    """Real modules on a clock set by hand. Each datagram is delivered at once or lost, as the test says; the counts that
-    they close are kept, to be told when the test says."""
+    """Real modules on a clock set by hand.
+
+    Each datagram is delivered at once or lost, as the test says; the counts that they close are
+    kept, to be told when the test says.
+    """
 
     def __init__(self, members: int = 3, plan: str = "slow") -> None:
         self.now, self.plan, self.charged = 1000.0, plan, 0.0
@@ -36,7 +42,12 @@
 
     def _gateway(self, me: int, members: int) -> Gateway:
         settings_ = replace(
-            SETTINGS, me=me, gateways=members, plans=(SLOW, FAST), peers=True, messages_in_per_s=1000.0
+            SETTINGS,
+            me=me,
+            gateways=members,
+            plans=(SLOW, FAST),
+            peers=True,
+            messages_in_per_s=1000.0,
         )
         one = Gateway(settings_, seed=me)
         one.handle(servers("full", *(entry(f"s{n}") for n in range(6))), self.now)
@@ -44,16 +55,25 @@
         return one
 
     def view(self, members: int, lost: tuple[int, ...] = ()) -> api.Fleet:
-        return api.Fleet(True, tuple(n for n in range(members) if n not in lost), lost=lost, keeps=True)
+        return api.Fleet(
+            True, tuple(n for n in range(members) if n not in lost), lost=lost, keeps=True
+        )
 
     def ask(self, number: int, customer: str = "c") -> bool:
         served = False
         actions = ask(
-            self.all[number], self.now, "look", plan_name=self.plan, customer=customer, spread=len(self.all)
+            self.all[number],
+            self.now,
+            "look",
+            plan_name=self.plan,
+            customer=customer,
+            spread=len(self.all),
         )
         for action in actions:
             if isinstance(action, api.Send):
-                self.all[number].handle(api.Outcome(action.id, 0, action.server, "ok", 0.01, True), self.now)
+                self.all[number].handle(
+                    api.Outcome(action.id, 0, action.server, "ok", 0.01, True), self.now
+                )
                 served, self.charged = True, self.charged + 1.0
         self.carry(number, actions)
         return served
@@ -63,7 +83,9 @@
             if isinstance(action, api.Tell) and (number, action.gateway) in self.heard:
                 self.all[action.gateway].handle(api.PeerMessage(number, action.text), self.now)
             elif isinstance(action, api.Closed):
-                known = self.closed.setdefault((action.key, action.told.member, action.told.life), action)
+                known = self.closed.setdefault(
+                    (action.key, action.told.member, action.told.life), action
+                )
                 if action.told.total > known.told.total:
                     self.closed[action.key, action.told.member, action.told.life] = action
 
@@ -79,7 +101,11 @@
         for (_, member, life), action in list(self.closed.items()):
             if (member, life) != (number, self.all[number].life):
                 event = api.Copied(
-                    action.key, action.plan_name, action.first_gateway, action.spread, (action.told,)
+                    action.key,
+                    action.plan_name,
+                    action.first_gateway,
+                    action.spread,
+                    (action.told,),
                 )
                 self.all[number].handle(event, self.now)
 
@@ -213,7 +239,9 @@
     assert list(new.accounts.values())[1].budget.level == 39.0
 
 
-def test_what_a_member_used_of_what_was_left_to_it_is_not_taken_again_and_the_rest_comes_back() -> None:
+def test_what_a_member_used_of_what_was_left_to_it_is_not_taken_again_and_the_rest_comes_back() -> (
+    None
+):
     one = Cluster(plan="fast")
     for number in range(3):
         one.ask(number)
@@ -288,11 +316,13 @@
     assert not account.aside
 
 
-def test_counts_of_a_customer_that_is_not_known_here_matter_only_while_its_burst_is_not_full_again() -> None:
+def test_counts_of_an_unknown_customer_matter_only_until_its_burst_is_full() -> None:
     one = Cluster(plan="fast")
     for age, total, left in ((10, 30.0, None), (1, 35.0, 25.0)):
         key, since = gossip.base36(36**4 + age), int(one.now) - age
-        one.all[0].handle(api.Copied(key, "fast", 0, 3, (api.Count(1, "xy", since, since, total),)), one.now)
+        one.all[0].handle(
+            api.Copied(key, "fast", 0, 3, (api.Count(1, "xy", since, since, total),)), one.now
+        )
         account = one.all[0].accounts.get(key)
         assert (account is None) == (left is None)
         if account and left is not None:
@@ -334,10 +364,16 @@
     one.handle(servers("full", entry("s1")), 1000.0)
     ask(one, 1000.1, "look", plan_name="slow")
     for turn in range(40):
-        assert not [a for a in one.handle(api.Timer("beat"), 1000.1 + turn / 10) if isinstance(a, api.Closed)]
+        assert not [
+            a
+            for a in one.handle(api.Timer("beat"), 1000.1 + turn / 10)
+            if isinstance(a, api.Closed)
+        ]
     account = next(iter(one.accounts.values()))
     assert (
-        account.totals.bases is None and not account.aside and one.copy_of(next(iter(one.accounts))) is None
+        account.totals.bases is None
+        and not account.aside
+        and one.copy_of(next(iter(one.accounts))) is None
     )
 
 
@@ -349,10 +385,12 @@
     assert totals.told("1.x", 100, 103, 7.0) == 0.0 and totals.told("1.x", 99, 110, 50.0) == 0.0
     assert totals.told("1.x", 100, 105, 11.0) == 2.0
     assert totals.told("1.x", 108, 108, 1.0) == 1.0  # counted anew
-    # Of one that began before this gateway knew the customer the first word adds nothing: it is part of the beginning.
+    # Of one that began before this gateway knew the customer the first word adds nothing: it is
+    # part of the beginning.
     assert totals.told("2.y", 50, 101, 30.0) == 0.0 and totals.told("2.y", 50, 105, 33.0) == 3.0
     totals.turn(109)
-    assert totals.hear("1.x", 108, 1.0) == 0.0  # gossip that comes after the count that it is part of
+    # gossip that comes after the count that it is part of
+    assert totals.hear("1.x", 108, 1.0) == 0.0
     assert totals.hear("1.x", 109, 1.0) == 1.0
 
 
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -1,4 +1,7 @@
-"""What real processes keep alike while they are killed, cut off and started again, and what quotas make of it."""
+"""What real processes keep alike while they are killed, cut off and started again.
+
+And what quotas make of it.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +64,9 @@
     (tmp_path / "fleet").mkdir()
     four = plan.Plan(name="x", instances=4, hosts=2)
     one = Kept(World(sch.Scheduler(sch.Clock()), four, tmp_path / "fleet", operator=disk_file))
-    one.until(lambda: one.whole() and all(one.replica(name).get("whole") for name in one.world.names))
+    one.until(
+        lambda: one.whole() and all(one.replica(name).get("whole") for name in one.world.names)
+    )
     yield one
     one.world.close()
 
@@ -111,7 +116,9 @@
     first = kept.world.crew.members["n1"].log.read_text().count("told by member")
     kept.world.crew.kill("n1")
     kept.world.crew.start("n1")
-    kept.until(lambda: kept.world.crew.members["n1"].log.read_text().count("told by member") > first)
+    kept.until(
+        lambda: kept.world.crew.members["n1"].log.read_text().count("told by member") > first
+    )
     kept.until(lambda: bool(kept.replica("n1").get("whole")))
 
 
@@ -125,7 +132,10 @@
 
 
 def played(
-    tmp_path: Path, events: tuple[Event, ...], operator: Callable[[str, Path], str], seconds: float = 13.0
+    tmp_path: Path,
+    events: tuple[Event, ...],
+    operator: Callable[[str, Path], str],
+    seconds: float = 13.0,
 ) -> dict[str, Any]:
     folder = tmp_path / "drill"
     folder.mkdir()
@@ -139,10 +149,17 @@
 
 
 def could_be_served(folder: Path) -> int:
-    """Of the requests that a limiter answered, as many as the quota had room for. While all are dead, which takes as long as
-    the machine takes to start processes, the quota fills up to its burst and no further."""
+    """Of the requests that a limiter answered, as many as the quota had room for.
+
+    While all are dead, which takes as long as the machine takes to start processes, the quota fills
+    up to its burst and no further.
+    """
     rate, burst = 20.0, 40.0  # of the plan `gold`
-    answered = [row for row in checker.rows(folder / "clients.jsonl") if row["outcome"] in ("served", "busy")]
+    answered = [
+        row
+        for row in checker.rows(folder / "clients.jsonl")
+        if row["outcome"] in ("served", "busy")
+    ]
     level, at, served = burst, 0.0, 0
     for row in sorted(answered, key=lambda row: row["t"]):
         level, at = min(burst, level + rate * (row["t"] - at)), row["t"]
--- a/tests/test_replica_snapshot.py
+++ b/tests/test_replica_snapshot.py
@@ -1,6 +1,9 @@
-"""What a fleet lets in after all of it was killed at once: real decision modules and replica drivers on a clock set by hand.
+"""What a fleet lets in after all of it was killed at once.
 
-Time that the machine takes is an event here: a process that waits for its processor does nothing until its time has come.
+Real decision modules and replica drivers on a clock set by hand.
+
+Time that the machine takes is an event here: a process that waits for its processor does nothing
+until its time has come.
 """
 
 from __future__ import annotations
@@ -46,7 +49,12 @@
         self.fleet, self.number, self.alive, self.waits_until = fleet, number, True, 0.0
         self.began = fleet.now
         told = replace(
-            SETTINGS, me=number, gateways=MEMBERS, plans=(GOLD,), peers=True, messages_in_per_s=1000.0
+            SETTINGS,
+            me=number,
+            gateways=MEMBERS,
+            plans=(GOLD,),
+            peers=True,
+            messages_in_per_s=1000.0,
         )
         self.gateway = Gateway(told, seed=number)
         self.heard: Callable[[int, str], None] = self.gossip  # as net.peers.Peers has it
@@ -127,7 +135,9 @@
         return [number for number, one in enumerate(self.fleet.all) if one and one.alive]
 
     def older(self, seconds: float) -> set[int]:
-        return {n for n, one in enumerate(self.fleet.all) if one and one.began <= self.began - seconds}
+        return {
+            n for n, one in enumerate(self.fleet.all) if one and one.began <= self.began - seconds
+        }
 
     def lost(self) -> set[int]:
         return set()
@@ -259,7 +269,9 @@
     assert max(over) <= min(0.0, over[0] + NEAR)
 
 
-def test_what_was_charged_in_a_long_beginning_is_taken_off_what_the_snapshot_says(fleet: Fleet) -> None:
+def test_what_was_charged_in_a_long_beginning_is_taken_off_what_the_snapshot_says(
+    fleet: Fleet,
+) -> None:
     """Until the others answer a member acts by its cautious share; periods close meanwhile."""
     fleet.kill()
     fleet.run(0.3)
@@ -274,7 +286,8 @@
 
 
 moments = st.tuples(
-    st.lists(st.integers(0, MEMBERS - 1), max_size=MEMBERS),  # who waits for its processor before the kill
+    # who waits for its processor before the kill
+    st.lists(st.integers(0, MEMBERS - 1), max_size=MEMBERS),
     st.sampled_from([0.0, 0.2, 1.0]),  # how long
     st.sampled_from([0.1, 0.3, 1.5]),  # seconds that all are down
     st.sampled_from([0.01, 0.05, 0.2]),  # seconds between their starts
@@ -286,7 +299,8 @@
 @given(st.lists(moments, min_size=1, max_size=3))
 @example([([], 0.0, 0.1, 0.01, 0.05)] * 4)  # killed again and again before the first look
 def test_whatever_the_machine_has_time_for_no_kill_of_all_brings_units_beyond_the_quota(
-    tmp_path_factory: pytest.TempPathFactory, plan: list[tuple[list[int], float, float, float, float]]
+    tmp_path_factory: pytest.TempPathFactory,
+    plan: list[tuple[list[int], float, float, float, float]],
 ) -> None:
     fleet = busy_fleet(tmp_path_factory.mktemp("fleet"))
     for waiting, waits, down, apart, lasts in plan:
@@ -341,7 +355,9 @@
 
 def known_customers(count: int) -> Gateway:
     """With so many customers, of which each second one has used something."""
-    told = replace(SETTINGS, me=0, gateways=MEMBERS, plans=(GOLD,), peers=True, messages_in_per_s=1000.0)
+    told = replace(
+        SETTINGS, me=0, gateways=MEMBERS, plans=(GOLD,), peers=True, messages_in_per_s=1000.0
+    )
     gateway = Gateway(told, seed=1)
     gateway.handle(api.Fleet(True, tuple(range(MEMBERS)), keeps=True), START)
     chance = random.Random(1)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,7 @@
-"""The rig itself: the relay's faults, plans, the checker's eyes, and that nothing is left when a rig dies."""
+"""The rig itself.
+
+The relay's faults, plans, the checker's eyes, and that nothing is left when a rig dies.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,10 @@
 
 
 class Net:
-    """Two datagram sockets, `a` and `b`, that know each other by the relay's addresses; the clock is set by hand."""
+    """Two datagram sockets, `a` and `b`, that know each other by the relay's addresses.
+
+    The clock is set by hand.
+    """
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -115,7 +121,11 @@
 
 
 def test_what_a_stall_or_a_delay_held_back_comes_and_what_a_cut_took_does_not(net: Net) -> None:
-    for fault, late in ((Fault(stalled=True), ["x"]), (Fault(delay=0.5), ["x"]), (Fault(cut=True), [])):
+    for fault, late in (
+        (Fault(stalled=True), ["x"]),
+        (Fault(delay=0.5), ["x"]),
+        (Fault(cut=True), []),
+    ):
         number = net.relay.begin(fault, [("a", "b")])
         net.send("a", "x")
         net.relay.end(number)
@@ -165,7 +175,10 @@
         raise AssertionError("not met")
 
     def receives(self, sock: socket.socket) -> bytes | None:
-        """What has come after some turns; None: nothing, b"": the end; raises ConnectionResetError."""
+        """What has come after some turns.
+
+        None: nothing, b"": the end; raises ConnectionResetError.
+        """
         for _ in range(20):
             self.scheduler.turn(longest=0.002)
         try:
@@ -210,7 +223,7 @@
     wire.close()
 
 
-def test_discovery_gives_each_limiter_its_own_addresses_and_all_of_it_for_an_index_of_another_life() -> None:
+def test_discovery_gives_each_limiter_its_addresses_and_all_for_a_foreign_index() -> None:
     discovery = Discovery(sch.Scheduler(sch.Clock()))
     discovery.change(Host("h0", {"n0": "a:1", "n1": "b:1"}))
     discovery.change(Host("h1", {"n0": "a:2", "n1": "b:2"}))
@@ -228,7 +241,9 @@
 
 
 @given(st.integers(0, 10_000), st.integers(2, 20))
-def test_a_drawn_plan_is_playable_the_same_again_and_reads_as_written(seed: int, instances: int) -> None:
+def test_a_drawn_plan_is_playable_the_same_again_and_reads_as_written(
+    seed: int, instances: int
+) -> None:
     one = plan.drawn(seed, instances)
     plan.check(one)
     assert one == plan.drawn(seed, instances) == plan.read(plan.write(one))
@@ -251,10 +266,19 @@
             '{"name": "x", "events": [{"at": 1, "what": "kill", "whom": ["n9"]}]}',
             "event 0 (kill): no process n9",
         ),
-        ('{"name": "x", "events": [{"at": 30, "what": "kill", "whom": ["n0"]}]}', "within the drill"),
-        ('{"name": "x", "events": [{"at": 1, "what": "lose", "whom": ["n0"], "amount": 3}]}', "share"),
         (
-            '{"name": "x", "events": [{"at": 1, "what": "cut", "whom": ["n0"], "lasts": 2, "repeat": 1}]}',
+            '{"name": "x", "events": [{"at": 30, "what": "kill", "whom": ["n0"]}]}',
+            "within the drill",
+        ),
+        (
+            '{"name": "x", "events": [{"at": 1, "what": "lose", "whom": ["n0"], "amount": 3}]}',
+            "share",
+        ),
+        (
+            (
+                '{"name": "x", "events": [{"at": 1, "what": "cut", "whom": ["n0"], "lasts": '
+                '2, "repeat": 1}]}'
+            ),
             "come again",
         ),
         ('{"name": "x", "load": [{"customer": "1", "plan": "tin"}]}', "gold and iron"),
@@ -269,9 +293,9 @@
     one = plan.Plan(name="x", instances=3)
     event = plan.Event(at=1, what="cut", whom=("n0",))
     assert plan.pairs(one, event) == [("n0", "n1"), ("n0", "n2"), ("n1", "n0"), ("n2", "n0")]
-    assert plan.pairs(one, plan.Event(at=1, what="cut", whom=("n0",), others=("h0",), one_way=True)) == [
-        ("n0", "h0")
-    ]
+    assert plan.pairs(
+        one, plan.Event(at=1, what="cut", whom=("n0",), others=("h0",), one_way=True)
+    ) == [("n0", "h0")]
 
 
 def test_shrinking_keeps_what_matters() -> None:
@@ -286,7 +310,9 @@
 
 
 def played(folder: Path, **files: list[dict[str, Any]]) -> dict[str, Any]:
-    (folder / "plan.json").write_bytes(plan.write(plan.Plan(name="x", instances=2, hosts=1, seconds=10)))
+    (folder / "plan.json").write_bytes(
+        plan.write(plan.Plan(name="x", instances=2, hosts=1, seconds=10))
+    )
     load = [{"what": "load", "t": 100.0, "until": 110.0, "whom": []}]
     every: dict[str, list[dict[str, Any]]] = {"faults": [], "clients": [], "h0": [], "relay": []}
     for name, lines in (every | files).items():
@@ -299,9 +325,19 @@
 
 def asked(number: int, **other: Any) -> dict[str, Any]:
     return {
-        "t": 101.0 + number / 1000, "end": 101.05, "id": f"r{number}", "to": "n0", "customer": "c", "plan": "gold", "kind": "look",
-        "units": 1, "patience": 1.0, "extra": 0, "outcome": "served", "value": f"served r{number}",
-    } | other  # fmt: skip
+        "t": 101.0 + number / 1000,
+        "end": 101.05,
+        "id": f"r{number}",
+        "to": "n0",
+        "customer": "c",
+        "plan": "gold",
+        "kind": "look",
+        "units": 1,
+        "patience": 1.0,
+        "extra": 0,
+        "outcome": "served",
+        "value": f"served r{number}",
+    } | other
 
 
 def ran(number: int, t: float = 101.01) -> dict[str, Any]:
@@ -346,7 +382,8 @@
 
 
 @pytest.mark.parametrize(
-    ("many", "name", "over", "passed"), [(240, "gold", 0, 0), (250, "gold", 10, 0), (30, "iron", -90, 1)]
+    ("many", "name", "over", "passed"),
+    [(240, "gold", 0, 0), (250, "gold", 10, 0), (30, "iron", -90, 1)],
 )
 def test_the_checker_counts_units_beyond_quotas_and_ceilings(
     tmp_path: Path, many: int, name: str, over: float, passed: int
@@ -360,7 +397,9 @@
     return {"t": t, "members": {name[1:]: [state, "life"] for name, state in members.items()}}
 
 
-def test_the_checker_sees_views_that_differ_false_deaths_and_how_long_settling_took(tmp_path: Path) -> None:
+def test_the_checker_sees_views_that_differ_false_deaths_and_how_long_settling_took(
+    tmp_path: Path,
+) -> None:
     both = [seen(99, n0="alive", n1="alive")]
     assert played(tmp_path, n0_view=both, n1_view=both)["views_differ"] == 0
     found = played(tmp_path, n0_view=[*both, seen(105, n0="alive", n1="dead")], n1_view=both)
@@ -445,7 +484,9 @@
     ]
     one = subprocess.Popen(words, stdout=subprocess.PIPE)
     assert one.stdout
-    assert one.stdout.readline().startswith(b"ready n0") and one.stdout.readline().startswith(b"ready n1")
+    assert one.stdout.readline().startswith(b"ready n0") and one.stdout.readline().startswith(
+        b"ready n1"
+    )
     return one
 
 
@@ -470,7 +511,11 @@
 
     def views() -> list[dict[str, str]]:
         found = control.command(folder, do="status")["processes"]
-        return [{n: entry["state"] for n, entry in row["view"].items()} for row in found if "view" in row]
+        return [
+            {n: entry["state"] for n, entry in row["view"].items()}
+            for row in found
+            if "view" in row
+        ]
 
     wait_until(lambda: views() == [{"0": "alive", "1": "alive"}] * 2, one)
     with pytest.raises(control.CommandError, match="no process 'n7'"):
@@ -481,7 +526,9 @@
     control.command(folder, do="kill", name="n1")
 
     def rows() -> dict[str, str]:
-        return {row["name"]: row["state"] for row in control.command(folder, do="status")["processes"]}
+        return {
+            row["name"]: row["state"] for row in control.command(folder, do="status")["processes"]
+        }
 
     wait_until(lambda: rows()["n1"] == "ended", one)
     control.command(folder, do="start", name="n1")
@@ -537,8 +584,15 @@
 def test_the_janitor_ends_what_the_book_names_and_leaves_a_number_that_is_another_process_now(
     tmp_path: Path,
 ) -> None:
-    both = [subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) for _ in range(2)]
-    lines = [f"{both[0].pid} {janitor.started(both[0].pid)}", f"{both[1].pid} 12345", "half a li", ""]
+    both = [
+        subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) for _ in range(2)
+    ]
+    lines = [
+        f"{both[0].pid} {janitor.started(both[0].pid)}",
+        f"{both[1].pid} 12345",
+        "half a li",
+        "",
+    ]
     (tmp_path / "pids").write_text("\n".join(lines))
     assert janitor.sweep(tmp_path) == [both[0].pid]
     assert both[0].wait() == -signal.SIGKILL and both[1].poll() is None
@@ -556,11 +610,17 @@
     words = [sys.executable, "-m", "hazelhollow", "fleet", "drill", str(source), "--json", str(out)]
     assert subprocess.run(words, capture_output=True).returncode == 0
     found = json.loads(out.read_text())
-    assert found["requests"] > 300 and found["accepted"] > 100 and (found["cuts"], found["kills"]) == (1, 1)
+    assert (
+        found["requests"] > 300
+        and found["accepted"] > 100
+        and (found["cuts"], found["kills"]) == (1, 1)
+    )
     assert {
         key: found[key]
         for key in ("lost", "doubled", "untrue_answers", "repeats_not_allowed", "ceilings_passed")
-    } == dict.fromkeys(("lost", "doubled", "untrue_answers", "repeats_not_allowed", "ceilings_passed"), 0)
+    } == dict.fromkeys(
+        ("lost", "doubled", "untrue_answers", "repeats_not_allowed", "ceilings_passed"), 0
+    )
     assert plan.read(json.dumps(found["plan"])).events == events
 
 
@@ -573,21 +633,34 @@
     assert one == plan.drawn(seed, instances, changes=True) == plan.read(plan.write(one))
     given_ = [(event.at, int(event.amount)) for event in one.events if event.what == "settings"]
     assert [order for _, order in sorted(given_)] == [1, 2, 3] and plan.newest_order(one) == 3
-    assert [event for event in plan.drawn(seed, instances).events if event.what in ("settings", "old")] == []
+    assert [
+        event for event in plan.drawn(seed, instances).events if event.what in ("settings", "old")
+    ] == []
 
 
 def test_a_zone_stands_for_its_limiters_and_hosts() -> None:
     one = plan.Plan(
-        name="x", instances=4, hosts=3, zones=2, events=(plan.Event(at=1, what="cut", whom=("z1",), lasts=2),)
+        name="x",
+        instances=4,
+        hosts=3,
+        zones=2,
+        events=(plan.Event(at=1, what="cut", whom=("z1",), lasts=2),),
     )
     plan.check(one)
     (event,) = plan.spread_out(one)
     assert event.whom == ("n2", "n3", "h1")
     hit = plan.pairs(one, event)
-    assert ("n2", "h0") in hit and ("n0", "n2") in hit and ("h1", "n0") in hit and ("n2", "n3") not in hit
+    assert (
+        ("n2", "h0") in hit
+        and ("n0", "n2") in hit
+        and ("h1", "n0") in hit
+        and ("n2", "n3") not in hit
+    )
     with pytest.raises(plan.PlanError, match="z2"):
         plan.check(
-            plan.Plan(name="x", zones=2, events=(plan.Event(at=1, what="cut", whom=("z2",), lasts=2),))
+            plan.Plan(
+                name="x", zones=2, events=(plan.Event(at=1, what="cut", whom=("z2",), lasts=2),)
+            )
         )
 
 
@@ -595,18 +668,34 @@
 def test_settings_of_no_order_are_refused(amount: float) -> None:
     with pytest.raises(plan.PlanError, match="whole number"):
         plan.check(
-            plan.Plan(name="x", events=(plan.Event(at=1, what="settings", whom=("n0",), amount=amount),))
+            plan.Plan(
+                name="x", events=(plan.Event(at=1, what="settings", whom=("n0",), amount=amount),)
+            )
         )
 
 
-def test_who_served_by_old_settings_is_told_from_probes_and_only_after_it_could_hear(tmp_path: Path) -> None:
+def test_who_served_by_old_settings_is_told_from_probes_and_only_after_it_could_hear(
+    tmp_path: Path,
+) -> None:
     """n1 serves by the old ones for 2 s; n2 was cut off until then; n3 takes nothing new."""
     rows = {
         "faults.jsonl": [
             {"t": 100.0, "what": "load", "until": 120.0, "whom": []},
             {"t": 105.0, "what": "settings", "whom": ["n0"], "order": 1},
-            {"t": 104.0, "what": "cut", "pairs": [["n2", "n0"], ["n0", "n2"]], "number": 1, "on": True},
-            {"t": 109.0, "what": "cut", "pairs": [["n2", "n0"], ["n0", "n2"]], "number": 1, "on": False},
+            {
+                "t": 104.0,
+                "what": "cut",
+                "pairs": [["n2", "n0"], ["n0", "n2"]],
+                "number": 1,
+                "on": True,
+            },
+            {
+                "t": 109.0,
+                "what": "cut",
+                "pairs": [["n2", "n0"], ["n0", "n2"]],
+                "number": 1,
+                "on": False,
+            },
         ],
         "probes.jsonl": [
             {"t": 106.0, "end": 106.1, "to": "n0", "order": 1, "new": "served", "look": "served"},
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,7 @@
-"""Settings that some members try first: who does, what holds them, how they come into force or go back, through faults."""
+"""Settings that some members try first.
+
+Who does, what holds them, how they come into force or go back, through faults.
+"""
 
 from __future__ import annotations
 
@@ -63,7 +66,9 @@
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying(), longest=60.0)
 
 
-def test_held_at_one_that_tries_it_nobody_else_takes_it_until_it_is_released(fleet: AuditFleet) -> None:
+def test_held_at_one_that_tries_it_nobody_else_takes_it_until_it_is_released(
+    fleet: AuditFleet,
+) -> None:
     pushed(fleet)
     trying = fleet.trying()
     other = max(trying)
@@ -75,7 +80,9 @@
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying())
 
 
-def test_one_that_comes_to_try_held_settings_holds_them_from_the_beginning(fleet: AuditFleet) -> None:
+def test_one_that_comes_to_try_held_settings_holds_them_from_the_beginning(
+    fleet: AuditFleet,
+) -> None:
     leader = pushed(fleet)
     assert leader.driver.hold() == ""
     fleet.run(1.0)
@@ -83,7 +90,9 @@
     fleet.kill(max(before - {leader.me}))
     fleet.until(lambda: len(fleet.trying()) == TRIED_BY)
     (new,) = fleet.trying() - before
-    assert fleet.members[new].steps() == ["taken"] and fleet.members[new].driver.rollout.candidate == (
+    assert fleet.members[new].steps() == ["taken"] and fleet.members[
+        new
+    ].driver.rollout.candidate == (
         3,
         Phase.HELD,
     )
@@ -141,7 +150,8 @@
     fleet.heal()
     fleet.run(5.0)
     assert trying <= fleet.trying() and fleet.same(BEFORE) == ALL - fleet.trying()
-    assert all(fleet.members[n].steps()[-1] == "held" for n in trying)  # also at those that were not cut off
+    # also at those that were not cut off
+    assert all(fleet.members[n].steps()[-1] == "held" for n in trying)
 
 
 def test_one_that_waits_for_others_to_answer_does_not_judge_them(fleet: AuditFleet) -> None:
@@ -193,7 +203,9 @@
 
 def test_where_one_cannot_take_it_it_is_held_and_goes_no_further(fleet: AuditFleet) -> None:
     for number in ALL - {0}:
-        fleet.members[number].cannot_take = lambda document: "plans differ" if document == AFTER else ""
+        fleet.members[number].cannot_take = (
+            lambda document: "plans differ" if document == AFTER else ""
+        )
     leader = fleet.members[0]
     assert leader.driver.push(1, TRIED_BY, BAKES, AFTER) == ""
     fleet.run(2 * BAKES)
@@ -235,7 +247,8 @@
 ) -> None:
     other = settings(changed=4, deadline=0.1)
     assert fleet.members[0].driver.push(1, TRIED_BY, BAKES, AFTER) == ""
-    assert fleet.members[1].driver.push(1, TRIED_BY, BAKES, other) == ""  # before it has heard of the first
+    # before it has heard of the first
+    assert fleet.members[1].driver.push(1, TRIED_BY, BAKES, other) == ""
     fleet.run(2 * BAKES)
     assert fleet.same(BEFORE) >= ALL - {0, 1} and fleet.members[0].steps()[-1] == "held"
     (held,) = [entry for entry in fleet.members[0].record.kept if entry.version == "held"]
@@ -252,7 +265,9 @@
     fleet.until(lambda: fleet.same(other) == ALL and not fleet.trying())
 
 
-def test_a_program_of_the_release_before_follows_no_candidate_and_what_is_in_force(fleet: AuditFleet) -> None:
+def test_a_program_of_the_release_before_follows_no_candidate_and_what_is_in_force(
+    fleet: AuditFleet,
+) -> None:
     for number in ALL - {0}:
         fleet.members[number].earlier_release = True
     assert fleet.members[0].driver.push(1, TRIED_BY, BAKES, AFTER) == ""
@@ -289,7 +304,9 @@
     assert "not above 1" in idle.driver.push(1, TRIED_BY, BAKES, settings(changed=4, deadline=0.1))
 
 
-def test_one_brought_up_by_others_that_reads_its_old_files_again_stays_with_them(fleet: AuditFleet) -> None:
+def test_one_brought_up_by_others_that_reads_its_old_files_again_stays_with_them(
+    fleet: AuditFleet,
+) -> None:
     fleet.members[0].read_file(AFTER, 1)
     fleet.until(lambda: fleet.same(AFTER) == ALL)
     fleet.carried.clear()
@@ -344,7 +361,9 @@
     assert fleet.bytes_to[3] < whole / 2 and fleet.carried["n"] == 0
 
 
-@given(st.integers(1, 46655), st.integers(1, 35), st.sets(st.integers(0, 40), min_size=1), st.data())
+@given(
+    st.integers(1, 46655), st.integers(1, 35), st.sets(st.integers(0, 40), min_size=1), st.data()
+)
 def test_who_is_to_try_it_follows_from_the_order_and_the_members(
     order: int, wanted: int, up: set[int], data: st.DataObject
 ) -> None:
@@ -392,7 +411,12 @@
         config_call.answer(driver, tmp_path, words)
         for words in (push, ("hold",), ("release",), ("rollback",))
     ]
-    assert said == ["done config push", "done config hold", "done config release", "done config rollback"]
+    assert said == [
+        "done config push",
+        "done config hold",
+        "done config release",
+        "done config rollback",
+    ]
     assert fleet.members[0].steps() == ["pushed", "held", "released", "rolled back"]
 
 
--- a/tests/test_scale_budget.py
+++ b/tests/test_scale_budget.py
@@ -1,4 +1,7 @@
-"""A hollow limiter under the control budget: each of its subsystems has its part, as a real one's has."""
+"""A hollow limiter under the control budget.
+
+Each of its subsystems has its part, as a real one's has.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,14 @@
     shared = settings.document(SIZE, populate(SIZE, terms, 1).quotas, terms)
     told = Told(settings.own_document(shared, 0, topology.lay_out(SIZE.limiters, terms)), 0)
     one = Life(
-        scheduler, meter, peers, told, terms, random.Random(1).randrange(99), lambda _: None, lambda _: None
+        scheduler,
+        meter,
+        peers,
+        told,
+        terms,
+        random.Random(1).randrange(99),
+        lambda _: None,
+        lambda _: None,
     )
     one.start(())
     return one
@@ -38,7 +48,9 @@
     quota = settings_for(BUDGET).roles[Role.QUOTA]
     assert one.gateway.outbox is not None and one.gateway.outbox.bytes.rate == quota.rate
     assert one.gateway.outbox.bytes.most <= quota.burst
-    assert one._budget is not None and one.fleet is not None and one.fleet.view.allowance is not None
+    assert (
+        one._budget is not None and one.fleet is not None and one.fleet.view.allowance is not None
+    )
     usage = one._budget.budget.usage
     assert usage[Role.VIEW].sent > 0, "its first pings ask for their bytes"
     assert one._peers.meter is not None, "gossip is debited as it leaves"
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -1,4 +1,7 @@
-"""Measurements with real processes: what is made of the client's rows, when there is no figure, and that nothing is left running."""
+"""Measurements with real processes.
+
+What is made of the client's rows, when there is no figure, and that nothing is left running.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,15 @@
 from hazelhollow.net import scheduler
 from hazelhollow.scale import budgets, hollow, real, real_commands, real_fleet, results
 from hazelhollow.scale.measure import Meter
-from hazelhollow.scale.real import LIMITER, SERVER, BusyMachine, LateClient, LatencyPlan, RealError, Row
+from hazelhollow.scale.real import (
+    LIMITER,
+    SERVER,
+    BusyMachine,
+    LateClient,
+    LatencyPlan,
+    RealError,
+    Row,
+)
 from hazelhollow.scale.results import Latency, Size
 
 SIZE = Size(limiters=930, servers=20, routes=3, tenants=1, requests_per_s=50.0)
@@ -45,13 +56,17 @@
 def test_latency_counts_from_the_time_at_which_a_request_was_due() -> None:
     late = real.MOST_LATE_P99_S / 2
     found = real.latency(SIZE, client_rows(late=late), 0.0)
-    assert found.limiter_median_s == pytest.approx(0.002) and found.limiter_p99_s == pytest.approx(0.002)
+    assert found.limiter_median_s == pytest.approx(0.002) and found.limiter_p99_s == pytest.approx(
+        0.002
+    )
     assert found.direct_median_s == pytest.approx(0.001) and found.requests == 1000
 
 
 def test_stretches_in_which_the_client_was_late_are_left_out() -> None:
     slow = [
-        Row(row.to, row.due, row.began + 0.02, row.end + 0.02, row.outcome) if row.due < 2.0 else row
+        Row(row.to, row.due, row.began + 0.02, row.end + 0.02, row.outcome)
+        if row.due < 2.0
+        else row
         for row in client_rows()
     ]
     found = real.latency(SIZE, slow, 0.0)
@@ -74,14 +89,24 @@
 @pytest.mark.parametrize(
     ("rows", "error", "why"),
     [
-        (client_rows(late=2 * real.MOST_LATE_P99_S), LateClient, "the client was late in 100 of 100 blocks"),
+        (
+            client_rows(late=2 * real.MOST_LATE_P99_S),
+            LateClient,
+            "the client was late in 100 of 100 blocks",
+        ),
         (client_rows(count=real.LEAST_REQUESTS - 1), RealError, "too few"),
-        (client_rows(straight=2 * real.MOST_STRAIGHT_P99_S), BusyMachine, "one request in 100 took 6.00 ms"),
+        (
+            client_rows(straight=2 * real.MOST_STRAIGHT_P99_S),
+            BusyMachine,
+            "one request in 100 took 6.00 ms",
+        ),
         (client_rows(outcome="busy"), RealError, r"1000 of 2000 requests were not served \(busy\)"),
         ([], RealError, "too few"),
     ],
 )
-def test_there_is_no_figure_where_it_would_mislead(rows: list[Row], error: type[Exception], why: str) -> None:
+def test_there_is_no_figure_where_it_would_mislead(
+    rows: list[Row], error: type[Exception], why: str
+) -> None:
     with pytest.raises(error, match=why):
         real.latency(SIZE, rows, 0.0)
 
@@ -167,8 +192,13 @@
         found = run.play()
         pids = [int(line.split()[0]) for line in (folder / "pids").read_text().splitlines()]
         counted = [row for row in found if row.due >= run.counted_from]
-        assert all("served" in {row.outcome for row in counted if row.to == way} for way in (LIMITER, SERVER))
-        ways = {way: sorted(row.due for row in counted if row.to == way) for way in (LIMITER, SERVER)}
+        assert all(
+            "served" in {row.outcome for row in counted if row.to == way}
+            for way in (LIMITER, SERVER)
+        )
+        ways = {
+            way: sorted(row.due for row in counted if row.to == way) for way in (LIMITER, SERVER)
+        }
         assert abs(len(ways[LIMITER]) - len(ways[SERVER])) <= 1 and len(ways[LIMITER]) >= 49
         gaps = [b - a for a, b in zip(ways[LIMITER], ways[LIMITER][1:], strict=False)]
         assert gaps == pytest.approx(
@@ -230,10 +260,13 @@
     [
         ([line(1, "alive", "dead")], 1.0),
         ([line(1, "alive"), line(2, "alive", "dead"), line(3, "alive", "dead")], 2.0),
-        ([line(1, "alive", "dead"), line(2, "alive", "alive"), line(3, "alive", "dead")], 3.0),  # for good
+        # for good
+        ([line(1, "alive", "dead"), line(2, "alive", "alive"), line(3, "alive", "dead")], 3.0),
     ],
 )
-def test_a_view_is_settled_from_when_it_is_right_for_good(lines: list[dict[str, Any]], since: float) -> None:
+def test_a_view_is_settled_from_when_it_is_right_for_good(
+    lines: list[dict[str, Any]], since: float
+) -> None:
     assert real_fleet.settled(lines, {"0": "alive", "1": "dead"}) == since
 
 
@@ -300,14 +333,17 @@
 
 def test_figures_that_only_one_side_has_are_not_compared() -> None:
     found = real_fleet.comparisons(
-        {"bytes at rest, view": 100.0, "agreed after x": 1.0}, {"bytes at rest, view": 90.0, "datagrams": 3.0}
+        {"bytes at rest, view": 100.0, "agreed after x": 1.0},
+        {"bytes at rest, view": 90.0, "datagrams": 3.0},
     )
     assert [(one.figure, one.unit, one.real, one.hollow, one.margin) for one in found] == [
         ("bytes at rest, view", "B/s", 100.0, 90.0, real_fleet.MARGIN)
     ]
 
 
-def test_a_real_fleet_gives_each_figure_that_hollow_limiters_give_and_none_is_left(tmp_path: Path) -> None:
+def test_a_real_fleet_gives_each_figure_that_hollow_limiters_give_and_none_is_left(
+    tmp_path: Path,
+) -> None:
     folder = tmp_path / "run"
     folder.mkdir()
     plan = real_fleet.FleetPlan(limiters=3, settle_s=4.0, rest_s=1.0, deaths=1, death_s=10.0)
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -1,4 +1,8 @@
-"""The capacity report: fits, marks, sums and the order of passings against hand-made results, and the page of the repository."""
+"""The capacity report.
+
+Fits, marks, sums and the order of passings against hand-made results, and the page of the
+repository.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +49,11 @@
 
 
 def role(
-    name: Role = Role.VIEW, cpu_s: float = 1.0, bytes_out: int = 0, datagrams_out: int = 0, turn: float = 1e-4
+    name: Role = Role.VIEW,
+    cpu_s: float = 1.0,
+    bytes_out: int = 0,
+    datagrams_out: int = 0,
+    turn: float = 1e-4,
 ) -> results.RoleSums:
     return results.RoleSums(
         role=name,
@@ -125,7 +133,9 @@
 
 
 @given(SIZES, st.floats(0, 10), st.floats(1, 100))
-def test_points_on_a_logarithm_give_that_logarithm(sizes: list[int], intercept: float, slope: float) -> None:
+def test_points_on_a_logarithm_give_that_logarithm(
+    sizes: list[int], intercept: float, slope: float
+) -> None:
     assume(max(sizes) > 4 * min(sizes) and len({int(math.log(x)) for x in sizes}) >= 3)
     curve = fit([Sample(x, intercept + slope * math.log(x)) for x in sizes])
     assert curve is not None and curve.shape is Shape.LOGARITHMIC
@@ -134,7 +144,11 @@
 
 @pytest.mark.parametrize(
     ("samples", "why"),
-    [([], "no points"), ([Sample(5, 1)], "one point"), ([Sample(5, 1), Sample(5, 2)], "one size twice")],
+    [
+        ([], "no points"),
+        ([Sample(5, 1)], "one point"),
+        ([Sample(5, 1), Sample(5, 2)], "one size twice"),
+    ],
 )
 def test_less_than_two_sizes_have_no_slope(samples: list[Sample], why: str) -> None:
     assert fit(samples) is None, why
@@ -202,18 +216,25 @@
 def linear_points(
     axis: Axis, field: str, sizes: Sequence[int], per_one: float, base: float
 ) -> list[results.Point]:
-    """Points whose timers cost `base` and `per_one` for each beyond that of BASE, as a share of a core."""
+    """Points whose timers cost `base` and `per_one` for each beyond that of BASE.
+
+    As a share of a core.
+    """
     held = getattr(BASE, field)
     return [
         point(
-            axis, size(**{field: x}), role(Role.TIMERS, cpu_s=LIMITER_SECONDS * (base + per_one * (x - held)))
+            axis,
+            size(**{field: x}),
+            role(Role.TIMERS, cpu_s=LIMITER_SECONDS * (base + per_one * (x - held))),
         )
         for x in sizes
     ]
 
 
 def test_one_axis_is_extrapolated_by_how_far_the_plan_lies_beyond_it() -> None:
-    known = analyse([gathered(*linear_points(Axis.LIMITERS, "limiters", (50, 100, 310), 1e-5, 0.001))])
+    known = analyse(
+        [gathered(*linear_points(Axis.LIMITERS, "limiters", (50, 100, 310), 1e-5, 0.001))]
+    )
     row = known.row(role_quantity(Role.TIMERS, Resource.PROCESSOR))
     assert row and row.figure.mark is Mark.EXTRAPOLATED
     assert row.figure.factor == pytest.approx(3.0)
@@ -246,7 +267,9 @@
         ),
     ]
     row = analyse([gathered(*points)]).row(role_quantity(Role.TIMERS, Resource.PROCESSOR))
-    assert row and row.figure.value == pytest.approx(0.02) and row.figure.factor == pytest.approx(5.0)
+    assert (
+        row and row.figure.value == pytest.approx(0.02) and row.figure.factor == pytest.approx(5.0)
+    )
     assert row.figure.without == ()
 
 
@@ -275,14 +298,19 @@
     assert passing.fraction == pytest.approx(0.5, rel=1e-6)
     change = next(one for one in sums(known) if one.budget is budgets.CHANGE_P99)
     assert change.value == math.inf
-    assert shown(change.value, "s") == "not within the run" and percent(passing.share) == "without bound"
+    assert (
+        shown(change.value, "s") == "not within the run"
+        and percent(passing.share) == "without bound"
+    )
 
 
 def latency(
     servers: int, routes: int, added: float, rate: float = 204.0, memory: float = 0.0
 ) -> results.Latency:
     return results.Latency(
-        size=results.Size(limiters=930, servers=servers, routes=routes, tenants=1, requests_per_s=rate),
+        size=results.Size(
+            limiters=930, servers=servers, routes=routes, tenants=1, requests_per_s=rate
+        ),
         requests=1000,
         direct_median_s=0.001,
         direct_p99_s=0.002,
@@ -296,10 +324,13 @@
     found = [latency(200, 1, 0.001), latency(14_000, 1, 0.003), latency(200, 1, 9.0, rate=50.0)]
     row = analyse([gathered(latencies=found)]).row(ADDED_P99)
     assert row and [slope.axis for slope in row.slopes] == [Axis.SERVERS]
-    assert max(one.value for one in row.observations) < 1.0 and row.slopes[0].curve.at(200) == pytest.approx(
-        0.001
+    assert max(one.value for one in row.observations) < 1.0 and row.slopes[0].curve.at(
+        200
+    ) == pytest.approx(0.001)
+    assert row.figure.value == pytest.approx(0.003) and row.figure.without == (
+        Axis.ROUTES,
+        Axis.TENANTS,
     )
-    assert row.figure.value == pytest.approx(0.003) and row.figure.without == (Axis.ROUTES, Axis.TENANTS)
     assert row.quantity.budget is budgets.ADDED_LATENCY
 
 
@@ -335,7 +366,10 @@
     observed = {row.quantity.part for row in analyse([gathered(*few)]).rows if row.observations}
     assert observed == {"requests", "list", "gossip", "timers", "process"}
     rates = {row.quantity for row in analyse([gathered(*few)]).rows if row.observations}
-    assert not {role_quantity(Role.GOSSIP, one) for one in (Resource.PROCESSOR, Resource.BYTES_SENT)} & rates
+    assert (
+        not {role_quantity(Role.GOSSIP, one) for one in (Resource.PROCESSOR, Resource.BYTES_SENT)}
+        & rates
+    )
     whole = [msgspec.structs.replace(one, hollow=930) for one in few]
     observed = {row.quantity.part for row in analyse([gathered(*whole)]).rows if row.observations}
     assert observed == {*Role, "process", EventKind.ZONE_LOST}
@@ -367,7 +401,9 @@
         (EventKind.REGION_CUT, Axis.ALL, True),
     ],
 )
-def test_an_event_counts_along_the_axis_that_it_belongs_to(kind: EventKind, axis: Axis, counts: bool) -> None:
+def test_an_event_counts_along_the_axis_that_it_belongs_to(
+    kind: EventKind, axis: Axis, counts: bool
+) -> None:
     known = analyse([gathered(point(axis, BASE, events=(event(kind, 2.0),)))])
     row = known.row(event_quantity(kind, Resource.SETTLED_P99))
     assert row and bool(row.observations) is counts
@@ -410,7 +446,9 @@
     ]
     points += [
         point(
-            Axis.TENANTS, size(limiters=930, tenants=x), role(Role.GOSSIP, cpu_s=LIMITER_SECONDS * 1e-6 * x)
+            Axis.TENANTS,
+            size(limiters=930, tenants=x),
+            role(Role.GOSSIP, cpu_s=LIMITER_SECONDS * 1e-6 * x),
         )
         for x in (1000, 73_000)
     ]
@@ -449,7 +487,9 @@
 
 
 def test_a_sum_with_parts_that_are_not_known_is_a_least_one() -> None:
-    whole = gathered(point(Axis.ALL, budgets.PLANNED, role(Role.VIEW, cpu_s=LIMITER_SECONDS * 0.01)))
+    whole = gathered(
+        point(Axis.ALL, budgets.PLANNED, role(Role.VIEW, cpu_s=LIMITER_SECONDS * 0.01))
+    )
     rows = tables(Runs((Run("a", whole),)))["sums"].split("\n")
     line = next(row for row in rows if row.startswith(f"| {budgets.CONTROL_CPU.name}"))
     assert "at least 1.00% of a core | at most 1.50% of a core" in line
@@ -460,7 +500,8 @@
         point(
             Axis.LIMITERS,
             size(limiters=limiters),
-            role(Role.VIEW, cpu_s=LIMITER_SECONDS * 1e-4 * limiters),  # 2.5% of a core at 250 limiters
+            # 2.5% of a core at 250 limiters
+            role(Role.VIEW, cpu_s=LIMITER_SECONDS * 1e-4 * limiters),
             role(
                 Role.GOSSIP, cpu_s=0.0, bytes_out=LIMITER_SECONDS * 40 * limiters
             ),  # 4,000 bytes a second at 100
@@ -474,19 +515,29 @@
     assert found["gossip: bytes sent"].fraction == pytest.approx(100 / 930, rel=0.01)
     assert found["view: processor"].fraction == pytest.approx(250 / 930, rel=0.01)
     assert found["list: processor"].mark is Mark.UNKNOWN
-    assert found["process: memory"].fraction is None and found["process: memory"].mark is not Mark.UNKNOWN
+    assert (
+        found["process: memory"].fraction is None
+        and found["process: memory"].mark is not Mark.UNKNOWN
+    )
     names = list(found)
-    places = [names.index(name) for name in ("audit: processor", "gossip: bytes sent", "view: processor")]
+    places = [
+        names.index(name) for name in ("audit: processor", "gossip: bytes sent", "view: processor")
+    ]
     assert places == sorted(places)
     assert names.index("process: memory") < names.index("list: processor")
 
 
 def test_runs_at_one_size_that_pass_a_budget_say_where_it_is_passed_at_the_latest() -> None:
-    loud = msgspec.structs.replace(event(EventKind.ZONE_LOST, 2.0), worst_ten_seconds_bytes_mean=4_100.0)
-    one = gathered(point(Axis.LIMITERS, size(limiters=93), events=(loud, event(EventKind.ZONE_BACK, 2.0))))
+    loud = msgspec.structs.replace(
+        event(EventKind.ZONE_LOST, 2.0), worst_ten_seconds_bytes_mean=4_100.0
+    )
+    one = gathered(
+        point(Axis.LIMITERS, size(limiters=93), events=(loud, event(EventKind.ZONE_BACK, 2.0)))
+    )
     found = {passing.name: passing for passing in order(analyse([one]))}
     lost, back = (
-        found[f"{kind}: {Resource.WORST_TEN_SECONDS}"] for kind in (EventKind.ZONE_LOST, EventKind.ZONE_BACK)
+        found[f"{kind}: {Resource.WORST_TEN_SECONDS}"]
+        for kind in (EventKind.ZONE_LOST, EventKind.ZONE_BACK)
     )
     assert lost.fraction == pytest.approx(0.1) and lost.mark is Mark.MEASURED and lost.share is None
     assert back.fraction is None and back.mark is Mark.UNKNOWN
@@ -579,9 +630,19 @@
     few = size(limiters=930, servers=14_000, routes=10)
     found = gathered(
         point(Axis.SERVERS, three, role(Role.REQUESTS, cpu_s=LIMITER_SECONDS * 204 * 0.02)),
-        point(Axis.SERVERS, few, role(Role.REQUESTS, cpu_s=204.0), role(Role.LIST, cpu_s=1.0), absent=928),
+        point(
+            Axis.SERVERS,
+            few,
+            role(Role.REQUESTS, cpu_s=204.0),
+            role(Role.LIST, cpu_s=1.0),
+            absent=928,
+        ),
         point(Axis.TENANTS, size(limiters=3, tenants=10_000), role(Role.GOSSIP, turn=4.0)),
-        point(Axis.LIMITERS, fleet, events=(event(EventKind.START, 2.0), event(EventKind.ZONE_LOST, 9.0))),
+        point(
+            Axis.LIMITERS,
+            fleet,
+            events=(event(EventKind.START, 2.0), event(EventKind.ZONE_LOST, 9.0)),
+        ),
         latencies=[latency(200, 1, 0.002, memory=30e6)],
     )
     assert claimed("the same, 14,000 servers", found, nth=1) == pytest.approx(0.02)
@@ -625,7 +686,9 @@
 
 
 @pytest.mark.parametrize("kind", report_documents.Routes)
-def test_the_most_routes_that_travel_do_and_a_step_more_do_not(kind: report_documents.Routes) -> None:
+def test_the_most_routes_that_travel_do_and_a_step_more_do_not(
+    kind: report_documents.Routes,
+) -> None:
     routes = report_documents.most(kind)
     assert report_documents.measured(routes, kind).travels
     assert not report_documents.measured(routes + report_documents.STEP, kind).travels
@@ -652,7 +715,10 @@
 # The page
 
 
-SMALL = "before\n<!-- table: sums -->\nold\n<!-- end: sums -->\nbetween\n<!-- table: order -->\n<!-- end: order -->\nafter\n"
+SMALL = (
+    "before\n<!-- table: sums -->\nold\n<!-- end: sums -->\nbetween\n<!-- table: order "
+    "-->\n<!-- end: order -->\nafter\n"
+)
 
 
 def test_blocks_are_filled_and_the_prose_stays() -> None:
@@ -697,7 +763,9 @@
     page = tmp_path / "page.md"
     page.write_text(SMALL)
     first = saved(
-        tmp_path, "after-a.json", gathered(*linear_points(Axis.LIMITERS, "limiters", (50, 930), 1e-5, 0.001))
+        tmp_path,
+        "after-a.json",
+        gathered(*linear_points(Axis.LIMITERS, "limiters", (50, 930), 1e-5, 0.001)),
     )
     words = [str(first), "--page", str(page)]
     run = CliRunner().invoke
@@ -718,7 +786,9 @@
     file = tmp_path / "none.json"
     file.write_text("{}")
     result = CliRunner().invoke(report_command, [str(file)])
-    assert result.exit_code == 2 and "none.json" in result.output and "Traceback" not in result.output
+    assert (
+        result.exit_code == 2 and "none.json" in result.output and "Traceback" not in result.output
+    )
 
 
 def test_runs_of_another_plan_are_not_mixed(tmp_path: Path) -> None:
@@ -731,15 +801,21 @@
 def test_runs_of_an_earlier_program_stand_beside_the_others(tmp_path: Path) -> None:
     whole = budgets.PLANNED
     early = saved(
-        tmp_path, "before-a.json", gathered(point(Axis.ALL, whole, role(cpu_s=LIMITER_SECONDS * 0.9)))
+        tmp_path,
+        "before-a.json",
+        gathered(point(Axis.ALL, whole, role(cpu_s=LIMITER_SECONDS * 0.9))),
     )
     late = saved(
-        tmp_path, "after-a.json", gathered(point(Axis.ALL, whole, role(cpu_s=LIMITER_SECONDS * 0.01)))
+        tmp_path,
+        "after-a.json",
+        gathered(point(Axis.ALL, whole, role(cpu_s=LIMITER_SECONDS * 0.01))),
     )
     runs = report.read([early, late])
     assert [run.name for run in runs.now] == ["after-a.json"]
     assert [run.name for run in runs.before] == ["before-a.json"]
-    line = next(row for row in tables(runs)["figures"].split("\n") if row.startswith("| view | processor"))
+    line = next(
+        row for row in tables(runs)["figures"].split("\n") if row.startswith("| view | processor")
+    )
     assert "1.00% of a core" in line and line.endswith("| 90.0% of a core |")
 
 
@@ -756,6 +832,8 @@
 
 
 def test_memory_counts_once_for_the_whole_process() -> None:
-    known = analyse([gathered(point(Axis.ALL, budgets.PLANNED, role(Role.VIEW), role(Role.GOSSIP)))])
+    known = analyse(
+        [gathered(point(Axis.ALL, budgets.PLANNED, role(Role.VIEW), role(Role.GOSSIP)))]
+    )
     row = known.row(MEMORY)
     assert row and row.figure.value == pytest.approx(20e6) and len(row.observations) == 1
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,8 @@
-"""Scale runs: plans, the modelled load, faults by pair, meters and truth by tables; and the small plan from end to end."""
+"""Scale runs.
+
+Plans, the modelled load, faults by pair, meters and truth by tables; and the small plan from end to
+end.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,17 @@
 
 from hazelhollow.membership.records import ALIVE, DEAD, SUSPECT, Record
 from hazelhollow.membership.view import LIVES_A_S
-from hazelhollow.scale import coordinator, load, measure, messages, plan, settings, topology, truth, worker
+from hazelhollow.scale import (
+    coordinator,
+    load,
+    measure,
+    messages,
+    plan,
+    settings,
+    topology,
+    truth,
+    worker,
+)
 from hazelhollow.scale.agreement import Truth, Watcher
 from hazelhollow.scale.clock import DilatedClock
 from hazelhollow.scale.measure import Meter, Sums, Traffic
@@ -31,7 +45,8 @@
 name = "one"
 seed = 1
 base = { limiters = 4, servers = 2, routes = 3, tenants = 5, requests_per_s = 1.0 }
-planned = { limiters = 930, servers = 14000, routes = 11000, tenants = 73000, requests_per_s = 204.0 }
+planned = { limiters = 930, servers = 14000, routes = 11000, tenants = 73000,\
+ requests_per_s = 204.0 }
 """
 END_WITHIN_S = 20.0  # a killed run's processes
 AXIS = '[[axes]]\naxis = "servers"\nvalues = [2, 9]\n'
@@ -58,13 +73,24 @@
         (HEAD + AXIS + "speed = 3\n", "speed"),
         (HEAD + AXIS + "present = 9\n", "present: 9 of 4"),
         (HEAD + AXIS + "seconds = 0.0\n", "seconds"),
-        (HEAD + AXIS + 'events = [{ kind = "zone_back", window_s = 5 }]\n', "zone_back without zone_lost"),
-        (HEAD + AXIS + 'events = [{ kind = "region_cut", window_s = 0.5 }]\n', "$.axes[0].events[0]"),
         (
-            HEAD + AXIS + 'every_tenant_first = true\nevents = [{ kind = "rack_lost", window_s = 5 }]\n',
+            HEAD + AXIS + 'events = [{ kind = "zone_back", window_s = 5 }]\n',
+            "zone_back without zone_lost",
+        ),
+        (
+            HEAD + AXIS + 'events = [{ kind = "region_cut", window_s = 0.5 }]\n',
+            "$.axes[0].events[0]",
+        ),
+        (
+            HEAD
+            + AXIS
+            + 'every_tenant_first = true\nevents = [{ kind = "rack_lost", window_s = 5 }]\n',
             "every_tenant_first",
         ),
-        (HEAD + AXIS + 'events = [{ kind = "start", window_s = 5 }]\n', "start is always the first"),
+        (
+            HEAD + AXIS + 'events = [{ kind = "start", window_s = 5 }]\n',
+            "start is always the first",
+        ),
         (HEAD.replace("limiters = 4", "limiters = 1") + AXIS, "limiters: 1 is not 2 to"),
         ("workers = 99\n" + HEAD + AXIS, "workers"),
         (HEAD + "[fleet]\nzones = 4\n" + AXIS, "$.fleet"),
@@ -142,11 +168,17 @@
 
 
 @given(st.integers(1, 200), st.integers(0, 199), st.integers(0, 199))
-def test_a_cut_region_is_cut_both_ways_and_from_the_others_alone(limiters: int, one: int, other: int) -> None:
+def test_a_cut_region_is_cut_both_ways_and_from_the_others_alone(
+    limiters: int, one: int, other: int
+) -> None:
     one, other = one % limiters, other % limiters
     layout = topology.lay_out(limiters, FleetTerms())
     cut = topology.region_cut(layout, 0)
-    assert cut(one, other) == cut(other, one) == ((layout.region(one) == 0) != (layout.region(other) == 0))
+    assert (
+        cut(one, other)
+        == cut(other, one)
+        == ((layout.region(one) == 0) != (layout.region(other) == 0))
+    )
 
 
 def test_zones_lie_within_regions_and_racks_within_zones() -> None:
@@ -178,7 +210,9 @@
 
 
 @given(st.lists(st.integers(1, 10**10), min_size=1, max_size=200), st.integers(1, 5))
-def test_sums_of_processes_add_up_and_bound_the_ninety_ninth(times: list[int], processes: int) -> None:
+def test_sums_of_processes_add_up_and_bound_the_ninety_ninth(
+    times: list[int], processes: int
+) -> None:
     parts = [Sums() for _ in range(processes)]
     for place, spent in enumerate(times):
         Meter._count(parts[place % processes], spent)
@@ -247,7 +281,8 @@
 
 def test_quotas_are_held_against_one_store_by_tenant() -> None:
     people = load.Population(
-        (load.Tenant(0, 0, 0, 1, "calm", 1.0, 1.0, 1.0, (0.0, 1.0, 0.0)),), (load.Quota("one", 1.0, 4.0),)
+        (load.Tenant(0, 0, 0, 1, "calm", 1.0, 1.0, 1.0, (0.0, 1.0, 0.0)),),
+        (load.Quota("one", 1.0, 4.0),),
     )
     rows = [
         truth.Row(0.0, 0, 3.0, True),
@@ -257,8 +292,18 @@
         truth.Row(9.0, 0, 1.0, True),
     ]
     first, second = truth.judge(rows, people, [truth.Window(0.0, 2.0), truth.Window(2.0, 10.0)])
-    assert (first.asked, first.let_in, first.beyond, first.refused_with_room) == (11.0, 6.0, 3.0, 2.0)
-    assert (second.asked, second.let_in, second.beyond, second.refused_with_room) == (1.0, 1.0, 0.0, 0.0)
+    assert (first.asked, first.let_in, first.beyond, first.refused_with_room) == (
+        11.0,
+        6.0,
+        3.0,
+        2.0,
+    )
+    assert (second.asked, second.let_in, second.beyond, second.refused_with_room) == (
+        1.0,
+        1.0,
+        0.0,
+        0.0,
+    )
 
 
 @pytest.mark.parametrize(
@@ -299,7 +344,12 @@
     reports = [_report(3, 8.0, 5), _report(1, 4.0, 7)]
     point = coordinator.point_of(one, planned, 2.0, reports, [])
     view = next(sums for sums in point.roles if sums.role is Role.VIEW)
-    assert (view.calls, view.datagrams_out, view.bytes_out, view.longest_turn_s) == (12, 12, 18, 7e-9)
+    assert (view.calls, view.datagrams_out, view.bytes_out, view.longest_turn_s) == (
+        12,
+        12,
+        18,
+        7e-9,
+    )
     assert (point.hollow, point.seconds, point.memory_bytes) == (4, 7.0, 100.0)
     assert not [note for note in point.notes if "not accounted for" in note]
     reports[1].ledger.came -= 3
@@ -399,7 +449,9 @@
     return coordinator.Coordinator(one, lambda line: None).play(point)
 
 
-def test_workers_that_grow_too_large_are_ended(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_workers_that_grow_too_large_are_ended(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
     monkeypatch.setattr(coordinator, "total_memory", lambda: 1 << 20)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(tempfile, "tempdir", None)
@@ -417,7 +469,9 @@
 def test_every_tenant_asks_once_before_measuring_and_not_within_it() -> None:
     point = _tiny(every_tenant_first=True)
     size = msgspec.structs.replace(point.size, tenants=150, requests_per_s=0.0)
-    played = _play(msgspec.structs.replace(point, size=size, fleet=FleetTerms(spread_least=2, spread_most=2)))
+    played = _play(
+        msgspec.structs.replace(point, size=size, fleet=FleetTerms(spread_least=2, spread_most=2))
+    )
     requests = next(one for one in played.roles if one.role is Role.REQUESTS)
     assert requests.calls < 150 and played.quotas
     assert [note for note in played.notes if note.startswith("refused")], "they came"
@@ -425,7 +479,9 @@
 
 def test_a_worker_that_fails_is_told_of_with_its_last_words() -> None:
     point = _tiny()
-    broken = msgspec.structs.replace(point, size=msgspec.structs.replace(point.size, servers=-1, routes=0))
+    broken = msgspec.structs.replace(
+        point, size=msgspec.structs.replace(point.size, servers=-1, routes=0)
+    )
     with pytest.raises(coordinator.RunError, match="worker [01] ended: ValueError: classes: none"):
         _play(broken)
 
@@ -444,4 +500,6 @@
     bad = tmp_path / "bad.toml"
     bad.write_text(HEAD + '[[axes]]\naxis = "hosts"\nvalues = [1]\n')
     done = _run(tmp_path, str(bad), "--json", str(tmp_path / "out.json"))
-    assert done.returncode == 1 and "$.axes[0].axis" in done.stderr and "Traceback" not in done.stderr
+    assert (
+        done.returncode == 1 and "$.axes[0].axis" in done.stderr and "Traceback" not in done.stderr
+    )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,7 @@
-"""What happens on the sockets of a whole limiter, told as scenarios (the language: tests/scenario.py)."""
+"""What happens on the sockets of a whole limiter, told as scenarios (the language.
+
+Tests/scenario.py).
+"""
 
 from __future__ import annotations
 
@@ -260,7 +263,10 @@
         a expect -ERR unknown command
         a send [CLIENT SETNAME x]
         a expect +OK""",
-    "a reload moves the watch at once, asks for the whole list and keeps clients, attempts and hosts": f"""
+    (
+        "a reload moves the watch at once, asks for the whole list and keeps clients, "
+        "attempts and hosts"
+    ): f"""
         disco expect {GET}
         {READY}
         disco expect {WATCH.format(1)}
@@ -315,9 +321,14 @@
         stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
         (session,), (one,) = stage.service.frontend.sessions, stage.service.limiter.open.values()
         (line,) = stage.service.backend._hosts["s1"].lines
-        ended: list[Callable[[], object]] = [weakref.ref(session), weakref.ref(one), weakref.ref(line)]
+        ended: list[Callable[[], object]] = [
+            weakref.ref(session),
+            weakref.ref(one),
+            weakref.ref(line),
+        ]
         stage.play(
-            f"s1 send {VALUE}\na expect $2\\r\\nhi\na send {ask(2, 0)}\na expect -BUSY\na close\ns1 close\nwait 17"
+            f"s1 send {VALUE}\na expect $2\\r\\nhi\na send {ask(2, 0)}\na expect -BUSY\na "
+            "close\ns1 close\nwait 17"
         )
         del session, one, line
         assert [ref() for ref in ended] == [None, None, None]
@@ -328,7 +339,8 @@
 def test_a_refused_connection_never_ran_and_another_host_is_tried() -> None:
     stage = Stage(hosts=2)
     stage.play(
-        f"s1 stop\na send {DO.format(1)}\ns2 expect {DO.format(1)}\ns2 send {VALUE}\na expect $2\\r\\nhi"
+        f"s1 stop\na send {DO.format(1)}\ns2 expect {DO.format(1)}\ns2 send {VALUE}\na "
+        "expect $2\\r\\nhi"
     )
     assert set(stage.service.stats.outcomes) <= {"ok", "connect_failed"}
 
@@ -340,7 +352,9 @@
     stage.service.limiter.told(stage.service.table.apply(stage.table("whole", 2, "s1:in_service")))
     stage.service.backend.update({"s1": ("127.0.0.1", 9)})
     done: list[str] = []
-    attempt = stage.service.backend.start("s1", b"x" * 10, lambda result: done.append(result.status))
+    attempt = stage.service.backend.start(
+        "s1", b"x" * 10, lambda result: done.append(result.status)
+    )
     assert attempt.line and not attempt.line.touched()
     stage.service.backend.update({})
     assert done == ["connect_failed"]
@@ -410,7 +424,9 @@
         {"status": "new"},
     ]
     event = stage.service.table.apply(table)
-    assert [entry.server for entry in event.entries] == ["s1"] == list(stage.service.table.addresses)
+    assert (
+        [entry.server for entry in event.entries] == ["s1"] == list(stage.service.table.addresses)
+    )
     monkeypatch.setattr(stage.service.table, "apply", lambda document: 1 / 0)
     stage.play(f"""
         disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
@@ -430,7 +446,9 @@
 
 def test_at_sigterm_it_serves_on_and_leaves_once_all_is_answered() -> None:
     stage = Stage(hosts=1)
-    stage.play(f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}\nb send [PING]\nwait 0.5\nb expect +PONG")
+    stage.play(
+        f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}\nb send [PING]\nwait 0.5\nb expect +PONG"
+    )
     stage.service.leave()
     stage.play(f"""
         wait 0.4
@@ -479,14 +497,39 @@
 
 @pytest.mark.parametrize(
     "change",
-    ["c=looks", "c=", "t=look", "units=nan", "units=inf", "units=-4", "units=0", "units=501", "units=1e2", "units=",
-     "d=-5", "d=99999999999999999999999", "d=3001", "d=1.5", "d=", "d=١", "spread=0", "spread=3", "spread=x",
-     "first=2", "first=-1", "first=0.5", "first=0,first=0", "c=buy"],
-)  # fmt: skip
+    [
+        "c=looks",
+        "c=",
+        "t=look",
+        "units=nan",
+        "units=inf",
+        "units=-4",
+        "units=0",
+        "units=501",
+        "units=1e2",
+        "units=",
+        "d=-5",
+        "d=99999999999999999999999",
+        "d=3001",
+        "d=1.5",
+        "d=",
+        "d=١",
+        "spread=0",
+        "spread=3",
+        "spread=x",
+        "first=2",
+        "first=-1",
+        "first=0.5",
+        "first=0,first=0",
+        "c=buy",
+    ],
+)
 def test_a_request_that_the_settings_rule_out_is_an_error_and_reaches_nobody(change: str) -> None:
     stage, name = Stage(hosts=1), change.partition("=")[0]
     fields = re.sub(rf"\b{name}=[^,]*", change, FIELDS)
-    stage.play(f"a send [Q.ASK 00000000b4d65521 r1 {fields}]\nb send [Q.ASK 00000000b4d65521 r2 {FIELDS}]")
+    stage.play(
+        f"a send [Q.ASK 00000000b4d65521 r1 {fields}]\nb send [Q.ASK 00000000b4d65521 r2 {FIELDS}]"
+    )
     assert stage.service.stats.bad == 1 and stage.service.stats.requests == 1
     assert stage._end("a").recv(99).startswith(b"-ERR ")
 
@@ -502,7 +545,9 @@
     ],
 )
 def test_a_customer_or_an_id_that_cannot_be_is_an_error(words: str) -> None:
-    Stage(hosts=1).play(f"a send [Q.ASK {words} {FIELDS}]\na expect -ERR no such customer, or no id")
+    Stage(hosts=1).play(
+        f"a send [Q.ASK {words} {FIELDS}]\na expect -ERR no such customer, or no id"
+    )
 
 
 def test_bad_commands_without_end_end_the_connection() -> None:
@@ -522,7 +567,9 @@
     taken = stage.service.stats.requests
     assert TURNED_AWAY_AT_ONCE <= taken <= TURNED_AWAY_AT_ONCE + 2
     stage.play(f"b send {ask(1)}\ns1 expect {ask(1)}\nwait 1")
-    assert taken + 0.9 * TURNED_AWAY <= stage.service.stats.requests <= taken + 1.1 * TURNED_AWAY + 1
+    assert (
+        taken + 0.9 * TURNED_AWAY <= stage.service.stats.requests <= taken + 1.1 * TURNED_AWAY + 1
+    )
 
 
 def test_many_commands_at_once_let_others_have_their_turn_and_are_all_answered() -> None:
@@ -546,15 +593,19 @@
     stage = Stage(hosts=1, sockets=80)  # room for 28 clients, of which 20 that have asked are kept
     for number in range(25):
         stage.play(
-            f"c{number} send [SELECT 0]\nc{number} expect +OK\nc0 send [SELECT 0]\nc0 expect +OK\nwait 0.1"
+            f"c{number} send [SELECT 0]\nc{number} expect +OK\nc0 send [SELECT 0]\nc0 "
+            "expect +OK\nwait 0.1"
         )
     assert len(stage.service.frontend.sessions) == 20
     stage.play(
-        "c1 expect closed\nc5 expect closed\nc6 expect nothing\nc24 expect nothing\nc0 send [PING]\nc0 expect +PONG"
+        "c1 expect closed\nc5 expect closed\nc6 expect nothing\nc24 expect nothing\nc0 "
+        "send [PING]\nc0 expect +PONG"
     )
 
 
-def test_of_idle_connections_those_that_never_spoke_go_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_of_idle_connections_those_that_never_spoke_go_first(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     stage = Stage(hosts=1, sockets=0)  # room for nine clients
     stage.play("a send [SELECT 0]\na expect +OK\nwait 0.1")
     for number in range(20):
@@ -568,7 +619,9 @@
     raise OSError(errno.EMFILE, "none left")
 
 
-def test_an_attempt_for_which_no_descriptor_is_left_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_attempt_for_which_no_descriptor_is_left_never_ran(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
     monkeypatch.setattr("socket.socket", no_descriptor)
@@ -576,7 +629,9 @@
     assert set(stage.service.stats.outcomes) == {"connect_failed"}
 
 
-def test_accepting_without_a_descriptor_costs_an_idle_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_accepting_without_a_descriptor_costs_an_idle_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
     stage._end("b")
@@ -606,7 +661,9 @@
     assert not stage.service.frontend.sessions
 
 
-def test_the_commands_of_a_greedy_client_wait_in_its_own_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_commands_of_a_greedy_client_wait_in_its_own_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     stage = Stage(hosts=1)
     monkeypatch.setattr(stage.service.limiter._decisions, "handle", lambda event, now: [])
     for number in range(MOST_PIPELINED + 20):
@@ -616,7 +673,9 @@
     assert stage.service.stats.requests == MOST_PIPELINED + 20
 
 
-def test_of_clients_that_hold_too_much_together_the_largest_goes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_of_clients_that_hold_too_much_together_the_largest_goes(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     stage = Stage(hosts=1, memory_mb=1)  # a quarter of it for clients
     monkeypatch.setattr(stage.service.limiter._decisions, "handle", lambda event, now: [])
     for number in range(9):
@@ -628,7 +687,10 @@
 
 def test_a_large_body_and_value_pass_through_in_parts() -> None:
     stage, body = Stage(hosts=1), "B" * 65536
-    stage.play(f"a send {DO.format(1).replace('BODY', body)}\ns1 expect {DO.format(1).replace('BODY', body)}")
+    stage.play(
+        f"a send {DO.format(1).replace('BODY', body)}\ns1 expect "
+        f"{DO.format(1).replace('BODY', body)}"
+    )
     stage.play(f"s1 send *1\\r\\n$65536\\r\\n{body}\na expect $65536\\r\\n{body}")
 
 
@@ -647,12 +709,19 @@
     stage = Stage(hosts=1)
     stage.service.print_counters_every(1.0)  # its clock starts on a whole second
     stage.play(f"a send {ask(1).replace('units=1', 'units=400')}\nwait 1.1")
-    lines = [orjson.loads(line) for line in capsys.readouterr().err.splitlines() if line.startswith("{")]
-    assert [int(line["at"]) for line in lines] == [1_000_001] and lines[0]["refusals"] == {"quota": 1}
+    lines = [
+        orjson.loads(line) for line in capsys.readouterr().err.splitlines() if line.startswith("{")
+    ]
+    assert [int(line["at"]) for line in lines] == [1_000_001] and lines[0]["refusals"] == {
+        "quota": 1
+    }
 
 
 def test_bad_commands_in_a_row_get_one_answer_each_and_no_more() -> None:
-    """The connection ends after them; an answer more would be taken for that of the client's next command."""
+    """The connection ends after them.
+
+    An answer more would be taken for that of the client's next command.
+    """
     stage = Stage(hosts=1)
     end = stage._end("a")
     end.sendall(resp.command([b"Q.ASK", b"x"]) * MOST_BAD)
@@ -675,7 +744,8 @@
     stage.play(f"a send {ask(1)}\nwait 0.1")
     assert stage.service.stats.requests == 0 and stage.service.stats.attempts == 0
     stage.play(
-        f"disco expect {GET}\ndisco send whole 2 s1:in_service s2:terminating\ns1 expect {ask(1, 900)}"
+        f"disco expect {GET}\ndisco send whole 2 s1:in_service s2:terminating\ns1 expect "
+        f"{ask(1, 900)}"
     )
     assert stage.service.stats.requests == 1
 
