--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -19,10 +19,12 @@
 import pytest
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import Gateway
+from hazelhollow.decisions.engine import DecisionEngine
 from tests.test_gateway import entry, servers
 
-CLASS = api.RequestClass("look", aim=1.0, deadline=3.0, worth=1.0, effect="safe")
+CLASS = api.RequestClass(
+    "look", latency_objective=1.0, deadline=3.0, priority_weight=1.0, effect="safe"
+)
 FREE = api.Plan("free", rate=1e6, burst=1e6)  # quotas are not what is asked about here
 WORK = 0.1  # seconds of a mean request at a warm server
 SLOTS = 2  # requests that a server works on at once
@@ -64,7 +66,7 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self.gateways = [self._gateway(number, gateways, seed) for number in range(gateways)]
 
-    def _gateway(self, number: int, gateways: int, seed: int) -> Gateway:
+    def _gateway(self, number: int, gateways: int, seed: int) -> DecisionEngine:
         told = api.Settings(
             number,
             gateways,
@@ -73,12 +75,12 @@
             zone="a",
             max_attempts=3,
             max_units=1.0,
-            cold_for=COLD_FOR,
-            cold_from=COLD_FROM,
-            fall_multiple=FALL_MULTIPLE,
-            fall_time=FALL_TIME,
+            warm_up_time=COLD_FOR,
+            warm_up_initial_share=COLD_FROM,
+            overload_multiple=FALL_MULTIPLE,
+            overload_window=FALL_TIME,
         )
-        one = Gateway(told, seed * 1000 + number)
+        one = DecisionEngine(told, seed * 1000 + number)
         one.handle(servers("full", *(entry(name) for name in self.hosts)), START)
         return one
 
@@ -90,7 +92,9 @@
 
         def ask() -> None:
             number = self.random.randrange(len(self.gateways))
-            request = api.Request(f"r{next(self._serial)}", "look", "free", "c", 1.0, 3.0, 0, 1)
+            request = api.RequestArrived(
+                f"r{next(self._serial)}", "look", "free", "c", 1.0, 3.0, 0, 1
+            )
             self.perform(number, self.gateways[number].handle(request, self.now))
             again = self.now + self.random.expovariate(rate)
             if again < until:
@@ -109,10 +113,10 @@
 
     def perform(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self._arrive(number, action)
 
-    def _arrive(self, number: int, send: api.Send) -> None:
+    def _arrive(self, number: int, send: api.StartAttempt) -> None:
         host, came = self.hosts[send.server], self.now
         host.got.append(came)
 
@@ -125,7 +129,7 @@
         def end() -> None:
             host.busy -= 1
             self.served += 1
-            done = api.Outcome(send.id, 0, send.server, "ok", self.now - came, True)
+            done = api.AttemptEnded(send.id, 0, send.server, "ok", self.now - came, True)
             self.perform(number, self.gateways[number].handle(done, self.now))
             if host.queue:
                 host.queue.popleft()()
@@ -211,6 +215,6 @@
 def test_the_model_of_a_cold_server_falls_where_it_is_sent_as_much_as_a_warm_one() -> None:
     """The check above can fail."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Gateway, "_warm", lambda gateway, server, work: True)
+        patch.setattr(DecisionEngine, "_warm", lambda gateway, server, work: True)
         fleets = [played(30, 4, load, seed) for load in (0.9, 1.5) for seed in (1, 101)]
     assert any(most_of_allowed(host) > 1.0 for fleet in fleets for host in cold_hosts(fleet))
--- a/tests/test_control_budget.py
+++ b/tests/test_control_budget.py
@@ -580,7 +580,7 @@
     known = one.table.get(5)
     assert known is not None
     older = messages.Message(
-        messages.PIECE, Record(3, sim.members[3].view.own.life, 9, ALIVE), 10**6, 7
+        messages.PIECE, Record(3, sim.members[3].view.own.incarnation, 9, ALIVE), 10**6, 7
     )
     sends = one.heard(3, messages.write(older, [known._replace(turn=0)])[0], sim.now)
     message = messages.read(sends[-1].text, 8)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -50,7 +50,7 @@
         self._names = {id(link): sender for (sender, _), link in relay.links.items()}
         self._through = relay._pass
         # each process has a budget, and a burst, of its own
-        self.lives: dict[str, int] = defaultdict(int)
+        self.incarnations: dict[str, int] = defaultdict(int)
         self.sent: dict[tuple[str, int], list[Datagram]] = defaultdict(list)
         relay._pass = self._pass  # type: ignore[method-assign]
 
@@ -59,7 +59,7 @@
         data = send.args[2]
         name = self._names[id(link)]
         row = Datagram(self._relay.scheduler.clock(), len(data) + HEADER_BYTES)
-        self.sent[name, self.lives[name]].append(row)
+        self.sent[name, self.incarnations[name]].append(row)
         self._through(link, send)
 
     def check(self) -> None:
@@ -84,7 +84,7 @@
 
     def start(self, name: str) -> None:
         """One that was killed, again."""
-        self.meter.lives[name] += 1
+        self.meter.incarnations[name] += 1
         self.world.crew.start(name)
 
     def held(self, observers: Iterable[str], number: int, state: str) -> bool:
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -37,7 +37,7 @@
     SURVEYED,
     WIDTH,
     YIELD,
-    Gateway,
+    DecisionEngine,
 )
 from hazelhollow.decisions.state import Account
 from hazelhollow.simulator import wire
@@ -66,8 +66,10 @@
     return count
 
 
-def listed(count: int, prefix: str = "s") -> list[api.ServerEntry]:
-    return [api.ServerEntry(f"{prefix}{n}", "up", "abc"[n % 3], n // 4, 1.0) for n in range(count)]
+def listed(count: int, prefix: str = "s") -> list[api.EndpointEntry]:
+    return [
+        api.EndpointEntry(f"{prefix}{n}", "up", "abc"[n % 3], n // 4, 1.0) for n in range(count)
+    ]
 
 
 def kinds(count: int) -> tuple[api.RequestClass, ...]:
@@ -76,9 +78,11 @@
     )
 
 
-def gateway_of(hosts: int, classes: int, customers: int, gateways: int = LIMITERS) -> Gateway:
+def gateway_of(
+    hosts: int, classes: int, customers: int, gateways: int = LIMITERS
+) -> DecisionEngine:
     """With so many customers known, each of a set of three."""
-    gateway = make(1, gateways=gateways, classes=kinds(classes), messages_in_per_s=60.0)
+    gateway = make(1, limiter_count=gateways, classes=kinds(classes), gossip_messages_per_s=60.0)
     gateway.handle(servers("full", *listed(hosts)), 100.0)
     for number in range(customers):
         gateway._account(gossip.base36(number), gateway.plans["basic"], number % gateways, 3)
@@ -86,7 +90,7 @@
 
 
 def decide_some(
-    gateway: Gateway, now: float, count: int, cost: Callable[[Callable[[], object]], float]
+    gateway: DecisionEngine, now: float, count: int, cost: Callable[[Callable[[], object]], float]
 ) -> list[float]:
     """The cost of each of so many requests, whose answers come at once and are not counted."""
     costs, classes = [], list(gateway.classes)
@@ -98,7 +102,7 @@
         )
         actions: list[api.Action] = []
         costs.append(cost(lambda: actions.extend(ask(gateway, now, kind, customer=customer))))  # noqa: B023
-        for send in only(actions, api.Send):
+        for send in only(actions, api.StartAttempt):
             answer(gateway, send, now)
     return costs
 
@@ -155,10 +159,10 @@
     assert same <= new / 4 and not first.keys() & table.servers.keys()
 
 
-def charged(customers: int, gateways: int = 3) -> Gateway:
+def charged(customers: int, gateways: int = 3) -> DecisionEngine:
     """A second and a half after the first of so many customers, each of whom was charged once."""
-    gateway = make(0, gateways=gateways, messages_in_per_s=60.0)
-    gateway.handle(api.Timer("beat"), 100.0)
+    gateway = make(0, limiter_count=gateways, gossip_messages_per_s=60.0)
+    gateway.handle(api.TimerFired("beat"), 100.0)
     gateway.messages.level = 0.0
     for number in range(customers):
         now = 100.0 + 1.5 * number / customers
@@ -168,9 +172,9 @@
     return gateway
 
 
-def beats(gateway: Gateway, count: int, start: float = 101.5) -> list[int]:
+def beats(gateway: DecisionEngine, count: int, start: float = 101.5) -> list[int]:
     return [
-        bytecodes(lambda turn=turn: gateway.handle(api.Timer("beat"), start + turn / 15))  # type: ignore[misc]
+        bytecodes(lambda turn=turn: gateway.handle(api.TimerFired("beat"), start + turn / 15))  # type: ignore[misc]
         for turn in range(count)
     ]
 
@@ -188,7 +192,7 @@
     gateway.booked = dict.fromkeys(gateway.accounts)
     counts = []
     for turn in range(4):
-        gateway.handle(api.Timer("beat"), 101.6 + turn / 15)
+        gateway.handle(api.TimerFired("beat"), 101.6 + turn / 15)
         counts.append(len(gateway.dirty[1]))
     assert counts == [CLOSED_A_BEAT, 2 * CLOSED_A_BEAT, 3 * CLOSED_A_BEAT, 3 * CLOSED_A_BEAT]
 
@@ -216,8 +220,8 @@
 
 def test_old_news_for_peers_that_are_away_go_in_beats_of_a_bounded_number() -> None:
     peers = 4 * AWAY_A_BEAT + 3
-    gateway = make(0, gateways=peers + 2)
-    gateway.handle(api.Fleet(True, (0, peers + 1)), 100.0)  # one other is there
+    gateway = make(0, limiter_count=peers + 2)
+    gateway.handle(api.MembershipChanged(True, (0, peers + 1)), 100.0)  # one other is there
     for peer in range(1, peers + 2):
         gateway.dirty[peer] = {("a", 100): "", ("b", 102): "", ("c", 103): ""}
     gateway.period = 103
@@ -234,20 +238,20 @@
 LIVES = ("1.a", "2.b")  # of the peers
 
 
-def charged_by_many(customers: int) -> Gateway:
+def charged_by_many(customers: int) -> DecisionEngine:
     """Counts are kept.
 
     And so many customers were charged one unit each by each of three members in the period of 100.
     """
-    gateway = make(0, gateways=3)
-    gateway.handle(api.Fleet(True, (0, 1, 2), keeps=True), 100.0)
+    gateway = make(0, limiter_count=3)
+    gateway.handle(api.MembershipChanged(True, (0, 1, 2), keeps=True), 100.0)
     for number in range(customers):
         account = gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 3)
         account.totals.turn(100)
         account.totals.charge(1.0, 100)
-        for life in LIVES:
-            account.totals.told(life, 99, 99, 0.0)  # it began then
-            account.totals.hear(life, 100, 1.0)
+        for incarnation in LIVES:
+            account.totals.told(incarnation, 99, 99, 0.0)  # it began then
+            account.totals.hear(incarnation, 100, 1.0)
         gateway.mark_unclosed(account)
     return gateway
 
@@ -256,7 +260,7 @@
     customers, told = 3 * COUNTS_A_BEAT + 5, list[str]()
     gateway = charged_by_many(customers)
     gateway.now, gateway.period = 102.0, 102
-    while counts := only(gateway.closed(COUNTS_A_BEAT), api.Closed):
+    while counts := only(gateway.closed(COUNTS_A_BEAT), api.ReplicateCount):
         assert len(counts) <= COUNTS_A_BEAT + len(LIVES)  # those of one customer together
         told += [count.key for count in counts]
     names = sorted(gossip.base36(number) for number in range(customers))
@@ -282,23 +286,25 @@
             account.totals.turn(period)
             account.totals.charge(1.0, period)
             gateway.mark_unclosed(account)
-        told |= {count.key for count in only(gateway.closed(COUNTS_A_BEAT), api.Closed)}
+        told |= {count.key for count in only(gateway.closed(COUNTS_A_BEAT), api.ReplicateCount)}
     assert len(told) == 2 * COUNTS_A_BEAT
 
 
 def test_counts_that_are_kept_close_without_a_look_at_customers_that_were_not_charged() -> None:
     costs = []
     for idle in (0, 5000):
-        gateway = make(0, gateways=3)
-        gateway.handle(api.Fleet(True, (0, 1, 2), keeps=True), 100.0)
+        gateway = make(0, limiter_count=3)
+        gateway.handle(api.MembershipChanged(True, (0, 1, 2), keeps=True), 100.0)
         for number in range(idle):
             gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 3)
-        only(ask(gateway, 100.0), api.Send)
+        only(ask(gateway, 100.0), api.StartAttempt)
         closed: list[api.Action] = []
         for now in (101.0, 102.0, 103.0, 104.0):
             gateway.now, gateway.period = now, int(now)
             costs.append(bytecodes(lambda: closed.extend(gateway.closed(COUNTS_A_BEAT))))  # noqa: B023
-        assert [c.told.total for c in only(closed, api.Closed)] == [1.0] and not gateway.unclosed
+        assert [c.told.total for c in only(closed, api.ReplicateCount)] == [
+            1.0
+        ] and not gateway.unclosed
     assert sum(costs[4:]) <= MARGIN * sum(costs[:4])
 
 
@@ -306,7 +312,7 @@
 
 
 def plain_limit(
-    gateway: Gateway, kind: api.RequestClass, worth: dict[str, float], work: float
+    gateway: DecisionEngine, kind: api.RequestClass, worth: dict[str, float], work: float
 ) -> float:
     """As it was reckoned for each request, over all classes.
 
@@ -314,12 +320,14 @@
     """
     learned = gateway.learned
     value = {
-        c.name: c.worth * learned.units[c.name] / learned.work[c.name]
+        c.name: c.priority_weight * learned.units[c.name] / learned.work[c.name]
         for c in gateway.settings.classes
     }
     if not gateway.small:
         return gateway.tight * value[kind.name] / max(value.values())
-    longest = min(c.aim for c in gateway.settings.classes if value[c.name] >= value[kind.name])
+    longest = min(
+        c.latency_objective for c in gateway.settings.classes if value[c.name] >= value[kind.name]
+    )
     cheapest = min(value, key=value.__getitem__)
     part = worth.get(cheapest, 0.0) / sum(worth.values()) if worth else 0.0
     value[cheapest] *= 1.0 + gateway.settings.class_weight / max(part, 0.01)
@@ -353,7 +361,7 @@
     gateways: int,
     weight: float,
 ) -> None:
-    gateway = make(0, gateways=gateways, classes=classes, class_weight=weight)
+    gateway = make(0, limiter_count=gateways, classes=classes, class_weight=weight)
     worth, work = dict[str, float](), 0.0
     for turn, (number, units, factor) in enumerate(learned):
         if turn == 20:
@@ -361,9 +369,9 @@
         kind = gateway.settings.classes[number % len(gateway.settings.classes)]
         gateway.learned.learn_units(kind, units, GAIN)
         gateway.learned.learn_work(kind, 1, factor, 1.0)
-        gateway.asked.add(kind.name, kind.worth * units, gateway.learned.work[kind.name])
+        gateway.asked.add(kind.name, kind.priority_weight * units, gateway.learned.work[kind.name])
         worth = {name: amount * (1.0 - 1.0 / MIX) for name, amount in worth.items()}
-        worth[kind.name] = worth.get(kind.name, 0.0) + kind.worth * units
+        worth[kind.name] = worth.get(kind.name, 0.0) + kind.priority_weight * units
         work = work * (1.0 - 1.0 / MIX) + gateway.learned.work[kind.name]
         for one in gateway.settings.classes:
             assert gateway._limit(one) == pytest.approx(
@@ -410,9 +418,9 @@
     st.builds(
         api.RequestClass,
         name=st.sampled_from("abcdef"),
-        aim=st.sampled_from([0.1, 0.2, 0.5]),
+        latency_objective=st.sampled_from([0.1, 0.2, 0.5]),
         deadline=st.just(1.0),
-        worth=st.sampled_from([0.5, 1.0, 2.0]),
+        priority_weight=st.sampled_from([0.5, 1.0, 2.0]),
         effect=st.just("safe"),
     ),
     min_size=1,
@@ -443,7 +451,9 @@
     told = [(first, 1.0)]
     for number, aim, worth, factor in changes:
         kinds = list(told[-1][0])
-        kinds[number % len(kinds)] = replace(kinds[number % len(kinds)], aim=aim, worth=worth)
+        kinds[number % len(kinds)] = replace(
+            kinds[number % len(kinds)], latency_objective=aim, priority_weight=worth
+        )
         told.append((kinds, factor))
     stats = ClassStats(first)
     for kinds, factor in [*told, (last, 1.0), (first, 1.0)]:
@@ -463,7 +473,7 @@
     ]
     document = {"position": 0, "balancers": 1, "grades": grades}
     before = wire.KnownSettings(document, wire.parse_settings(wire.Fields("settings", document)))
-    gateway = Gateway(before.settings, 1)
+    gateway = DecisionEngine(before.settings, 1)
     changed = {
         **document,
         "grades": [{**one, "objective": 0.4} if n == 7 else one for n, one in enumerate(grades)],
@@ -515,10 +525,14 @@
     """The list as it was kept: every change a pass over all servers."""
 
     def __init__(self, told: api.Settings) -> None:
-        self.told, self.entries, self.lives = told, dict[str, api.ServerEntry](), Counter[str]()
+        self.told, self.entries, self.incarnations = (
+            told,
+            dict[str, api.EndpointEntry](),
+            Counter[str](),
+        )
         self.banned: set[str] = set()
 
-    def apply(self, event: api.Servers) -> None:
+    def apply(self, event: api.EndpointsUpdated) -> None:
         if event.kind not in ("change", "failed"):
             self.entries = {
                 e.server: self.entries[e.server] for e in event.entries if e.server in self.entries
@@ -528,24 +542,24 @@
             if one.state == "gone":
                 self.entries.pop(one.server, None)
             else:
-                self.lives[one.server] += known is None or known.started != one.started
+                self.incarnations[one.server] += known is None or known.started != one.started
                 self.entries[one.server] = one
 
-    def cold(self, one: api.ServerEntry, now: float) -> bool:
-        return 0 < one.started > now - self.told.cold_for
+    def cold(self, one: api.EndpointEntry, now: float) -> bool:
+        return 0 < one.started > now - self.told.warm_up_time
 
-    def width(self, one: api.ServerEntry) -> float:
+    def width(self, one: api.EndpointEntry) -> float:
         mean = sum(e.weight for e in self.entries.values()) / len(self.entries) or 1.0
         return max(WIDTH * one.weight / mean, WIDTH / 4)
 
-    def up(self) -> list[api.ServerEntry]:
+    def up(self) -> list[api.EndpointEntry]:
         return [e for e in self.entries.values() if e.state == "up" and e.server not in self.banned]
 
 
 TOLD = make().settings
 
 
-def table_of(*entries: api.ServerEntry) -> ServerTable:
+def table_of(*entries: api.EndpointEntry) -> ServerTable:
     table = ServerTable(WIDTH, TOLD)
     table.apply(servers("full", *entries), 100.0)
     return table
@@ -553,7 +567,7 @@
 
 names = st.integers(0, 9).map(lambda n: f"s{n}")
 entries = st.builds(
-    api.ServerEntry,
+    api.EndpointEntry,
     names,
     st.sampled_from(["up", "up", "draining", "gone"]),
     st.sampled_from("ab"),
@@ -585,7 +599,7 @@
     @given(steps)
     def check(some: list[tuple[str, Any]]) -> None:
         table, plain, now = ServerTable(WIDTH, TOLD), PlainTable(TOLD), 100.0
-        lives: dict[str, tuple[int, Server]] = {}
+        incarnations: dict[str, tuple[int, Server]] = {}
         for what, words in some:
             if what == "wait":
                 now += 3.0
@@ -597,9 +611,11 @@
                 plain.apply(servers(what, *words))
             same_as(table, plain, now)
             for name, server in table.servers.items():  # the same one until it has started anew
-                life, before = lives.get(name, (0, server))
-                assert (server is before) == (life == plain.lives[name]) or not life
-                lives[name] = plain.lives[name], server
+                incarnation, before = incarnations.get(name, (0, server))
+                assert (server is before) == (
+                    incarnation == plain.incarnations[name]
+                ) or not incarnation
+                incarnations[name] = plain.incarnations[name], server
 
     check()
 
@@ -639,7 +655,7 @@
 
 def test_up_to_so_many_servers_all_are_compared_where_loads_are_known_and_no_more_beyond() -> None:
     for count in (SURVEYED, SURVEYED + 1, 500):
-        gateway = make(0, gateways=3)
+        gateway = make(0, limiter_count=3)
         gateway.handle(servers("full", *listed(count)), 100.0)
         drawn = [some for _, some in gateway._candidates()]
         assert all(len(some) == SURVEYED for some in drawn)
@@ -648,24 +664,30 @@
 
 @pytest.mark.parametrize("gateways", [3, LIMITERS])
 def test_among_many_servers_the_one_that_is_up_is_found(gateways: int) -> None:
-    gateway = make(0, gateways=gateways)
+    gateway = make(0, limiter_count=gateways)
     gateway.handle(
         servers("full", *(replace(e, state="draining") for e in listed(500)), entry("last")), 100.0
     )
-    assert [send.server for send in only(ask(gateway, 100.1), api.Send)] == ["last"]
+    assert [send.server for send in only(ask(gateway, 100.1), api.StartAttempt)] == ["last"]
     assert gateway.avoided() == {f"s{n}" for n in range(500)}
 
 
 @pytest.mark.parametrize("gateways", [3, LIMITERS])
 def test_among_many_servers_a_repeat_finds_those_that_drop_it(gateways: int) -> None:
     order = api.RequestClass(
-        "order", aim=3.0, deadline=4.0, worth=1.0, effect="keyed", group="cell", window=2.0
+        "order",
+        latency_objective=3.0,
+        deadline=4.0,
+        priority_weight=1.0,
+        effect="keyed",
+        group="cell",
+        window=2.0,
     )
     for turn in range(10):
-        gateway = make(turn % 3, gateways=gateways, classes=(order,))
+        gateway = make(turn % 3, limiter_count=gateways, classes=(order,))
         gateway.handle(servers("full", *listed(500)), 100.0)
-        (send,) = only(ask(gateway, 100.0, "order"), api.Send)
-        (again,) = only(answer(gateway, send, 100.1, "reset"), api.Send)
+        (send,) = only(ask(gateway, 100.0, "order"), api.StartAttempt)
+        (again,) = only(answer(gateway, send, 100.1, "reset"), api.StartAttempt)
         assert gateway.servers[again.server].entry.cell == gateway.servers[send.server].entry.cell
 
 
@@ -674,7 +696,7 @@
 
 def test_of_a_large_set_those_heard_of_come_first_and_the_rest_by_chance() -> None:
     account = Account(make().plans["basic"], 1.0, 0.0, 0.0, False)
-    account.place(7, 500, replace(TOLD, gateways=600), 3, 2)
+    account.place(7, 500, replace(TOLD, limiter_count=600), 3, 2)
     account.totals.heard = {
         ("9.aa", 5): 2.0,
         ("300.bb", 5): 7.0,
@@ -694,7 +716,7 @@
 
 
 def test_a_server_that_has_failed_many_classes_long_ago_keeps_few_of_them() -> None:
-    gateway = make(0, gateways=LIMITERS, classes=kinds(300))
+    gateway = make(0, limiter_count=LIMITERS, classes=kinds(300))
     server = gateway.servers["s0"]
     for number in range(300):
         gateway.now = 100.0 + number
@@ -703,7 +725,7 @@
 
 
 def test_failures_are_told_latest_first_and_forgotten() -> None:
-    gateway = make(0, gateways=LIMITERS)
+    gateway = make(0, limiter_count=LIMITERS)
     for number, tag in enumerate("abcab"):
         gateway.now = 100.0 + number
         gateway.note_failed(tag, "k")
@@ -744,17 +766,19 @@
     sets: list[tuple[int, int]], told: list[tuple[float, frozenset[int], list[tuple[int, float]]]]
 ) -> list[Any]:
     """What a gateway knows of customers of these sets, after these changes to who can be heard."""
-    plan = api.Plan("basic", 10.0, 40.0, over_cost=1.0)
-    gateway = make(1, gateways=RING, plans=(plan,), messages_in_per_s=60.0)
+    plan = api.Plan("basic", 10.0, 40.0, excess_cost=1.0)
+    gateway = make(1, limiter_count=RING, plans=(plan,), gossip_messages_per_s=60.0)
     everybody, now = tuple(range(RING)), 100.0
-    gateway.handle(api.Fleet(True, everybody, keeps=True), now)
+    gateway.handle(api.MembershipChanged(True, everybody, keeps=True), now)
     for number, (first, spread) in enumerate(sets):
         gateway._account(gossip.base36(number), plan, first, spread)
     for passed, lost, unused in told:
         now += passed
         present = tuple(n for n in everybody if n not in lost)
         gateway.handle(
-            api.Fleet(True, present, lost=tuple(sorted(lost)), unused=tuple(unused), keeps=True),
+            api.MembershipChanged(
+                True, present, lost=tuple(sorted(lost)), unused=tuple(unused), keeps=True
+            ),
             now,
         )
     gateway.now = now + 0.5
@@ -789,13 +813,13 @@
 
 
 def test_of_many_customers_those_are_looked_at_whose_members_cannot_be_heard() -> None:
-    gateway = make(1, gateways=LIMITERS, messages_in_per_s=60.0)
-    gateway.handle(api.Fleet(True, tuple(range(LIMITERS))), 100.0)
+    gateway = make(1, limiter_count=LIMITERS, gossip_messages_per_s=60.0)
+    gateway.handle(api.MembershipChanged(True, tuple(range(LIMITERS))), 100.0)
     for number in range(LIMITERS):
         gateway._account(gossip.base36(number), gateway.plans["basic"], number, 40)
     looked_at = list[Any]()
     gateway.leave_to_lost = looked_at.append  # type: ignore[method-assign, assignment]
-    gateway.handle(api.Fleet(True, tuple(range(1, LIMITERS)), lost=(0,)), 101.0)
+    gateway.handle(api.MembershipChanged(True, tuple(range(1, LIMITERS)), lost=(0,)), 101.0)
     assert {account.first for account in looked_at} == {0, *range(LIMITERS - 39, LIMITERS)} and len(
         looked_at
     ) == 40
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -338,7 +338,7 @@
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     stage._end("s1").sendall(stage.bytes_of(VALUE))
     leave(stage, "a", "close")
-    outcomes = [event for event in seen if isinstance(event, api.Outcome)]
+    outcomes = [event for event in seen if isinstance(event, api.AttemptEnded)]
     assert len(outcomes) == 1 and not stage.service.limiter.open
 
 
@@ -395,7 +395,7 @@
 
 
 def test_a_request_that_is_unsafe_to_repeat_is_sent_again_only_if_it_never_ran() -> None:
-    stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE), parallel_tries=True))
+    stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE), hedging=True))
     order = DO.format(1)
     stage.play(
         f"s1 stop\na send {order}\ns2 expect {order}\ns2.1 expect nothing\ns2 close\na "
@@ -485,9 +485,11 @@
 
 def test_a_customer_does_not_go_by_the_plan_of_another_that_has_its_key_in_messages() -> None:
     scarce = replace(
-        SETTINGS.plans[0], name="scarce", rate=0.001, burst=2.0, over_worth=0.0, over_cost=1.0
+        SETTINGS.plans[0], name="scarce", rate=0.001, burst=2.0, excess_weight=0.0, excess_cost=1.0
+    )
+    stage = Stage(
+        hosts=1, settings=replace(SETTINGS, limiter_count=1, plans=(*SETTINGS.plans, scarce))
     )
-    stage = Stage(hosts=1, settings=replace(SETTINGS, gateways=1, plans=(*SETTINGS.plans, scarce)))
     first, second = same_key(stage.service.gateway)
     lean, full = (
         ask(n, 3000).replace("00000000b4d65521", who).replace("spread=2", "spread=1")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 
 
 def test_quotas_hold_in_sets_that_no_hub_can_tell_within_a_second() -> None:
-    count = Fleet(3, gateways=150, load=800.0, hosts=90).play(8.0)
+    count = Fleet(3, limiter_count=150, load=800.0, hosts=90).play(8.0)
     assert (
         count.over / count.offered < 0.11
     )  # 0.17 where each hub tells all of a set, the members in their order
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -136,7 +136,7 @@
     crew = fleet.world.crew
     fleet.until(fleet.whole)
     first = crew.members["n1"]
-    life = fleet.view("n0")["1"][1]
+    incarnation = fleet.view("n0")["1"][1]
     crew.add(
         "again",
         first.command,
@@ -148,7 +148,9 @@
         first.status == 0
         and "another process has number 1 and began later" in first.log.read_text()
     )
-    fleet.until(lambda: fleet.view("n0")["1"][0] == "alive" and fleet.view("n0")["1"][1] > life)
+    fleet.until(
+        lambda: fleet.view("n0")["1"][0] == "alive" and fleet.view("n0")["1"][1] > incarnation
+    )
     assert crew.members["again"].running
 
 
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -11,7 +11,7 @@
 
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import Gateway
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.membership.records import ALIVE, DEAD, LEFT, NAMES, PRESENT, SUSPECT, Record, Table
 from hazelhollow.membership.shares import PATIENCE, QUIET, Shares
 from hazelhollow.membership.standing import Standing
@@ -24,12 +24,15 @@
 def look(
     one: Shares, gone: dict[int, int], present: dict[int, int], now: float
 ) -> list[tuple[int, float]]:
-    """Tells it of the lives of those that are gone and present now; who is in neither has left."""
+    """Tells it of the incarnations of those that are gone and present now.
+
+    Who is in neither has left.
+    """
     for number in one.peers.keys() - gone.keys() - present.keys():
         one.note(Record(number, one.peers[number].told_life, 9, LEFT))
-    for lives, state in ((gone, DEAD), (present, ALIVE)):
-        for number, life in lives.items():
-            one.note(Record(number, life, 0, state))
+    for incarnations, state in ((gone, DEAD), (present, ALIVE)):
+        for number, incarnation in incarnations.items():
+            one.note(Record(number, incarnation, 0, state))
     return one.look(now)
 
 
@@ -56,22 +59,22 @@
 def test_a_suspect_keeps_its_part_and_one_that_left_does_not() -> None:
     one = told(talks=False)
     assert look(
-        one, {3: 13}, {n: life for n, life in LIVES.items() if n != 3}, 101.0
+        one, {3: 13}, {n: incarnation for n, incarnation in LIVES.items() if n != 3}, 101.0
     ) == [] and one.lost == {3}
     assert (
-        look(one, {}, {n: life for n, life in LIVES.items() if n != 3}, 102.0) == []
+        look(one, {}, {n: incarnation for n, incarnation in LIVES.items() if n != 3}, 102.0) == []
         and one.lost == set()
     )
 
 
-@pytest.mark.parametrize(("life", "unused"), [(13, []), (99, [(3, 4.0)])])
+@pytest.mark.parametrize(("incarnation", "unused"), [(13, []), (99, [(3, 4.0)])])
 def test_what_one_that_died_did_not_use_is_given_back_and_of_one_that_was_cut_off_nothing(
-    life: int, unused: list[tuple[int, float]]
+    incarnation: int, unused: list[tuple[int, float]]
 ) -> None:
     one = told(talks=False)
     others = {n: born for n, born in LIVES.items() if n != 3}
     look(one, {3: 13}, others, 101.0)
-    assert look(one, {}, others | {3: life}, 105.0) == unused and one.lost == set()
+    assert look(one, {}, others | {3: incarnation}, 105.0) == unused and one.lost == set()
 
 
 def test_the_larger_side_takes_over_in_time_and_the_smaller_never() -> None:
@@ -79,7 +82,7 @@
         one = told(talks=False)
         away, others = (
             {n: LIVES[n] for n in gone},
-            {n: life for n, life in LIVES.items() if n not in gone},
+            {n: incarnation for n, incarnation in LIVES.items() if n not in gone},
         )
         look(one, away, others, 101.0)
         look(one, away, others, 101.0 + PATIENCE - 0.1)
@@ -113,23 +116,27 @@
 
     def __init__(self, talks: bool) -> None:
         self.talks = talks
-        self.heard, self.life = dict[int, float](), dict[int, int]()
+        self.heard, self.incarnation = dict[int, float](), dict[int, int]()
         self.lost_since, self.taken = dict[int, float](), set[int]()
 
     def look(
         self, table: dict[int, Record], now: float
     ) -> tuple[list[tuple[int, float]], set[int]]:
-        gone = {n: r.life for n, r in table.items() if r.state in (SUSPECT, DEAD)}
-        present = {n: r.life for n, r in table.items() if r.state not in (SUSPECT, DEAD, LEFT)}
-        for number, life in (gone | present).items():
-            if number not in self.life and life:
-                self.life[number], self.heard[number] = life, now
-        for number in [n for n in self.life if n not in gone and n not in present]:
-            del self.life[number], self.heard[number]
+        gone = {n: r.incarnation for n, r in table.items() if r.state in (SUSPECT, DEAD)}
+        present = {
+            n: r.incarnation for n, r in table.items() if r.state not in (SUSPECT, DEAD, LEFT)
+        }
+        for number, incarnation in (gone | present).items():
+            if number not in self.incarnation and incarnation:
+                self.incarnation[number], self.heard[number] = incarnation, now
+        for number in [n for n in self.incarnation if n not in gone and n not in present]:
+            del self.incarnation[number], self.heard[number]
             self.lost_since.pop(number, None)
             self.taken.discard(number)
-        unused = [pair for number in self.life for pair in self._judge(number, gone, present, now)]
-        everybody = len(self.life) + 1
+        unused = [
+            pair for number in self.incarnation for pair in self._judge(number, gone, present, now)
+        ]
+        everybody = len(self.incarnation) + 1
         if 2 * (everybody - len(self.lost_since)) > everybody:
             self.taken |= {n for n, since in self.lost_since.items() if now - since >= PATIENCE}
         return unused, self.lost_since.keys() - self.taken
@@ -143,10 +150,10 @@
             return unused
         if number in self.lost_since:
             since = self.lost_since.pop(number)
-            if present[number] != self.life[number] and number not in self.taken:
+            if present[number] != self.incarnation[number] and number not in self.taken:
                 unused.append((number, now - since))
             self.taken.discard(number)
-        self.life[number] = present[number]
+        self.incarnation[number] = present[number]
         return unused
 
 
@@ -177,8 +184,8 @@
             one.gossip(number, now)
             if number in whole.heard:
                 whole.heard[number] = now
-        for number, life, state in changes:
-            table[number] = Record(number, life, 0, state)
+        for number, incarnation, state in changes:
+            table[number] = Record(number, incarnation, 0, state)
             one.note(table[number])
         unused, lost = whole.look(table, now)
         assert sorted(one.look(now)) == sorted(unused) and one.lost == lost
@@ -203,36 +210,44 @@
         assert table.present_count == len(table.present())
 
 
-KEEPS = replace(PLAN, name="keeps", rate=20.0, burst=40.0, over_cost=1.0)
-GOES_ON = replace(KEEPS, name="goes on", over_cost=0.5, over_worth=0.5)
+KEEPS = replace(PLAN, name="keeps", rate=20.0, burst=40.0, excess_cost=1.0)
+GOES_ON = replace(KEEPS, name="goes on", excess_cost=0.5, excess_weight=0.5)
 
 
-def gateway(gateways: int = 5, me: int = 0) -> Gateway:
+def gateway(gateways: int = 5, me: int = 0) -> DecisionEngine:
     settings = replace(
-        SETTINGS, me=me, gateways=gateways, plans=(KEEPS, GOES_ON), messages_in_per_s=1000.0
+        SETTINGS,
+        limiter_id=me,
+        limiter_count=gateways,
+        plans=(KEEPS, GOES_ON),
+        gossip_messages_per_s=1000.0,
     )
-    one = Gateway(settings, seed=me)
+    one = DecisionEngine(settings, seed=me)
     one.handle(servers("full", *(entry(f"s{n}") for n in range(6))), 1000.0)
     return one
 
 
 def view(
     lost: tuple[int, ...] = (), unused: tuple[tuple[int, float], ...] = (), gateways: int = 5
-) -> api.Fleet:
-    return api.Fleet(
+) -> api.MembershipChanged:
+    return api.MembershipChanged(
         True, tuple(n for n in range(gateways) if n not in lost), lost=lost, unused=unused
     )
 
 
-def let_in(one: Gateway, begin: float, seconds: float, plan: str = "keeps", spread: int = 5) -> int:
+def let_in(
+    one: DecisionEngine, begin: float, seconds: float, plan: str = "keeps", spread: int = 5
+) -> int:
     """Of 40 tries a second, each answered at once."""
     served = 0
     for turn in range(int(seconds * 40)):
         now = begin + turn / 40
         for action in ask(one, now, "look", plan_name=plan, spread=spread):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 served += 1
-                one.handle(api.Outcome(action.id, 0, action.server, "ok", 0.01, True), now + 0.01)
+                one.handle(
+                    api.AttemptEnded(action.id, 0, action.server, "ok", 0.01, True), now + 0.01
+                )
     return served
 
 
@@ -272,7 +287,7 @@
         if before:
             ask(one, 1000.02, "look", plan_name="keeps", spread=5, units=1e-6)
         for peer in (1, 2, 3, 4):
-            one.handle(api.PeerMessage(peer, gossip.head(1000, 0.0, one.life)), 1000.03)
+            one.handle(api.GossipReceived(peer, gossip.head(1000, 0.0, one.incarnation)), 1000.03)
         ask(one, 1000.04, "look", plan_name="keeps", spread=5, units=1e-6)
         assert one.whole and next(iter(one.accounts.values())).budget.level == pytest.approx(
             level, abs=1.0
@@ -307,13 +322,15 @@
     one = gateway(gateways=12)
     ask(one, 1000.1, "look", plan_name="keeps", spread=12)
     first, second = next(iter(one.accounts.values())).hubs
-    one.handle(api.Fleet(True, tuple(n for n in range(12) if not gone or n != first)), 1000.2)
+    one.handle(
+        api.MembershipChanged(True, tuple(n for n in range(12) if not gone or n != first)), 1000.2
+    )
     told = {
         action.gateway
         for action in ask(one, 1000.3, "look", plan_name="keeps", spread=12)
-        if isinstance(action, api.Tell)
+        if isinstance(action, api.SendGossip)
     }
-    assert one.settings.me not in (first, second) and told == (
+    assert one.settings.limiter_id not in (first, second) and told == (
         {second} if gone else {first, second}
     )
 
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -15,7 +15,7 @@
 from hazelhollow.bench import fleet as bench
 from hazelhollow.bench.fleet import Sim
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import Gateway
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.membership import messages, seal, view
 from hazelhollow.membership.records import (
     ALIVE,
@@ -287,7 +287,7 @@
         (0, from_peer(PEER._replace(number=0)), "forged"),
         (1, from_peer(PEER, serial=5), "replayed"),
         (1, from_peer(PEER, serial=4), "replayed"),
-        (1, from_peer(PEER._replace(life=PEER.life - 1), serial=9), "earlier_life"),
+        (1, from_peer(PEER._replace(incarnation=PEER.incarnation - 1), serial=9), "earlier_life"),
     ],
 )
 def test_what_is_dropped_is_counted_and_changes_nothing(
@@ -323,7 +323,11 @@
 def test_the_later_start_of_two_with_one_number_goes_on() -> None:
     one = alone()
     answered(one, 1000.0)
-    one.heard(1, from_peer(PEER, serial=2, told=(one.own._replace(life=one.own.life + 1),)), 1000.2)
+    one.heard(
+        1,
+        from_peer(PEER, serial=2, told=(one.own._replace(incarnation=one.own.incarnation + 1),)),
+        1000.2,
+    )
     assert one.yielded and not one.acting and one.beat(1000.3) == []
 
 
@@ -348,10 +352,14 @@
 
 def test_a_clock_set_back_goes_past_the_earlier_life_only_while_joining_and_once() -> None:
     one = alone()
-    later = one.own.life + 10**9
-    one.heard(1, from_peer(PEER, told=(one.own._replace(life=later),)), 1000.1)
-    assert one.own.life > later and not one.yielded
-    one.heard(1, from_peer(PEER, serial=2, told=(one.own._replace(life=one.own.life + 1),)), 1000.2)
+    later = one.own.incarnation + 10**9
+    one.heard(1, from_peer(PEER, told=(one.own._replace(incarnation=later),)), 1000.1)
+    assert one.own.incarnation > later and not one.yielded
+    one.heard(
+        1,
+        from_peer(PEER, serial=2, told=(one.own._replace(incarnation=one.own.incarnation + 1),)),
+        1000.2,
+    )
     assert one.yielded
 
 
@@ -546,44 +554,51 @@
 # What the decision module makes of it
 
 
-def gateway(gateways: int = 3) -> Gateway:
-    one = Gateway(replace(SETTINGS, gateways=gateways, messages_in_per_s=100.0), seed=1)
+def gateway(gateways: int = 3) -> DecisionEngine:
+    one = DecisionEngine(
+        replace(SETTINGS, limiter_count=gateways, gossip_messages_per_s=100.0), seed=1
+    )
     one.handle(servers("full", entry("s1")), 1000.0)
     return one
 
 
 def test_one_that_does_not_act_takes_nothing_new_and_says_so_harmlessly() -> None:
     one = gateway()
-    one.handle(api.Fleet(False, (0, 1, 2)), 1000.1)
-    refused = only(ask(one, 1000.2, "look"), api.Refuse)[0]
+    one.handle(api.MembershipChanged(False, (0, 1, 2)), 1000.1)
+    refused = only(ask(one, 1000.2, "look"), api.RejectRequest)[0]
     assert refused.why == "away" and one.held == {}
-    one.handle(api.Fleet(True, (0, 1, 2)), 1000.3)
-    assert only(ask(one, 1000.4, "look"), api.Send)
+    one.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.3)
+    assert only(ask(one, 1000.4, "look"), api.StartAttempt)
 
 
-def told(one: Gateway, now: float) -> set[int]:
+def told(one: DecisionEngine, now: float) -> set[int]:
     return {
         action.gateway
-        for action in one.handle(api.Timer("beat"), now)
-        if isinstance(action, api.Tell)
+        for action in one.handle(api.TimerFired("beat"), now)
+        if isinstance(action, api.SendGossip)
     }
 
 
-@pytest.mark.parametrize("event", [api.Fleet(True, (0, 1)), api.Fleet(True, (0, 1, 2), deaf=(2,))])
+@pytest.mark.parametrize(
+    "event",
+    [api.MembershipChanged(True, (0, 1)), api.MembershipChanged(True, (0, 1, 2), deaf=(2,))],
+)
 def test_those_that_are_gone_or_cannot_hear_are_not_told_until_they_are_back(
-    event: api.Fleet,
+    event: api.MembershipChanged,
 ) -> None:
     one = gateway()
     one.handle(event, 1000.1)
     ask(one, 1000.2, "look", spread=3)
     assert told(one, 1000.3) == {1}
-    one.handle(api.Fleet(True, (0, 1, 2)), 1000.4)
+    one.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.4)
     assert 2 in told(one, 1000.5)  # with what was charged meanwhile
 
 
 def test_those_are_older_whose_life_began_so_long_before() -> None:
     one = alone()
     for number, seconds in ((2, 3.9), (3, 4.1), (4, 400.0), (5, -5.0)):
-        one.table.put(Record(number, one.own.life - round(seconds * view.LIVES_A_S), 1, ALIVE))
+        one.table.put(
+            Record(number, one.own.incarnation - round(seconds * view.LIVES_A_S), 1, ALIVE)
+        )
     one.table.put(Record(6, 0, 0, DEAD))  # nobody has ever seen it
     assert one.older(4.0) == {3, 4}
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,64 +14,76 @@
 from hypothesis import strategies as st
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import NEVER_RAN, Gateway
-from hazelhollow.decisions.gossip_codec import MOST_BYTES, base36, life
+from hazelhollow.decisions.engine import NEVER_RAN, DecisionEngine
+from hazelhollow.decisions.gossip_codec import MOST_BYTES, base36, incarnation
 
-LOOKUP = api.RequestClass("lookup", aim=1.0, deadline=4.0, worth=1.0, effect="safe")
-ISSUE = api.RequestClass("issue", aim=2.0, deadline=6.0, worth=1.0, effect="unsafe")
+LOOKUP = api.RequestClass(
+    "lookup", latency_objective=1.0, deadline=4.0, priority_weight=1.0, effect="safe"
+)
+ISSUE = api.RequestClass(
+    "issue", latency_objective=2.0, deadline=6.0, priority_weight=1.0, effect="unsafe"
+)
 HOLD = api.RequestClass(
-    "hold", aim=1.0, deadline=4.0, worth=1.0, effect="keyed", group="zone", window=2.0
+    "hold",
+    latency_objective=1.0,
+    deadline=4.0,
+    priority_weight=1.0,
+    effect="keyed",
+    group="zone",
+    window=2.0,
 )
-BASIC = api.Plan("basic", rate=4.0, burst=12.0, over_cost=1.0)
-HARD = api.Plan("hard", rate=4.0, burst=12.0, over_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
+BASIC = api.Plan("basic", rate=4.0, burst=12.0, excess_cost=1.0)
+HARD = api.Plan("hard", rate=4.0, burst=12.0, excess_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
 
 
-def make(me: int = 0, **changes: Any) -> Gateway:
+def make(me: int = 0, **changes: Any) -> DecisionEngine:
     values: dict[str, object] = dict(
-        me=me,
-        gateways=3,
+        limiter_id=me,
+        limiter_count=3,
         classes=(LOOKUP, ISSUE, HOLD),
         plans=(BASIC, HARD),
         zone="a",
         max_units=4.0,
         max_attempts=3,
         peers=True,
-        messages_in_per_s=100.0,
+        gossip_messages_per_s=100.0,
         max_retry_after=2.0,
-        cold_for=10.0,
-        cold_from=0.2,
-        fall_multiple=4.0,
-        fall_time=2.0,
+        warm_up_time=10.0,
+        warm_up_initial_share=0.2,
+        overload_multiple=4.0,
+        overload_window=2.0,
     )
-    gateway = Gateway(api.Settings(**{**values, **changes}), seed=7)
+    gateway = DecisionEngine(api.Settings(**{**values, **changes}), seed=7)
     gateway.handle(servers("cached", *(entry(f"s{i}", "ab"[i % 2]) for i in range(4))), 0.0)
     return gateway
 
 
-def entry(name: str, zone: str = "a", state: str = "up", started: float = 0.0) -> api.ServerEntry:
-    return api.ServerEntry(name, state, zone, 0, 1.0, started)  # type: ignore[arg-type]
+def entry(name: str, zone: str = "a", state: str = "up", started: float = 0.0) -> api.EndpointEntry:
+    return api.EndpointEntry(name, state, zone, 0, 1.0, started)  # type: ignore[arg-type]
 
 
-def servers(kind: str, *entries: api.ServerEntry) -> api.Servers:
-    return api.Servers(kind, entries)  # type: ignore[arg-type]
+def servers(kind: str, *entries: api.EndpointEntry) -> api.EndpointsUpdated:
+    return api.EndpointsUpdated(kind, entries)  # type: ignore[arg-type]
 
 
 _ids = itertools.count()
 T = TypeVar("T")
 
 
-def ask(gateway: Gateway, now: float, kind: str = "lookup", **changes: Any) -> list[api.Action]:
+def ask(
+    gateway: DecisionEngine, now: float, kind: str = "lookup", **changes: Any
+) -> list[api.Action]:
     values: dict[str, object] = dict(
         id=f"r{next(_ids)}",
         class_name=kind,
         plan_name="basic",
         customer="c",
         units=1.0,
-        patience=4.0,
-        first_gateway=0,
+        time_left=4.0,
+        set_start=0,
         spread=3,
     )
-    return gateway.handle(api.Request(**{**values, **changes}), now)
+    return gateway.handle(api.RequestArrived(**{**values, **changes}), now)
 
 
 def only(actions: Sequence[api.Action], kind: type[T]) -> list[T]:
@@ -79,18 +91,18 @@
 
 
 def answer(
-    gateway: Gateway, send: api.Send, now: float, status: str = "ok", **more: object
+    gateway: DecisionEngine, send: api.StartAttempt, now: float, status: str = "ok", **more: object
 ) -> list[api.Action]:
     final = status == "ok"
-    event = api.Outcome(send.id, 0, send.server, status, 0.1, final=final, **more)  # type: ignore[arg-type]
+    event = api.AttemptEnded(send.id, 0, send.server, status, 0.1, final=final, **more)  # type: ignore[arg-type]
     return gateway.handle(event, now)
 
 
-def spend(gateway: Gateway, now: float, tries: int, **changes: Any) -> int:
+def spend(gateway: DecisionEngine, now: float, tries: int, **changes: Any) -> int:
     """How many of so many tries go out, each answered at once."""
     sent = 0
     for _ in range(tries):
-        for send in only(ask(gateway, now, **changes), api.Send):
+        for send in only(ask(gateway, now, **changes), api.StartAttempt):
             answer(gateway, send, now)
             sent += 1
     return sent
@@ -114,7 +126,7 @@
 
 def test_settlement_may_leave_a_budget_in_debt() -> None:
     gateway = make()
-    (send,) = only(ask(gateway, 100.0, units=4.0), api.Send)
+    (send,) = only(ask(gateway, 100.0, units=4.0), api.StartAttempt)
     answer(gateway, send, 100.0, true_units=20.0)
     assert spend(gateway, 100.0, 5) == 0
     assert spend(gateway, 102.0, 5) == 0  # still at nothing
@@ -130,7 +142,7 @@
 
 def test_settlement_counts_once_and_not_for_another_outcome() -> None:
     gateway = make()
-    (send,) = only(ask(gateway, 100.0, units=4.0), api.Send)
+    (send,) = only(ask(gateway, 100.0, units=4.0), api.StartAttempt)
     answer(gateway, send, 100.0, true_units=1.0)
     answer(gateway, send, 100.0, true_units=1.0)
     assert spend(gateway, 100.0, 30) == 11
@@ -138,35 +150,37 @@
 
 def test_a_second_figure_of_one_request_settles_nothing() -> None:
     gateway = make()
-    (send,) = only(ask(gateway, 100.0, units=2.0), api.Send)
-    (again,) = only(answer(gateway, send, 100.1, "error", true_units=4.0), api.Send)
-    gateway.handle(api.Outcome(again.id, 1, again.server, "ok", 0.1, True, 4.0), 100.2)
+    (send,) = only(ask(gateway, 100.0, units=2.0), api.StartAttempt)
+    (again,) = only(answer(gateway, send, 100.1, "error", true_units=4.0), api.StartAttempt)
+    gateway.handle(api.AttemptEnded(again.id, 1, again.server, "ok", 0.1, True, 4.0), 100.2)
     assert next(iter(gateway.accounts.values())).budget.level == pytest.approx(12.0 - 4.0, abs=1.0)
 
 
 def test_excess_is_refused_with_the_time_until_it_fits() -> None:
     gateway = make()
     spend(gateway, 100.0, 12)
-    (refusal,) = only(ask(gateway, 100.0), api.Refuse)
+    (refusal,) = only(ask(gateway, 100.0), api.RejectRequest)
     assert 0 < refusal.retry_after <= 1.0 and refusal.why == "quota"
 
 
 def test_a_refusal_says_its_reason_for_the_counters() -> None:
-    assert [r.why for r in only(ask(make(), 0.0, plan_name="hard"), api.Refuse)] == [
+    assert [r.why for r in only(ask(make(), 0.0, plan_name="hard"), api.RejectRequest)] == [
         "ceiling"
     ]  # empty at a start
-    assert [r.why for r in only(ask(make(), 0.0, plan_name="none"), api.Refuse)] == ["unknown"]
+    assert [r.why for r in only(ask(make(), 0.0, plan_name="none"), api.RejectRequest)] == [
+        "unknown"
+    ]
     bare = make()
     bare.handle(servers("full"), 0.0)
-    assert [r.why for r in only(ask(bare, 0.0), api.Refuse)] == ["no server"]
+    assert [r.why for r in only(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
 
 
 # Gossip
 
 
-def tell(source: Gateway, now: float, to: int) -> list[api.PeerMessage]:
-    told = only(source.handle(api.Timer("beat"), now), api.Tell)
-    return [api.PeerMessage(source.settings.me, t.text) for t in told if t.gateway == to]
+def tell(source: DecisionEngine, now: float, to: int) -> list[api.GossipReceived]:
+    told = only(source.handle(api.TimerFired("beat"), now), api.SendGossip)
+    return [api.GossipReceived(source.settings.limiter_id, t.text) for t in told if t.gateway == to]
 
 
 def test_gossip_sums_the_use_and_a_repeated_message_changes_nothing() -> None:
@@ -199,13 +213,13 @@
 def test_only_the_customers_other_gateways_are_told_its_charges() -> None:
     one = make(0)
     spend(one, 100.0, 3, spread=2)
-    told = only(one.handle(api.Timer("beat"), 100.1), api.Tell)
+    told = only(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
     assert [t.gateway for t in told if ":" in t.text] == [1]
 
 
 def test_charges_find_room_beside_the_loads_of_a_large_fleet() -> None:
     """A load map that fills the message must not crowd out the charges."""
-    one = make(0, gateways=8)
+    one = make(0, limiter_count=8)
     one.handle(servers("full", *(entry(f"x{i}") for i in range(80))), 99.0)
     for i in range(60):
         ask(one, 100.0, customer=f"k{i}")
@@ -247,7 +261,7 @@
 def test_a_bad_message_changes_nothing(text: str) -> None:
     gateway = make(0)
     fields = {"k": _key_of("c"), "p": base36(100 % 36), "old": base36(97 % 36)}
-    gateway.handle(api.PeerMessage(1, text.format(**fields)), 100.0)
+    gateway.handle(api.GossipReceived(1, text.format(**fields)), 100.0)
     assert spend(gateway, 100.0, 30) == 12 and not gateway.servers["s0"].health
 
 
@@ -255,9 +269,9 @@
 def test_a_message_from_an_unknown_sender_or_oneself_changes_nothing(sender: int) -> None:
     gateway = make(0)
     text = f"h{base36(100 % 36)}0aa {_key_of('c')}:0:0:3:0:2i"
-    gateway.handle(api.PeerMessage(sender, text), 100.0)
+    gateway.handle(api.GossipReceived(sender, text), 100.0)
     assert spend(gateway, 100.0, 30) == 12
-    gateway.handle(api.PeerMessage(1, text), 100.0)  # the same from a peer counts: 9 units
+    gateway.handle(api.GossipReceived(1, text), 100.0)  # the same from a peer counts: 9 units
     assert spend(gateway, 102.25, 30) == 0 and spend(gateway, 102.5, 30) == 1
 
 
@@ -272,30 +286,30 @@
 
 def test_odd_requests_get_their_one_answer_at_once() -> None:
     gateway = make()
-    for odd in ({"class_name": "x"}, {"plan_name": "x"}, {"units": 0.0}, {"patience": 0.0}):
-        assert len(only(ask(gateway, 100.0, **odd), api.Refuse)) == 1
+    for odd in ({"class_name": "x"}, {"plan_name": "x"}, {"units": 0.0}, {"time_left": 0.0}):
+        assert len(only(ask(gateway, 100.0, **odd), api.RejectRequest)) == 1
 
 
 def test_without_a_usable_server_a_request_is_refused() -> None:
     gateway = make()
     gateway.handle(servers("full"), 99.0)
-    assert len(only(ask(gateway, 100.0), api.Refuse)) == 1
+    assert len(only(ask(gateway, 100.0), api.RejectRequest)) == 1
 
 
 def test_an_unsafe_request_that_may_have_run_fails_and_one_that_did_not_goes_again() -> None:
     gateway = make()
-    (send,) = only(ask(gateway, 100.0, "issue"), api.Send)
-    assert only(answer(gateway, send, 100.1, "reset"), api.Fail)
-    (send,) = only(ask(gateway, 100.2, "issue"), api.Send)
-    assert only(answer(gateway, send, 100.3, "full"), api.Send)
+    (send,) = only(ask(gateway, 100.0, "issue"), api.StartAttempt)
+    assert only(answer(gateway, send, 100.1, "reset"), api.FailRequest)
+    (send,) = only(ask(gateway, 100.2, "issue"), api.StartAttempt)
+    assert only(answer(gateway, send, 100.3, "full"), api.StartAttempt)
 
 
 def test_late_events_for_an_ended_request_are_harmless() -> None:
     gateway = make()
-    (send,) = only(ask(gateway, 100.0), api.Send)
+    (send,) = only(ask(gateway, 100.0), api.StartAttempt)
     answer(gateway, send, 100.1)
     assert answer(gateway, send, 100.2, "timeout") == []
-    assert gateway.handle(api.ClientGone(send.id), 100.3) == []
+    assert gateway.handle(api.ClientDisconnected(send.id), 100.3) == []
     assert gateway.held == {}
 
 
@@ -317,13 +331,13 @@
     zones = {s.entry.server: s.entry.zone for s in gateway.servers.values()}
     ran: list[tuple[str, float]] = []
     for number, status in enumerate([*statuses, "timeout", "timeout", "timeout"]):
-        sends = only(actions, api.Send)
-        finals = [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
+        sends = only(actions, api.StartAttempt)
+        finals = [a for a in actions if isinstance(a, api.RejectRequest | api.FailRequest)]
         assert len(sends) + len(finals) == 1
         if ran and kind == "issue":
-            assert not sends and not only(finals, api.Refuse)
+            assert not sends and not only(finals, api.RejectRequest)
         if ran and kind == "hold":
-            assert not only(finals, api.Refuse)
+            assert not only(finals, api.RejectRequest)
             for send in sends:
                 assert zones[send.server] == ran[0][0] and now < ran[0][1] + HOLD.window
         if finals:
@@ -333,10 +347,10 @@
         if status not in NEVER_RAN:
             ran.append((zones[sends[0].server], sent_at))
         final = status == "ok"
-        event = api.Outcome(sends[0].id, number, sends[0].server, status, 0.1, final=final)  # type: ignore[arg-type]
+        event = api.AttemptEnded(sends[0].id, number, sends[0].server, status, 0.1, final=final)  # type: ignore[arg-type]
         actions = gateway.handle(event, now)
         if final:
-            assert not only(actions, api.Send) and gateway.held == {}
+            assert not only(actions, api.StartAttempt) and gateway.held == {}
             return
     raise AssertionError("never ended")
 
@@ -351,7 +365,9 @@
     )
     gateway.handle(servers("change", entry("s1", state="gone")), 99.0)
     used = {
-        s.server for _ in range(9) for s in only(ask(gateway, 100.0, customer=f"{_}"), api.Send)
+        s.server
+        for _ in range(9)
+        for s in only(ask(gateway, 100.0, customer=f"{_}"), api.StartAttempt)
     }
     assert used == {"s3"}
 
@@ -361,7 +377,7 @@
     gateway.handle(servers("change", entry("s0", started=99.9)), 100.0)
     counts = dict.fromkeys(("s0", "s1", "s2", "s3"), 0)
     for i in range(200):
-        for send in only(ask(gateway, 100.0 + i * 0.01, customer=f"{i}"), api.Send):
+        for send in only(ask(gateway, 100.0 + i * 0.01, customer=f"{i}"), api.StartAttempt):
             counts[send.server] += 1
             answer(gateway, send, 100.0 + i * 0.01)
     warm = (counts["s1"] + counts["s2"] + counts["s3"]) / 3
@@ -380,7 +396,7 @@
             fleet[number] = make(number)
             fleet[number].born = now
         units = float(chance.randint(1, 4))
-        for send in only(ask(fleet[number], now, plan_name="hard", units=units), api.Send):
+        for send in only(ask(fleet[number], now, plan_name="hard", units=units), api.StartAttempt):
             level -= units
             answer(fleet[number], send, now)
         assert level >= -1e-6
@@ -392,10 +408,10 @@
 def test_nothing_grows_with_customers_that_never_come_back() -> None:
     gateway = make()
     for i in range(2000):
-        for send in only(ask(gateway, 100.0 + i * 0.01, customer=f"k{i}"), api.Send):
+        for send in only(ask(gateway, 100.0 + i * 0.01, customer=f"k{i}"), api.StartAttempt):
             answer(gateway, send, 100.0 + i * 0.01)
     for i in range(200):
-        gateway.handle(api.Timer("beat"), 130.0 + i / 10)
+        gateway.handle(api.TimerFired("beat"), 130.0 + i / 10)
     assert not gateway.accounts and not gateway.held and not any(gateway.dirty.values())
 
 
@@ -403,15 +419,19 @@
     gateway = make()
     server = gateway.servers["s0"]
     for i in range(40):
-        (send,) = only(ask(gateway, 100.0 + i, customer=f"{i}"), api.Send)
+        (send,) = only(ask(gateway, 100.0 + i, customer=f"{i}"), api.StartAttempt)
         cost = 20.0 if i % 20 == 0 else 0.1
-        gateway.handle(api.Outcome(send.id, 0, send.server, "ok", cost, final=True), 100.5 + i)
+        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", cost, final=True), 100.5 + i)
     assert all(s.pace < 2.0 for s in gateway.servers.values()) and server.pace > 0
 
 
 def test_a_long_aim_does_not_let_a_cheap_class_shut_out_a_dear_one() -> None:
-    dear = api.RequestClass("dear", aim=1.0, deadline=4.0, worth=9.0, effect="safe")
-    cheap = api.RequestClass("cheap", aim=9.0, deadline=20.0, worth=1.0, effect="safe")
+    dear = api.RequestClass(
+        "dear", latency_objective=1.0, deadline=4.0, priority_weight=9.0, effect="safe"
+    )
+    cheap = api.RequestClass(
+        "cheap", latency_objective=9.0, deadline=20.0, priority_weight=1.0, effect="safe"
+    )
     gateway = make(classes=(dear, cheap))
     assert gateway._limit(cheap) == 1.0 and gateway._limit(dear) == 1.0
 
@@ -421,9 +441,9 @@
     for server in gateway.servers.values():
         # seconds of work: a wait between the two limits
         server.out["other", 0], server.since = 0.4, 100.0
-    assert only(ask(gateway, 100.1, customer="a", patience=2.5), api.Refuse)
-    assert only(ask(gateway, 100.1, customer="b", patience=4.0), api.Send)
-    assert only(ask(gateway, 100.1, customer="c", patience=3.5), api.Send)
+    assert only(ask(gateway, 100.1, customer="a", time_left=2.5), api.RejectRequest)
+    assert only(ask(gateway, 100.1, customer="b", time_left=4.0), api.StartAttempt)
+    assert only(ask(gateway, 100.1, customer="c", time_left=3.5), api.StartAttempt)
 
 
 @pytest.mark.parametrize("marks", [False, True])
@@ -432,15 +452,15 @@
 
     That shows no age.
     """
-    gateway = make(marks_retry=marks)
+    gateway = make(clients_mark_retries=marks)
     # learned where clients mark nothing, known where they do
     for turn in range(6 if not marks else 0):
-        spend(gateway, 100.0, 1, customer=f"{turn}", patience=2.4 + turn / 1000)
-        spend(gateway, 100.0, 1, customer=f"r{turn}", patience=3.9)
+        spend(gateway, 100.0, 1, customer=f"{turn}", time_left=2.4 + turn / 1000)
+        spend(gateway, 100.0, 1, customer=f"r{turn}", time_left=3.9)
     for server in gateway.servers.values():
         server.out["other", 0], server.since = 0.4, 100.0
-    assert only(ask(gateway, 100.1, customer="a", patience=2.4), api.Send)
-    assert only(ask(gateway, 100.1, customer="b", patience=2.0, repeat=marks), api.Refuse)
+    assert only(ask(gateway, 100.1, customer="a", time_left=2.4), api.StartAttempt)
+    assert only(ask(gateway, 100.1, customer="b", time_left=2.0, repeat=marks), api.RejectRequest)
 
 
 @pytest.mark.parametrize("gateways", [3, 12])
@@ -449,14 +469,15 @@
 
     Retries after a fixed wait, cut alike, would hold for first tries.
     """
-    gateway = make(gateways=gateways)
-    spend(gateway, 100.0, 1, customer="first", patience=4.0)
+    gateway = make(limiter_count=gateways)
+    spend(gateway, 100.0, 1, customer="first", time_left=4.0)
     for turn in range(6):
-        spend(gateway, 100.0, 1, customer=f"{turn}", patience=2.4)
+        spend(gateway, 100.0, 1, customer=f"{turn}", time_left=2.4)
     for server in gateway.servers.values():
         server.out["other", 0], server.since = 0.7 if gateways > 8 else 0.4, 100.0
     late = [
-        action.why for action in only(ask(gateway, 100.1, customer="a", patience=2.4), api.Refuse)
+        action.why
+        for action in only(ask(gateway, 100.1, customer="a", time_left=2.4), api.RejectRequest)
     ]
     assert late == ([] if gateways == 3 else ["late"])
 
@@ -465,8 +486,8 @@
     gateway = make()
     for server in gateway.servers.values():
         server.out["other", 0] = 9.0
-    (refusal,) = only(ask(gateway, 100.0), api.Refuse)
-    assert 0 < refusal.retry_after < LOOKUP.aim / 2
+    (refusal,) = only(ask(gateway, 100.0), api.RejectRequest)
+    assert 0 < refusal.retry_after < LOOKUP.latency_objective / 2
 
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
@@ -482,9 +503,9 @@
 @pytest.mark.parametrize(
     "name, value",
     [
-        ("me", 3),
+        ("limiter_id", 3),
         ("max_attempts", 0),
-        ("messages_in_per_s", 0.0),
+        ("gossip_messages_per_s", 0.0),
         ("classes", ()),
         ("plans", (api.Plan("p", 1.0, 0.0),)),
     ],
@@ -497,11 +518,13 @@
 def test_customers_that_come_once_and_hosts_that_fail_leave_nothing_behind() -> None:
     gateway, most = make(), 0
     for second in range(1, 60):
-        gateway.handle(api.Timer("beat"), float(second))
+        gateway.handle(api.TimerFired("beat"), float(second))
         for n in range(20):
-            (send,) = only(ask(gateway, second + 0.1, customer=f"{second}-{n}"), api.Send)
+            (send,) = only(ask(gateway, second + 0.1, customer=f"{second}-{n}"), api.StartAttempt)
             status: api.Status = "error" if n % 5 == 0 else "ok"
-            gateway.handle(api.Outcome(send.id, 0, send.server, status, 0.1, True), second + 0.2)
+            gateway.handle(
+                api.AttemptEnded(send.id, 0, send.server, status, 0.1, True), second + 0.2
+            )
         gateway.handle(
             servers("change", entry(f"s{second % 4}", started=float(second))), second + 0.5
         )
@@ -514,18 +537,18 @@
     gateway, head, seen = make(), "h{}0x ", set()
     charge = f"{base36(77)}:0:0:3:0:"
     for tenth in range(10, 50):
-        gateway.handle(api.Timer("beat"), tenth / 10)
+        gateway.handle(api.TimerFired("beat"), tenth / 10)
         period = base36(tenth // 10)
         gateway.handle(
-            api.PeerMessage(1, head.format(period) + charge + base36(10)), tenth / 10 + 0.01
+            api.GossipReceived(1, head.format(period) + charge + base36(10)), tenth / 10 + 0.01
         )
         seen.add(id(gateway.accounts[base36(77)]))
     assert len(seen) == 1
 
 
-def opened(gateway: Gateway, now: float) -> int:
+def opened(gateway: DecisionEngine, now: float) -> int:
     """How many requests of one customer are let in, one after the other, while none ends."""
-    return sum(bool(only(ask(gateway, now, plan_name="few"), api.Send)) for _ in range(8))
+    return sum(bool(only(ask(gateway, now, plan_name="few"), api.StartAttempt)) for _ in range(8))
 
 
 def test_a_limit_on_requests_open_goes_by_what_peers_are_likely_to_have_out() -> None:
@@ -543,15 +566,17 @@
     ):  # a second, by each of two peers, at a sixth of a second each
         gateway = make(plans=(few,))
         for peer in (1, 2):
-            gateway.handle(api.PeerMessage(peer, f"h10x {key}:0:0:3:0:{base36(10 * units)}"), 1.9)
+            gateway.handle(
+                api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10 * units)}"), 1.9
+            )
         assert opened(gateway, 1.9) == most
 
 
 @pytest.mark.parametrize(
-    "lives, basic, hard", [((0.0, 0.6), 12, 8), ((0.0, -10.0), 4, 0), ((0.0,), 4, 0)]
+    "incarnations, basic, hard", [((0.0, 0.6), 12, 8), ((0.0, -10.0), 4, 0), ((0.0,), 4, 0)]
 )
 def test_who_began_together_has_the_whole_burst_and_who_began_later_a_part(
-    lives: tuple[float, ...], basic: int, hard: int
+    incarnations: tuple[float, ...], basic: int, hard: int
 ) -> None:
     """Of one that starts among older ones.
 
@@ -559,14 +584,15 @@
     """
     for plan, most in (("basic", basic), ("hard", hard)):
         gateway = make()
-        gateway.born, gateway.life = 1000.0, life(1000.0)
+        gateway.born, gateway.incarnation = 1000.0, incarnation(1000.0)
         let_in = [ask(gateway, 1000.0, plan_name=plan)]
-        for peer, start in enumerate(lives, 1):
+        for peer, start in enumerate(incarnations, 1):
             gateway.handle(
-                api.PeerMessage(peer, f"h{base36(1000 % 36)}0{life(1000.0 + start)}"), 1000.0
+                api.GossipReceived(peer, f"h{base36(1000 % 36)}0{incarnation(1000.0 + start)}"),
+                1000.0,
             )
         let_in += [ask(gateway, 1000.0, plan_name=plan) for _ in range(30)]
-        assert sum(bool(only(actions, api.Send)) for actions in let_in) == most
+        assert sum(bool(only(actions, api.StartAttempt)) for actions in let_in) == most
 
 
 def test_an_attempt_that_broke_off_at_once_costs_few_retries_and_a_long_one_costs_a_whole_one() -> (
@@ -579,13 +605,13 @@
     for elapsed, most in ((0.0002, 200), (0.5, 30)):
         gateway, retried = make(), 0
         for number in range(200):
-            (send,) = only(ask(gateway, 1.0 + number, customer=str(number)), api.Send)
-            event = api.Outcome(send.id, 0, send.server, "reset", elapsed)
-            again = only(gateway.handle(event, 1.0 + number), api.Send)
+            (send,) = only(ask(gateway, 1.0 + number, customer=str(number)), api.StartAttempt)
+            event = api.AttemptEnded(send.id, 0, send.server, "reset", elapsed)
+            again = only(gateway.handle(event, 1.0 + number), api.StartAttempt)
             retried += len(again)
             for further in again:
                 gateway.handle(
-                    api.Outcome(send.id, 1, further.server, "ok", 0.1, True), 1.0 + number
+                    api.AttemptEnded(send.id, 1, further.server, "ok", 0.1, True), 1.0 + number
                 )
         assert 0.9 * most <= retried <= most
 
@@ -595,7 +621,7 @@
     for later, most in ((0.0, 2), (0.9, 5)):
         gateway = make(plans=(few,))
         for peer in (1, 2):
-            gateway.handle(api.PeerMessage(peer, f"h10x {key}:0:0:3:0:{base36(10)}:2"), 1.0)
+            gateway.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10)}:2"), 1.0)
         assert opened(gateway, 1.0 + later) == most
 
 
@@ -604,39 +630,42 @@
     for heard, most in ((0, 10), (50, 8)):
         gateway = make(plans=(quick,))
         ask(gateway, 1.9, plan_name="quick", units=0.001)
-        gateway.handle(api.PeerMessage(1, f"h10x {key}:0:0:3:0:{base36(10 * heard)}"), 1.9)
+        gateway.handle(api.GossipReceived(1, f"h10x {key}:0:0:3:0:{base36(10 * heard)}"), 1.9)
         gateway.accounts[key].budget.level = 10.0
         assert (
-            sum(bool(only(ask(gateway, 1.9, plan_name="quick"), api.Send)) for _ in range(20))
+            sum(
+                bool(only(ask(gateway, 1.9, plan_name="quick"), api.StartAttempt))
+                for _ in range(20)
+            )
             == most
         )
 
 
-def hung(gateway: Gateway, kind: str, wait: float, answers: bool) -> tuple[list[str], str]:
+def hung(gateway: DecisionEngine, kind: str, wait: float, answers: bool) -> tuple[list[str], str]:
     """The host at which a request hangs after some usual ones.
 
     And those it goes to once the gateway has looked.
     """
     for number in range(30):
-        for send in only(ask(gateway, 1.0 + number / 10, customer=str(number)), api.Send):
+        for send in only(ask(gateway, 1.0 + number / 10, customer=str(number)), api.StartAttempt):
             gateway.handle(
-                api.Outcome(send.id, 0, send.server, "ok", 0.02, True), 1.02 + number / 10
+                api.AttemptEnded(send.id, 0, send.server, "ok", 0.02, True), 1.02 + number / 10
             )
-    (send,) = only(ask(gateway, 5.0, kind), api.Send)
+    (send,) = only(ask(gateway, 5.0, kind), api.StartAttempt)
     gateway.wait = wait
     if answers:
         gateway.servers[send.server].since = 5.7
-    cancels = only(gateway.handle(api.Timer("beat"), 5.75), api.Cancel)
+    cancels = only(gateway.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
     actions = [
-        gateway.handle(api.Outcome(c.id, c.attempt, send.server, "cancelled", 0.75), 5.75)
+        gateway.handle(api.AttemptEnded(c.id, c.attempt, send.server, "cancelled", 0.75), 5.75)
         for c in cancels
     ]
-    return [again.server for a in actions for again in only(a, api.Send)], send.server
+    return [again.server for a in actions for again in only(a, api.StartAttempt)], send.server
 
 
 @pytest.mark.parametrize("answers", [False, True])
 def test_what_hangs_at_a_calm_time_goes_to_another_server(answers: bool) -> None:
-    gateway = make(cancelling=True)
+    gateway = make(cancellation=True)
     (other,), first = hung(gateway, "lookup", 0.0, answers)
     assert other != first
     # one answer that is lost is no failing server
@@ -644,19 +673,19 @@
 
 
 def test_what_hangs_stays_in_an_overload_and_where_it_may_not_be_repeated() -> None:
-    assert hung(make(cancelling=True), "lookup", 0.5, False)[0] == []
-    assert hung(make(cancelling=True), "issue", 0.0, False)[0] == []
+    assert hung(make(cancellation=True), "lookup", 0.5, False)[0] == []
+    assert hung(make(cancellation=True), "issue", 0.0, False)[0] == []
     assert hung(make(), "lookup", 0.0, False)[0] == []
 
 
 def test_a_server_that_answers_nothing_gets_nothing_new() -> None:
     gateway = make()
-    (hangs,) = only(ask(gateway, 1.0), api.Send)
+    (hangs,) = only(ask(gateway, 1.0), api.StartAttempt)
     for name, server in gateway.servers.items():
         server.pace = 1.0 if name == hangs.server else 5.0  # else it would be the best
     later = set()
     for number in range(40):
-        (send,) = only(ask(gateway, 1.9, customer=str(number)), api.Send)
-        gateway.handle(api.Outcome(send.id, 0, send.server, "ok", 0.05, True), 1.9)
+        (send,) = only(ask(gateway, 1.9, customer=str(number)), api.StartAttempt)
+        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", 0.05, True), 1.9)
         later.add(send.server)
     assert later and hangs.server not in later
--- a/tests/test_gossip_budget.py
+++ b/tests/test_gossip_budget.py
@@ -15,24 +15,24 @@
 
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import Gateway
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip_outbox import HEADER, MOST_WAITING, News, Outbox
 from tests.test_gateway import answer, ask, make, only, spend
 
 BUDGET = 600.0  # bytes a second
 
 
-def budgeted(gateways: int = 3, budget: float = BUDGET, **changes: float) -> Gateway:
-    gateway = make(0, gateways=gateways, gossip_bytes_per_s=budget, **changes)
-    gateway.handle(api.Timer("beat"), 100.0)
+def budgeted(gateways: int = 3, budget: float = BUDGET, **changes: float) -> DecisionEngine:
+    gateway = make(0, limiter_count=gateways, gossip_bytes_per_s=budget, **changes)
+    gateway.handle(api.TimerFired("beat"), 100.0)
     return gateway
 
 
-def told(actions: list[api.Action]) -> list[api.Tell]:
-    return only(actions, api.Tell)
+def told(actions: list[api.Action]) -> list[api.SendGossip]:
+    return only(actions, api.SendGossip)
 
 
-def words(texts: list[api.Tell], peer: int) -> list[str]:
+def words(texts: list[api.SendGossip], peer: int) -> list[str]:
     """Customers' keys, in the order in which the peer is told."""
     return [
         word.split(":")[0]
@@ -43,7 +43,7 @@
     ]
 
 
-def key(gateway: Gateway, customer: str) -> str:
+def key(gateway: DecisionEngine, customer: str) -> str:
     return gateway._key(customer)
 
 
@@ -58,7 +58,7 @@
     gateway, now, sent = budgeted(gateways), 100.0, list[tuple[float, int]]()
     for wait, customer, units in asked:
         now += wait
-        for event in (None, api.Timer("beat")):
+        for event in (None, api.TimerFired("beat")):
             spread = 3 if gateways == 3 else 30
             actions = (
                 gateway.handle(event, now)
@@ -66,7 +66,7 @@
                 else ask(gateway, now, customer=f"{customer}", units=float(units), spread=spread)
             )
             sent += [(now, len(t.text) + HEADER) for t in told(actions)]
-            for send in only(actions, api.Send):
+            for send in only(actions, api.StartAttempt):
                 answer(gateway, send, now)
     for first in range(len(sent)):
         total = 0
@@ -79,12 +79,12 @@
     gateway = budgeted()
     for _ in range(5):
         ask(gateway, 101.1, units=2.0)
-    texts = told(gateway.handle(api.Timer("beat"), 101.5))
+    texts = told(gateway.handle(api.TimerFired("beat"), 101.5))
     assert words(texts, 1) == [key(gateway, "c")] == words(texts, 2)
     assert all(gossip._tenths(10.0) in t.text for t in texts)
-    assert not told(gateway.handle(api.Timer("beat"), 101.9))  # nothing is told again
+    assert not told(gateway.handle(api.TimerFired("beat"), 101.9))  # nothing is told again
     assert not words(
-        told(gateway.handle(api.Timer("beat"), 102.1)), 1
+        told(gateway.handle(api.TimerFired("beat"), 102.1)), 1
     )  # nor the final figure, which is known
 
 
@@ -93,7 +93,7 @@
     for number in range(60):
         assert spend(gateway, 100.5, 1, customer=f"calm{number}", units=2.0, spread=2)
     assert spend(gateway, 100.5, 3, customer="near", units=2.0, spread=2) == 3
-    (text, *_) = told(gateway.handle(api.Timer("beat"), 100.6))
+    (text, *_) = told(gateway.handle(api.TimerFired("beat"), 100.6))
     assert words([text], 1)[0] == key(gateway, "near")
 
 
@@ -102,9 +102,13 @@
     gateway.outbox.bytes.most = 100 * BUDGET  # type: ignore[union-attr]  # so that there is not plenty
     for now in (101.1, 101.4, 101.7):
         ask(gateway, now, units=1.0)
-        assert words(told(gateway.handle(api.Timer("beat"), now + 0.1)), 1) == [key(gateway, "c")]
-        assert not told(gateway.handle(api.Timer("beat"), now + 0.2))
-    assert not words(told(gateway.handle(api.Timer("beat"), 102.1)), 1)  # the final figure is known
+        assert words(told(gateway.handle(api.TimerFired("beat"), now + 0.1)), 1) == [
+            key(gateway, "c")
+        ]
+        assert not told(gateway.handle(api.TimerFired("beat"), now + 0.2))
+    assert not words(
+        told(gateway.handle(api.TimerFired("beat"), 102.1)), 1
+    )  # the final figure is known
 
 
 def test_news_that_nobody_can_use_any_more_are_dropped_and_not_rendered() -> None:
@@ -115,7 +119,7 @@
     gateway.outbox.bytes.rate = BUDGET  # type: ignore[union-attr]
     rendered: list[str] = []
     gateway.charge_word = lambda name, period: rendered.append(name) or ""  # type: ignore[assignment, method-assign, func-returns-value]
-    gateway.handle(api.Timer("beat"), 110.0)
+    gateway.handle(api.TimerFired("beat"), 110.0)
     assert not rendered and not gateway.outbox.waiting  # type: ignore[union-attr]
 
 
@@ -139,12 +143,12 @@
     gateway = budgeted()
     assert gateway.outbox
     ask(gateway, 101.1, units=2.0)
-    assert told(gateway.handle(api.Timer("beat"), 101.2))
+    assert told(gateway.handle(api.TimerFired("beat"), 101.2))
     assert gateway.outbox.told
     gateway.outbox.bytes.rate = gateway.outbox.bytes.level = 0.0
     ask(gateway, 101.3, units=2.0)
     assert gateway.outbox.waiting
-    gateway.handle(api.Timer("beat"), 110.0)
+    gateway.handle(api.TimerFired("beat"), 110.0)
     assert not gateway.outbox.told and not gateway.outbox.waiting
 
 
@@ -158,13 +162,13 @@
 
 def test_without_a_budget_nothing_is_held_back_and_a_large_fleet_is_told_at_once() -> None:
     assert make(0).outbox is None
-    assert told(ask(make(0, gateways=40), 100.0, spread=30))
+    assert told(ask(make(0, limiter_count=40), 100.0, spread=30))
     scarce = budgeted(40)
     assert told(ask(scarce, 100.1, spread=30, units=4.0))  # there is plenty
     scarce.outbox.bytes.level = scarce.outbox.bytes.most / 2 - 1.0  # type: ignore[union-attr]
     assert not told(ask(scarce, 100.1, spread=30, units=4.0, customer="d"))
     # by then there is room for a whole datagram
-    assert told(scarce.handle(api.Timer("beat"), 100.4))
+    assert told(scarce.handle(api.TimerFired("beat"), 100.4))
 
 
 @pytest.mark.parametrize("value", [-1.0, float("nan")])
@@ -174,7 +178,7 @@
 
 
 def drawn_run(
-    gateway: Gateway, events: list[tuple[float, int, int, int]], spread: int
+    gateway: DecisionEngine, events: list[tuple[float, int, int, int]], spread: int
 ) -> list[api.Action]:
     """All actions of a run of requests (ids are the run's own), answers, gossip and beats."""
     actions, now = list[api.Action](), 100.0
@@ -184,15 +188,15 @@
             gateway, now, id=f"q{number}", customer=f"{customer}", units=float(units), spread=spread
         )
         actions += asked
-        for send in only(asked, api.Send):
+        for send in only(asked, api.StartAttempt):
             actions += answer(gateway, send, now + 0.01)
         text = gossip.head(int(now) % 36, 0.1, "abc") + gossip.write(
             gossip.Charge(
                 key(gateway, f"{customer}"), gossip.tag("basic"), 0, spread, 0, float(units)
             )
         )
-        actions += gateway.handle(api.PeerMessage(sender, text), now + 0.01)
-        actions += gateway.handle(api.Timer("beat"), now + 0.02)
+        actions += gateway.handle(api.GossipReceived(sender, text), now + 0.01)
+        actions += gateway.handle(api.TimerFired("beat"), now + 0.02)
         now += 0.02
     return actions
 
@@ -211,7 +215,7 @@
     """Against a gateway whose code for the budget is not there at all."""
     gateways, spread = size
 
-    class WithoutBudget(Gateway):
+    class WithoutBudget(DecisionEngine):
         def put_in_outbox(self, peer: int, news: News, word: str) -> None:
             raise AssertionError("there is no budget")
 
@@ -222,8 +226,8 @@
             raise AssertionError("there is no budget")
 
     without, with_field = (
-        make(0, gateways=gateways),
-        make(0, gateways=gateways, gossip_bytes_per_s=0.0),
+        make(0, limiter_count=gateways),
+        make(0, limiter_count=gateways, gossip_bytes_per_s=0.0),
     )
     without.__class__ = WithoutBudget
     expected = drawn_run(without, events, spread)
@@ -239,19 +243,19 @@
         gateway = budgeted(40)
         assert gateway.outbox
         gateway.outbox.bytes.rate = gateway.outbox.bytes.level = 0.0  # all of it waits
-        gateway.handle(api.Timer("beat"), 100.5)
+        gateway.handle(api.TimerFired("beat"), 100.5)
         for number in range(customers):
             gateway._mark([1, 2, 3, 4], account_of(gateway, number), gateway.period)
         gateway.outbox.bytes.rate, gateway.outbox.bytes.level = BUDGET, BUDGET
         worth = Mock(side_effect=gateway.outbox._worth)
         gateway.outbox._worth = worth
-        datagrams = len(told(gateway.handle(api.Timer("beat"), 100.6)))
+        datagrams = len(told(gateway.handle(api.TimerFired("beat"), 100.6)))
         assert datagrams >= 1
         looked_at[customers] = worth.call_count / datagrams
     assert looked_at[10_000] <= MOST_WAITING and looked_at[100] <= 100
 
 
-def account_of(gateway: Gateway, number: int) -> str:
+def account_of(gateway: DecisionEngine, number: int) -> str:
     """Of a customer that was charged something in this period."""
     account = gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 30)
     account.totals.turn(gateway.period)
--- a/tests/test_gossip_settings.py
+++ b/tests/test_gossip_settings.py
@@ -10,26 +10,26 @@
 
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import Gateway
+from hazelhollow.decisions.engine import DecisionEngine
 from tests.scenario import LOOK, PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
-GOLD = replace(PLAN, name="gold", rate=20.0, burst=40.0, over_cost=1.0)
-BRONZE = replace(PLAN, name="bronze", rate=2.0, burst=4.0, over_cost=1.0)
+GOLD = replace(PLAN, name="gold", rate=20.0, burst=40.0, excess_cost=1.0)
+BRONZE = replace(PLAN, name="bronze", rate=2.0, burst=4.0, excess_cost=1.0)
 SLOW = replace(LOOK, name="slow")
 
 
 def gateway(
     me: int, *plans: api.Plan, classes: tuple[api.RequestClass, ...] = (LOOK,), gateways: int = 2
-) -> Gateway:
-    one = Gateway(
+) -> DecisionEngine:
+    one = DecisionEngine(
         replace(
             SETTINGS,
-            me=me,
-            gateways=gateways,
+            limiter_id=me,
+            limiter_count=gateways,
             plans=plans,
             classes=classes,
-            messages_in_per_s=1000.0,
+            gossip_messages_per_s=1000.0,
         ),
         seed=me,
     )
@@ -37,12 +37,12 @@
     return one
 
 
-def told(source: Gateway, target: Gateway, now: float) -> list[api.Action]:
+def told(source: DecisionEngine, target: DecisionEngine, now: float) -> list[api.Action]:
     """What the target does with all that the source says at its next beat."""
     found = []
-    for action in source.handle(api.Timer("beat"), now):
-        if isinstance(action, api.Tell):
-            found += target.handle(api.PeerMessage(source.settings.me, action.text), now)
+    for action in source.handle(api.TimerFired("beat"), now):
+        if isinstance(action, api.SendGossip):
+            found += target.handle(api.GossipReceived(source.settings.limiter_id, action.text), now)
     return found
 
 
@@ -59,7 +59,7 @@
     assert sum(list(old.accounts.values())[1].totals.heard.values()) == 7.0
 
 
-def same_key(gateway: Gateway) -> tuple[str, str]:
+def same_key(gateway: DecisionEngine) -> tuple[str, str]:
     """Two customers that come to one key in messages."""
     seen: dict[str, str] = {}
     for number in range(200_000):
@@ -103,7 +103,10 @@
         ask(new, 1000.1, "look", plan_name="bronze", spread=2, customer=customer)
     ask(new, 1000.1, "look", plan_name="gold", spread=2, customer="d")
     said = [
-        a.text for now in (1000.2, 1000.3) for a in told(new, old, now) if isinstance(a, api.Log)
+        a.text
+        for now in (1000.2, 1000.3)
+        for a in told(new, old, now)
+        if isinstance(a, api.WriteLog)
     ]
     assert [a.plan.name for a in old.accounts.values()] == ["gold"]
     assert len(said) == 1 and "do not have" in said[0]
@@ -113,9 +116,10 @@
 def test_the_dialect_before_this_one_is_understood() -> None:
     """Words kept on file: a program of the release before wrote them."""
     one = gateway(0, BRONZE, GOLD)
-    life = gossip.life(1000.0)
+    incarnation = gossip.incarnation(1000.0)
     one.handle(
-        api.PeerMessage(1, f"h{gossip.base36(1000 % 36)}0{life} 1abcd:1:0:2:0:1e 0zz=5"), 1000.1
+        api.GossipReceived(1, f"h{gossip.base36(1000 % 36)}0{incarnation} 1abcd:1:0:2:0:1e 0zz=5"),
+        1000.1,
     )
     (account,) = one.accounts.values()
     assert account.plan == GOLD and sum(account.totals.heard.values()) == 5.0 and not one.unread
@@ -126,12 +130,12 @@
 )
 def test_a_dialect_that_is_newer_is_refused_whole_counted_and_said_once(text: str) -> None:
     one = gateway(0, GOLD)
-    text = text.format(period=gossip.base36(1000 % 36), life=gossip.life(1000.0))
+    text = text.format(period=gossip.base36(1000 % 36), life=gossip.incarnation(1000.0))
     said = [
         a
         for _ in range(3)
-        for a in one.handle(api.PeerMessage(1, text), 1000.1)
-        if isinstance(a, api.Log)
+        for a in one.handle(api.GossipReceived(1, text), 1000.1)
+        if isinstance(a, api.WriteLog)
     ]
     assert not one.accounts and sum(one.unread.values()) == 3 and len(said) == 1
 
@@ -143,18 +147,20 @@
     )
     tag = new.servers["s1"].tag
     for kind, name in ((gossip.tag("slow"), "slow"), (gossip.EVERY, "")):
-        text = gossip.head(1000, 0.0, gossip.life(1000.0)) + gossip.write(gossip.Failed(tag, kind))
-        new.handle(api.PeerMessage(old.settings.me, text), 1000.1)
+        text = gossip.head(1000, 0.0, gossip.incarnation(1000.0)) + gossip.write(
+            gossip.Failed(tag, kind)
+        )
+        new.handle(api.GossipReceived(old.settings.limiter_id, text), 1000.1)
         assert name in new.servers["s1"].health and "look" not in new.servers["s1"].health
 
 
 def test_classes_read_again_are_told_by_their_new_names() -> None:
     one = gateway(0, GOLD, gateways=12)
     one.retune(replace(one.settings, classes=(LOOK, SLOW)))
-    text = gossip.head(1000, 0.0, gossip.life(1000.0)) + gossip.write(
+    text = gossip.head(1000, 0.0, gossip.incarnation(1000.0)) + gossip.write(
         gossip.Failed(one.servers["s1"].tag, gossip.tag("slow"))
     )
-    one.handle(api.PeerMessage(1, text), 1000.1)
+    one.handle(api.GossipReceived(1, text), 1000.1)
     assert "slow" in one.servers["s1"].health and not one.unread
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,26 +10,26 @@
 
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import PASS_ON, Gateway
+from hazelhollow.decisions.engine import PASS_ON, DecisionEngine
 from tests.test_gateway import BASIC, LOOKUP, answer, ask, entry, make, only, servers
 from tests.test_gossip_settings import same_key
 
 FLEET, SPREAD = 40, 30
 
 
-def fleet(count: int = FLEET, **changes: Any) -> list[Gateway]:
-    return [make(i, gateways=FLEET, **changes) for i in range(count)]
+def fleet(count: int = FLEET, **changes: Any) -> list[DecisionEngine]:
+    return [make(i, limiter_count=FLEET, **changes) for i in range(count)]
 
 
-def hubs_of(gateway: Gateway, now: float, **changes: Any) -> list[int]:
+def hubs_of(gateway: DecisionEngine, now: float, **changes: Any) -> list[int]:
     """Where a charge is told."""
-    return [t.gateway for t in only(ask(gateway, now, spread=SPREAD, **changes), api.Tell)]
+    return [t.gateway for t in only(ask(gateway, now, spread=SPREAD, **changes), api.SendGossip)]
 
 
-def deliver(gateways: list[Gateway], me: int, actions: list[api.Action], now: float) -> None:
+def deliver(gateways: list[DecisionEngine], me: int, actions: list[api.Action], now: float) -> None:
     """Every message at once, and what it leads to."""
-    for tell in only(actions, api.Tell):
-        more = gateways[tell.gateway].handle(api.PeerMessage(me, tell.text), now)
+    for tell in only(actions, api.SendGossip):
+        more = gateways[tell.gateway].handle(api.GossipReceived(me, tell.text), now)
         deliver(gateways, tell.gateway, more, now)
 
 
@@ -41,7 +41,7 @@
 
 
 def test_a_quiet_customer_is_not_refused_at_the_start_of_a_large_set() -> None:
-    assert only(ask(make(3, gateways=FLEET), 0.0, spread=SPREAD, units=4.0), api.Send)
+    assert only(ask(make(3, limiter_count=FLEET), 0.0, spread=SPREAD, units=4.0), api.StartAttempt)
 
 
 def test_the_set_is_told_when_a_busy_customer_is_spent_and_not_before() -> None:
@@ -50,7 +50,7 @@
     for turn in range(3 * SPREAD):
         me = turn % SPREAD
         actions = ask(gateways[me], 100.0 + turn / 100, spread=SPREAD, units=2.0)
-        sent += len(only(actions, api.Send))
+        sent += len(only(actions, api.StartAttempt))
         deliver(gateways, me, actions, 100.0 + turn / 100)
         if turn == 0:
             assert not any(a.telling for g in gateways for a in g.accounts.values())
@@ -72,7 +72,7 @@
     for turn in range(3 * SPREAD):
         now, me = 100.0 + turn / 100, turn % SPREAD
         actions = ask(gateways[me], now, spread=SPREAD, units=2.0, customer=busy)
-        sent += len(only(actions, api.Send))
+        sent += len(only(actions, api.StartAttempt))
         deliver(gateways, me, actions, now)
     assert 4 <= sent <= 8
     telling = [a.plan.name for g in gateways for a in g.accounts.values() if a.telling]
@@ -93,21 +93,21 @@
         if chance.random() < 0.005 * 3 * BASIC.rate / 2.0:
             me = min(chance.randrange(SPREAD), chance.randrange(SPREAD))
             actions = ask(gateways[me], now, spread=SPREAD, units=2.0)
-            for send in only(actions, api.Send):
+            for send in only(actions, api.StartAttempt):
                 admitted += send.server != ""
                 actions = actions + answer(gateways[me], send, now, true_units=0.0)
             waiting += _posted(chance, now, me, actions)
         due = [m for m in waiting if m[0] <= now]
         waiting = [m for m in waiting if m[0] > now]
-        events += [(to, api.PeerMessage(sender, text)) for _, sender, to, text in due]
-        events += [(i, api.Timer("beat")) for i in range(FLEET) if beats[i] <= now]
+        events += [(to, api.GossipReceived(sender, text)) for _, sender, to, text in due]
+        events += [(i, api.TimerFired("beat")) for i in range(FLEET) if beats[i] <= now]
         for me, event in events:
-            beats[me] += 0.1 if isinstance(event, api.Timer) else 0.0
+            beats[me] += 0.1 if isinstance(event, api.TimerFired) else 0.0
             waiting += _posted(chance, now, me, gateways[me].handle(event, now))
         if chance.random() < 0.002:
             me = chance.randrange(FLEET)
-            gateways[me] = make(me, gateways=FLEET)
-            gateways[me].life = ""
+            gateways[me] = make(me, limiter_count=FLEET)
+            gateways[me].incarnation = ""
     quota = BASIC.burst + BASIC.rate * (end - 100.0)
     assert 0.6 * quota <= 2.0 * admitted <= 1.25 * quota
 
@@ -116,7 +116,7 @@
     chance: random.Random, now: float, me: int, actions: list[api.Action]
 ) -> list[tuple[float, int, int, str]]:
     post = []
-    for tell in only(actions, api.Tell):
+    for tell in only(actions, api.SendGossip):
         for _ in range(chance.choices((0, 1, 2), (0.07, 0.9, 0.03))[0]):
             post.append((now + chance.uniform(0.001, 0.03), me, tell.gateway, tell.text))
     return post
@@ -124,17 +124,21 @@
 
 def test_a_second_hub_tells_when_the_first_is_silent() -> None:
     gateways = fleet()
-    first, second = hubs_of(make(39, gateways=FLEET), 100.0)
+    first, second = hubs_of(make(39, limiter_count=FLEET), 100.0)
     told = 0
     for turn in range(60):  # the second hub hears all, the first nothing
         now = 100.0 + turn / 50
-        for tell in only(ask(gateways[turn % SPREAD], now, spread=SPREAD, units=2.0), api.Tell):
+        for tell in only(
+            ask(gateways[turn % SPREAD], now, spread=SPREAD, units=2.0), api.SendGossip
+        ):
             if tell.gateway == second:
-                gateways[second].handle(api.PeerMessage(turn % SPREAD, tell.text), now)
+                gateways[second].handle(api.GossipReceived(turn % SPREAD, tell.text), now)
         told += len(
             [
                 t
-                for t in only(gateways[second].handle(api.Timer("beat"), now + 0.01), api.Tell)
+                for t in only(
+                    gateways[second].handle(api.TimerFired("beat"), now + 0.01), api.SendGossip
+                )
                 if "/" in t.text
             ]
         )
@@ -144,11 +148,13 @@
 VAST, WIDE = 150, 120  # a fleet, and a set that no hub can tell within a second
 
 
-def told_of(gateway: Gateway) -> bool:
+def told_of(gateway: DecisionEngine) -> bool:
     return any(a.telling for a in gateway.accounts.values())
 
 
-def spend_in_vast(gateways: list[Gateway], turns: int, dead: int = -1, **changes: Any) -> int:
+def spend_in_vast(
+    gateways: list[DecisionEngine], turns: int, dead: int = -1, **changes: Any
+) -> int:
     """A customer asks so often, each time at the next of 40 members.
 
     Everything is delivered at once. How much goes out.
@@ -157,23 +163,24 @@
     for turn in range(turns):
         now, me = 100.0 + turn / 100, turn % 40
         actions = ask(gateways[me], now, spread=WIDE, units=2.0, **changes)
-        sent += len(only(actions, api.Send))
-        queue = [(me, a) for a in only(actions, api.Tell)]
+        sent += len(only(actions, api.StartAttempt))
+        queue = [(me, a) for a in only(actions, api.SendGossip)]
         while queue:
             sender, tell = queue.pop()
             if tell.gateway != dead:
-                more = gateways[tell.gateway].handle(api.PeerMessage(sender, tell.text), now)
-                queue += [(tell.gateway, a) for a in only(more, api.Tell)]
+                more = gateways[tell.gateway].handle(api.GossipReceived(sender, tell.text), now)
+                queue += [(tell.gateway, a) for a in only(more, api.SendGossip)]
     return sent
 
 
-def vast() -> list[Gateway]:
-    return [make(i, gateways=VAST, messages_in_per_s=60.0) for i in range(VAST)]
+def vast() -> list[DecisionEngine]:
+    return [make(i, limiter_count=VAST, gossip_messages_per_s=60.0) for i in range(VAST)]
 
 
 def hubs_in_vast() -> list[int]:
     return [
-        t.gateway for t in only(ask(make(VAST - 1, gateways=VAST), 100.0, spread=WIDE), api.Tell)
+        t.gateway
+        for t in only(ask(make(VAST - 1, limiter_count=VAST), 100.0, spread=WIDE), api.SendGossip)
     ]
 
 
@@ -182,7 +189,7 @@
     for dead in (-1, *hubs):
         gateways = vast()
         sent = spend_in_vast(gateways, 300, dead)
-        active = [g for g in gateways[:40] if g.settings.me != dead]
+        active = [g for g in gateways[:40] if g.settings.limiter_id != dead]
         assert all(told_of(g) for g in active) and sent <= 95, (
             dead,
             sent,
@@ -195,37 +202,37 @@
 ):
     first, second = hubs_in_vast()
     me, other = [n for n in range(4) if n not in (first, second)][:2]
-    one, two = make(me, gateways=VAST), make(other, gateways=VAST)
+    one, two = make(me, limiter_count=VAST), make(other, limiter_count=VAST)
     for gateway in (one, two):
         ask(gateway, 100.0, spread=WIDE, customer="c")  # it knows the set now, and so the hubs
     (name,) = one.accounts
     word = gossip.write(gossip.Spent(name, gossip.tag("basic"), 12.0))
-    one.handle(api.PeerMessage(first, gossip.head(100, 0.0, "aa") + word), 100.1)
-    soon = only(ask(one, 100.2, spread=WIDE, customer="d"), api.Tell)
+    one.handle(api.GossipReceived(first, gossip.head(100, 0.0, "aa") + word), 100.1)
+    soon = only(ask(one, 100.2, spread=WIDE, customer="d"), api.SendGossip)
     assert soon and all(word in t.text for t in soon)
     elsewhere = only(
-        ask(one, 100.3, spread=9, first_gateway=WIDE + 5, customer="f"), api.Tell
+        ask(one, 100.3, spread=9, set_start=WIDE + 5, customer="f"), api.SendGossip
     )  # not of the set
     assert elsewhere and not any(word in t.text for t in elsewhere)
-    late = only(ask(one, 100.1 + PASS_ON, spread=WIDE, customer="e"), api.Tell)
+    late = only(ask(one, 100.1 + PASS_ON, spread=WIDE, customer="e"), api.SendGossip)
     assert late and not any(word in t.text for t in late)
-    two.handle(api.PeerMessage(me, gossip.head(100, 0.0, "aa") + word), 100.2)
+    two.handle(api.GossipReceived(me, gossip.head(100, 0.0, "aa") + word), 100.2)
     assert told_of(two)
-    onward = only(ask(two, 100.3, spread=WIDE, customer="d"), api.Tell)
+    onward = only(ask(two, 100.3, spread=WIDE, customer="d"), api.SendGossip)
     assert onward and not any(word in t.text for t in onward)
 
 
 def test_what_a_hub_told_of_a_customer_that_is_forgotten_since_is_passed_on_no_more() -> None:
     first, second = hubs_in_vast()
-    one = make(next(n for n in range(4) if n not in (first, second)), gateways=VAST)
-    (send,) = only(ask(one, 100.0, spread=WIDE, customer="c"), api.Send)
+    one = make(next(n for n in range(4) if n not in (first, second)), limiter_count=VAST)
+    (send,) = only(ask(one, 100.0, spread=WIDE, customer="c"), api.StartAttempt)
     answer(one, send, 100.1)
     (name,) = one.accounts
     word = gossip.write(gossip.Spent(name, gossip.tag("basic"), 0.0))
-    one.handle(api.PeerMessage(first, gossip.head(110, 0.0, "aa") + word), 110.8)
-    one.handle(api.Timer("beat"), 111.0)
+    one.handle(api.GossipReceived(first, gossip.head(110, 0.0, "aa") + word), 110.8)
+    one.handle(api.TimerFired("beat"), 111.0)
     assert not one.accounts
-    told = only(ask(one, 111.1, spread=WIDE, customer="d"), api.Tell)
+    told = only(ask(one, 111.1, spread=WIDE, customer="d"), api.SendGossip)
     assert told and not any(word in t.text for t in told)
 
 
@@ -233,7 +240,7 @@
     """Told of three quarters of the burst each time, it lets in so many of a hundred."""
     let_in = {}
     for spread in (WIDE, 40):
-        one = make(3, gateways=VAST, messages_in_per_s=60.0)
+        one = make(3, limiter_count=VAST, gossip_messages_per_s=60.0)
         ask(one, 100.0, spread=spread)
         (name,) = one.accounts
         text = gossip.head(100, 0.0, "aa") + gossip.write(
@@ -241,8 +248,8 @@
         )
         let_in[spread] = 0
         for _ in range(100):
-            one.handle(api.PeerMessage(VAST - 1, text), 100.1)
-            sends = only(ask(one, 100.1, spread=spread), api.Send)
+            one.handle(api.GossipReceived(VAST - 1, text), 100.1)
+            sends = only(ask(one, 100.1, spread=spread), api.StartAttempt)
             let_in[spread] += len(sends)
             for send in sends:
                 answer(one, send, 100.1)
@@ -250,36 +257,41 @@
 
 
 def test_a_set_that_its_hub_can_tell_hears_nothing_second_hand() -> None:
-    gateways = fleet(messages_in_per_s=60.0)
+    gateways = fleet(gossip_messages_per_s=60.0)
     ask(gateways[5], 100.0, spread=SPREAD)
     (account,) = gateways[5].accounts.values()
     word = gossip.write(gossip.Spent(account.name, gossip.tag("basic"), 12.0))
-    gateways[5].handle(api.PeerMessage(account.hubs[0], gossip.head(100, 0.0, "aa") + word), 100.1)
+    gateways[5].handle(
+        api.GossipReceived(account.hubs[0], gossip.head(100, 0.0, "aa") + word), 100.1
+    )
     assert not any(
-        word in t.text for t in only(ask(gateways[5], 100.2, spread=SPREAD, customer="d"), api.Tell)
+        word in t.text
+        for t in only(ask(gateways[5], 100.2, spread=SPREAD, customer="d"), api.SendGossip)
     )
 
 
 def test_a_restarted_hub_takes_the_level_from_the_other() -> None:
-    hub = make(hubs_of(make(39, gateways=FLEET), 100.0)[0], gateways=FLEET)
+    hub = make(hubs_of(make(39, limiter_count=FLEET), 100.0)[0], limiter_count=FLEET)
     hub.born = 100.0
     ask(hub, 100.0, spread=SPREAD)
     (account,) = hub.accounts.values()
     (key,) = hub.accounts
     text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Spent(key, gossip.tag("basic"), 12.0))
-    hub.handle(api.PeerMessage(5, text), 100.1)
+    hub.handle(api.GossipReceived(5, text), 100.1)
     assert account.budget.level == pytest.approx(0.0)
 
 
 def test_gossip_stays_within_what_a_gateway_may_take_in() -> None:
-    gateway, told = make(0, gateways=FLEET), 0
+    gateway, told = make(0, limiter_count=FLEET), 0
     for i in range(4000):
-        told += len(only(ask(gateway, 100.0 + i / 1000, spread=SPREAD, customer=f"{i}"), api.Tell))
+        told += len(
+            only(ask(gateway, 100.0 + i / 1000, spread=SPREAD, customer=f"{i}"), api.SendGossip)
+        )
     assert told <= 100 * 0.8 * 5
 
 
 def test_a_cold_server_is_not_pushed_over_by_all_gateways_together() -> None:
-    many = [make(i, gateways=100) for i in range(100)]
+    many = [make(i, limiter_count=100) for i in range(100)]
     for me, gateway in enumerate(many):
         gateway.handle(
             servers("full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)),
@@ -289,7 +301,7 @@
     chance, counts = random.Random(1), dict.fromkeys([*(f"s{i}" for i in range(12)), "cold"], 0)
     for i in range(2400):  # 8 a second at each of 100 gateways, for three seconds
         gateway, now = chance.choice(many), 100.0 + i / 800
-        for send in only(ask(gateway, now, customer=f"{i}"), api.Send):
+        for send in only(ask(gateway, now, customer=f"{i}"), api.StartAttempt):
             counts[send.server] += 1
             answer(gateway, send, now)
     warm = sum(counts.values()) / 13
@@ -297,95 +309,106 @@
 
 
 def test_a_fleet_all_cold_is_still_sent_work() -> None:
-    gateway = make(0, gateways=FLEET)
+    gateway = make(0, limiter_count=FLEET)
     gateway.handle(servers("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
     sent = sum(
-        len(only(ask(gateway, 100.0 + i / 50, customer=f"{i}"), api.Send)) for i in range(100)
+        len(only(ask(gateway, 100.0 + i / 50, customer=f"{i}"), api.StartAttempt))
+        for i in range(100)
     )
     assert 0 < sent < 100
 
 
 def test_a_server_that_fails_one_class_serves_the_rest() -> None:
     gateway = make()
-    gateway.handle(api.Timer("beat"), 100.3)
+    gateway.handle(api.TimerFired("beat"), 100.3)
     for _ in range(3):
         gateway._failure(gateway.servers["s0"], "lookup")
     used = {"lookup": set[str](), "issue": set[str]()}
     for i in range(20):
         for kind, names in used.items():
             names |= {
-                s.server for s in only(ask(gateway, 100.4, kind, customer=f"{kind}{i}"), api.Send)
+                s.server
+                for s in only(ask(gateway, 100.4, kind, customer=f"{kind}{i}"), api.StartAttempt)
             }
     assert "s0" not in used["lookup"] and "s0" in used["issue"]
 
 
 def test_failures_told_by_others_keep_a_class_from_a_server() -> None:
-    gateway = make(0, gateways=FLEET)
+    gateway = make(0, limiter_count=FLEET)
     tag = gateway.servers["s1"].tag
     for sender in (4, 5, 6):
         text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Failed(tag, gossip.tag("lookup")))
-        gateway.handle(api.PeerMessage(sender, text), 100.1)
+        gateway.handle(api.GossipReceived(sender, text), 100.1)
     used = {
-        s.server for i in range(40) for s in only(ask(gateway, 100.2, customer=f"{i}"), api.Send)
+        s.server
+        for i in range(40)
+        for s in only(ask(gateway, 100.2, customer=f"{i}"), api.StartAttempt)
     }
     assert "s1" not in used and len(used) == 3
 
 
-def slow(gateway: Gateway, now: float, elapsed: float, count: int) -> None:
+def slow(gateway: DecisionEngine, now: float, elapsed: float, count: int) -> None:
     for i in range(count):
-        for send in only(ask(gateway, now, customer=f"{now}{i}"), api.Send):
-            gateway.handle(api.Outcome(send.id, 0, send.server, "ok", elapsed, final=True), now)
+        for send in only(ask(gateway, now, customer=f"{now}{i}"), api.StartAttempt):
+            gateway.handle(
+                api.AttemptEnded(send.id, 0, send.server, "ok", elapsed, final=True), now
+            )
 
 
 def test_a_large_fleet_sheds_by_how_long_answers_waited_and_forgets_it() -> None:
-    gateway = make(0, gateways=FLEET)
+    gateway = make(0, limiter_count=FLEET)
     slow(gateway, 100.0, 0.1, 20)
-    assert only(ask(gateway, 100.0, customer="a"), api.Send)
+    assert only(ask(gateway, 100.0, customer="a"), api.StartAttempt)
     slow(gateway, 100.1, 3.0, 60)
-    assert only(ask(gateway, 100.1, customer="b"), api.Refuse)
+    assert only(ask(gateway, 100.1, customer="b"), api.RejectRequest)
     for beat in range(200):  # all refused: nothing tells that it is over
-        gateway.handle(api.Timer("beat"), 100.2 + beat / 10)
-    assert only(ask(gateway, 121.0, customer="c"), api.Send)
+        gateway.handle(api.TimerFired("beat"), 100.2 + beat / 10)
+    assert only(ask(gateway, 121.0, customer="c"), api.StartAttempt)
 
 
 def test_what_is_still_out_tells_of_a_slowing() -> None:
-    gateway = make(0, gateways=FLEET)
+    gateway = make(0, limiter_count=FLEET)
     for i in range(5):
         ask(gateway, 100.0, customer=f"{i}")
     for beat in range(10):
-        gateway.handle(api.Timer("beat"), 100.0 + beat / 10)
-    assert gateway.wait > 0.3 * LOOKUP.aim
+        gateway.handle(api.TimerFired("beat"), 100.0 + beat / 10)
+    assert gateway.wait > 0.3 * LOOKUP.latency_objective
 
 
 def test_an_answer_past_its_aim_while_others_hardly_wait_is_a_failure_of_its_server() -> None:
-    gateway = make(0, gateways=FLEET)
-    (send,) = only(ask(gateway, 100.0), api.Send)
-    gateway.handle(api.Outcome(send.id, 0, send.server, "ok", 1.5, final=True), 101.5)
+    gateway = make(0, limiter_count=FLEET)
+    (send,) = only(ask(gateway, 100.0), api.StartAttempt)
+    gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", 1.5, final=True), 101.5)
     assert gateway.servers[send.server].health["lookup"].failures == 1.0
 
 
 def test_nothing_grows_with_one_request_customers_of_a_large_fleet() -> None:
-    gateway = make(0, gateways=FLEET)
+    gateway = make(0, limiter_count=FLEET)
     for i in range(3000):
-        for send in only(ask(gateway, 100.0 + i / 100, spread=SPREAD, customer=f"k{i}"), api.Send):
+        for send in only(
+            ask(gateway, 100.0 + i / 100, spread=SPREAD, customer=f"k{i}"), api.StartAttempt
+        ):
             answer(gateway, send, 100.0 + i / 100)
     for i in range(900):
-        gateway.handle(api.Timer("beat"), 140.0 + i / 10)
+        gateway.handle(api.TimerFired("beat"), 140.0 + i / 10)
     assert not gateway.accounts and not gateway.held and not gateway.dirty and not gateway.late
 
 
-def fail(gateway: Gateway, status: str, count: int) -> None:
+def fail(gateway: DecisionEngine, status: api.Status, count: int) -> None:
     for i in range(count):
-        for send in only(ask(gateway, 100.0 + i / 100, customer=f"{status}{i}"), api.Send):
-            gateway.handle(api.Outcome(send.id, 0, send.server, status, 0.003), 100.01 + i / 100)  # type: ignore[arg-type]
+        for send in only(ask(gateway, 100.0 + i / 100, customer=f"{status}{i}"), api.StartAttempt):
+            ended = api.AttemptEnded(send.id, 0, send.server, status, 0.003)
+            gateway.handle(ended, 100.01 + i / 100)
 
 
 @pytest.mark.parametrize(
     "status, pressed",
     [("error", False), ("connect_failed", False), ("reset", False), ("full", True)],
 )
-def test_what_fails_at_once_is_no_overload_and_a_full_queue_is(status: str, pressed: bool) -> None:
-    gateway = make(0, gateways=FLEET)
+def test_what_fails_at_once_is_no_overload_and_a_full_queue_is(
+    status: api.Status, pressed: bool
+) -> None:
+    gateway = make(0, limiter_count=FLEET)
     gateway.handle(servers("full", *(entry(f"s{i}") for i in range(60))), 100.0)
     fail(gateway, status, 30)
     assert (gateway.wait > 0.35 * gateway.tight) == pressed
@@ -393,7 +416,7 @@
 
 def test_a_host_that_refuses_a_connection_is_left_at_once_in_a_large_fleet_alone() -> None:
     for gateways, ejected in ((FLEET, 1), (3, 0)):
-        gateway = make(0, gateways=gateways)
-        (send,) = only(ask(gateway, 100.0), api.Send)
-        gateway.handle(api.Outcome(send.id, 0, send.server, "connect_failed", 0.003), 100.01)
+        gateway = make(0, limiter_count=gateways)
+        (send,) = only(ask(gateway, 100.0), api.StartAttempt)
+        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "connect_failed", 0.003), 100.01)
         assert gateway.servers[send.server].health[""].ejections == ejected
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -24,7 +24,7 @@
 def test_no_pass_of_the_collector_goes_through_more_than_the_young_objects() -> None:
     """In a process of its own, whose collector it is.
 
-    The sizes of what each pass looks at, while much that lives long is made.
+    The sizes of what each pass looks at, while much that incarnations long is made.
     """
     script = """
 import gc
@@ -314,7 +314,7 @@
         12.0,
         99,
     )
-    assert told.peers == (("127.0.0.1", 3),) and told.settings.gateways == 1
+    assert told.peers == (("127.0.0.1", 3),) and told.settings.limiter_count == 1
     variables = {"RELAY_CONFIG": str(path), "RELAY_DISCOVERY": "127.0.0.1:9"}
     assert config.load(variables).discovery == ("127.0.0.1", 9)
     assert config.load(variables, again=True).discovery == (
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -89,7 +89,9 @@
 
 def test_a_new_class_is_taken_by_new_requests() -> None:
     stage = Stage(hosts=1)
-    fresh = api.RequestClass("peek", aim=0.5, deadline=2.0, worth=1.0, effect="safe")
+    fresh = api.RequestClass(
+        "peek", latency_objective=0.5, deadline=2.0, priority_weight=1.0, effect="safe"
+    )
     settings = replace(stage.config.settings, classes=(LOOK, BUY, fresh))
     stage.service.reload(lambda: replace(stage.config, settings=settings))
     ask_peek = "[Q.ASK 00000000b4d65521 r1 c=peek,t=basic,d=1000,units=1,spread=2,first=0]"
@@ -113,28 +115,28 @@
 
 
 def test_an_open_request_keeps_the_attempts_it_came_with() -> None:
-    gateway = make(0, gateways=1, max_attempts=3)
-    (first,) = only(ask(gateway, 100.0, id="r1"), api.Send)
+    gateway = make(0, limiter_count=1, max_attempts=3)
+    (first,) = only(ask(gateway, 100.0, id="r1"), api.StartAttempt)
     gateway.retune(replace(gateway.settings, max_attempts=1))
     assert only(
-        answer(gateway, first, 100.1, "error"), api.Send
+        answer(gateway, first, 100.1, "error"), api.StartAttempt
     ), "an open request lost its further attempts"
-    (later,) = only(ask(gateway, 100.2, id="r2"), api.Send)
-    assert not only(answer(gateway, later, 100.3, "error"), api.Send)
+    (later,) = only(ask(gateway, 100.2, id="r2"), api.StartAttempt)
+    assert not only(answer(gateway, later, 100.3, "error"), api.StartAttempt)
 
 
 def test_an_open_request_keeps_its_class_when_the_class_goes() -> None:
-    gateway = make(0, gateways=1, max_attempts=3)
-    (first,) = only(ask(gateway, 100.0, id="r1", kind="issue"), api.Send)
+    gateway = make(0, limiter_count=1, max_attempts=3)
+    (first,) = only(ask(gateway, 100.0, id="r1", kind="issue"), api.StartAttempt)
     gateway.retune(replace(gateway.settings, classes=gateway.settings.classes[:1]))
     answer(gateway, first, 100.1, "ok")  # its class is gone: it ends all the same
     assert "r1" not in gateway.held or gateway.held["r1"].ended
     # a class that is gone is sent nowhere
-    assert not only(ask(gateway, 100.2, kind="issue"), api.Send)
+    assert not only(ask(gateway, 100.2, kind="issue"), api.StartAttempt)
 
 
 def test_how_long_clients_waited_under_another_deadline_says_nothing_of_now() -> None:
-    gateway = make(0, gateways=20)
+    gateway = make(0, limiter_count=20)
     known = {name: gateway.patience[name] for name in ("lookup", "issue")}
     for patience in known.values():
         assert patience.longest(3.0)
@@ -170,9 +172,9 @@
     st.builds(
         api.RequestClass,
         name=st.sampled_from("abcd"),
-        aim=st.just(0.1),
+        latency_objective=st.just(0.1),
         deadline=st.sampled_from([0.5, 1.0, 2.0]),
-        worth=st.just(1.0),
+        priority_weight=st.just(1.0),
         effect=st.just("safe"),
     ),
     min_size=1,
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -474,8 +474,8 @@
     fillers = unanswering(stage, "s2")
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
-        if isinstance(event, api.Request):
-            return [api.Send(event.id, "s1"), api.Send(event.id, "s2")]
+        if isinstance(event, api.RequestArrived):
+            return [api.StartAttempt(event.id, "s1"), api.StartAttempt(event.id, "s2")]
         return []
 
     monkeypatch.setattr(stage.service.limiter._decisions, "handle", handle)
@@ -727,7 +727,7 @@
 
 def test_half_a_request_keeps_no_other_from_its_answer_and_is_whole_in_any_pieces() -> None:
     """A byte at a time, as slow clients write, beside one that is served meanwhile."""
-    stage = Stage(hosts=1, settings=replace(SETTINGS, parallel_tries=True))
+    stage = Stage(hosts=1, settings=replace(SETTINGS, hedging=True))
     words = stage.bytes_of(DO.format(1))
     for number in range(len(words)):
         stage._end("a").sendall(words[number : number + 1])
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -106,7 +106,7 @@
     """
     by_count: dict[tuple[str, int, str], list[Value]] = {}
     for row in some:
-        by_count.setdefault((row.key, row.member, row.life), []).append(row.value)
+        by_count.setdefault((row.key, row.member, row.incarnation), []).append(row.value)
     told: dict[tuple[str, int, str, int], tuple[int, int]] = {}
     for who, found in by_count.items():
         amounts = sorted((value.since, value.total) for value in found)
@@ -114,14 +114,14 @@
             told[(*who, through)] = amount
     changed = []
     for row in some:
-        since, total = told[row.key, row.member, row.life, row.value.through]
+        since, total = told[row.key, row.member, row.incarnation, row.value.through]
         changed.append(row._replace(value=row.value._replace(since=since, total=total)))
     return changed
 
 
 def counts_in(book: Book) -> dict[tuple[str, int, str], int]:
     """Which counts it holds, and until when they are kept."""
-    return {(row.key, row.member, row.life): row.value.through for row in held(book)}
+    return {(row.key, row.member, row.incarnation): row.value.through for row in held(book)}
 
 
 def exchange_rows(one: Book, other: Book) -> None:
@@ -175,10 +175,10 @@
     assert held(early) == before  # nothing is taken again
     exchange_rows(late, early)
     assert held(early) == held(late) == before and early.sums() == late.sums()
-    known = {(row.key, row.member, row.life): row.value for row in before}
+    known = {(row.key, row.member, row.incarnation): row.value for row in before}
     for row in some:
         if row.value.through > NOW + later - KEPT_FOR:
-            value = known[row.key, row.member, row.life]
+            value = known[row.key, row.member, row.incarnation]
             assert (value.since, value.total) >= (row.value.since, row.value.total)
     for book in (early, late):
         book.turn(NOW + 2 * KEPT_FOR)
@@ -603,7 +603,9 @@
 
 def _sums(net: Net, number: int) -> str:
     one = net.all[number]
-    return messages.head(messages.SUMS, one.life, NOW, (*one.book.sums(), one.hands.digest(), 1))
+    return messages.head(
+        messages.SUMS, one.incarnation, NOW, (*one.book.sums(), one.hands.digest(), 1)
+    )
 
 
 def test_places_mean_the_same_for_as_long_as_one_catch_up_lasts() -> None:
@@ -636,14 +638,17 @@
 def test_nobody_else_adds_to_a_members_own_count() -> None:
     net = Net([Known(), Known(), Known()])
     charge(net, 0, "a", 40)
-    for life, counted in (("l0", 1), ("old", 1)):
+    for incarnation, counted in (("l0", 1), ("old", 1)):
         text = messages.head(messages.ROWS, "l1", NOW) + messages.row_words(
-            [Row("a", "pl", 0, 3, 0, life, Value(NOW - 30, NOW - 1, 99))], NOW
+            [Row("a", "pl", 0, 3, 0, incarnation, Value(NOW - 30, NOW - 1, 99))], NOW
         )
         net.all[0].heard(1, text, NOW)
         assert net.all[0].counts["own count told greater"] == counted
-    # Its own earlier life's count is as good as anybody's.
-    assert {row.life: row.value.total for row in held(net.all[0].book)} == {"l0": 40, "old": 99}
+    # Its own earlier incarnation's count is as good as anybody's.
+    assert {row.incarnation: row.value.total for row in held(net.all[0].book)} == {
+        "l0": 40,
+        "old": 99,
+    }
 
 
 @pytest.mark.parametrize("text", ["c1r nonsense", "v1p 1", "c1q l1/1 1-2"])
--- a/tests/test_replica_module.py
+++ b/tests/test_replica_module.py
@@ -13,15 +13,15 @@
 
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import PAY_BACK, RECKONED, Gateway
+from hazelhollow.decisions.engine import PAY_BACK, RECKONED, DecisionEngine
 from hazelhollow.decisions.state import Account, Totals
 from tests.scenario import PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
 SLOW = replace(
-    PLAN, name="slow", rate=0.001, burst=1000.0, over_cost=1.0
+    PLAN, name="slow", rate=0.001, burst=1000.0, excess_cost=1.0
 )  # nothing comes in while a test lasts
-FAST = replace(PLAN, name="fast", rate=20.0, burst=40.0, over_cost=1.0)
+FAST = replace(PLAN, name="fast", rate=20.0, burst=40.0, excess_cost=1.0)
 BEAT = 0.1
 
 
@@ -35,27 +35,27 @@
     def __init__(self, members: int = 3, plan: str = "slow") -> None:
         self.now, self.plan, self.charged = 1000.0, plan, 0.0
         self.all = [self._gateway(n, members) for n in range(members)]
-        self.closed: dict[tuple[str, int, str], api.Closed] = {}
+        self.closed: dict[tuple[str, int, str], api.ReplicateCount] = {}
         self.heard: set[tuple[int, int]] = {(a, b) for a in range(members) for b in range(members)}
         for one in self.all:
-            one.handle(api.Copied(""), self.now)
+            one.handle(api.AccountReplicated(""), self.now)
 
-    def _gateway(self, me: int, members: int) -> Gateway:
+    def _gateway(self, me: int, members: int) -> DecisionEngine:
         settings_ = replace(
             SETTINGS,
-            me=me,
-            gateways=members,
+            limiter_id=me,
+            limiter_count=members,
             plans=(SLOW, FAST),
             peers=True,
-            messages_in_per_s=1000.0,
+            gossip_messages_per_s=1000.0,
         )
-        one = Gateway(settings_, seed=me)
+        one = DecisionEngine(settings_, seed=me)
         one.handle(servers("full", *(entry(f"s{n}") for n in range(6))), self.now)
         one.handle(self.view(members), self.now)
         return one
 
-    def view(self, members: int, lost: tuple[int, ...] = ()) -> api.Fleet:
-        return api.Fleet(
+    def view(self, members: int, lost: tuple[int, ...] = ()) -> api.MembershipChanged:
+        return api.MembershipChanged(
             True, tuple(n for n in range(members) if n not in lost), lost=lost, keeps=True
         )
 
@@ -70,9 +70,9 @@
             spread=len(self.all),
         )
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self.all[number].handle(
-                    api.Outcome(action.id, 0, action.server, "ok", 0.01, True), self.now
+                    api.AttemptEnded(action.id, 0, action.server, "ok", 0.01, True), self.now
                 )
                 served, self.charged = True, self.charged + 1.0
         self.carry(number, actions)
@@ -80,30 +80,30 @@
 
     def carry(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Tell) and (number, action.gateway) in self.heard:
-                self.all[action.gateway].handle(api.PeerMessage(number, action.text), self.now)
-            elif isinstance(action, api.Closed):
+            if isinstance(action, api.SendGossip) and (number, action.gateway) in self.heard:
+                self.all[action.gateway].handle(api.GossipReceived(number, action.text), self.now)
+            elif isinstance(action, api.ReplicateCount):
                 known = self.closed.setdefault(
-                    (action.key, action.told.member, action.told.life), action
+                    (action.key, action.told.member, action.told.incarnation), action
                 )
                 if action.told.total > known.told.total:
-                    self.closed[action.key, action.told.member, action.told.life] = action
+                    self.closed[action.key, action.told.member, action.told.incarnation] = action
 
     def beat(self, seconds: float = BEAT) -> None:
         until = self.now + seconds
         while self.now < until:
             self.now += BEAT
             for number, one in enumerate(self.all):
-                self.carry(number, one.handle(api.Timer("beat"), self.now))
+                self.carry(number, one.handle(api.TimerFired("beat"), self.now))
 
     def tell(self, number: int) -> None:
         """All that others have closed."""
-        for (_, member, life), action in list(self.closed.items()):
-            if (member, life) != (number, self.all[number].life):
-                event = api.Copied(
+        for (_, member, incarnation), action in list(self.closed.items()):
+            if (member, incarnation) != (number, self.all[number].incarnation):
+                event = api.AccountReplicated(
                     action.key,
                     action.plan_name,
-                    action.first_gateway,
+                    action.set_start,
                     action.spread,
                     (action.told,),
                 )
@@ -167,7 +167,7 @@
     assert one.left(0) == pytest.approx(997.0, abs=0.1)
 
 
-def newcomer(one: Cluster, number: int) -> Gateway:
+def newcomer(one: Cluster, number: int) -> DecisionEngine:
     one.all[number] = one._gateway(number, len(one.all))
     return one.all[number]
 
@@ -221,7 +221,7 @@
     one.ask(1)
     one.beat()
     one.all[1] = one._gateway(1, 3)  # its own count dies with it
-    one.all[1].life = "zzz"
+    one.all[1].incarnation = "zzz"
     one.beat(4.0)
     assert one.left(2) == pytest.approx(997.0, abs=0.1)
     one.tell(2)
@@ -234,7 +234,7 @@
     assert one.ask(2, "early")
     account = next(iter(new.accounts.values()))
     assert account.budget.level < 40.0 / 3
-    new.handle(api.Copied(""), one.now)
+    new.handle(api.AccountReplicated(""), one.now)
     one.ask(2, "late")
     assert list(new.accounts.values())[1].budget.level == 39.0
 
@@ -256,11 +256,14 @@
     one.all[0].handle(one.view(3), one.now)
     kept = account.aside[2]
     assert kept == pytest.approx(level / 3 + 20.0 / 3 * 3.0, abs=1.0)
-    life, through = one.all[2].life, one.all[0].period - 2
-    heard = sum(v for (who, _), v in account.totals.heard.items() if who == f"2.{life}")
-    known = heard + account.totals.bases[f"2.{life}"][2]  # type: ignore[index]
+    incarnation, through = one.all[2].incarnation, one.all[0].period - 2
+    heard = sum(v for (who, _), v in account.totals.heard.items() if who == f"2.{incarnation}")
+    known = heard + account.totals.bases[f"2.{incarnation}"][2]  # type: ignore[index]
     one.all[0].handle(
-        api.Copied(key, "fast", 0, 3, (api.Count(2, life, 1000, through, known + 10.0),)), one.now
+        api.AccountReplicated(
+            key, "fast", 0, 3, (api.ReplicatedCount(2, incarnation, 1000, through, known + 10.0),)
+        ),
+        one.now,
     )
     assert account.aside[2] == pytest.approx(kept - 10.0) and account.owed == 0.0
     one.beat(1.0)
@@ -296,7 +299,9 @@
     account = next(iter(one.all[0].accounts.values()))
     account.aside, account.budget.level = {2: 3.0}, 0.0
     account.budget.at = one.now
-    one.all[0].handle(api.Fleet(True, (0, 1, 2), unused=((2, 5.0),), keeps=True), one.now)
+    one.all[0].handle(
+        api.MembershipChanged(True, (0, 1, 2), unused=((2, 5.0),), keeps=True), one.now
+    )
     assert account.budget.level == 3.0 and account.aside[2] == 0.0
 
 
@@ -306,7 +311,7 @@
     account = next(iter(one.all[0].accounts.values()))
     one.all[0].handle(one.view(3, lost=(2,)), one.now)
     one.all[0].handle(
-        api.Fleet(True, (0, 1), keeps=True), one.now + 5.0
+        api.MembershipChanged(True, (0, 1), keeps=True), one.now + 5.0
     )  # taken over: it is not there, and not lost
     one.now += 5.0
     one.beat(RECKONED + 1.0)
@@ -321,7 +326,10 @@
     for age, total, left in ((10, 30.0, None), (1, 35.0, 25.0)):
         key, since = gossip.base36(36**4 + age), int(one.now) - age
         one.all[0].handle(
-            api.Copied(key, "fast", 0, 3, (api.Count(1, "xy", since, since, total),)), one.now
+            api.AccountReplicated(
+                key, "fast", 0, 3, (api.ReplicatedCount(1, "xy", since, since, total),)
+            ),
+            one.now,
         )
         account = one.all[0].accounts.get(key)
         assert (account is None) == (left is None)
@@ -332,7 +340,9 @@
 @pytest.mark.parametrize("change", [{"plan_name": "gone"}, {"spread": 0}, {"spread": 9}])
 def test_a_copy_that_these_settings_do_not_know_changes_nothing(change: dict[str, object]) -> None:
     one = Cluster()
-    event = api.Copied("abc", "slow", 0, 3, (api.Count(1, "xy", 999, 999, 10.0),), 5.0)
+    event = api.AccountReplicated(
+        "abc", "slow", 0, 3, (api.ReplicatedCount(1, "xy", 999, 999, 10.0),), 5.0
+    )
     one.all[0].handle(event._replace(**change), one.now)  # type: ignore[arg-type]
     assert not one.all[0].accounts
 
@@ -347,7 +357,10 @@
         one.ask(number)
         before = one.left(number) if number == hub else 0.0
         one.all[number].handle(
-            api.Copied(key, "fast", 0, 12, (api.Count(11, "xy", 1000, 1000, 9.0),)), one.now
+            api.AccountReplicated(
+                key, "fast", 0, 12, (api.ReplicatedCount(11, "xy", 1000, 1000, 9.0),)
+            ),
+            one.now,
         )
         account = one.all[number].accounts[key]
         if number == hub:
@@ -355,19 +368,19 @@
         else:
             assert account.owed == 0.0
     new = newcomer(one, other)
-    new.handle(api.Copied(key, "fast", 0, 12, (), 5.0), one.now)
+    new.handle(api.AccountReplicated(key, "fast", 0, 12, (), 5.0), one.now)
     assert new.accounts[key].budget.level == 5.0 and new.accounts[key].telling
 
 
 def test_the_platforms_own_path_keeps_no_counts() -> None:
-    one = Gateway(replace(SETTINGS, plans=(SLOW, FAST)), seed=1)
+    one = DecisionEngine(replace(SETTINGS, plans=(SLOW, FAST)), seed=1)
     one.handle(servers("full", entry("s1")), 1000.0)
     ask(one, 1000.1, "look", plan_name="slow")
     for turn in range(40):
         assert not [
             a
-            for a in one.handle(api.Timer("beat"), 1000.1 + turn / 10)
-            if isinstance(a, api.Closed)
+            for a in one.handle(api.TimerFired("beat"), 1000.1 + turn / 10)
+            if isinstance(a, api.ReplicateCount)
         ]
     account = next(iter(one.accounts.values()))
     assert (
--- a/tests/test_replica_snapshot.py
+++ b/tests/test_replica_snapshot.py
@@ -22,7 +22,7 @@
 
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import Gateway
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.state import Account
 from hazelhollow.membership.seal import Seal
 from hazelhollow.replication import messages, snapshot
@@ -35,7 +35,7 @@
 START = 1_700_000_000.0
 MEMBERS = 5
 RATE, BURST = 20.0, 40.0
-GOLD = replace(PLAN, name="gold", rate=RATE, burst=BURST, over_cost=1.0)
+GOLD = replace(PLAN, name="gold", rate=RATE, burst=BURST, excess_cost=1.0)
 ASKED = 20.0  # requests a second at each member
 ON_THE_WAY, SERVED_IN = 0.002, 0.01  # seconds
 APART = 0.01  # seconds between the starts of two members
@@ -43,20 +43,20 @@
 
 
 class Process:
-    """One life of one member: its timers, and the one queue of all that happens to it."""
+    """One incarnation of one member: its timers, and the one queue of all that happens to it."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.number, self.alive, self.waits_until = fleet, number, True, 0.0
         self.began = fleet.now
         told = replace(
             SETTINGS,
-            me=number,
-            gateways=MEMBERS,
+            limiter_id=number,
+            limiter_count=MEMBERS,
             plans=(GOLD,),
             peers=True,
-            messages_in_per_s=1000.0,
+            gossip_messages_per_s=1000.0,
         )
-        self.gateway = Gateway(told, seed=number)
+        self.gateway = DecisionEngine(told, seed=number)
         self.heard: Callable[[int, str], None] = self.gossip  # as net.peers.Peers has it
         self.driver = Driver(
             self,  # type: ignore[arg-type]
@@ -72,7 +72,7 @@
         )
         self.module(servers("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
-        self.module(api.Fleet(True, tuple(range(MEMBERS)), keeps=True))
+        self.module(api.MembershipChanged(True, tuple(range(MEMBERS)), keeps=True))
         self.asks()
 
     # What the driver is given for the scheduler and the datagrams
@@ -95,25 +95,25 @@
     # What a limiter does
 
     def gossip(self, sender: int, text: str) -> None:
-        self.module(api.PeerMessage(sender, text))
+        self.module(api.GossipReceived(sender, text))
 
     def module(self, event: api.Event) -> None:
         for action in self.gateway.handle(event, self.clock()):
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 self.fleet.let_in += 1.0
-                done = api.Outcome(action.id, 0, action.server, "ok", SERVED_IN, True)
+                done = api.AttemptEnded(action.id, 0, action.server, "ok", SERVED_IN, True)
                 self.at(self.clock() + SERVED_IN, self.module, done)
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, api.SendGossip):
                 self.tell(action.gateway, action.text)
             elif isinstance(action, api.SetTimer):
-                self.at(self.clock() + action.delay, self.module, api.Timer(action.name))
-            elif isinstance(action, api.Closed):
+                self.at(self.clock() + action.delay, self.module, api.TimerFired(action.name))
+            elif isinstance(action, api.ReplicateCount):
                 self.driver.closed(action)
 
     def asks(self) -> None:
         if self.fleet.asking:
             request = f"r{next(self.fleet.ids)}"
-            self.module(api.Request(request, "look", "gold", "c", 1.0, 1.5, 0, MEMBERS))
+            self.module(api.RequestArrived(request, "look", "gold", "c", 1.0, 1.5, 0, MEMBERS))
         self.at(self.clock() + 1.0 / ASKED, self.asks)
 
 
@@ -353,13 +353,18 @@
 # The customers of a snapshot, gathered in slices
 
 
-def known_customers(count: int) -> Gateway:
+def known_customers(count: int) -> DecisionEngine:
     """With so many customers, of which each second one has used something."""
     told = replace(
-        SETTINGS, me=0, gateways=MEMBERS, plans=(GOLD,), peers=True, messages_in_per_s=1000.0
+        SETTINGS,
+        limiter_id=0,
+        limiter_count=MEMBERS,
+        plans=(GOLD,),
+        peers=True,
+        gossip_messages_per_s=1000.0,
     )
-    gateway = Gateway(told, seed=1)
-    gateway.handle(api.Fleet(True, tuple(range(MEMBERS)), keeps=True), START)
+    gateway = DecisionEngine(told, seed=1)
+    gateway.handle(api.MembershipChanged(True, tuple(range(MEMBERS)), keeps=True), START)
     chance = random.Random(1)
     for number in range(count):
         account = gateway._account(gossip.base36(number), GOLD, number % MEMBERS, 3)
--- a/tests/test_scale_budget.py
+++ b/tests/test_scale_budget.py
@@ -23,7 +23,7 @@
 BUDGET = 4000.0
 
 
-def life(terms: FleetTerms) -> Life:
+def incarnation(terms: FleetTerms) -> Life:
     """One limiter of twelve that has started; the others are not there."""
     scheduler, meter = sch.Scheduler(sch.Clock()), Meter()
     peers = HollowPeers(scheduler, Wire(meter), 0, ("127.0.0.1", 0), lambda: 0)
@@ -44,7 +44,7 @@
 
 
 def test_under_a_budget_the_gossip_has_the_rate_of_its_role_and_each_subsystem_a_part() -> None:
-    one = life(FleetTerms(control_bytes_per_s=BUDGET))
+    one = incarnation(FleetTerms(control_bytes_per_s=BUDGET))
     quota = settings_for(BUDGET).roles[Role.QUOTA]
     assert one.gateway.outbox is not None and one.gateway.outbox.bytes.rate == quota.rate
     assert one.gateway.outbox.bytes.most <= quota.burst
@@ -57,7 +57,7 @@
 
 
 def test_without_one_there_is_none() -> None:
-    one = life(FleetTerms())
+    one = incarnation(FleetTerms())
     assert one.gateway.outbox is None
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -392,7 +392,7 @@
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
         seen.append(now)
-        if isinstance(event, api.Request) and event.id == "r1":
+        if isinstance(event, api.RequestArrived) and event.id == "r1":
             raise RuntimeError("broken")
         return whole(event, now)
 
@@ -410,7 +410,7 @@
 
     monkeypatch.setattr(stage.service.limiter._decisions, "handle", handle)
     stage.play("wait 3.5")
-    assert len(timers) >= 3 and all(isinstance(event, api.Timer) for event in timers)
+    assert len(timers) >= 3 and all(isinstance(event, api.TimerFired) for event in timers)
 
 
 def test_an_odd_entry_hides_no_other_and_an_error_does_not_end_the_watch(
@@ -586,7 +586,7 @@
     stage._end("a").sendall(resp.command([b"SELECT", b"0"]) * 250 + stage.bytes_of(ask(1)))
     stage.play(f"wait 0.55\ns1 expect {ask(1, 500)}")
     (one,) = stage.service.limiter.open.values()
-    assert one.ask.request.patience <= 0.55
+    assert one.ask.request.time_left <= 0.55
 
 
 def test_connections_of_clients_that_ask_once_and_stay_go_before_others_find_none_left() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -260,7 +260,7 @@
 
     def ask(self, n: int, units: float = 1.0, spread: int = 3, plan: str = "gold") -> bool:
         self.ids += 1
-        request = api.Request(f"r{self.ids}", "look", plan, "c", units, 1.0, 0, spread)
+        request = api.RequestArrived(f"r{self.ids}", "look", plan, "c", units, 1.0, 0, spread)
         account = self.ledgers[n].account_for(request, self.now)
         if account is None:
             return True
@@ -303,7 +303,7 @@
     shop = Shop()
     assert (
         shop.ledgers[0].account_for(
-            api.Request("r", "look", "basic", "c", 1.0, 1.0, 0, 3), shop.now
+            api.RequestArrived("r", "look", "basic", "c", 1.0, 1.0, 0, 3), shop.now
         )
         is None
     )
@@ -548,7 +548,7 @@
     """
     chance, shop = random.Random(seed), Shop()
     linked, stray, saved = [True] * 3, list[tuple[int, Call]](), shop.node.state.engine.snapshot()
-    lives, reborn = 0, 0.0
+    incarnations, reborn = 0, 0.0
     for _ in range(300):
         shop.now += (
             chance.choice([0.001, 0.02, 0.1, 0.5])
@@ -595,8 +595,8 @@
             else:
                 ledger.store_disconnected(shop.now)
         elif what > 0.88:
-            lives += 1
-            shop.ledgers[n] = Ledger(ledger.settings, TERMS, f"x{lives}", shop.now)
+            incarnations += 1
+            shop.ledgers[n] = Ledger(ledger.settings, TERMS, f"x{incarnations}", shop.now)
             reborn += 40.0 * TERMS.lease.base_share / 3 + 4.0
             linked[n] = True
             shop.link_up(n)
@@ -730,13 +730,13 @@
 
     def __init__(self, seed: int) -> None:
         self.chance, self.shop = random.Random(seed), Shop(base=False)
-        self.linked, self.lives = [True] * 3, 0
+        self.linked, self.incarnations = [True] * 3, 0
         self.stray: list[Call] = []
         self.saved = self.shop.node.state.engine.snapshot()
 
     def account(self, n: int) -> Any:
         ledger, shop = self.shop.ledgers[n], self.shop
-        ledger.account_for(api.Request("r", "look", "gold", "c", 1.0, 1.0, 0, 3), shop.now)
+        ledger.account_for(api.RequestArrived("r", "look", "gold", "c", 1.0, 1.0, 0, 3), shop.now)
         return ledger.accounts["c/gold"]
 
     def take(self, n: int) -> None:
@@ -787,9 +787,9 @@
             self.linked[n] = not self.linked[n]
             self.up(n) if self.linked[n] else shop.ledgers[n].store_disconnected(shop.now)
         else:
-            self.lives += 1
+            self.incarnations += 1
             shop.ledgers[n] = Ledger(
-                shop.ledgers[n].settings, shop.terms, f"x{self.lives}", shop.now
+                shop.ledgers[n].settings, shop.terms, f"x{self.incarnations}", shop.now
             )
             self.linked[n] = True
             self.up(n)
@@ -973,7 +973,7 @@
     shop = Shop()
     for n in range(6):
         shop.ledgers[0].account_for(
-            api.Request("r", "look", "gold", f"c{n}", 1.0, 1.0, 0, 3), shop.now
+            api.RequestArrived("r", "look", "gold", f"c{n}", 1.0, 1.0, 0, 3), shop.now
         )
     assert list(shop.ledgers[0].accounts) == ["c3/gold", "c4/gold", "c5/gold"]
     shop.ledgers[0].store_connected(
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -44,12 +44,12 @@
 
 def used(
     gateways: int,
-    changes: dict[str, api.ServerEntry],
+    changes: dict[str, api.EndpointEntry],
     ejected: frozenset[str] = frozenset(),
     count: int = 300,
 ) -> set[str]:
     """By one gateway, for the last hundred of so many requests, each answered at once."""
-    gateway, names = make(2, gateways=gateways), set[str]()
+    gateway, names = make(2, limiter_count=gateways), set[str]()
     gateway.handle(servers("full", *(changes.get(name, entry(name)) for name in HOSTS)), 0.0)
     for name in ejected:
         gateway.servers[name].health[""] = Health()
@@ -57,7 +57,7 @@
         gateway.servers[name].health[""].count(100.0, 1000.0, 9.0)
     for i in range(count):
         now = 100.0 + i / 10
-        for send in only(ask(gateway, now, customer=f"{i}"), api.Send):
+        for send in only(ask(gateway, now, customer=f"{i}"), api.StartAttempt):
             names |= {send.server} if i >= count - 100 else set()
             answer(gateway, send, now)
     return names
@@ -65,7 +65,7 @@
 
 def test_a_gateway_of_a_large_fleet_keeps_to_few_hosts_and_one_of_a_small_fleet_to_all() -> None:
     assert len(used(40, {})) == LEAST
-    small = make(2, gateways=3)
+    small = make(2, limiter_count=3)
     small.handle(servers("full", *(entry(name) for name in HOSTS)), 0.0)
     assert len(next(small._candidates())[1]) == len(HOSTS)
 
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -1,4 +1,4 @@
-"""What one deployment never tries and another lives by.
+"""What one deployment never tries and another incarnations by.
 
 Units settled afterwards, effects, deadlines, reports.
 """
@@ -11,7 +11,7 @@
 import pytest
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import Gateway
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.state import Server, Window
 from hazelhollow.net import backend, resp
 from hazelhollow.simulator import wire
@@ -120,19 +120,25 @@
     assert backend.read_answer(answer) == backend.Result("ok", b"v")
 
 
-CHEAP = api.RequestClass("cheap", aim=1.5, deadline=6.0, worth=2.0, effect="safe")
-DEAR = api.RequestClass("dear", aim=1.0, deadline=4.0, worth=6.0, effect="unsafe")
+CHEAP = api.RequestClass(
+    "cheap", latency_objective=1.5, deadline=6.0, priority_weight=2.0, effect="safe"
+)
+DEAR = api.RequestClass(
+    "dear", latency_objective=1.0, deadline=4.0, priority_weight=6.0, effect="unsafe"
+)
 
 
 def pressed(**changes: float) -> dict[str, int]:
     """How many of each class a limiter lets in of as many of both, with nothing answered."""
     plan = api.Plan("basic", rate=1000.0, burst=1000.0)
     told = api.Settings(0, 1, (CHEAP, DEAR), (plan,), max_units=4.0, max_attempts=3, **changes)  # type: ignore[arg-type]
-    gateway, sent = Gateway(told, seed=1), {"cheap": 0, "dear": 0}
+    gateway, sent = DecisionEngine(told, seed=1), {"cheap": 0, "dear": 0}
     gateway.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 100.0)
     for turn in range(100):
         for name in sent:
-            sent[name] += len(only(ask(gateway, 100.0 + turn / 1000, name, spread=1), api.Send))
+            sent[name] += len(
+                only(ask(gateway, 100.0 + turn / 1000, name, spread=1), api.StartAttempt)
+            )
     return sent
 
 
@@ -168,19 +174,21 @@
     And the hosts must be chosen and filled by that.
     """
     plan = api.Plan("basic", rate=1000.0, burst=1000.0)
-    gateway = Gateway(api.Settings(0, 1, (CHEAP,), (plan,), max_units=4.0, max_attempts=3), seed=1)
+    gateway = DecisionEngine(
+        api.Settings(0, 1, (CHEAP,), (plan,), max_units=4.0, max_attempts=3), seed=1
+    )
     gateway.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 100.0)
     for turn in range(2000):
         units, now = 1.0 + 3.0 * (turn % 2), 100.0 + turn / 10
-        (send,) = only(ask(gateway, now, "cheap", spread=1, units=units), api.Send)
+        (send,) = only(ask(gateway, now, "cheap", spread=1, units=units), api.StartAttempt)
         gateway.handle(
-            api.Outcome(send.id, 0, send.server, "ok", 0.1 if units == 1.0 else 1.0, True), now
+            api.AttemptEnded(send.id, 0, send.server, "ok", 0.1 if units == 1.0 else 1.0, True), now
         )
     by_units = []
     for units in (1.0, 4.0):
-        (send,) = only(ask(gateway, 310.0, "cheap", spread=1, units=units), api.Send)
+        (send,) = only(ask(gateway, 310.0, "cheap", spread=1, units=units), api.StartAttempt)
         by_units.append(gateway.held[send.id].attempts[0].work)
-        gateway.handle(api.Outcome(send.id, 0, send.server, "ok", 0.1, True), 310.0)
+        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", 0.1, True), 310.0)
     assert by_units[1] > 6 * by_units[0]
 
 
@@ -189,9 +197,14 @@
     servers.
     """
     told = replace(
-        SETTINGS, gateways=1, cold_for=14.0, cold_from=0.2, fall_multiple=4.0, fall_time=2.0
+        SETTINGS,
+        limiter_count=1,
+        warm_up_time=14.0,
+        warm_up_initial_share=0.2,
+        overload_multiple=4.0,
+        overload_window=2.0,
     )
-    gateway, looks, cold = Gateway(told, seed=1), 0, Server.cold
+    gateway, looks, cold = DecisionEngine(told, seed=1), 0, Server.cold
     gateway.handle(
         servers("full", *(entry(f"s{n}", started=99.0 * (n % 2)) for n in range(80))), 100.0
     )
@@ -202,20 +215,25 @@
         return cold(server, now, settings)
 
     monkeypatch.setattr(Server, "cold", counted)
-    assert only(ask(gateway, 100.1, "look", spread=1, patience=3.0), api.Send)
+    assert only(ask(gateway, 100.1, "look", spread=1, time_left=3.0), api.StartAttempt)
     assert looks <= 3 * 80
 
 
 def test_a_server_that_turns_warm_counts_as_warm_from_then() -> None:
     told = replace(
-        SETTINGS, gateways=1, cold_for=14.0, cold_from=0.2, fall_multiple=4.0, fall_time=2.0
+        SETTINGS,
+        limiter_count=1,
+        warm_up_time=14.0,
+        warm_up_initial_share=0.2,
+        overload_multiple=4.0,
+        overload_window=2.0,
     )
-    gateway = Gateway(told, seed=1)
+    gateway = DecisionEngine(told, seed=1)
     gateway.handle(servers("full", entry("old"), entry("new", started=99.0)), 100.0)
-    ask(gateway, 100.1, "look", spread=1, patience=3.0)
+    ask(gateway, 100.1, "look", spread=1, time_left=3.0)
     widths = gateway.table.warm_width(100.1)
     gateway.handle(servers("change", entry("third")), 100.1)  # in the same moment
-    ask(gateway, 100.1, "look", spread=1, patience=3.0)
+    ask(gateway, 100.1, "look", spread=1, time_left=3.0)
     assert gateway.table.warm_width(100.1) == 2 * widths > 0
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -121,7 +121,7 @@
 def test_a_fault_of_the_module_is_reported_with_its_text() -> None:
     hello = {"hello": {"who": 0, "rng_seed": 5, "params": {**PARAMS, "position": 9}}}
     run = play(batch(8.0, hello))
-    assert "give_in" in run.stdout and "me: not one" in run.stdout and run.returncode == 0
+    assert "give_in" in run.stdout and "limiter_id: not one" in run.stdout and run.returncode == 0
 
 
 def test_events_for_a_stopped_instance_are_dropped() -> None:
@@ -131,14 +131,14 @@
 
 def test_every_action_has_its_line() -> None:
     for action in (
-        api.Send("i", "s"),
-        api.Cancel("i", 0),
-        api.Refuse("i", 0.5),
-        api.Fail("i"),
+        api.StartAttempt("i", "s"),
+        api.CancelAttempt("i", 0),
+        api.RejectRequest("i", 0.5),
+        api.FailRequest("i"),
         api.SetTimer(1.0, "t"),
-        api.Tell(1, "x"),
-        api.Subscribe(),
-        api.Log("x"),
+        api.SendGossip(1, "x"),
+        api.SubscribeToEndpoints(),
+        api.WriteLog("x"),
     ):
         ((name, fields),) = json.loads(wire.action_line(3, action)).items()
         assert fields["who"] == 3 and name
@@ -150,7 +150,7 @@
     run = subprocess.run(
         [sys.executable, "-c", code], text=True, capture_output=True, cwd=ROOT, timeout=60
     )
-    assert run.returncode == 0 and "Send" in run.stdout, run.stderr
+    assert run.returncode == 0 and "StartAttempt" in run.stdout, run.stderr
 
 
 def test_the_deploy_file_lists_every_module_that_decides() -> None:
