--- a/Makefile
+++ b/Makefile
@@ -17,6 +17,7 @@
 	$(PYTHON) -m ruff check hazelhollow tests
 	$(PYTHON) -m ruff format --check hazelhollow tests
 	$(PYTHON) -m mypy
+	$(PYTHON) -m tests.long_code hazelhollow
 
 run: export RELAY_CONFIG ?= deploy/example.json
 run: build
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,9 @@
-"""Tests that are known to fail: KNOWN-RED.txt at the root, a line each, `TEST | CAUSE | ISSUE`.
+"""The pytest plugin that reads KNOWN-RED.txt: tests that fail for a real fault that is not mended.
 
-A pytest plugin. Those tests are run and passed over whether they fail or not, and each is printed
-with its cause; one that passes is said to. Anything else that fails fails the run, and so does a
-line that is bad or names no test.
+The file stands at the root, one entry a line: `TEST | COMMAND AND SEED | SEEN | ISSUE`. The tests
+listed there are run and passed over whether they fail or not, and each is printed with its entry;
+one that passes is said to. Any other failure fails the run, and so does a line that is malformed or
+names no test.
 """
 
 from __future__ import annotations
@@ -15,82 +16,93 @@
 import pytest
 from _pytest.terminal import TerminalReporter
 
-FILE = "KNOWN-RED.txt"
-MOST = 3
+FILE_NAME = "KNOWN-RED.txt"
+FORM = "TEST | COMMAND AND SEED | SEEN | ISSUE"
+MAX_ENTRIES = 3
 _ISSUE = re.compile(r"issue [0-9]+")
 
 
-class Known(NamedTuple):
+class KnownFailure(NamedTuple):
+    """One entry: the test's id, how to see it fail, what was seen, and the open issue."""
+
     test: str
-    cause: str
+    command: str
+    seen: str
     issue: str
 
+    def reason(self) -> str:
+        """What is printed beside the test's id."""
+        return f"{self.seen} (`{self.command}`, {self.issue})"
+
 
-def read(text: str) -> list[Known]:
-    """Blank lines and those that begin with `#` say nothing.
+def parse(text: str) -> list[KnownFailure]:
+    """All entries; blank lines and lines that begin with `#` hold none.
 
-    Raises ValueError, which names the line.
+    Raises:
+        ValueError: a line is malformed; the text names the line.
     """
-    found: list[Known] = []
+    entries: list[KnownFailure] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        words = [word.strip() for word in line.split("|")]
-        if len(words) != 3 or not all(words):
-            raise ValueError(f"{FILE}, line {number}: not `TEST | CAUSE | ISSUE`")
-        known = Known(*words)
-        if "::" not in known.test:
-            raise ValueError(f"{FILE}, line {number}: {known.test!r} names no test of a file")
-        if not _ISSUE.fullmatch(known.issue):
-            raise ValueError(
-                f"{FILE}, line {number}: {known.issue!r} is not `issue` and its number"
-            )
-        if known.test in [k.test for k in found]:
-            raise ValueError(f"{FILE}, line {number}: {known.test} stands twice")
-        found.append(known)
-        if len(found) > MOST:
-            raise ValueError(f"{FILE}, line {number}: more than {MOST} tests")
-    return found
-
-
-def _of(config: pytest.Config) -> list[Known]:
-    path = Path(config.rootpath) / FILE
+        try:
+            entry = _parse_line(line)
+        except ValueError as error:
+            raise ValueError(f"{FILE_NAME}, line {number}: {error}") from None
+        if entry.test in [earlier.test for earlier in entries]:
+            raise ValueError(f"{FILE_NAME}, line {number}: {entry.test} stands twice")
+        entries.append(entry)
+        if len(entries) > MAX_ENTRIES:
+            raise ValueError(f"{FILE_NAME}, line {number}: more than {MAX_ENTRIES} tests")
+    return entries
+
+
+def _parse_line(line: str) -> KnownFailure:
+    fields = [field.strip() for field in line.split(" | ")]
+    if len(fields) != len(KnownFailure._fields) or not all(fields):
+        raise ValueError(f"not `{FORM}`")
+    entry = KnownFailure(*fields)
+    if "::" not in entry.test:
+        raise ValueError(f"{entry.test!r} names no test of a file")
+    if not _ISSUE.fullmatch(entry.issue):
+        raise ValueError(f"{entry.issue!r} is not `issue` and its number")
+    return entry
+
+
+def _entries(config: pytest.Config) -> list[KnownFailure]:
+    path = Path(config.rootpath) / FILE_NAME
     try:
-        return read(path.read_text()) if path.exists() else []
+        return parse(path.read_text()) if path.exists() else []
     except ValueError as error:
         raise pytest.UsageError(str(error)) from None
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    whole = config.args == config.getini("testpaths") or config.args == [
-        str(config.invocation_params.dir)
-    ]
-    for known in _of(config):
-        named = [item for item in items if item.nodeid == known.test]
-        if whole and not named:
-            raise pytest.UsageError(f"{FILE}: there is no test {known.test}")
-        for item in named:
-            item.add_marker(
-                pytest.mark.xfail(reason=f"{known.cause} ({known.issue})", strict=False)
-            )
-
-
-def _lines(config: pytest.Config, reporter: TerminalReporter) -> Iterator[str]:
-    ends = {
-        kind: {report.nodeid for report in reporter.stats.get(kind, [])}
-        for kind in ("xfailed", "xpassed")
-    }
-    for known in _of(config):
-        word = (
-            "fails"
-            if known.test in ends["xfailed"]
-            else "PASSES, take its line out"
-            if known.test in ends["xpassed"]
-            else "not run"
-        )
-        yield f"known red, {word}: {known.test}: {known.cause} ({known.issue})"
+    """Marks the listed tests as expected failures, whose passing is no failure either."""
+    root = [str(config.invocation_params.dir)]
+    is_whole_run = config.args in (config.getini("testpaths"), root)
+    for entry in _entries(config):
+        matching = [item for item in items if item.nodeid == entry.test]
+        if is_whole_run and not matching:
+            raise pytest.UsageError(f"{FILE_NAME}: there is no test {entry.test}")
+        for item in matching:
+            item.add_marker(pytest.mark.xfail(reason=entry.reason(), strict=False))
+
+
+def _summary_lines(config: pytest.Config, reporter: TerminalReporter) -> Iterator[str]:
+    failed = {report.nodeid for report in reporter.stats.get("xfailed", [])}
+    passed = {report.nodeid for report in reporter.stats.get("xpassed", [])}
+    for entry in _entries(config):
+        if entry.test in failed:
+            state = "fails"
+        elif entry.test in passed:
+            state = "PASSES, take its line out"
+        else:
+            state = "not run"
+        yield f"known red, {state}: {entry.test}: {entry.reason()}"
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter, config: pytest.Config) -> None:
-    for line in _lines(config, terminalreporter):
+    """Prints each listed test, so that nobody takes a green run for one without known faults."""
+    for line in _summary_lines(config, terminalreporter):
         terminalreporter.write_line(line)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.known_red import Known, read
+from tests.known_red import KnownFailure, parse
 
 SUITE = """
 def test_red(): assert False
@@ -21,20 +21,28 @@
     ("text", "why"),
     [
         ("tests/a.py::test_x", "line 1: not"),
-        ("# none\n\na.py::t | | issue 3", "line 3: not"),
-        ("a.py::t | cause | 31", "line 1: '31' is not"),
-        ("a.py | cause | issue 31", "names no test"),
-        ("a.py::t | cause | issue 31\na.py::t | other | issue 32", "line 2: a.py::t stands twice"),
-        ("\n".join(f"a.py::t{n} | cause | issue 31" for n in range(4)), "line 4: more than 3"),
+        ("# none\n\na.py::t | run |  | issue 3", "line 3: not"),
+        ("a.py::t | cause | issue 31", "line 1: not"),
+        ("a.py::t | run | cause | 31", "line 1: '31' is not"),
+        ("a.py | run | cause | issue 31", "names no test"),
+        (
+            "a.py::t | run | cause | issue 31\na.py::t | run | other | issue 32",
+            "line 2: a.py::t stands twice",
+        ),
+        (
+            "\n".join(f"a.py::t{n} | run | cause | issue 31" for n in range(4)),
+            "line 4: more than 3",
+        ),
     ],
 )
 def test_a_bad_line_is_an_error_that_names_it(text: str, why: str) -> None:
     with pytest.raises(ValueError, match=why):
-        read(text)
+        parse(text)
 
 
 def test_lines_are_read_and_notes_left_out() -> None:
-    assert read("# note\n\na.py::t | why | issue 3\n") == [Known("a.py::t", "why", "issue 3")]
+    text = "# note\n\na.py::t | pytest a.py, seed 4 | x lost | issue 3\n"
+    assert parse(text) == [KnownFailure("a.py::t", "pytest a.py, seed 4", "x lost", "issue 3")]
 
 
 def run(folder: Path, known: str | None, *args: str) -> tuple[int, str]:
@@ -52,32 +60,31 @@
     return done.returncode, done.stdout + done.stderr
 
 
-RED = "suite/test_it.py::test_red | it is false | issue 31\n"
+RED = "suite/test_it.py::test_red | pytest suite | it is false | issue 31\n"
+GREEN = "suite/test_it.py::test_green | pytest suite | was slow | issue 31\n"
 
 
 def test_a_known_red_test_is_passed_over_and_printed(tmp_path: Path) -> None:
     code, said = run(tmp_path, RED)
-    assert (
-        code == 0 and "known red, fails: suite/test_it.py::test_red: it is false (issue 31)" in said
-    )
+    shown = "suite/test_it.py::test_red: it is false (`pytest suite`, issue 31)"
+    assert code == 0 and f"known red, fails: {shown}" in said
 
 
 def test_one_that_passes_is_said_to(tmp_path: Path) -> None:
-    code, said = run(tmp_path, RED + "suite/test_it.py::test_green | was slow | issue 31\n")
+    code, said = run(tmp_path, RED + GREEN)
     assert (
         code == 0 and "known red, PASSES, take its line out: suite/test_it.py::test_green" in said
     )
 
 
-@pytest.mark.parametrize(
-    "known", [None, "", "suite/test_it.py::test_green | was slow | issue 31\n"]
-)
+@pytest.mark.parametrize("known", [None, "", GREEN])
 def test_any_other_failure_fails_the_run(known: str | None, tmp_path: Path) -> None:
     assert run(tmp_path, known)[0] == 1
 
 
 def test_one_that_is_not_found_is_an_error(tmp_path: Path) -> None:
-    code, said = run(tmp_path, RED + "suite/test_it.py::test_gone | no more | issue 31\n")
+    gone = "suite/test_it.py::test_gone | pytest suite | no more | issue 31\n"
+    code, said = run(tmp_path, RED + gone)
     assert code not in (0, 1) and "there is no test suite/test_it.py::test_gone" in said
 
 
