--- /dev/null
+++ b/tests/test_kept_files.py
@@ -0,0 +1,138 @@
+"""Files that an earlier version left on disk: the present code reads every value of them, and
+would write the same bytes. `tests/kept_files/README.md` says how they were made.
+"""
+
+from __future__ import annotations
+
+from pathlib import Path
+from shutil import copy
+
+from hazelhollow.configuration import files, record, versions
+from hazelhollow.configuration.record import Entry
+from hazelhollow.configuration.versions import Candidate, Phase, Versions
+from hazelhollow.fault_injection import checker
+from hazelhollow.net.bans import BanFile, path_for
+from hazelhollow.replication import snapshot
+from hazelhollow.replication.messages import Hand
+from hazelhollow.replication.snapshot import Left, Snapshot
+
+FOLDER = Path(__file__).parent / "kept_files"
+INCARNATION = 1_700_000_000_123
+
+
+def load_snapshot(member: int, now: float, tmp_path: Path) -> Snapshot | None:
+    """Of a copy, since what can't be read is moved out of the way."""
+    copy(FOLDER / f"replica-{member}", tmp_path)
+    return snapshot.File(tmp_path, member).load(now)
+
+
+def test_a_snapshot_with_customers_debts_and_overrides(tmp_path: Path) -> None:
+    found = load_snapshot(3, 1_700_000_010.0, tmp_path)
+    assert found is not None
+    assert (found.format, found.version) == ("hazelhollow-replica", 1)
+    assert (found.at, found.member, found.final) == (1_700_000_005.75, 3, False)
+    assert found.customers == [
+        Left("8tl2m", "7kq", 1, 5, 12.5),
+        Left("0", "a1", 0, 1, -3.25),
+        Left("zz9", "7kq", 4, 3, 0.0),
+        *[Left(f"c{n}", "b22", n % 5, 1 + n % 5, n / 8 - 2) for n in range(40)],
+    ]
+    first = found.customers[0]
+    assert (first.key, first.plan, first.first, first.spread) == ("8tl2m", "7kq", 1, 5)
+    assert first.level == 12.5
+    calls = found.calls()
+    assert calls == [
+        Hand("s-0001", 2, 0, 1_700_000_002_000, 4),
+        Hand("s-0002", 3, 1, 1_700_000_003_250, 3),
+        Hand("10.0.0.7:9000", 9, 1, 1_700_000_004_500, 1),
+    ]
+    last = calls[-1]
+    assert (last.host, last.order, last.down) == ("10.0.0.7:9000", 9, 1)
+    assert (last.at, last.member) == (1_700_000_004_500, 1)
+
+
+def test_a_snapshot_of_an_orderly_end(tmp_path: Path) -> None:
+    found = load_snapshot(12, 1_700_000_101.0, tmp_path)
+    assert found == Snapshot("hazelhollow-replica", 1, 1_700_000_100.0, 12, [], [], True)
+    assert found is not None and found.final
+
+
+def test_snapshots_are_written_as_the_same_bytes(tmp_path: Path) -> None:
+    for member, now in ((3, 1_700_000_010.0), (12, 1_700_000_101.0)):
+        found = load_snapshot(member, now, tmp_path)
+        assert found is not None
+        (tmp_path / f"replica-{member}").unlink()
+        snapshot.File(tmp_path, member).save(found)
+        written = (tmp_path / f"replica-{member}").read_bytes()
+        assert written == (FOLDER / f"replica-{member}").read_bytes()
+
+
+def test_a_record_with_every_kind_of_entry() -> None:
+    troubles: list[str] = []
+    entries = list(files.entries(FOLDER, troubles.append))
+    assert not troubles
+    other = Versions("c", "abc", 7, "5d3a", 42, "def", "9c10", Candidate(2, Phase("b")))
+    assert versions.read(versions.write(other)) == other
+    began, again = "began", "an older index: discovery began anew or is another"
+    behind = "order 8 is out, 7 acts here; it goes on, or too few would serve"
+    given = "given by member 2"
+    counts = {"requests": 120, "served": 100, "refused": 19, "failed": 1}
+    out, hosts = {"s-0001": 1, "s-0002": 1}, {"s-0003": 60, "s-0004": 41}
+    samples = ["r-1 s-0003", "r-2 s-0004"]
+    t, by = 1_700_000_000.0, (4, INCARNATION)
+    assert entries == [
+        Entry(t + 0.125, *by, 1, "program", "0.1", began, 7, -1, {}, {}, [], False),
+        Entry(t + 0.25, *by, 2, "settings", "5d3a", began, 7, -1, {}, {}, [], False),
+        Entry(t + 0.5, *by, 3, "list", "42", "", 7, -1, {}, {}, [], False),
+        Entry(t + 1, *by, 4, "list", "3", again, 7, -1, {}, {}, [], False),
+        Entry(t + 1.5, *by, 5, "hands", "9c10", "", 7, -1, {}, out, [], False),
+        Entry(t + 2, *by, 6, "ruling", "behind", behind, 7, -1, {}, {}, [], False),
+        Entry(t + 2.5, *by, 7, "heard", versions.write(other), "", 7, 2, {}, {}, [], False),
+        Entry(t + 3, *by, 8, "rollout", "taken", "candidate 9", 7, -1, {}, {}, [], False),
+        Entry(t + 3.5, *by, 9, "settings", "77be", given, 9, -1, {}, {}, [], True),
+        Entry(t + 4, *by, 10, "second", "77be", "", 9, -1, counts, hosts, samples, False),
+        Entry(t + 9, 4, 1_700_000_009_000, 1, "program", "0.2", began, 9, -1, {}, {}, [], False),
+    ]
+    last = entries[-2]
+    assert (last.t, last.member, last.incarnation, last.serial) == (t + 4, 4, INCARNATION, 10)
+    assert (last.what, last.version, last.order, last.other) == ("second", "77be", 9, -1)
+    assert (last.counts, last.hosts, last.samples) == (counts, hosts, samples)
+    assert [entry.serial for entry in entries if entry.candidate] == [9]
+
+
+def test_a_record_is_written_as_the_same_bytes(tmp_path: Path) -> None:
+    paths = files.segments(FOLDER)
+    assert len(paths) == 2
+    for path in paths:
+        entries = list(record.unpack(path.read_bytes()))
+        assert (
+            b"".join(record.pack(e) for e in entries if isinstance(e, Entry)) == path.read_bytes()
+        )
+    record.Segments(tmp_path, 4, INCARNATION).write(
+        [e for e in record.unpack(paths[0].read_bytes()) if isinstance(e, Entry)]
+    )
+    assert (tmp_path / paths[0].name).read_bytes() == paths[0].read_bytes()
+
+
+def test_a_file_of_servers_that_are_out(tmp_path: Path) -> None:
+    found = BanFile(path_for("espoo main/0", str(FOLDER))).read()
+    assert found == {"10.0.0.7:9000", "s-0001", "s-0009"}
+    path = path_for("espoo main/0", str(tmp_path))
+    BanFile(path).write(found)
+    assert path.read_bytes() == (FOLDER / path.name).read_bytes()
+
+
+def test_the_lines_of_the_membership() -> None:
+    first, second = checker.rows(FOLDER / "n0.view.jsonl")
+    assert first == {
+        "t": 1_700_000_000.5,
+        "me": 0,
+        "acting": False,
+        "members": {"0": ["alive", 28_333_333_333]},
+    }
+    assert second["t"] == 1_700_000_001.75 and second["me"] == 0 and second["acting"] is True
+    assert second["members"] == {
+        "0": ["alive", 28_333_333_333],
+        "1": ["dead", 28_333_330_000],
+        "2": ["shut out", 28_333_333_000],
+    }
