--- a/hazelhollow/operator/constraints.py
+++ b/hazelhollow/operator/constraints.py
@@ -14,7 +14,7 @@
 from hazelhollow.operator.kinds import ANY, NUMBER, STRING, kind_of
 from hazelhollow.operator.syntax import Place
 
-MOST_PATTERN = 200  # characters
+MAX_PATTERN = 200  # characters
 PATTERN_SIGNS = ("=~", "!~")
 # Repeats of repeats, look-around, back references: a pattern of those may take for ever.
 _UNSAFE_PATTERN = re.compile(r"[+*}][)]+[+*{]|\(\?|\\[0-9]")
@@ -69,6 +69,6 @@
         re.compile(pattern)
     except re.error as error:
         return f"the pattern {show(pattern)}: {error}"
-    if len(pattern) > MOST_PATTERN or _UNSAFE_PATTERN.search(pattern):
+    if len(pattern) > MAX_PATTERN or _UNSAFE_PATTERN.search(pattern):
         return f"the pattern {show(pattern)}: too long, or repeats within repeats"
     return ""
--- a/hazelhollow/operator/evaluate.py
+++ b/hazelhollow/operator/evaluate.py
@@ -3,7 +3,7 @@
 Source: the CUE language specification, sections "Values", "Structs", "References", "Default
 values". A node stands for one path; it gathers the expressions that bear on it (its conjuncts, each
 with the scope it was written in) and is worked out when all of them are known. Work is bounded by
-MOST_STEPS, whatever a file refers to.
+MAX_STEPS, whatever a file refers to.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
     Trouble,
 )
 
-MOST_STEPS = 10_000
-MOST_COMBINATIONS = 64  # of the choices of all disjunctions at one path
-MOST_NESTED_DISJUNCTIONS = 8
-MOST_LEVELS = 32
+MAX_STEPS = 10_000
+MAX_COMBINATIONS = 64  # of the choices of all disjunctions at one path
+MAX_NESTED_DISJUNCTIONS = 8
+MAX_LEVELS = 32
 
 Value = Union[Concrete, dict[str, "Value"], list["Value"]]
 
@@ -111,7 +111,7 @@
         pending = list(node.conjuncts)
         while pending:
             self._steps += 1
-            if self._steps > MOST_STEPS:
+            if self._steps > MAX_STEPS:
                 raise WorkLimitError
             pending[:0] = self._take(node, pending.pop(0))
         if node.disjunctions:
@@ -229,8 +229,8 @@
         combinations = list(product(*[disjunction.choices for disjunction, _ in node.disjunctions]))
         self._nested_disjunctions += 1
         if (
-            len(combinations) > MOST_COMBINATIONS
-            or self._nested_disjunctions > MOST_NESTED_DISJUNCTIONS
+            len(combinations) > MAX_COMBINATIONS
+            or self._nested_disjunctions > MAX_NESTED_DISJUNCTIONS
         ):
             raise WorkLimitError
         is_single = len(combinations) == 1 and len(node.disjunctions) == 1
@@ -292,7 +292,7 @@
         """The plain value; what is wrong or missing is in `troubles`, and stands for null."""
         self._level += 1
         try:
-            if self._level > MOST_LEVELS:
+            if self._level > MAX_LEVELS:
                 raise WorkLimitError
             self.expand(node)
             self.places[node.path] = self._diagnostics.own_place(node, node.place)
@@ -375,7 +375,7 @@
     try:
         value = evaluator.value(root)
     except (WorkLimitError, RecursionError):
-        bounds = f"{MOST_STEPS} steps, {MOST_LEVELS} levels"
+        bounds = f"{MAX_STEPS} steps, {MAX_LEVELS} levels"
         trouble = Trouble(own.place, "", "this takes too much to work out", bounds)
         raise CueError([*evaluator.troubles, trouble]) from None
     if evaluator.troubles:
--- a/hazelhollow/operator/syntax.py
+++ b/hazelhollow/operator/syntax.py
@@ -2,8 +2,8 @@
 
 The subset of CUE that `cue.lark` describes, with a place in the file for every part.
 
-Source: the CUE language specification, sections "Lexical elements" and "Commas". Bounds: MOST_BYTES
-of text and MOST_DEPTH of brackets, so that no file can take more than a moment or exhaust the
+Source: the CUE language specification, sections "Lexical elements" and "Commas". Bounds: MAX_BYTES
+of text and MAX_DEPTH of brackets, so that no file can take more than a moment or exhaust the
 stack.
 """
 
@@ -19,12 +19,12 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import LarkError, UnexpectedCharacters, UnexpectedToken
 
-MOST_BYTES = 256 * 1024
-MOST_DEPTH = 32
-MOST_DIGITS = 18
-MOST_EXPONENT = 300
-MOST_ECHOED = 40  # characters of a token that an error repeats
-MOST_EXPECTED = 8  # names of what could stand at a place, in an error
+MAX_BYTES = 256 * 1024
+MAX_DEPTH = 32
+MAX_DIGITS = 18
+MAX_EXPONENT = 300
+MAX_ECHOED = 40  # characters of a token that an error repeats
+MAX_EXPECTED = 8  # names of what could stand at a place, in an error
 OPTIONAL, REQUIRED = "?", "!"  # marks of a field
 _COMMA_FOLLOWS = {
     "IDENT",
@@ -207,8 +207,8 @@
         depth = 0
         for token in stream:
             depth += (token.type in _OPENS) - (token.type in _CLOSES)
-            if depth > MOST_DEPTH:
-                raise UnexpectedToken(token, {f"at most {MOST_DEPTH} brackets deep"})  # type: ignore[no-untyped-call]
+            if depth > MAX_DEPTH:
+                raise UnexpectedToken(token, {f"at most {MAX_DEPTH} brackets deep"})  # type: ignore[no-untyped-call]
             if token.type != "_NL":
                 yield token
             elif last is not None and last.type in _COMMA_FOLLOWS:
@@ -230,8 +230,8 @@
     Raises `CueError`, with one trouble: after the first, the rest would be guesses.
     """
     begin = Place(file, 1, 1)
-    if len(data) > MOST_BYTES:
-        raise _error(begin, f"{len(data)} bytes", f"at most {MOST_BYTES}")
+    if len(data) > MAX_BYTES:
+        raise _error(begin, f"{len(data)} bytes", f"at most {MAX_BYTES}")
     text = _decode(data, file)
     try:
         return Struct(begin, _Builder(file).fields(_parser().parse(text).children))
@@ -241,7 +241,7 @@
     except UnexpectedToken as error:
         token = error.token
         place = Place(file, token.line or text.count("\n") + 1, token.column or 1)
-        word = _END_NAMES.get(token.type, repr(str(token)[:MOST_ECHOED]))
+        word = _END_NAMES.get(token.type, repr(str(token)[:MAX_ECHOED]))
         raise _error(place, f"{word} cannot stand here", _expected(error.expected)) from None
     except LarkError as error:
         raise _error(begin, str(error).splitlines()[0]) from None
@@ -266,7 +266,7 @@
         for name in tokens or ()
         if name != "_NL"
     }
-    return ", ".join(sorted(names)[:MOST_EXPECTED])
+    return ", ".join(sorted(names)[:MAX_EXPECTED])
 
 
 class _Builder:
@@ -335,8 +335,8 @@
         match = re.fullmatch(r"([0-9.eE+-]+?)([KMGT]i?)?", text)
         assert match
         digits, multiplier = match[1], _MULTIPLIERS.get(match[2] or "", 1)
-        if len(digits) > MOST_DIGITS or _exponent(digits) > MOST_EXPONENT:
-            allowed = f"{MOST_DIGITS} digits, 1e{MOST_EXPONENT}"
+        if len(digits) > MAX_DIGITS or _exponent(digits) > MAX_EXPONENT:
+            allowed = f"{MAX_DIGITS} digits, 1e{MAX_EXPONENT}"
             raise _error(self._place(token), f"a number of {len(digits)} digits", allowed)
         if digits.isdigit():
             return int(digits) * multiplier
--- a/hazelhollow/standins/__init__.py
+++ b/hazelhollow/standins/__init__.py
@@ -1,3 +1,1 @@
-"""Stand-ins for the outside systems that the limiter talks to, written from their public
-specifications.
-"""
+"""Stand-ins for the systems outside the limiter, written from public specifications."""
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow standin`: outside systems to try things against, on this machine only."""
+"""`hazelhollow standin`: stand-ins for outside systems, on loopback only."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from hazelhollow.standins import node
 from hazelhollow.standins.redis import faults, server
 
-POLL = 0.05  # seconds between looks at whether a signal has come
+SIGNAL_POLL_S = 0.05
 
 
 @click.group("standin")
@@ -85,9 +85,9 @@
         servers = server.start(scheduler, address, seed, password, plan, shards, secure)
     except OSError as error:
         _cannot_listen(listen, error)
-    _until_signal(scheduler, [one.address for one in servers])
-    for one in servers:
-        one.close()
+    _until_signal(scheduler, [started.address for started in servers])
+    for started in servers:
+        started.close()
 
 
 @standin.command("node")
@@ -140,21 +140,22 @@
     """
     scheduler = sch.Scheduler(sch.Clock())
     try:
-        written = os.open(journal, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644) if journal else -1
-        one = node.Node(
-            scheduler, _loopback(listen), work, cores, node.Cold(cold_from, cold_for), written
-        )
+        flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
+        written = os.open(journal, flags, 0o644) if journal else node.NO_JOURNAL
+        slow_start = node.SlowStart(cold_from, cold_for)
+        options = node.NodeOptions(work, cores, slow_start, written)
+        endpoint = node.Node(scheduler, _loopback(listen), options)
     except ValueError as error:
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(2)
     except OSError as error:
         _cannot_listen(listen, error)
-    one.start()
-    signal.signal(signal.SIGUSR1, lambda *_: setattr(one, "draining", True))
-    signal.signal(signal.SIGUSR2, lambda *_: setattr(one, "draining", False))
-    _until_signal(scheduler, [one.address])
-    one.close()
-    click.echo(f"served {one.served}")
+    endpoint.start()
+    signal.signal(signal.SIGUSR1, lambda *_: setattr(endpoint, "draining", True))
+    signal.signal(signal.SIGUSR2, lambda *_: setattr(endpoint, "draining", False))
+    _until_signal(scheduler, [endpoint.address])
+    endpoint.close()
+    click.echo(f"served {endpoint.served}")
 
 
 def _loopback(listen: str) -> tuple[str, int]:
@@ -180,6 +181,6 @@
 
 
 def _wake(scheduler: sch.Scheduler) -> None:
-    """A signal's handler runs between turns: the loop must not sleep for long."""
+    """Wakes the loop regularly: a signal's handler runs only between its turns."""
     while True:
-        scheduler.sleep(POLL)
+        scheduler.sleep(SIGNAL_POLL_S)
--- a/hazelhollow/standins/discovery.py
+++ b/hazelhollow/standins/discovery.py
@@ -1,6 +1,7 @@
-"""A stand-in for discovery.
+"""A stand-in for discovery: the endpoint list, long polls, and per-limiter addresses.
 
-The whole list, watches that wait, and an address of each host for each limiter.
+Each limiter has an agent of its own at its own address. A call without an index is answered at
+once with the complete list; one with the present index is held until something changes.
 """
 
 from __future__ import annotations
@@ -15,28 +16,37 @@
 from hazelhollow.net import stream
 from hazelhollow.net.ending import Ending
 
-MOST_HEAD = 8192
-MOST_OUT = 1 << 23  # bytes of answers that wait: a list of some 40,000 hosts
-LONGEST_HOLD = 60.0
+MAX_HEAD = 8192  # bytes of a call
+MAX_OUT = 1 << 23  # bytes of answers that wait: a list of some 40,000 hosts
+MAX_HOLD_S = 60.0
 _CALL = re.compile(rb"GET /discovery/hosts(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1\r\n")
-WORDS = {"up": "in_service", "draining": "terminating", "gone": "terminated"}
+STATUS_NAMES = {"up": "in_service", "draining": "terminating", "gone": "terminated"}
 
 
 @dataclass
 class Host:
-    """One line of the list. `addresses`: by limiter, where it is to reach the host."""
+    """One endpoint of the list.
+
+    Attributes:
+        name: as the list names it.
+        addresses: by limiter, the address at which it reaches the endpoint.
+        zone: its availability zone.
+        state: `up`, `draining` or `gone`.
+        started: Unix seconds of its start; 0: long ago.
+        index: of the list when this entry changed last.
+    """
 
     name: str
     addresses: dict[str, str]
     zone: str = "a"
     state: str = "up"
     started: float = 0.0
-    index: int = 0  # of the list when this line changed last
+    index: int = 0
 
 
 @dataclass(eq=False)
 class Discovery:
-    """`down`: it takes connections and says nothing."""
+    """The list and all agents; while `down`, connections are accepted and never answered."""
 
     scheduler: sch.Scheduler
     hosts: dict[str, Host] = field(default_factory=dict)
@@ -47,7 +57,7 @@
     _socks: list[socket.socket] = field(default_factory=list)
 
     def listen(self, limiter: str, address: tuple[str, int]) -> tuple[str, int]:
-        """The agent of that limiter."""
+        """Starts that limiter's agent; gives its address."""
         sock = socket.create_server(address, backlog=64)
         sock.setblocking(False)
         self._socks.append(sock)
@@ -56,20 +66,21 @@
         return bound
 
     def change(self, host: Host) -> None:
-        """A new line, or a line that says something else now."""
+        """Adds or changes an entry and answers the calls that are held."""
         self.index += 1
         host.index = self.index
         self.hosts[host.name] = host
         self._wake()
 
     def restart(self, index: int) -> None:
-        """It comes back with an older index, as one that lost its state does."""
+        """Falls back to an older index, as a discovery service does that lost its state."""
         self.index = index
         for host in self.hosts.values():
             host.index = min(host.index, index)
         self._wake()
 
     def set_down(self, down: bool) -> None:
+        """Begins or ends an outage."""
         self.down = down
         self._wake()
 
@@ -79,20 +90,21 @@
             self.scheduler.wake(task)
 
     def document(self, limiter: str, since: int | None) -> bytes:
-        """The whole list, or what changed after that index.
+        """The complete list, or what changed after the index `since`.
 
-        All of it for an index that this incarnation never had.
+        An index that this incarnation never had gets the complete list.
         """
-        whole = since is None or since > self.index
+        is_complete = since is None or since > self.index
         shown = [
             host
             for host in self.hosts.values()
-            if (whole and host.state != "gone") or (not whole and host.index > (since or 0))
+            if (is_complete and host.state != "gone")
+            or (not is_complete and host.index > (since or 0))
         ]
         return orjson.dumps(
             {
                 "index": self.index,
-                "snapshot": whole,
+                "snapshot": is_complete,
                 "endpoints": [
                     {
                         "name": host.name,
@@ -100,7 +112,7 @@
                         "zone": host.zone,
                         "type": "m1",
                         "group": 0,
-                        "status": WORDS[host.state],
+                        "status": STATUS_NAMES[host.state],
                         "weight": 1.0,
                         "since_ms": int(host.started * 1000),
                     }
@@ -112,23 +124,23 @@
     def _accept(self, sock: socket.socket, limiter: str) -> None:
         for near in stream.accepted(self.scheduler, sock):
             self.scheduler.spawn(
-                self._serve, stream.Stream(self.scheduler, near, MOST_OUT), limiter, name="agent"
+                self._serve, stream.Stream(self.scheduler, near, MAX_OUT), limiter, name="agent"
             )
 
     def _serve(self, driver: stream.Stream, limiter: str) -> None:
-        held = bytearray()
+        received = bytearray()
         while driver.ending is None:
             driver.wait()
-            data = driver.read(MOST_HEAD)
+            data = driver.read(MAX_HEAD)
             if isinstance(data, Ending):
                 driver.close(data)
             elif data:
-                held += data
-                end = held.find(b"\r\n\r\n")
+                received += data
+                end = received.find(b"\r\n\r\n")
                 if end >= 0:
-                    self._answer(driver, limiter, bytes(held[: end + 2]))
-                    del held[: end + 4]
-                elif len(held) > MOST_HEAD:
+                    self._answer(driver, limiter, bytes(received[: end + 2]))
+                    del received[: end + 4]
+                elif len(received) > MAX_HEAD:
                     driver.close(Ending.MALFORMED)
 
     def _answer(self, driver: stream.Stream, limiter: str, head: bytes) -> None:
@@ -138,7 +150,7 @@
             return
         self.calls += 1
         since = int(call[1]) if call[1] else None
-        until = self.scheduler.clock() + min(int(call[2] or 0) / 1000.0, LONGEST_HOLD)
+        until = self.scheduler.clock() + min(int(call[2] or 0) / 1000.0, MAX_HOLD_S)
         while self.down or (since == self.index and self.scheduler.clock() < until):
             self._waiting.append(self.scheduler.current())
             if self.scheduler.wait(until=None if self.down else until) == sch.TIMEOUT:
@@ -151,6 +163,7 @@
         )
 
     def close(self) -> None:
+        """Closes the agents' listening sockets."""
         for sock in self._socks:
             self.scheduler.forget(sock.fileno())
             sock.close()
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -1,8 +1,7 @@
-"""A stand-in for a backend host.
+"""A stand-in for an endpoint: it serves every request after a fixed amount of work.
 
-It answers each request after some work, so many at a time, and counts what it served.
-
-It can start cold, drain, say how loaded it is, and write down each request that it began.
+It works on a bounded number of requests at once, can start slowly, drain, report its load, and
+write a line for each request that it begins.
 """
 
 from __future__ import annotations
@@ -11,6 +10,7 @@
 import socket
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import orjson
 
@@ -18,144 +18,161 @@
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net.ending import Ending
 
-MOST_OUT = 1024 * 1024
-MOST_WAITING = 1000
+MAX_OUT = 1024 * 1024  # bytes of replies that wait for one connection
+MAX_WAITING = 1000  # requests
+NO_JOURNAL = -1  # in place of a descriptor
+REQUEST_COMMANDS = (b"Q.ASK", b"Q.DO")
+REQUEST_ARGUMENTS = 4  # command, customer, request id, fields
+FIXED_REPLIES = {b"PING": b"+PONG\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
 
 
 @dataclass(eq=False)
-class Line:
-    """One connection; its answers go out in the order of its commands."""
+class Connection:
+    """One client connection; replies go out in the order of its commands."""
 
     driver: stream.Stream
     parser: resp.Parser = field(default_factory=resp.Parser)
-    answers: deque[list[bytes]] = field(
-        default_factory=deque
-    )  # each one a place that is filled when its work is done
+    # One slot for each command, filled when its work is done.
+    replies: deque[list[bytes]] = field(default_factory=deque)
 
 
 @dataclass(frozen=True)
-class Cold:
-    """How a host starts.
-
-    At a share `start` of its speed, which grows evenly to the whole over `lasts` seconds.
-    """
+class SlowStart:
+    """Speed after the start: from a share `start` of the full one, linearly over `lasts` seconds."""
 
     start: float = 1.0
     lasts: float = 0.0
 
     def speed(self, age: float) -> float:
+        """The share of the full speed at an age in seconds."""
         return self.start + (1.0 - self.start) * min(1.0, age / self.lasts) if self.lasts else 1.0
 
 
-class Node:
-    """`work`.
-
-    Seconds for a request; `cores`: how many it works on at once; `journal`: a descriptor that gets
-    a JSON line for each request as it begins.
+@dataclass(frozen=True)
+class NodeOptions:
+    """How a stand-in endpoint behaves.
+
+    Attributes:
+        work: seconds of work for a request.
+        cores: requests that are worked on at once.
+        slow_start: its speed after the start.
+        journal: descriptor that gets a JSON line for each request as it begins.
     """
 
+    work: float
+    cores: int
+    slow_start: SlowStart = SlowStart()
+    journal: int = NO_JOURNAL
+
+
+class QueuedRequest(NamedTuple):
+    """A request that waits for a core, and the slot of its reply."""
+
+    connection: Connection
+    slot: list[bytes]
+    id: bytes
+    arguments: list[resp.Value]
+
+
+class Node:
+    """One stand-in endpoint on its listening socket."""
+
     def __init__(
         self,
         scheduler: sch.Scheduler,
         listen: tuple[str, int],
-        work: float,
-        cores: int,
-        cold: Cold | None = None,
-        journal: int = -1,
+        options: NodeOptions,
     ) -> None:
-        self.scheduler, self.work, self.cores = scheduler, work, cores
-        self.cold, self.journal, self.draining = cold or Cold(), journal, False
-        self.began = scheduler.clock()
+        self.scheduler, self.options = scheduler, options
+        self.draining = False
+        self.started_at = scheduler.clock()
         self._sock = socket.create_server(listen, backlog=256)
         self._sock.setblocking(False)
         self.address: tuple[str, int] = self._sock.getsockname()[:2]
         self.served = self.busy = 0
-        self._queue: deque[tuple[Line, list[bytes], list[resp.Value]]] = deque()
+        self._queue: deque[QueuedRequest] = deque()
 
     def start(self) -> None:
+        """Begins to accept connections."""
         self.scheduler.spawn_lasting(self._accept, "node")
 
     def _accept(self) -> None:
         for sock in stream.accepted(self.scheduler, self._sock):
-            line = Line(stream.Stream(self.scheduler, sock, MOST_OUT))
-            self.scheduler.spawn(self._tend, line, name="node connection")
+            connection = Connection(stream.Stream(self.scheduler, sock, MAX_OUT))
+            self.scheduler.spawn(self._serve, connection, name="node connection")
 
-    def _tend(self, line: Line) -> None:
-        driver = line.driver
+    def _serve(self, connection: Connection) -> None:
+        driver = connection.driver
         while driver.ending is None:
             driver.wait()
-            data = driver.read(line.parser.ring.room())
+            data = driver.read(connection.parser.ring.room())
             if isinstance(data, Ending):
                 driver.close(data)
             elif data:
                 try:
-                    line.parser.feed(data)
-                    while not isinstance(words := line.parser.next(), resp.More):
-                        self._take(line, words)
+                    connection.parser.feed(data)
+                    while not isinstance(command := connection.parser.next(), resp.More):
+                        self._handle(connection, command)
                 except resp.ProtocolError:
                     driver.close(Ending.MALFORMED)
 
-    def _take(self, line: Line, words: resp.Value) -> None:
-        place: list[bytes] = []
-        line.answers.append(place)
-        name = (
-            words[0] if isinstance(words, list) and words and isinstance(words[0], bytes) else b""
-        )
-        if (
-            name in (b"Q.ASK", b"Q.DO")
-            and isinstance(words, list)
-            and len(words) >= 4
-            and isinstance(words[2], bytes)
-        ):
-            if self.draining or len(self._queue) >= MOST_WAITING:
-                self._answer(line, place, b"-BUSY\r\n")
+    def _handle(self, connection: Connection, command: resp.Value) -> None:
+        slot: list[bytes] = []
+        connection.replies.append(slot)
+        arguments = command if isinstance(command, list) else []
+        name = arguments[0] if arguments and isinstance(arguments[0], bytes) else b""
+        is_request = name in REQUEST_COMMANDS and len(arguments) >= REQUEST_ARGUMENTS
+        request_id = arguments[2] if is_request else None
+        if isinstance(request_id, bytes):
+            if self.draining or len(self._queue) >= MAX_WAITING:
+                self._reply(connection, slot, b"-BUSY\r\n")
             else:
-                self._queue.append((line, place, words))
-                self._begin()
+                self._queue.append(QueuedRequest(connection, slot, request_id, arguments))
+                self._begin_queued()
         elif name == b"INFO":
-            self._answer(line, place, resp.bulk(self._report()))
+            self._reply(connection, slot, resp.bulk(self._load_report()))
         else:
-            known = {b"PING": b"+PONG\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
-            self._answer(line, place, known.get(name, b"-ERR unknown\r\n"))
+            self._reply(connection, slot, FIXED_REPLIES.get(name, b"-ERR unknown\r\n"))
 
-    def _begin(self) -> None:
-        while self._queue and self.busy < self.cores:
+    def _begin_queued(self) -> None:
+        while self._queue and self.busy < self.options.cores:
             self.busy += 1
-            line, place, words = self._queue.popleft()
+            request = self._queue.popleft()
             now = self.scheduler.clock()
-            self._write_down(words, now)
-            takes = self.work / self.cold.speed(now - self.began)
-            self.scheduler.at(now + takes, self._done, line, place, words[2])
-
-    def _write_down(self, words: list[resp.Value], now: float) -> None:
-        if self.journal >= 0:
-            verb, customer, request, fields = (
-                word.decode() for word in words[:4] if isinstance(word, bytes)
-            )
-            row = {"t": now, "verb": verb, "customer": customer, "id": request, "fields": fields}
-            os.write(
-                self.journal, orjson.dumps(row) + b"\n"
-            )  # at once: a host that is killed has begun it all the same
-
-    def _report(self) -> bytes:
+            self._write_to_journal(request.arguments, now)
+            speed = self.options.slow_start.speed(now - self.started_at)
+            self.scheduler.at(now + self.options.work / speed, self._finish, request)
+
+    def _write_to_journal(self, arguments: list[resp.Value], now: float) -> None:
+        if self.options.journal == NO_JOURNAL:
+            return
+        verb, customer, request, fields = (
+            argument.decode()
+            for argument in arguments[:REQUEST_ARGUMENTS]
+            if isinstance(argument, bytes)
+        )
+        row = {"t": now, "verb": verb, "customer": customer, "id": request, "fields": fields}
+        # Unbuffered: an endpoint that is killed has begun the request all the same.
+        os.write(self.options.journal, orjson.dumps(row) + b"\n")
+
+    def _load_report(self) -> bytes:
         return b"inflight=%d,queue=%d" % (self.busy, len(self._queue))
 
-    def _done(self, line: Line, place: list[bytes], request: bytes) -> None:
+    def _finish(self, request: QueuedRequest) -> None:
         self.busy -= 1
         self.served += 1
-        self._answer(
-            line,
-            place,
-            b"*3\r\n" + resp.bulk(b"served " + request) + b"$-1\r\n" + resp.bulk(self._report()),
-        )
-        self._begin()
+        body = resp.bulk(b"served " + request.id)
+        report = resp.bulk(self._load_report())
+        self._reply(request.connection, request.slot, b"*3\r\n" + body + b"$-1\r\n" + report)
+        self._begin_queued()
 
     @staticmethod
-    def _answer(line: Line, place: list[bytes], data: bytes) -> None:
-        place.append(data)
-        while line.answers and line.answers[0]:
-            line.driver.write(line.answers.popleft()[0])
+    def _reply(connection: Connection, slot: list[bytes], data: bytes) -> None:
+        slot.append(data)
+        while connection.replies and connection.replies[0]:
+            connection.driver.write(connection.replies.popleft()[0])
 
     def close(self) -> None:
+        """Closes the listening socket; open connections are left to end by themselves."""
         self.scheduler.forget(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/standins/redis/cluster.py
+++ b/hazelhollow/standins/redis/cluster.py
@@ -30,9 +30,10 @@
         ]
 
     def check_keys(self, keys: list[bytes]) -> None:
-        """Raises `CommandError` where the keys are not all in one slot.
+        """Checks that all keys are in one slot of this shard.
 
-        Or that is another shard's.
+        Raises:
+            CommandError: the keys are in several slots, or in another shard's.
         """
         found = {slots.slot_of(key) for key in keys}
         if len(found) > 1:
--- a/hazelhollow/standins/redis/command.py
+++ b/hazelhollow/standins/redis/command.py
@@ -1,7 +1,4 @@
-"""What the tables of commands on data say of each.
-
-Who runs it, its arity, whether it writes, where its keys are.
-"""
+"""The description of a data command: its handler, arity, whether it writes, where its keys are."""
 
 from __future__ import annotations
 
@@ -16,7 +13,7 @@
 
 
 class KeyPositions(NamedTuple):
-    """Where a command's keys are among its words, as COMMAND INFO says it.
+    """Where a command's keys are among its arguments, as COMMAND INFO says it.
 
     `last` is from the end if negative.
     """
@@ -31,12 +28,12 @@
 ALL_KEYS = KeyPositions(1, -1, 1)
 
 
-def arity_fits(words: list[bytes], arity: int) -> bool:
-    """Whether there are as many words as an arity says.
+def arity_fits(arguments: list[bytes], arity: int) -> bool:
+    """Whether there are as many arguments as an arity says.
 
     It counts the name, and below 0 means at least so many.
     """
-    return len(words) == arity if arity > 0 else len(words) >= -arity
+    return len(arguments) == arity if arity > 0 else len(arguments) >= -arity
 
 
 @dataclass(frozen=True)
@@ -50,14 +47,18 @@
     keys: KeyPositions = NO_KEY
     in_script: bool = True
 
-    def keys_of(self, words: list[bytes]) -> list[bytes]:
-        """The keys among the words of a call."""
+    def keys_of(self, arguments: list[bytes]) -> list[bytes]:
+        """The keys among the arguments of a call."""
         first, last, step = self.keys
-        return words[first : (len(words) + last if last < 0 else last) + 1 : step] if first else []
-
-    def fits(self, words: list[bytes]) -> bool:
-        """Whether a call has as many words as it must."""
-        return arity_fits(words, self.arity)
+        return (
+            arguments[first : (len(arguments) + last if last < 0 else last) + 1 : step]
+            if first
+            else []
+        )
+
+    def fits(self, arguments: list[bytes]) -> bool:
+        """Whether a call has as many arguments as it must."""
+        return arity_fits(arguments, self.arity)
 
 
 def reader(run: Handler, arity: int, keys: KeyPositions = ONE_KEY) -> Command:
--- a/hazelhollow/standins/redis/dispatch.py
+++ b/hazelhollow/standins/redis/dispatch.py
@@ -1,6 +1,6 @@
-"""A session's command to the function that runs it.
+"""Finds the function that runs a session's command.
 
-Authentication, slots, transactions and arity on the way.
+Checks authentication, cluster slots, open transactions and arity on the way.
 """
 
 from __future__ import annotations
@@ -31,37 +31,41 @@
     arity: int
 
 
-def execute(state: ServerState, session: Session, words: list[bytes]) -> Reply:
-    """Runs or queues a command. Raises `CommandError`."""
-    name = words[0].upper()
+def execute(state: ServerState, session: Session, arguments: list[bytes]) -> Reply:
+    """Runs a command, or queues it where a transaction is open.
+
+    Raises:
+        CommandError: the command cannot be run; its text is the error reply.
+    """
+    name = arguments[0].upper()
     session_command = SESSION_COMMANDS.get(name)
-    if session_command and not arity_fits(words, session_command.arity):
+    if session_command and not arity_fits(arguments, session_command.arity):
         raise CommandError(wrong_arguments(name))
     if not session.authenticated and name not in WITHOUT_AUTHENTICATION:
         raise CommandError("NOAUTH Authentication required.")
     if state.cluster:
-        state.cluster.check_keys(_keys_of(name, words))
+        state.cluster.check_keys(_keys_of(name, arguments))
     if session.transaction is not None and name not in NEVER_QUEUED:
         if not session_command:
-            state.engine.check_may_run(find_command(words))
-        return transaction_commands.queue(session, words)
+            state.engine.check_may_run(find_command(arguments))
+        return transaction_commands.queue(session, arguments)
     if session_command:
-        return session_command.run(state, session, words[1:])
-    return state.engine.call(session.database, words)
+        return session_command.run(state, session, arguments[1:])
+    return state.engine.call(session.database, arguments)
 
 
-def _keys_of(name: bytes, words: list[bytes]) -> list[bytes]:
-    if name in (b"EVAL", b"EVALSHA") and len(words) > 2 and words[2].isdigit():
-        return words[3 : 3 + int(words[2])]
+def _keys_of(name: bytes, arguments: list[bytes]) -> list[bytes]:
+    if name in (b"EVAL", b"EVALSHA") and len(arguments) > 2 and arguments[2].isdigit():
+        return arguments[3 : 3 + int(arguments[2])]
     if name == b"WATCH":
-        return words[1:]
+        return arguments[1:]
     command = COMMANDS.get(name)
-    return command.keys_of(words) if command else []
+    return command.keys_of(arguments) if command else []
 
 
 def _exec(state: ServerState, session: Session, args: list[bytes]) -> Reply:
     return transaction_commands.execute_queued(
-        state, session, lambda words: execute(state, session, words)
+        state, session, lambda arguments: execute(state, session, arguments)
     )
 
 
--- a/hazelhollow/standins/redis/engine.py
+++ b/hazelhollow/standins/redis/engine.py
@@ -16,7 +16,7 @@
 from hazelhollow.standins.redis.keyspace import Keyspace
 from hazelhollow.standins.redis.values import OUT_OF_MEMORY, CommandError, Reply
 
-MOST_ECHOED = 128  # characters of a word that an error repeats
+MAX_ECHOED = 128  # characters of an argument that an error repeats
 COMMANDS: dict[bytes, Command] = {
     **string_commands.COMMANDS,
     **key_commands.COMMANDS,
@@ -26,18 +26,18 @@
 
 
 class Engine(Keyspace):
-    """A keyspace that runs commands by their words."""
+    """A keyspace that runs commands by their arguments."""
 
-    def call(self, database: int, words: list[bytes], scripted: bool = False) -> Reply:
+    def call(self, database: int, arguments: list[bytes], scripted: bool = False) -> Reply:
         """Runs a command of the tables on a database.
 
         Raises `CommandError` where it cannot be run.
         """
-        command = find_command(words)
+        command = find_command(arguments)
         if scripted and not command.in_script:
             raise CommandError("ERR This Redis command is not allowed from script")
         self.check_may_run(command)
-        return command.run(self, database, words[1:])
+        return command.run(self, database, arguments[1:])
 
     def check_may_run(self, command: Command) -> None:
         """Raises `CommandError` where the server's state forbids the command now."""
@@ -47,24 +47,24 @@
             raise CommandError(OUT_OF_MEMORY)
 
 
-def find_command(words: list[bytes]) -> Command:
-    """The command that the words call.
+def find_command(arguments: list[bytes]) -> Command:
+    """The command that the arguments call.
 
     Raises `CommandError` for an unknown one or a wrong number of arguments.
     """
-    name = words[0].upper()
+    name = arguments[0].upper()
     command = COMMANDS.get(name)
     if command is None:
-        given = words[0][:MOST_ECHOED].decode("ascii", "replace")
-        first = b" ".join(b"'%b'" % word[:MOST_ECHOED] for word in words[1:10]).decode(
+        given = arguments[0][:MAX_ECHOED].decode("ascii", "replace")
+        first = b" ".join(b"'%b'" % argument[:MAX_ECHOED] for argument in arguments[1:10]).decode(
             "ascii", "replace"
         )
         raise CommandError(f"ERR unknown command '{given}', with args beginning with: {first}")
-    if not command.fits(words):
+    if not command.fits(arguments):
         raise CommandError(wrong_arguments(name))
     return command
 
 
 def wrong_arguments(name: bytes) -> str:
-    """The error for a call with too many or too few words."""
+    """The error for a call with too many or too few arguments."""
     return f"ERR wrong number of arguments for '{name.decode().lower()}' command"
--- a/hazelhollow/standins/redis/faults.py
+++ b/hazelhollow/standins/redis/faults.py
@@ -1,6 +1,7 @@
-"""Faults by schedule and by seed.
+"""Faults of the stand-in by schedule and by seed.
 
-A plan read from a file or added by an admin command, and what it says now. No I/O.
+A plan is read from a file or extended by an admin command; `FaultSchedule` says what is active
+at an instant. No I/O.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 )
 OUTCOMES = frozenset({"lost", "cut_before", "cut_after", "half", "garbage"})
 TIMES = frozenset({"at", "lasts", "every", "delay", "age", "by"})  # fields that are spans of time
-MOST_JUNK = 40  # bytes in place of a reply
+MAX_JUNK = 40  # bytes in place of a reply
 
 
 class Fault(msgspec.Struct, frozen=True):
@@ -46,15 +47,12 @@
 
 
 class FaultEffect(msgspec.Struct):
-    """What becomes of one command.
-
-    Delayed (seconds) before it runs, its reply delayed, and how that goes out.
-    """
+    """What the active faults do to one command; delays in seconds."""
 
     delay_before: float = 0.0
     delay_after: float = 0.0
     error: str = ""
-    outcome: str = ""  # one of OUTCOMES, or nothing
+    outcome: str = ""  # one of OUTCOMES; empty: the reply goes out as it is
 
 
 def read_plan(data: bytes, file: str) -> list[Fault]:
@@ -173,7 +171,7 @@
 
     def junk(self) -> bytes:
         """Bytes that are no reply."""
-        return self._random.randbytes(self._random.randint(1, MOST_JUNK))
+        return self._random.randbytes(self._random.randint(1, MAX_JUNK))
 
     def _draw(self, fault: Fault) -> float:
         if fault.spread == "constant":
--- a/hazelhollow/standins/redis/hash_commands.py
+++ b/hazelhollow/standins/redis/hash_commands.py
@@ -31,7 +31,7 @@
 
 
 def _hgetall(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
-    return [word for pair in keyspace.hash(database, args[0]).items() for word in pair]
+    return [argument for pair in keyspace.hash(database, args[0]).items() for argument in pair]
 
 
 def _hincrby(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
--- a/hazelhollow/standins/redis/node.py
+++ b/hazelhollow/standins/redis/node.py
@@ -1,10 +1,8 @@
-"""One stand-in server without its sockets.
+"""One stand-in server without I/O: bytes of connections in, replies and closes out.
 
-Connections' bytes in, replies and ends of connections out, at their times.
-
-Commands run one at a time in the order in which they came, as in Redis: one that is delayed delays
-all others. A driver feeds `Session.feed`, calls `turn` when `next_at` says so, and does what the
-returned `Output` values say. Real sockets, the simulation and the tests all drive this same code.
+Commands run one at a time in the order of arrival, as in Redis: a delayed one delays all others.
+A driver feeds `Session.feed`, calls `turn` when `next_at` says so, and carries out the returned
+`Output` values. Real sockets, the simulation and the tests all drive this same code.
 """
 
 from __future__ import annotations
@@ -21,8 +19,8 @@
 from hazelhollow.standins.redis.snapshots import SnapshotHistory
 from hazelhollow.standins.redis.values import OK, CommandError, Reply, encode
 
-# seconds; a restart that is to last longer, as without a given span, is over at once
-LONGEST_OUTAGE = 3600.0
+# A restart fault without a given span has the default span of a day: it is over at once.
+MAX_OUTAGE_S = 3600.0
 
 
 class Output(NamedTuple):
@@ -34,7 +32,7 @@
 
 
 class Delayed(NamedTuple):
-    """A command whose turn has come and that is held up, and what a fault does to it."""
+    """The command at the head of the queue, delayed by a fault, and that fault's effect."""
 
     request: Request
     effect: faults.FaultEffect
@@ -89,7 +87,7 @@
     # Time
 
     def next_at(self) -> float | None:
-        """When `turn` has something to do; nothing if only new bytes can bring that about."""
+        """When `turn` has something to do next; None until new bytes arrive."""
         times = [self._outputs[0][0]] if self._outputs else []
         if self._requests or self._delayed:
             times.append(max(self._busy_until, self.state.faults.until("stall", self.clock())))
@@ -99,7 +97,7 @@
         return min(times, default=None)
 
     def turn(self) -> list[Output]:
-        """Runs what has its turn by now; what is to go out now."""
+        """Runs the commands that are due and gives the outputs that are due."""
         now = self.clock()
         state = self.state
         state.engine.purge()
@@ -138,8 +136,7 @@
         if effect.outcome == "cut_before":
             self._send(Output(session, b"", True), now)
             return
-        # What had been written by a connection that has gone since still runs, as in Redis: its
-        # bytes were read.
+        # Commands of a connection that has closed meanwhile still run, as in Redis: they were read.
         reply, closes = self._reply_to(request, effect)
         data = encode(reply)
         if effect.outcome == "lost":
@@ -150,15 +147,14 @@
             self._send(Output(session, data, closes), now + effect.delay_after)
 
     def _effect_on(self, request: Request, now: float) -> faults.FaultEffect:
-        name = request.words[0].upper() if request.words else b""
+        name = request.arguments[0].upper() if request.arguments else b""
         if not name or name == b"STANDIN":
             return faults.FaultEffect()
         return self.state.faults.effect_on(name, now)
 
     def _damaged(self, data: bytes, outcome: str) -> bytes:
-        junk = (
-            self.state.faults.junk()
-        )  # drawn for every outcome, so that one seed gives one sequence of draws
+        # Drawn for every outcome, so that one seed gives one sequence of draws.
+        junk = self.state.faults.junk()
         if outcome == "half":
             return data[: max(1, len(data) // 2)]
         return junk if outcome == "garbage" else b""
@@ -195,17 +191,17 @@
             self.state.snapshots.latest_before(now - fault.age) if old else None
         )
         self.state.scripts.flush()
-        self._down_until = now + (fault.lasts if fault.lasts < LONGEST_OUTAGE else 0.0)
+        self._down_until = now + (fault.lasts if fault.lasts < MAX_OUTAGE_S else 0.0)
         return self._close_all()
 
     # Commands
 
     def _reply_to(self, request: Request, effect: faults.FaultEffect) -> tuple[Reply, bool]:
         """The reply, and whether the connection ends after it."""
-        session, words = request.session, request.words
+        session, arguments = request.session, request.arguments
         if request.protocol_error:
             return CommandError("ERR " + request.protocol_error), True
-        name = words[0].upper()
+        name = arguments[0].upper()
         self.state.calls[name.decode("ascii", "replace")] += 1
         now = self.clock()
         self.state.engine.readonly = self.state.faults.active("readonly", now) is not None
@@ -215,7 +211,7 @@
                 return OK, True
             if effect.error:
                 raise CommandError(effect.error)
-            return execute(self.state, session, words), False
+            return execute(self.state, session, arguments), False
         except CommandError as error:
             if session.transaction is not None and name != b"EXEC":
                 session.transaction_failed = True
--- a/hazelhollow/standins/redis/request_parser.py
+++ b/hazelhollow/standins/redis/request_parser.py
@@ -1,6 +1,7 @@
-"""A connection's bytes to commands.
+"""Parses a connection's bytes into commands.
 
-Arrays of bulk strings, or inline commands of one line (the public protocol page).
+Source: the public page on the Redis serialization protocol; arrays of bulk strings and inline
+commands of one line. No I/O.
 """
 
 from __future__ import annotations
@@ -8,10 +9,10 @@
 import re
 import shlex
 
-MOST_WORDS = 1024 * 1024
-MOST_BULK = 4 * 1024 * 1024  # bytes of a word
-MOST_INLINE = 64 * 1024  # bytes of a line
-MOST_DIGITS = 10  # of a count or a length, with its sign
+MAX_ARGUMENTS = 1024 * 1024
+MAX_BULK = 4 * 1024 * 1024  # bytes of an argument
+MAX_INLINE = 64 * 1024  # bytes of a line
+MAX_DIGITS = 10  # of a count or a length, with its sign
 _COUNT = re.compile(rb"-?[0-9]+")
 
 
@@ -20,7 +21,7 @@
 
 
 class RequestParser:
-    """Keeps what has come of a command until it is whole."""
+    """Buffers the bytes of a command until it is complete."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -34,54 +35,57 @@
         self._buffer.clear()
 
     def next(self) -> list[bytes] | None:
-        """One command's words; none where a line was empty; None while it is not whole.
+        """The next command's arguments.
 
-        Raises `ProtocolError`.
+        Empty for an empty line; None while the command is not complete.
+
+        Raises:
+            ProtocolError: the bytes are no command; the connection is to be closed.
         """
         buffer = self._buffer
         if not buffer:
             return None
         end = buffer.find(b"\n")
         if end < 0:
-            if len(buffer) > MOST_INLINE:
+            if len(buffer) > MAX_INLINE:
                 raise ProtocolError("Protocol error: too big inline request")
             return None
         if buffer.startswith(b"*"):
             return self._array(end)
         line = bytes(buffer[:end]).rstrip(b"\r")
         del buffer[: end + 1]
-        return _inline_words(line)
+        return _inline_arguments(line)
 
     def _array(self, end: int) -> list[bytes] | None:
         buffer = self._buffer
-        count = _parse_count(bytes(buffer[1:end]), MOST_WORDS, "invalid multibulk length")
-        at, words = end + 1, list[bytes]()
+        count = _parse_count(bytes(buffer[1:end]), MAX_ARGUMENTS, "invalid multibulk length")
+        at, arguments = end + 1, list[bytes]()
         for _ in range(count):
             end = buffer.find(b"\n", at)
             if end < 0:
                 return None
             if buffer[at : at + 1] != b"$":
                 raise ProtocolError(f"Protocol error: expected '$', got '{chr(buffer[at])}'")
-            size = _parse_count(bytes(buffer[at + 1 : end]), MOST_BULK, "invalid bulk length")
+            size = _parse_count(bytes(buffer[at + 1 : end]), MAX_BULK, "invalid bulk length")
             if size < 0:
                 raise ProtocolError("Protocol error: invalid bulk length")
             if len(buffer) < end + 1 + size + 2:
                 return None
-            words.append(bytes(buffer[end + 1 : end + 1 + size]))
+            arguments.append(bytes(buffer[end + 1 : end + 1 + size]))
             at = end + 1 + size + 2
         del buffer[:at]
-        return words
+        return arguments
 
 
 def _parse_count(text: bytes, most: int, error: str) -> int:
     text = text.rstrip(b"\r")
-    if not _COUNT.fullmatch(text) or len(text) > MOST_DIGITS or int(text) > most:
+    if not _COUNT.fullmatch(text) or len(text) > MAX_DIGITS or int(text) > most:
         raise ProtocolError("Protocol error: " + error)
     return int(text)
 
 
-def _inline_words(line: bytes) -> list[bytes]:
+def _inline_arguments(line: bytes) -> list[bytes]:
     try:
-        return [word.encode("latin-1") for word in shlex.split(line.decode("latin-1"))]
+        return [argument.encode("latin-1") for argument in shlex.split(line.decode("latin-1"))]
     except ValueError:
         raise ProtocolError("Protocol error: unbalanced quotes in request") from None
--- a/hazelhollow/standins/redis/scripts.py
+++ b/hazelhollow/standins/redis/scripts.py
@@ -15,8 +15,8 @@
 from hazelhollow.standins.redis.engine import Engine
 from hazelhollow.standins.redis.values import CommandError, NullArray, Reply, Status
 
-MOST_MEMORY = 32 * 2**20  # bytes
-MOST_INSTRUCTIONS = 5_000_000
+MAX_MEMORY = 32 * 2**20  # bytes
+MAX_INSTRUCTIONS = 5_000_000
 NO_SCRIPT = "NOSCRIPT No matching script. Please use EVAL."
 
 # Errors pass as tables with a field `err`, which is what redis.pcall gives and what redis.call
@@ -103,10 +103,10 @@
             unpack_returned_tuples=True,
             register_eval=False,
             register_builtins=False,
-            max_memory=MOST_MEMORY,
+            max_memory=MAX_MEMORY,
         )
         prelude = self._lua.compile(PRELUDE)
-        self._compile, self._run = prelude(self._call_from_lua, MOST_INSTRUCTIONS)
+        self._compile, self._run = prelude(self._call_from_lua, MAX_INSTRUCTIONS)
 
     def load(self, text: bytes) -> str:
         """Compiles a script and keeps it; gives its digest.
@@ -151,11 +151,11 @@
 
     # What a script calls
 
-    def _call_from_lua(self, function: bytes, *words: Any) -> Any:
+    def _call_from_lua(self, function: bytes, *arguments: Any) -> Any:
         if function == b"sha1hex":
-            return script_digest(_word(words[0]) or b"").encode()
+            return script_digest(_argument(arguments[0]) or b"").encode()
         try:
-            plain = [_word(word) for word in words]
+            plain = [_argument(argument) for argument in arguments]
             if not plain or None in plain:
                 raise CommandError(
                     "ERR Lua redis lib command arguments must be strings or integers"
@@ -203,8 +203,8 @@
     return value.decode("utf-8", "replace") if isinstance(value, bytes) else str(value)
 
 
-def _word(value: Any) -> bytes | None:
-    """A command's word as Redis takes it from Lua: a string, or a number in Lua's own words."""
+def _argument(value: Any) -> bytes | None:
+    """A command's argument as Redis takes it from Lua: a string, or a number in Lua's own notation."""
     if isinstance(value, bytes):
         return value
     if isinstance(value, bool) or not isinstance(value, int | float):
--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -1,4 +1,4 @@
-"""The stand-in on real sockets: a thin driver on our scheduler, one `Node` a listening address."""
+"""The stand-in on real sockets: a thin driver, one `Node` for each listening address."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.session import Session
 
-MOST_OUT = 16 * 1024 * 1024  # bytes that wait for one connection
+MAX_OUT = 16 * 1024 * 1024  # bytes that wait for one connection
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 seconds
 
 
@@ -48,7 +48,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 sock.close()
                 continue
-            self._streams[session.id] = driver = stream.Stream(self.scheduler, sock, MOST_OUT)
+            self._streams[session.id] = driver = stream.Stream(self.scheduler, sock, MAX_OUT)
             if self._secure:
                 self._tls_layers[session.id] = tls.Layer(self._secure)
             self.scheduler.spawn(self._serve, session, driver, name="stand-in connection")
@@ -80,7 +80,7 @@
         return plain
 
     def advance(self) -> None:
-        """Does what the node has to do now and sees to it that it is called when it has more."""
+        """Carries out what the node has due and sets a timer for its next turn."""
         for output in self.node.turn():
             driver = self._streams.get(output.session.id)
             if driver is None:
@@ -115,9 +115,9 @@
     shards: int = 1,
     secure: ssl.SSLContext | None = None,
 ) -> list[Server]:
-    """So many servers, at ports in a row from `listen` or, with port 0, at any.
+    """Starts `shards` servers; more than one form a cluster.
 
-    More than one are a cluster.
+    They listen at consecutive ports from that of `listen`, or at any free ones where it is 0.
     """
     host, port = listen
     servers = []
--- a/hazelhollow/standins/redis/server_commands.py
+++ b/hazelhollow/standins/redis/server_commands.py
@@ -15,7 +15,7 @@
 
 def info(state: ServerState, session: Session, args: list[bytes]) -> Reply:
     """INFO [section ...]."""
-    wanted = {word.decode("ascii", "replace").lower() for word in args}
+    wanted = {argument.decode("ascii", "replace").lower() for argument in args}
     lines = []
     for section, rows in _info_sections(state).items():
         if not wanted or section in wanted or ALL_SECTIONS & wanted:
--- a/hazelhollow/standins/redis/session.py
+++ b/hazelhollow/standins/redis/session.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in: its parser, its state, and the commands that have come whole."""
+"""One connection to a stand-in: its parser, its state, and the complete commands received."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 class Request(NamedTuple):
     """One command of a session.
 
-    With a `protocol_error` it has no words, and the session ends after its reply.
+    With a `protocol_error` it has no arguments, and the session ends after its reply.
     """
 
     session: Session
-    words: list[bytes]
+    arguments: list[bytes]
     protocol_error: str = ""
 
 
@@ -45,9 +45,9 @@
         """Bytes as they come; whole commands get in the node's queue."""
         self.parser.feed(data)
         try:
-            while not self.closed and (words := self.parser.next()) is not None:
-                if words:
-                    self.requests.append(Request(self, words))
+            while not self.closed and (arguments := self.parser.next()) is not None:
+                if arguments:
+                    self.requests.append(Request(self, arguments))
         except ProtocolError as error:
             self.requests.append(Request(self, [], str(error)))
             self.parser.clear()
--- a/hazelhollow/standins/redis/snapshots.py
+++ b/hazelhollow/standins/redis/snapshots.py
@@ -9,7 +9,7 @@
 from hazelhollow.standins.redis.values import Database
 
 SNAPSHOT_EVERY = 1.0  # seconds
-MOST_SNAPSHOTS = 64
+MAX_SNAPSHOTS = 64
 
 
 class Snapshot(NamedTuple):
@@ -24,7 +24,7 @@
 
     def __init__(self, enabled: bool) -> None:
         self.enabled = enabled
-        self._snapshots: deque[Snapshot] = deque(maxlen=MOST_SNAPSHOTS)
+        self._snapshots: deque[Snapshot] = deque(maxlen=MAX_SNAPSHOTS)
 
     def record(self, keyspace: Keyspace, now: float) -> None:
         """Takes a snapshot, where one is due."""
--- a/hazelhollow/standins/redis/sorted_set_commands.py
+++ b/hazelhollow/standins/redis/sorted_set_commands.py
@@ -16,7 +16,7 @@
     parse_integer,
 )
 
-MOST_SCORES = 100_000
+MAX_SCORES = 100_000
 _ZADD_FLAGS = (b"NX", b"XX", b"GT", b"LT", b"CH")
 
 
@@ -44,10 +44,10 @@
 
 
 def _zadd(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
-    words, flags = args[1:], set[bytes]()
-    while words and words[0].upper() in _ZADD_FLAGS:
-        flags.add(words.pop(0).upper())
-    if not words or len(words) % 2:
+    arguments, flags = args[1:], set[bytes]()
+    while arguments and arguments[0].upper() in _ZADD_FLAGS:
+        flags.add(arguments.pop(0).upper())
+    if not arguments or len(arguments) % 2:
         raise CommandError(SYNTAX)
     if (
         {b"NX", b"XX"} <= flags
@@ -55,15 +55,15 @@
         or {b"GT", b"LT"} <= flags
     ):
         raise CommandError("ERR GT, LT, and/or NX options at the same time are not compatible")
-    scores = [parse_float(text) for text in words[::2]]
+    scores = [parse_float(text) for text in arguments[::2]]
     members, added, changed = keyspace.sorted_set(database, args[0]), 0, 0
-    for score, member in zip(scores, words[1::2], strict=True):
+    for score, member in zip(scores, arguments[1::2], strict=True):
         old = members.get(member)
         if not _may_set_score(flags, old, score):
             continue
         added, changed = added + (old is None), changed + (old != score)
         members[member] = score
-    if len(members) > MOST_SCORES:
+    if len(members) > MAX_SCORES:
         raise CommandError(OUT_OF_MEMORY)
     keyspace.put(database, args[0], members)
     return changed if b"CH" in flags else added
@@ -78,7 +78,7 @@
 
 
 def _zrangebyscore(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
-    scores, options = parse_range(args[1], args[2]), [word.upper() for word in args[3:]]
+    scores, options = parse_range(args[1], args[2]), [argument.upper() for argument in args[3:]]
     with_scores, offset, count, at = False, 0, -1, 0
     while at < len(options):
         if options[at] == b"WITHSCORES":
@@ -95,7 +95,7 @@
     found = found[offset:] if count < 0 else found[offset : offset + count]
     if not with_scores:
         return [member for member, _ in found]
-    return [word for member, score in found for word in (member, format_float(score))]
+    return [argument for member, score in found for argument in (member, format_float(score))]
 
 
 def _zrem(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
--- a/hazelhollow/standins/redis/string_commands.py
+++ b/hazelhollow/standins/redis/string_commands.py
@@ -54,13 +54,13 @@
 
 def _set_options(keyspace: Keyspace, args: list[bytes]) -> SetOptions:
     options = SetOptions(set())
-    words = [word.upper() for word in args]
-    while words:
-        word = words.pop(0)
-        if word in _FLAGS:
-            options.flags.add(word)
-        elif word in _EXPIRIES and options.expires_at is None and words:
-            options.expires_at = _expiry(keyspace, word, words.pop(0))
+    arguments = [argument.upper() for argument in args]
+    while arguments:
+        argument = arguments.pop(0)
+        if argument in _FLAGS:
+            options.flags.add(argument)
+        elif argument in _EXPIRIES and options.expires_at is None and arguments:
+            options.expires_at = _expiry(keyspace, argument, arguments.pop(0))
         else:
             raise CommandError(SYNTAX)
     if options.flags >= {b"NX", b"XX"} or (
--- a/hazelhollow/standins/redis/transaction_commands.py
+++ b/hazelhollow/standins/redis/transaction_commands.py
@@ -8,7 +8,7 @@
 from hazelhollow.standins.redis.session import Session
 from hazelhollow.standins.redis.values import NULL_ARRAY, OK, QUEUED, CommandError, Reply
 
-MOST_QUEUED = 10_000  # commands within one MULTI
+MAX_QUEUED = 10_000  # commands within one MULTI
 
 
 def multi(state: ServerState, session: Session, args: list[bytes]) -> Reply:
@@ -19,12 +19,12 @@
     return OK
 
 
-def queue(session: Session, words: list[bytes]) -> Reply:
+def queue(session: Session, arguments: list[bytes]) -> Reply:
     """Queues a command of an open transaction."""
     assert session.transaction is not None
-    if len(session.transaction) >= MOST_QUEUED:
+    if len(session.transaction) >= MAX_QUEUED:
         raise CommandError("ERR too many commands in a transaction")
-    session.transaction.append(words)
+    session.transaction.append(arguments)
     return QUEUED
 
 
@@ -45,9 +45,9 @@
     if not unchanged:
         return NULL_ARRAY
     replies: list[Reply] = []
-    for words in queued:
+    for arguments in queued:
         try:
-            replies.append(run(words))
+            replies.append(run(arguments))
         except CommandError as error:
             replies.append(error)
     return replies
--- a/hazelhollow/standins/redis/values.py
+++ b/hazelhollow/standins/redis/values.py
@@ -1,6 +1,6 @@
-"""What the stand-in keeps and replies.
+"""Values that the stand-in stores, its replies, and a reply's bytes.
 
-And the bytes of a reply (RESP2, as the public protocol page has it).
+Source of the encoding: the public page on the Redis serialization protocol, version 2.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Union
 
-MOST_INT, LEAST_INT = 2**63 - 1, -(2**63)
-MOST_PLAIN_FLOAT = 1e17  # above it a whole double is written with an exponent
+MAX_INT, MIN_INT = 2**63 - 1, -(2**63)
+MAX_PLAIN_FLOAT = 1e17  # above it a whole double is written with an exponent
 _INT = re.compile(rb"-?(0|[1-9][0-9]*)")
 _FLOAT = re.compile(rb"[+-]?(\d+\.?\d*([eE][+-]?\d+)?|\.\d+([eE][+-]?\d+)?|inf|infinity)", re.I)
 
@@ -20,7 +20,7 @@
 
 
 class CommandError(Exception):
-    """An error reply; its first word is the code, as clients expect."""
+    """An error reply; its first argument is the code, as clients expect."""
 
     def __init__(self, text: str) -> None:
         super().__init__(text)
@@ -57,10 +57,7 @@
 
 @dataclass
 class Entry:
-    """One key.
-
-    Its value, when it ends (seconds of the keyspace's clock) and the number of its last change.
-    """
+    """One key's value, expiry (seconds of the keyspace's clock) and number of its last change."""
 
     value: Value
     expires_at: float | None = None
@@ -76,7 +73,7 @@
 
 def parse_integer(text: bytes, error: str = NOT_INT) -> int:
     """A 64-bit integer as Redis takes it. Raises `CommandError` with the text `error`."""
-    if not _INT.fullmatch(text) or text == b"-0" or not LEAST_INT <= int(text) <= MOST_INT:
+    if not _INT.fullmatch(text) or text == b"-0" or not MIN_INT <= int(text) <= MAX_INT:
         raise CommandError(error)
     return int(text)
 
@@ -91,7 +88,7 @@
 def add_integers(old: int, amount: int) -> int:
     """The sum. Raises `CommandError` where it does not fit 64 bits."""
     total = old + amount
-    if not LEAST_INT <= total <= MOST_INT:
+    if not MIN_INT <= total <= MAX_INT:
         raise CommandError(OVERFLOW)
     return total
 
@@ -105,8 +102,8 @@
 
 
 def format_float(value: float) -> bytes:
-    """As Redis words a double: at most 17 digits and no needless ones."""
-    if value == int(value) and abs(value) < MOST_PLAIN_FLOAT:
+    """As Redis arguments a double: at most 17 digits and no needless ones."""
+    if value == int(value) and abs(value) < MAX_PLAIN_FLOAT:
         return b"%d" % int(value)
     return repr(value).encode()
 
--- a/hazelhollow/standins/relay.py
+++ b/hazelhollow/standins/relay.py
@@ -22,9 +22,9 @@
 from hazelhollow.net.ending import Ending
 
 Address = tuple[str, int]
-MOST_HELD = 1 << 20  # bytes of one direction of a connection that wait
-MOST_STALLED = 2000  # datagrams of one direction that wait for a stalled link
-MOST_DATAGRAM = 65536
+MAX_HELD = 1 << 20  # bytes of one direction of a connection that wait
+MAX_STALLED = 2000  # datagrams of one direction that wait for a stalled link
+MAX_DATAGRAM = 65536
 BATCH = 64  # datagrams read before others get their turn
 CONNECT = 1.0  # seconds
 
@@ -170,7 +170,7 @@
             self.scheduler.wait(sock.fileno(), sch.READ)
             for _ in range(BATCH):
                 try:
-                    data, came_from = sock.recvfrom(MOST_DATAGRAM)
+                    data, came_from = sock.recvfrom(MAX_DATAGRAM)
                 except OSError:
                     break
                 out = self._datagrams.get(
@@ -193,7 +193,7 @@
             link.lost += 1
             return
         if fault.stalled:
-            if len(link.waiting) < MOST_STALLED:
+            if len(link.waiting) < MAX_STALLED:
                 link.waiting.append(send)
             return
         late = fault.delay + (OVERTAKEN if fault.reorder and chance() < fault.reorder else 0.0)
@@ -272,7 +272,7 @@
         self.relay, self._raw = relay, [near]
         self.out = Half((sender, receiver), relay.link(sender, receiver))
         self.back = Half((receiver, sender), relay.link(receiver, sender))
-        self.near = stream.Stream(relay.scheduler, near, MOST_HELD)
+        self.near = stream.Stream(relay.scheduler, near, MAX_HELD)
         self.far: stream.Stream | None = None
         self._tasks: list[sch.Task] = []
         self.broken = False
@@ -291,7 +291,7 @@
         if self.broken:
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        far = self.far = stream.Stream(self.relay.scheduler, sock, MOST_HELD)
+        far = self.far = stream.Stream(self.relay.scheduler, sock, MAX_HELD)
         self._raw.append(sock)
         if far.establish(target, self.relay.scheduler.clock() + CONNECT) or self.broken:
             self.break_off()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -20,7 +20,7 @@
 from hazelhollow.cli import main
 from hazelhollow.operator import attach, load, logs, records
 from hazelhollow.operator.evaluate import evaluate
-from hazelhollow.operator.syntax import MOST_BYTES, CueError, parse
+from hazelhollow.operator.syntax import MAX_BYTES, CueError, parse
 
 SCHEMA = b"""package s
 #Op: {log: #Log, store?: #Store, n: *3 | int & >=1 & <=64, kind: *#A | #B}
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, word", [(b"a: 1\nb: \xff", "f.cue:2:4: a byte"), (b" " * (MOST_BYTES + 1), "at most")]
+    "data, word", [(b"a: 1\nb: \xff", "f.cue:2:4: a byte"), (b" " * (MAX_BYTES + 1), "at most")]
 )
 def test_bytes_that_are_no_text_are_named(data: bytes, word: str) -> None:
     with pytest.raises(CueError, match=word):
