--- a/hazelhollow/bench/model.py
+++ b/hazelhollow/bench/model.py
@@ -3,9 +3,9 @@
 Charges, datagrams late, lost, doubled or out of order, crashes, catch-up.
 
 Breadth first over sequences of steps that drive the real functions (`state.Memory`, `state.Totals`,
-`replica.counts.Book`); each sequence is played anew from the start, so nothing of the product has
-to be copied. In every state nobody may hold more for used than was charged; and after all have
-heard all counts, each holds what was charged, once.
+`replication.count_table.CountTable`); each sequence is played anew from the start, so nothing of
+the product has to be copied. In every state nobody may hold more for used than was charged; and
+after all have heard all counts, each holds what was charged, once.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions import state
 from hazelhollow.fault_injection.plan import Event, Plan
-from hazelhollow.replication import counts
-from hazelhollow.replication.counts import Book, Row, Value
+from hazelhollow.replication import count_table
+from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
 
 Step = tuple[Any, ...]
 KEY, BURST, START = "abc", 1000.0, 1_000
@@ -52,7 +52,7 @@
         kind = api.RequestClass("c", 1.0, 3.0, 1.0, "safe")
         self.memory = state.Memory(api.Settings(number, members, (kind,), (plan,), peers=True))
         self.memory.keeps, self.memory.incarnation, self.memory.born = True, incarnation, float(now)
-        self.book, self.whole = Book(), whole
+        self.book, self.whole = CountTable(), whole
         # the most that it was ever told of an incarnation
         self.best: dict[tuple[int, str], float] = {}
         self.at(now)
@@ -68,14 +68,14 @@
                 c, me = action.told, self.memory.settings.limiter_id
                 own = (c.member, c.incarnation) == (me, self.memory.incarnation)
                 self.book.put(
-                    Row(
+                    CountRow(
                         KEY,
                         "p",
                         0,
                         action.spread,
                         c.member,
                         c.incarnation,
-                        Value(c.since, c.through, round(10 * c.total), int(own)),
+                        CountValue(c.since, c.through, round(10 * c.total), int(own)),
                     )
                 )
 
@@ -101,7 +101,7 @@
     def copied(self, event: api.AccountReplicated) -> None:
         self.memory.copied(event, self._make, 0.5)
 
-    def tell_rows(self, rows: list[Row]) -> None:
+    def tell_rows(self, rows: list[CountRow]) -> None:
         for row in rows:
             mine, who = (
                 (row.member, row.incarnation)
@@ -112,7 +112,7 @@
             if not mine and self.book.put(row) and self.whole:
                 self.count(row)
 
-    def count(self, row: Row) -> None:
+    def count(self, row: CountRow) -> None:
         value = row.value
         count = api.ReplicatedCount(
             row.member, row.incarnation, value.since, value.through, value.total / 10
@@ -392,7 +392,7 @@
     return told
 
 
-def _last_speaker(right: Callable[..., Value]) -> Callable[..., Value]:
+def _last_speaker(right: Callable[..., CountValue]) -> Callable[..., CountValue]:
     return lambda one, other: other
 
 
@@ -415,7 +415,7 @@
 MISTAKES: dict[str, tuple[Any, str, Callable[..., Any]]] = {
     "late gossip counts beside its count": (state.Totals, "hear", _late_gossip),
     "a count forgets what gossip told": (state.Totals, "told", _forgets_gossip),
-    "who spoke last is right": (counts, "merge", _last_speaker),
+    "who spoke last is right": (count_table, "merge", _last_speaker),
     "catch-up forgets what was charged meanwhile": (state.Memory, "_adopt", _forgets_own),
 }
 
--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.replication import exchange
-from hazelhollow.replication.counts import Book, Row, Value
-from hazelhollow.replication.messages import Recent, Slice
+from hazelhollow.replication import replica
+from hazelhollow.replication.codec import AccountCopy, RecentCount
+from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
 
 START = 1_700_000_000.0
 DELAY = (0.001, 0.02)  # seconds on the way
@@ -39,13 +39,13 @@
     def short(self) -> list[str]:
         return self.keys
 
-    def slice(self, key: str) -> Slice | None:
+    def slice(self, key: str) -> AccountCopy | None:
         through = int(START) - 2
         recents = tuple(
-            Recent(n, f"7p{n}", Value(through - 50, through, 1234 + n), 20, 10)
+            RecentCount(n, f"7p{n}", CountValue(through - 50, through, 1234 + n), 20, 10)
             for n in range(self.incarnations)
         )
-        return Slice(key, "7kq", 0, self.incarnations, 217, recents)
+        return AccountCopy(key, "7kq", 0, self.incarnations, 217, recents)
 
 
 class Sim:
@@ -54,7 +54,7 @@
     def __init__(self, sources: list[Known], seed: int, lose: float = 0.0) -> None:
         self.random, self.lose, self.now = random.Random(seed), lose, START
         self.all = [
-            exchange.Exchange(n, len(sources), f"7p{n}", seed * 1000 + n, source)
+            replica.Replica(n, len(sources), f"7p{n}", seed * 1000 + n, source)
             for n, source in enumerate(sources)
         ]
         self.sent = self.bytes = self._serial = 0
@@ -62,14 +62,14 @@
         self.cut: Callable[[int, int], bool] = lambda a, b: False
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         for one in self.all:
-            self._at(self.now + self.random.random() * exchange.BEAT, partial(self._beat, one))
+            self._at(self.now + self.random.random() * replica.BEAT, partial(self._beat, one))
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
         self._serial += 1
         heapq.heappush(self._heap, (when, self._serial, call))
 
-    def _beat(self, one: exchange.Exchange) -> None:
-        self._at(self.now + exchange.BEAT, lambda: self._beat(one))
+    def _beat(self, one: replica.Replica) -> None:
+        self._at(self.now + replica.BEAT, lambda: self._beat(one))
         self._pass(
             one,
             one.beat(
@@ -78,7 +78,7 @@
             ),
         )
 
-    def _pass(self, one: exchange.Exchange, sends: list[exchange.Send]) -> None:
+    def _pass(self, one: replica.Replica, sends: list[replica.Datagram]) -> None:
         self.got[one.me] += len(one.slices)
         one.slices, one.rows = [], []
         for send in sends:
@@ -128,14 +128,14 @@
             if sim.random.random() < share:
                 total = 10 * (period - int(START) + 1)
                 one.charged(
-                    Row(
+                    CountRow(
                         key_of(number),
                         "7kq",
                         0,
                         len(sim.all),
                         one.me,
                         one.incarnation,
-                        Value(int(START) - 9, period, total),
+                        CountValue(int(START) - 9, period, total),
                     )
                 )
 
@@ -177,19 +177,19 @@
 def memory(customers: int = 2000, members: int = LIVES) -> float:
     """Bytes for a customer and member that used it."""
     tracemalloc.start()
-    before, book = tracemalloc.get_traced_memory()[0], Book()
+    before, book = tracemalloc.get_traced_memory()[0], CountTable()
     book.turn(int(START))
     for number in range(customers):
         for member in range(members):
             book.put(
-                Row(
+                CountRow(
                     key_of(number),
                     "7kq",
                     0,
                     members,
                     member,
                     f"7p{member}",
-                    Value(int(START) - 50, int(START) - 2, 1000 + member),
+                    CountValue(int(START) - 50, int(START) - 2, 1000 + member),
                 )
             )
     used = tracemalloc.get_traced_memory()[0] - before
--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -20,9 +20,9 @@
 from hazelhollow.decisions.gossip_codec import base36
 from hazelhollow.net.limiter import Decisions
 from hazelhollow.operator.records import Store as Terms
-from hazelhollow.shared_store.exchange import Exchange
+from hazelhollow.shared_store.client import StoreClient
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 from hazelhollow.shared_store.leased_decisions import LeasedDecisions
-from hazelhollow.shared_store.ledger import Ledger
 from hazelhollow.shared_store.link import Credentials
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.session import Session
@@ -153,8 +153,8 @@
         self.dead = True  # until its start
         self.skew = 0.0  # of this limiter's clock
         self.wire: Wire | None = None
-        self.exchange: Exchange | None = None
-        self.ledger: Ledger | None = None
+        self.exchange: StoreClient | None = None
+        self.ledger: LeaseLedger | None = None
         self.decisions: Decisions
         self._life = 0
         self._held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
@@ -173,8 +173,8 @@
         self.decisions = DecisionEngine(self.settings, seed)
         self.exchange = self.ledger = None
         if self.terms and self.host:
-            self.ledger = Ledger(self.settings, self.terms, base36(int(now * 1000)), now)
-            self.exchange = Exchange(self.ledger, self.terms, seed)
+            self.ledger = LeaseLedger(self.settings, self.terms, base36(int(now * 1000)), now)
+            self.exchange = StoreClient(self.ledger, self.terms, seed)
             self.decisions = LeasedDecisions(self.decisions, self.ledger, self._pump)
             self._connect(self._life)
             self._arm()
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -31,11 +31,11 @@
 from hazelhollow.operator.commands import fail
 from hazelhollow.operator.syntax import CueError, Place, Trouble
 from hazelhollow.replication import snapshot
-from hazelhollow.replication.driver import Driver as ReplicaDriver
-from hazelhollow.shared_store.driver import Driver
-from hazelhollow.shared_store.exchange import Exchange
+from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.shared_store.client import StoreClient
+from hazelhollow.shared_store.driver import SharedStoreDriver
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 from hazelhollow.shared_store.leased_decisions import LeasedDecisions
-from hazelhollow.shared_store.ledger import Ledger
 from hazelhollow.storage.append_file import AppendFile
 from hazelhollow.storage.writer import BackgroundWriter
 
@@ -91,10 +91,10 @@
 
     def __init__(self, file: str, operator: records.Operator) -> None:
         self.file, self.operator = file, operator
-        self.ledger: Ledger | None = None
-        self.driver: Driver | None = None
+        self.ledger: LeaseLedger | None = None
+        self.driver: SharedStoreDriver | None = None
         self.fleet: FleetDriver | None = None
-        self.replica: ReplicaDriver | None = None
+        self.replica: ReplicationDriver | None = None
         self.audit: AuditDriver | None = None
         self.control: ControlBudget | None = None
         self._budget: LimiterBudget | None = None
@@ -118,7 +118,7 @@
         terms = self.operator.store
         if terms is None:
             return inner
-        self.ledger = Ledger(settings, terms, base36(int(now * 1000)), now)
+        self.ledger = LeaseLedger(settings, terms, base36(int(now * 1000)), now)
         return LeasedDecisions(inner, self.ledger, self._pump)
 
     def _pump(self) -> None:
@@ -129,8 +129,8 @@
         """The limiter is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
-            exchange = Exchange(self.ledger, self.operator.store, self._seed)
-            self.driver = Driver(service.scheduler, exchange)
+            exchange = StoreClient(self.ledger, self.operator.store, self._seed)
+            self.driver = SharedStoreDriver(service.scheduler, exchange)
             service.stats.store = {"books": self.ledger.counts, "link": exchange.counts}
             self.driver.start()
         if self.operator.fleet:
@@ -197,11 +197,11 @@
         peers = service.limiter.peers
         assert peers is not None
         file = (
-            snapshot.File(Path(terms.state_dir), service.settings.limiter_id, self._writer)
+            snapshot.SnapshotFile(Path(terms.state_dir), service.settings.limiter_id, self._writer)
             if terms.state_dir
             else None
         )
-        self.replica = ReplicaDriver(
+        self.replica = ReplicationDriver(
             service.scheduler,
             peers,
             fleet,
@@ -215,7 +215,7 @@
             self._part(Role.REPLICATION),
         )
         service.limiter.closed = self.replica.closed
-        service.stats.replica = self.replica.exchange.counts
+        service.stats.replica = self.replica.replica.counts
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: FleetDriver, terms: records.Audit) -> None:
--- a/hazelhollow/replication/messages.py
+++ b/hazelhollow/replication/codec.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from hazelhollow.decisions.gossip_codec import base36, number36
-from hazelhollow.replication.counts import BUCKETS, SUM_RANGE, Row, Value
+from hazelhollow.replication.count_table import BUCKETS, SUM_RANGE, CountRow, CountValue
 
 DIALECT = "c1"
 MOST_BYTES = 256
@@ -31,17 +31,17 @@
 _MOST_NAME = 64  # of a host's name
 
 
-class Recent(NamedTuple):
+class RecentCount(NamedTuple):
     """A count with what is known of the two periods after `through`, in tenths of a unit."""
 
     member: int
     incarnation: str
-    value: Value
+    value: CountValue
     first: int = 0
     second: int = 0
 
 
-class Slice(NamedTuple):
+class AccountCopy(NamedTuple):
     """One customer as the giver knows it.
 
     `spent` of its burst, in tenths, and all that is part of that.
@@ -52,10 +52,10 @@
     first: int
     spread: int
     spent: int
-    recents: tuple[Recent, ...]
+    recents: tuple[RecentCount, ...]
 
 
-class Hand(NamedTuple):
+class Override(NamedTuple):
     """A host put out (`down`) or back. The order of the fields from `order` on is the rule's."""
 
     host: str
@@ -77,9 +77,9 @@
     incarnation: str
     period: int
     parts: tuple[int, ...] = ()
-    rows: tuple[Row, ...] = ()
-    slices: tuple[Slice | None, ...] = ()  # nothing: the giver has let that customer go
-    hands: tuple[Hand, ...] = ()
+    rows: tuple[CountRow, ...] = ()
+    slices: tuple[AccountCopy | None, ...] = ()  # nothing: the giver has let that customer go
+    hands: tuple[Override, ...] = ()
 
 
 def head(kind: str, incarnation: str, period: int, parts: Sequence[int] = ()) -> str:
@@ -88,7 +88,7 @@
     )
 
 
-def row_words(rows: Sequence[Row], period: int) -> str:
+def row_words(rows: Sequence[CountRow], period: int) -> str:
     """Counts of one customer, with the space before them."""
     if not rows:
         return ""
@@ -100,7 +100,7 @@
     )
 
 
-def slice_word(one: Slice, period: int, room: int) -> str:
+def slice_word(one: AccountCopy, period: int, room: int) -> str:
     """With as many of its counts, in their order, as fit into so many bytes."""
     text = f" {one.key}:{one.plan}:{base36(one.first)}:{base36(one.spread)}:{base36(one.spent)}:"
     parts = list[str]()
@@ -116,7 +116,7 @@
     return text + "-".join(parts)
 
 
-def hand_word(one: Hand) -> str:
+def hand_word(one: Override) -> str:
     return f" {one.host}:{base36(one.order)}:{one.down}:{base36(one.at)}:{base36(one.member)}"
 
 
@@ -164,7 +164,7 @@
         return None
 
 
-def _value(value: Value, period: int) -> str:
+def _value(value: CountValue, period: int) -> str:
     since, through = max(0, period - value.since), max(0, period - value.through)
     return f"{base36(since)}.{base36(through)}.{base36(value.total)}"
 
@@ -175,8 +175,8 @@
     return text
 
 
-def _read_value(since: str, through: str, total: str, period: int) -> Value:
-    return Value(
+def _read_value(since: str, through: str, total: str, period: int) -> CountValue:
+    return CountValue(
         period - number36(since, _MOST), period - number36(through, _MOST), number36(total, _MOST)
     )
 
@@ -190,7 +190,7 @@
     return _name(key), _name(plan), number36(first, members), width
 
 
-def _rows(word: str, period: int, members: int) -> list[Row]:
+def _rows(word: str, period: int, members: int) -> list[CountRow]:
     key, plan, first, spread, counts = word.split(":")
     customer = _customer(key, plan, first, spread, members)
     found = []
@@ -199,18 +199,18 @@
         sure = 0 if value[3:] == [HEARD[1:]] else 1
         since, through, total = value if sure else value[:3]
         told = _read_value(since, through, total, period)._replace(sure=sure)
-        found.append(Row(*customer, number36(member, members), _name(incarnation), told))
+        found.append(CountRow(*customer, number36(member, members), _name(incarnation), told))
     return found
 
 
-def _slice(word: str, period: int, members: int) -> Slice:
+def _slice(word: str, period: int, members: int) -> AccountCopy:
     key, plan, first, spread, spent, counts = word.split(":")
     found = []
     for count in counts.split("-") if counts else ():
         member, incarnation, since, through, total, one, two = count.split(".")
         value = _read_value(since, through, total, period)
         found.append(
-            Recent(
+            RecentCount(
                 number36(member, members),
                 _name(incarnation),
                 value,
@@ -218,16 +218,16 @@
                 number36(two, _MOST),
             )
         )
-    return Slice(
+    return AccountCopy(
         *_customer(key, plan, first, spread, members), number36(spent, _MOST), tuple(found)
     )
 
 
-def _hand(word: str, members: int) -> Hand:
+def _hand(word: str, members: int) -> Override:
     host, order, down, at, member = word.split(":")
     if not 0 < len(host) <= _MOST_NAME or not host.isascii() or not host.isprintable():
         raise ValueError(host)
-    return Hand(
+    return Override(
         host,
         number36(order, _MOST),
         number36(down, 2),
--- a/hazelhollow/replication/counts.py
+++ b/hazelhollow/replication/count_table.py
@@ -23,7 +23,7 @@
 SUM_RANGE = 36**4  # of a bucket's digest as it is sent
 
 
-class Value(NamedTuple):
+class CountValue(NamedTuple):
     """Periods as whole seconds; `total` in tenths of a unit.
 
     `sure`: 1 if the member itself said so, 0 if others heard it by gossip, of which some may have
@@ -36,7 +36,7 @@
     sure: int = 1
 
 
-class Row(NamedTuple):
+class CountRow(NamedTuple):
     """One count as it is passed on.
 
     `plan`: the tag of its name, the same under any settings; the customer's set beside.
@@ -48,10 +48,10 @@
     spread: int
     member: int
     incarnation: str
-    value: Value
+    value: CountValue
 
 
-def merge(one: Value, other: Value) -> Value:
+def merge(one: CountValue, other: CountValue) -> CountValue:
     """The least value that covers both: associative, commutative and idempotent.
 
     Of a member that has died others tell what they heard, some of it less: a later `through` may
@@ -62,10 +62,10 @@
     since, total = max((one.since, one.total), (other.since, other.total))
     through = max(one.through, other.through)
     said = [value.sure for value in (one, other) if value[:3] == (since, through, total)]
-    return Value(since, through, total, max(said, default=0))
+    return CountValue(since, through, total, max(said, default=0))
 
 
-def contradiction(one: Value, other: Value) -> str:
+def contradiction(one: CountValue, other: CountValue) -> str:
     """Why two values cannot both be true: nothing where they can."""
     if one.since != other.since or not (one.sure and other.sure):
         # the member had let the customer go and began anew; or what was heard may be less than what
@@ -77,33 +77,33 @@
     return "fell" if newer.total < older.total else ""
 
 
-class Customer:
+class CustomerCounts:
     """The counts of one customer, by member and incarnation."""
 
     __slots__ = ("plan", "first", "spread", "counts")
 
     def __init__(self, plan: str, first: int, spread: int) -> None:
         self.plan, self.first, self.spread = plan, first, spread
-        self.counts: dict[tuple[int, str], Value] = {}
+        self.counts: dict[tuple[int, str], CountValue] = {}
 
 
 def bucket_of(key: str) -> int:
     return crc32(key.encode()) % BUCKETS
 
 
-def _fingerprint(key: str, who: tuple[int, str], value: Value) -> int:
+def _fingerprint(key: str, who: tuple[int, str], value: CountValue) -> int:
     text = f"{key}.{who[0]}.{who[1]}.{value.since}.{value.through}.{value.total}"
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-class Book:
+class CountTable:
     """All counts that one member knows, its own and others'.
 
     `troubles` counts copies that could not both be true.
     """
 
     def __init__(self) -> None:
-        self.customers: dict[str, Customer] = {}
+        self.customers: dict[str, CustomerCounts] = {}
         self.period = 0
         self.troubles: Counter[str] = Counter()
         self._sums = [0] * BUCKETS
@@ -121,7 +121,7 @@
     def __len__(self) -> int:
         return len(self.customers)
 
-    def put(self, row: Row) -> bool:
+    def put(self, row: CountRow) -> bool:
         """Whether it changed anything.
 
         What is too old changes nothing, and what is from the future is said and left.
@@ -134,12 +134,12 @@
             return False
         customer = self.customers.get(row.key)
         if customer is None:
-            customer = self.customers[row.key] = Customer(row.plan, row.first, row.spread)
+            customer = self.customers[row.key] = CustomerCounts(row.plan, row.first, row.spread)
         who = self._whos.setdefault((row.member, row.incarnation), (row.member, row.incarnation))
         since, through = (
             self._periods.setdefault(period, period) for period in (value.since, value.through)
         )
-        value = Value(since, through, value.total, value.sure)
+        value = CountValue(since, through, value.total, value.sure)
         old = customer.counts.get(who)
         if old is not None:
             why = contradiction(old, value)
@@ -172,7 +172,7 @@
         if len(self._periods) > 4 * KEPT_FOR:
             self._whos, self._periods = {}, {}
 
-    def _fold(self, key: str, customer: Customer) -> None:
+    def _fold(self, key: str, customer: CustomerCounts) -> None:
         for who, value in list(customer.counts.items()):
             if value.through <= self.period - KEPT_FOR:
                 self._sums[bucket_of(key)] ^= _fingerprint(key, who, value)
@@ -181,12 +181,12 @@
             del self.customers[key]
             self._buckets[bucket_of(key)].pop(key, None)
 
-    def rows(self, key: str) -> list[Row]:
+    def rows(self, key: str) -> list[CountRow]:
         customer = self.customers.get(key)
         if customer is None:
             return []
         return [
-            Row(key, customer.plan, customer.first, customer.spread, *who, value)
+            CountRow(key, customer.plan, customer.first, customer.spread, *who, value)
             for who, value in customer.counts.items()
         ]
 
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -20,10 +20,10 @@
 from hazelhollow.net.peers import Peers
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.sparse import Sparse
-from hazelhollow.replication import exchange, snapshot
-from hazelhollow.replication.counts import Row, Value
-from hazelhollow.replication.gathering import Gathering
-from hazelhollow.replication.messages import DIALECT, SUMS, Recent, Slice
+from hazelhollow.replication import replica, snapshot
+from hazelhollow.replication.codec import DIALECT, SUMS, AccountCopy, RecentCount
+from hazelhollow.replication.count_table import CountRow, CountValue
+from hazelhollow.replication.snapshot_collector import SnapshotCollector
 
 TENTHS = 10
 SAVE_EVERY = 0.25  # seconds between snapshots
@@ -38,7 +38,7 @@
     return base36(crc32(plan.encode()) % NAMES)
 
 
-class Copies:
+class AccountReader:
     """The decision module's knowledge, as the exchange asks for it."""
 
     def __init__(self, memory: Memory) -> None:
@@ -47,22 +47,22 @@
     def short(self) -> list[str]:
         return self._memory.short()
 
-    def slice(self, key: str) -> Slice | None:
+    def slice(self, key: str) -> AccountCopy | None:
         one = self._memory.copy_of(key)
         if one is None or one.level is None:
             return None
         plan = self._memory.plans[one.plan_name]
         recents = tuple(
-            Recent(
+            RecentCount(
                 c.member,
                 c.incarnation,
-                Value(c.since, c.through, _tenths(c.total)),
+                CountValue(c.since, c.through, _tenths(c.total)),
                 _tenths(c.first),
                 _tenths(c.second),
             )
             for c in one.counts
         )
-        return Slice(
+        return AccountCopy(
             key,
             tag_of(one.plan_name),
             one.set_start,
@@ -76,7 +76,7 @@
     return round(TENTHS * units)
 
 
-class Driver:
+class ReplicationDriver:
     """`told` is the decision module's handler of events.
 
     `banned` is called with hosts, and whether each is out by hand, when others' calls have changed
@@ -95,23 +95,23 @@
         banned: Callable[[dict[str, bool]], None],
         seed: int,
         most: int,
-        file: snapshot.File | None = None,
+        file: snapshot.SnapshotFile | None = None,
         allowance: RoleBudget | None = None,
     ) -> None:
         self._scheduler, self._peers, self._fleet, self._seal = scheduler, peers, fleet, seal
         self._memory, self._told, self._banned, self._file = memory, told, banned, file
         me, members = memory.settings.limiter_id, memory.settings.limiter_count
-        self.exchange = exchange.Exchange(
+        self.replica = replica.Replica(
             me,
             members,
             "",
             seed,
-            Copies(memory),
+            AccountReader(memory),
             most,
-            exchange.QUIET_WITHIN if allowance else exchange.QUIET,
+            replica.QUIET_WITHIN if allowance else replica.QUIET,
         )
         self._allowance = allowance
-        self._waiting: Waiting[exchange.Send] | None = Waiting(allowance) if allowance else None
+        self._waiting: Waiting[replica.Datagram] | None = Waiting(allowance) if allowance else None
         self._plans = {tag_of(name): name for name in memory.plans}
         self._heard_before = peers.heard
         self._away = set(range(members)) - {me}
@@ -121,7 +121,7 @@
         self._ended = self._was_whole = False
         self._log = Sparse(log, scheduler.clock)
         self._snapshot: snapshot.Snapshot | None = None
-        self._gathering: Gathering | None = None  # for the next snapshot
+        self._gathering: SnapshotCollector | None = None  # for the next snapshot
         self._began = self._saved = 0.0
 
     def start(self) -> None:
@@ -130,8 +130,8 @@
         self._snapshot = self._file.load(now) if self._file else None
         if self._snapshot:
             for one in self._snapshot.calls():
-                self.exchange.hands.put(one)
-            self._banned(self.exchange.hands.out())
+                self.replica.hands.put(one)
+            self._banned(self.replica.hands.out())
         self._beat()
 
     def heard(self, sender: int, text: str) -> None:
@@ -140,17 +140,17 @@
             return
         plain = self._seal.open(text)
         if plain is None:
-            self.exchange.counts["unsealed"] += 1
+            self.replica.counts["unsealed"] += 1
             return
-        self._pass_on(self.exchange.heard(sender, plain, self._scheduler.clock()))
+        self._pass_on(self.replica.heard(sender, plain, self._scheduler.clock()))
 
     def closed(self, action: api.ReplicateCount) -> None:
         """What the decision module says of its own counts, and of others' as it heard them."""
         count = action.told
-        own = count.member == self.exchange.me and count.incarnation == self.exchange.incarnation
-        value = Value(count.since, count.through, _tenths(count.total), int(own))
-        self.exchange.charged(
-            Row(
+        own = count.member == self.replica.me and count.incarnation == self.replica.incarnation
+        value = CountValue(count.since, count.through, _tenths(count.total), int(own))
+        self.replica.charged(
+            CountRow(
                 action.key,
                 tag_of(action.plan_name),
                 action.set_start,
@@ -163,16 +163,16 @@
 
     def call(self, host: str, down: bool) -> None:
         """An operator's call at this limiter."""
-        self._pass_on(self.exchange.call(host, down, self._scheduler.clock()))
+        self._pass_on(self.replica.call(host, down, self._scheduler.clock()))
 
     def end(self) -> None:
         """This member lets nothing in any more."""
         if not self._ended:
             self._ended = True
-            self._save(final=self.exchange.whole)
+            self._save(final=self.replica.whole)
 
     def document(self) -> dict[str, Any]:
-        one = self.exchange
+        one = self.replica
         return {
             "whole": one.whole,
             "gives": one.gives(),
@@ -187,18 +187,18 @@
         if self._ended:
             return
         now = self._scheduler.clock()
-        self._scheduler.at(now + exchange.BEAT, self._beat)
+        self._scheduler.at(now + replica.BEAT, self._beat)
         view = self._fleet.view
         self._look_who_is_there()
         if self._memory.incarnation:  # which the first event gives it
-            self.exchange.incarnation = self._memory.incarnation
+            self.replica.incarnation = self._memory.incarnation
             older = (
                 set[int]()
-                if self.exchange.whole
-                else view.older(exchange.GIVES_AFTER).intersection(self._here)
+                if self.replica.whole
+                else view.older(replica.GIVES_AFTER).intersection(self._here)
             )
             # Also those whose gossip is silent: a catch-up goes on.
-            self._pass_on(self.exchange.beat(now, self._here, older))
+            self._pass_on(self.replica.beat(now, self._here, older))
         if self._file and self._gathering is None and now - self._saved >= SAVE_EVERY:
             self._saved = now
             self._save()
@@ -216,13 +216,13 @@
         others = set(range(view.members)) - {view.me}
         away = others.difference(self._here) | self._fleet.lost() | set(view.unheard())
         for number in sorted(self._away - away):
-            self.exchange.returned(number)
+            self.replica.returned(number)
         self._away = away
 
-    def _pass_on(self, sends: list[exchange.Send]) -> None:
+    def _pass_on(self, sends: list[replica.Datagram]) -> None:
         for send in self._may_leave(sends):
             self._peers.tell(send.number, self._seal.close(send.text))
-        one = self.exchange
+        one = self.replica
         slices, one.slices = one.slices, []
         for piece in slices:
             self._tell_slice(*piece)
@@ -243,14 +243,14 @@
             one.calls = []
             self._banned(one.hands.out())
 
-    def _may_leave(self, sends: list[exchange.Send]) -> list[exchange.Send]:
+    def _may_leave(self, sends: list[replica.Datagram]) -> list[replica.Datagram]:
         """Within the allowance, the most useful first. Digests do not wait: newer ones come."""
         if self._allowance is None or self._waiting is None:
             return sends
         now = self._scheduler.clock()
         for send in sends:
-            rank = exchange.RANKS[send.text[len(DIALECT)]]
-            if rank != exchange.RANKS[SUMS]:
+            rank = replica.RANKS[send.text[len(DIALECT)]]
+            if rank != replica.RANKS[SUMS]:
                 self._waiting.add(rank, len(send.text), send, now)
         found = self._waiting.due(now)
         if not self._waiting:
@@ -264,7 +264,7 @@
         They are told again.
         """
         self._was_whole = True
-        one = self.exchange
+        one = self.replica
         if one.told_by is not None:
             log.info(
                 "replica: whole, told by member %d of %d customers",
@@ -301,9 +301,11 @@
             now - kept.at,
         )
         self._told(api.AccountReplicated(""))
-        self.exchange.restored = True
+        self.replica.restored = True
 
-    def _carried(self, left: snapshot.Left, plan: api.Plan, kept: snapshot.Snapshot) -> float:
+    def _carried(
+        self, left: snapshot.SavedAccount, plan: api.Plan, kept: snapshot.Snapshot
+    ) -> float:
         """What was left of a customer when this incarnation began."""
         return snapshot.least_left(left.level, plan.rate, plan.burst, kept, self._began)
 
@@ -321,10 +323,10 @@
             else ()
         )
 
-    def _tell_slice(self, one: Slice, period: int) -> None:
+    def _tell_slice(self, one: AccountCopy, period: int) -> None:
         name = self._plans.get(one.plan)
         if name is None:
-            self.exchange.counts["plans unknown"] += 1
+            self.replica.counts["plans unknown"] += 1
             return
         counts = tuple(
             api.ReplicatedCount(
@@ -343,11 +345,11 @@
             api.AccountReplicated(one.key, name, one.first, one.spread, counts, level, period)
         )
 
-    def _tell_rows(self, rows: list[Row]) -> None:
+    def _tell_rows(self, rows: list[CountRow]) -> None:
         for row in rows:
             name = self._plans.get(row.plan)
             if name is None:
-                self.exchange.counts["plans unknown"] += 1
+                self.replica.counts["plans unknown"] += 1
                 continue
             value = row.value
             count = api.ReplicatedCount(
@@ -362,15 +364,15 @@
         """
         if self._file is None:
             return
-        if not self.exchange.whole:
+        if not self.replica.whole:
             self._write_snapshot(self._known_before_whole(), final)
             return
-        gathering = self._gathering = Gathering(self._memory)
+        gathering = self._gathering = SnapshotCollector(self._memory)
         if final:
             gathering.finish()
         self._gather(gathering, final)
 
-    def _gather(self, gathering: Gathering, final: bool = False) -> None:
+    def _gather(self, gathering: SnapshotCollector, final: bool = False) -> None:
         if gathering is not self._gathering:
             return  # the end has come in between
         if not gathering.step():
@@ -379,9 +381,9 @@
         self._gathering = None
         self._write_snapshot(gathering.left(), final)
 
-    def _write_snapshot(self, left: list[snapshot.Left], final: bool) -> None:
+    def _write_snapshot(self, left: list[snapshot.SavedAccount], final: bool) -> None:
         assert self._file is not None
-        hands = [tuple(one) for one in self.exchange.hands.calls.values()]
+        hands = [tuple(one) for one in self.replica.hands.calls.values()]
         taken = snapshot.Snapshot(
             snapshot.FORMAT,
             snapshot.VERSION,
@@ -393,13 +395,13 @@
         )
         self._file.save(taken)
 
-    def _known_before_whole(self) -> list[snapshot.Left]:
+    def _known_before_whole(self) -> list[snapshot.SavedAccount]:
         """By the snapshot of the incarnation before, less what was charged in this one.
 
         Until it is whole a member acts by its cautious share, whatever was left; those of all come
         to one burst, which may be used before the next snapshot.
         """
-        memory, left, seen = self._memory, list[snapshot.Left](), set[str]()
+        memory, left, seen = self._memory, list[snapshot.SavedAccount](), set[str]()
         since = self._scheduler.clock() - self._began
         for one in self._snapshot.customers if self._snapshot else ():
             plan = memory.plans.get(one.plan)
@@ -408,13 +410,13 @@
                 seen.add(name)
                 charged = max(plan.burst, self._charged(name))
                 level = self._carried(one, plan, self._snapshot) + plan.rate * since - charged
-                left.append(snapshot.Left(one.key, one.plan, one.first, one.spread, level))
+                left.append(snapshot.SavedAccount(one.key, one.plan, one.first, one.spread, level))
         for name, account in memory.accounts.items():
             charged = self._charged(name)
             if name not in seen and charged and account.spread:
                 level = account.plan.burst + account.plan.rate * since - charged
                 left.append(
-                    snapshot.Left(
+                    snapshot.SavedAccount(
                         key_of(name), account.plan.name, account.first, account.spread, level
                     )
                 )
--- a/hazelhollow/replication/hands.py
+++ b/hazelhollow/replication/overrides.py
@@ -10,31 +10,31 @@
 
 from hashlib import blake2b
 
-from hazelhollow.replication.counts import SUM_RANGE
-from hazelhollow.replication.messages import Hand
+from hazelhollow.replication.codec import Override
+from hazelhollow.replication.count_table import SUM_RANGE
 
 
-def merge(one: Hand, other: Hand) -> Hand:
+def merge(one: Override, other: Override) -> Override:
     """Of two calls about one host."""
     return max(one, other)
 
 
-class Hands:
+class OverrideTable:
     """Of every host that a call was ever made about: the call that holds."""
 
     def __init__(self) -> None:
-        self.calls: dict[str, Hand] = {}
+        self.calls: dict[str, Override] = {}
 
-    def call(self, host: str, down: bool, now: float, member: int) -> Hand | None:
+    def call(self, host: str, down: bool, now: float, member: int) -> Override | None:
         """An operator's own call here; nothing where it changes nothing."""
         known = self.calls.get(host)
         if known is not None and bool(known.down) == down or (known is None and not down):
             return None
         order = 1 + max((one.order for one in self.calls.values()), default=0)
-        one = self.calls[host] = Hand(host, order, int(down), int(now * 1000), member)
+        one = self.calls[host] = Override(host, order, int(down), int(now * 1000), member)
         return one
 
-    def put(self, other: Hand) -> bool:
+    def put(self, other: Override) -> bool:
         """Whether it changed anything."""
         known = self.calls.get(other.host)
         one = other if known is None else merge(known, other)
--- a/hazelhollow/replication/exchange.py
+++ b/hazelhollow/replication/replica.py
@@ -14,10 +14,10 @@
 from collections.abc import Sequence, Set
 from typing import NamedTuple, Protocol
 
-from hazelhollow.replication import messages
-from hazelhollow.replication.counts import Book, Row
-from hazelhollow.replication.hands import Hands
-from hazelhollow.replication.messages import Hand, Message, Slice
+from hazelhollow.replication import codec
+from hazelhollow.replication.codec import AccountCopy, Message, Override
+from hazelhollow.replication.count_table import CountRow, CountTable
+from hazelhollow.replication.overrides import OverrideTable
 
 BEAT = 0.25  # seconds
 SYNC_EVERY = 2  # beats between digests sent to a member drawn by chance
@@ -35,12 +35,12 @@
     kind: rank
     for rank, kind in enumerate(
         (
-            messages.HANDS,
-            messages.ASK,
-            messages.NOT_WHOLE,
-            messages.GIVE,
-            messages.ROWS,
-            messages.SUMS,
+            codec.HANDS,
+            codec.ASK,
+            codec.NOT_WHOLE,
+            codec.GIVE,
+            codec.ROWS,
+            codec.SUMS,
         )
     )
 }
@@ -58,7 +58,7 @@
 LIST_FOR = 10.0  # seconds for which it remembers what it was giving one
 
 
-class Send(NamedTuple):
+class Datagram(NamedTuple):
     number: int
     text: str
 
@@ -69,10 +69,10 @@
     def short(self) -> list[str]:
         """Customers whose budget is not full, those with the least left first."""
 
-    def slice(self, key: str) -> Slice | None: ...
+    def slice(self, key: str) -> AccountCopy | None: ...
 
 
-class Fetch:
+class Transfer:
     """A catch-up that is under way.
 
     Windows of places one after another, then the places that stayed away.
@@ -146,13 +146,13 @@
         return 2 * len(self.waits) <= self.asked
 
 
-class Giving(NamedTuple):
+class ServedList(NamedTuple):
     number: int
     keys: list[str]
     until: float
 
 
-class Exchange:
+class Replica:
     """`me` of `members`, in the incarnation of that name (the gossip's).
 
     `most`: bytes that a text may have; `quiet`: seconds without a piece after which it is asked for
@@ -166,7 +166,7 @@
         incarnation: str,
         seed: int,
         source: Source,
-        most: int = messages.MOST_BYTES,
+        most: int = codec.MOST_BYTES,
         quiet: float = QUIET,
     ) -> None:
         self._quiet = quiet
@@ -177,30 +177,32 @@
             most,
             source,
         )
-        self.book, self.hands = Book(), Hands()
+        self.book, self.hands = CountTable(), OverrideTable()
         self.random = random.Random(seed)
         self.whole = False
         self.told_by: int | None = None  # who gave the last piece; nobody, where nobody knew more
         self.restored = False  # it began from a snapshot
-        self.rows: list[Row] = []
-        self.slices: list[tuple[Slice, int]] = []  # with the giver's period
-        self.calls: list[Hand] = []
+        self.rows: list[CountRow] = []
+        self.slices: list[tuple[AccountCopy, int]] = []  # with the giver's period
+        self.calls: list[Override] = []
         self.counts: Counter[str] = Counter()
-        self._out: list[Send] = []
+        self._out: list[Datagram] = []
         self._now = self._began = 0.0
         self._beats = 0
         self._returned: list[int] = []  # members that were away: they lack most
         self._pieces = PIECES_A_BEAT
-        self._fetch: Fetch | None = None
+        self._fetch: Transfer | None = None
         self._refused: set[int] = set()  # givers that are not whole themselves
         self._silent: set[int] = set()  # and those that did not answer
         self._rounds = 0
-        self._giving: dict[int, Giving] = {}
+        self._giving: dict[int, ServedList] = {}
         self._gives, self._gives_at = GIVES_AT_ONCE, 0.0
 
     # What the driver calls
 
-    def beat(self, now: float, present: Sequence[int], older: Set[int] | None = None) -> list[Send]:
+    def beat(
+        self, now: float, present: Sequence[int], older: Set[int] | None = None
+    ) -> list[Datagram]:
         """Every BEAT seconds.
 
         `present`: numbers of the others that are up; `older`: those of them that began so long
@@ -223,11 +225,11 @@
         if number != self.me and number not in self._returned:
             self._returned.append(number)
 
-    def charged(self, row: Row) -> None:
+    def charged(self, row: CountRow) -> None:
         """This member's own count of a customer, one period further."""
         self.book.put(row)
 
-    def call(self, host: str, down: bool, now: float) -> list[Send]:
+    def call(self, host: str, down: bool, now: float) -> list[Datagram]:
         """An operator's call at this member: told to some at once, found by digests by the rest."""
         self._turn(now)
         if self.hands.call(host, down, now, self.me):
@@ -236,23 +238,23 @@
                     self._send_hands(number)
         return self._out
 
-    def heard(self, source: int, text: str, now: float) -> list[Send]:
+    def heard(self, source: int, text: str, now: float) -> list[Datagram]:
         self._turn(now)
-        message = messages.read(text, self.members)
+        message = codec.read(text, self.members)
         if message is None or source == self.me:
             self.counts["garbled"] += 1
             return self._out
-        if message.kind == messages.SUMS:
+        if message.kind == codec.SUMS:
             self._differ(source, message)
-        elif message.kind == messages.ROWS:
+        elif message.kind == codec.ROWS:
             self._take_rows(message)
-        elif message.kind == messages.HANDS:
+        elif message.kind == codec.HANDS:
             self._take_hands(message)
-        elif message.kind == messages.ASK:
+        elif message.kind == codec.ASK:
             self._give(source, message)
-        elif message.kind == messages.GIVE:
+        elif message.kind == codec.GIVE:
             self._take_piece(source, message)
-        elif message.kind == messages.NOT_WHOLE:
+        elif message.kind == codec.NOT_WHOLE:
             self._not_whole(source, message)
         return self._out
 
@@ -265,10 +267,10 @@
         self, number: int, kind: str, parts: Sequence[int] = (), said: Sequence[str] = ()
     ) -> int:
         """How many of the words it holds."""
-        text, taken = messages.pack(
-            messages.head(kind, self.incarnation, self.book.period, parts), said, self.most
+        text, taken = codec.pack(
+            codec.head(kind, self.incarnation, self.book.period, parts), said, self.most
         )
-        self._out.append(Send(number, text))
+        self._out.append(Datagram(number, text))
         self.counts["bytes"] += len(text)
         self.counts["sent"] += 1
         return taken
@@ -276,7 +278,7 @@
     # Digests
 
     def _ask_sums(self, number: int, answers: int) -> None:
-        self._send(number, messages.SUMS, (*self.book.sums(), self.hands.digest(), answers))
+        self._send(number, codec.SUMS, (*self.book.sums(), self.hands.digest(), answers))
 
     def _differ(self, source: int, message: Message) -> None:
         *sums, hands, answers = message.parts
@@ -293,28 +295,28 @@
     def _send_rows(self, number: int, buckets: list[int]) -> None:
         """What was added to last goes first: it is what decisions go by."""
         line, sent = list[str](), 0
-        room = self.most - len(messages.head(messages.ROWS, self.incarnation, self.book.period))
+        room = self.most - len(codec.head(codec.ROWS, self.incarnation, self.book.period))
         for key in self.book.newest(buckets):
             for word in self._row_words(key, room):
                 if sum([len(one) for one in line]) + len(word) > room:
-                    self._send(number, messages.ROWS, (), line)
+                    self._send(number, codec.ROWS, (), line)
                     line, sent, self._pieces = [], sent + 1, self._pieces - 1
                 if sent >= PIECES or self._pieces <= 0:
                     return
                 line.append(word)
         if line:
             self._pieces -= 1
-            self._send(number, messages.ROWS, (), line)
+            self._send(number, codec.ROWS, (), line)
 
     def _row_words(self, key: str, room: int) -> list[str]:
         """The counts of one customer, in as many words as they need."""
-        found, some = list[str](), list[Row]()
+        found, some = list[str](), list[CountRow]()
         for row in self.book.rows(key):
-            if some and len(messages.row_words([*some, row], self.book.period)) > room:
-                found.append(messages.row_words(some, self.book.period))
+            if some and len(codec.row_words([*some, row], self.book.period)) > room:
+                found.append(codec.row_words(some, self.book.period))
                 some = []
             some.append(row)
-        return [*found, messages.row_words(some, self.book.period)]
+        return [*found, codec.row_words(some, self.book.period)]
 
     def _take_rows(self, message: Message) -> None:
         for row in message.rows:
@@ -332,12 +334,12 @@
 
     def _send_hands(self, number: int) -> None:
         said = [
-            messages.hand_word(one)
+            codec.hand_word(one)
             for one in sorted(self.hands.calls.values(), key=lambda one: -one.order)
         ]
         while said and self._pieces > 0:
             self._pieces -= 1
-            said = said[max(1, self._send(number, messages.HANDS, (), said)) :]
+            said = said[max(1, self._send(number, codec.HANDS, (), said)) :]
 
     def _take_hands(self, message: Message) -> None:
         for one in message.hands:
@@ -367,7 +369,7 @@
         if older is not None and self._knows_as_much(older):
             self.whole = True
         elif left:
-            self._fetch = Fetch(
+            self._fetch = Transfer(
                 self.random.choice(givers or left), self.random.randrange(36**4), self._now
             )
             self._ask()
@@ -393,7 +395,7 @@
         fetch = self._fetch
         assert fetch is not None
         for first, count in fetch.wants():
-            self._send(fetch.giver, messages.ASK, (fetch.number, first, count))
+            self._send(fetch.giver, codec.ASK, (fetch.number, first, count))
 
     def _take_piece(self, source: int, message: Message) -> None:
         fetch = self._fetch
@@ -425,27 +427,23 @@
     def _give(self, source: int, message: Message) -> None:
         number, first, count = message.parts
         if not self.gives():
-            self._send(source, messages.NOT_WHOLE, (number,))
+            self._send(source, codec.NOT_WHOLE, (number,))
             return
         keys = self._list_for(source, number)
         first, end = min(first, len(keys)), min(first + count, len(keys), first + WINDOW)
         room = self.most - len(
-            messages.head(messages.GIVE, self.incarnation, self.book.period, (36**4, 36**5, 36**5))
+            codec.head(codec.GIVE, self.incarnation, self.book.period, (36**4, 36**5, 36**5))
         )
         while self._may_give():
             said, taken, size = list[str](), 0, 0
             for key in keys[first:end]:
                 one = self.source.slice(key)
-                word = (
-                    messages.slice_word(one, self.book.period, room)
-                    if one
-                    else f" {messages.NOBODY}"
-                )
+                word = codec.slice_word(one, self.book.period, room) if one else f" {codec.NOBODY}"
                 if size + len(word) > room:
                     break
                 said.append(word)
                 size, taken = size + len(word), taken + 1
-            self._send(source, messages.GIVE, (number, first, len(keys)), said)
+            self._send(source, codec.GIVE, (number, first, len(keys)), said)
             first += taken
             if first >= end or not taken:
                 return
@@ -466,7 +464,7 @@
         if known is None or known.number != number:
             if len(self._giving) >= LISTS:
                 self._giving.pop(min(self._giving, key=lambda n: self._giving[n].until))
-            known = Giving(number, self.source.short(), 0.0)
+            known = ServedList(number, self.source.short(), 0.0)
         self._giving[source] = known._replace(until=self._now + LIST_FOR)
         return known.keys
 
--- a/hazelhollow/replication/snapshot.py
+++ b/hazelhollow/replication/snapshot.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from hazelhollow.replication.messages import Hand
+from hazelhollow.replication.codec import Override
 from hazelhollow.storage.writer import DirectWriter, WriteJob, Writer
 
 FORMAT, VERSION = "hazelhollow-replica", 1
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 
-class Left(msgspec.Struct, frozen=True, array_like=True):
+class SavedAccount(msgspec.Struct, frozen=True, array_like=True):
     """A customer.
 
     Units left of the burst when the snapshot was made; below nothing, so many are to be paid back.
@@ -48,12 +48,12 @@
     version: int
     at: float
     member: int
-    customers: list[Left]
+    customers: list[SavedAccount]
     hands: list[tuple[str, int, int, int, int]]
     final: bool = False
 
-    def calls(self) -> list[Hand]:
-        return [Hand(*one) for one in self.hands]
+    def calls(self) -> list[Override]:
+        return [Override(*one) for one in self.hands]
 
 
 def least_left(level: float, rate: float, burst: float, kept: Snapshot, now: float) -> float:
@@ -96,7 +96,7 @@
     return one
 
 
-class File:
+class SnapshotFile:
     """One limiter's snapshot in a folder that outlives it.
 
     It is written by `writer`; on a slow disk the newest alone waits.
--- a/hazelhollow/replication/gathering.py
+++ b/hazelhollow/replication/snapshot_collector.py
@@ -11,19 +11,19 @@
 
 from hazelhollow.decisions.accounts import Account, key_of
 from hazelhollow.decisions.state import Memory
-from hazelhollow.replication.snapshot import MOST, Left
+from hazelhollow.replication.snapshot import MOST, SavedAccount
 
 A_SLICE = 100  # customers
 
 
-class Gathering:
+class SnapshotCollector:
     """Of the customers of `memory` whose budget is not full, those with the least left."""
 
     def __init__(self, memory: Memory) -> None:
         self._memory = memory
         self._names = iter(list(memory.accounts))
         # the part of the burst that is left, and the customer
-        self._found = list[tuple[float, Left]]()
+        self._found = list[tuple[float, SavedAccount]]()
 
     def step(self) -> bool:
         """Goes through one slice; whether all have been gone through."""
@@ -39,7 +39,7 @@
         while not self.step():
             pass
 
-    def left(self) -> list[Left]:
+    def left(self) -> list[SavedAccount]:
         """Those with the least left first."""
         return [left for _, left in nsmallest(MOST, self._found, key=lambda one: one[0])]
 
@@ -50,5 +50,10 @@
         if part < 1.0:
             level = account.budget.level - account.owed
             self._found.append(
-                (part, Left(key_of(name), account.plan.name, account.first, account.spread, level))
+                (
+                    part,
+                    SavedAccount(
+                        key_of(name), account.plan.name, account.first, account.spread, level
+                    ),
+                )
             )
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -32,7 +32,7 @@
 from hazelhollow.net.ending import Ending, outcome
 from hazelhollow.net.limiter import Limiter
 from hazelhollow.net.stats import Stats
-from hazelhollow.replication.driver import Driver as ReplicaDriver
+from hazelhollow.replication.driver import ReplicationDriver
 from hazelhollow.scale.load import Drawn, service_time
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeers
@@ -44,7 +44,7 @@
 KEY = b"the key of a scale run, which is no secret"
 DRIVERS: tuple[tuple[type, Role], ...] = (
     (FleetDriver, Role.VIEW),
-    (ReplicaDriver, Role.REPLICATION),
+    (ReplicationDriver, Role.REPLICATION),
     (AuditDriver, Role.AUDIT),
     (Backend, Role.REQUESTS),
 )
@@ -199,7 +199,7 @@
         )
         self.limiter.peers = peers
         self.fleet: FleetDriver | None = None
-        self.replica: ReplicaDriver | None = None
+        self.replica: ReplicationDriver | None = None
         self.audit: AuditDriver | None = None
         self._serial = 0
 
@@ -241,7 +241,7 @@
             self._start_audit(self.fleet, seal, int(now * 1000))
 
     def _start_replica(self, fleet: FleetDriver, seal: Seal, most: int) -> None:
-        self.replica = ReplicaDriver(
+        self.replica = ReplicationDriver(
             self.scheduler,
             self._peers,
             fleet,
--- a/hazelhollow/shared_store/exchange.py
+++ b/hazelhollow/shared_store/client.py
@@ -16,17 +16,17 @@
 from hazelhollow.net.backoff import Backoff
 from hazelhollow.operator.records import Store as StoreSettings
 from hazelhollow.shared_store import link as link_
-from hazelhollow.shared_store.ledger import Ledger
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 
 LEAST_PAUSE = 0.001  # seconds between two looks at the ledger
 
 log = structlog.get_logger(__name__)
 
 
-class Exchange:
+class StoreClient:
     """One limiter's dealings with its store, through all its connections."""
 
-    def __init__(self, ledger: Ledger, store_settings: StoreSettings, seed: int) -> None:
+    def __init__(self, ledger: LeaseLedger, store_settings: StoreSettings, seed: int) -> None:
         self.ledger, self.store_settings = ledger, store_settings
         self.link: link_.Link | None = None
         self.counts = dict.fromkeys(
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -14,7 +14,7 @@
 from hazelhollow.net import stream, tls
 from hazelhollow.net.ending import Ending
 from hazelhollow.operator.records import Store as StoreSettings
-from hazelhollow.shared_store.exchange import Exchange
+from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.link import Credentials
 
 MOST_OUT = 1024 * 1024
@@ -40,10 +40,10 @@
     return tls.Layer(made, store_settings.tls.server_name or store_settings.address[0])
 
 
-class Driver:
+class SharedStoreDriver:
     """One limiter's connection to its store, opened again whenever it ends."""
 
-    def __init__(self, scheduler: sch.Scheduler, exchange: Exchange) -> None:
+    def __init__(self, scheduler: sch.Scheduler, exchange: StoreClient) -> None:
         self.scheduler, self.exchange = scheduler, exchange
         self._stream: stream.Stream | None = None
         self._layer: tls.Layer | None = None
--- a/hazelhollow/shared_store/ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -12,7 +12,7 @@
 While a limiter cannot reach the store it has its even share of the pool instead, and only once it
 is sure that the others and the store have counted it out and that all leases from before have
 ended. docs/design/redis-store.md has the proof that no order of these events lets more through than
-the limit, and the scripts `lease.lua` and `present.lua` are the store's part.
+the limit, and the scripts `lease.lua` and `presence.lua` are the store's part.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.operator.records import Store as StoreSettings
-from hazelhollow.shared_store.account import Account, Call, open_account
-from hazelhollow.shared_store.pool import Pool
+from hazelhollow.shared_store.lease_pool import LeasePool
+from hazelhollow.shared_store.leased_account import LeasedAccount, ScriptCall, open_leased_account
 from hazelhollow.shared_store.presence import Presence
 from hazelhollow.shared_store.scripts import (
     LeaseAnswer,
@@ -59,7 +59,7 @@
 )
 
 
-class Ledger:
+class LeaseLedger:
     """All customers' accounts at one limiter.
 
     `incarnation` differs from that of every earlier process of this limiter.
@@ -71,9 +71,9 @@
         self.settings, self.store_settings = settings, store_settings
         self.slot = f"{settings.limiter_id}.{incarnation}"  # who holds a lease, to the store
         self.plans = {plan.name: plan for plan in settings.plans if self._keeps(plan)}
-        self.accounts: dict[str, Account] = {}  # the one that asked latest is last
-        self._with_leases: dict[str, Account] = {}  # those that may hold something on lease
-        self.outbox: list[Call] = []  # calls to be written; the exchange empties it
+        self.accounts: dict[str, LeasedAccount] = {}  # the one that asked latest is last
+        self._with_leases: dict[str, LeasedAccount] = {}  # those that may hold something on lease
+        self.outbox: list[ScriptCall] = []  # calls to be written; the exchange empties it
         self.started_at = now
         self.presence = Presence(settings.limiter_id, store_settings, now)
         self.sequence = 0
@@ -85,7 +85,7 @@
 
     # Requests
 
-    def account_for(self, request: api.RequestArrived, now: float) -> Account | None:
+    def account_for(self, request: api.RequestArrived, now: float) -> LeasedAccount | None:
         """The customer's account, whose pools say what may be let in now.
 
         Nothing where the store keeps none of its limits. `record` must follow.
@@ -96,7 +96,7 @@
         key = f"{request.customer}/{request.plan_name}"
         account = self.accounts.pop(key, None)
         if account is None:
-            account = open_account(
+            account = open_leased_account(
                 key, plan, request, self.settings, self.store_settings, self.started_at, now
             )
             if account is None:
@@ -107,7 +107,7 @@
         self._refresh(account, now)
         return account
 
-    def record(self, account: Account, units: float, sent: bool, now: float) -> None:
+    def record(self, account: LeasedAccount, units: float, sent: bool, now: float) -> None:
         """The request that `account_for` was asked for was sent on, and its units are spent.
 
         Or it was not.
@@ -123,7 +123,7 @@
         if not account.call and now >= account.next_ask_at:
             self._lease_if_low(account, units if short else 0.0, now)
 
-    def _refresh(self, account: Account, now: float) -> None:
+    def _refresh(self, account: LeasedAccount, now: float) -> None:
         account.expire_lease(now)
         presence = self.presence
         for pool in account.pools:
@@ -137,7 +137,7 @@
 
     # What is asked of the store
 
-    def _lease_if_low(self, account: Account, refused: float, now: float) -> None:
+    def _lease_if_low(self, account: LeasedAccount, refused: float, now: float) -> None:
         """Asks for more where what is here will soon not do, and for what is on lease to last.
 
         `refused`: the units of a request that was refused for want of them; a grant that would not
@@ -149,20 +149,25 @@
         if any(wanted) and any([self._is_low(account, pool, now) for pool in account.pools]):
             self._lease(account, wanted, account.held(), refused, now)
 
-    def _units_wanted(self, account: Account, pool: Pool) -> float:
+    def _units_wanted(self, account: LeasedAccount, pool: LeasePool) -> float:
         target = _rate_beyond_base(account, pool) * self.store_settings.lease.ahead
         if pool.base.level < account.largest_request:
             target = max(target, account.largest_request)
         return min(max(target - pool.leased, 0.0), pool.burst)
 
-    def _is_low(self, account: Account, pool: Pool, now: float) -> bool:
+    def _is_low(self, account: LeasedAccount, pool: LeasePool, now: float) -> bool:
         if pool.available() < account.largest_request + account.send_rate * ASK_AHEAD:
             return True
         ends_soon = account.lease_ends_at - now < RENEW_SHARE * self.store_settings.lease.term
         return pool.leased > 0 and ends_soon and _rate_beyond_base(account, pool) > 0
 
     def _lease(
-        self, account: Account, wanted: list[float], held: list[float], refused: float, now: float
+        self,
+        account: LeasedAccount,
+        wanted: list[float],
+        held: list[float],
+        refused: float,
+        now: float,
     ) -> None:
         """A call that tells what was spent and is held, and asks for more.
 
@@ -182,10 +187,10 @@
         )
         args = lease_arguments(caller, account, held, wanted, refused)
         key = customer_key(self.store_settings.prefix, account.key)
-        account.call = Call("lease", key, args, now, account, held, wanted)
+        account.call = ScriptCall("lease", key, args, now, account, held, wanted)
         self._post(account.call)
 
-    def _post(self, call: Call) -> None:
+    def _post(self, call: ScriptCall) -> None:
         self.counts["calls"] += 1
         self.outbox.append(call)
 
@@ -228,7 +233,7 @@
                 look_again_at = min(look_again_at, max(return_at, now + RETURN_BEFORE_END))
         return look_again_at
 
-    def _return_lease(self, account: Account, now: float) -> None:
+    def _return_lease(self, account: LeasedAccount, now: float) -> None:
         if account.call or not self.presence.may_lease(now):
             return
         self.counts["returned"] += sum(account.held())
@@ -259,9 +264,9 @@
         for account in self.accounts.values():
             account.call = None
 
-    def answered(self, call: Call, answer: list[str], now: float) -> None:
+    def answered(self, call: ScriptCall, answer: list[str], now: float) -> None:
         """The store's answer in time. `answer`: what the script gives, as text."""
-        if call.kind == "present":
+        if call.kind == "presence":
             if not self.presence.answered(call, decode_presence(answer), now):
                 self.counts["stale"] += 1
             return
@@ -279,7 +284,9 @@
         account.next_ask_at = now + self.store_settings.call_timeout
         self.presence.heartbeat_soon(now)
 
-    def _take_grants(self, call: Call, account: Account, answer: LeaseAnswer, now: float) -> None:
+    def _take_grants(
+        self, call: ScriptCall, account: LeasedAccount, answer: LeaseAnswer, now: float
+    ) -> None:
         lease = self.store_settings.lease
         account.highest_total = max(account.highest_total, answer.highest_total)
         grants = answer.grants[: len(account.pools)]
@@ -301,7 +308,7 @@
         if any(pool.leased > 0 for pool in account.pools):
             self._with_leases[account.key] = account
 
-    def call_failed(self, call: Call, now: float) -> None:
+    def call_failed(self, call: ScriptCall, now: float) -> None:
         """No answer in time, or an error in its place: it may have run.
 
         The next call says what is held, which mends it.
@@ -311,7 +318,7 @@
             call.account.call = None
             call.account.next_ask_at = now + self.store_settings.call_timeout
 
-    def answered_late(self, call: Call, answer: list[str]) -> None:
+    def answered_late(self, call: ScriptCall, answer: list[str]) -> None:
         """An answer to a call that was given up.
 
         Its units are not taken, and the next call hands them back.
@@ -319,6 +326,6 @@
         self.counts["late"] += 1
 
 
-def _rate_beyond_base(account: Account, pool: Pool) -> float:
+def _rate_beyond_base(account: LeasedAccount, pool: LeasePool) -> float:
     """Units a second that the customer may need beside what the base refills."""
     return max(GROWTH * account.send_rate - pool.base.rate, 0.0)
--- a/hazelhollow/shared_store/pool.py
+++ b/hazelhollow/shared_store/lease_pool.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Pool:
+class LeasePool:
     """One limit of one customer at this limiter.
 
     `rate` (units a second) and `burst` (units) are the shared pool's.
--- a/hazelhollow/shared_store/account.py
+++ b/hazelhollow/shared_store/leased_account.py
@@ -12,7 +12,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.state import Store as TokenBucket
 from hazelhollow.operator.records import Store as StoreSettings
-from hazelhollow.shared_store.pool import Pool
+from hazelhollow.shared_store.lease_pool import LeasePool
 
 RATE_WINDOW = 1.5  # seconds over which a customer's rate is averaged
 LARGEST_REQUEST_DECAY = 0.98  # a request: how the largest one seen lately is forgotten
@@ -20,11 +20,11 @@
 # base has room for it.
 BASE_ROOM = 0.5
 
-ScriptName = Literal["lease", "present"]
+ScriptName = Literal["lease", "presence"]
 
 
 @dataclass(eq=False)
-class Call:
+class ScriptCall:
     """One call to the store, from when it is written to its one end.
 
     Answered, failed or given up.
@@ -34,28 +34,28 @@
     key: str
     args: list[str]
     sent_at: float
-    account: Account | None = None
+    account: LeasedAccount | None = None
     held: list[float] = field(default_factory=list)  # units on lease when it was written, by pool
     wanted: list[float] = field(default_factory=list)  # units asked for, by pool
     lease_expired: bool = False  # what was held when it was written has ended since
 
 
 @dataclass(eq=False)
-class Account:
+class LeasedAccount:
     """One customer's pools (quota, ceiling or both, in this order) and what is known of its use."""
 
     key: str
     limiters: frozenset[int]  # the numbers of those its requests come through
-    pools: list[Pool]
+    pools: list[LeasePool]
     last_used_at: float
-    quota: Pool | None = None
-    ceiling: Pool | None = None
+    quota: LeasePool | None = None
+    ceiling: LeasePool | None = None
     send_rate: float = 0.0  # units a second that are sent on here
     largest_request: float = 1.0  # units, of those seen lately
     lease_ends_at: float = 0.0
     highest_total: float = 0.0  # the highest total of leased units that the store has told
     next_ask_at: float = 0.0  # the store has nothing before then, or does not answer
-    call: Call | None = None
+    call: ScriptCall | None = None
     isolation: int = 0  # the number of the isolation that the pools' fallbacks belong to
 
     def learn(self, units: float, sent: bool, now: float) -> None:
@@ -78,7 +78,7 @@
         return [pool.leased for pool in self.pools]
 
 
-def open_account(
+def open_leased_account(
     key: str,
     plan: api.Plan,
     request: api.RequestArrived,
@@ -86,7 +86,7 @@
     store_settings: StoreSettings,
     started_at: float,
     now: float,
-) -> Account | None:
+) -> LeasedAccount | None:
     """A customer's account; nothing where the store keeps none of the plan's limits.
 
     A ceiling's base starts as if it had been empty when this process began (`started_at`): the
@@ -96,7 +96,7 @@
     spread = max(1, min(request.spread, settings.limiter_count))
     base_share = store_settings.lease.base_share if spread > 1 else 1.0
 
-    def pool(rate: float, burst: float, starts_full: bool) -> Pool:
+    def pool(rate: float, burst: float, starts_full: bool) -> LeasePool:
         base_burst = base_share * burst / spread
         if spread > 1 and spread * settings.max_units <= BASE_ROOM * burst:
             # so that the first request waits for no lease
@@ -105,7 +105,7 @@
             base_share * rate / spread, base_burst, base_burst if starts_full else 0.0, started_at
         )
         base.fill(now)
-        return Pool(base, (1 - base_share) * rate, burst - spread * base_burst)
+        return LeasePool(base, (1 - base_share) * rate, burst - spread * base_burst)
 
     quota = ceiling = None
     if store_settings.hold in ("quotas", "both") and plan.rate > 0:
@@ -116,4 +116,4 @@
     if not pools:
         return None
     limiters = frozenset((request.set_start + n) % settings.limiter_count for n in range(spread))
-    return Account(key, limiters, pools, now, quota, ceiling)
+    return LeasedAccount(key, limiters, pools, now, quota, ceiling)
--- a/hazelhollow/shared_store/leased_decisions.py
+++ b/hazelhollow/shared_store/leased_decisions.py
@@ -9,7 +9,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.limiter import Decisions
-from hazelhollow.shared_store.ledger import Ledger
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 
 
 class LeasedDecisions:
@@ -18,7 +18,7 @@
     `on_calls` is called when the ledger has calls for the store.
     """
 
-    def __init__(self, inner: Decisions, ledger: Ledger, on_calls: Callable[[], None]) -> None:
+    def __init__(self, inner: Decisions, ledger: LeaseLedger, on_calls: Callable[[], None]) -> None:
         self._inner, self._ledger, self._on_calls = inner, ledger, on_calls
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from hazelhollow.net import resp
-from hazelhollow.shared_store.account import Call
+from hazelhollow.shared_store.leased_account import ScriptCall
 from hazelhollow.shared_store.scripts import SCRIPTS, SHAS, answer_text, text_of
 
 SILENCE_FACTOR = 8.0  # times the timeout of a call
@@ -47,7 +47,7 @@
 class Answered:
     """An answer in time; `took` is in seconds."""
 
-    call: Call
+    call: ScriptCall
     answer: list[str]
     took: float
 
@@ -56,7 +56,7 @@
 class LateAnswer:
     """An answer to a call that had been given up."""
 
-    call: Call
+    call: ScriptCall
     answer: list[str]
 
 
@@ -64,7 +64,7 @@
 class CallFailed:
     """An error, or no answer within the timeout."""
 
-    call: Call
+    call: ScriptCall
     why: str
 
 
@@ -83,7 +83,7 @@
     """One command whose answer has not come. Without a call it is a step of the handshake."""
 
     sent_at: float
-    call: Call | None = None
+    call: ScriptCall | None = None
     step: str = ""
     given_up: bool = False
 
@@ -127,7 +127,7 @@
     def _write(self, words: tuple[str | bytes, ...]) -> None:
         self.out += resp.command([w if isinstance(w, bytes) else w.encode() for w in words])
 
-    def call(self, call: Call, now: float) -> bool:
+    def call(self, call: ScriptCall, now: float) -> bool:
         """Whether it was taken: a full line takes no more, and nothing waits for room."""
         if not self.ready or len(self._pending) >= self.most_pending:
             return False
--- a/hazelhollow/shared_store/presence.py
+++ b/hazelhollow/shared_store/presence.py
@@ -12,7 +12,7 @@
 import math
 
 from hazelhollow.operator.records import Store as StoreSettings
-from hazelhollow.shared_store.account import Call
+from hazelhollow.shared_store.leased_account import ScriptCall
 from hazelhollow.shared_store.scripts import PresenceAnswer, milliseconds, presence_key
 
 CLOCK_DIFFERENCE = 0.1  # seconds by which limiters' clocks may differ
@@ -98,7 +98,7 @@
             self.next_heartbeat_at if self.connected else now + self.store_settings.presence.every
         )
 
-    def heartbeat(self, now: float) -> Call:
+    def heartbeat(self, now: float) -> ScriptCall:
         """The call that shows this limiter as present.
 
         It ends isolation: fallbacks must be let go of before it is written.
@@ -113,13 +113,13 @@
             milliseconds(settings.presence.term),
             milliseconds(CLOCK_DIFFERENCE),
         ]
-        return Call("present", presence_key(settings.prefix), args, now)
+        return ScriptCall("presence", presence_key(settings.prefix), args, now)
 
     def heartbeat_soon(self, now: float) -> None:
         """Brings the next heartbeat forward; its answer tells what the store's clock is now."""
         self.next_heartbeat_at = min(self.next_heartbeat_at, now)
 
-    def answered(self, call: Call, answer: PresenceAnswer, now: float) -> bool:
+    def answered(self, call: ScriptCall, answer: PresenceAnswer, now: float) -> bool:
         """Takes the answer to a heartbeat.
 
         False where that had its turn too late and shows nothing.
--- a/hazelhollow/shared_store/scripts.py
+++ b/hazelhollow/shared_store/scripts.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 
 from hazelhollow.net import resp
-from hazelhollow.shared_store.account import Account, ScriptName
-from hazelhollow.shared_store.pool import Pool, SpendingStep
+from hazelhollow.shared_store.lease_pool import LeasePool, SpendingStep
+from hazelhollow.shared_store.leased_account import LeasedAccount, ScriptName
 
-NAMES: tuple[ScriptName, ...] = ("lease", "present")
+NAMES: tuple[ScriptName, ...] = ("lease", "presence")
 SCRIPTS = {name: (Path(__file__).parent / f"{name}.lua").read_bytes() for name in NAMES}
 SHAS = {name: hashlib.sha1(text).hexdigest() for name, text in SCRIPTS.items()}
 
@@ -94,7 +94,7 @@
 
 def lease_arguments(
     caller: LeaseCaller,
-    account: Account,
+    account: LeasedAccount,
     held: Sequence[float],
     wanted: Sequence[float],
     refused: float,
@@ -121,7 +121,7 @@
 
 
 def _limit_arguments(
-    pool: Pool, held: float, wanted: float, refused: float, now: float
+    pool: LeasePool, held: float, wanted: float, refused: float, now: float
 ) -> list[str]:
     needed = min(max(refused - max(pool.base.level, 0.0) - held, 0.0), wanted)
     spending = ",".join(_spending_text(step, now) for step in pool.recent_spending)
@@ -147,7 +147,7 @@
 
 
 def decode_presence(answer: Sequence[str]) -> PresenceAnswer:
-    """The answer of `present.lua`.
+    """The answer of `presence.lua`.
 
     Raises `ValueError` where it is not one; `answer_text` has let no such through.
     """
@@ -171,7 +171,7 @@
     ):
         return None
     answer = [text_of(part) for part in value]
-    if kind == "present":
+    if kind == "presence":
         return answer if _is_presence_answer(answer) else None
     return answer if _is_lease_answer(answer) else None
 
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -13,8 +13,8 @@
 from hazelhollow.fault_injection import checker
 from hazelhollow.net.bans import BanFile, path_for
 from hazelhollow.replication import snapshot
-from hazelhollow.replication.messages import Hand
-from hazelhollow.replication.snapshot import Left, Snapshot
+from hazelhollow.replication.codec import Override
+from hazelhollow.replication.snapshot import SavedAccount, Snapshot
 
 FOLDER = Path(__file__).parent / "kept_files"
 INCARNATION = 1_700_000_000_123
@@ -23,7 +23,7 @@
 def load_snapshot(member: int, now: float, tmp_path: Path) -> Snapshot | None:
     """Of a copy, since what can't be read is moved out of the way."""
     copy(FOLDER / f"replica-{member}", tmp_path)
-    return snapshot.File(tmp_path, member).load(now)
+    return snapshot.SnapshotFile(tmp_path, member).load(now)
 
 
 def test_a_snapshot_with_customers_debts_and_overrides(tmp_path: Path) -> None:
@@ -32,19 +32,19 @@
     assert (found.format, found.version) == ("hazelhollow-replica", 1)
     assert (found.at, found.member, found.final) == (1_700_000_005.75, 3, False)
     assert found.customers == [
-        Left("8tl2m", "7kq", 1, 5, 12.5),
-        Left("0", "a1", 0, 1, -3.25),
-        Left("zz9", "7kq", 4, 3, 0.0),
-        *[Left(f"c{n}", "b22", n % 5, 1 + n % 5, n / 8 - 2) for n in range(40)],
+        SavedAccount("8tl2m", "7kq", 1, 5, 12.5),
+        SavedAccount("0", "a1", 0, 1, -3.25),
+        SavedAccount("zz9", "7kq", 4, 3, 0.0),
+        *[SavedAccount(f"c{n}", "b22", n % 5, 1 + n % 5, n / 8 - 2) for n in range(40)],
     ]
     first = found.customers[0]
     assert (first.key, first.plan, first.first, first.spread) == ("8tl2m", "7kq", 1, 5)
     assert first.level == 12.5
     calls = found.calls()
     assert calls == [
-        Hand("s-0001", 2, 0, 1_700_000_002_000, 4),
-        Hand("s-0002", 3, 1, 1_700_000_003_250, 3),
-        Hand("10.0.0.7:9000", 9, 1, 1_700_000_004_500, 1),
+        Override("s-0001", 2, 0, 1_700_000_002_000, 4),
+        Override("s-0002", 3, 1, 1_700_000_003_250, 3),
+        Override("10.0.0.7:9000", 9, 1, 1_700_000_004_500, 1),
     ]
     last = calls[-1]
     assert (last.host, last.order, last.down) == ("10.0.0.7:9000", 9, 1)
@@ -62,7 +62,7 @@
         found = load_snapshot(member, now, tmp_path)
         assert found is not None
         (tmp_path / f"replica-{member}").unlink()
-        snapshot.File(tmp_path, member).save(found)
+        snapshot.SnapshotFile(tmp_path, member).save(found)
         written = (tmp_path / f"replica-{member}").read_bytes()
         assert written == (FOLDER / f"replica-{member}").read_bytes()
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -15,21 +15,28 @@
 from hypothesis import strategies as st
 
 from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.replication import exchange, messages, snapshot
-from hazelhollow.replication.counts import KEPT_FOR, Book, Row, Value, contradiction, merge
-from hazelhollow.replication.hands import Hands
-from hazelhollow.replication.messages import Hand, Recent, Slice
+from hazelhollow.replication import codec, replica, snapshot
+from hazelhollow.replication.codec import AccountCopy, Override, RecentCount
+from hazelhollow.replication.count_table import (
+    KEPT_FOR,
+    CountRow,
+    CountTable,
+    CountValue,
+    contradiction,
+    merge,
+)
+from hazelhollow.replication.overrides import OverrideTable
 
 NOW = 1_700_000_000
 values = st.builds(
-    Value,
+    CountValue,
     st.integers(NOW - 9, NOW - 7),
     st.integers(NOW - 6, NOW),
     st.integers(0, 40),
     st.integers(0, 1),
 )
 rows = st.builds(
-    Row,
+    CountRow,
     st.sampled_from("ab"),
     st.just("pl"),
     st.just(0),
@@ -40,21 +47,21 @@
 )
 
 
-def book_of(some: list[Row], period: int = NOW) -> Book:
-    book = Book()
+def book_of(some: list[CountRow], period: int = NOW) -> CountTable:
+    book = CountTable()
     book.turn(period)
     for row in some:
         book.put(row)
     return book
 
 
-def held(book: Book) -> set[Row]:
+def held(book: CountTable) -> set[CountRow]:
     return {row for key in book.customers for row in book.rows(key)}
 
 
 @given(values, values, values)
 def test_the_merge_of_counts_is_associative_commutative_and_idempotent(
-    a: Value, b: Value, c: Value
+    a: CountValue, b: CountValue, c: CountValue
 ) -> None:
     assert merge(a, merge(b, c)) == merge(merge(a, b), c)
     assert merge(a, b) == merge(b, a) and merge(a, a) == a
@@ -62,7 +69,7 @@
 
 @given(values, values)
 def test_a_merge_lowers_nothing_and_is_sure_only_of_what_the_member_said(
-    a: Value, b: Value
+    a: CountValue, b: CountValue
 ) -> None:
     one = merge(a, b)
     for value in (a, b):
@@ -75,15 +82,20 @@
 
 
 hands = st.builds(
-    Hand, st.just("h"), st.integers(0, 3), st.integers(0, 1), st.integers(0, 3), st.integers(0, 3)
+    Override,
+    st.just("h"),
+    st.integers(0, 3),
+    st.integers(0, 1),
+    st.integers(0, 3),
+    st.integers(0, 3),
 )
 
 
 @given(st.lists(hands, min_size=1, max_size=6), st.randoms(use_true_random=False))
 def test_calls_of_operators_end_the_same_in_any_order_and_however_often(
-    calls: list[Hand], chance: random.Random
+    calls: list[Override], chance: random.Random
 ) -> None:
-    one, other = Hands(), Hands()
+    one, other = OverrideTable(), OverrideTable()
     for call in calls:
         one.put(call)
     for call in chance.sample([*calls, *calls], 2 * len(calls)):
@@ -93,18 +105,18 @@
 
 @given(st.lists(rows, max_size=20), st.randoms(use_true_random=False))
 def test_books_that_got_the_same_rows_in_any_order_and_doubled_are_the_same(
-    some: list[Row], chance: random.Random
+    some: list[CountRow], chance: random.Random
 ) -> None:
     one, other = book_of(some), book_of(chance.sample([*some, *some], 2 * len(some)))
     assert held(one) == held(other) and one.sums() == other.sums() and not one.differ(other.sums())
 
 
-def true_history(some: list[Row]) -> list[Row]:
+def true_history(some: list[CountRow]) -> list[CountRow]:
     """The same rows, so that all of one count can be true.
 
     Of two the later `through` has the greater (since, total), and the same `through` has the same.
     """
-    by_count: dict[tuple[str, int, str], list[Value]] = {}
+    by_count: dict[tuple[str, int, str], list[CountValue]] = {}
     for row in some:
         by_count.setdefault((row.key, row.member, row.incarnation), []).append(row.value)
     told: dict[tuple[str, int, str, int], tuple[int, int]] = {}
@@ -119,12 +131,12 @@
     return changed
 
 
-def counts_in(book: Book) -> dict[tuple[str, int, str], int]:
+def counts_in(book: CountTable) -> dict[tuple[str, int, str], int]:
     """Which counts it holds, and until when they are kept."""
     return {(row.key, row.member, row.incarnation): row.value.through for row in held(book)}
 
 
-def exchange_rows(one: Book, other: Book) -> None:
+def exchange_rows(one: CountTable, other: CountTable) -> None:
     """All that each holds, to the other."""
     for source, target in ((one, other), (other, one)):
         for row in held(source):
@@ -133,7 +145,7 @@
 
 @given(st.lists(rows, max_size=20).map(true_history), st.integers(1, KEPT_FOR + 8))
 def test_what_is_folded_in_is_let_go_by_all_at_once_and_is_not_taken_again(
-    some: list[Row], later: int
+    some: list[CountRow], later: int
 ) -> None:
     early, late = book_of(some), book_of(some, NOW + later)
     early.turn(NOW + later)
@@ -143,11 +155,11 @@
         early.put(row)
     assert early.sums() == late.sums()
     early.turn(NOW + 2 * KEPT_FOR)
-    assert not early.customers and early.sums() == Book().sums()
+    assert not early.customers and early.sums() == CountTable().sums()
 
 
-def heard(through: int, total: int, since: int = NOW - 9) -> Row:
-    return Row("a", "pl", 0, 3, 1, "l1", Value(since, through, total, 0))
+def heard(through: int, total: int, since: int = NOW - 9) -> CountRow:
+    return CountRow("a", "pl", 0, 3, 1, "l1", CountValue(since, through, total, 0))
 
 
 @given(st.lists(rows, max_size=20), st.integers(1, KEPT_FOR + 8))
@@ -157,7 +169,7 @@
 @example([heard(NOW - 6, 0, since=NOW - 8), heard(NOW - 5, 5)], KEPT_FOR - 6)
 @example([heard(NOW - 6, 3), heard(NOW - 5, 2), heard(NOW - 4, 1)], KEPT_FOR - 5)
 def test_what_is_folded_in_is_let_go_by_all_at_once_also_where_hearsay_contradicts_itself(
-    some: list[Row], later: int
+    some: list[CountRow], later: int
 ) -> None:
     """One that begins late refuses what is too old.
 
@@ -182,39 +194,40 @@
             assert (value.since, value.total) >= (row.value.since, row.value.total)
     for book in (early, late):
         book.turn(NOW + 2 * KEPT_FOR)
-        assert not book.customers and book.sums() == Book().sums()
+        assert not book.customers and book.sums() == CountTable().sums()
 
 
 @pytest.mark.parametrize(
     ("one", "other", "why"),
     [
-        (Value(1, 5, 10), Value(1, 5, 10), ""),
-        (Value(1, 5, 10), Value(1, 6, 10), ""),
-        (Value(1, 5, 10), Value(1, 5, 11), "two histories"),
-        (Value(1, 5, 10), Value(1, 6, 9), "fell"),
-        (Value(1, 5, 10), Value(4, 6, 2), ""),  # let go of, and counted anew
-        (Value(1, 5, 10), Value(1, 6, 9, 0), ""),  # heard, and not all of it
+        (CountValue(1, 5, 10), CountValue(1, 5, 10), ""),
+        (CountValue(1, 5, 10), CountValue(1, 6, 10), ""),
+        (CountValue(1, 5, 10), CountValue(1, 5, 11), "two histories"),
+        (CountValue(1, 5, 10), CountValue(1, 6, 9), "fell"),
+        (CountValue(1, 5, 10), CountValue(4, 6, 2), ""),  # let go of, and counted anew
+        (CountValue(1, 5, 10), CountValue(1, 6, 9, 0), ""),  # heard, and not all of it
     ],
 )
 def test_copies_that_cannot_both_be_true_are_told_apart_from_those_that_can(
-    one: Value, other: Value, why: str
+    one: CountValue, other: CountValue, why: str
 ) -> None:
     assert contradiction(one, other) == contradiction(other, one) == why
 
 
 def test_contradictions_are_counted_and_settled_by_the_rule_not_by_who_spoke_last() -> None:
     low, high = (
-        Row("a", "pl", 0, 3, 1, "l1", Value(NOW - 9, NOW - 4, total)) for total in (10, 12)
+        CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 4, total))
+        for total in (10, 12)
     )
     for order in ((low, high), (high, low)):
         book = book_of(list(order))
         assert held(book) == {high} and book.troubles == {"two histories": 1}
-    ahead = book_of([Row("a", "pl", 0, 3, 1, "l1", Value(NOW, NOW + 60, 5))])
+    ahead = book_of([CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW, NOW + 60, 5))])
     assert not ahead.customers and ahead.troubles == {"from the future": 1}
 
 
 def test_a_member_that_confirms_what_was_heard_of_it_is_no_news_and_is_sure_from_then_on() -> None:
-    heard = Row("a", "pl", 0, 3, 1, "l1", Value(NOW - 9, NOW - 4, 10, 0))
+    heard = CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 4, 10, 0))
     book = book_of([heard])
     sums, sure = book.sums(), heard._replace(value=heard.value._replace(sure=1))
     assert not book.put(sure) and held(book) == {sure} and book.sums() == sums
@@ -223,17 +236,17 @@
 
 
 def test_what_others_heard_later_is_not_taken_for_the_members_own_word() -> None:
-    sure = Row("a", "pl", 0, 3, 1, "l1", Value(NOW - 9, NOW - 6, 10))
+    sure = CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 6, 10))
     book = book_of([sure, heard(NOW - 4, 8)])
     assert held(book) == {heard(NOW - 4, 10)}  # no total through NOW - 4 was said by the member
-    grown = sure._replace(value=Value(NOW - 9, NOW - 4, 12))
+    grown = sure._replace(value=CountValue(NOW - 9, NOW - 4, 12))
     assert book.put(grown) and held(book) == {grown} and not book.troubles
 
 
 # Words
 
 slices = st.builds(
-    Slice,
+    AccountCopy,
     st.sampled_from(["a1", "zz9"]),
     st.just("pl"),
     st.integers(0, 4),
@@ -241,7 +254,7 @@
     st.integers(0, 9999),
     st.lists(
         st.builds(
-            Recent,
+            RecentCount,
             st.integers(0, 4),
             st.just("l1"),
             values.map(lambda value: value._replace(sure=1)),
@@ -254,26 +267,26 @@
 
 
 @given(slices, st.lists(rows, min_size=1, max_size=3), hands)
-def test_what_is_written_is_read_again(one: Slice, some: list[Row], call: Hand) -> None:
+def test_what_is_written_is_read_again(
+    one: AccountCopy, some: list[CountRow], call: Override
+) -> None:
     line = (
-        messages.head(messages.GIVE, "l1", NOW, (1, 2, 3))
-        + messages.slice_word(one, NOW, 200)
-        + f" {messages.NOBODY}"
+        codec.head(codec.GIVE, "l1", NOW, (1, 2, 3))
+        + codec.slice_word(one, NOW, 200)
+        + f" {codec.NOBODY}"
     )
-    message = messages.read(line, 5)
+    message = codec.read(line, 5)
     assert message is not None and message.slices == (one, None) and message.parts == (1, 2, 3)
     alike = [row._replace(key="a") for row in some]
-    message = messages.read(
-        messages.head(messages.ROWS, "l1", NOW) + messages.row_words(alike, NOW), 5
-    )
+    message = codec.read(codec.head(codec.ROWS, "l1", NOW) + codec.row_words(alike, NOW), 5)
     assert message is not None and list(message.rows) == alike
-    message = messages.read(messages.head(messages.HANDS, "l1", NOW) + messages.hand_word(call), 5)
+    message = codec.read(codec.head(codec.HANDS, "l1", NOW) + codec.hand_word(call), 5)
     assert message is not None and message.hands == (call,)
 
 
 @given(st.text(max_size=60))
 def test_what_is_no_message_is_none(text: str) -> None:
-    assert messages.read("c1" + text, 5) is None or text[0] in "rgnhqs"
+    assert codec.read("c1" + text, 5) is None or text[0] in "rgnhqs"
 
 
 @pytest.mark.parametrize(
@@ -298,13 +311,15 @@
     ],
 )
 def test_a_message_that_any_part_of_is_not_so_is_none(text: str) -> None:
-    assert messages.read(text, 5) is None
+    assert codec.read(text, 5) is None
 
 
 def test_a_message_longer_than_a_datagram_may_be_is_none() -> None:
-    many = [Row("a", "pl", 0, 3, 1, f"l{n}", Value(NOW - 9, NOW - 4, 1000)) for n in range(20)]
-    text = messages.head(messages.ROWS, "l1", NOW) + messages.row_words(many, NOW)
-    assert len(text) > messages.MOST_BYTES and messages.read(text, 5) is None
+    many = [
+        CountRow("a", "pl", 0, 3, 1, f"l{n}", CountValue(NOW - 9, NOW - 4, 1000)) for n in range(20)
+    ]
+    text = codec.head(codec.ROWS, "l1", NOW) + codec.row_words(many, NOW)
+    assert len(text) > codec.MOST_BYTES and codec.read(text, 5) is None
 
 
 # Exchange
@@ -316,15 +331,22 @@
     def __init__(self, customers: int = 0) -> None:
         self.keys = [base36(n + 36**3) for n in range(customers)]
 
-    def learn(self, pieces: list[Slice]) -> None:
+    def learn(self, pieces: list[AccountCopy]) -> None:
         self.keys += [one.key for one in pieces if one.key not in self.keys]
 
     def short(self) -> list[str]:
         return list(self.keys)
 
-    def slice(self, key: str) -> Slice | None:
+    def slice(self, key: str) -> AccountCopy | None:
         return (
-            Slice(key, "pl", 0, 3, 7, (Recent(0, "l0", Value(NOW - 50, NOW - 2, 100), 10, 10),))
+            AccountCopy(
+                key,
+                "pl",
+                0,
+                3,
+                7,
+                (RecentCount(0, "l0", CountValue(NOW - 50, NOW - 2, 100), 10, 10),),
+            )
             if key in self.keys
             else None
         )
@@ -351,7 +373,7 @@
             double,
         )
         self.all = [
-            exchange.Exchange(n, len(sources), f"l{n}", seed + n, source)
+            replica.Replica(n, len(sources), f"l{n}", seed + n, source)
             for n, source in enumerate(sources)
         ]
         for number in whole:
@@ -362,20 +384,20 @@
         self.older: dict[
             int, set[int]
         ] = {}  # by member: those that it knows to be older; none: it knows nothing
-        self.got: list[list[Slice]] = [[] for _ in sources]
+        self.got: list[list[AccountCopy]] = [[] for _ in sources]
         self.bytes = self.most = 0
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         began = self.now
         while self.now < began + seconds and not until():
-            self.now += exchange.BEAT
+            self.now += replica.BEAT
             for one in self.all:
                 if one.me in self.up:
                     present = sorted(n for n in self.up if n != one.me and not self.cut(one.me, n))
                     self.carry(one.me, one.beat(self.now, present, self.older.get(one.me)))
         return self.now - began
 
-    def carry(self, source: int, sends: list[exchange.Send]) -> None:
+    def carry(self, source: int, sends: list[replica.Datagram]) -> None:
         """Datagrams and what they bring about, in an order drawn by chance."""
         waiting = [(source, send) for send in sends]
         while waiting:
@@ -402,8 +424,8 @@
         return len({tuple(one.book.sums()) for one in self.all if one.me in self.up}) == 1
 
 
-def charge(net: Net, number: int, key: str, total: int, through: int = NOW - 2) -> Row:
-    row = Row(key, "pl", 0, 3, number, f"l{number}", Value(NOW - 30, through, total))
+def charge(net: Net, number: int, key: str, total: int, through: int = NOW - 2) -> CountRow:
+    row = CountRow(key, "pl", 0, 3, number, f"l{number}", CountValue(NOW - 30, through, total))
     net.all[number].book.turn(NOW)
     net.all[number].charged(row)
     return row
@@ -417,7 +439,7 @@
     net = Net([Known() for _ in range(4)], seed, lose, double=0.2, whole=(0, 1, 2, 3))
     told = {charge(net, n, base36(36**2 + k), 10 * k + n) for n in range(4) for k in range(12)}
     net.run(30.0, net.same)
-    assert [held(one.book) for one in net.all] == [told] * 4 and net.most <= messages.MOST_BYTES
+    assert [held(one.book) for one in net.all] == [told] * 4 and net.most <= codec.MOST_BYTES
 
 
 def test_charges_made_during_a_partition_are_told_by_any_member_that_knows_them() -> None:
@@ -435,7 +457,7 @@
     net.run(10.0)
     net.up.add(11)
     net.all[0].returned(11)
-    net.run(exchange.BEAT)
+    net.run(replica.BEAT)
     assert held(net.all[11].book) == {row}
 
 
@@ -447,8 +469,7 @@
     before = net.bytes
     net.run(10.0)
     assert (
-        net.bytes - before
-        < 3 * 10 * (1 / (exchange.BEAT * exchange.SYNC_EVERY)) * messages.MOST_BYTES
+        net.bytes - before < 3 * 10 * (1 / (replica.BEAT * replica.SYNC_EVERY)) * codec.MOST_BYTES
     )
 
 
@@ -500,7 +521,7 @@
 def test_one_that_meets_nobody_is_whole_after_a_while_and_not_before() -> None:
     net = Net([Known(), Known()], whole=())
     net.up = {0}
-    net.run(exchange.ALONE - exchange.BEAT)
+    net.run(replica.ALONE - replica.BEAT)
     assert not net.all[0].whole
     net.run(2.0)
     assert net.all[0].whole
@@ -508,19 +529,19 @@
 
 def test_one_that_is_not_whole_gives_nothing() -> None:
     net = Net([Known(5), Known()], whole=())
-    answer = net.all[0].heard(1, messages.head(messages.ASK, "l1", NOW, (7, 0, 96)), NOW)
-    assert [send.text for send in answer] == [messages.head(messages.NOT_WHOLE, "l0", NOW, (7,))]
+    answer = net.all[0].heard(1, codec.head(codec.ASK, "l1", NOW, (7, 0, 96)), NOW)
+    assert [send.text for send in answer] == [codec.head(codec.NOT_WHOLE, "l0", NOW, (7,))]
 
 
 def test_one_that_nobody_could_tell_gives_nothing_until_it_has_been_there_for_a_while() -> None:
     net = Net([Known(5), Known(), Known()], whole=())
     net.up = {0}
-    net.run(exchange.ALONE + 1.0)
+    net.run(replica.ALONE + 1.0)
     assert net.all[0].whole and not net.all[0].gives()
     net.up = {0, 1}
     net.run(1.5, lambda: net.all[1].whole)
     assert net.all[1].told_by is None
-    net.run(exchange.GIVES_AFTER)
+    net.run(replica.GIVES_AFTER)
     net.up = {0, 2}
     net.run(5.0, lambda: net.all[2].whole)
     assert net.all[2].told_by == 0
@@ -530,7 +551,7 @@
     net = Net([Known() for _ in range(120)], whole=())
     net.older = {one.me: set() for one in net.all}
     took = net.run(30.0, lambda: all(one.whole for one in net.all))
-    assert took <= exchange.GIVES_AFTER + 2 * exchange.BEAT
+    assert took <= replica.GIVES_AFTER + 2 * replica.BEAT
     assert all(one.told_by is None for one in net.all)
 
 
@@ -546,15 +567,15 @@
     net = Net([Known(5), *(Known() for _ in range(20))], whole=(0,))
     net.older = {one.me: {0} for one in net.all}
     net.deaf = lambda a, b: not answers and b == 0
-    net.run(exchange.GIVES_AFTER + 1.0)
+    net.run(replica.GIVES_AFTER + 1.0)
     assert [one.told_by for one in net.all[1:] if one.whole] == [0] * (20 if answers else 0)
 
 
 def test_one_whose_clock_makes_all_look_older_asks_some_of_them_alone() -> None:
-    members = 3 * exchange.MOST_REFUSALS
+    members = 3 * replica.MOST_REFUSALS
     net = Net([Known() for _ in range(members)], whole=())
     net.older = {one.me: set(range(members)) - {one.me} for one in net.all}
-    most = max(exchange.GIVES_AFTER, exchange.MOST_REFUSALS * exchange.BEAT) + 2 * exchange.BEAT
+    most = max(replica.GIVES_AFTER, replica.MOST_REFUSALS * replica.BEAT) + 2 * replica.BEAT
     assert net.run(60.0, lambda: all(one.whole for one in net.all)) <= most
 
 
@@ -571,11 +592,11 @@
     new.beat(net.now, [0, 1])
     assert new._fetch is not None
     giver, number = new._fetch.giver, new._fetch.number
-    piece = messages.slice_word(Slice("zz9", "pl", 0, 3, 7, ()), NOW, 200)
+    piece = codec.slice_word(AccountCopy("zz9", "pl", 0, 3, 7, ()), NOW, 200)
     for source, told in ((1 - giver, number), (giver, number + 1)):
-        new.heard(source, messages.head(messages.GIVE, "l0", NOW, (told, 0, 1)) + piece, net.now)
+        new.heard(source, codec.head(codec.GIVE, "l0", NOW, (told, 0, 1)) + piece, net.now)
         assert not new.slices and not new.whole
-    new.heard(giver, messages.head(messages.GIVE, "l0", NOW, (number, 0, 1)) + piece, net.now)
+    new.heard(giver, codec.head(codec.GIVE, "l0", NOW, (number, 0, 1)) + piece, net.now)
     assert new.whole and [one.key for one, _ in new.slices] == ["zz9"]
 
 
@@ -585,8 +606,8 @@
     new.beat(net.now, [0, 1])
     assert new._fetch is not None
     other = 1 - new._fetch.giver
-    new.beat(net.now + exchange.BEAT, [other])
-    sent = new.beat(net.now + 2 * exchange.BEAT, [other])
+    new.beat(net.now + replica.BEAT, [other])
+    sent = new.beat(net.now + 2 * replica.BEAT, [other])
     assert new._fetch is not None and new._fetch.giver == other and sent[0].number == other
 
 
@@ -597,15 +618,13 @@
     net.all[0].beat(net.now, [])
     for _ in range(10):
         sent = net.all[0].heard(1, _sums(net, 1), net.now)
-        assert len([send for send in sent if send.text[2] == messages.ROWS]) <= exchange.PIECES
-    assert net.all[0]._pieces <= 0 and not [send for send in sent if send.text[2] == messages.ROWS]
+        assert len([send for send in sent if send.text[2] == codec.ROWS]) <= replica.PIECES
+    assert net.all[0]._pieces <= 0 and not [send for send in sent if send.text[2] == codec.ROWS]
 
 
 def _sums(net: Net, number: int) -> str:
     one = net.all[number]
-    return messages.head(
-        messages.SUMS, one.incarnation, NOW, (*one.book.sums(), one.hands.digest(), 1)
-    )
+    return codec.head(codec.SUMS, one.incarnation, NOW, (*one.book.sums(), one.hands.digest(), 1))
 
 
 def test_places_mean_the_same_for_as_long_as_one_catch_up_lasts() -> None:
@@ -619,9 +638,9 @@
 
 def test_what_a_giver_sends_a_second_is_bounded() -> None:
     net = Net([Known(4000), Known()], whole=(0,))
-    asked = messages.head(messages.ASK, "l1", NOW, (7, 0, 96))
+    asked = codec.head(codec.ASK, "l1", NOW, (7, 0, 96))
     sent = sum(len(net.all[0].heard(1, asked, NOW + 1)) for _ in range(100))
-    assert sent <= exchange.GIVES_AT_ONCE
+    assert sent <= replica.GIVES_AT_ONCE
 
 
 def test_a_customer_that_the_giver_has_let_go_meanwhile_leaves_no_gap() -> None:
@@ -639,8 +658,8 @@
     net = Net([Known(), Known(), Known()])
     charge(net, 0, "a", 40)
     for incarnation, counted in (("l0", 1), ("old", 1)):
-        text = messages.head(messages.ROWS, "l1", NOW) + messages.row_words(
-            [Row("a", "pl", 0, 3, 0, incarnation, Value(NOW - 30, NOW - 1, 99))], NOW
+        text = codec.head(codec.ROWS, "l1", NOW) + codec.row_words(
+            [CountRow("a", "pl", 0, 3, 0, incarnation, CountValue(NOW - 30, NOW - 1, 99))], NOW
         )
         net.all[0].heard(1, text, NOW)
         assert net.all[0].counts["own count told greater"] == counted
@@ -676,16 +695,16 @@
 
 
 def test_of_two_concurrent_overrides_the_disabling_one_holds_whatever_the_clocks() -> None:
-    out, back = Hand("h", 2, 1, 5, 0), Hand("h", 2, 0, 900, 3)
+    out, back = Override("h", 2, 1, 5, 0), Override("h", 2, 0, 900, 3)
     for order in ((out, back), (back, out)):
-        one = Hands()
+        one = OverrideTable()
         for call in order:
             one.put(call)
         assert one.out() == {"h": True}
 
 
 def test_a_call_that_changes_nothing_is_none() -> None:
-    one = Hands()
+    one = OverrideTable()
     assert (
         one.call("h", False, 1.0, 0) is None
         and one.call("h", True, 1.0, 0)
@@ -700,16 +719,16 @@
     snapshot.VERSION,
     float(NOW),
     2,
-    [snapshot.Left("a", "gold", 0, 3, 12.5)],
+    [snapshot.SavedAccount("a", "gold", 0, 3, 12.5)],
     [("h", 1, 1, 5, 0)],
 )
 
 
 def test_a_snapshot_is_read_as_it_was_written(tmp_path: Path) -> None:
-    file = snapshot.File(tmp_path, 2)
+    file = snapshot.SnapshotFile(tmp_path, 2)
     assert file.load(NOW) is None
     file.save(KEPT)
-    assert file.load(NOW + 1.0) == KEPT and KEPT.calls() == [Hand("h", 1, 1, 5, 0)]
+    assert file.load(NOW + 1.0) == KEPT and KEPT.calls() == [Override("h", 1, 1, 5, 0)]
     assert os.listdir(tmp_path) == ["replica-2"]
 
 
@@ -732,7 +751,7 @@
 def test_a_spoilt_or_old_snapshot_is_set_aside_and_said_and_is_not_fatal(
     data: bytes, says: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    file = snapshot.File(tmp_path, 2)
+    file = snapshot.SnapshotFile(tmp_path, 2)
     file.path.write_bytes(data)
     assert file.load(NOW) is None and says in caplog.text
     assert os.listdir(tmp_path) == ["replica-2.bad"]
@@ -741,7 +760,7 @@
 def test_a_disk_that_takes_nothing_is_said_once_and_costs_the_snapshot_alone(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    file = snapshot.File(tmp_path / "absent", 2)
+    file = snapshot.SnapshotFile(tmp_path / "absent", 2)
     file.save(KEPT)
     file.save(KEPT)
     assert caplog.text.count("cannot be written") == 1 and file.load(NOW) is None
--- a/tests/test_replica_snapshot.py
+++ b/tests/test_replica_snapshot.py
@@ -25,10 +25,10 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.state import Account
 from hazelhollow.membership.seal import Seal
-from hazelhollow.replication import messages, snapshot
-from hazelhollow.replication.driver import Driver
-from hazelhollow.replication.exchange import BEAT
-from hazelhollow.replication.gathering import A_SLICE, Gathering
+from hazelhollow.replication import codec, snapshot
+from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.replication.replica import BEAT
+from hazelhollow.replication.snapshot_collector import A_SLICE, SnapshotCollector
 from tests.scenario import PLAN, SETTINGS
 from tests.test_gateway import entry, servers
 
@@ -58,7 +58,7 @@
         )
         self.gateway = DecisionEngine(told, seed=number)
         self.heard: Callable[[int, str], None] = self.gossip  # as net.peers.Peers has it
-        self.driver = Driver(
+        self.driver = ReplicationDriver(
             self,  # type: ignore[arg-type]
             self,  # type: ignore[arg-type]
             View(fleet, number, fleet.now),  # type: ignore[arg-type]
@@ -67,8 +67,8 @@
             self.module,
             lambda hosts: None,
             number,
-            messages.MOST_BYTES,
-            snapshot.File(fleet.folder, number),
+            codec.MOST_BYTES,
+            snapshot.SnapshotFile(fleet.folder, number),
         )
         self.module(servers("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
@@ -197,7 +197,7 @@
         return self.let_in - RATE * (self.now - START) - BURST
 
     def whole(self) -> bool:
-        return all(one and one.driver.exchange.whole for one in self.all)
+        return all(one and one.driver.replica.whole for one in self.all)
 
     def account(self, number: int) -> Account:
         one = self.all[number]
@@ -205,7 +205,7 @@
         return next(iter(one.gateway.accounts.values()))
 
     def snapshot_of(self, number: int) -> snapshot.Snapshot:
-        found = snapshot.File(self.folder, number).load(self.now)
+        found = snapshot.SnapshotFile(self.folder, number).load(self.now)
         assert found
         return found
 
@@ -275,7 +275,7 @@
     """Until the others answer a member acts by its cautious share; periods close meanwhile."""
     fleet.kill()
     fleet.run(0.3)
-    fleet.lost = lambda text: text.startswith(messages.DIALECT[0])
+    fleet.lost = lambda text: text.startswith(codec.DIALECT[0])
     fleet.start(APART)
     fleet.run(4.0)
     assert not fleet.whole()
@@ -375,7 +375,7 @@
 @pytest.mark.parametrize("count", [0, 1, A_SLICE, 5 * A_SLICE + 7])
 def test_gathered_in_slices_are_those_that_are_short_with_the_least_left_first(count: int) -> None:
     gateway = known_customers(count)
-    gathering, steps = Gathering(gateway), 1
+    gathering, steps = SnapshotCollector(gateway), 1
     while not gathering.step():
         steps += 1
     assert steps == count // A_SLICE + 1
@@ -386,16 +386,16 @@
 def test_of_more_than_a_snapshot_holds_those_with_the_least_left_are_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("hazelhollow.replication.gathering.MOST", 10)
+    monkeypatch.setattr("hazelhollow.replication.snapshot_collector.MOST", 10)
     gateway = known_customers(100)
-    gathering = Gathering(gateway)
+    gathering = SnapshotCollector(gateway)
     gathering.finish()
     assert [one.key for one in gathering.left()] == gateway.short()[:10]
 
 
 def test_one_that_is_forgotten_meanwhile_is_left_out() -> None:
     gateway = known_customers(3 * A_SLICE)
-    gathering = Gathering(gateway)
+    gathering = SnapshotCollector(gateway)
     gathering.step()
     last = gossip.base36(3 * A_SLICE - 2)
     del gateway.accounts[last]
@@ -411,8 +411,8 @@
     fleet.start(APART)
     fleet.run(6.0)
     one = fleet.all[0]
-    assert one and one.driver.exchange.whole
-    file = snapshot.File(tmp_path, 0)
+    assert one and one.driver.replica.whole
+    file = snapshot.SnapshotFile(tmp_path, 0)
     for number in range(3 * A_SLICE):
         one.gateway._account(gossip.base36(number), GOLD, 0, 3).budget.level = 1.0
     before = file.load(fleet.now)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -102,7 +102,7 @@
 
 
 def test_of_snapshots_that_wait_the_newest_is_written(disk: Disk, tmp_path: Path) -> None:
-    file = snapshot.File(tmp_path, 2, disk.writer)
+    file = snapshot.SnapshotFile(tmp_path, 2, disk.writer)
     for at in (NOW, NOW + 1.0, NOW + 2.0):
         file.save(saved(at))
     assert file.load(NOW) is None
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,8 +21,8 @@
 from hazelhollow.operator import attach, load, records
 from hazelhollow.shared_store import link as link_
 from hazelhollow.shared_store import scripts
-from hazelhollow.shared_store.account import Call
-from hazelhollow.shared_store.ledger import Ledger
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
+from hazelhollow.shared_store.leased_account import ScriptCall
 from hazelhollow.shared_store.link import (
     Answered,
     CallFailed,
@@ -78,7 +78,7 @@
                     events += self.link.receive(out.data[at : at + step], self.now)
         return events
 
-    def lease(self, sequence: int = 1, want: float = 10.0) -> Call:
+    def lease(self, sequence: int = 1, want: float = 10.0) -> ScriptCall:
         args = [
             "0.a",
             str(sequence),
@@ -98,7 +98,7 @@
             "0",
             "",
         ]
-        call = Call("lease", "hh:{c}", args, self.now)
+        call = ScriptCall("lease", "hh:{c}", args, self.now)
         assert self.link.call(call, self.now)
         return call
 
@@ -129,7 +129,7 @@
     talk = Talk([faults.Fault(kind)] if kind else None, secret="pw", **who)
     events = talk.exchange()
     assert isinstance(events[-1], ConnectionBroken) and word in events[-1].why
-    assert not talk.link.call(Call("present", "k", [], START), START)
+    assert not talk.link.call(ScriptCall("presence", "k", [], START), START)
 
 
 def test_a_late_answer_is_told_as_one_and_never_taken_for_another_calls() -> None:
@@ -154,7 +154,7 @@
     talk = Talk()
     talk.exchange()
     calls = [talk.lease(n) for n in range(8)]
-    assert not talk.link.call(Call("lease", "k", [], talk.now), talk.now)
+    assert not talk.link.call(ScriptCall("lease", "k", [], talk.now), talk.now)
     assert talk.link.next_due() == talk.now + 0.05
     talk.now += 0.05
     assert [n.call for n in talk.link.tick(talk.now) if isinstance(n, CallFailed)] == calls
@@ -229,7 +229,9 @@
             for n in range(limiters)
         ]
         self.terms = TERMS if base else terms("lease: base_share: 0.0")
-        self.ledgers = [Ledger(told[n], self.terms, f"l{n}", self.now) for n in range(limiters)]
+        self.ledgers = [
+            LeaseLedger(told[n], self.terms, f"l{n}", self.now) for n in range(limiters)
+        ]
         self.ceiling, self.quota = Bucket(40.0, 80.0, START), Bucket(20.0, 40.0, START)
         self.ids = 0
         for n in range(limiters):
@@ -241,7 +243,7 @@
         self.ledgers[n].tick(self.now)
         self.serve(n)
 
-    def run(self, call: Call) -> list[str]:
+    def run(self, call: ScriptCall) -> list[str]:
         sha = self.node.state.scripts.load(scripts.SCRIPTS[call.kind])
         answer = self.node.state.scripts.run(
             0, sha, [call.key.encode()], [a.encode() for a in call.args]
@@ -249,7 +251,7 @@
         assert isinstance(answer, list)
         return [part.decode() for part in answer if isinstance(part, bytes)]
 
-    def calls(self, n: int) -> list[Call]:
+    def calls(self, n: int) -> list[ScriptCall]:
         calls, self.ledgers[n].outbox = self.ledgers[n].outbox, []
         return calls
 
@@ -547,7 +549,11 @@
     within a quota's burst.
     """
     chance, shop = random.Random(seed), Shop()
-    linked, stray, saved = [True] * 3, list[tuple[int, Call]](), shop.node.state.engine.snapshot()
+    linked, stray, saved = (
+        [True] * 3,
+        list[tuple[int, ScriptCall]](),
+        shop.node.state.engine.snapshot(),
+    )
     incarnations, reborn = 0, 0.0
     for _ in range(300):
         shop.now += (
@@ -596,7 +602,7 @@
                 ledger.store_disconnected(shop.now)
         elif what > 0.88:
             incarnations += 1
-            shop.ledgers[n] = Ledger(ledger.settings, TERMS, f"x{incarnations}", shop.now)
+            shop.ledgers[n] = LeaseLedger(ledger.settings, TERMS, f"x{incarnations}", shop.now)
             reborn += 40.0 * TERMS.lease.base_share / 3 + 4.0
             linked[n] = True
             shop.link_up(n)
@@ -635,7 +641,7 @@
     if restarted:
         shop.now += 0.1
         shop.node.state.engine.restart(old)
-        shop.ledgers[1] = Ledger(shop.ledgers[1].settings, shop.terms, "new", shop.now)
+        shop.ledgers[1] = LeaseLedger(shop.ledgers[1].settings, shop.terms, "new", shop.now)
         shop.link_up(1)
         spend_all(shop, hold(shop, 1, 80.0))
     else:
@@ -687,7 +693,7 @@
             shop.serve(n)
             shop.now += 0.06
     if whose == "limiter":
-        call = Call(
+        call = ScriptCall(
             "lease",
             "hh:{c/gold}",
             ["9.x", "1", f"{(shop.now + 60) * 1000:.0f}", "9e15", "0", "1500", "3", "3", "0", "0"],
@@ -731,7 +737,7 @@
     def __init__(self, seed: int) -> None:
         self.chance, self.shop = random.Random(seed), Shop(base=False)
         self.linked, self.incarnations = [True] * 3, 0
-        self.stray: list[Call] = []
+        self.stray: list[ScriptCall] = []
         self.saved = self.shop.node.state.engine.snapshot()
 
     def account(self, n: int) -> Any:
@@ -748,7 +754,7 @@
         for call in shop.calls(n):
             self.fate(n, call)
 
-    def fate(self, n: int, call: Call) -> None:
+    def fate(self, n: int, call: ScriptCall) -> None:
         ledger, shop, fate = self.shop.ledgers[n], self.shop, self.chance.random()
         if not self.linked[n]:
             ledger.call_failed(call, shop.now)
@@ -788,7 +794,7 @@
             self.up(n) if self.linked[n] else shop.ledgers[n].store_disconnected(shop.now)
         else:
             self.incarnations += 1
-            shop.ledgers[n] = Ledger(
+            shop.ledgers[n] = LeaseLedger(
                 shop.ledgers[n].settings, shop.terms, f"x{self.incarnations}", shop.now
             )
             self.linked[n] = True
@@ -886,11 +892,13 @@
     talk = Talk()
     talk.exchange()
     for number in range(150):
-        call = Call("present", "hh:{present}", [str(number), "0", "9e15", "1200", "100"], talk.now)
+        call = ScriptCall(
+            "presence", "hh:{present}", [str(number), "0", "9e15", "1200", "100"], talk.now
+        )
         assert talk.link.call(call, talk.now)
         (answered,) = talk.exchange()
     assert isinstance(answered, Answered)
-    ledger = Ledger(api.Settings(149, 150, (LOOK, BUY), (PLAN,)), TERMS, "l", talk.now)
+    ledger = LeaseLedger(api.Settings(149, 150, (LOOK, BUY), (PLAN,)), TERMS, "l", talk.now)
     ledger.answered(answered.call, answered.answer, talk.now)
     assert ledger.presence.view == set(range(150))
 
@@ -926,7 +934,7 @@
     assert bucket.fill(10.0) == 20.0
 
 
-def in_flight(shop: Shop) -> tuple[Any, Call]:
+def in_flight(shop: Shop) -> tuple[Any, ScriptCall]:
     """Limiter 0 holds 12 units and has a call on its way that asks for 5 more."""
     account = hold(shop, 0, 12.0)
     shop.ledgers[0]._lease(account, [5.0, 5.0], [p.leased for p in account.pools], 0.0, shop.now)
@@ -969,7 +977,7 @@
 def test_customers_are_bounded_and_a_start_in_the_future_is_not_believed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("hazelhollow.shared_store.ledger.MOST_ACCOUNTS", 3)
+    monkeypatch.setattr("hazelhollow.shared_store.lease_ledger.MOST_ACCOUNTS", 3)
     shop = Shop()
     for n in range(6):
         shop.ledgers[0].account_for(
--- a/tests/test_store_tls.py
+++ b/tests/test_store_tls.py
@@ -15,9 +15,9 @@
 from hazelhollow.net import tls
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.operator import load, records
-from hazelhollow.shared_store.driver import Driver
-from hazelhollow.shared_store.exchange import Exchange
-from hazelhollow.shared_store.ledger import Ledger
+from hazelhollow.shared_store.client import StoreClient
+from hazelhollow.shared_store.driver import SharedStoreDriver
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 from hazelhollow.standins.redis.faults import Fault
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.server import Server
@@ -44,9 +44,9 @@
         self.server.start()
         settings = api.Settings(0, 2, (LOOK, BUY), (PLAN,))
         self.text = text
-        self.ledger = Ledger(settings, self.terms(), "l", self.now)
-        self.exchange = Exchange(self.ledger, self.terms(), 1)
-        self.driver = Driver(self.scheduler, self.exchange)
+        self.ledger = LeaseLedger(settings, self.terms(), "l", self.now)
+        self.exchange = StoreClient(self.ledger, self.terms(), 1)
+        self.driver = SharedStoreDriver(self.scheduler, self.exchange)
         self.driver.start()
 
     def terms(self) -> records.Store:
