--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -19,7 +19,7 @@
 from hazelhollow.bench.world import START, WARM_UP, Fleet, Member
 from hazelhollow.decisions import interface as api
 from hazelhollow.operator.load import read
-from hazelhollow.operator.records import Store as Terms
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.standins.redis.faults import Fault
 from hazelhollow.standins.redis.node import Node
 
@@ -28,7 +28,7 @@
 Plan = Callable[[random.Random], list[Fault]]
 
 
-def terms(hold: str = "both", plans: tuple[str, ...] = ()) -> Terms:
+def terms(hold: str = "both", plans: tuple[str, ...] = ()) -> StoreSettings:
     """The store's settings with their defaults, as an operator file gives them."""
     names = ", ".join(f'"{name}"' for name in plans)
     store = read(
--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -19,7 +19,7 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip_codec import base36
 from hazelhollow.net.limiter import Decisions
-from hazelhollow.operator.records import Store as Terms
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.exchange import Exchange
 from hazelhollow.shared_store.leased_decisions import LeasedDecisions
 from hazelhollow.shared_store.ledger import Ledger
@@ -138,7 +138,7 @@
         world: World,
         number: int,
         settings: api.Settings,
-        terms: Terms | None,
+        terms: StoreSettings | None,
         host: StoreHost | None,
     ) -> None:
         self.world, self.number, self.settings, self.terms, self.host = (
@@ -302,7 +302,7 @@
         seed: int,
         gateways: int,
         seconds: float,
-        terms: Terms | None,
+        terms: StoreSettings | None,
         node: Callable[[Callable[[], float]], Node],
         uneven: bool = False,
     ) -> None:
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -27,9 +27,16 @@
 from hazelhollow.net.limiter import Decisions
 from hazelhollow.net.peers import Peers
 from hazelhollow.net.service import Service
-from hazelhollow.operator import load, logs, records
+from hazelhollow.operator import live_changes, load, logs
 from hazelhollow.operator.commands import fail
-from hazelhollow.operator.syntax import CueError, Place, Trouble
+from hazelhollow.operator.errors import CueError, Place, Problem
+from hazelhollow.operator.settings import (
+    AuditSettings,
+    ControlSettings,
+    FleetSettings,
+    OperatorSettings,
+    ReplicationSettings,
+)
 from hazelhollow.replication import snapshot
 from hazelhollow.replication.driver import Driver as ReplicaDriver
 from hazelhollow.shared_store.driver import Driver
@@ -89,7 +96,7 @@
     Every call comes from the limiter's own thread.
     """
 
-    def __init__(self, file: str, operator: records.Operator) -> None:
+    def __init__(self, file: str, operator: OperatorSettings) -> None:
         self.file, self.operator = file, operator
         self.ledger: Ledger | None = None
         self.driver: Driver | None = None
@@ -136,7 +143,7 @@
         if self.operator.fleet:
             self._begin_view(service, self.operator.fleet)
 
-    def _begin_view(self, service: Service, terms: records.Fleet) -> None:
+    def _begin_view(self, service: Service, terms: FleetSettings) -> None:
         settings, peers = service.settings, service.limiter.peers
         if peers is None or not settings.peers or settings.limiter_count < 2:
             log.warning(
@@ -180,7 +187,7 @@
         if terms.audit:
             self._begin_audit(service, self.fleet, terms.audit)
 
-    def _begin_control(self, service: Service, peers: Peers, terms: records.Control) -> None:
+    def _begin_control(self, service: Service, peers: Peers, terms: ControlSettings) -> None:
         self._budget = LimiterBudget(
             terms.bytes_per_s, peers, service.scheduler.clock, self.seal.length
         )
@@ -192,7 +199,7 @@
         return self._budget.part(role) if self._budget else None
 
     def _begin_replica(
-        self, service: Service, fleet: FleetDriver, terms: records.Replicate
+        self, service: Service, fleet: FleetDriver, terms: ReplicationSettings
     ) -> None:
         peers = service.limiter.peers
         assert peers is not None
@@ -218,7 +225,7 @@
         service.stats.replica = self.replica.exchange.counts
         self.replica.start()
 
-    def _begin_audit(self, service: Service, fleet: FleetDriver, terms: records.Audit) -> None:
+    def _begin_audit(self, service: Service, fleet: FleetDriver, terms: AuditSettings) -> None:
         peers, me, incarnation = (
             service.limiter.peers,
             service.settings.limiter_id,
@@ -306,24 +313,24 @@
         try:
             new = load.load(self.file)
         except CueError as error:
-            for trouble in error.troubles:
-                log.error("the operator file stays as it was", trouble=str(trouble))
+            for problem in error.problems:
+                log.error("the operator file stays as it was", problem=str(problem))
             return
-        live, later = load.changes(self.operator, new)
+        live, later = live_changes.changes(self.operator, new)
         if later:
             log.warning("these settings need a restart and stay as they were", settings=later)
         self._take(new, live)
         if taken:
             self.order = self._order_told()
 
-    def _take(self, new: records.Operator, live: list[str]) -> None:
+    def _take(self, new: OperatorSettings, live: list[str]) -> None:
         if any(path.startswith("log.") for path in live):
             logs.configure(new.log)
-        self.operator = load.merged(self.operator, new)
+        self.operator = live_changes.merged(self.operator, new)
         try:
             self.seal.keys = _keys(self.operator.fleet)
         except (OSError, ValueError) as error:
-            log.error("the keys stay as they were", trouble=str(error))
+            log.error("the keys stay as they were", problem=str(error))
         if self.driver and self.operator.store:
             self.driver.change(
                 self.operator.store
@@ -334,7 +341,7 @@
 def open_file(file: str) -> Attached:
     """Reads the file and sets up logs.
 
-    Ends the program, with a line for each trouble, if it cannot be used.
+    Ends the program, with a line for each problem, if it cannot be used.
     """
     try:
         operator = load.load(file)
@@ -345,9 +352,9 @@
         return Attached(file, operator)
     except (OSError, ValueError) as error:
         place = operator.fleet.keys_file if operator.fleet else file
-        fail(CueError([Trouble(Place(place, 1, 1), "fleet.keys_file", str(error))]))
+        fail(CueError([Problem(Place(place, 1, 1), "fleet.keys_file", str(error))]))
 
 
-def _keys(terms: records.Fleet | None) -> list[bytes]:
+def _keys(terms: FleetSettings | None) -> list[bytes]:
     """Raises OSError or ValueError for a file that cannot be used."""
     return read_keys(Path(terms.keys_file).read_bytes()) if terms and terms.keys_file else []
--- a/hazelhollow/operator/commands.py
+++ b/hazelhollow/operator/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow config`: what an operator file says, and what is wrong with it."""
+"""`hazelhollow config`: checks an operator file and shows its effective values."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from hazelhollow.operator import load
 from hazelhollow.operator.describe import show
+from hazelhollow.operator.errors import CueError
 from hazelhollow.operator.evaluate import mask
-from hazelhollow.operator.syntax import CueError
 
-BAD = 2  # exit status for a file that cannot be used
+EXIT_BAD_FILE = 2
 
 
 @click.group("config")
@@ -32,7 +32,7 @@
 def check(file: str, as_json: bool) -> None:
     """Say what is wrong with FILE, all of it at once.
 
-    Exit status 0: the file can be used. 2: it cannot; each trouble is one line with file, line,
+    Exit status 0: the file can be used. 2: it cannot; each problem is one line with file, line,
     column, path, what was found and what is allowed.
     """
     try:
@@ -41,17 +41,17 @@
         if as_json:
             rows = [
                 {
-                    "file": t.place.file,
-                    "line": t.place.line,
-                    "column": t.place.column,
-                    "path": t.path,
-                    "found": t.found,
-                    "allowed": t.allowed,
+                    "file": problem.place.file,
+                    "line": problem.place.line,
+                    "column": problem.place.column,
+                    "path": problem.path,
+                    "found": problem.found,
+                    "allowed": problem.allowed,
                 }
-                for t in error.troubles
+                for problem in error.problems
             ]
             click.echo(orjson.dumps(rows).decode())
-            sys.exit(BAD)
+            sys.exit(EXIT_BAD_FILE)
         fail(error)
     click.echo("[]" if as_json else f"{file}: good")
 
@@ -89,7 +89,7 @@
 
 
 def fail(error: CueError) -> NoReturn:
-    """One line a trouble, and the exit status for bad input."""
-    for trouble in error.troubles:
-        click.echo(f"hazelhollow: {trouble}", err=True)
-    sys.exit(BAD)
+    """Prints one line a problem and ends the program with the status for a bad file."""
+    for problem in error.problems:
+        click.echo(f"hazelhollow: {problem}", err=True)
+    sys.exit(EXIT_BAD_FILE)
--- a/hazelhollow/operator/constraints.py
+++ b/hazelhollow/operator/constraints.py
@@ -1,7 +1,4 @@
-"""Bounds on a value.
-
-Comparisons and patterns, which operands they take, and whether a value keeps to them.
-"""
+"""Bounds on a value: comparisons and patterns, and whether a value keeps to them."""
 
 from __future__ import annotations
 
@@ -11,12 +8,13 @@
 from typing import Any
 
 from hazelhollow.operator.describe import show
+from hazelhollow.operator.errors import Place
 from hazelhollow.operator.kinds import ANY, NUMBER, STRING, kind_of
-from hazelhollow.operator.syntax import Place
 
 MAX_PATTERN = 200  # characters
 PATTERN_SIGNS = ("=~", "!~")
-# Repeats of repeats, look-around, back references: a pattern of those may take for ever.
+# Repeats of repeats, look-around and back references can take exponential time: such a pattern is
+# rejected, since an operator file must be read in bounded time.
 _UNSAFE_PATTERN = re.compile(r"[+*}][)]+[+*{]|\(\?|\\[0-9]")
 _COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
     ">=": lambda value, operand: value >= operand,
@@ -31,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Constraint:
-    """A bound whose operand is worked out."""
+    """A bound whose operand has been evaluated."""
 
     sign: str
     operand: Any
--- a/hazelhollow/operator/describe.py
+++ b/hazelhollow/operator/describe.py
@@ -1,10 +1,10 @@
-"""Values and expressions in CUE's words, for messages and for `config show`."""
+"""Writes values and expressions in CUE's notation, for messages and for `config show`."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from hazelhollow.operator.syntax import (
+from hazelhollow.operator.syntax_tree import (
     Bound,
     Conjunction,
     Disjunction,
--- a/hazelhollow/operator/evaluate.py
+++ b/hazelhollow/operator/evaluate.py
@@ -1,9 +1,9 @@
-"""Syntax trees to plain values: unification, closed definitions, defaults, references.
+"""Evaluates syntax trees to plain values: unification, closed definitions, defaults, references.
 
-Source: the CUE language specification, sections "Values", "Structs", "References", "Default
-values". A node stands for one path; it gathers the expressions that bear on it (its conjuncts, each
-with the scope it was written in) and is worked out when all of them are known. Work is bounded by
-MAX_STEPS, whatever a file refers to.
+Source: the CUE language specification, sections "Values", "Structs", "References" and "Default
+values". A node stands for one path; it collects its conjuncts (the expressions to be unified there,
+each with its scope) and is evaluated when all are known. The work is bounded, whatever a file
+refers to, so that no operator file can hang a limiter that reads it.
 """
 
 from __future__ import annotations
@@ -15,22 +15,20 @@
 from hazelhollow.operator.constraints import Constraint
 from hazelhollow.operator.describe import describe, show
 from hazelhollow.operator.diagnostics import Diagnostics
+from hazelhollow.operator.errors import CueError, Place, Problem
 from hazelhollow.operator.kinds import LIST, NULL, STRUCT, TYPES, kind_of
 from hazelhollow.operator.lists import items_of
 from hazelhollow.operator.nodes import Conjunct, DefinitionUse, Node, Scope, State
 from hazelhollow.operator.structs import DEFINITION, HIDDEN, settle_fields, take_fields
-from hazelhollow.operator.syntax import (
+from hazelhollow.operator.syntax_tree import (
     Bound,
     Choice,
     Concrete,
     Conjunction,
-    CueError,
     Disjunction,
     Literal,
-    Place,
     Reference,
     Struct,
-    Trouble,
 )
 
 MAX_STEPS = 10_000
@@ -42,14 +40,11 @@
 
 
 class WorkLimitError(Exception):
-    """The bound on the work is reached."""
+    """Evaluation would take more steps, levels or combinations than are allowed."""
 
 
 class Fit(NamedTuple):
-    """A combination of choices that unifies.
-
-    Whether all are defaults, the value, and the node that has it.
-    """
+    """A combination of choices that unifies: whether all are defaults, its value and its node."""
 
     is_default: bool
     value: Value
@@ -57,10 +52,7 @@
 
 
 class Evaluator:
-    """Works out nodes and gathers what is wrong.
-
-    `own_file`: whose places are told where there is a choice of places.
-    """
+    """Evaluates nodes and collects problems; places in `own_file` are preferred in messages."""
 
     def __init__(self, own_file: str) -> None:
         self._diagnostics = Diagnostics(own_file)
@@ -70,41 +62,35 @@
         self._level = 0
 
     @property
-    def troubles(self) -> list[Trouble]:
-        """What is wrong so far."""
-        return self._diagnostics.troubles
+    def problems(self) -> list[Problem]:
+        """The problems found so far."""
+        return self._diagnostics.problems
 
-    # What is wrong
+    # Reporting problems
 
     def _report_value(self, node: Node, place: Place, found: str, allowed: str) -> None:
-        """Of a value that does not fit; `allowed` is told where the other conjuncts say nothing."""
+        """Reports a value that does not fit; `allowed` is used if no other conjunct limits it."""
         own_place = self._diagnostics.own_place(node, place)
         self._diagnostics.report(node, own_place, found, self._allowed(node) or allowed)
 
     def _allowed(self, node: Node) -> str:
-        """What the others say of this node.
-
-        The definitions' words, names of definitions looked through.
-        """
-        words = []
+        """The schema's limits on this node, as CUE writes them; references are resolved once."""
+        limits = []
         for conjunct in node.conjuncts:
             if not self._diagnostics.is_own(conjunct.expr.place):
                 is_reference = isinstance(conjunct.expr, Reference)
                 target = self._target(node, conjunct, quiet=True) if is_reference else None
-                words += (
+                limits += (
                     [describe(c.expr) for c in target.conjuncts]
                     if target
                     else [describe(conjunct.expr)]
                 )
-        return " & ".join(dict.fromkeys(words))
+        return " & ".join(dict.fromkeys(limits))
 
-    # Gathering
+    # Expanding conjuncts
 
     def expand(self, node: Node) -> None:
-        """Takes all conjuncts apart: what kinds, bounds and fields there are.
-
-        Values of fields wait.
-        """
+        """Takes all conjuncts apart into kinds, bounds and fields; fields are not evaluated yet."""
         if node.state is not State.NEW:
             return
         node.state = State.OPEN
@@ -121,10 +107,7 @@
         node.state = State.DONE
 
     def _take(self, node: Node, conjunct: Conjunct) -> list[Conjunct]:
-        """Takes one conjunct.
-
-        Gives those it consists of, where it does not bear on the node by itself.
-        """
+        """Applies one conjunct to the node, or gives the conjuncts that it consists of."""
         expr = conjunct.expr
         if isinstance(expr, Conjunction):
             return [conjunct.with_expr(part) for part in expr.parts]
@@ -179,7 +162,7 @@
                 self._narrow(node, TYPES[name], expr.place)
             return []
         if id(target) in node.followed or target is node:
-            return []  # round in a circle: nothing new is said, as the specification has it
+            return []  # a reference cycle adds nothing, by the specification
         node.followed.add(id(target))
         return _referred_conjuncts(conjunct, expr, target)
 
@@ -208,10 +191,7 @@
     # Disjunctions
 
     def _choose(self, node: Node) -> None:
-        """Tries each combination.
-
-        The one that fits is taken, or of several the one that is the default.
-        """
+        """Tries all combinations of choices; takes the one that unifies, or the default one."""
         fits = self._fits(node)
         best = [fit for fit in fits if fit.is_default] or fits
         if best and all(fit.value == best[0].value for fit in best):
@@ -252,9 +232,9 @@
         ]
         trial = Node(node.path, node.place, followed=set(node.followed))
         trial.conjuncts = self._without_disjunctions(node) + chosen
-        saved, self._diagnostics.troubles = self._diagnostics.troubles, []
+        saved, self._diagnostics.problems = self._diagnostics.problems, []
         value = self.value(trial)
-        failed, self._diagnostics.troubles = bool(self._diagnostics.troubles), saved
+        failed, self._diagnostics.problems = bool(self._diagnostics.problems), saved
         if failed and not must_fit:
             return None
         is_default = all(
@@ -264,10 +244,7 @@
         return Fit(is_default, value, trial)
 
     def _without_disjunctions(self, node: Node) -> list[Conjunct]:
-        """The conjuncts with references and conjunctions taken apart.
-
-        So that no disjunction is left in them.
-        """
+        """The conjuncts with references and conjunctions resolved and disjunctions left out."""
         flat: list[Conjunct] = []
         pending, followed = list(node.conjuncts), set[int]()
         while pending:
@@ -289,7 +266,7 @@
     # Values
 
     def value(self, node: Node) -> Value:
-        """The plain value; what is wrong or missing is in `troubles`, and stands for null."""
+        """The plain value; what is wrong or missing is reported and evaluates to null."""
         self._level += 1
         try:
             if self._level > MAX_LEVELS:
@@ -312,7 +289,7 @@
                 child.place = child.place if is_own else node.place
                 values[label] = self.value(child)
             elif is_own and child.conjuncts and self._nested_disjunctions == 0:
-                # definitions need not be whole, but must not contradict themselves
+                # Definitions need not be concrete, but must not contradict themselves.
                 self.expand(child)
         return values
 
@@ -355,7 +332,8 @@
 def evaluate(own: Struct, schema: Struct | None = None, definition: str = "") -> Value:
     """The file's value, unified with a definition of the schema.
 
-    Raises `CueError` with all that is wrong.
+    Raises:
+        CueError: with all problems.
     """
     return evaluate_placed(own, schema, definition)[0]
 
@@ -363,7 +341,7 @@
 def evaluate_placed(
     own: Struct, schema: Struct | None, definition: str
 ) -> tuple[Value, dict[str, Place]]:
-    """As `evaluate`, and for each path where the file bears on it, or what it stands in does."""
+    """As `evaluate`, and for each path its place in the file, or that of what encloses it."""
     evaluator = Evaluator(own.place.file)
     root = Node("", own.place)
     if schema is not None:
@@ -376,10 +354,10 @@
         value = evaluator.value(root)
     except (WorkLimitError, RecursionError):
         bounds = f"{MAX_STEPS} steps, {MAX_LEVELS} levels"
-        trouble = Trouble(own.place, "", "this takes too much to work out", bounds)
-        raise CueError([*evaluator.troubles, trouble]) from None
-    if evaluator.troubles:
-        raise CueError(evaluator.troubles)
+        problem = Problem(own.place, "", "this takes too much to work out", bounds)
+        raise CueError([*evaluator.problems, problem]) from None
+    if evaluator.problems:
+        raise CueError(evaluator.problems)
     return value, evaluator.places
 
 
--- a/hazelhollow/operator/lists.py
+++ b/hazelhollow/operator/lists.py
@@ -1,4 +1,4 @@
-"""The items of a node: what its list literals say of each."""
+"""Unifies the list literals of a node item by item."""
 
 from __future__ import annotations
 
--- a/hazelhollow/operator/logs.py
+++ b/hazelhollow/operator/logs.py
@@ -1,7 +1,4 @@
-"""Events through structlog: one line each, as JSON or for a console.
-
-What the rest says by `logging` goes the same way.
-"""
+"""Sets up structlog and the standard `logging` module to write the same lines, JSON or console."""
 
 from __future__ import annotations
 
@@ -11,11 +8,11 @@
 
 import structlog
 
-from hazelhollow.operator.records import Log
+from hazelhollow.operator.settings import LogSettings
 
 
-def configure(log: Log, sink: TextIO | None = None) -> None:
-    """From now on, on `sink` (standard error).
+def configure(log: LogSettings, sink: TextIO | None = None) -> None:
+    """Writes log lines to `sink` (default: standard error) from now on.
 
     May be called again when the operator file has changed.
     """
--- a/hazelhollow/operator/nodes.py
+++ b/hazelhollow/operator/nodes.py
@@ -1,6 +1,6 @@
-"""What the evaluator knows of each path.
+"""The evaluator's state for each path: its conjuncts with their scopes, and their unification.
 
-Its conjuncts, each with the scope it was written in, and what came of them.
+A node is `NEW` until it is expanded, `OPEN` while its conjuncts are taken apart, and `DONE` after.
 """
 
 from __future__ import annotations
@@ -9,16 +9,14 @@
 from enum import Enum
 
 from hazelhollow.operator.constraints import Constraint
+from hazelhollow.operator.errors import Place
 from hazelhollow.operator.kinds import ANY
-from hazelhollow.operator.syntax import Concrete, Disjunction, Expr, ListLiteral, Place
+from hazelhollow.operator.syntax_tree import Concrete, Disjunction, Expr, ListLiteral
 
 
 @dataclass(frozen=True, eq=False)
 class Scope:
-    """The struct an expression was written in.
-
-    Its labels, the node they are found at, and what is round it.
-    """
+    """The struct in which an expression stands: its labels, its node, and the enclosing scope."""
 
     labels: frozenset[str]
     node: Node
@@ -41,7 +39,7 @@
 
 @dataclass(frozen=True, eq=False)
 class Conjunct:
-    """One expression that bears on a node, and the uses of definitions that it came by."""
+    """One expression to be unified at a node, and the definitions through which it was reached."""
 
     expr: Expr
     scope: Scope | None
@@ -57,22 +55,22 @@
 
 
 class State(Enum):
-    """How far a node is worked out."""
+    """How far a node has been evaluated."""
 
     NEW = "new"
-    OPEN = "open"  # its parts are being gathered
+    OPEN = "open"  # its conjuncts are being taken apart
     DONE = "done"
 
 
 @dataclass(eq=False)
 class Node:
-    """One path: what bears on it, and what came of that."""
+    """One path, its conjuncts and what they unify to."""
 
     path: str
     place: Place
     conjuncts: list[Conjunct] = field(default_factory=list)
     state: State = State.NEW
-    kinds: frozenset[str] = ANY  # that its value may still have
+    kinds: frozenset[str] = ANY  # that the value can still have
     value: Concrete = None
     is_known: bool = False  # `value` is its value
     constraints: list[Constraint] = field(default_factory=list)
@@ -92,7 +90,7 @@
         return f"{self.path}.{label}" if self.path else label
 
     def adopt(self, other: Node) -> None:
-        """Takes over what came of another node for the same path."""
+        """Takes over the result of another node for the same path."""
         self.kinds, self.value, self.is_known = other.kinds, other.value, other.is_known
         self.constraints = other.constraints
         self.fields, self.field_places = other.fields, other.field_places
--- a/hazelhollow/operator/syntax.py
+++ b/hazelhollow/operator/parser.py
@@ -1,31 +1,41 @@
-"""Text to syntax tree.
+"""Parses the text of an operator file into a syntax tree.
 
-The subset of CUE that `cue.lark` describes, with a place in the file for every part.
-
-Source: the CUE language specification, sections "Lexical elements" and "Commas". Bounds: MAX_BYTES
-of text and MAX_DEPTH of brackets, so that no file can take more than a moment or exhaust the
-stack.
+The grammar is the subset of CUE in `cue.lark`; source: the CUE language specification, sections
+"Lexical elements" and "Commas". The size of the text and the depth of its brackets are bounded, so
+that no file can take long or exhaust the stack.
 """
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterable, Iterator
-from dataclasses import dataclass
 from functools import cache
 from pathlib import Path
-from typing import Any, Union
+from typing import Any
 
 from lark import Lark, Token, Tree
 from lark.exceptions import LarkError, UnexpectedCharacters, UnexpectedToken
 
-MAX_BYTES = 256 * 1024
-MAX_DEPTH = 32
-MAX_DIGITS = 18
-MAX_EXPONENT = 300
+from hazelhollow.operator.errors import CueError, Place, Problem
+from hazelhollow.operator.syntax_tree import (
+    Bound,
+    Choice,
+    Conjunction,
+    Disjunction,
+    Expr,
+    Field,
+    ListLiteral,
+    Literal,
+    Reference,
+    Struct,
+)
+
+MAX_BYTES = 256 * 1024  # of a file
+MAX_DEPTH = 32  # brackets within brackets
+MAX_DIGITS = 18  # of a number
+MAX_EXPONENT = 300  # of a number
 MAX_ECHOED = 40  # characters of a token that an error repeats
 MAX_EXPECTED = 8  # names of what could stand at a place, in an error
-OPTIONAL, REQUIRED = "?", "!"  # marks of a field
 _COMMA_FOLLOWS = {
     "IDENT",
     "TRUE",
@@ -74,135 +84,24 @@
     "BOUND": "a bound",
     "$END": "the end",
 }
+_CONSTANTS = {"yes": True, "no": False, "null": None}
 _END_NAMES = {"$END": "the end of the file", "_COMMA": "the end of a line or of an item"}
 
 
-@dataclass(frozen=True)
-class Place:
-    """Where something stands: the file's name, line and column from 1."""
-
-    file: str
-    line: int
-    column: int
-
-    def __str__(self) -> str:
-        return f"{self.file}:{self.line}:{self.column}"
-
-
-@dataclass(frozen=True)
-class Trouble:
-    """One thing that is wrong: where, at which path, what was found and what is allowed."""
-
-    place: Place
-    path: str
-    found: str
-    allowed: str = ""
-
-    def __str__(self) -> str:
-        path = f"{self.path}: " if self.path else ""
-        return f"{self.place}: {path}{self.found}" + (
-            f"; allowed: {self.allowed}" if self.allowed else ""
-        )
-
-
-class CueError(Exception):
-    """The text cannot be used. `troubles` are all that was found, in the order of the file."""
-
-    def __init__(self, troubles: list[Trouble]) -> None:
-        self.troubles = sorted(troubles, key=lambda t: (t.place.file, t.place.line, t.place.column))
-        super().__init__("\n".join(map(str, self.troubles)))
-
-
-Concrete = Union[str, int, float, bool, None]
-
-
-@dataclass(frozen=True)
-class Literal:
-    """A string, number, boolean or null."""
-
-    place: Place
-    value: Concrete
-
-
-@dataclass(frozen=True)
-class Reference:
-    """A name, or names with dots between them."""
-
-    place: Place
-    names: tuple[str, ...]
-
-
-@dataclass(frozen=True)
-class Bound:
-    """`>= 1`, `=~ "^a"` and the like: a comparison with what it stands at."""
-
-    place: Place
-    sign: str
-    operand: Expr
-
-
-@dataclass(frozen=True)
-class Conjunction:
-    """`A & B`: all of its parts at once."""
-
-    place: Place
-    parts: tuple[Expr, ...]
-
-
-@dataclass(frozen=True)
-class Choice:
-    """One part of a disjunction; a default is marked by `*`."""
-
-    is_default: bool
-    expr: Expr
-
-
-@dataclass(frozen=True)
-class Disjunction:
-    """`A | *B`: one of its choices."""
-
-    place: Place
-    choices: tuple[Choice, ...]
-
-
-@dataclass(frozen=True)
-class Field:
-    """One field of a struct: regular, or marked as optional or required."""
-
-    place: Place
-    label: str
-    mark: str  # OPTIONAL, REQUIRED or nothing
-    value: Expr
-
-
-@dataclass(frozen=True)
-class Struct:
-    """Fields in braces, or the whole file."""
-
-    place: Place
-    fields: tuple[Field, ...]
-
-
-@dataclass(frozen=True)
-class ListLiteral:
-    """A list; an open one goes on with values of `rest`, or any."""
-
-    place: Place
-    items: tuple[Expr, ...]
-    open: bool
-    rest: Expr | None
-
-
-Expr = Union[Literal, Reference, Bound, Conjunction, Disjunction, Struct, ListLiteral]
-
-
 class CommaInserter:
-    """Turns a line's end into a comma where CUE does, and bounds the depth of brackets."""
+    """Turns a line's end into a comma where CUE does, and bounds the depth of brackets.
+
+    A hook of lark's between its lexer and its parser.
+    """
 
     always_accept = ("_NL",)
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
-        """The tokens with those commas. Raises `UnexpectedToken` where brackets are too deep."""
+        """The tokens with those commas.
+
+        Raises:
+            UnexpectedToken: brackets are too deep.
+        """
         last: Token | None = None
         depth = 0
         for token in stream:
@@ -225,9 +124,10 @@
 
 
 def parse(data: bytes, file: str) -> Struct:
-    """The file's own struct.
+    """Parses a file's bytes; `file` is its name for messages.
 
-    Raises `CueError`, with one trouble: after the first, the rest would be guesses.
+    Raises:
+        CueError: with one problem: after the first, the rest would be guesses.
     """
     begin = Place(file, 1, 1)
     if len(data) > MAX_BYTES:
@@ -241,8 +141,8 @@
     except UnexpectedToken as error:
         token = error.token
         place = Place(file, token.line or text.count("\n") + 1, token.column or 1)
-        word = _END_NAMES.get(token.type, repr(str(token)[:MAX_ECHOED]))
-        raise _error(place, f"{word} cannot stand here", _expected(error.expected)) from None
+        found = _END_NAMES.get(token.type, repr(str(token)[:MAX_ECHOED]))
+        raise _error(place, f"{found} cannot stand here", _expected(error.expected)) from None
     except LarkError as error:
         raise _error(begin, str(error).splitlines()[0]) from None
 
@@ -257,7 +157,7 @@
 
 
 def _error(place: Place, found: str, allowed: str = "") -> CueError:
-    return CueError([Trouble(place, "", found, allowed)])
+    return CueError([Problem(place, "", found, allowed)])
 
 
 def _expected(tokens: Iterable[str] | None) -> str:
@@ -270,7 +170,7 @@
 
 
 class _Builder:
-    """Makes the typed tree out of lark's."""
+    """Converts lark's tree into the typed one."""
 
     def __init__(self, file: str) -> None:
         self.file = file
@@ -283,7 +183,7 @@
         return Place(self.file, getattr(token, "line", 1) or 1, getattr(token, "column", 1) or 1)
 
     def _field(self, tree: Any) -> Field:
-        label, *mark, value = tree.children
+        label, *suffix, value = tree.children
         place, name = self._place(label), str(label.children[0])
         name = self._text(label.children[0]) if label.data == "quoted" else name
         if label.data == "name" and name == "_":
@@ -293,37 +193,44 @@
             if value.data == "field"
             else self.expr(value)
         )
-        return Field(place, name, str(mark[0]) if mark else "", inner)
+        return Field(place, name, str(suffix[0]) if suffix else "", inner)
 
     def expr(self, tree: Any) -> Expr:
+        """One expression; the grammar's rule names the kind."""
         place, parts = self._place(tree), tree.children
-        kind = tree.data
-        if kind == "number":
-            return Literal(place, self._number(parts[0]))
-        if kind == "negative":
-            return Literal(place, -self._number(parts[1]))
-        if kind == "string":
-            return Literal(place, self._text(parts[0]))
-        if kind in ("yes", "no", "null"):
-            return Literal(place, {"yes": True, "no": False, "null": None}[kind])
-        if kind == "reference":
-            return Reference(place, tuple(map(str, parts)))
-        if kind == "bound":
-            return Bound(place, str(parts[0]), self.expr(parts[1]))
-        if kind == "both":
-            return Conjunction(place, tuple(map(self.expr, parts)))
-        if kind == "either":
-            return Disjunction(place, tuple(self._choice(part) for part in parts))
-        if kind == "preferred":
-            return Disjunction(place, (self._choice(tree),))
-        if kind == "struct":
-            return Struct(place, self.fields(parts))
-        rest = parts[-1] if parts and parts[-1].data == "rest" else None
-        items = tuple(map(self.expr, parts[: len(parts) - (rest is not None)]))
-        element = (
-            self.expr(rest.children[1]) if rest is not None and len(rest.children) > 1 else None
-        )
-        return ListLiteral(place, items, rest is not None, element)
+        match tree.data:
+            case "number":
+                return Literal(place, self._number(parts[0]))
+            case "negative":
+                return Literal(place, -self._number(parts[1]))
+            case "string":
+                return Literal(place, self._text(parts[0]))
+            case "yes" | "no" | "null":
+                return Literal(place, _CONSTANTS[tree.data])
+            case "reference":
+                return Reference(place, tuple(map(str, parts)))
+            case "bound":
+                return Bound(place, str(parts[0]), self.expr(parts[1]))
+        return self._compound(tree)
+
+    def _compound(self, tree: Any) -> Expr:
+        place, parts = self._place(tree), tree.children
+        match tree.data:
+            case "both":
+                return Conjunction(place, tuple(map(self.expr, parts)))
+            case "either":
+                return Disjunction(place, tuple(self._choice(part) for part in parts))
+            case "preferred":
+                return Disjunction(place, (self._choice(tree),))
+            case "struct":
+                return Struct(place, self.fields(parts))
+        return self._list(place, parts)
+
+    def _list(self, place: Place, parts: list[Any]) -> ListLiteral:
+        is_open = bool(parts) and parts[-1].data == "rest"
+        items = parts[:-1] if is_open else parts
+        rest = self.expr(parts[-1].children[1]) if is_open and len(parts[-1].children) > 1 else None
+        return ListLiteral(place, tuple(map(self.expr, items)), is_open, rest)
 
     def _choice(self, tree: Any) -> Choice:
         if tree.data == "preferred":
--- /dev/null
+++ b/hazelhollow/operator/settings.py
@@ -0,0 +1,120 @@
+"""The operator file's values as frozen records.
+
+`schema.cue` states each value's limits and default. All times are in seconds, paths are strings
+(empty: none).
+"""
+
+from __future__ import annotations
+
+from typing import Literal
+
+import msgspec
+
+
+class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """Base of all records: frozen, and no unknown fields."""
+
+
+class LogSettings(Settings, frozen=True):
+    """How log lines look and from which level on they are written."""
+
+    format: Literal["json", "console"]
+    level: Literal["debug", "info", "warning", "error"]
+
+
+class TlsSettings(Settings, frozen=True):
+    """TLS to the shared store: paths of PEM files, and the name that its certificate must have."""
+
+    ca_file: str
+    cert_file: str = ""
+    key_file: str = ""
+    server_name: str = ""
+
+
+class LeaseSettings(Settings, frozen=True):
+    """Leases of units from the shared store.
+
+    Attributes:
+        term: seconds for which a lease holds.
+        base_share: share of each limit that never enters the store.
+        ahead: seconds of use that are leased in advance.
+    """
+
+    term: float
+    base_share: float
+    ahead: float
+
+
+class PresenceSettings(Settings, frozen=True):
+    """Heartbeats in the shared store: seconds between two, and until one is void."""
+
+    every: float
+    term: float
+
+
+class StoreSettings(Settings, frozen=True):
+    """The shared store (Redis) and what is kept in it."""
+
+    address: tuple[str, int]
+    database: int
+    prefix: str
+    call_timeout: float
+    connect_timeout: float
+    retry_least: float
+    retry_most: float
+    calls_waiting: int
+    hold: Literal["ceilings", "quotas", "both"]
+    plans: tuple[str, ...]
+    lease: LeaseSettings
+    presence: PresenceSettings
+    username: str = ""
+    password_file: str = ""
+    tls: TlsSettings | None = None
+
+
+class ReplicationSettings(Settings, frozen=True):
+    """Replication of counts; `state_dir` is a folder for snapshots that outlives the process."""
+
+    state_dir: str = ""
+
+
+class AuditSettings(Settings, frozen=True):
+    """Distribution and audit of settings.
+
+    Attributes:
+        order: revision of the settings, raised by the operator with each change.
+        state_dir: folder for the audit record, which outlives the process.
+        samples: requests a second that are written to the record.
+    """
+
+    order: int = 0
+    state_dir: str = ""
+    samples: int = 3
+
+
+class ControlSettings(Settings, frozen=True):
+    """The control budget: bytes a second of one limiter's control traffic.
+
+    Headers included, over any ten seconds.
+    """
+
+    bytes_per_s: float
+
+
+class FleetSettings(Settings, frozen=True):
+    """Membership, and what builds on it."""
+
+    seeds: tuple[tuple[str, int], ...] = ()
+    keys_file: str = ""
+    view_file: str = ""
+    replicate: ReplicationSettings | None = None
+    audit: AuditSettings | None = None
+    control: ControlSettings | None = None
+
+
+class OperatorSettings(Settings, frozen=True):
+    """The whole file; a part that is absent is switched off."""
+
+    log: LogSettings
+    store: StoreSettings | None = None
+    fleet: FleetSettings | None = None
--- a/hazelhollow/operator/structs.py
+++ b/hazelhollow/operator/structs.py
@@ -1,7 +1,4 @@
-"""The fields of a node.
-
-What its structs list, which of them are optional or required, and what a closed one refuses.
-"""
+"""Unifies the structs of a node: regular, optional and required fields, and closed definitions."""
 
 from __future__ import annotations
 
@@ -10,25 +7,25 @@
 from hazelhollow.operator.describe import describe
 from hazelhollow.operator.diagnostics import Diagnostics
 from hazelhollow.operator.nodes import Conjunct, Node, Scope
-from hazelhollow.operator.syntax import REQUIRED, Field, Struct
+from hazelhollow.operator.syntax_tree import REQUIRED, Field, Struct
 
 DEFINITION = "#"  # labels of definitions begin so
 HIDDEN = (DEFINITION, "_")  # labels that begin so are no part of the value
 
 
 def take_fields(node: Node, conjunct: Conjunct, expr: Struct, diagnostics: Diagnostics) -> None:
-    """Adds to a node the fields of one struct that bears on it."""
+    """Adds the fields of one struct to a node."""
     labels = frozenset(field.label for field in expr.fields)
     scope = Scope(labels, node, conjunct.scope)
     for use in conjunct.uses:
         node.allowed_labels.setdefault(use, set()).update(labels)
     for field in expr.fields:
         part = Conjunct(field.value, scope, conjunct.uses)
-        if not field.mark:
+        if not field.suffix:
             _take_regular_field(node, field, part, diagnostics)
             continue
         node.optional.setdefault(field.label, []).append(part)
-        if field.mark == REQUIRED:
+        if field.suffix == REQUIRED:
             node.required[field.label] = field.place
 
 
@@ -44,10 +41,7 @@
 
 
 def settle_fields(node: Node, diagnostics: Diagnostics) -> None:
-    """When all structs are taken.
-
-    Optional fields bear on those that are there; a closed struct takes no others.
-    """
+    """Applies optional and required fields and closedness, once all structs have been added."""
     for label, parts in node.optional.items():
         if label in node.fields:
             known = {id(conjunct) for conjunct in node.fields[label].conjuncts}
@@ -60,10 +54,10 @@
             )
     for allowed in node.allowed_labels.values():
         for label in [x for x in node.fields if x not in allowed and not x.startswith(HIDDEN)]:
-            _refuse_field(node, label, allowed, diagnostics)
+            _reject_field(node, label, allowed, diagnostics)
 
 
-def _refuse_field(node: Node, label: str, allowed: set[str], diagnostics: Diagnostics) -> None:
+def _reject_field(node: Node, label: str, allowed: set[str], diagnostics: Diagnostics) -> None:
     near = difflib.get_close_matches(label, allowed, 1)
     hint = f", is '{near[0]}' meant?" if near else ""
     names = ", ".join(sorted(name for name in allowed if not name.startswith(HIDDEN)))
--- a/hazelhollow/shared_store/account.py
+++ b/hazelhollow/shared_store/account.py
@@ -11,7 +11,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.state import Store as TokenBucket
-from hazelhollow.operator.records import Store as StoreSettings
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.pool import Pool
 
 RATE_WINDOW = 1.5  # seconds over which a customer's rate is averaged
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -13,7 +13,7 @@
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream, tls
 from hazelhollow.net.ending import Ending
-from hazelhollow.operator.records import Store as StoreSettings
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.exchange import Exchange
 from hazelhollow.shared_store.link import Credentials
 
--- a/hazelhollow/shared_store/exchange.py
+++ b/hazelhollow/shared_store/exchange.py
@@ -14,7 +14,7 @@
 import structlog
 
 from hazelhollow.net.backoff import Backoff
-from hazelhollow.operator.records import Store as StoreSettings
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store import link as link_
 from hazelhollow.shared_store.ledger import Ledger
 
--- a/hazelhollow/shared_store/ledger.py
+++ b/hazelhollow/shared_store/ledger.py
@@ -20,7 +20,7 @@
 import math
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.operator.records import Store as StoreSettings
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.account import Account, Call, open_account
 from hazelhollow.shared_store.pool import Pool
 from hazelhollow.shared_store.presence import Presence
--- a/hazelhollow/shared_store/presence.py
+++ b/hazelhollow/shared_store/presence.py
@@ -11,7 +11,7 @@
 
 import math
 
-from hazelhollow.operator.records import Store as StoreSettings
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.account import Call
 from hazelhollow.shared_store.scripts import PresenceAnswer, milliseconds, presence_key
 
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -15,7 +15,7 @@
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net import tls
 from hazelhollow.operator.commands import fail
-from hazelhollow.operator.syntax import CueError
+from hazelhollow.operator.errors import CueError
 from hazelhollow.standins import node
 from hazelhollow.standins.redis import faults, server
 
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class SlowStart:
-    """Speed after the start: from a share `start` of the full one, linearly over `lasts` seconds."""
+    """Speed after the start: from a share `start` linearly to the full one in `lasts` seconds."""
 
     start: float = 1.0
     lasts: float = 0.0
--- a/hazelhollow/standins/redis/faults.py
+++ b/hazelhollow/standins/redis/faults.py
@@ -15,7 +15,7 @@
 
 from hazelhollow.operator.evaluate import evaluate
 from hazelhollow.operator.load import seconds
-from hazelhollow.operator.syntax import parse
+from hazelhollow.operator.parser import parse
 
 MOMENTARY = frozenset({"restart_empty", "restart_old", "flush_scripts", "flush_data", "clock_jump"})
 ERRORS = {
--- a/hazelhollow/standins/redis/scripts.py
+++ b/hazelhollow/standins/redis/scripts.py
@@ -204,7 +204,7 @@
 
 
 def _argument(value: Any) -> bytes | None:
-    """A command's argument as Redis takes it from Lua: a string, or a number in Lua's own notation."""
+    """A command's argument as Redis takes it from Lua: a string, or a number as Lua prints it."""
     if isinstance(value, bytes):
         return value
     if isinstance(value, bool) or not isinstance(value, int | float):
--- a/tests/test_control_budget.py
+++ b/tests/test_control_budget.py
@@ -39,9 +39,10 @@
 from hazelhollow.membership.records import ALIVE, DEAD, JOINING, LEFT, SUSPECT, Record, Table
 from hazelhollow.membership.rumours import Rumours
 from hazelhollow.membership.suspicions import ASKED, SAMPLE, Doubts, Suspicions
-from hazelhollow.operator import load, records
+from hazelhollow.operator import load
 from hazelhollow.operator.attach import Attached
-from hazelhollow.operator.syntax import CueError
+from hazelhollow.operator.errors import CueError
+from hazelhollow.operator.settings import ControlSettings, OperatorSettings
 from tests.scenario import SETTINGS
 
 START = 1000.0
@@ -422,12 +423,12 @@
 def test_without_a_control_block_there_is_no_budget_and_with_one_there_is_all_of_it(
     tmp_path: Path,
 ) -> None:
-    def read(text: str) -> records.Operator:
+    def read(text: str) -> OperatorSettings:
         return load.read(b"package operator\n" + text.encode(), "x.cue")
 
     none, some = read("fleet: {}"), read("fleet: control: {}")
     assert none.fleet and none.fleet.control is None
-    assert some.fleet and some.fleet.control == records.Control(bytes_per_s=4000.0)
+    assert some.fleet and some.fleet.control == ControlSettings(bytes_per_s=4000.0)
     plain = replace(SETTINGS, peers=True)
     assert Attached("x.cue", none).settings(plain) is plain and plain.gossip_bytes_per_s == 0.0
     assert Attached("x.cue", some).settings(plain).gossip_bytes_per_s == 1600.0
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -18,9 +18,11 @@
 from hypothesis import strategies as st
 
 from hazelhollow.cli import main
-from hazelhollow.operator import attach, load, logs, records
+from hazelhollow.operator import attach, live_changes, load, logs
+from hazelhollow.operator.errors import CueError
 from hazelhollow.operator.evaluate import evaluate
-from hazelhollow.operator.syntax import MAX_BYTES, CueError, parse
+from hazelhollow.operator.parser import MAX_BYTES, parse
+from hazelhollow.operator.settings import LogSettings, OperatorSettings
 
 SCHEMA = b"""package s
 #Op: {log: #Log, store?: #Store, n: *3 | int & >=1 & <=64, kind: *#A | #B}
@@ -41,10 +43,10 @@
     return evaluate(parse(text.encode(), "f.cue"))
 
 
-def troubles(text: str, schema: bool = True) -> list[str]:
+def problems(text: str, schema: bool = True) -> list[str]:
     with pytest.raises(CueError) as caught:
         read(text) if schema else plain(text)
-    return [str(t) for t in caught.value.troubles]
+    return [str(t) for t in caught.value.problems]
 
 
 DEFAULT = {"log": {"format": "json"}, "n": 3, "kind": {"is": "a", "x": 1}}
@@ -145,7 +147,7 @@
 def test_all_troubles_are_told_with_place_path_and_what_is_allowed(
     text: str, expected: list[str]
 ) -> None:
-    assert troubles(text) == expected
+    assert problems(text) == expected
 
 
 @pytest.mark.parametrize(
@@ -174,7 +176,7 @@
     ],
 )
 def test_what_cannot_be_read_is_named(text: str, word: str) -> None:
-    assert any(word in trouble for trouble in troubles(text, schema=False))
+    assert any(word in problem for problem in problems(text, schema=False))
 
 
 @pytest.mark.parametrize(
@@ -232,7 +234,7 @@
     try:
         evaluate(parse(data, "f.cue"), parse(SCHEMA, "schema.cue"), "#Op")
     except CueError as error:
-        assert error.troubles and all(t.found and t.place.line > 0 for t in error.troubles)
+        assert error.problems and all(t.found and t.place.line > 0 for t in error.problems)
 
 
 @hyp(max_examples=15)
@@ -290,26 +292,26 @@
     assert CliRunner().invoke(main, ["config", "check", str(file)]).exit_code == 0
 
 
-def operator(text: str) -> records.Operator:
+def operator(text: str) -> OperatorSettings:
     return load.read(text.encode(), "x.cue")
 
 
 def test_of_a_changed_file_the_live_part_is_taken_and_the_rest_named() -> None:
     old = operator('store: {address: "a:1", prefix: "p"}')
     new = operator('log: level: "debug"\nstore: {address: "a:2", prefix: "q", tls: ca_file: "c"}')
-    live, later = load.changes(old, new)
+    live, later = live_changes.changes(old, new)
     assert {"log.level", "store.address", "store.tls.ca_file"} <= set(live) and all(
         "tls" in p for p in live[2:]
     )
     assert later == ["store.prefix"]
-    taken = load.merged(old, new)
+    taken = live_changes.merged(old, new)
     assert taken.store and (taken.store.address, taken.store.prefix, taken.log.level) == (
         ("a", 2),
         "p",
         "debug",
     )
-    assert load.changes(old, operator("")) == ([], ["store"])
-    assert load.merged(old, operator("")).store == old.store
+    assert live_changes.changes(old, operator("")) == ([], ["store"])
+    assert live_changes.merged(old, operator("")).store == old.store
 
 
 def test_a_reload_takes_a_good_file_and_a_bad_one_changes_nothing(
@@ -335,7 +337,7 @@
     root, sink = logging.getLogger(), io.StringIO()
     handlers, level = root.handlers[:], root.level
     try:
-        logs.configure(records.Log(format="json", level="info"), sink)
+        logs.configure(LogSettings(format="json", level="info"), sink)
         structlog.get_logger("here").info("began", port=1)
         logging.getLogger("there").warning("old %s", "way")
         logging.getLogger("there").debug("not said")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,8 @@
 from hazelhollow.bench.checker import Bucket
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.backoff import Backoff
-from hazelhollow.operator import attach, load, records
+from hazelhollow.operator import attach, load
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store import link as link_
 from hazelhollow.shared_store import scripts
 from hazelhollow.shared_store.account import Call
@@ -41,7 +42,7 @@
 BASIC = api.Plan("basic", rate=100.0, burst=100.0)
 
 
-def terms(extra: str = "") -> records.Store:
+def terms(extra: str = "") -> StoreSettings:
     store = load.read(f'store: {{address: "127.0.0.1:1", {extra}}}'.encode(), "t").store
     assert store
     return store
--- a/tests/test_store_tls.py
+++ b/tests/test_store_tls.py
@@ -14,7 +14,8 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import tls
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.operator import load, records
+from hazelhollow.operator import load
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.driver import Driver
 from hazelhollow.shared_store.exchange import Exchange
 from hazelhollow.shared_store.ledger import Ledger
@@ -49,7 +50,7 @@
         self.driver = Driver(self.scheduler, self.exchange)
         self.driver.start()
 
-    def terms(self) -> records.Store:
+    def terms(self) -> StoreSettings:
         address = "{}:{}".format(*self.server.address)
         store = load.read(f'store: {{address: "{address}", {self.text}}}'.encode(), "t").store
         assert store
