--- a/hazelhollow/shared_store/lease_ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -20,7 +20,7 @@
 import math
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.operator.records import Store as StoreSettings
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.lease_pool import LeasePool
 from hazelhollow.shared_store.leased_account import LeasedAccount, ScriptCall, open_leased_account
 from hazelhollow.shared_store.presence import Presence
--- a/tests/test_store_tls.py
+++ b/tests/test_store_tls.py
@@ -14,7 +14,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import tls
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.operator import load, records
+from hazelhollow.operator import load
 from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.driver import SharedStoreDriver
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
@@ -49,7 +49,7 @@
         self.driver = SharedStoreDriver(self.scheduler, self.exchange)
         self.driver.start()
 
-    def terms(self) -> records.Store:
+    def terms(self) -> StoreSettings:
         address = "{}:{}".format(*self.server.address)
         store = load.read(f'store: {{address: "{address}", {self.text}}}'.encode(), "t").store
         assert store
