--- a/hazelhollow/fault_injection/clients.py
+++ b/hazelhollow/fault_injection/clients.py
@@ -20,7 +20,7 @@
 from hazelhollow.net.ending import Ending
 
 PATIENCE = {"look": 1.5, "buy": 1.0}  # seconds
-USUAL_PATIENCE = 1.5  # of classes that are not of the rig's own settings
+USUAL_PATIENCE = 1.5  # of classes that are not of the harness's own settings
 KEYED = "buy"  # the class whose requests must not run twice
 GRACE = 0.5  # seconds past its patience that a client looks for an answer, to tell late from never
 CONNECT = 0.5
@@ -34,7 +34,7 @@
 
 
 @dataclass(eq=False)
-class Door:
+class ClientTarget:
     """A limiter as its clients see it."""
 
     name: str
@@ -57,7 +57,7 @@
         self.outcomes: dict[str, int] = {}
 
     def run(
-        self, door: Door, load: Load, begin: float, end: float, phase: float | None = None
+        self, target: ClientTarget, load: Load, begin: float, end: float, phase: float | None = None
     ) -> None:
         """Until `end`: a request each 1/rate seconds, whatever becomes of the ones before.
 
@@ -70,10 +70,10 @@
             if now < at:
                 self.scheduler.sleep(at - now)
             self.most_late = max(self.most_late, self.scheduler.clock() - at)
-            self.scheduler.spawn(self._one, door, load, at, name="client")
+            self.scheduler.spawn(self._one, target, load, at, name="client")
             at += 1.0 / load.rate
 
-    def _one(self, door: Door, load: Load, due: float) -> None:
+    def _one(self, target: ClientTarget, load: Load, due: float) -> None:
         request = f"{self.random.getrandbits(64):016x}"
         began = self.scheduler.clock()
         self.sent, self.open = self.sent + 1, self.open + 1
@@ -81,7 +81,7 @@
             "t": began,
             "due": due,
             "id": request,
-            "to": door.name,
+            "to": target.name,
             "customer": load.customer,
             "plan": load.plan,
             "kind": load.kind,
@@ -89,10 +89,10 @@
             "patience": PATIENCE.get(load.kind, USUAL_PATIENCE),
             "extra": 0,
         }
-        outcome, value = self._ask(door, load, request, began, row)
+        outcome, value = self._ask(target, load, request, began, row)
         # the limiter ended the connection between requests, as it may: once more
         if outcome == "crossed":
-            outcome, value = self._ask(door, load, request, began, row, fresh=True)
+            outcome, value = self._ask(target, load, request, began, row, fresh=True)
         row |= {"end": self.scheduler.clock(), "outcome": outcome, "value": value}
         self._out.write(orjson.dumps(row) + b"\n")
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
@@ -100,7 +100,7 @@
 
     def _ask(
         self,
-        door: Door,
+        target: ClientTarget,
         load: Load,
         request: str,
         began: float,
@@ -108,10 +108,10 @@
         fresh: bool = False,
     ) -> tuple[str, str]:
         patience = PATIENCE.get(load.kind, USUAL_PATIENCE)
-        line = None if fresh or not door.idle else door.idle.pop()
+        line = None if fresh or not target.idle else target.idle.pop()
         used = line is not None
         if line is None:
-            made = stream.connect(self.scheduler, door.address, MOST_OUT, CONNECT)
+            made = stream.connect(self.scheduler, target.address, MOST_OUT, CONNECT)
             if isinstance(made, Ending):
                 return "refused", ""
             line = Line(made)
@@ -136,7 +136,7 @@
             return _ended(answer, used), ""
         if not isinstance(line.parser.next(), resp.More):
             row["extra"] += 1
-        door.idle.append(line)
+        target.idle.append(line)
         return _read(answer)
 
     def _answer(self, line: Line, until: float) -> resp.Value | Ending:
--- a/hazelhollow/fault_injection/commands.py
+++ b/hazelhollow/fault_injection/commands.py
@@ -17,12 +17,12 @@
 import orjson
 
 from hazelhollow.configuration import commands as audit_commands
-from hazelhollow.fault_injection import control, cost, plan, shrink, world
-from hazelhollow.fault_injection.drill import Drill
+from hazelhollow.fault_injection import loopback_cluster, overhead, plan, shrink, supervisor
+from hazelhollow.fault_injection.run import FaultInjectionRun
 
 # of a limiter's control traffic, headers included, where drills bound it
 CONTROL_BYTES_PER_S = 4000.0
-NEVER = (
+BROKEN_PROMISES = (
     "crashes",
     "lost",
     "doubled",
@@ -100,18 +100,18 @@
     text = operator.read_text() if operator else ""
     files = (lambda *_: text) if operator else WITH[what]
     try:
-        one = control.Supervisor(
+        one = supervisor.Supervisor(
             plan.Plan(name="up", instances=instances, hosts=hosts), folder, files
         )
         one.run(_show_ready)
-    except world.RigError as error:
+    except loopback_cluster.HarnessError as error:
         shutil.rmtree(folder, ignore_errors=True)
         _fail(str(error))
 
 
-def _show_ready(one: world.World) -> None:
+def _show_ready(one: loopback_cluster.LoopbackCluster) -> None:
     for name in one.names:
-        click.echo(f"ready {name} at {':'.join(map(str, one.door(name)))}")
+        click.echo(f"ready {name} at {':'.join(map(str, one.client_address(name)))}")
     sys.stdout.flush()
 
 
@@ -200,8 +200,8 @@
 
 def _command(state: Path | None, **words: Any) -> Any:
     try:
-        return control.command(state or default_state(), **words)
-    except control.CommandError as error:
+        return supervisor.command(state or default_state(), **words)
+    except supervisor.CommandError as error:
         _fail(str(error))
 
 
@@ -280,11 +280,11 @@
     name: str | None, seed: int | None, instances: int | None, seconds: float | None, changes: bool
 ) -> plan.Plan:
     if name is None:
-        return plan.drawn(seed or 0, instances or 8, seconds or 60.0, changes=changes)
+        return plan.drawn_plan(seed or 0, instances or 8, seconds or 60.0, changes=changes)
     if name in plan.NAMED:
-        return plan.named(name, instances or 5, seconds or 24.0, seed or 1)
+        return plan.named_plan(name, instances or 5, seconds or 24.0, seed or 1)
     if not Path(name).exists():
-        return plan.named(name)  # which says what names there are
+        return plan.named_plan(name)  # which says what names there are
     return plan.read(Path(name).read_bytes())
 
 
@@ -357,15 +357,15 @@
 
     And with the view, in runs that take turns.
     """
-    ways: dict[str, cost.Operator | None] = {
+    ways: dict[str, overhead.Operator | None] = {
         "plain": None,
-        "operator file": cost.quiet_file,
+        "operator file": overhead.quiet_file,
         "view": view_file,
         "replica": replica_file,
     }
     try:
-        found = cost.cost(instances, rate, seconds, rounds, ways, _progress())
-    except (world.RigError, OSError) as error:
+        found = overhead.cost(instances, rate, seconds, rounds, ways, _progress())
+    except (loopback_cluster.HarnessError, OSError) as error:
         _fail(str(error))
     click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
 
@@ -379,7 +379,7 @@
 
 
 def _broken(figures: dict[str, Any]) -> set[str]:
-    return {key for key in NEVER if figures.get(key)}
+    return {key for key in BROKEN_PROMISES if figures.get(key)}
 
 
 def view_file(name: str, home: Path) -> str:
@@ -412,7 +412,7 @@
     return audit_file(name, home) + f"fleet: control: bytes_per_s: {bytes_per_s:g}\n"
 
 
-WITH: dict[str, cost.Operator | None] = {
+WITH: dict[str, overhead.Operator | None] = {
     "nothing": None,
     "view": view_file,
     "replica": replica_file,
@@ -428,8 +428,8 @@
         if keep:
             keep.mkdir(parents=True)
         folder = keep or Path(tempfile.mkdtemp(prefix="hazelhollow-drill-"))
-        figures = Drill(one, folder, _progress(), WITH[what], keep is not None).run()
-    except (plan.PlanError, world.RigError, OSError) as error:
+        figures = FaultInjectionRun(one, folder, _progress(), WITH[what], keep is not None).run()
+    except (plan.PlanError, loopback_cluster.HarnessError, OSError) as error:
         _fail(str(error))
     return {"figures": figures, "plan": orjson.loads(plan.write(one))}
 
--- a/hazelhollow/fault_injection/world.py
+++ b/hazelhollow/fault_injection/loopback_cluster.py
@@ -1,7 +1,7 @@
 """A fleet on loopback: limiters, hosts and discovery, with the relay between all of them.
 
-Every process has an address of its own in 127.0.0.0/8, drawn anew for each rig, so that ports can
-be the usual ones. What a limiter is told are the relay's addresses, one for each pair.
+Every process has an address of its own in 127.0.0.0/8, drawn anew for each harness, so that ports
+can be the usual ones. What a limiter is told are the relay's addresses, one for each pair.
 """
 
 from __future__ import annotations
@@ -17,15 +17,23 @@
 
 import orjson
 
-from hazelhollow.fault_injection.plan import PLANS_FROM, Plan, limiters, zone_of
-from hazelhollow.fault_injection.processes import Crew
+from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION, Plan, limiters, zone_of
+from hazelhollow.fault_injection.processes import ProcessGroup
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream
 from hazelhollow.net.ending import Ending
 from hazelhollow.standins.discovery import Discovery, Host
 from hazelhollow.standins.relay import Relay
 
-CLIENT, PEER, DESK, AGENT, HOST, RELAYED = 6379, 7946, 7000, 8500, 6379, 20000  # ports
+# ports
+CLIENT_PORT, PEER_PORT, OPERATOR_PORT, DISCOVERY_PORT, ENDPOINT_PORT, FIRST_RELAY_PORT = (
+    6379,
+    7946,
+    7000,
+    8500,
+    6379,
+    20000,
+)
 TRIES = 20  # nets that are tried
 READY_WITHIN = 60.0  # seconds for a whole fleet on a busy machine
 WORK, CORES = 0.01, 16  # of a host
@@ -34,11 +42,11 @@
 Address = tuple[str, int]
 
 
-class RigError(Exception):
+class HarnessError(Exception):
     """The fleet could not be started, or did not come up."""
 
 
-class World:
+class LoopbackCluster:
     """`operator`.
 
     Gives the text of a limiter's operator file by its name and folder; None: without one.
@@ -57,17 +65,17 @@
         self.names = limiters(plan)
         self.hosts = [f"h{n}" for n in range(plan.hosts)]
         _more_descriptors()
-        self.net = free_net()
+        self.net = free_network()
         self.relay, self.discovery = Relay(scheduler, plan.seed), Discovery(scheduler)
-        self.crew = Crew(folder, keep)
+        self.processes = ProcessGroup(folder, keep)
         try:
             self._wire()
             self._hosts()
             for number, name in enumerate(self.names):
                 self._limiter(number, name, operator)
         except OSError as error:
-            self.crew.close()
-            raise RigError(f"cannot listen: {error.strerror or error}") from None
+            self.processes.close()
+            raise HarnessError(f"cannot listen: {error.strerror or error}") from None
 
     # Addresses
 
@@ -78,33 +86,42 @@
         head, _, third = self.net.rpartition(".")
         return f"{head}.{int(third) + 1}.{number}", port
 
-    def door(self, name: str) -> Address:
+    def client_address(self, name: str) -> Address:
         """Where clients reach a limiter."""
-        return self.relayed(self.names.index(name) + 1, CLIENT)
+        return self.relayed(self.names.index(name) + 1, CLIENT_PORT)
 
-    def desk(self, name: str) -> Address:
+    def operator_address(self, name: str) -> Address:
         """Its operator address, which no fault hits."""
-        return self.own(self.names.index(name) + 1, DESK)
+        return self.own(self.names.index(name) + 1, OPERATOR_PORT)
 
     def _wire(self) -> None:
         for a, sender in enumerate(self.names):
             for b, receiver in enumerate(self.names):
                 if a != b:
-                    listen = self.relayed(b + 1, RELAYED + a)
+                    listen = self.relayed(b + 1, FIRST_RELAY_PORT + a)
                     self.relay.datagrams(
-                        sender, receiver, listen, self.own(a + 1, PEER), self.own(b + 1, PEER)
+                        sender,
+                        receiver,
+                        listen,
+                        self.own(a + 1, PEER_PORT),
+                        self.own(b + 1, PEER_PORT),
                     )
             for h, host in enumerate(self.hosts):
                 self.relay.connections(
-                    sender, host, self.relayed(100 + h, RELAYED + a), self.own(100 + h, HOST)
+                    sender,
+                    host,
+                    self.relayed(100 + h, FIRST_RELAY_PORT + a),
+                    self.own(100 + h, ENDPOINT_PORT),
                 )
-            agent = self.discovery.listen(sender, self.own(250, AGENT + a))
-            self.relay.connections(sender, "d", self.relayed(250, RELAYED + a), agent)
-            self.relay.connections("c", sender, self.door(sender), self.own(a + 1, CLIENT))
+            agent = self.discovery.listen(sender, self.own(250, DISCOVERY_PORT + a))
+            self.relay.connections(sender, "d", self.relayed(250, FIRST_RELAY_PORT + a), agent)
+            self.relay.connections(
+                "c", sender, self.client_address(sender), self.own(a + 1, CLIENT_PORT)
+            )
 
     def _hosts(self) -> None:
         for h, name in enumerate(self.hosts):
-            address = self.own(100 + h, HOST)
+            address = self.own(100 + h, ENDPOINT_PORT)
             words = [
                 "standin",
                 "node",
@@ -123,9 +140,10 @@
                 "--journal",
                 str(self.folder / f"{name}.jsonl"),
             ]
-            self.crew.add(name, [sys.executable, "-m", "hazelhollow", *words], {})
+            self.processes.add(name, [sys.executable, "-m", "hazelhollow", *words], {})
             reached = {
-                n: _text(self.relayed(100 + h, RELAYED + a)) for a, n in enumerate(self.names)
+                n: _text(self.relayed(100 + h, FIRST_RELAY_PORT + a))
+                for a, n in enumerate(self.names)
             }
             self.discovery.change(Host(name, reached))
 
@@ -137,7 +155,7 @@
         words = ["-m", "hazelhollow", "serve"]
         if operator:
             words += ["--operator", str(home / "operator.cue")]
-        self.crew.add(
+        self.processes.add(
             name, [sys.executable, *words], {"RELAY_CONFIG": str(config), "TMPDIR": str(home)}
         )
 
@@ -156,16 +174,18 @@
     def config(self, number: int, order: int = 0) -> dict[str, Any]:
         """What that limiter is told."""
         peers = [
-            self.own(b + 1, PEER) if b == number else self.relayed(b + 1, RELAYED + number)
+            self.own(b + 1, PEER_PORT)
+            if b == number
+            else self.relayed(b + 1, FIRST_RELAY_PORT + number)
             for b in range(len(self.names))
         ]
         return {
             "name": self.names[number],
-            "listen": _text(self.own(number + 1, CLIENT)),
-            "operator": _text(self.own(number + 1, DESK)),
-            "peer_listen": _text(self.own(number + 1, PEER)),
+            "listen": _text(self.own(number + 1, CLIENT_PORT)),
+            "operator": _text(self.own(number + 1, OPERATOR_PORT)),
+            "peer_listen": _text(self.own(number + 1, PEER_PORT)),
             "peers": [_text(peer) for peer in peers],
-            "discovery": _text(self.relayed(250, RELAYED + number)),
+            "discovery": _text(self.relayed(250, FIRST_RELAY_PORT + number)),
             "seed": f"{self.plan.seed * 1000 + number:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": orjson.loads(self.discovery.document(self.names[number], None)),
@@ -177,25 +197,25 @@
     def start(self) -> None:
         """All processes, and waits until each limiter says that it is ready. Raises RigError."""
         for name in [*self.hosts, *self.names]:
-            self.crew.start(name)
+            self.processes.start(name)
         self.await_ready(self.names)
 
     def await_ready(self, names: list[str]) -> None:
         until = self.scheduler.clock() + READY_WITHIN
         for name in names:
             while not self.call(name, "check").startswith(b"done"):
-                if self.crew.reap(name):
-                    tail = self.crew.members[name].log.read_text(errors="replace")[-600:]
-                    raise RigError(
-                        f"{name} ended with status {self.crew.members[name].status}: {tail}"
+                if self.processes.reap(name):
+                    tail = self.processes.members[name].log.read_text(errors="replace")[-600:]
+                    raise HarnessError(
+                        f"{name} ended with status {self.processes.members[name].status}: {tail}"
                     )
                 if self.scheduler.clock() > until:
-                    raise RigError(f"{name} was not ready within {READY_WITHIN:.0f} s")
+                    raise HarnessError(f"{name} was not ready within {READY_WITHIN:.0f} s")
                 self.scheduler.sleep(0.02)
 
     def call(self, name: str, words: str, within: float = 1.0) -> bytes:
         """A call at the operator address of a limiter; nothing if it does not answer."""
-        return call(self.scheduler, self.desk(name), words, within)
+        return call(self.scheduler, self.operator_address(name), words, within)
 
     def set_host(self, name: str, state: str, started: float | None = None) -> None:
         """What discovery says of a host."""
@@ -206,11 +226,11 @@
 
     def stop(self) -> None:
         """No process is left; the folder still is."""
-        self.crew.stop()
+        self.processes.stop()
 
     def close(self) -> None:
         """Nothing is left, but the folder where it is to be kept."""
-        self.crew.close()
+        self.processes.close()
         self.relay.close()
         self.discovery.close()
 
@@ -232,7 +252,7 @@
 
 
 def settings(plan: Plan, number: int, order: int = 0) -> dict[str, Any]:
-    """The settings object that all limiters of a rig share, but for the position.
+    """The settings object that all limiters of a harness share, but for the position.
 
     Those of an order have a class of its name, by which it shows from outside whether they are in
     force.
@@ -261,7 +281,7 @@
         "tariffs": [
             {
                 "name": "gold",
-                "per_second": plan.per_second + (order >= PLANS_FROM),
+                "per_second": plan.per_second + (order >= FIRST_PLAN_REVISION),
                 "most_at_once": plan.burst,
                 "excess_cost": 1.0,
             },
@@ -296,18 +316,18 @@
     return f"{address[0]}:{address[1]}"
 
 
-def free_net() -> str:
+def free_network() -> str:
     """Two nets of 127.0.0.0/8 side by side in which nobody listens."""
     chance = random.Random(os.urandom(8))
     for _ in range(TRIES):
         net = f"127.{chance.randint(16, 250)}.{2 * chance.randint(1, 120)}"
         try:
-            for port in (CLIENT, AGENT):
+            for port in (CLIENT_PORT, DISCOVERY_PORT):
                 socket.create_server((f"{net}.250", port)).close()
             return net
         except OSError:
             continue
-    raise RigError("no free addresses in 127.0.0.0/8")
+    raise HarnessError("no free addresses in 127.0.0.0/8")
 
 
 def _more_descriptors() -> None:
--- a/hazelhollow/fault_injection/cost.py
+++ b/hazelhollow/fault_injection/overhead.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from hazelhollow.fault_injection.drill import Drill, Progress
 from hazelhollow.fault_injection.plan import Load, Plan
+from hazelhollow.fault_injection.run import FaultInjectionRun, Progress
 
 Operator = Callable[[str, Path], str]
 
@@ -51,7 +51,7 @@
         order = list(ways) if number % 2 == 0 else list(reversed(ways))  # nobody always comes first
         for way in order:
             progress(f"round {number + 1} of {rounds}, {way}")
-            found = Drill(
+            found = FaultInjectionRun(
                 plan,
                 Path(tempfile.mkdtemp(prefix="hazelhollow-cost-")),
                 lambda text: None,
--- a/hazelhollow/fault_injection/plan.py
+++ b/hazelhollow/fault_injection/plan.py
@@ -27,7 +27,7 @@
     "settings",
     "old",
 ]
-LINKS = (
+LINK_FAULTS = (
     "cut",
     "stall",
     "delay",
@@ -38,7 +38,7 @@
     "thin",
 )  # faults of links; the others hit processes
 ONCE = ("reset", "restart", "settings")  # over at once: `lasts` says nothing
-PLANS_FROM = 100  # orders of settings that change a plan too
+FIRST_PLAN_REVISION = 100  # orders of settings that change a plan too
 SETTLE = 8.0  # seconds that a drawn plan leaves after its last fault
 
 
@@ -171,7 +171,7 @@
     return [f"n{n}" for n in range(plan.instances)]
 
 
-def spread_out(plan: Plan) -> list[Event]:
+def expanded_events(plan: Plan) -> list[Event]:
     """The events in the order of their times, with those that repeat written out and `*` replaced
     by all limiters.
     """
@@ -212,7 +212,7 @@
     return [f"n{n}" for n in range(plan.instances) if zone_of(plan, n) == number] + hosts
 
 
-def newest_order(plan: Plan) -> int:
+def newest_revision(plan: Plan) -> int:
     return max((int(event.amount) for event in plan.events if event.what == "settings"), default=0)
 
 
@@ -226,17 +226,17 @@
     return list(dict.fromkeys(found if event.one_way else [*found, *((b, a) for a, b in found)]))
 
 
-def last_end(plan: Plan) -> float:
+def end_of_last_fault(plan: Plan) -> float:
     """When the last fault is over: a process that stays killed counts from its death."""
-    return max((event.at + event.lasts for event in spread_out(plan)), default=0.0)
+    return max((event.at + event.lasts for event in expanded_events(plan)), default=0.0)
 
 
-# Plans of one kind each; the starting point of what is built on the rig
+# Plans of one kind each; the starting point of what is built on the harness
 
 _HALF = 2  # parts
 
 
-def named(name: str, instances: int = 5, seconds: float = 24.0, seed: int = 1) -> Plan:
+def named_plan(name: str, instances: int = 5, seconds: float = 24.0, seed: int = 1) -> Plan:
     """One of `NAMED`. Raises PlanError for another."""
     if name not in NAMED:
         raise PlanError(f"no plan '{name}'; there are {', '.join(sorted(NAMED))}")
@@ -284,7 +284,7 @@
             Event(at=6, what="settings", whom=rest, amount=1),
         ),
         "new_plan": (
-            Event(at=4, what="settings", whom=rest, amount=PLANS_FROM),
+            Event(at=4, what="settings", whom=rest, amount=FIRST_PLAN_REVISION),
             *(
                 Event(at=5 + 8 * n / instances, what="restart", whom=(name,))
                 for n, name in enumerate(rest)
@@ -330,7 +330,7 @@
 )
 
 
-def drawn(
+def drawn_plan(
     seed: int, instances: int = 8, seconds: float = 60.0, hosts: int = 2, changes: bool = False
 ) -> Plan:
     """Faults that overlap, the same for the same seed.
--- a/hazelhollow/fault_injection/janitor.py
+++ b/hazelhollow/fault_injection/process_sweeper.py
@@ -1,10 +1,11 @@
-"""Ends what a rig started when the rig itself is gone.
+"""Ends what a harness started when the harness itself is gone.
 
 Started beside it, it waits for the end of its standard input.
 
-`python -m hazelhollow.fault_injection.janitor FOLDER`: the folder holds `pids`, a line `PID START`
-for each process, START as the system's own count of when it began, so that another process that has
-got the number since is left alone. Then it removes the folder. It imports nothing of the rest.
+`python -m hazelhollow.fault_injection.process_sweeper FOLDER`: the folder holds `pids`, a line `PID
+START` for each process, START as the system's own count of when it began, so that another process
+that has got the number since is left alone. Then it removes the folder. It imports nothing of the
+rest.
 """
 
 from __future__ import annotations
--- a/hazelhollow/fault_injection/processes.py
+++ b/hazelhollow/fault_injection/processes.py
@@ -1,6 +1,6 @@
 """Real processes.
 
-Started, killed, stopped, reaped, and gone when the rig is, however the rig ends.
+Started, killed, stopped, reaped, and gone when the harness is, however the harness ends.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from hazelhollow.fault_injection import janitor
+from hazelhollow.fault_injection import process_sweeper
 
 _SET_DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG
 _LIBRARY = ctypes.CDLL(None)
@@ -51,19 +51,19 @@
         return self.popen is not None
 
 
-class Crew:
-    """The processes of one rig, with the janitor beside them."""
+class ProcessGroup:
+    """The processes of one harness, with the process sweeper beside them."""
 
     def __init__(self, folder: Path, keep: bool) -> None:
         self.folder, self.members = folder, dict[str, Process]()
         words = [
             sys.executable,
             "-m",
-            "hazelhollow.fault_injection.janitor",
+            "hazelhollow.fault_injection.process_sweeper",
             *(["--keep"] if keep else []),
             str(folder),
         ]
-        self._janitor = subprocess.Popen(words, stdin=subprocess.PIPE, start_new_session=True)
+        self._sweeper = subprocess.Popen(words, stdin=subprocess.PIPE, start_new_session=True)
 
     def add(self, name: str, command: Sequence[str], environment: Mapping[str, str]) -> Process:
         one = self.members[name] = Process(
@@ -87,7 +87,7 @@
         one.starts += 1
         one.paused = False
         with (self.folder / "pids").open("a") as book:
-            book.write(f"{one.pid} {janitor.started(one.pid)}\n")
+            book.write(f"{one.pid} {process_sweeper.started(one.pid)}\n")
 
     def signal(self, name: str, number: int) -> None:
         one = self.members[name]
@@ -131,8 +131,11 @@
             self.reap(name, wait=True)
 
     def close(self) -> None:
-        """Everything ends, the janitor last; it removes the folder unless it is to be kept."""
+        """Everything ends, the process sweeper last.
+
+        It removes the folder unless it is to be kept.
+        """
         self.stop()
-        if self._janitor.stdin:
-            self._janitor.stdin.close()
-        self._janitor.wait()
+        if self._sweeper.stdin:
+            self._sweeper.stdin.close()
+        self._sweeper.wait()
--- a/hazelhollow/fault_injection/drill.py
+++ b/hazelhollow/fault_injection/run.py
@@ -14,20 +14,20 @@
 import msgspec
 import orjson
 
-from hazelhollow.fault_injection import audited, checker
-from hazelhollow.fault_injection.clients import Clients, Door
+from hazelhollow.fault_injection import audit_comparison, checker
+from hazelhollow.fault_injection.clients import Clients, ClientTarget
+from hazelhollow.fault_injection.loopback_cluster import CLIENT_PORT, HarnessError, LoopbackCluster
 from hazelhollow.fault_injection.plan import (
-    LINKS,
+    LINK_FAULTS,
     Event,
     Plan,
-    last_end,
-    newest_order,
+    end_of_last_fault,
+    expanded_events,
+    newest_revision,
     pairs,
-    spread_out,
     write,
 )
-from hazelhollow.fault_injection.probes import Prober
-from hazelhollow.fault_injection.world import CLIENT, RigError, World
+from hazelhollow.fault_injection.settings_probes import SettingsProber
 from hazelhollow.net import scheduler as sch
 from hazelhollow.standins.relay import Fault
 
@@ -50,7 +50,7 @@
 Progress = Callable[[str], None]
 
 
-class Drill:
+class FaultInjectionRun:
     """`folder` exists and is empty. `operator` as for World."""
 
     def __init__(
@@ -64,14 +64,14 @@
         self.plan, self.folder, self.progress = plan, folder, progress
         self.scheduler = sch.Scheduler(sch.Clock())
         (folder / "plan.json").write_bytes(write(plan))
-        self.world = World(self.scheduler, plan, folder, keep, operator)
+        self.cluster = LoopbackCluster(self.scheduler, plan, folder, keep, operator)
         self._faults: IO[bytes] = (folder / "faults.jsonl").open("wb")
         self._relay: IO[bytes] = (folder / "relay.jsonl").open("wb")
         self._requests: IO[bytes] = (folder / "clients.jsonl").open("wb")
         self.clients = Clients(self.scheduler, plan.seed, self._requests, plan.instances)
         self.error: BaseException | None = None
         self.begin = self.cpu_at_begin = 0.0
-        self._in_hand, self._gone = (
+        self._affected, self._gone = (
             set[str](),
             set[str](),
         )  # processes that a fault is at work on; that it killed for good
@@ -82,19 +82,19 @@
         self.scheduler.spawn(self._guarded, name="drill")
         try:
             self.scheduler.run()
-            self.world.stop()
+            self.cluster.stop()
             for file in (self._faults, self._relay, self._requests):
                 file.close()
             if self.error:
                 raise self.error
             return (
                 checker.check(self.folder)
-                | audited.compare(self.folder)
+                | audit_comparison.compare(self.folder)
                 | {"crashes": len(self.crashes), "crashed": self.crashes}
                 | self._cost()
             )
         finally:
-            self.world.close()
+            self.cluster.close()
 
     def _guarded(self) -> None:
         try:
@@ -105,18 +105,18 @@
             self.scheduler.stop()
 
     def _play(self) -> None:
-        plan, world = self.plan, self.world
+        plan, cluster = self.plan, self.cluster
         self.progress(f"{plan.name}: {plan.instances} limiters and {plan.hosts} hosts start")
-        world.start()
+        cluster.start()
         self.begin = self.scheduler.clock() + 0.2
-        self.cpu_at_begin = sum(world.crew.cpu_of(name) for name in world.names)
+        self.cpu_at_begin = sum(cluster.processes.cpu_of(name) for name in cluster.names)
         self._note(what="load", t=self.begin, until=self.begin + plan.seconds, whom=[])
-        for name in world.names:
-            door = Door(name, world.names.index(name), world.door(name))
+        for name in cluster.names:
+            target = ClientTarget(name, cluster.names.index(name), cluster.client_address(name))
             for load in plan.load:
                 self.scheduler.spawn(
                     self.clients.run,
-                    door,
+                    target,
                     load,
                     self.begin,
                     self.begin + plan.seconds,
@@ -124,11 +124,13 @@
                 )
         self.scheduler.spawn_lasting(self._count, "count")
         self.scheduler.spawn_lasting(self._watch_itself, "watch itself")
-        if newest_order(plan):
-            self._probe_settings(newest_order(plan))
-        for event in spread_out(plan):
+        if newest_revision(plan):
+            self._probe_settings(newest_revision(plan))
+        for event in expanded_events(plan):
             self.scheduler.at(self.begin + event.at, self.scheduler.spawn, self._happen, event)
-        end = self.begin + max(plan.seconds, last_end(plan) + SETTLE_WITHIN if plan.events else 0.0)
+        end = self.begin + max(
+            plan.seconds, end_of_last_fault(plan) + SETTLE_WITHIN if plan.events else 0.0
+        )
         while (now := self.scheduler.clock()) < end:
             self.progress(
                 f"{plan.name}: {now - self.begin:5.1f} of {end - self.begin:.0f} s, "
@@ -138,20 +140,21 @@
             self._look_for_crashes()
         while self.clients.open and self.scheduler.clock() < end + END_WITHIN:
             self.scheduler.sleep(GIVE_UP)
-        self.world.relay.heal()
+        self.cluster.relay.heal()
 
     def _probe_settings(self, order: int) -> None:
         """From outside, past the relay: whether each limiter serves, and by which settings."""
         rows: IO[bytes] = (self.folder / "probes.jsonl").open("wb")
-        for number, name in enumerate(self.world.names):
-            door = Door(name, number, self.world.own(number + 1, CLIENT))
+        for number, name in enumerate(self.cluster.names):
+            target = ClientTarget(name, number, self.cluster.own(number + 1, CLIENT_PORT))
             self.scheduler.spawn(
-                Prober(self.scheduler, door, order, rows, self.plan.instances).run, name="probe"
+                SettingsProber(self.scheduler, target, order, rows, self.plan.instances).run,
+                name="probe",
             )
 
     def _cost(self) -> dict[str, Any]:
         """CPU and memory of the limiters, and how late the drill's own clients were."""
-        incarnations = [self.world.crew.members[name] for name in self.world.names]
+        incarnations = [self.cluster.processes.members[name] for name in self.cluster.names]
         cpu, sent = (
             sum(one.cpu for one in incarnations) - self.cpu_at_begin,
             max(1, self.clients.sent),
@@ -181,12 +184,12 @@
                 self._note(what="late", t=due + late, late=round(late, 3), whom=[])
 
     def _look_for_crashes(self) -> None:
-        crew = self.world.crew
-        for name in [*self.world.names, *self.world.hosts]:
-            if name not in self._in_hand and name not in self._gone and crew.reap(name):
+        processes = self.cluster.processes
+        for name in [*self.cluster.names, *self.cluster.hosts]:
+            if name not in self._affected and name not in self._gone and processes.reap(name):
                 self._gone.add(name)
                 self.crashes.append(
-                    f"{name} ended by itself with status {crew.members[name].status}"
+                    f"{name} ended by itself with status {processes.members[name].status}"
                 )
 
     # Faults
@@ -203,15 +206,15 @@
         self.progress(
             f"{self.plan.name}: {event.what} {' '.join(event.whom)} for {event.lasts:g} s"
         )
-        if event.what in LINKS:
+        if event.what in LINK_FAULTS:
             self._links(event)
         elif event.what == "settings":
             self._settings(event)
         elif event.what == "discovery_down":
-            self.world.discovery.set_down(True)
+            self.cluster.discovery.set_down(True)
             self._note(what=event.what, whom=["d"], on=True)
             self.scheduler.sleep(event.lasts)
-            self.world.discovery.set_down(False)
+            self.cluster.discovery.set_down(False)
             self._note(what=event.what, whom=["d"], on=False)
         else:
             for name in event.whom[1:]:
@@ -222,11 +225,11 @@
 
     def _settings(self, event: Event) -> None:
         for name in event.whom:
-            self.world.write_files(name, int(event.amount))
+            self.cluster.write_files(name, int(event.amount))
             if (
-                self.world.crew.members[name].running and name not in self._in_hand
+                self.cluster.processes.members[name].running and name not in self._affected
             ):  # one that is starting reads them anyway
-                self.world.crew.signal(name, signal.SIGHUP)
+                self.cluster.processes.signal(name, signal.SIGHUP)
         self._note(what="settings", whom=list(event.whom), order=int(event.amount))
 
     def _links(self, event: Event) -> None:
@@ -241,40 +244,40 @@
             "thin": Fault(thin=event.amount),
         }[event.what]
         hit = pairs(self.plan, event)
-        number = self.world.relay.begin(fault, hit)
+        number = self.cluster.relay.begin(fault, hit)
         self._note(what=event.what, pairs=hit, number=number, on=True, amount=event.amount)
         self.scheduler.sleep(event.lasts)
-        self.world.relay.end(number)
+        self.cluster.relay.end(number)
         self._note(what=event.what, pairs=hit, number=number, on=False)
 
     def _process(self, event: Event, name: str) -> None:
         """One that another fault has in hand already is left to it."""
-        one = self.world.crew.members[name]
-        if name in self._in_hand or not one.running:
+        one = self.cluster.processes.members[name]
+        if name in self._affected or not one.running:
             return
-        self._in_hand.add(name)
+        self._affected.add(name)
         try:
             self._hit(event, name)
         finally:
-            self._in_hand.discard(name)
+            self._affected.discard(name)
 
     def _hit(self, event: Event, name: str) -> None:
-        crew, one = self.world.crew, self.world.crew.members[name]
+        processes, one = self.cluster.processes, self.cluster.processes.members[name]
         self._note(what=event.what, whom=[name], on=True)
         incarnation = one.starts
-        crew.signal(name, SIGNALS[event.what])
+        processes.signal(name, SIGNALS[event.what])
         if event.what == "pause":
             self.scheduler.sleep(event.lasts)
             if one.starts == incarnation and one.running:
-                crew.signal(name, signal.SIGCONT)
+                processes.signal(name, signal.SIGCONT)
                 self._note(what="pause", whom=[name], on=False)
             return
         until = self.scheduler.clock() + END_WITHIN
-        while not crew.reap(name):
+        while not processes.reap(name):
             if self.scheduler.clock() > until:
-                crew.signal(name, signal.SIGKILL)
+                processes.signal(name, signal.SIGKILL)
             self.scheduler.sleep(GIVE_UP)
-        if name in self.world.hosts:
+        if name in self.cluster.hosts:
             self.scheduler.at(self.scheduler.clock() + LISTED_AFTER, self._list_host, name)
         if event.what == "restart" and one.status:
             self.crashes.append(f"{name} ended with status {one.status} when told to end")
@@ -283,25 +286,27 @@
             return
         self.scheduler.sleep(event.lasts)
         if event.what == "old":
-            self.world.write_files(name, 0)
-        crew.start(name)
-        while name in self.world.names and not self.world.call(name, "check").startswith(b"done"):
-            if crew.reap(name):
-                raise RigError(f"{name} ended with status {one.status} while it started")
+            self.cluster.write_files(name, 0)
+        processes.start(name)
+        while name in self.cluster.names and not self.cluster.call(name, "check").startswith(
+            b"done"
+        ):
+            if processes.reap(name):
+                raise HarnessError(f"{name} ended with status {one.status} while it started")
             self.scheduler.sleep(GIVE_UP)
         self._note(what=event.what, whom=[name], on=False)
 
     def _list_host(self, name: str) -> None:
         """What discovery learns of a host's incarnation."""
-        one, host = self.world.crew.members[name], self.world.discovery.hosts[name]
+        one, host = self.cluster.processes.members[name], self.cluster.discovery.hosts[name]
         if one.running:
-            self.world.set_host(name, "up", self.scheduler.clock() - LISTED_AFTER)
+            self.cluster.set_host(name, "up", self.scheduler.clock() - LISTED_AFTER)
         elif host.state != "gone":
-            self.world.set_host(name, "gone")
+            self.cluster.set_host(name, "gone")
             self.scheduler.spawn(self._until_back, name, name="host back")
 
     def _until_back(self, name: str) -> None:
-        while not self.world.crew.members[name].running:
+        while not self.cluster.processes.members[name].running:
             self.scheduler.sleep(0.1)
         self.scheduler.at(self.scheduler.clock() + LISTED_AFTER, self._list_host, name)
 
@@ -312,8 +317,8 @@
             self.scheduler.sleep(1.0)
             counts = {
                 k: v
-                for k, v in self.world.relay.counts().items()
-                if set(k.split(">")) <= set(self.world.names)
+                for k, v in self.cluster.relay.counts().items()
+                if set(k.split(">")) <= set(self.cluster.names)
             }
             now = {
                 kind: sum(count[kind] for count in counts.values())
@@ -322,7 +327,9 @@
             if before:
                 row = {
                     "t": self.scheduler.clock(),
-                    "members": sum(self.world.crew.members[n].running for n in self.world.names),
+                    "members": sum(
+                        self.cluster.processes.members[n].running for n in self.cluster.names
+                    ),
                 }
                 row["datagrams"] = now["passed"] + now["lost"] - before["passed"] - before["lost"]
                 row["bytes"] = now["bytes"] - before["bytes"]
--- a/hazelhollow/fault_injection/probes.py
+++ b/hazelhollow/fault_injection/settings_probes.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from hazelhollow.fault_injection.clients import Door
+from hazelhollow.fault_injection.clients import ClientTarget
 from hazelhollow.net import resp, stream
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net.ending import Ending
@@ -19,13 +19,18 @@
 MOST_OUT = 4096
 
 
-class Prober:
+class SettingsProber:
     def __init__(
-        self, scheduler: sch.Scheduler, door: Door, order: int, out: IO[bytes], spread: int
+        self,
+        scheduler: sch.Scheduler,
+        target: ClientTarget,
+        order: int,
+        out: IO[bytes],
+        spread: int,
     ) -> None:
-        self._scheduler, self._door, self._order, self._out, self._spread = (
+        self._scheduler, self._target, self._order, self._out, self._spread = (
             scheduler,
-            door,
+            target,
             order,
             out,
             spread,
@@ -40,7 +45,7 @@
             row = {
                 "t": began,
                 "end": self._scheduler.clock(),
-                "to": self._door.name,
+                "to": self._target.name,
                 "order": self._order,
                 "new": found[0],
                 "look": found[1],
@@ -53,13 +58,13 @@
 
         Served, busy, unknown (no such class), or nothing if there was no answer.
         """
-        made = stream.connect(self._scheduler, self._door.address, MOST_OUT, WITHIN)
+        made = stream.connect(self._scheduler, self._target.address, MOST_OUT, WITHIN)
         if isinstance(made, Ending):
             return ""
         self._serial += 1
         customer, request = (
-            f"{0xF000 + self._door.number:016x}",
-            f"{self._door.number:06x}{self._serial:010x}",
+            f"{0xF000 + self._target.number:016x}",
+            f"{self._target.number:06x}{self._serial:010x}",
         )
         fields = f"c={kind},t=iron,d={int(WITHIN * 1000)},units=1,spread={self._spread},first=0"
         made.write(resp.command([b"Q.ASK", customer.encode(), request.encode(), fields.encode()]))
--- a/hazelhollow/fault_injection/shrink.py
+++ b/hazelhollow/fault_injection/shrink.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hazelhollow.fault_injection.plan import Plan, last_end
+from hazelhollow.fault_injection.plan import Plan, end_of_last_fault
 
 TAIL = 4.0  # seconds of load that are kept after the last event
 
@@ -36,7 +36,7 @@
             break
         plan, size = kept or plan, size if kept else max(1, size // 2)
         size = min(size, max(1, len(plan.events)))
-    short = msgspec.structs.replace(plan, seconds=max(5.0, last_end(plan) + TAIL))
+    short = msgspec.structs.replace(plan, seconds=max(5.0, end_of_last_fault(plan) + TAIL))
     if short.seconds < plan.seconds and still(short):
         plan = short
     while plan.instances > 2 and not _named(plan, f"n{plan.instances - 1}"):
--- a/hazelhollow/fault_injection/control.py
+++ b/hazelhollow/fault_injection/supervisor.py
@@ -15,8 +15,8 @@
 
 import orjson
 
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.plan import Plan
-from hazelhollow.fault_injection.world import World
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream
 from hazelhollow.net.ending import Ending
@@ -38,13 +38,13 @@
         self, plan: Plan, folder: Path, operator: Callable[[str, Path], str] | None = None
     ) -> None:
         self.scheduler, self.folder = sch.Scheduler(sch.Clock()), folder
-        self.world = World(self.scheduler, plan, folder, operator=operator)
+        self.cluster = LoopbackCluster(self.scheduler, plan, folder, operator=operator)
         self.token, self._stopping = secrets.token_hex(16), False
-        self._sock = socket.create_server(self.world.own(250, PORT), backlog=16)
+        self._sock = socket.create_server(self.cluster.own(250, PORT), backlog=16)
         self._sock.setblocking(False)
         self.error: BaseException | None = None
 
-    def run(self, ready: Callable[[World], None]) -> None:
+    def run(self, ready: Callable[[LoopbackCluster], None]) -> None:
         """Until `down`, SIGTERM or Ctrl-C; then no process, socket or file is left."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: self.scheduler.stop())
@@ -54,13 +54,13 @@
             self.scheduler.run()
         finally:
             self._sock.close()
-            self.world.close()
+            self.cluster.close()
         if self.error:
             raise self.error
 
-    def _begin(self, ready: Callable[[World], None]) -> None:
+    def _begin(self, ready: Callable[[LoopbackCluster], None]) -> None:
         try:
-            self.world.start()
+            self.cluster.start()
             document = {
                 "address": list(self._sock.getsockname()),
                 "token": self.token,
@@ -71,15 +71,15 @@
             ) as file:
                 file.write(orjson.dumps(document))
             self.scheduler.spawn_lasting(self._accept, "control")
-            ready(self.world)
+            ready(self.cluster)
         except BaseException as error:
             self.error = error
             self.scheduler.stop()
 
     def _look(self) -> None:
         while True:
-            for name in self.world.crew.members:
-                self.world.crew.reap(name)
+            for name in self.cluster.processes.members:
+                self.cluster.processes.reap(name)
             self.scheduler.sleep(LOOK)
 
     def _accept(self) -> None:
@@ -119,7 +119,7 @@
             self._stopping = True
             return "down"
         if verb == "heal":
-            self.world.relay.heal()
+            self.cluster.relay.heal()
             return "every link is whole"
         if verb == "cut":
             return self._cut(words["a"], words["b"], bool(words.get("one_way")))
@@ -128,28 +128,30 @@
         raise CommandError(f"no command {verb!r}")
 
     def _cut(self, a: str, b: str, one_way: bool) -> str:
-        known = {*self.world.crew.members, "d", "c"}
+        known = {*self.cluster.processes.members, "d", "c"}
         for name in (a, b):
             if name not in known:
                 raise CommandError(f"no process {name!r}; there are {', '.join(sorted(known))}")
         if a == b:
             raise CommandError("a link is between two")
-        self.world.relay.begin(Fault(cut=True), [(a, b)] if one_way else [(a, b), (b, a)])
+        self.cluster.relay.begin(Fault(cut=True), [(a, b)] if one_way else [(a, b), (b, a)])
         return f"{a} no longer reaches {b}" + ("" if one_way else ", nor the other way")
 
     def _process(self, verb: str, name: str) -> str:
-        crew = self.world.crew
-        if name not in crew.members:
-            raise CommandError(f"no process {name!r}; there are {', '.join(sorted(crew.members))}")
-        one = crew.members[name]
+        processes = self.cluster.processes
+        if name not in processes.members:
+            raise CommandError(
+                f"no process {name!r}; there are {', '.join(sorted(processes.members))}"
+            )
+        one = processes.members[name]
         if verb == "start":
             if one.running:
                 raise CommandError(f"{name} runs already")
-            crew.start(name)
+            processes.start(name)
         elif not one.running:
             raise CommandError(f"{name} does not run")
         else:
-            crew.signal(
+            processes.signal(
                 name,
                 {"kill": signal.SIGKILL, "pause": signal.SIGSTOP, "resume": signal.SIGCONT}[verb],
             )
@@ -160,7 +162,7 @@
 
         By number, the state and for how long; nothing where it keeps no view.
         """
-        first, _, _ = self.world.call(name, "fleet").partition(b"\n")
+        first, _, _ = self.cluster.call(name, "fleet").partition(b"\n")
         members: dict[str, Any] = orjson.loads(first)["members"] if first.startswith(b"{") else {}
         return members
 
@@ -170,17 +172,17 @@
         And which links are not whole.
         """
         found: dict[str, Any] = {"processes": [], "links": []}
-        for name, one in self.world.crew.members.items():
+        for name, one in self.cluster.processes.members.items():
             state = (
                 "paused" if one.paused and one.running else "running" if one.running else "ended"
             )
             row = {"name": name, "pid": one.pid, "state": state, "starts": one.starts}
-            if name in self.world.names and state == "running":
-                row["ready"] = self.world.call(name, "check").startswith(b"done")
-                row["address"] = ":".join(map(str, self.world.door(name)))
+            if name in self.cluster.names and state == "running":
+                row["ready"] = self.cluster.call(name, "check").startswith(b"done")
+                row["address"] = ":".join(map(str, self.cluster.client_address(name)))
                 row["view"] = self._view(name)
             found["processes"].append(row)
-        for (a, b), link in sorted(self.world.relay.links.items()):
+        for (a, b), link in sorted(self.cluster.relay.links.items()):
             if link.faults:
                 found["links"].append(
                     {"from": a, "to": b, "faults": len(link.faults), "lost": link.lost}
--- a/hazelhollow/scale/coordinator.py
+++ b/hazelhollow/scale/coordinator.py
@@ -3,8 +3,8 @@
 For each point its workers are started, told of each other, watched and reaped, and their reports
 become one.
 
-Workers are started by the rig's crew: they die with this process, whatever ends it, and the janitor
-beside it sweeps up.
+Workers are started by the harness's process group: they die with this process, whatever ends it,
+and the process sweeper beside it sweeps up.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from hazelhollow.fault_injection.processes import Crew
+from hazelhollow.fault_injection.processes import ProcessGroup
 from hazelhollow.scale import measure, messages, truth
 from hazelhollow.scale.load import populate
 from hazelhollow.scale.messages import Bound, Job, Lag, Report, SeenEvent, Wired
@@ -86,9 +86,9 @@
 
     def _try(self, planned: PlannedPoint, dilation: float, may_slow: bool) -> Point:
         folder = Path(tempfile.mkdtemp(prefix="hazelhollow-scale-"))
-        crew = Crew(folder, keep=False)
+        processes = ProcessGroup(folder, keep=False)
         try:
-            table = Table(self._plan, planned, dilation, may_slow, folder, crew)
+            table = Table(self._plan, planned, dilation, may_slow, folder, processes)
             reports = table.play(self._workers(table.limiters), self._progress)
             if any(report.behind for report in reports):
                 raise Behind
@@ -96,7 +96,7 @@
         except (TimeoutError, OSError, msgspec.DecodeError) as error:
             raise RunError(str(error)) from error
         finally:
-            crew.close()
+            processes.close()
 
 
 class Table:
@@ -112,9 +112,9 @@
         dilation: float,
         may_slow: bool,
         folder: Path,
-        crew: Crew,
+        processes: ProcessGroup,
     ) -> None:
-        self._plan, self._planned, self._folder, self._crew = plan, planned, folder, crew
+        self._plan, self._planned, self._folder, self._crew = plan, planned, folder, processes
         self._dilation, self._may_slow = dilation, may_slow
         self.limiters = planned.terms.present or planned.size.limiters
         self._names = list[str]()
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -21,10 +21,17 @@
 import orjson
 
 from hazelhollow.fault_injection.checker import rows
-from hazelhollow.fault_injection.clients import Clients, Door
+from hazelhollow.fault_injection.clients import Clients, ClientTarget
+from hazelhollow.fault_injection.loopback_cluster import (
+    CLIENT_PORT,
+    DISCOVERY_PORT,
+    ENDPOINT_PORT,
+    OPERATOR_PORT,
+    call,
+    free_network,
+)
 from hazelhollow.fault_injection.plan import Load
-from hazelhollow.fault_injection.processes import Crew
-from hazelhollow.fault_injection.world import AGENT, CLIENT, DESK, HOST, call, free_net
+from hazelhollow.fault_injection.processes import ProcessGroup
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net.collector import collect_in_short_passes
 from hazelhollow.scale.results import Latency, Size
@@ -204,8 +211,8 @@
     def __init__(self, plan: LatencyPlan, folder: Path) -> None:
         self._plan, self._folder = plan, folder
         self.scheduler = sch.Scheduler(sch.Clock(), FinePoller())
-        self._net = free_net()
-        self._crew = Crew(folder, keep=False)
+        self._net = free_network()
+        self._crew = ProcessGroup(folder, keep=False)
         self._discovery = Discovery(self.scheduler)
         self._error: BaseException | None = None
         self._file = folder / "clients.jsonl"
@@ -235,8 +242,8 @@
         return self._crew.members[LIMITER].most_kb * 1024.0
 
     def _start(self) -> None:
-        agent = self._discovery.listen(LIMITER, (f"{self._net}.1", AGENT))
-        server = self._text(2, HOST)
+        agent = self._discovery.listen(LIMITER, (f"{self._net}.1", DISCOVERY_PORT))
+        server = self._text(2, ENDPOINT_PORT)
         for number in range(self._plan.size.servers):
             name = f"s-{number:05d}"
             self._discovery.index = 1
@@ -257,8 +264,8 @@
     def _config(self, discovery: str) -> dict[str, Any]:
         return {
             "name": LIMITER,
-            "listen": self._text(1, CLIENT),
-            "operator": self._text(1, DESK),
+            "listen": self._text(1, CLIENT_PORT),
+            "operator": self._text(1, OPERATOR_PORT),
             "discovery": discovery,
             "seed": f"{self._plan.seed:x}",
             "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
@@ -277,8 +284,8 @@
 
     def _await_ready(self) -> None:
         until = self.scheduler.clock() + READY_WITHIN_S
-        desk = (f"{self._net}.1", DESK)
-        while not call(self.scheduler, desk, "check").startswith(b"done"):
+        operator_address = (f"{self._net}.1", OPERATOR_PORT)
+        while not call(self.scheduler, operator_address, "check").startswith(b"done"):
             if self._crew.reap(LIMITER):
                 tail = self._crew.members[LIMITER].log.read_text(errors="replace")[-600:]
                 raise RealError(f"the limiter ended: {tail}")
@@ -295,9 +302,11 @@
         load = Load(customer=CUSTOMER, plan=PLAN, kind=ROUTE, rate=size.requests_per_s)
         collect_in_short_passes()
         clients = Clients(self.scheduler, self._plan.seed, self._out, spread=1)
-        for number, (name, host, port) in enumerate(((LIMITER, 1, CLIENT), (SERVER, 2, HOST))):
-            door = Door(name, number, (f"{self._net}.{host}", port))
-            self.scheduler.spawn(clients.run, door, load, begin, end, number / 2, name="clients")
+        for number, (name, host, port) in enumerate(
+            ((LIMITER, 1, CLIENT_PORT), (SERVER, 2, ENDPOINT_PORT))
+        ):
+            target = ClientTarget(name, number, (f"{self._net}.{host}", port))
+            self.scheduler.spawn(clients.run, target, load, begin, end, number / 2, name="clients")
         self.scheduler.sleep(end - self.scheduler.clock())
         until = self.scheduler.clock() + END_WITHIN_S
         while clients.open and self.scheduler.clock() < until:
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -19,10 +19,10 @@
 import msgspec
 
 from hazelhollow.fault_injection.checker import rows
-from hazelhollow.fault_injection.clients import Clients, Door
+from hazelhollow.fault_injection.clients import Clients, ClientTarget
+from hazelhollow.fault_injection.loopback_cluster import HarnessError, LoopbackCluster
 from hazelhollow.fault_injection.plan import Load
-from hazelhollow.fault_injection.plan import Plan as RigPlan
-from hazelhollow.fault_injection.world import RigError, World
+from hazelhollow.fault_injection.plan import Plan as HarnessPlan
 from hazelhollow.membership.view import LIVES_A_S
 from hazelhollow.net import scheduler as sch
 from hazelhollow.scale.coordinator import Coordinator, RunError
@@ -114,7 +114,7 @@
     try:
         real = real_figures(plan, progress)
         hollow = hollow_figures(plan, progress)
-    except (RigError, RunError) as error:
+    except (HarnessError, RunError) as error:
         raise RealError(str(error)) from error
     return comparisons(real, hollow)
 
@@ -147,15 +147,17 @@
     return folder / f"{name}.view.jsonl"
 
 
-class RealFleet(World):
-    """A rig whose limiters are told the settings that hollow ones are."""
+class RealFleet(LoopbackCluster):
+    """A harness whose limiters are told the settings that hollow ones are."""
 
     def __init__(self, scheduler: sch.Scheduler, plan: FleetPlan, folder: Path) -> None:
         self.population: Population = populate(plan.size, plan.terms, plan.seed)
         self._shared = document(plan.size, self.population.quotas, plan.terms)
         self._topology = lay_out(plan.limiters, plan.terms)
         self.datagrams, self.bytes = Counter[Role](), Counter[Role]()
-        rig = RigPlan(name="compare", instances=plan.limiters, hosts=plan.servers, seed=plan.seed)
+        rig = HarnessPlan(
+            name="compare", instances=plan.limiters, hosts=plan.servers, seed=plan.seed
+        )
         super().__init__(scheduler, rig, folder, operator=operator_file)
         self.relay.watching = self._passed
 
@@ -177,7 +179,7 @@
     def __init__(self, plan: FleetPlan, folder: Path, progress: Progress) -> None:
         self._plan, self._folder, self._progress = plan, folder, progress
         self.scheduler = sch.Scheduler(sch.Clock())
-        self.world = RealFleet(self.scheduler, plan, folder)
+        self.cluster = RealFleet(self.scheduler, plan, folder)
         self._error: BaseException | None = None
         self.figures: Figures = {}
 
@@ -191,7 +193,7 @@
 
     def close(self) -> None:
         """No process, socket or file is left."""
-        self.world.close()
+        self.cluster.close()
 
     def _guarded(self) -> None:
         try:
@@ -204,7 +206,7 @@
     def _play(self) -> None:
         plan = self._plan
         self._progress(f"{plan.limiters} real limiters start")
-        self.world.start()
+        self.cluster.start()
         self.scheduler.sleep(plan.settle_s)
         self.figures["agreed after the start, worst"] = self._agreed_after_start()
         self._progress("at rest")
@@ -225,7 +227,7 @@
 
     def _agreed_after_start(self) -> float:
         """Seconds from the last member's start until the last one holds all as alive for good."""
-        lines = self._lines(self.world.names)
+        lines = self._lines(self.cluster.names)
         begun = max(_life_began(view, number) for number, view in enumerate(_last_views(lines)))
         whole = {str(number): ALIVE for number in range(self._plan.limiters)}
         return max(settled(one, whole) for one in lines) - begun
@@ -242,8 +244,8 @@
         begin, end = self.scheduler.clock(), self.scheduler.clock() + 2 * self._plan.rest_s
         with (self._folder / "clients.jsonl").open("wb") as out:
             clients = Clients(self.scheduler, self._plan.seed, out, self._plan.limiters)
-            for door, load in self._loads():
-                self.scheduler.spawn(clients.run, door, load, begin, end, name="clients")
+            for target, load in self._loads():
+                self.scheduler.spawn(clients.run, target, load, begin, end, name="clients")
             self.scheduler.sleep(self._plan.rest_s)
             counted = self._count(self._plan.rest_s)
             while clients.open or self.scheduler.clock() < end:
@@ -254,16 +256,16 @@
             if role is Role.GOSSIP
         }
 
-    def _loads(self) -> Iterable[tuple[Door, Load]]:
+    def _loads(self) -> Iterable[tuple[ClientTarget, Load]]:
         """The tenants of each limiter at their mean rates, evenly spaced."""
-        plan, population = self._plan, self.world.population
+        plan, population = self._plan, self.cluster.population
         parts = split(population, range(plan.limiters), plan.limiters)
-        for number, name in enumerate(self.world.names):
-            door = Door(name, number, self.world.door(name))
+        for number, name in enumerate(self.cluster.names):
+            target = ClientTarget(name, number, self.cluster.client_address(name))
             whole = sum(tenant.asks * part for tenant, part in parts[number])
             for tenant, part in parts[number]:
                 yield (
-                    door,
+                    target,
                     Load(
                         customer=f"{tenant.number:016x}",
                         plan=population.quotas[tenant.quota].name,
@@ -279,25 +281,25 @@
 
         It is back and known when this ends.
         """
-        name = self.world.names[number]
+        name = self.cluster.names[number]
         self._progress(f"{name} is killed")
         at = self.scheduler.clock()
-        self.world.crew.signal(name, signal.SIGKILL)
-        while not self.world.crew.reap(name):
+        self.cluster.processes.signal(name, signal.SIGKILL)
+        while not self.cluster.processes.reap(name):
             self.scheduler.sleep(0.01)
         self.scheduler.sleep(self._plan.death_s)
         whole = {str(n): DEAD if n == number else ALIVE for n in range(self._plan.limiters)}
-        others = [one for one in self.world.names if one != name]
+        others = [one for one in self.cluster.names if one != name]
         seconds = [settled(lines, whole) - at for lines in self._lines(others)]
-        self.world.crew.start(name)
-        self.world.await_ready([name])
+        self.cluster.processes.start(name)
+        self.cluster.await_ready([name])
         self._await_all_alive()
         return statistics.median(seconds), max(seconds)
 
     def _await_all_alive(self) -> None:
         whole = {str(number): ALIVE for number in range(self._plan.limiters)}
         until = self.scheduler.clock() + BACK_WITHIN_S
-        while any(states(view) != whole for view in _last_views(self._lines(self.world.names))):
+        while any(states(view) != whole for view in _last_views(self._lines(self.cluster.names))):
             if self.scheduler.clock() > until:
                 raise RealError(
                     f"a limiter that was started again was not known within {BACK_WITHIN_S:g} s"
@@ -306,18 +308,18 @@
 
     def _count(self, seconds: float) -> dict[tuple[str, Role], float]:
         """Datagrams and bytes a second and limiter by role, headers included."""
-        datagrams, sizes = Counter(self.world.datagrams), Counter(self.world.bytes)
+        datagrams, sizes = Counter(self.cluster.datagrams), Counter(self.cluster.bytes)
         began = self.scheduler.clock()
         self.scheduler.sleep(seconds)
         each = (self.scheduler.clock() - began) * self._plan.limiters
         found: dict[tuple[str, Role], float] = {}
         for role in TALKING:
-            found["datagrams", role] = (self.world.datagrams[role] - datagrams[role]) / each
-            found["bytes", role] = (self.world.bytes[role] - sizes[role]) / each
+            found["datagrams", role] = (self.cluster.datagrams[role] - datagrams[role]) / each
+            found["bytes", role] = (self.cluster.bytes[role] - sizes[role]) / each
         return found
 
     def _processor_s(self) -> float:
-        return sum(self.world.crew.cpu_of(name) for name in self.world.names)
+        return sum(self.cluster.processes.cpu_of(name) for name in self.cluster.names)
 
     def _lines(self, names: Iterable[str]) -> list[list[dict[str, Any]]]:
         return [rows(view_file(self._folder, name)) for name in names]
--- a/tests/test_audit_processes.py
+++ b/tests/test_audit_processes.py
@@ -14,12 +14,12 @@
 
 from hazelhollow.configuration import files, merge
 from hazelhollow.fault_injection import plan
-from hazelhollow.fault_injection.clients import Door
-from hazelhollow.fault_injection.commands import NEVER, audit_file
-from hazelhollow.fault_injection.drill import Drill
-from hazelhollow.fault_injection.plan import PLANS_FROM
-from hazelhollow.fault_injection.probes import Prober
-from hazelhollow.fault_injection.world import CLIENT, World
+from hazelhollow.fault_injection.clients import ClientTarget
+from hazelhollow.fault_injection.commands import BROKEN_PROMISES, audit_file
+from hazelhollow.fault_injection.loopback_cluster import CLIENT_PORT, LoopbackCluster
+from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
+from hazelhollow.fault_injection.run import FaultInjectionRun
+from hazelhollow.fault_injection.settings_probes import SettingsProber
 from hazelhollow.net import scheduler as sch
 from tests.test_replica_processes import Kept
 
@@ -33,15 +33,15 @@
         return found
 
     def orders(self, *names: str) -> list[int | None]:
-        return [self.audit(name).get("order") for name in names or self.world.names]
+        return [self.audit(name).get("order") for name in names or self.cluster.names]
 
     def state(self, observer: str, number: int) -> str:
         """What one that may have begun only just now holds another for."""
         return str(self.view(observer).get(str(number), [""])[0])
 
     def change(self, name: str, order: int) -> None:
-        self.world.write_files(name, order)
-        self.world.crew.signal(name, signal.SIGHUP)
+        self.cluster.write_files(name, order)
+        self.cluster.processes.signal(name, signal.SIGHUP)
 
     def records(self) -> merge.Fleet:
         return merge.merged(files.entries(self.folder, lambda text: None))
@@ -51,26 +51,28 @@
 def audited(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     three = plan.Plan(name="x", instances=3, hosts=1)
-    one = Audited(World(sch.Scheduler(sch.Clock()), three, tmp_path / "fleet", operator=audit_file))
+    one = Audited(
+        LoopbackCluster(sch.Scheduler(sch.Clock()), three, tmp_path / "fleet", operator=audit_file)
+    )
     one.until(lambda: one.whole() and one.orders() == [0, 0, 0])
     yield one
-    one.world.close()
+    one.cluster.close()
 
 
 def test_settings_given_to_one_reach_all_also_one_that_was_dead_and_the_record_says_who_gave_them(
     audited: Audited,
 ) -> None:
-    audited.world.crew.kill("n2")
+    audited.cluster.processes.kill("n2")
     audited.change("n0", 1)
     audited.until(lambda: audited.orders("n0", "n1") == [1, 1])
-    audited.world.crew.start("n2")  # with the files that it had
+    audited.cluster.processes.start("n2")  # with the files that it had
     audited.until(lambda: audited.orders() == [1, 1, 1])
-    assert len({audited.audit(name)["settings"] for name in audited.world.names}) == 1
+    assert len({audited.audit(name)["settings"] for name in audited.cluster.names}) == 1
     # A roll back on purpose is the old settings under a greater order, wherever it is given.
-    audited.world.write_files("n2", 0)
+    audited.cluster.write_files("n2", 0)
     home = audited.folder / "n2" / "operator.cue"
     home.write_text(home.read_text().replace("order: 0", "order: 2"))
-    audited.world.crew.signal("n2", signal.SIGHUP)
+    audited.cluster.processes.signal("n2", signal.SIGHUP)
 
     def why_of(found: merge.Fleet) -> dict[tuple[int, int], str]:
         return {
@@ -99,20 +101,20 @@
     """The member that read the file (n0) and one that was given the settings (n1), killed in the
     turn of the first answer.
     """
-    world = audited.world
-    number = world.names.index(killed)
+    cluster = audited.cluster
+    number = cluster.names.index(killed)
     answers: list[str] = []
 
     def ask_until_served() -> None:
         with (audited.folder / "asked.jsonl").open("wb") as out:
-            door = Door(killed, number, world.own(number + 1, CLIENT))
-            prober = Prober(world.scheduler, door, 1, out, spread=3)
+            target = ClientTarget(killed, number, cluster.own(number + 1, CLIENT_PORT))
+            prober = SettingsProber(cluster.scheduler, target, 1, out, spread=3)
             while prober.ask("o1") != "served":
-                world.scheduler.sleep(ASK_EVERY)
-        world.crew.kill(killed)
+                cluster.scheduler.sleep(ASK_EVERY)
+        cluster.processes.kill(killed)
         answers.append("served")
 
-    world.scheduler.spawn(ask_until_served)
+    cluster.scheduler.spawn(ask_until_served)
     audited.change("n0", 1)
     audited.until(lambda: bool(answers))
     assert [span.order for span in audited.records().members[number].spans] == [0, 1]
@@ -126,7 +128,7 @@
         return merge.merged(
             [
                 entry
-                for name in audited.world.names
+                for name in audited.cluster.names
                 for entry in files.told(audited.call(name, "audit"))
             ]
         )
@@ -140,13 +142,13 @@
 def test_one_that_cannot_take_the_newer_settings_takes_nothing_new_until_it_is_started_again(
     audited: Audited,
 ) -> None:
-    audited.change("n0", PLANS_FROM)
+    audited.change("n0", FIRST_PLAN_REVISION)
     audited.until(lambda: b'"reload_failure":1' in audited.call("n0", "vars"))
     assert audited.orders() == [0, 0, 0]  # what it cannot take live it does not claim to act on
     for name in ("n0", "n1"):  # a plan changes: they are started again with it
-        audited.world.crew.kill(name)
-        audited.world.write_files(name, PLANS_FROM)
-        audited.world.crew.start(name)
+        audited.cluster.processes.kill(name)
+        audited.cluster.write_files(name, FIRST_PLAN_REVISION)
+        audited.cluster.processes.start(name)
     audited.until(lambda: audited.audit("n2").get("state") == "shut out")
     assert "restart" in audited.audit("n2")["why"]
     audited.until(lambda: audited.call("n2", "check").startswith(b"error"))
@@ -154,9 +156,9 @@
     assert audited.call("n0", "check").startswith(b"done") and audited.call(
         "n1", "check"
     ).startswith(b"done")
-    audited.world.crew.kill("n2")
-    audited.world.write_files("n2", PLANS_FROM)
-    audited.world.crew.start("n2")
+    audited.cluster.processes.kill("n2")
+    audited.cluster.write_files("n2", FIRST_PLAN_REVISION)
+    audited.cluster.processes.start("n2")
     audited.until(
         lambda: audited.call("n2", "check").startswith(b"done")
         and audited.audit("n2").get("state") == "current"
@@ -165,9 +167,9 @@
 
 
 def test_where_most_are_behind_half_of_them_serve_on(audited: Audited) -> None:
-    audited.world.crew.kill("n0")
-    audited.world.write_files("n0", PLANS_FROM)
-    audited.world.crew.start("n0")
+    audited.cluster.processes.kill("n0")
+    audited.cluster.write_files("n0", FIRST_PLAN_REVISION)
+    audited.cluster.processes.start("n0")
     audited.until(lambda: audited.audit("n2").get("state") == "shut out")
     audited.until(
         lambda: audited.audit("n1").get("state") == "behind"
@@ -178,24 +180,24 @@
 def test_two_meanings_of_one_order_shut_nobody_out_and_are_said_and_found(audited: Audited) -> None:
     number = audited.apart(("n0",))
     audited.change("n0", 1)
-    audited.world.write_files("n1", 2)  # other settings, under the same number
+    audited.cluster.write_files("n1", 2)  # other settings, under the same number
     home = audited.folder / "n1" / "operator.cue"
     home.write_text(home.read_text().replace("order: 2", "order: 1"))
-    audited.world.crew.signal("n1", signal.SIGHUP)
+    audited.cluster.processes.signal("n1", signal.SIGHUP)
     audited.until(lambda: audited.orders("n0", "n1", "n2") == [1, 1, 1])
-    audited.world.relay.end(number)
+    audited.cluster.relay.end(number)
     audited.until(
-        lambda: {audited.audit(name).get("state") for name in audited.world.names}
+        lambda: {audited.audit(name).get("state") for name in audited.cluster.names}
         == {"contradiction"}
     )
-    assert all(audited.call(name, "check").startswith(b"done") for name in audited.world.names)
+    assert all(audited.call(name, "check").startswith(b"done") for name in audited.cluster.names)
     audited.until(
         lambda: "contradiction" in {finding.what for finding in audited.records().findings}
     )
     audited.change("n2", 3)  # the operator raises the order: that settles it
     audited.until(
         lambda: audited.orders() == [3, 3, 3]
-        and {audited.audit(n).get("state") for n in audited.world.names} == {"current"}
+        and {audited.audit(n).get("state") for n in audited.cluster.names} == {"current"}
     )
 
 
@@ -211,13 +213,13 @@
     )
     folder = tmp_path / "drill"
     folder.mkdir()
-    found = Drill(
+    found = FaultInjectionRun(
         plan.Plan(name="x", instances=4, seconds=11.0, events=events),
         folder,
         operator=audit_file,
         keep=True,
     ).run()
-    promises = [key for key in NEVER if key not in ("false_deaths", "views_differ")]
+    promises = [key for key in BROKEN_PROMISES if key not in ("false_deaths", "views_differ")]
     assert {key: found[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
     assert (
         found["acted_on_old_after_s_p99"] <= 3.0
@@ -234,8 +236,8 @@
 
     Another releases them; a third goes back.
     """
-    names = audited.world.names
-    new = audited.world.config(0, 1)
+    names = audited.cluster.names
+    new = audited.cluster.config(0, 1)
     (audited.folder / "n0" / "next.json").write_text(json.dumps(new))
     assert audited.call("n0", "config push next.json 1 2 600") == b"done config push\n"
 
@@ -247,10 +249,10 @@
     (idle,) = set(names) - {"n0", other}
     assert audited.audit(idle)["order"] == 0
     assert b"members that do" in audited.call(idle, "config hold")
-    audited.world.crew.kill("n0")
+    audited.cluster.processes.kill("n0")
     audited.until(lambda: audited.state(other, 0) == "dead")
     audited.until(lambda: set(tried_by()) == {other, idle})  # one more tries them in its place
-    audited.world.crew.start("n0")
+    audited.cluster.processes.start("n0")
     audited.until(lambda: audited.state(other, 0) == "alive" and audited.audit("n0")["order"] == 0)
     assert audited.call(other, "config release") == b"done config release\n"
     audited.until(lambda: audited.orders() == [1, 1, 1] and not tried_by())
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -16,10 +16,10 @@
 
 from hazelhollow.control_budget.budget import HEADER_BYTES, LEAST_BYTES_PER_S, Role, settings_for
 from hazelhollow.fault_injection import plan
-from hazelhollow.fault_injection.commands import NEVER, control_file
-from hazelhollow.fault_injection.drill import Drill
-from hazelhollow.fault_injection.plan import PLANS_FROM
-from hazelhollow.fault_injection.world import World
+from hazelhollow.fault_injection.commands import BROKEN_PROMISES, control_file
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
+from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.net import scheduler as sch
 from hazelhollow.standins.relay import Link, Relay
 from tests.test_audit_processes import Audited
@@ -73,9 +73,9 @@
 
 
 class Bounded(Audited):
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
-        self.meter = Meter(world.relay)
+    def __init__(self, cluster: LoopbackCluster) -> None:
+        super().__init__(cluster)
+        self.meter = Meter(cluster.relay)
 
     def control(self, name: str) -> dict[str, Any]:
         first = self.call(name, "fleet").splitlines()
@@ -85,7 +85,7 @@
     def start(self, name: str) -> None:
         """One that was killed, again."""
         self.meter.incarnations[name] += 1
-        self.world.crew.start(name)
+        self.cluster.processes.start(name)
 
     def held(self, observers: Iterable[str], number: int, state: str) -> bool:
         return all(self.state(name, number) == state for name in observers)
@@ -94,17 +94,19 @@
         """None of these held another of them for dead."""
         names = list(names)
         for observer, other in itertools.permutations(names, 2):
-            assert "dead" not in states(self.folder, observer, self.world.names.index(other))
+            assert "dead" not in states(self.folder, observer, self.cluster.names.index(other))
 
 
 @pytest.fixture
 def bounded(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     six = plan.Plan(name="x", instances=MEMBERS, hosts=1)
-    one = Bounded(World(sch.Scheduler(sch.Clock()), six, tmp_path / "fleet", operator=bounded_file))
+    one = Bounded(
+        LoopbackCluster(sch.Scheduler(sch.Clock()), six, tmp_path / "fleet", operator=bounded_file)
+    )
     one.until(lambda: one.whole() and one.orders() == [0] * MEMBERS)
     yield one
-    one.world.close()
+    one.cluster.close()
 
 
 def test_a_drill_within_the_budget_breaks_no_promise(tmp_path: Path) -> None:
@@ -123,8 +125,8 @@
     folder = tmp_path / "drill"
     folder.mkdir()
     one = plan.Plan(name="bounded", instances=5, seconds=10.0, events=events, load=load)
-    found = Drill(one, folder, operator=control_file, keep=True).run()
-    assert {key: found[key] or 0 for key in NEVER} == dict.fromkeys(NEVER, 0)
+    found = FaultInjectionRun(one, folder, operator=control_file, keep=True).run()
+    assert {key: found[key] or 0 for key in BROKEN_PROMISES} == dict.fromkeys(BROKEN_PROMISES, 0)
     assert found["requests"] > 400 and (found["kills"], found["stalls"], found["cuts"]) == (1, 1, 1)
 
 
@@ -136,7 +138,7 @@
     enough = 600 + sum(map(len, bounded.meter.sent.values()))
 
     def looked_at_while_they_talk() -> bool:
-        for name in bounded.world.names:
+        for name in bounded.cluster.names:
             document = json.loads(bounded.call(name, "fleet").splitlines()[0])
             well = [n for n, one in document["members"].items() if one["state"] == "alive"]
             assert not set(document["out_of_reach"]).intersection(map(int, well)), name
@@ -147,11 +149,11 @@
 
 
 def test_several_killed_at_once_while_settings_change(bounded: Bounded) -> None:
-    names, killed = bounded.world.names, ("n4", "n5")
+    names, killed = bounded.cluster.names, ("n4", "n5")
     rest = [name for name in names if name not in killed]
     bounded.change("n0", 1)
     for name in killed:
-        bounded.world.crew.kill(name)
+        bounded.cluster.processes.kill(name)
     bounded.until(lambda: all(bounded.held(rest, names.index(name), "dead") for name in killed))
     bounded.until(lambda: bounded.orders(*rest) == [1] * len(rest))
     for name in killed:
@@ -168,19 +170,19 @@
     bounded: Bounded,
 ) -> None:
     """It has never acted on the older ones, so that it can tell no difference from them."""
-    names = bounded.world.names
-    bounded.world.crew.kill("n0")
+    names = bounded.cluster.names
+    bounded.cluster.processes.kill("n0")
     bounded.until(lambda: bounded.held(names[1:], 0, "dead"))
-    bounded.world.write_files("n0", 1)
+    bounded.cluster.write_files("n0", 1)
     bounded.start("n0")
     bounded.until(lambda: bounded.whole() and bounded.orders() == [1] * MEMBERS)
-    logs = [bounded.world.crew.members[name].log.read_text() for name in names]
+    logs = [bounded.cluster.processes.members[name].log.read_text() for name in names]
     assert not any("nobody gave order" in log for log in logs)
     bounded.meter.check()
 
 
 def test_a_cut_in_two_parts_and_its_heal(bounded: Bounded) -> None:
-    names = bounded.world.names
+    names = bounded.cluster.names
     one, other = names[:3], names[3:]
     number = bounded.apart(tuple(one))
     bounded.until(
@@ -190,7 +192,7 @@
     bounded.change("n0", 1)
     bounded.until(lambda: bounded.orders(*one) == [1] * len(one))
     assert bounded.orders(*other) == [0] * len(other)
-    bounded.world.relay.end(number)
+    bounded.cluster.relay.end(number)
     bounded.until(lambda: bounded.whole() and bounded.orders() == [1] * MEMBERS)
     for side in (one, other):
         bounded.never_dead(side)
@@ -199,9 +201,9 @@
 
 def test_one_that_acts_on_an_older_order_is_still_reported(bounded: Bounded) -> None:
     """It cannot take what it is given, and the others' budgets are at their least."""
-    for name in bounded.world.names[:-1]:  # a plan changes: they are started again with it
-        bounded.world.crew.kill(name)
-        bounded.world.write_files(name, PLANS_FROM)
+    for name in bounded.cluster.names[:-1]:  # a plan changes: they are started again with it
+        bounded.cluster.processes.kill(name)
+        bounded.cluster.write_files(name, FIRST_PLAN_REVISION)
         bounded.start(name)
     behind = str(MEMBERS - 1)
 
@@ -209,9 +211,9 @@
         found = bounded.audit(name).get("members", {})
         return (found.get(behind, {}).get("order"), bounded.audit(name).get("order")) == (
             0,
-            PLANS_FROM,
+            FIRST_PLAN_REVISION,
         )
 
-    bounded.until(lambda: all(reported(name) for name in bounded.world.names[:-1]))
+    bounded.until(lambda: all(reported(name) for name in bounded.cluster.names[:-1]))
     bounded.until(lambda: bounded.audit(f"n{behind}").get("state") in ("behind", "shut out"))
     bounded.meter.check()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,9 +13,9 @@
 
 from hazelhollow.decisions.gossip_codec import base36
 from hazelhollow.fault_injection import checker, plan
-from hazelhollow.fault_injection.commands import NEVER, disk_file, view_file
-from hazelhollow.fault_injection.drill import Drill
-from hazelhollow.fault_injection.world import World
+from hazelhollow.fault_injection.commands import BROKEN_PROMISES, disk_file, view_file
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.net import scheduler as sch
 
 Event = plan.Event
@@ -25,11 +25,12 @@
     """The figures of a drill, and the folder with its lines."""
     folder = tmp_path / "drill"
     folder.mkdir()
-    return Drill(one, folder, operator=view_file, keep=True).run(), folder
+    return FaultInjectionRun(one, folder, operator=view_file, keep=True).run(), folder
 
 
 def kept(found: dict[str, Any]) -> dict[str, Any]:
-    return {key: found[key] or 0 for key in NEVER}  # nothing is known of an audit that is not on
+    # nothing is known of an audit that is not on
+    return {key: found[key] or 0 for key in BROKEN_PROMISES}
 
 
 def states(folder: Path, observer: str, number: int) -> list[str]:
@@ -56,7 +57,7 @@
     found, folder = played(
         tmp_path, plan.Plan(name="many", instances=5, seconds=12.0, events=events, load=load)
     )
-    assert kept(found) == dict.fromkeys(NEVER, 0)
+    assert kept(found) == dict.fromkeys(BROKEN_PROMISES, 0)
     assert found["requests"] > 500 and (found["kills"], found["stalls"], found["cuts"]) == (2, 1, 1)
     assert found["settled_s_p99"] < 5.0 and found["suspected_s_max"] < 3.0
     # One that was told to end left; it was not held for dead.
@@ -68,7 +69,7 @@
     found, folder = played(
         tmp_path, plan.Plan(name="parts", instances=5, seconds=8.0, events=events)
     )
-    assert kept(found) == dict.fromkeys(NEVER, 0) and found["settled_s_p99"] < 5.0
+    assert kept(found) == dict.fromkeys(BROKEN_PROMISES, 0) and found["settled_s_p99"] < 5.0
     for observer, number in (("n0", 4), ("n4", 0)):
         assert states(folder, observer, number)[-3:] == ["suspect", "dead", "alive"]
     assert "dead" not in states(folder, "n0", 1) + states(folder, "n4", 2)
@@ -77,14 +78,14 @@
 class Fleet:
     """A world whose scheduler is turned by the test."""
 
-    def __init__(self, world: World) -> None:
-        self.folder, self.scheduler, self.world = world.folder, world.scheduler, world
+    def __init__(self, cluster: LoopbackCluster) -> None:
+        self.folder, self.scheduler, self.cluster = cluster.folder, cluster.scheduler, cluster
         self.scheduler.spawn(self._start)
         self.up = False
         self.until(lambda: self.up)
 
     def _start(self) -> None:
-        self.world.start()
+        self.cluster.start()
         self.up = True
 
     def until(self, met: Callable[[], bool]) -> None:
@@ -96,7 +97,7 @@
 
     def whole(self) -> bool:
         """All hold all for alive."""
-        views = [self.view(name) for name in self.world.names]
+        views = [self.view(name) for name in self.cluster.names]
         return all(
             len(view) == len(views) and {entry[0] for entry in view.values()} == {"alive"}
             for view in views
@@ -112,16 +113,18 @@
 def fleet(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     three = plan.Plan(name="x", instances=3, hosts=1)
-    one = Fleet(World(sch.Scheduler(sch.Clock()), three, tmp_path / "fleet", operator=view_file))
+    one = Fleet(
+        LoopbackCluster(sch.Scheduler(sch.Clock()), three, tmp_path / "fleet", operator=view_file)
+    )
     yield one
-    one.world.close()
+    one.cluster.close()
 
 
 def test_one_stopped_past_its_death_says_that_it_does_not_act_before_it_does(fleet: Fleet) -> None:
     fleet.until(fleet.whole)
-    fleet.world.crew.signal("n0", signal.SIGSTOP)
+    fleet.cluster.processes.signal("n0", signal.SIGSTOP)
     fleet.until(lambda: fleet.view("n1")["0"][0] == fleet.view("n2")["0"][0] == "dead")
-    fleet.world.crew.signal("n0", signal.SIGCONT)
+    fleet.cluster.processes.signal("n0", signal.SIGCONT)
 
     def acting() -> list[bool]:
         return [row["acting"] for row in checker.rows(fleet.folder / "n0.view.jsonl")]
@@ -133,17 +136,17 @@
 def test_of_two_processes_with_one_name_the_later_goes_on_and_the_other_says_so_and_leaves(
     fleet: Fleet,
 ) -> None:
-    crew = fleet.world.crew
+    processes = fleet.cluster.processes
     fleet.until(fleet.whole)
-    first = crew.members["n1"]
+    first = processes.members["n1"]
     incarnation = fleet.view("n0")["1"][1]
-    crew.add(
+    processes.add(
         "again",
         first.command,
-        {**first.environment, "RELAY_OPERATOR": f"{fleet.world.own(2, 0)[0]}:7001"},
+        {**first.environment, "RELAY_OPERATOR": f"{fleet.cluster.own(2, 0)[0]}:7001"},
     )
-    crew.start("again")
-    fleet.until(lambda: crew.reap("n1"))
+    processes.start("again")
+    fleet.until(lambda: processes.reap("n1"))
     assert (
         first.status == 0
         and "another process has number 1 and began later" in first.log.read_text()
@@ -151,13 +154,13 @@
     fleet.until(
         lambda: fleet.view("n0")["1"][0] == "alive" and fleet.view("n0")["1"][1] > incarnation
     )
-    assert crew.members["again"].running
+    assert processes.members["again"].running
 
 
 def test_a_forged_datagram_and_one_of_an_earlier_life_change_no_view(fleet: Fleet) -> None:
     fleet.until(fleet.whole)
     before = fleet.view("n0")
-    relay, target = fleet.world.relay, fleet.world.own(1, 7946)
+    relay, target = fleet.cluster.relay, fleet.cluster.own(1, 7946)
     out = relay._datagrams["n0", "n1"]  # n1's address, as n0 knows it
     old = before["1"][1] - 1
     for text in (
@@ -171,11 +174,11 @@
 
     def counted() -> bool:
         nonlocal json_line
-        fleet.world.crew.signal("n0", signal.SIGUSR1)  # it prints its counters
+        fleet.cluster.processes.signal("n0", signal.SIGUSR1)  # it prints its counters
         fleet.scheduler.turn(longest=0.05)
         lines = [
             line
-            for line in fleet.world.crew.members["n0"].log.read_bytes().splitlines()
+            for line in fleet.cluster.processes.members["n0"].log.read_bytes().splitlines()
             if line.startswith(b'{"at"')
         ]
         json_line = lines[-1] if lines else b"{}"
@@ -201,25 +204,25 @@
     folder = tmp_path / "fleet"
     folder.mkdir()
     two = plan.Plan(name="x", instances=2, hosts=1)
-    one = Fleet(World(sch.Scheduler(sch.Clock()), two, folder, operator=stuck_file))
+    one = Fleet(LoopbackCluster(sch.Scheduler(sch.Clock()), two, folder, operator=stuck_file))
     answers: list[bytes] = []
 
     def ask_until_ready() -> None:
         while not answers or not answers[-1].startswith(b"done"):
-            answers.append(one.world.call("n0", "check"))
+            answers.append(one.cluster.call("n0", "check"))
 
     try:
         one.scheduler.spawn(ask_until_ready)
         one.until(lambda: bool(answers) and answers[-1].startswith(b"done"))
-        limiter = one.world.crew.members["n0"]
-        one.world.crew.signal("n0", signal.SIGTERM)
-        one.until(lambda: one.world.crew.reap("n0"))
+        limiter = one.cluster.processes.members["n0"]
+        one.cluster.processes.signal("n0", signal.SIGTERM)
+        one.until(lambda: one.cluster.processes.reap("n0"))
         assert limiter.status == 0 and "the disk is too slow" in limiter.log.read_text()
     finally:
-        one.world.close()
+        one.cluster.close()
 
 
-class Seeded(World):
+class Seeded(LoopbackCluster):
     """Its limiters are told of no peers: each knows the address of n0 alone."""
 
     def config(self, number: int, order: int = 0) -> dict[str, Any]:
@@ -235,19 +238,19 @@
         return view_file(name, home) + f'fleet: seeds: ["{net}.1:7946"]\n'
 
     (tmp_path / "seeded").mkdir()
-    world = Seeded(
+    cluster = Seeded(
         sch.Scheduler(sch.Clock()),
         plan.Plan(name="x", instances=3, hosts=1),
         tmp_path / "seeded",
         operator=seeded,
     )
-    fleet = Fleet(world)
+    fleet = Fleet(cluster)
     try:
         fleet.until(fleet.whole)
-        world.crew.kill("n0")
+        cluster.processes.kill("n0")
         fleet.until(lambda: {fleet.view(n)["0"][0] for n in ("n1", "n2")} == {"dead"})
         assert fleet.view("n1")["2"][0] == "alive"
-        world.crew.start("n0")
+        cluster.processes.start("n0")
         fleet.until(fleet.whole)
     finally:
-        world.close()
+        cluster.close()
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -1,5 +1,7 @@
-"""Files that an earlier version left on disk: the present code reads every value of them, and
-would write the same bytes. `tests/kept_files/README.md` says how they were made.
+"""Files that an earlier version left on disk.
+
+The present code reads every value of them, and would write the same bytes.
+`tests/kept_files/README.md` says how they were made.
 """
 
 from __future__ import annotations
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -13,9 +13,9 @@
 import pytest
 
 from hazelhollow.fault_injection import checker, plan
-from hazelhollow.fault_injection.commands import NEVER, disk_file, replica_file
-from hazelhollow.fault_injection.drill import Drill
-from hazelhollow.fault_injection.world import World
+from hazelhollow.fault_injection.commands import BROKEN_PROMISES, disk_file, replica_file
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.net import scheduler as sch
 from hazelhollow.standins.relay import Fault
 from tests.test_fleet_processes import Fleet
@@ -24,17 +24,17 @@
 
 
 class Kept(Fleet):
-    """With calls at the operator addresses, from tasks of the rig's own scheduler."""
+    """With calls at the operator addresses, from tasks of the harness's own scheduler."""
 
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
+    def __init__(self, cluster: LoopbackCluster) -> None:
+        super().__init__(cluster)
         self.answers: dict[int, bytes] = {}
 
     def call(self, name: str, words: str) -> bytes:
         number = len(self.answers)
 
         def ask() -> None:
-            self.answers[number] = self.world.call(name, words)
+            self.answers[number] = self.cluster.call(name, words)
 
         self.scheduler.spawn(ask)
         self.until(lambda: number in self.answers)
@@ -48,13 +48,13 @@
     def out(self) -> list[list[str] | None]:
         return [
             self.replica(name).get("hosts_out")
-            for name in self.world.names
-            if self.world.crew.members[name].running
+            for name in self.cluster.names
+            if self.cluster.processes.members[name].running
         ]
 
     def apart(self, some: tuple[str, ...]) -> int:
-        rest = [name for name in self.world.names if name not in some]
-        return self.world.relay.begin(
+        rest = [name for name in self.cluster.names if name not in some]
+        return self.cluster.relay.begin(
             Fault(cut=True), [pair for a in some for b in rest for pair in ((a, b), (b, a))]
         )
 
@@ -63,25 +63,27 @@
 def kept(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     four = plan.Plan(name="x", instances=4, hosts=2)
-    one = Kept(World(sch.Scheduler(sch.Clock()), four, tmp_path / "fleet", operator=disk_file))
+    one = Kept(
+        LoopbackCluster(sch.Scheduler(sch.Clock()), four, tmp_path / "fleet", operator=disk_file)
+    )
     one.until(
-        lambda: one.whole() and all(one.replica(name).get("whole") for name in one.world.names)
+        lambda: one.whole() and all(one.replica(name).get("whole") for name in one.cluster.names)
     )
     yield one
-    one.world.close()
+    one.cluster.close()
 
 
 def test_a_host_put_out_at_one_limiter_is_out_at_all_also_at_those_that_were_dead_or_cut_off(
     kept: Kept,
 ) -> None:
-    kept.world.crew.kill("n3")
+    kept.cluster.processes.kill("n3")
     number = kept.apart(("n2",))
     assert kept.call("n0", "set-down h1").startswith(b"done")
     kept.until(lambda: kept.replica("n1").get("hosts_out") == ["h1"])
     assert kept.replica("n2").get("hosts_out") == []
-    kept.world.crew.start("n3")
+    kept.cluster.processes.start("n3")
     kept.until(lambda: kept.replica("n3").get("hosts_out") == ["h1"])
-    kept.world.relay.end(number)
+    kept.cluster.relay.end(number)
     kept.until(lambda: kept.out() == [["h1"]] * 4)
     # What is called after having seen the other call holds, wherever it is made.
     assert kept.call("n2", "set-up h1").startswith(b"done")
@@ -89,12 +91,12 @@
     # All killed at once: the snapshots hold it.
     assert kept.call("n2", "set-down h0").startswith(b"done")
     kept.until(lambda: kept.out() == [["h0"]] * 4)
-    snapshots = [kept.folder / name / f"replica-{n}" for n, name in enumerate(kept.world.names)]
+    snapshots = [kept.folder / name / f"replica-{n}" for n, name in enumerate(kept.cluster.names)]
     kept.until(lambda: all(path.exists() and b"h0" in path.read_bytes() for path in snapshots))
-    for name in kept.world.names:
-        kept.world.crew.kill(name)
-    for name in kept.world.names:
-        kept.world.crew.start(name)
+    for name in kept.cluster.names:
+        kept.cluster.processes.kill(name)
+    for name in kept.cluster.names:
+        kept.cluster.processes.start(name)
     kept.until(lambda: kept.out() == [["h0"]] * 4)
 
 
@@ -107,28 +109,28 @@
     kept.call("n2", "set-down h1")  # that side goes one call further
     kept.call("n0", "set-up h0")  # changes nothing
     kept.call("n1", "set-down h0")
-    kept.world.relay.end(number)
+    kept.cluster.relay.end(number)
     kept.until(lambda: kept.out() == [["h0", "h1"]] * 4)
 
 
 def test_one_that_was_killed_is_told_by_a_peer_and_says_so(kept: Kept) -> None:
-    kept.until(lambda: all(kept.replica(name).get("gives") for name in kept.world.names))
-    first = kept.world.crew.members["n1"].log.read_text().count("told by member")
-    kept.world.crew.kill("n1")
-    kept.world.crew.start("n1")
+    kept.until(lambda: all(kept.replica(name).get("gives") for name in kept.cluster.names))
+    first = kept.cluster.processes.members["n1"].log.read_text().count("told by member")
+    kept.cluster.processes.kill("n1")
+    kept.cluster.processes.start("n1")
     kept.until(
-        lambda: kept.world.crew.members["n1"].log.read_text().count("told by member") > first
+        lambda: kept.cluster.processes.members["n1"].log.read_text().count("told by member") > first
     )
     kept.until(lambda: bool(kept.replica("n1").get("whole")))
 
 
 def test_a_spoilt_snapshot_is_set_aside_and_the_limiter_serves(kept: Kept) -> None:
-    kept.world.crew.kill("n1")
+    kept.cluster.processes.kill("n1")
     (kept.folder / "n1" / "replica-1").write_bytes(b"spoilt")
-    kept.world.crew.start("n1")
+    kept.cluster.processes.start("n1")
     kept.until(lambda: kept.call("n1", "check").startswith(b"done"))
     assert (kept.folder / "n1" / "replica-1.bad").read_bytes() == b"spoilt"
-    assert "set aside" in kept.world.crew.members["n1"].log.read_text()
+    assert "set aside" in kept.cluster.processes.members["n1"].log.read_text()
 
 
 def played(
@@ -140,9 +142,9 @@
     folder = tmp_path / "drill"
     folder.mkdir()
     one = plan.Plan(name="x", instances=5, seconds=seconds, events=events)
-    found = Drill(one, folder, operator=operator).run()
+    found = FaultInjectionRun(one, folder, operator=operator).run()
     promises = [
-        key for key in NEVER if key not in ("false_deaths", "views_differ")
+        key for key in BROKEN_PROMISES if key not in ("false_deaths", "views_differ")
     ]  # those are the view's own tests'
     assert {key: found[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
     return found
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,6 +1,6 @@
-"""The rig itself.
+"""The harness itself.
 
-The relay's faults, plans, the checker's eyes, and that nothing is left when a rig dies.
+The relay's faults, plans, the checker's eyes, and that nothing is left when a harness dies.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.fault_injection import checker, control, janitor, plan, shrink
+from hazelhollow.fault_injection import checker, plan, process_sweeper, shrink, supervisor
 from hazelhollow.net import scheduler as sch
 from hazelhollow.standins.discovery import Discovery, Host
 from hazelhollow.standins.relay import Fault, Relay
@@ -244,16 +244,16 @@
 def test_a_drawn_plan_is_playable_the_same_again_and_reads_as_written(
     seed: int, instances: int
 ) -> None:
-    one = plan.drawn(seed, instances)
+    one = plan.drawn_plan(seed, instances)
     plan.check(one)
-    assert one == plan.drawn(seed, instances) == plan.read(plan.write(one))
-    assert one.events and plan.last_end(one) <= one.seconds - plan.SETTLE + 0.01
+    assert one == plan.drawn_plan(seed, instances) == plan.read(plan.write(one))
+    assert one.events and plan.end_of_last_fault(one) <= one.seconds - plan.SETTLE + 0.01
 
 
 @pytest.mark.parametrize("name", plan.NAMED)
 def test_named_plans_are_playable(name: str) -> None:
     for instances in (2, 5, 20):
-        plan.check(plan.named(name, instances))
+        plan.check(plan.named_plan(name, instances))
 
 
 @pytest.mark.parametrize(
@@ -299,7 +299,7 @@
 
 
 def test_shrinking_keeps_what_matters() -> None:
-    one = plan.drawn(5, 8)
+    one = plan.drawn_plan(5, 8)
     guilty = one.events[len(one.events) // 2]
     small, trials = shrink.shrink(one, lambda p: guilty in p.events, 60)
     assert small.events == (guilty,) and trials <= 60 and small.seconds < one.seconds
@@ -448,7 +448,7 @@
 
 def alive(pid: int) -> bool:
     return (
-        janitor.started(pid) != ""
+        process_sweeper.started(pid) != ""
         and Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     )
 
@@ -510,7 +510,7 @@
     assert len(pids) == 3 and all(alive(pid) for pid in pids)
 
     def views() -> list[dict[str, str]]:
-        found = control.command(folder, do="status")["processes"]
+        found = supervisor.command(folder, do="status")["processes"]
         return [
             {n: entry["state"] for n, entry in row["view"].items()}
             for row in found
@@ -518,23 +518,24 @@
         ]
 
     wait_until(lambda: views() == [{"0": "alive", "1": "alive"}] * 2, one)
-    with pytest.raises(control.CommandError, match="no process 'n7'"):
-        control.command(folder, do="kill", name="n7")
-    control.command(folder, do="cut", a="n0", b="n1", one_way=True)
-    status = control.command(folder, do="status")
+    with pytest.raises(supervisor.CommandError, match="no process 'n7'"):
+        supervisor.command(folder, do="kill", name="n7")
+    supervisor.command(folder, do="cut", a="n0", b="n1", one_way=True)
+    status = supervisor.command(folder, do="status")
     assert [(link["from"], link["to"]) for link in status["links"]] == [("n0", "n1")]
-    control.command(folder, do="kill", name="n1")
+    supervisor.command(folder, do="kill", name="n1")
 
     def rows() -> dict[str, str]:
         return {
-            row["name"]: row["state"] for row in control.command(folder, do="status")["processes"]
+            row["name"]: row["state"]
+            for row in supervisor.command(folder, do="status")["processes"]
         }
 
     wait_until(lambda: rows()["n1"] == "ended", one)
-    control.command(folder, do="start", name="n1")
-    control.command(folder, do="heal")
-    assert control.command(folder, do="status")["links"] == [] and rows()["n1"] == "running"
-    control.command(folder, do="down")
+    supervisor.command(folder, do="start", name="n1")
+    supervisor.command(folder, do="heal")
+    assert supervisor.command(folder, do="status")["links"] == [] and rows()["n1"] == "running"
+    supervisor.command(folder, do="down")
     assert one.wait() == 0
     assert not any(alive(pid) for pid in pids) and not folder.exists()
 
@@ -544,13 +545,13 @@
 ) -> None:
     folder, other = tmp_path / "fleet", tmp_path / "other"
     one = start_fleet(folder)
-    told = json.loads((folder / control.FILE).read_text())
+    told = json.loads((folder / supervisor.FILE).read_text())
     other.mkdir()
-    (other / control.FILE).write_text(json.dumps(told | {"token": "0" * 32}))
-    with pytest.raises(control.CommandError, match="not the token"):
-        control.command(other, do="down")
-    with pytest.raises(control.CommandError, match="no fleet is up"):
-        control.command(tmp_path, do="down")
+    (other / supervisor.FILE).write_text(json.dumps(told | {"token": "0" * 32}))
+    with pytest.raises(supervisor.CommandError, match="not the token"):
+        supervisor.command(other, do="down")
+    with pytest.raises(supervisor.CommandError, match="no fleet is up"):
+        supervisor.command(tmp_path, do="down")
     one.send_signal(signal.SIGTERM)
     assert one.wait() == 0 and not folder.exists()
 
@@ -561,7 +562,10 @@
             words = path.read_bytes().split(b"\0")
         except OSError:
             continue
-        if b"hazelhollow.fault_injection.janitor" in words and str(folder).encode() in words:
+        if (
+            b"hazelhollow.fault_injection.process_sweeper" in words
+            and str(folder).encode() in words
+        ):
             return int(path.parent.name)
     raise AssertionError("no janitor")
 
@@ -588,13 +592,13 @@
         subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) for _ in range(2)
     ]
     lines = [
-        f"{both[0].pid} {janitor.started(both[0].pid)}",
+        f"{both[0].pid} {process_sweeper.started(both[0].pid)}",
         f"{both[1].pid} 12345",
         "half a li",
         "",
     ]
     (tmp_path / "pids").write_text("\n".join(lines))
-    assert janitor.sweep(tmp_path) == [both[0].pid]
+    assert process_sweeper.sweep(tmp_path) == [both[0].pid]
     assert both[0].wait() == -signal.SIGKILL and both[1].poll() is None
     both[1].kill()
     both[1].wait()
@@ -628,13 +632,15 @@
 def test_drawn_changes_are_the_same_for_a_seed_grow_in_order_and_can_be_played(
     seed: int, instances: int
 ) -> None:
-    one = plan.drawn(seed, instances, changes=True)
+    one = plan.drawn_plan(seed, instances, changes=True)
     plan.check(one)
-    assert one == plan.drawn(seed, instances, changes=True) == plan.read(plan.write(one))
+    assert one == plan.drawn_plan(seed, instances, changes=True) == plan.read(plan.write(one))
     given_ = [(event.at, int(event.amount)) for event in one.events if event.what == "settings"]
-    assert [order for _, order in sorted(given_)] == [1, 2, 3] and plan.newest_order(one) == 3
+    assert [order for _, order in sorted(given_)] == [1, 2, 3] and plan.newest_revision(one) == 3
     assert [
-        event for event in plan.drawn(seed, instances).events if event.what in ("settings", "old")
+        event
+        for event in plan.drawn_plan(seed, instances).events
+        if event.what in ("settings", "old")
     ] == []
 
 
@@ -647,7 +653,7 @@
         events=(plan.Event(at=1, what="cut", whom=("z1",), lasts=2),),
     )
     plan.check(one)
-    (event,) = plan.spread_out(one)
+    (event,) = plan.expanded_events(one)
     assert event.whom == ("n2", "n3", "h1")
     hit = plan.pairs(one, event)
     assert (
