--- a/hazelhollow/__main__.py
+++ b/hazelhollow/__main__.py
@@ -3,9 +3,9 @@
 import sys
 
 if "serve" in sys.argv[1:2]:  # before all that takes time to import
-    from hazelhollow import signals
+    from hazelhollow import early_signals
 
-    signals.hold()
+    early_signals.hold()
 
 from hazelhollow.cli import main  # noqa: E402
 
--- a/hazelhollow/bench/cpu.py
+++ b/hazelhollow/bench/cpu.py
@@ -157,11 +157,13 @@
             number = turn * IN_FLIGHT + at
             customer = b"%016x" % (number % CUSTOMERS)
             fields = b"c=look,t=gold,d=2000,units=1,spread=2,first=0"
-            line.sendall(resp.command([b"Q.ASK", customer, os.urandom(8).hex().encode(), fields]))
+            line.sendall(
+                resp.encode_command([b"Q.ASK", customer, os.urandom(8).hex().encode(), fields])
+            )
         for line, parser in zip(lines, parsers, strict=True):
-            while isinstance(answer := parser.next(), resp.More):
+            while isinstance(answer := parser.next(), resp.NeedMoreData):
                 parser.feed(line.recv(65536))
-            served += isinstance(answer, bytes) and not isinstance(answer, resp.Fault)
+            served += isinstance(answer, bytes) and not isinstance(answer, resp.ErrorReply)
     for line in lines:
         line.close()
     return served
--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -18,7 +18,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.net.limiter import Decisions
+from hazelhollow.net.engine_driver import Decisions
 from hazelhollow.operator.records import Store as Terms
 from hazelhollow.shared_store.exchange import Exchange
 from hazelhollow.shared_store.leased_decisions import LeasedDecisions
--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -12,7 +12,7 @@
 
 import click
 
-from hazelhollow import __version__, config
+from hazelhollow import __version__, platform_config
 from hazelhollow.net import routing, service
 
 LATER = {
@@ -114,7 +114,9 @@
         )
     told = _load()
     try:
-        service.serve(told, lambda: config.load(os.environ, again=True), attached, counters)
+        service.serve(
+            told, lambda: platform_config.load(os.environ, again=True), attached, counters
+        )
     except OSError as error:
         _fail(f"cannot listen: {error.strerror or error}")
 
@@ -166,13 +168,13 @@
     click.echo(__version__)
 
 
-def _load() -> config.Config:
+def _load() -> platform_config.PlatformConfig:
     try:
-        told = config.load(os.environ)
+        told = platform_config.load(os.environ)
         if told.known is not None:
             routing.Table().apply(told.known)
         return told
-    except (config.ConfigError, routing.TableError) as error:
+    except (platform_config.PlatformConfigError, routing.TableError) as error:
         _fail(str(error))
         raise AssertionError from None
 
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -26,9 +26,9 @@
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.membership.driver import Driver as FleetDriver
 from hazelhollow.membership.seal import Seal
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.sparse import Sparse
 
 # Seconds at most until settings are on record, before a request is served by them: a peer's, and an
 # operator's, which are in force already, so that nobody is served meanwhile.
@@ -81,7 +81,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        peers: Peers,
+        peers: PeerSocket,
         fleet: FleetDriver,
         seal: Seal,
         port: Port,
@@ -95,7 +95,7 @@
         me = fleet.view.me
         self.rule, self.ruling, self.rollout = Rule(me), Ruling("current"), Rollout(me)
         self._acts = Acts(me, record, port, scheduler.clock)
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._heard_before = peers.heard
         self._given_order = 0  # of settings that a peer gave, or that are tried
         # digest and order of the settings, and whether they are tried
--- a/hazelhollow/control_budget/limiter.py
+++ b/hazelhollow/control_budget/limiter.py
@@ -17,7 +17,7 @@
 )
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.gossip_codec import BEFORE, DIALECT
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
 
 
 def with_gossip_rate(settings: api.Settings, bytes_per_s: float) -> api.Settings:
@@ -36,7 +36,7 @@
     """
 
     def __init__(
-        self, bytes_per_s: float, peers: Peers, clock: Callable[[], float], seal_bytes: int = 0
+        self, bytes_per_s: float, peers: PeerSocket, clock: Callable[[], float], seal_bytes: int = 0
     ) -> None:
         self.budget = ControlBudget(settings_for(bytes_per_s), clock())
         self._clock, self._overhead = clock, HEADER_BYTES + seal_bytes
--- a/hazelhollow/signals.py
+++ b/hazelhollow/early_signals.py
@@ -28,5 +28,5 @@
     return came
 
 
-def _keep(number: int, frame: FrameType | None) -> None:
+def _keep(number: int, _frame: FrameType | None) -> None:
     _came.append(number)
--- a/hazelhollow/fault_injection/clients.py
+++ b/hazelhollow/fault_injection/clients.py
@@ -16,8 +16,8 @@
 
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.net import resp, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
 
 PATIENCE = {"look": 1.5, "buy": 1.0}  # seconds
 USUAL_PATIENCE = 1.5  # of classes that are not of the rig's own settings
@@ -44,7 +44,7 @@
 
 
 class Clients:
-    def __init__(self, scheduler: sch.Scheduler, seed: int, out: IO[bytes], spread: int) -> None:
+    def __init__(self, scheduler: Scheduler, seed: int, out: IO[bytes], spread: int) -> None:
         self.scheduler, self.random, self._out, self.spread = (
             scheduler,
             random.Random(seed),
@@ -112,7 +112,7 @@
         used = line is not None
         if line is None:
             made = stream.connect(self.scheduler, door.address, MOST_OUT, CONNECT)
-            if isinstance(made, Ending):
+            if isinstance(made, CloseReason):
                 return "refused", ""
             line = Line(made)
         left = int((began + patience - self.scheduler.clock()) * 1000)
@@ -128,41 +128,41 @@
             fields.encode(),
             *([b"BODY"] if verb == b"Q.DO" else []),
         ]
-        line.driver.write(resp.command(words))
+        line.driver.write(resp.encode_command(words))
         line.driver.flush()
         answer = self._answer(line, began + patience + GRACE)
-        if isinstance(answer, Ending):
+        if isinstance(answer, CloseReason):
             line.driver.close(answer)
             return _ended(answer, used), ""
-        if not isinstance(line.parser.next(), resp.More):
+        if not isinstance(line.parser.next(), resp.NeedMoreData):
             row["extra"] += 1
         door.idle.append(line)
         return _read(answer)
 
-    def _answer(self, line: Line, until: float) -> resp.Value | Ending:
-        while isinstance(answer := line.parser.next(), resp.More):
-            if line.driver.wait(until) == sch.TIMEOUT:
-                return Ending.TIMED_OUT
-            data = line.driver.read(stream.CHUNK)
-            if isinstance(data, Ending):
+    def _answer(self, line: Line, until: float) -> resp.Value | CloseReason:
+        while isinstance(answer := line.parser.next(), resp.NeedMoreData):
+            if line.driver.wait(until) == TIMED_OUT:
+                return CloseReason.TIMED_OUT
+            data = line.driver.read(stream.READ_CHUNK_BYTES)
+            if isinstance(data, CloseReason):
                 return data
             if data:
                 line.parser.feed(data)
         return answer
 
 
-def _ended(ending: Ending, used: bool) -> str:
-    if ending is Ending.TIMED_OUT:
+def _ended(ending: CloseReason, used: bool) -> str:
+    if ending is CloseReason.TIMED_OUT:
         return "silent"
-    if ending is Ending.CLOSED:
+    if ending is CloseReason.CLOSED:
         return "crossed" if used else "closed"
     return "reset"
 
 
 def _read(answer: resp.Value) -> tuple[str, str]:
     first = answer[0] if isinstance(answer, list) and answer else answer
-    if isinstance(first, resp.Fault):
+    if isinstance(first, resp.ErrorReply):
         return ("busy" if first.startswith(b"BUSY") else "failed"), first.decode(errors="replace")
-    if isinstance(first, bytes) and not isinstance(first, resp.Simple):
+    if isinstance(first, bytes) and not isinstance(first, resp.SimpleString):
         return "served", first.decode(errors="replace")
     return "failed", ""
--- a/hazelhollow/fault_injection/control.py
+++ b/hazelhollow/fault_injection/control.py
@@ -17,9 +17,9 @@
 
 from hazelhollow.fault_injection.plan import Plan
 from hazelhollow.fault_injection.world import World
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import TIMED_OUT, Clock, Scheduler
 from hazelhollow.standins.relay import Fault
 
 FILE = "rig.json"  # address, token and number of the supervisor; readable by its owner alone
@@ -37,7 +37,7 @@
     def __init__(
         self, plan: Plan, folder: Path, operator: Callable[[str, Path], str] | None = None
     ) -> None:
-        self.scheduler, self.folder = sch.Scheduler(sch.Clock()), folder
+        self.scheduler, self.folder = Scheduler(Clock()), folder
         self.world = World(self.scheduler, plan, folder, operator=operator)
         self.token, self._stopping = secrets.token_hex(16), False
         self._sock = socket.create_server(self.world.own(250, PORT), backlog=16)
@@ -49,7 +49,7 @@
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: self.scheduler.stop())
         self.scheduler.spawn(self._begin, ready, name="begin")
-        self.scheduler.spawn_lasting(self._look, "look")
+        self.scheduler.spawn_supervised(self._look, "look")
         try:
             self.scheduler.run()
         finally:
@@ -70,7 +70,7 @@
                 os.open(self.folder / FILE, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "wb"
             ) as file:
                 file.write(orjson.dumps(document))
-            self.scheduler.spawn_lasting(self._accept, "control")
+            self.scheduler.spawn_supervised(self._accept, "control")
             ready(self.world)
         except BaseException as error:
             self.error = error
@@ -83,7 +83,7 @@
             self.scheduler.sleep(LOOK)
 
     def _accept(self) -> None:
-        for sock in stream.accepted(self.scheduler, self._sock):
+        for sock in stream.accept_connections(self.scheduler, self._sock):
             self.scheduler.spawn(
                 self._serve, stream.Stream(self.scheduler, sock, MOST), name="command"
             )
@@ -91,11 +91,11 @@
     def _serve(self, driver: stream.Stream) -> None:
         until, held = self.scheduler.clock() + WITHIN, b""
         while not held.endswith(b"\n"):
-            if driver.wait(until) == sch.TIMEOUT or len(held) > MOST:
-                driver.close(Ending.TIMED_OUT)
+            if driver.wait(until) == TIMED_OUT or len(held) > MOST:
+                driver.close(CloseReason.TIMED_OUT)
                 return
             data = driver.read(MOST)
-            if isinstance(data, Ending):
+            if isinstance(data, CloseReason):
                 driver.close(data)
                 return
             held += data or b""
@@ -105,7 +105,7 @@
             answer = {"error": str(error)}
         driver.write(orjson.dumps(answer) + b"\n")
         driver.flush()
-        driver.close(Ending.CLOSED)
+        driver.close(CloseReason.CLOSED)
         if self._stopping:
             self.scheduler.stop()
 
--- a/hazelhollow/fault_injection/drill.py
+++ b/hazelhollow/fault_injection/drill.py
@@ -28,7 +28,7 @@
 )
 from hazelhollow.fault_injection.probes import Prober
 from hazelhollow.fault_injection.world import CLIENT, RigError, World
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.relay import Fault
 
 LISTED_AFTER = 1.5  # seconds until discovery knows that a host has died or is back
@@ -62,7 +62,7 @@
         keep: bool = False,
     ) -> None:
         self.plan, self.folder, self.progress = plan, folder, progress
-        self.scheduler = sch.Scheduler(sch.Clock())
+        self.scheduler = Scheduler(Clock())
         (folder / "plan.json").write_bytes(write(plan))
         self.world = World(self.scheduler, plan, folder, keep, operator)
         self._faults: IO[bytes] = (folder / "faults.jsonl").open("wb")
@@ -122,8 +122,8 @@
                     self.begin + plan.seconds,
                     name="clients",
                 )
-        self.scheduler.spawn_lasting(self._count, "count")
-        self.scheduler.spawn_lasting(self._watch_itself, "watch itself")
+        self.scheduler.spawn_supervised(self._count, "count")
+        self.scheduler.spawn_supervised(self._watch_itself, "watch itself")
         if newest_order(plan):
             self._probe_settings(newest_order(plan))
         for event in spread_out(plan):
--- a/hazelhollow/fault_injection/probes.py
+++ b/hazelhollow/fault_injection/probes.py
@@ -11,8 +11,8 @@
 
 from hazelhollow.fault_injection.clients import Door
 from hazelhollow.net import resp, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
 
 EVERY = 0.25  # seconds
 WITHIN = 1.0  # for an answer
@@ -21,7 +21,7 @@
 
 class Prober:
     def __init__(
-        self, scheduler: sch.Scheduler, door: Door, order: int, out: IO[bytes], spread: int
+        self, scheduler: Scheduler, door: Door, order: int, out: IO[bytes], spread: int
     ) -> None:
         self._scheduler, self._door, self._order, self._out, self._spread = (
             scheduler,
@@ -54,7 +54,7 @@
         Served, busy, unknown (no such class), or nothing if there was no answer.
         """
         made = stream.connect(self._scheduler, self._door.address, MOST_OUT, WITHIN)
-        if isinstance(made, Ending):
+        if isinstance(made, CloseReason):
             return ""
         self._serial += 1
         customer, request = (
@@ -62,16 +62,22 @@
             f"{self._door.number:06x}{self._serial:010x}",
         )
         fields = f"c={kind},t=iron,d={int(WITHIN * 1000)},units=1,spread={self._spread},first=0"
-        made.write(resp.command([b"Q.ASK", customer.encode(), request.encode(), fields.encode()]))
+        made.write(
+            resp.encode_command([b"Q.ASK", customer.encode(), request.encode(), fields.encode()])
+        )
         made.flush()
         parser, until = resp.Parser(), self._scheduler.clock() + WITHIN
-        while isinstance(value := parser.next(), resp.More):
-            data = made.read(stream.CHUNK) if made.wait(until) != sch.TIMEOUT else Ending.TIMED_OUT
-            if isinstance(data, Ending):
+        while isinstance(value := parser.next(), resp.NeedMoreData):
+            data = (
+                made.read(stream.READ_CHUNK_BYTES)
+                if made.wait(until) != TIMED_OUT
+                else CloseReason.TIMED_OUT
+            )
+            if isinstance(data, CloseReason):
                 made.close(data)
                 return ""
             parser.feed(data or b"")
-        made.close(Ending.CLOSED)
-        if isinstance(value, resp.Fault):
+        made.close(CloseReason.CLOSED)
+        if isinstance(value, resp.ErrorReply):
             return "busy" if value.startswith(b"BUSY") else "unknown"
         return "served"
--- a/hazelhollow/fault_injection/world.py
+++ b/hazelhollow/fault_injection/world.py
@@ -19,9 +19,9 @@
 
 from hazelhollow.fault_injection.plan import PLANS_FROM, Plan, limiters, zone_of
 from hazelhollow.fault_injection.processes import Crew
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
 from hazelhollow.standins.discovery import Discovery, Host
 from hazelhollow.standins.relay import Relay
 
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         plan: Plan,
         folder: Path,
         keep: bool = False,
@@ -215,19 +215,19 @@
         self.discovery.close()
 
 
-def call(scheduler: sch.Scheduler, address: Address, words: str, within: float = 1.0) -> bytes:
+def call(scheduler: Scheduler, address: Address, words: str, within: float = 1.0) -> bytes:
     """A call at an operator address; nothing if nobody answers."""
     driver = stream.connect(scheduler, address, 4096, within)
-    if isinstance(driver, Ending):
+    if isinstance(driver, CloseReason):
         return b""
     driver.write(words.encode() + b"\n")
     until, answer = scheduler.clock() + within, b""
-    while driver.wait(until) != sch.TIMEOUT:
-        data = driver.read(stream.CHUNK)
-        if isinstance(data, Ending):
+    while driver.wait(until) != TIMED_OUT:
+        data = driver.read(stream.READ_CHUNK_BYTES)
+        if isinstance(data, CloseReason):
             break
         answer += data or b""
-    driver.close(Ending.CLOSED)
+    driver.close(CloseReason.CLOSED)
     return answer
 
 
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -20,9 +20,9 @@
 from hazelhollow.membership.records import NAMES, unpack_address
 from hazelhollow.membership.seal import Seal
 from hazelhollow.membership.shares import Shares
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.sparse import Sparse
 from hazelhollow.storage.append_file import AppendFile
 
 MARK = DIALECT[0]  # what a datagram of the view begins with; the gossip's begin with another letter
@@ -45,7 +45,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        peers: Peers,
+        peers: PeerSocket,
         view: views.View,
         seal: Seal,
         told: Callable[[api.MembershipChanged], None],
@@ -69,12 +69,12 @@
         self._gossip = peers.heard
         self._ended = False
         self._reported = 0
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._random = random.Random(view.own.incarnation)
 
     def start(self) -> None:
         self._peers.heard, self._peers.stranger = self.heard, self._stranger
-        self._scheduler.stood_still = self._woken
+        self._scheduler.on_process_pause = self._woken
         self._beat()
         self._report()
         self._tell_twin()
--- a/hazelhollow/net/backend.py
+++ b/hazelhollow/net/backend.py
@@ -11,11 +11,11 @@
 
 from hazelhollow.decisions.interface import Status
 from hazelhollow.net import resp, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending, outcome
+from hazelhollow.net.close_reason import CloseReason, outcome
+from hazelhollow.net.scheduler import WOKEN, Scheduler, Timer
 from hazelhollow.net.stats import Stats
 
-MOST_OUT = resp.MOST_BYTES + 8 * 1024  # one command
+MOST_OUT = resp.MAX_STRING_BYTES + 8 * 1024  # one command
 # of the time after which the host may close an idle connection: past it none is reused
 IDLE_SHARE = 0.5
 SWEEP = 0.25  # seconds between looks for idle connections and for answers that stop half-way
@@ -42,7 +42,7 @@
     if isinstance(answer, list) and answer and isinstance(answer[0], bytes):
         figures, report = (x if isinstance(x, bytes) else b"" for x in (answer + [None, None])[1:3])
         return Result("ok", answer[0], report, figures)
-    if isinstance(answer, resp.Fault):
+    if isinstance(answer, resp.ErrorReply):
         word, _, rest = answer.partition(b" ")
         report = rest.rpartition(b" ")[2] if b"=" in rest else b""
         if word == b"BUSY":
@@ -70,9 +70,9 @@
         self.done: Callable[[Result], None] | None = done
         self.look: Callable[[], object] | None = look
         self.line: Line | None = None
-        self.timer: sch.Timer | None = None  # at which it is given up before its request is
+        self.timer: Timer | None = None  # at which it is given up before its request is
         # at which it is given up if it has not gone out whole
-        self.begin_timer: sch.Timer | None = None
+        self.begin_timer: Timer | None = None
 
     def finish(self, result: Result) -> None:
         done, self.done, self.look = self.done, None, None
@@ -146,7 +146,7 @@
 class Backend:
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         stats: Stats,
         connect_timeout: float,
         conn_idle: float,
@@ -178,7 +178,7 @@
                 del self._hosts[name]
                 for line in list(host.lines):
                     if line.attempt is None or not line.touched():
-                        self.end(line, Ending.UNLISTED)
+                        self.end(line, CloseReason.UNLISTED)
         for name, address in addresses.items():
             if name not in self._hosts:
                 self._hosts[name] = Host(name, address)
@@ -201,15 +201,17 @@
         attempt = Attempt(host or Host(name, ("", 0)), command, done, look, now)
         self._stats.attempts += 1
         if host is None:
-            self._scheduler.later(lambda: attempt.finish(Result(outcome(Ending.UNLISTED, False))))
+            self._scheduler.at_end_of_turn(
+                lambda: attempt.finish(Result(outcome(CloseReason.UNLISTED, False)))
+            )
             return attempt
         while (place := self._settled(host, now)) is not None:
             line = host.idle.pop(place)
             if now - line.idle_since >= self._rest:
-                self.end(line, Ending.IDLE)
+                self.end(line, CloseReason.IDLE)
             elif not line.stream or not line.stream.alive():
                 # an attempt written to it would be a reset, which may have run
-                self.end(line, Ending.CLOSED)
+                self.end(line, CloseReason.CLOSED)
             else:
                 line.attempt, attempt.line = attempt, line
                 self._stats.reused += 1
@@ -218,8 +220,8 @@
                 return attempt
         if len(self._lines) >= self._most and not self.spare():
             self._stats.no_descriptor += 1
-            self._scheduler.later(
-                lambda: attempt.finish(Result(outcome(Ending.NO_DESCRIPTOR, False)))
+            self._scheduler.at_end_of_turn(
+                lambda: attempt.finish(Result(outcome(CloseReason.NO_DESCRIPTOR, False)))
             )
             return attempt
         line = Line(host)
@@ -237,19 +239,19 @@
             (n for n in range(len(host.idle) - 1, -1, -1) if host.idle[n].settled_at <= now), None
         )
 
-    def give_up(self, attempt: Attempt, ending: Ending) -> None:
+    def give_up(self, attempt: Attempt, ending: CloseReason) -> None:
         """The host learns of it by the connection's end; bytes that were not written never are."""
         if attempt.done and attempt.line:
             self.end(attempt.line, ending)
 
-    def hold_back(self, attempt: Attempt, ending: Ending) -> None:
+    def hold_back(self, attempt: Attempt, ending: CloseReason) -> None:
         """What has not gone out whole never will: no host can have begun it."""
         if attempt.done and attempt.line and not attempt.line.whole():
             self.end(attempt.line, ending)
 
     # Connections
 
-    def end(self, line: Line, ending: Ending) -> None:
+    def end(self, line: Line, ending: CloseReason) -> None:
         """The one place in which a connection ends, and an attempt with it."""
         host, attempt, whole = line.host, line.attempt, line.whole()
         if line in host.lines:
@@ -267,43 +269,43 @@
 
     def close(self) -> None:
         for line in list(self._lines):
-            self.end(line, Ending.SHUTDOWN)
+            self.end(line, CloseReason.SHUTDOWN)
 
     def spare(self) -> bool:
         """Makes room for one descriptor where a connection is idle."""
         idle = [host.idle[0] for host in self._hosts.values() if host.idle]
         if not idle:
             return False
-        self.end(min(idle, key=lambda line: line.idle_since), Ending.IDLE)
+        self.end(min(idle, key=lambda line: line.idle_since), CloseReason.IDLE)
         return True
 
     def _tend(self, line: Line) -> None:
         """The task of one connection, for its whole incarnation."""
         if line not in line.host.lines:
             return  # given up in the turn that asked for it
-        ending = Ending.BROKEN_HERE
+        ending = CloseReason.BROKEN_HERE
         try:
             ending = self._open(line) or self._serve(line)
         finally:
             self.end(line, ending)
 
-    def _open(self, line: Line) -> Ending | None:
+    def _open(self, line: Line) -> CloseReason | None:
         for turn in (1, 2):
             result = stream.connect(
                 self._scheduler, line.host.address, MOST_OUT, self._connect_timeout, line.opening
             )
-            if not isinstance(result, Ending):
+            if not isinstance(result, CloseReason):
                 self._stats.opened += 1
                 if line.attempt and line.attempt.look:
                     line.attempt.look()
                 line.begin()
                 return None
-            if result is not Ending.NO_DESCRIPTOR or turn == 2 or not self.make_room():
+            if result is not CloseReason.NO_DESCRIPTOR or turn == 2 or not self.make_room():
                 return result
             line.stream = None
         return None
 
-    def _serve(self, line: Line) -> Ending:
+    def _serve(self, line: Line) -> CloseReason:
         assert line.stream
         driver = line.stream
         driver.on_broken = lambda ending: self.end(line, ending)
@@ -311,27 +313,27 @@
             if line.attempt is None:
                 driver.rest()
                 continue
-            if driver.wait() == sch.WOKEN:
+            if driver.wait() == WOKEN:
                 continue
             data = driver.read(line.parser.ring.room())
             if data is None:
                 continue
-            if isinstance(data, Ending):
+            if isinstance(data, CloseReason):
                 return data
             try:
                 line.parser.feed(data)
                 answer = line.parser.next()
             except resp.ProtocolError as error:
                 log.info("%s: a spoilt answer: %s", line.host.name, error)
-                return Ending.MALFORMED
-            if isinstance(answer, resp.More):
+                return CloseReason.MALFORMED
+            if isinstance(answer, resp.NeedMoreData):
                 line.partial_since = self._scheduler.clock()
                 continue
             result = read_answer(answer)
             # Nobody asked, the answer is none, or it came before the request was out: what this
             # connection says next could be taken for another request's answer.
             if result is None or not line.whole():
-                return Ending.MALFORMED
+                return CloseReason.MALFORMED
             attempt, line.attempt, line.partial_since = line.attempt, None, 0.0
             assert attempt
             self._stats.dispatches += 1
@@ -341,7 +343,7 @@
             else:
                 # The answer is whole and this attempt's own. What lies behind it is nobody's: it
                 # must reach no other attempt, and no more of it is read.
-                self.end(line, Ending.MALFORMED)
+                self.end(line, CloseReason.MALFORMED)
             attempt.finish(result)
         return driver.ending
 
@@ -350,17 +352,17 @@
         if line.host.listed:
             line.host.idle.append(line)
         else:
-            self.end(line, Ending.UNLISTED)
+            self.end(line, CloseReason.UNLISTED)
 
     def _sweep(self) -> None:
         self._scheduler.at(self._scheduler.clock() + SWEEP, self._sweep)
         now = self._scheduler.clock()
         for host in self._hosts.values():
             while host.idle and now - host.idle[0].idle_since >= self._rest:
-                self.end(host.idle[0], Ending.IDLE)
+                self.end(host.idle[0], CloseReason.IDLE)
         for line in [
             x for x in self._lines if x.partial_since and now - x.partial_since >= HALFWAY
         ]:
             # The host had done the work and was sending: the attempt can wait for the deadline in
             # vain only.
-            self.end(line, Ending.STALLED)
+            self.end(line, CloseReason.STALLED)
--- a/hazelhollow/net/ending.py
+++ b/hazelhollow/net/close_reason.py
@@ -10,7 +10,7 @@
 from hazelhollow.decisions.interface import Status
 
 
-class Ending(Enum):
+class CloseReason(Enum):
     """Why a connection is over."""
 
     REFUSED = auto()  # nothing listens there
@@ -30,10 +30,13 @@
     BROKEN_HERE = auto()  # an error in our own code
 
 
-_MAY_HAVE_RUN: dict[Ending, Status] = {Ending.TIMED_OUT: "timeout", Ending.CANCELLED: "cancelled"}
+_MAY_HAVE_RUN: dict[CloseReason, Status] = {
+    CloseReason.TIMED_OUT: "timeout",
+    CloseReason.CANCELLED: "cancelled",
+}
 
 
-def outcome(ending: Ending, written: bool) -> Status:
+def outcome(ending: CloseReason, written: bool) -> Status:
     """The module's word for an attempt whose connection ended so.
 
     It turns on whether the last byte of the attempt's request had been written. Up to then no
@@ -42,4 +45,4 @@
     """
     if written:
         return _MAY_HAVE_RUN.get(ending, "reset")
-    return "cancelled" if ending is Ending.CANCELLED else "connect_failed"
+    return "cancelled" if ending is CloseReason.CANCELLED else "connect_failed"
--- a/hazelhollow/net/limiter.py
+++ b/hazelhollow/net/engine_driver.py
@@ -13,11 +13,11 @@
 from typing import Protocol
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net.backend import Attempt, Backend, Result
-from hazelhollow.net.ending import Ending
-from hazelhollow.net.peers import Peers
-from hazelhollow.net.sparse import Sparse
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
+from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
 from hazelhollow.simulator import wire
 
@@ -79,21 +79,21 @@
         self.attempts: list[Attempt] = []
         self.out = 0
         self.answered = False
-        self.timer: sch.Timer | None = None
+        self.timer: Timer | None = None
 
 
 class Limiter:
     def __init__(
         self,
         decisions: Decisions,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         backend: Backend,
         stats: Stats,
         most_open: int,
     ) -> None:
         self._decisions, self._scheduler = decisions, scheduler
         self._backend, self._stats, self._most_open = backend, stats, most_open
-        self.peers: Peers | None = None
+        self.peers: PeerSocket | None = None
         self.closed: Callable[[api.ReplicateCount], None] | None = (
             None  # who wants the module's own counts
         )
@@ -106,7 +106,7 @@
         self._events: deque[tuple[api.Event, Open | None]] = deque()
         self._busy = False
         self.most_units = 0.0  # that an answer may settle; 0 where units are not settled afterwards
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
 
     # The client side
 
@@ -158,7 +158,7 @@
             one.answered = True
             self._handle(api.ClientDisconnected(one.id), one)
             for attempt in one.attempts:
-                self._backend.hold_back(attempt, Ending.CANCELLED)
+                self._backend.hold_back(attempt, CloseReason.CANCELLED)
 
     # Everything else that happens
 
@@ -183,7 +183,7 @@
     def _expire(self, one: Open) -> None:
         """The client stops waiting now: so do the attempts, and the answer is due."""
         for attempt in one.attempts:
-            self._backend.give_up(attempt, Ending.TIMED_OUT)
+            self._backend.give_up(attempt, CloseReason.TIMED_OUT)
         if not one.answered and not self._busy:
             self._rescue(one, "no decision by its deadline")
         self._let_go(one)
@@ -287,7 +287,7 @@
         elif isinstance(action, api.CancelAttempt):
             found = self.open.get(action.id)
             if found and action.attempt < len(found.attempts):
-                self._backend.give_up(found.attempts[action.attempt], Ending.CANCELLED)
+                self._backend.give_up(found.attempts[action.attempt], CloseReason.CANCELLED)
         elif isinstance(action, api.WriteLog):
             log.info("%s", action.text)
         elif isinstance(action, api.ReplicateCount) and self.closed:
@@ -324,11 +324,11 @@
         one.attempts.append(attempt)
         if action.begin_by < now + left:
             attempt.begin_timer = self._scheduler.at(
-                action.begin_by, self._backend.hold_back, attempt, Ending.NEVER_UP
+                action.begin_by, self._backend.hold_back, attempt, CloseReason.NEVER_UP
             )
         if now + left < one.deadline:
             attempt.timer = self._scheduler.at(
-                now + left, self._backend.give_up, attempt, Ending.TIMED_OUT
+                now + left, self._backend.give_up, attempt, CloseReason.TIMED_OUT
             )
 
     def _has_ended(self, one: Open) -> bool:
@@ -336,7 +336,7 @@
 
         As the system knows it where the sockets were looked at too long ago.
         """
-        if not one.answered and self._scheduler.knowledge_age() > STALE and one.caller.has_left():
+        if not one.answered and self._scheduler.time_since_poll() > STALE and one.caller.has_left():
             self.gone(one)
         return one.answered
 
--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -8,13 +8,13 @@
 import socket
 from collections.abc import Callable
 
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream
-from hazelhollow.net.admission import Places
-from hazelhollow.net.ending import Ending
-from hazelhollow.net.limiter import Limiter
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.engine_driver import Limiter
 from hazelhollow.net.requests import Terms
+from hazelhollow.net.scheduler import READABLE, Scheduler
 from hazelhollow.net.session import MOST_OUT, Session
+from hazelhollow.net.session_table import Places
 from hazelhollow.net.stats import Stats
 
 BATCH = 16  # connections that are let in before others get their turn
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         stats: Stats,
         limiter: Limiter,
         terms: Terms,
@@ -85,7 +85,7 @@
 
     def run(self) -> None:
         while True:
-            self.scheduler.wait(self._sock.fileno(), sch.READ)
+            self.scheduler.wait(self._sock.fileno(), READABLE)
             for _ in range(BATCH):
                 if not self._accept():
                     break
@@ -107,7 +107,7 @@
         # Only now is it known that room is needed; the one that has come must not be the one that
         # goes.
         if in_excess:
-            in_excess.end(Ending.NO_DESCRIPTOR)
+            in_excess.end(CloseReason.NO_DESCRIPTOR)
         self._begin(sock)
         return True
 
@@ -131,7 +131,7 @@
             return True
         idlest = self.places.idlest()
         if idlest:
-            idlest.end(Ending.NO_DESCRIPTOR)
+            idlest.end(CloseReason.NO_DESCRIPTOR)
             self.places.forgo_oldest()  # that one, unless its client has just broken it
         return idlest is not None
 
@@ -151,7 +151,7 @@
                 break
             total -= held[session]
             self.stats.relieved += 1
-            session.end(Ending.STALLED)
+            session.end(CloseReason.STALLED)
 
     def finish(self, taking: bool = True) -> None:
         """Sessions end between requests.
@@ -174,5 +174,5 @@
                 break
             self.stats.accepted += 1
             self._begin(sock).finish()
-        self.scheduler.forget(self._sock.fileno())
+        self.scheduler.unregister(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/net/collector.py
+++ b/hazelhollow/net/gc_pauses.py
@@ -16,7 +16,7 @@
 MIDDLE_PASSES = 10_000
 
 
-def collect_in_short_passes() -> None:
+def shorten_collector_pauses() -> None:
     """To be called when all that incarnations as long as the process has been made."""
     gc.collect()
     gc.freeze()
--- a/hazelhollow/net/http1.py
+++ b/hazelhollow/net/http1.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from hazelhollow.net.resp import ProtocolError
-from hazelhollow.net.ring import Ring, RingFull
+from hazelhollow.net.ring_buffer import RingBuffer, RingBufferFullError
 
-MOST_HEAD = 16 * 1024
-MOST_BODY = 4 * 1024 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
 def get(target: str, host: str) -> bytes:
     return f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
 
-class Answer:
+class Response:
     """One whole answer."""
 
     __slots__ = ("status", "body", "keep")
@@ -29,7 +29,7 @@
     """
 
     def __init__(self) -> None:
-        self.ring = Ring(MOST_HEAD + MOST_BODY)
+        self.ring = RingBuffer(MAX_HEAD_BYTES + MAX_BODY_BYTES)
         self._restart()
 
     def _restart(self) -> None:
@@ -44,10 +44,10 @@
     def feed(self, data: bytes) -> None:
         try:
             self.ring.write(data)
-        except RingFull:
+        except RingBufferFullError:
             raise ProtocolError("too much at once") from None
 
-    def next(self) -> Answer | None:
+    def next(self) -> Response | None:
         while not self._status:
             if not self._head():
                 return None
@@ -57,7 +57,7 @@
             return None
         return self._whole()
 
-    def end(self) -> Answer | None:
+    def end(self) -> Response | None:
         """The other side has ended the connection in good order.
 
         The answer that ends with it, if there is one. A reset is no end, and what came before it is
@@ -66,24 +66,24 @@
         if not self._endless:
             return None
         self._body += self.ring.take(len(self.ring))
-        if len(self._body) > MOST_BODY:
+        if len(self._body) > MAX_BODY_BYTES:
             raise ProtocolError("too large a body")
         return self._whole()
 
-    def _whole(self) -> Answer:
-        answer = Answer(self._status, bytes(self._body), self._keep)
+    def _whole(self) -> Response:
+        answer = Response(self._status, bytes(self._body), self._keep)
         self._restart()
         return answer
 
     def _line(self) -> bytes | None:
         at = self.ring.find(b"\r\n")
-        if at > MOST_HEAD or (at < 0 and len(self.ring) > MOST_HEAD):
+        if at > MAX_HEAD_BYTES or (at < 0 and len(self.ring) > MAX_HEAD_BYTES):
             raise ProtocolError("too long a line")
         return self.ring.take(at + 2)[:-2] if at >= 0 else None
 
     def _head(self) -> bool:
         at = self.ring.find(b"\r\n\r\n")
-        if at > MOST_HEAD or (at < 0 and len(self.ring) > MOST_HEAD):
+        if at > MAX_HEAD_BYTES or (at < 0 and len(self.ring) > MAX_HEAD_BYTES):
             raise ProtocolError("too long a head")
         if at < 0:
             return False
@@ -107,7 +107,7 @@
         self._endless = not (self._chunked or bodiless or b"content-length" in fields)
         self._keep = self._keep and not self._endless
         length = fields.get(b"content-length", b"0")
-        if not length.isdigit() or int(length) > MOST_BODY:
+        if not length.isdigit() or int(length) > MAX_BODY_BYTES:
             raise ProtocolError("a length out of range")
         self._left = -1 if self._chunked else int(length)
         return True
@@ -124,7 +124,7 @@
                 if len(self.ring) < self._left + 2:
                     return False
                 self._body += self.ring.take(self._left + 2)[:-2]
-                if len(self._body) > MOST_BODY:
+                if len(self._body) > MAX_BODY_BYTES:
                     raise ProtocolError("too large a body")
                 self._left = -1
                 continue
@@ -139,6 +139,6 @@
                 size = int(line.split(b";")[0], 16)
             except ValueError:
                 raise ProtocolError("not a chunk's size") from None
-            if not 0 <= size <= MOST_BODY:
+            if not 0 <= size <= MAX_BODY_BYTES:
                 raise ProtocolError("a length out of range")
             self._left, self._trailer = (size, False) if size else (-1, True)
--- a/hazelhollow/net/operator.py
+++ b/hazelhollow/net/operator_address.py
@@ -8,10 +8,10 @@
 
 import orjson
 
-from hazelhollow.net import calls, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
-from hazelhollow.net.sparse import Sparse
+from hazelhollow.net import operator_calls, stream
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.rate_limited_log import RateLimitedLog
+from hazelhollow.net.scheduler import READABLE, TIMED_OUT, Scheduler
 from hazelhollow.net.stats import Stats
 
 WITHIN = 0.5  # seconds from a connection to its whole call; answers are due within 1 s
@@ -46,7 +46,7 @@
     def set_up(self, server: str) -> str | None: ...
 
 
-def answer(desk: Desk, call: calls.Call) -> bytes:
+def answer(desk: Desk, call: operator_calls.Call) -> bytes:
     """The whole answer to one call."""
     if call.verb == "check":
         return b"done ready\n" if desk.ready() else b"error not ready yet\n"
@@ -55,13 +55,16 @@
     if call.verb in ("fleet", "audit"):
         shown = desk.fleet() if call.verb == "fleet" else desk.audit()
         return (
-            b"error %b\n" % str(calls.unknown(call.verb)).encode()
+            b"error %b\n" % str(operator_calls.unknown(call.verb)).encode()
             if shown is None
             else orjson.dumps(shown) + b"\nend\n"
         )
     if call.verb == "config":
         told = desk.config(call.words)
-        return b"%b\n" % (f"error {calls.unknown(call.verb)}" if told is None else told).encode()
+        return (
+            b"%b\n"
+            % (f"error {operator_calls.unknown(call.verb)}" if told is None else told).encode()
+        )
     why = desk.set_down(call.server) if call.verb == "set-down" else desk.set_up(call.server)
     if why:
         return b"error %b\n" % why.encode()
@@ -72,11 +75,11 @@
     """The listening socket and its callers."""
 
     def __init__(
-        self, scheduler: sch.Scheduler, stats: Stats, desk: Desk, listen: tuple[str, int]
+        self, scheduler: Scheduler, stats: Stats, desk: Desk, listen: tuple[str, int]
     ) -> None:
         self._scheduler, self._stats, self._desk = scheduler, stats, desk
         self._callers: dict[stream.Stream, None] = {}  # the oldest first
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._sock.setblocking(False)
@@ -85,63 +88,63 @@
         self.address: tuple[str, int] = self._sock.getsockname()
 
     def run(self) -> None:
-        for sock in stream.accepted(self._scheduler, self._sock):
+        for sock in stream.accept_connections(self._scheduler, self._sock):
             if len(self._callers) >= MOST_CALLERS:
                 oldest = next(iter(self._callers))
-                self._stats.operator_endings[Ending.NO_DESCRIPTOR] += 1
-                oldest.close(Ending.NO_DESCRIPTOR)
+                self._stats.operator_endings[CloseReason.NO_DESCRIPTOR] += 1
+                oldest.close(CloseReason.NO_DESCRIPTOR)
             driver = stream.Stream(self._scheduler, sock, MOST_OUT)
             self._callers[driver] = None
             self._scheduler.spawn(self._caller, driver, name="operator call")
 
     def _caller(self, driver: stream.Stream) -> None:
-        ending = Ending.BROKEN_HERE
+        ending = CloseReason.BROKEN_HERE
         try:
             ending = self._serve(driver)
         finally:
             self._stats.operator_endings[ending] += 1
             if driver.ending is None and not driver.out:  # it may have said more than its call
-                driver.end_sending()
+                driver.shutdown_send()
                 driver.drain(OUT_WITHIN, MOST_DRAINED)
             driver.close(ending)
             self._callers.pop(driver, None)
 
-    def _serve(self, driver: stream.Stream) -> Ending:
-        until, parser = self._scheduler.clock() + WITHIN, calls.Parser()
+    def _serve(self, driver: stream.Stream) -> CloseReason:
+        until, parser = self._scheduler.clock() + WITHIN, operator_calls.Parser()
         try:
             while True:
-                bits = driver.wait(until, sch.READ)
+                bits = driver.wait(until, READABLE)
                 if driver.ending:
                     return driver.ending
-                if bits == sch.TIMEOUT:
+                if bits == TIMED_OUT:
                     why = "half a call" if parser.partial() else "no call"
-                    return self._refuse(driver, f"{why} within {WITHIN} s", Ending.TIMED_OUT)
-                data = driver.read(calls.MOST_LINE)
-                if isinstance(data, Ending):
+                    return self._refuse(driver, f"{why} within {WITHIN} s", CloseReason.TIMED_OUT)
+                data = driver.read(operator_calls.MOST_LINE)
+                if isinstance(data, CloseReason):
                     return data
                 call = parser.feed(data) if data else None
                 if call:
                     break
-        except calls.CallError as error:
-            return self._refuse(driver, str(error), Ending.MALFORMED)
+        except operator_calls.CallError as error:
+            return self._refuse(driver, str(error), CloseReason.MALFORMED)
         self._stats.operator_calls[call.verb] += 1
         driver.write(answer(self._desk, call))
-        return self._finish(driver, Ending.CLOSED)
+        return self._finish(driver, CloseReason.CLOSED)
 
-    def _refuse(self, driver: stream.Stream, why: str, ending: Ending) -> Ending:
+    def _refuse(self, driver: stream.Stream, why: str, ending: CloseReason) -> CloseReason:
         self._log.warning("operator address: %s", why)
         driver.write(b"error %b\n" % why.encode())
         return self._finish(driver, ending)
 
-    def _finish(self, driver: stream.Stream, ending: Ending) -> Ending:
+    def _finish(self, driver: stream.Stream, ending: CloseReason) -> CloseReason:
         """The answer goes out, within a bound; what the caller says meanwhile is not read."""
         until = self._scheduler.clock() + OUT_WITHIN
         driver.flush()
         while driver.out and driver.ending is None:
-            if driver.wait(until, 0) == sch.TIMEOUT:
-                return Ending.STALLED
+            if driver.wait(until, 0) == TIMED_OUT:
+                return CloseReason.STALLED
         return ending
 
     def close(self) -> None:
-        self._scheduler.forget(self._sock.fileno())
+        self._scheduler.unregister(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/net/operator_client.py
+++ b/hazelhollow/net/operator_client.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from hazelhollow.config import address
+from hazelhollow.platform_config import address
 
 WITHIN = 2.0  # seconds to connect, and between two parts of the answer
 CHUNK = 1 << 16
--- a/hazelhollow/net/peers.py
+++ b/hazelhollow/net/peer_socket.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import READABLE, Scheduler
 from hazelhollow.net.stats import Stats
 
 MOST_BYTES = 256  # a longer one breaks a rule
@@ -18,10 +18,10 @@
 log = logging.getLogger(__name__)
 
 
-class Peers:
+class PeerSocket:
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         stats: Stats,
         listen: tuple[str, int],
         peers: Sequence[tuple[str, int]],
@@ -73,7 +73,7 @@
 
     def run(self) -> None:
         while True:
-            self._scheduler.wait(self._sock.fileno(), sch.READ)
+            self._scheduler.wait(self._sock.fileno(), READABLE)
             for _ in range(BATCH):
                 try:
                     data, sender = self._sock.recvfrom(MOST_BYTES + 1)
--- a/hazelhollow/net/sparse.py
+++ b/hazelhollow/net/rate_limited_log.py
@@ -8,7 +8,7 @@
 LINES_A_SECOND = 5.0
 
 
-class Sparse:
+class RateLimitedLog:
     """Troubles that others cause, by the crowd: so many lines a second, and a count of the rest."""
 
     def __init__(
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -18,7 +18,7 @@
 _UNITS = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
-class BadCommand(Exception):
+class BadCommandError(Exception):
     """A command that is answered with an error, and why."""
 
 
@@ -48,9 +48,9 @@
     def read(self, words: list[bytes], late: float) -> api.RequestArrived:
         """`late`: how long ago the command may have arrived."""
         if len(words) != (5 if words[0].upper() == b"Q.DO" else 4):
-            raise BadCommand("wrong number of arguments")
+            raise BadCommandError("wrong number of arguments")
         if not _CUSTOMER.fullmatch(words[1]) or not _ID.fullmatch(words[2]):
-            raise BadCommand("no such customer, or no id")
+            raise BadCommandError("no such customer, or no id")
         try:
             items = [item.split("=", 1) for item in words[3].decode("ascii").split(",")]
             fields = dict(items)
@@ -58,25 +58,25 @@
             patience, spread, first = fields["d"], fields["spread"], fields["first"]
             units = fields["units"]
         except (KeyError, ValueError):
-            raise BadCommand("unreadable request") from None
+            raise BadCommandError("unreadable request") from None
         if len(fields) != len(items):
-            raise BadCommand("a field comes twice")
+            raise BadCommandError("a field comes twice")
         if kind is None or plan not in self.plans:
-            raise BadCommand("no such class or plan")
+            raise BadCommandError("no such class or plan")
         if (kind.effect == "safe") != (len(words) == 4) or (
             kind.effect == "keyed" and not fields.get("k")
         ):
-            raise BadCommand("not the command for this class")
+            raise BadCommandError("not the command for this class")
         if not _WHOLE.fullmatch(patience) or int(patience) > math.ceil(
             self.longest[kind.name] * 1000
         ):
-            raise BadCommand("d out of range")
+            raise BadCommandError("d out of range")
         if not _UNITS.fullmatch(units) or not 0 < float(units) <= self.most_units:
-            raise BadCommand("units out of range")
+            raise BadCommandError("units out of range")
         if not (_WHOLE.fullmatch(spread) and _WHOLE.fullmatch(first)):
-            raise BadCommand("set out of range")
+            raise BadCommandError("set out of range")
         if not (0 < int(spread) <= self.gateways and int(first) < self.gateways):
-            raise BadCommand("set out of range")
+            raise BadCommandError("set out of range")
         return api.RequestArrived(
             id=words[2].decode("ascii"),
             class_name=kind.name,
@@ -104,6 +104,6 @@
 
     def command(self, wait_ms: int) -> bytes:
         words = self._words
-        return resp.command(
+        return resp.encode_command(
             [*words[:3], b"%b%d%b" % (self._before, wait_ms, self._after), *words[4:]]
         )
--- a/hazelhollow/net/resp.py
+++ b/hazelhollow/net/resp.py
@@ -5,34 +5,34 @@
 import re
 from typing import Final, Union
 
-from hazelhollow.net.ring import Ring, RingFull
+from hazelhollow.net.ring_buffer import RingBuffer, RingBufferFullError
 
-MOST_BYTES = 64 * 1024  # of one value
-MOST_WHOLE = MOST_BYTES + 8 * 1024  # of one command or answer, arrays and all
-MOST_ITEMS = 64  # of one array; commands and answers have five at most
-MOST_DEPTH = 4
-MOST_LINE = 4 * 1024
-MOST_BUFFERED = 2 * MOST_BYTES  # received and not parsed yet
+MAX_STRING_BYTES = 64 * 1024  # of one value
+MAX_VALUE_BYTES = MAX_STRING_BYTES + 8 * 1024  # of one command or answer, arrays and all
+MAX_ARRAY_ITEMS = 64  # of one array; commands and answers have five at most
+MAX_ARRAY_DEPTH = 4
+MAX_LINE_BYTES = 4 * 1024
+MAX_BUFFERED_BYTES = 2 * MAX_STRING_BYTES  # received and not parsed yet
 
 
 class ProtocolError(Exception):
     """What arrived is not of the protocol, or too large for it."""
 
 
-class Simple(bytes):
+class SimpleString(bytes):
     """A status line: `+OK`."""
 
 
-class Fault(bytes):
+class ErrorReply(bytes):
     """An error line: `-ERR ...`."""
 
 
-class More:
+class NeedMoreData:
     """What the parser gives while no value is whole."""
 
 
 Value = Union[bytes, int, None, list["Value"]]
-MORE: Final = More()
+NEED_MORE_DATA: Final = NeedMoreData()
 _NUMBER = re.compile(rb"-?[0-9]{1,19}")
 
 
@@ -42,7 +42,7 @@
     __slots__ = ("ring", "_bulk", "_stack", "_taken")
 
     def __init__(self) -> None:
-        self.ring = Ring(MOST_BUFFERED)
+        self.ring = RingBuffer(MAX_BUFFERED_BYTES)
         self._bulk = -1  # length of the string whose bytes come next
         self._stack: list[tuple[list[Value], int]] = []  # unfinished arrays and their lengths
         self._taken = 0  # bytes of strings in them
@@ -50,7 +50,7 @@
     def feed(self, data: bytes) -> None:
         try:
             self.ring.write(data)
-        except RingFull:
+        except RingBufferFullError:
             raise ProtocolError("too much at once") from None
 
     def held(self) -> int:
@@ -66,11 +66,16 @@
         steps.
         """
         view = self.ring.peek()
-        if len(view) != len(self.ring) or len(view) > MOST_LINE or view[0] != 42:  # `*`
+        if len(view) != len(self.ring) or len(view) > MAX_LINE_BYTES or view[0] != 42:  # `*`
             return None
         parts = bytes(view).split(b"\r\n")
         words = parts[2::2]
-        if parts[-1] or len(parts) != 2 * len(words) + 2 or not words or len(words) > MOST_ITEMS:
+        if (
+            parts[-1]
+            or len(parts) != 2 * len(words) + 2
+            or not words
+            or len(words) > MAX_ARRAY_ITEMS
+        ):
             return None
         if parts[0] != b"*%d" % len(words) or parts[1:-1:2] != [
             b"$%d" % len(word) for word in words
@@ -79,10 +84,10 @@
         self.ring.clear()
         return list(words)
 
-    def next(self) -> Value | More:
+    def next(self) -> Value | NeedMoreData:
         ring = self.ring
         if not ring:
-            return MORE
+            return NEED_MORE_DATA
         if self._bulk < 0 and not self._stack:
             words = self._whole()
             if words is not None:
@@ -91,39 +96,39 @@
             value: Value
             if self._bulk >= 0:
                 if len(ring) < self._bulk + 2:
-                    return MORE
+                    return NEED_MORE_DATA
                 data = ring.take(self._bulk + 2)
                 if data[-2:] != b"\r\n":
                     raise ProtocolError("a string without its end")
                 self._bulk, value = -1, data[:-2]
             else:
                 at = ring.find(b"\r\n")
-                if at < 0 and len(ring) <= MOST_LINE:
-                    return MORE
-                if not 0 < at <= MOST_LINE:
+                if at < 0 and len(ring) <= MAX_LINE_BYTES:
+                    return NEED_MORE_DATA
+                if not 0 < at <= MAX_LINE_BYTES:
                     raise ProtocolError("an empty line or too long a one")
                 line = ring.take(at + 2)[:-2]
                 kind = line[:1]
                 if kind == b"$":
-                    self._bulk = _length(line, MOST_BYTES)
+                    self._bulk = _length(line, MAX_STRING_BYTES)
                     self._taken += max(self._bulk, 0) if self._stack else 0
-                    if self._taken > MOST_WHOLE:  # many strings, each of which may be large
+                    if self._taken > MAX_VALUE_BYTES:  # many strings, each of which may be large
                         raise ProtocolError("too much in one array")
                     if self._bulk >= 0:
                         continue
                     value = None
                 elif kind == b"*":
-                    count = _length(line, MOST_ITEMS)
+                    count = _length(line, MAX_ARRAY_ITEMS)
                     if count > 0:
-                        if len(self._stack) == MOST_DEPTH:
+                        if len(self._stack) == MAX_ARRAY_DEPTH:
                             raise ProtocolError("arrays too deep")
                         self._stack.append(([], count))
                         continue
                     value = [] if count == 0 else None
                 elif kind == b"+":
-                    value = Simple(line[1:])
+                    value = SimpleString(line[1:])
                 elif kind == b"-":
-                    value = Fault(line[1:])
+                    value = ErrorReply(line[1:])
                 elif kind == b":":
                     # Unreadable, it is still whole on its line and ruins nothing beside it: no
                     # number.
@@ -152,9 +157,9 @@
     return number
 
 
-def bulk(value: bytes) -> bytes:
+def encode_bulk_string(value: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def command(words: list[bytes]) -> bytes:
+def encode_command(words: list[bytes]) -> bytes:
     return b"*%d\r\n" % len(words) + b"".join([b"$%d\r\n%b\r\n" % (len(w), w) for w in words])
--- a/hazelhollow/net/ring.py
+++ b/hazelhollow/net/ring_buffer.py
@@ -5,11 +5,11 @@
 START = 2048
 
 
-class RingFull(Exception):
+class RingBufferFullError(Exception):
     """More was written than the ring may ever hold."""
 
 
-class Ring:
+class RingBuffer:
     """Bytes in their order.
 
     The buffer starts small, grows up to `most` and shrinks once it is empty.
@@ -79,7 +79,7 @@
 
     def _grow(self, need: int) -> None:
         if need > self.most:
-            raise RingFull
+            raise RingBufferFullError
         capacity = len(self._buffer)
         while capacity < need:
             capacity *= 2
--- a/hazelhollow/net/routing.py
+++ b/hazelhollow/net/routing.py
@@ -11,14 +11,14 @@
 
 import orjson
 
-from hazelhollow.config import address as parse_address
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import http1, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.resp import ProtocolError
-from hazelhollow.net.sparse import Sparse
+from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
 from hazelhollow.net.stats import Stats
+from hazelhollow.platform_config import address as parse_address
 
 PATH = "/discovery/hosts"
 # seconds that a call waits for news: a watch that has fallen silent shows so much sooner
@@ -123,7 +123,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         stats: Stats,
         address: tuple[str, int],
         table: Table,
@@ -135,7 +135,7 @@
         self._table, self._changed, self._make_room = table, changed, make_room
         # whether the list that stands is the one that this watch has gone on from
         self.heard = False
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._driver: stream.Stream | None = None
         self._slow: stream.Stream | None = (
             None  # on which the whole list may still come, while others are tried
@@ -150,35 +150,35 @@
             self.address, self.heard = address, False
             for driver in (self._driver, self._slow):
                 if driver:
-                    driver.close(Ending.MOVED)
+                    driver.close(CloseReason.MOVED)
 
     def run(self) -> None:
         while True:
-            ending = Ending.BROKEN_HERE
+            ending = CloseReason.BROKEN_HERE
             try:
                 ending = self._connection()
             finally:
-                if ending is not Ending.ANSWERED:
+                if ending is not CloseReason.ANSWERED:
                     # What was told meanwhile, and to whom discovery counts it as told, is not
                     # known: so the whole list.
                     self.heard = False
                     self._stats.watches_lost += 1
                     self._log.say(logging.INFO, "discovery: %s", ending.name.lower())
-            if ending is not Ending.MOVED:
+            if ending is not CloseReason.MOVED:
                 self._scheduler.sleep(PAUSE)
 
-    def _connection(self) -> Ending:
+    def _connection(self) -> CloseReason:
         driver = self._unconnected()
-        if isinstance(driver, Ending):
+        if isinstance(driver, CloseReason):
             return driver
         self._driver = driver
-        parser, ending, is_up = http1.Parser(), Ending.BROKEN_HERE, False
+        parser, ending, is_up = http1.Parser(), CloseReason.BROKEN_HERE, False
         try:
             failure = driver.establish(self.address, self._scheduler.clock() + CONNECT)
             is_up = failure is None
             ending = failure or self._guarded(self._calls, driver, parser)
         finally:
-            late = ending in (Ending.NEVER_UP, Ending.TIMED_OUT) and not self.heard
+            late = ending in (CloseReason.NEVER_UP, CloseReason.TIMED_OUT) and not self.heard
             if late and self._slow is None:
                 self._slow = driver
                 tables = self._stats.tables
@@ -189,25 +189,25 @@
                 driver.close(ending)
         return ending
 
-    def _unconnected(self) -> stream.Stream | Ending:
+    def _unconnected(self) -> stream.Stream | CloseReason:
         """A socket, also where clients hold all descriptors: one of them goes for it."""
-        driver = stream.unconnected(self._scheduler, http1.MOST_HEAD)
-        if driver is Ending.NO_DESCRIPTOR and self._make_room():
-            driver = stream.unconnected(self._scheduler, http1.MOST_HEAD)
+        driver = stream.unconnected(self._scheduler, http1.MAX_HEAD_BYTES)
+        if driver is CloseReason.NO_DESCRIPTOR and self._make_room():
+            driver = stream.unconnected(self._scheduler, http1.MAX_HEAD_BYTES)
         return driver
 
-    def _guarded(self, run: Callable[..., Ending], *args: Any) -> Ending:
+    def _guarded(self, run: Callable[..., CloseReason], *args: Any) -> CloseReason:
         try:
             return run(*args)
         except (ProtocolError, TableError, orjson.JSONDecodeError) as error:
             self._log.warning("discovery: %s", error)
-            return Ending.MALFORMED
+            return CloseReason.MALFORMED
 
     def _await_slow(
         self, driver: stream.Stream, parser: http1.Parser, is_up: bool, tables: int
     ) -> None:
         """The answer to a call that another has followed. One call at a time is waited for so."""
-        ending = Ending.BROKEN_HERE
+        ending = CloseReason.BROKEN_HERE
         try:
             ending = self._guarded(self._hear_slow, driver, parser, is_up, tables)
         finally:
@@ -216,7 +216,7 @@
 
     def _hear_slow(
         self, driver: stream.Stream, parser: http1.Parser, is_up: bool, tables: int
-    ) -> Ending:
+    ) -> CloseReason:
         """`is_up`: whether the connection was, so that the call has been sent.
 
         `tables`: how many lists had been heard when it was begun; where one has come since, this
@@ -224,21 +224,21 @@
         """
         until = self._scheduler.clock() + PATIENT
         if not is_up:
-            failure = driver.await_established(until)
+            failure = driver.await_connected(until)
             if failure:
                 return failure
             self._ask(driver, PATH)
         answer = self._answer(driver, parser, until)
-        if isinstance(answer, Ending):
+        if isinstance(answer, CloseReason):
             return answer
         if answer.status == 200 and tables == self._stats.tables:
             self._heard(answer.body)
-        return Ending.ANSWERED
+        return CloseReason.ANSWERED
 
     def _ask(self, driver: stream.Stream, target: str) -> None:
         driver.write(http1.get(target, f"{self.address[0]}:{self.address[1]}"))
 
-    def _calls(self, driver: stream.Stream, parser: http1.Parser) -> Ending:
+    def _calls(self, driver: stream.Stream, parser: http1.Parser) -> CloseReason:
         while True:
             # A watch begins with the whole list, which must come at once: the one known may be too
             # old.
@@ -246,28 +246,28 @@
             self._ask(driver, PATH + query)
             patience = HOLD + SILENCE if self.heard else AT_ONCE
             answer = self._answer(driver, parser, self._scheduler.clock() + patience)
-            if isinstance(answer, Ending):
+            if isinstance(answer, CloseReason):
                 return answer
             if answer.status != 200:
                 self._log.warning("discovery: status %d", answer.status)
-                return Ending.MALFORMED
+                return CloseReason.MALFORMED
             self._heard(answer.body)
             if not answer.keep:
-                return Ending.ANSWERED
+                return CloseReason.ANSWERED
 
     def _answer(
         self, driver: stream.Stream, parser: http1.Parser, until: float
-    ) -> http1.Answer | Ending:
+    ) -> http1.Response | CloseReason:
         answer = parser.next()
         while answer is None:
-            late = driver.wait(until) == sch.TIMEOUT
+            late = driver.wait(until) == TIMED_OUT
             data = driver.read(
-                stream.CHUNK
+                stream.READ_CHUNK_BYTES
             )  # also when the time is over: this process may have been the late one
             if data is None and late:
-                return Ending.TIMED_OUT
-            if isinstance(data, Ending):
-                answer = parser.end() if data is Ending.CLOSED else None
+                return CloseReason.TIMED_OUT
+            if isinstance(data, CloseReason):
+                answer = parser.end() if data is CloseReason.CLOSED else None
                 return answer or data
             if data:
                 parser.feed(data)
--- a/hazelhollow/net/scheduler.py
+++ b/hazelhollow/net/scheduler.py
@@ -15,11 +15,11 @@
 
 import greenlet
 
-READ, WRITE = select.POLLIN, select.POLLOUT
-TROUBLE = select.POLLERR | select.POLLHUP | select.POLLNVAL
+READABLE, WRITABLE = select.POLLIN, select.POLLOUT
+SOCKET_ERROR = select.POLLERR | select.POLLHUP | select.POLLNVAL
 # the other side has ended its sending, also where bytes lie before that end
-GONE = select.POLLRDHUP
-TIMEOUT, WOKEN = 0, -1  # what `wait` gives beside poll's bits
+PEER_CLOSED = select.POLLRDHUP
+TIMED_OUT, WOKEN = 0, -1  # what `wait` gives beside poll's bits
 LONGEST = 1.0  # seconds in poll at most
 STILL = 0.5  # seconds by which a turn must be late for the process to have stood still
 RESTART = 0.1  # seconds before a lasting task that failed begins anew
@@ -90,7 +90,7 @@
         self._looked = self._polled  # when it was last looked whether the process had stood still
         # Called after a time in which the process stood still, before any task reads what came
         # meanwhile.
-        self.stood_still: Callable[[], object] | None = None
+        self.on_process_pause: Callable[[], object] | None = None
 
     # What tasks call
 
@@ -101,7 +101,7 @@
         self.wake(task)
         return task
 
-    def spawn_lasting(self, run: Callable[[], object], name: str) -> Task:
+    def spawn_supervised(self, run: Callable[[], object], name: str) -> Task:
         """A task without which the limiter is of no use: after an error it begins anew."""
         return self.spawn(self._last, run, name, name=name)
 
@@ -150,14 +150,14 @@
             self._interest[fd] = known | events
             self._poll.register(fd, known | events)
 
-    def knowledge_age(self) -> float:
+    def time_since_poll(self) -> float:
         """Seconds since sockets were looked at last.
 
         What has happened on them since is not known here.
         """
         return self.clock() - self._polled
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """To be called before a descriptor is closed: its number may come again at once."""
         if self._interest.pop(fd, None) is not None:
             self._poll.unregister(fd)
@@ -169,7 +169,7 @@
         heapq.heappush(self._timers, (when, self._serial, timer))
         return timer
 
-    def later(self, call: Callable[[], object]) -> None:
+    def at_end_of_turn(self, call: Callable[[], object]) -> None:
         """At the end of this turn, before poll."""
         self._later.append(call)
 
@@ -236,14 +236,14 @@
         Without this, what came meanwhile would be read by what was known before. `expected`:
         seconds that it meant to pause.
         """
-        if self.stood_still is None:
+        if self.on_process_pause is None:
             return
         since, self._looked = self._looked, self.clock()
         if self._looked - since - expected > STILL:
-            self._contain("stood still", self.stood_still, ())
+            self._contain("stood still", self.on_process_pause, ())
 
     def _expire(self, task: Task) -> None:
-        self.wake(task, TIMEOUT)
+        self.wake(task, TIMED_OUT)
 
     def _contain(self, name: str, run: Callable[..., object], args: tuple[Any, ...]) -> None:
         """An error in one task ends that task alone."""
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -9,23 +9,23 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from hazelhollow import signals
-from hazelhollow.config import Config, ConfigError
+from hazelhollow import early_signals
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.admission import KEPT_SHARE, MEMORY_SHARE
 from hazelhollow.net.backend import Backend
 from hazelhollow.net.bans import BanFile, path_for
-from hazelhollow.net.collector import collect_in_short_passes
+from hazelhollow.net.engine_driver import Decisions, Limiter
 from hazelhollow.net.frontend import Frontend
-from hazelhollow.net.limiter import Decisions, Limiter
-from hazelhollow.net.operator import Address
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.gc_pauses import shorten_collector_pauses
+from hazelhollow.net.operator_address import Address
+from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.requests import Terms
 from hazelhollow.net.routing import Table, Watch
+from hazelhollow.net.scheduler import READABLE, Clock, Scheduler
 from hazelhollow.net.session import LINGER
+from hazelhollow.net.session_table import KEPT_SHARE, MEMORY_SHARE
 from hazelhollow.net.stats import Stats
+from hazelhollow.platform_config import PlatformConfig, PlatformConfigError
 from hazelhollow.simulator import wire
 
 # seconds: then it serves with the list it knows, though discovery has not answered
@@ -72,7 +72,7 @@
 
 class Service:
     def __init__(
-        self, config: Config, scheduler: sch.Scheduler, attached: Attachment | None = None
+        self, config: PlatformConfig, scheduler: Scheduler, attached: Attachment | None = None
     ) -> None:
         self.scheduler, self.stats = scheduler, Stats()
         room = max(16, config.sockets - RESERVE)
@@ -107,7 +107,7 @@
         )
         self.backend.make_room = self._free_descriptor
         if config.peer_listen:
-            self.limiter.peers = Peers(
+            self.limiter.peers = PeerSocket(
                 scheduler, self.stats, config.peer_listen, config.peers, self.limiter.heard
             )
         held = int(config.memory_mb * 2**20 * MEMORY_SHARE)
@@ -140,12 +140,12 @@
     def start(self) -> None:
         if self.attached:
             self.attached.begin(self)
-        self.scheduler.spawn_lasting(self.watch.run, "watch")
+        self.scheduler.spawn_supervised(self.watch.run, "watch")
         if self.limiter.peers:
-            self.scheduler.spawn_lasting(self.limiter.peers.run, "peers")
-        self.scheduler.spawn_lasting(self.frontend.run, "frontend")
+            self.scheduler.spawn_supervised(self.limiter.peers.run, "peers")
+        self.scheduler.spawn_supervised(self.frontend.run, "frontend")
         if self.operator:
-            self.scheduler.spawn_lasting(self.operator.run, "operator")
+            self.scheduler.spawn_supervised(self.operator.run, "operator")
         self.scheduler.at(self.scheduler.clock() + READY_WITHIN, self.frontend.ready)
 
     def own_figures(self) -> dict[str, Any]:
@@ -210,7 +210,7 @@
             {k: v for k, v in self.table.open_addresses().items() if k not in self.banned}
         )
 
-    def reload(self, reread: Callable[[], Config]) -> None:
+    def reload(self, reread: Callable[[], PlatformConfig]) -> None:
         """Takes the addresses of the new file; clients, attempts and budgets stay.
 
         A bad file changes nothing.
@@ -218,7 +218,7 @@
         try:
             config = reread()
             _changeable(self.settings, config.settings)
-        except ConfigError as error:
+        except PlatformConfigError as error:
             self.stats.reload_failure += 1
             log.error("the configuration stays as it was: %s", error)
             if self.attached:
@@ -254,7 +254,7 @@
         """What is wrong with settings that a peer has given, or nothing."""
         try:
             self._checked = document, self._read_settings(self._with_own(document))
-        except (wire.WireError, ConfigError, ValueError) as error:
+        except (wire.WireError, PlatformConfigError, ValueError) as error:
             return str(error)
         return ""
 
@@ -288,7 +288,7 @@
                 self.stats.at = round(clock(), 3)
                 print(self.stats.text(), file=sys.stderr, flush=True)
 
-        self.scheduler.spawn_lasting(run, name="counters")
+        self.scheduler.spawn_supervised(run, name="counters")
 
     def leave(self) -> None:
         """Serves on for a while, answers all that was taken, then ends the loop."""
@@ -323,7 +323,9 @@
         new.limiter_count,
         new.plans,
     ):
-        raise ConfigError("plans, position and the number of limiters change with a restart only")
+        raise PlatformConfigError(
+            "plans, position and the number of limiters change with a restart only"
+        )
 
 
 class Desk:
@@ -371,8 +373,8 @@
 
 
 def serve(
-    config: Config,
-    reread: Callable[[], Config],
+    config: PlatformConfig,
+    reread: Callable[[], PlatformConfig],
     attached: Attachment | None = None,
     counters: float | None = None,
 ) -> None:
@@ -381,37 +383,37 @@
     `counters`: seconds after which they are printed again and again, at whole multiples of that on
     the clock, so that the lines of several limiters belong together.
     """
-    scheduler = sch.Scheduler(sch.Clock())
+    scheduler = Scheduler(Clock())
     service = Service(config, scheduler, attached)
     inner, outer = socket.socketpair()
     for end in (inner, outer):
         end.setblocking(False)
     signal.set_wakeup_fd(outer.fileno(), warn_on_full_buffer=False)
-    for number in signals.NUMBERS:
+    for number in early_signals.NUMBERS:
         signal.signal(number, lambda *_: None)  # the number comes through the socket pair
     outer.send(
-        signals.held()
+        early_signals.held()
     )  # what came before there was one; what came in between comes twice, which changes nothing
-    scheduler.spawn_lasting(lambda: _signals(service, inner, reread), name="signals")
+    scheduler.spawn_supervised(lambda: _signals(service, inner, reread), name="signals")
     service.start()
     if counters:
         service.print_counters_every(counters)
     log.info("%s listens at %s:%d", config.name, *service.frontend.address)
-    collect_in_short_passes()
+    shorten_collector_pauses()
     scheduler.run()
     print(service.stats.text(), file=sys.stderr, flush=True)
 
 
-def _signals(service: Service, source: socket.socket, reread: Callable[[], Config]) -> None:
+def _signals(service: Service, source: socket.socket, reread: Callable[[], PlatformConfig]) -> None:
     while True:
-        service.scheduler.wait(source.fileno(), sch.READ)
+        service.scheduler.wait(source.fileno(), READABLE)
         for number in source.recv(64):
             # Each in a task of its own: where one fails, those that came with it are acted on all
             # the same.
             service.scheduler.spawn(_act_on, number, service, reread, name="signal")
 
 
-def _act_on(number: int, service: Service, reread: Callable[[], Config]) -> None:
+def _act_on(number: int, service: Service, reread: Callable[[], PlatformConfig]) -> None:
     if number == signal.SIGUSR1:
         print(service.stats.text(), file=sys.stderr, flush=True)
     elif number == signal.SIGHUP:
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -6,17 +6,17 @@
 from typing import TYPE_CHECKING
 
 from hazelhollow.net import resp, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
-from hazelhollow.net.limiter import Open
-from hazelhollow.net.requests import Ask, BadCommand
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.engine_driver import Open
+from hazelhollow.net.requests import Ask, BadCommandError
+from hazelhollow.net.scheduler import PEER_CLOSED, READABLE, SOCKET_ERROR, TIMED_OUT, WOKEN
 
 if TYPE_CHECKING:
     from hazelhollow.net.frontend import Frontend
 
 # commands of one connection that are not answered yet; past it nothing more is read
 MOST_PIPELINED = 64
-MOST_OUT = 4 * resp.MOST_BYTES  # answers that a client has not taken
+MOST_OUT = 4 * resp.MAX_STRING_BYTES  # answers that a client has not taken
 CHUNK = 16 * 1024  # read at a time
 BATCH = 16  # commands of one connection that are taken before others get their turn
 # Commands a second on one connection that come to nothing; who asks faster waits its turn.
@@ -31,7 +31,7 @@
 # seconds in which a new connection's first command may come to a limiter that leaves
 FIRST_WITHIN = 0.25
 # Endings that owe nothing more: the client has had its answers, and must be able to read them.
-ORDERLY = (Ending.IDLE, Ending.NO_DESCRIPTOR, Ending.SHUTDOWN, Ending.MALFORMED)
+ORDERLY = (CloseReason.IDLE, CloseReason.NO_DESCRIPTOR, CloseReason.SHUTDOWN, CloseReason.MALFORMED)
 
 
 class Slot:
@@ -52,7 +52,7 @@
         self.session.push()
 
     def served(self, value: bytes) -> None:
-        self.settle(resp.bulk(value))
+        self.settle(resp.encode_bulk_string(value))
 
     def refused(self, wait_ms: int) -> None:
         self.session.turned_away()
@@ -96,10 +96,10 @@
         # until when its first command is waited for, even by a limiter that leaves
         self._awaited = 0.0
         # why it has ended here, while the client may still be sending
-        self._lingers: Ending | None = None
+        self._lingers: CloseReason | None = None
 
     def run(self) -> None:
-        ending = Ending.BROKEN_HERE
+        ending = CloseReason.BROKEN_HERE
         try:
             ending = self._serve()
         finally:
@@ -107,7 +107,7 @@
             if self._lingers:
                 self._linger()
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: CloseReason) -> None:
         """The one place in which a client's connection ends.
 
         To close it over unread bytes, or while some are on their way, would reset it, and the
@@ -120,7 +120,7 @@
         frontend.places.drop(self)
         slots, self._slots = self._slots, deque()
         if ending in ORDERLY and not slots:
-            self._driver.end_sending()
+            self._driver.shutdown_send()
         if ending in ORDERLY and not slots and self._driver.ending is None:
             self._lingers = ending
             frontend.places.lingers(self)
@@ -143,7 +143,7 @@
 
     def forgo(self) -> None:
         """No more waiting for the client's end."""
-        self._driver.close(self._lingers or Ending.SHUTDOWN)
+        self._driver.close(self._lingers or CloseReason.SHUTDOWN)
         self._frontend.places.lingering.pop(self, None)
 
     def resting(self) -> bool:
@@ -181,7 +181,7 @@
         self.finishing, self.taking = True, self.taking and taking
         self._driver.wake()
 
-    def overdue(self, now: float) -> Ending | None:
+    def overdue(self, now: float) -> CloseReason | None:
         """Why it has to go, if it has.
 
         Who is slow or says nothing must not keep others from a place.
@@ -190,20 +190,20 @@
             if self._progress[0] != self._driver.written or not self._progress[1]:
                 self._progress = self._driver.written, now
             if now - self._progress[1] >= STALL:
-                return Ending.STALLED
+                return CloseReason.STALLED
         if self._doomed is not None:
             return None  # each answer that it is owed has a deadline
         if self._begun is not None and now - self._begun >= WHOLE_WITHIN:
             if self.resting():
-                return Ending.IDLE
+                return CloseReason.IDLE
             self._malformed("a command that does not come to its end")
             self._driver.wake()
         elif now - self.idle_since >= REST and self.resting():
-            return Ending.IDLE
+            return CloseReason.IDLE
         return None
 
     def has_left(self) -> bool:
-        return self._driver.other_side_ended()
+        return self._driver.peer_has_closed()
 
     def turned_away(self) -> None:
         """Whoever asks again at once, however often, takes no more than its share of the processor.
@@ -236,16 +236,16 @@
         if self.finishing or self._doomed is not None or (full and len(slots) < MOST_PIPELINED):
             self._driver.wake()
 
-    def _serve(self) -> Ending:
+    def _serve(self) -> CloseReason:
         driver, clock = self._driver, self._frontend.scheduler.clock
         while driver.ending is None and not self._lingers:
             if self._doomed is not None or self.finishing:
                 driver.flush()
                 if self._doomed is not None and self._settled():
-                    return Ending.MALFORMED
+                    return CloseReason.MALFORMED
                 if self.finishing and (self.resting() or (not self._takes() and self._settled())):
-                    return Ending.SHUTDOWN
-            until, events = None, sch.READ
+                    return CloseReason.SHUTDOWN
+            until, events = None, READABLE
             if (
                 not self._takes()
                 or len(self._slots) >= MOST_PIPELINED
@@ -258,23 +258,23 @@
                 until, events = clock(), 0  # the next turn: others come first
             # That the client has gone shows also while nothing is read, or behind what is not read
             # yet.
-            bits = driver.wait(until, events | sch.GONE)
+            bits = driver.wait(until, events | PEER_CLOSED)
             self.push()
             if self._lingers:
                 break
-            if bits == sch.TIMEOUT:
+            if bits == TIMED_OUT:
                 self._refill()
                 self._take(b"")
-            elif bits != sch.WOKEN and bits & (sch.GONE | sch.TROUBLE):
-                return Ending.CLOSED if bits & sch.GONE else Ending.RESET
-            elif bits != sch.WOKEN and bits & sch.READ:
+            elif bits != WOKEN and bits & (PEER_CLOSED | SOCKET_ERROR):
+                return CloseReason.CLOSED if bits & PEER_CLOSED else CloseReason.RESET
+            elif bits != WOKEN and bits & READABLE:
                 data = driver.read(min(CHUNK, self._parser.ring.room()))
-                if isinstance(data, Ending):
+                if isinstance(data, CloseReason):
                     return data
                 if data and self._doomed is None:
                     self._came = self._frontend.scheduler.started_turn
                     self._take(data)
-        return driver.ending or Ending.SHUTDOWN
+        return driver.ending or CloseReason.SHUTDOWN
 
     def _takes(self) -> bool:
         """Whether commands are still taken from it."""
@@ -301,7 +301,7 @@
             if len(self._slots) >= MOST_PIPELINED or self._allowed < 0.0:
                 break
             value = self._parser.next()
-            if isinstance(value, resp.More):
+            if isinstance(value, resp.NeedMoreData):
                 self._more = False
                 if self._parser.idle():
                     self._begun = None
@@ -334,7 +334,7 @@
             return  # the client has gone while it waited: nobody is owed anything
         try:
             ask = Ask(words, frontend.terms.read(words, frontend.scheduler.clock() - came))
-        except BadCommand as error:
+        except BadCommandError as error:
             frontend.stats.bad += 1
             self._bad += 1
             slot.rejected(str(error))
@@ -361,7 +361,7 @@
         elif verb in (b"CLIENT", b"SELECT"):
             slot.settle(b"+OK\r\n")
         elif verb == b"INFO":
-            slot.settle(resp.bulk(frontend.stats.text().encode()))
+            slot.settle(resp.encode_bulk_string(frontend.stats.text().encode()))
         else:
             self._bad += 1
             slot.settle(b"-ERR unknown command\r\n")
--- a/hazelhollow/net/admission.py
+++ b/hazelhollow/net/session_table.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.session import Session
 
 # of the descriptors: connections that have brought a command. Clients hold a third of the
@@ -60,7 +60,7 @@
             if now - oldest.idle_since < LEAST_REST:
                 break
             if oldest.resting():
-                oldest.end(Ending.IDLE)
+                oldest.end(CloseReason.IDLE)
             else:
                 self._idle.pop(oldest)
 
--- a/hazelhollow/net/stats.py
+++ b/hazelhollow/net/stats.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
 
 
 class Stats:
@@ -25,7 +25,7 @@
         # answers with true units, and with figures that cannot be true
         self.settled = self.figures_bad = 0
         self.outcomes: Counter[str] = Counter()
-        self.endings: Counter[Ending] = Counter()
+        self.endings: Counter[CloseReason] = Counter()
         self.tables = self.watches_lost = 0  # routing
         self.told = self.heard = self.junk = self.untold = 0  # peers
         self.errors = 0
@@ -33,7 +33,7 @@
         self.dispatches = 0  # attempts written whole to backend hosts
         self.reload_success = self.reload_failure = 0
         self.operator_calls: Counter[str] = Counter()
-        self.operator_endings: Counter[Ending] = Counter()
+        self.operator_endings: Counter[CloseReason] = Counter()
         self.view: Counter[str] = Counter()  # the fleet's, where an operator file switches it on
         self.replica: Counter[str] = Counter()
         self.control: dict[str, Any] = {}  # the budget's, by role, where an operator file sets one
--- a/hazelhollow/net/stream.py
+++ b/hazelhollow/net/stream.py
@@ -7,27 +7,35 @@
 import socket
 from collections.abc import Callable, Iterator
 
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
-from hazelhollow.net.ring import Ring
-
-CHUNK = 64 * 1024
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.ring_buffer import RingBuffer
+from hazelhollow.net.scheduler import (
+    PEER_CLOSED,
+    READABLE,
+    TIMED_OUT,
+    WOKEN,
+    WRITABLE,
+    Scheduler,
+    Task,
+)
+
+READ_CHUNK_BYTES = 64 * 1024
 NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 def connect(
-    scheduler: sch.Scheduler,
+    scheduler: Scheduler,
     address: tuple[str, int],
     most: int,
     timeout: float,
     keep: Callable[[Stream], None] = lambda stream: None,
-) -> Stream | Ending:
+) -> Stream | CloseReason:
     """A new connection.
 
     Blocks its task until it is up or has failed; `keep` gets hold of it before.
     """
     stream = unconnected(scheduler, most)
-    if isinstance(stream, Ending):
+    if isinstance(stream, CloseReason):
         return stream
     keep(stream)
     ending = stream.establish(address, scheduler.clock() + timeout)
@@ -36,7 +44,7 @@
     return ending or stream
 
 
-def unconnected(scheduler: sch.Scheduler, most: int) -> Stream | Ending:
+def unconnected(scheduler: Scheduler, most: int) -> Stream | CloseReason:
     """A socket for a connection that `Stream.establish` begins.
 
     NO_DESCRIPTOR where this machine has none left.
@@ -44,12 +52,12 @@
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
-        return Ending.NO_DESCRIPTOR
+        return CloseReason.NO_DESCRIPTOR
     return Stream(scheduler, sock, most)
 
 
-def accepted(
-    scheduler: sch.Scheduler, listener: socket.socket, pause: float = 0.05
+def accept_connections(
+    scheduler: Scheduler, listener: socket.socket, pause: float = 0.05
 ) -> Iterator[socket.socket]:
     """Connections as they come to a listening socket.
 
@@ -57,7 +65,7 @@
     loop would take the processor from all else.
     """
     while True:
-        scheduler.wait(listener.fileno(), sch.READ)
+        scheduler.wait(listener.fileno(), READABLE)
         try:
             sock, _ = listener.accept()
         except OSError:
@@ -81,53 +89,57 @@
         "_task",
     )
 
-    def __init__(self, scheduler: sch.Scheduler, sock: socket.socket, most: int) -> None:
+    def __init__(self, scheduler: Scheduler, sock: socket.socket, most: int) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.scheduler, self._sock, self._fd = scheduler, sock, sock.fileno()
-        self.out = Ring(most)
+        self.out = RingBuffer(most)
         self.written = 0  # bytes that the system has taken
-        self.ending: Ending | None = None
-        self.on_broken: Callable[[Ending], None] | None = None
+        self.ending: CloseReason | None = None
+        self.on_broken: Callable[[CloseReason], None] | None = None
         self._dirty = False
-        self._task: sch.Task | None = None
+        self._task: Task | None = None
 
-    def establish(self, address: tuple[str, int], until: float) -> Ending | None:
+    def establish(self, address: tuple[str, int], until: float) -> CloseReason | None:
         """Begins to connect and blocks its task until the connection is up or has failed.
 
         Why it has, if it has.
         """
         return self._await_connected(self._sock.connect_ex(address), until)
 
-    def await_established(self, until: float) -> Ending | None:
+    def await_connected(self, until: float) -> CloseReason | None:
         """Goes on with what `establish` has begun and given up waiting for."""
         return self._await_connected(errno.EINPROGRESS, until)
 
-    def _await_connected(self, code: int, until: float) -> Ending | None:
+    def _await_connected(self, code: int, until: float) -> CloseReason | None:
         while code in (errno.EINPROGRESS, errno.EINTR):
-            bits = self.wait(until, sch.WRITE)
+            bits = self.wait(until, WRITABLE)
             if self.ending:
                 return self.ending
-            if bits == sch.TIMEOUT:
-                return Ending.NEVER_UP
-            if bits != sch.WOKEN:
+            if bits == TIMED_OUT:
+                return CloseReason.NEVER_UP
+            if bits != WOKEN:
                 code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code == 0:
             return None
         if code in NO_DESCRIPTOR or code == errno.EADDRNOTAVAIL:
-            return Ending.NO_DESCRIPTOR
-        return Ending.REFUSED if code in (errno.ECONNREFUSED, errno.ECONNRESET) else Ending.NEVER_UP
-
-    def wait(self, until: float | None = None, events: int = sch.READ) -> int:
+            return CloseReason.NO_DESCRIPTOR
+        return (
+            CloseReason.REFUSED
+            if code in (errno.ECONNREFUSED, errno.ECONNRESET)
+            else CloseReason.NEVER_UP
+        )
+
+    def wait(self, until: float | None = None, events: int = READABLE) -> int:
         """Until there is something to read, or a part of what waits to be written has gone out."""
         self._task = self.scheduler.current()
         if self._dirty:
             # else poll would be asked for room to write, which there is, and come back at once
             self.flush()
         if self.ending:
-            return sch.WOKEN
-        bits = self.scheduler.wait(self._fd, events | (sch.WRITE if self.out else 0), until)
-        if bits > 0 and bits & sch.WRITE and self.out:
+            return WOKEN
+        bits = self.scheduler.wait(self._fd, events | (WRITABLE if self.out else 0), until)
+        if bits > 0 and bits & WRITABLE and self.out:
             self.flush()
         return bits
 
@@ -139,7 +151,7 @@
         to backend hosts are idle. Their end shows by `alive` before they are used again.
         """
         self._task = self.scheduler.current()
-        self.scheduler.forget(self._fd)
+        self.scheduler.unregister(self._fd)
         self.scheduler.wait()
 
     def alive(self) -> bool:
@@ -152,28 +164,28 @@
             pass
         return False
 
-    def other_side_ended(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Whether the other side has ended its sending, also behind unread bytes."""
         if self.ending is not None:
             return True
         poll = select.poll()
-        poll.register(self._fd, sch.GONE)
+        poll.register(self._fd, PEER_CLOSED)
         return bool(poll.poll(0))
 
     def wake(self) -> None:
         if self._task:
             self.scheduler.wake(self._task)
 
-    def read(self, room: int) -> bytes | Ending | None:
+    def read(self, room: int) -> bytes | CloseReason | None:
         """What has come; nothing if it was a false alarm."""
         if self.ending:
             return self.ending
         try:
-            return self._sock.recv(min(room, CHUNK)) or Ending.CLOSED
+            return self._sock.recv(min(room, READ_CHUNK_BYTES)) or CloseReason.CLOSED
         except (BlockingIOError, InterruptedError):
             return None
         except OSError:
-            return Ending.RESET
+            return CloseReason.RESET
 
     def write(self, data: bytes) -> None:
         """Goes out at the end of this turn, or as the other side takes it."""
@@ -181,7 +193,7 @@
             self.out.write(data)
             if not self._dirty:
                 self._dirty = True
-                self.scheduler.later(self.flush)
+                self.scheduler.at_end_of_turn(self.flush)
 
     def flush(self) -> None:
         self._dirty = False
@@ -190,23 +202,23 @@
             try:
                 sent = self._sock.send(view)
             except (BlockingIOError, InterruptedError):
-                self.scheduler.listen_also_for(self._fd, sch.WRITE)
+                self.scheduler.listen_also_for(self._fd, WRITABLE)
                 return
             except OSError:
-                self._broken(Ending.RESET)
+                self._broken(CloseReason.RESET)
                 return
             finally:
                 view.release()
             self.written += sent
             self.out.drop(sent)
 
-    def _broken(self, ending: Ending) -> None:
+    def _broken(self, ending: CloseReason) -> None:
         if self.on_broken:
             self.on_broken(ending)
         else:
             self.close(ending)
 
-    def end_sending(self) -> None:
+    def shutdown_send(self) -> None:
         """The other side reads all that was written and then the end.
 
         What it says meanwhile can still be read.
@@ -216,7 +228,7 @@
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError:
-                self.close(Ending.RESET)
+                self.close(CloseReason.RESET)
 
     def drain(self, seconds: float, most: int) -> None:
         """Blocks its task until the other side has ended too, for so long and so many bytes at
@@ -224,17 +236,17 @@
         side has not read yet may be lost with it.
         """
         until = self.scheduler.clock() + seconds
-        while self.ending is None and most > 0 and self.wait(until) != sch.TIMEOUT:
-            data = self.read(CHUNK)
-            if isinstance(data, Ending):
+        while self.ending is None and most > 0 and self.wait(until) != TIMED_OUT:
+            data = self.read(READ_CHUNK_BYTES)
+            if isinstance(data, CloseReason):
                 return
             most -= len(data or b"")
 
-    def close(self, ending: Ending) -> None:
+    def close(self, ending: CloseReason) -> None:
         """Drops what was not written. Only the first ending counts."""
         if self.ending is None:
             self.ending, self.on_broken = ending, None  # what it calls holds this stream in turn
             self.out.clear()
-            self.scheduler.forget(self._fd)
+            self.scheduler.unregister(self._fd)
             self._sock.close()
             self.wake()
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -24,8 +24,8 @@
 from hazelhollow.membership.records import pack_address
 from hazelhollow.membership.seal import Seal, read_keys
 from hazelhollow.membership.view import View
-from hazelhollow.net.limiter import Decisions
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.engine_driver import Decisions
+from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.service import Service
 from hazelhollow.operator import load, logs, records
 from hazelhollow.operator.commands import fail
@@ -180,7 +180,7 @@
         if terms.audit:
             self._begin_audit(service, self.fleet, terms.audit)
 
-    def _begin_control(self, service: Service, peers: Peers, terms: records.Control) -> None:
+    def _begin_control(self, service: Service, peers: PeerSocket, terms: records.Control) -> None:
         self._budget = LimiterBudget(
             terms.bytes_per_s, peers, service.scheduler.clock, self.seal.length
         )
--- a/hazelhollow/config.py
+++ b/hazelhollow/platform_config.py
@@ -15,12 +15,12 @@
 Address = tuple[str, int]
 
 
-class ConfigError(Exception):
+class PlatformConfigError(Exception):
     """The configuration cannot be used; its text is one plain line that says why."""
 
 
 @dataclass(frozen=True)
-class Config:
+class PlatformConfig:
     name: str
     listen: Address
     discovery: Address
@@ -39,7 +39,7 @@
     document: Mapping[str, Any] = field(default_factory=dict)  # the settings as they were told
 
 
-def load(environment: Mapping[str, str], again: bool = False) -> Config:
+def load(environment: Mapping[str, str], again: bool = False) -> PlatformConfig:
     """The file, with the variables before what it says of the same.
 
     Read `again` by a running limiter, the file is newer than the variables: where discovery is now,
@@ -47,15 +47,15 @@
     """
     path = environment.get("RELAY_CONFIG")
     if not path:
-        raise ConfigError("RELAY_CONFIG is not set")
+        raise PlatformConfigError("RELAY_CONFIG is not set")
     try:
         document = orjson.loads(Path(path).read_bytes())
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from None
+        raise PlatformConfigError(f"{path}: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise PlatformConfigError(f"{path}: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigError(f"{path}: not a JSON object")
+        raise PlatformConfigError(f"{path}: not a JSON object")
     for key in (
         ("name", "listen", "operator") if again else ("name", "listen", "discovery", "operator")
     ):
@@ -64,13 +64,13 @@
     try:
         return _config(wire.Fields("config", document))
     except (wire.WireError, ValueError) as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise PlatformConfigError(f"{path}: {error}") from None
 
 
-def _config(fields: wire.Fields) -> Config:
+def _config(fields: wire.Fields) -> PlatformConfig:
     settings, limits = fields.part("settings", needed=True), fields.part("limits")
     policy = settings.part("policy_limits")
-    return Config(
+    return PlatformConfig(
         name=fields.text("name", ""),
         listen=address(fields.text("listen"), least_port=0),
         discovery=address(fields.text("discovery")),
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -17,9 +17,9 @@
 from hazelhollow.decisions.state import Memory, key_of
 from hazelhollow.membership.driver import Driver as FleetDriver
 from hazelhollow.membership.seal import Seal
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.sparse import Sparse
 from hazelhollow.replication import exchange, snapshot
 from hazelhollow.replication.counts import Row, Value
 from hazelhollow.replication.gathering import Gathering
@@ -87,7 +87,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        peers: Peers,
+        peers: PeerSocket,
         fleet: FleetDriver,
         seal: Seal,
         memory: Memory,
@@ -119,7 +119,7 @@
         # What those were reckoned from.
         self._seen: tuple[Sequence[int], bool, Set[int], Sequence[int]] | None = None
         self._ended = self._was_whole = False
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._snapshot: snapshot.Snapshot | None = None
         self._gathering: Gathering | None = None  # for the next snapshot
         self._began = self._saved = 0.0
--- a/hazelhollow/request_client.py
+++ b/hazelhollow/request_client.py
@@ -11,7 +11,7 @@
 import click
 import orjson
 
-from hazelhollow import config
+from hazelhollow import platform_config
 from hazelhollow.net import resp
 
 
@@ -80,14 +80,14 @@
     outcomes, shown = Counter[str](), ""
     began = time.monotonic()
     try:
-        with socket.create_connection(config.address(to), timeout=wait + 1) as sock:
+        with socket.create_connection(platform_config.address(to), timeout=wait + 1) as sock:
             parser = resp.Parser()
             for _ in range(count):
                 fields = (
                     f"c={kind},t={plan},d={int(wait * 1000)},units={units},spread={spread},first=0"
                 )
                 sock.sendall(
-                    resp.command(
+                    resp.encode_command(
                         [
                             b"Q.ASK",
                             customer.encode(),
@@ -99,10 +99,10 @@
                 answer = _answer(sock, parser)
                 word = (
                     "served"
-                    if isinstance(answer, bytes) and not isinstance(answer, resp.Fault)
+                    if isinstance(answer, bytes) and not isinstance(answer, resp.ErrorReply)
                     else "failed"
                 )
-                if isinstance(answer, resp.Fault) and answer.startswith(b"BUSY"):
+                if isinstance(answer, resp.ErrorReply) and answer.startswith(b"BUSY"):
                     word = "refused"
                 outcomes[word] += 1
                 shown = (
@@ -125,7 +125,7 @@
 
 
 def _answer(sock: socket.socket, parser: resp.Parser) -> resp.Value:
-    while isinstance(answer := parser.next(), resp.More):
+    while isinstance(answer := parser.next(), resp.NeedMoreData):
         data = sock.recv(64 * 1024)
         if not data:
             raise OSError("the limiter closed the connection")
--- a/hazelhollow/scale/fleet.py
+++ b/hazelhollow/scale/fleet.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.scale import settings
 from hazelhollow.scale.agreement import Truth, Watcher
 from hazelhollow.scale.hollow import Life, Told
@@ -50,7 +50,7 @@
         self,
         job: Job,
         population: Population,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         meter: Meter,
         second: Callable[[], int],
     ) -> None:
@@ -98,7 +98,7 @@
             for other, address in everybody.items():
                 if other != number:
                     one.peers.learn(other, address)
-            self._scheduler.spawn_lasting(one.peers.run, "peers")
+            self._scheduler.spawn_supervised(one.peers.run, "peers")
 
     def _at(self, at_s: float, call: Callable[..., object], *args: Any) -> None:
         self._scheduler.at(self._began + at_s, call, *args)
@@ -114,11 +114,11 @@
         if first:
             self._at(first.at, self._arrive, one, coming, first)
 
-    def stood_still(self) -> None:
+    def on_process_pause(self) -> None:
         """As each limiter's own scheduler would have told it."""
         for one in self.members.values():
-            if one.incarnation and one.incarnation.scheduler.stood_still:
-                one.incarnation.scheduler.stood_still()
+            if one.incarnation and one.incarnation.scheduler.on_process_pause:
+                one.incarnation.scheduler.on_process_pause()
 
     def _told(self, number: int) -> Told:
         document = settings.own_document(self._document, number, self._topology)
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -27,10 +27,10 @@
 from hazelhollow.membership.records import Record
 from hazelhollow.membership.seal import Seal
 from hazelhollow.membership.view import View
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net.backend import Attempt, Backend, Host, Result
-from hazelhollow.net.ending import Ending, outcome
-from hazelhollow.net.limiter import Limiter
+from hazelhollow.net.close_reason import CloseReason, outcome
+from hazelhollow.net.engine_driver import Limiter
+from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
 from hazelhollow.replication.driver import Driver as ReplicaDriver
 from hazelhollow.scale.load import Drawn, service_time
@@ -60,12 +60,12 @@
     return next((role for kind, role in DRIVERS if isinstance(owner, kind)), Role.TIMERS)
 
 
-class OwnScheduler(sch.Scheduler):
+class OwnScheduler(Scheduler):
     """One incarnation's part of the shared scheduler."""
 
-    def __init__(self, shared: sch.Scheduler, meter: Meter) -> None:
+    def __init__(self, shared: Scheduler, meter: Meter) -> None:
         self._shared, self._meter = shared, meter
-        self.clock, self.stood_still = shared.clock, None
+        self.clock, self.on_process_pause = shared.clock, None
         self.alive = True
 
     def __getattr__(self, name: str) -> Any:
@@ -74,24 +74,24 @@
         """
         return getattr(self._shared, name)
 
-    def at(self, when: float, call: Callable[..., object], *args: Any) -> sch.Timer:
+    def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
         return self._shared.at(when, self._play, role_of_call(call), call, args)
 
-    def knowledge_age(self) -> float:
-        return self._shared.knowledge_age()
+    def time_since_poll(self) -> float:
+        return self._shared.time_since_poll()
 
     def _play(self, role: Role, call: Callable[..., object], args: tuple[Any, ...]) -> None:
         if self.alive:
             self._meter.turn(role, call, *args)
 
     def later(self, call: Callable[[], object]) -> None:
-        self._shared.later(lambda: self._play(Role.REQUESTS, call, ()))
+        self._shared.at_end_of_turn(lambda: self._play(Role.REQUESTS, call, ()))
 
 
 class HollowBackend(Backend):
     """Modelled servers: each attempt is answered after a drawn time."""
 
-    def __init__(self, scheduler: sch.Scheduler, seed: int, service_s: float) -> None:
+    def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
         self._scheduler, self._service_s = scheduler, service_s
         self._chance = random.Random(seed)
 
@@ -111,10 +111,10 @@
         """Its server has answered."""
         attempt.finish(Result("ok"))
 
-    def give_up(self, attempt: Attempt, ending: Ending) -> None:
+    def give_up(self, attempt: Attempt, ending: CloseReason) -> None:
         attempt.finish(Result(outcome(ending, True)))
 
-    def hold_back(self, attempt: Attempt, ending: Ending) -> None:
+    def hold_back(self, attempt: Attempt, ending: CloseReason) -> None:
         """Every attempt goes out whole at once."""
 
 
@@ -171,7 +171,7 @@
 
     def __init__(
         self,
-        shared: sch.Scheduler,
+        shared: Scheduler,
         meter: Meter,
         peers: HollowPeers,
         told: Told,
--- a/hazelhollow/scale/network.py
+++ b/hazelhollow/scale/network.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.stats import Stats
 from hazelhollow.scale.measure import Meter, role_of, size_on_wire
 from hazelhollow.scale.results import Role
@@ -75,7 +75,7 @@
         self.cut: Cut = open_network
 
 
-class HollowPeers(Peers):
+class HollowPeers(PeerSocket):
     """The real datagrams of one limiter, through all of its incarnations.
 
     While it is `dead`, what comes is counted and dropped.
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         wire: Wire,
         number: int,
         listen: tuple[str, int],
@@ -137,7 +137,7 @@
         return Path(f"/proc/self/fd/{self._sock.fileno()}").stat().st_ino
 
     def close(self) -> None:
-        self._scheduler.forget(self._sock.fileno())
+        self._scheduler.unregister(self._sock.fileno())
         self._sock.close()
 
 
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -25,8 +25,8 @@
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.processes import Crew
 from hazelhollow.fault_injection.world import AGENT, CLIENT, DESK, HOST, call, free_net
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.collector import collect_in_short_passes
+from hazelhollow.net.gc_pauses import shorten_collector_pauses
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale.results import Latency, Size
 from hazelhollow.standins.discovery import Discovery, Host
 
@@ -203,7 +203,7 @@
 
     def __init__(self, plan: LatencyPlan, folder: Path) -> None:
         self._plan, self._folder = plan, folder
-        self.scheduler = sch.Scheduler(sch.Clock(), FinePoller())
+        self.scheduler = Scheduler(Clock(), FinePoller())
         self._net = free_net()
         self._crew = Crew(folder, keep=False)
         self._discovery = Discovery(self.scheduler)
@@ -293,7 +293,7 @@
         self.counted_from = begin + WARM_UP_S
         end = self.counted_from + self._plan.seconds
         load = Load(customer=CUSTOMER, plan=PLAN, kind=ROUTE, rate=size.requests_per_s)
-        collect_in_short_passes()
+        shorten_collector_pauses()
         clients = Clients(self.scheduler, self._plan.seed, self._out, spread=1)
         for number, (name, host, port) in enumerate(((LIMITER, 1, CLIENT), (SERVER, 2, HOST))):
             door = Door(name, number, (f"{self._net}.{host}", port))
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -24,7 +24,7 @@
 from hazelhollow.fault_injection.plan import Plan as RigPlan
 from hazelhollow.fault_injection.world import RigError, World
 from hazelhollow.membership.view import LIVES_A_S
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale.coordinator import Coordinator, RunError
 from hazelhollow.scale.load import Population, populate, split
 from hazelhollow.scale.measure import role_of
@@ -150,7 +150,7 @@
 class RealFleet(World):
     """A rig whose limiters are told the settings that hollow ones are."""
 
-    def __init__(self, scheduler: sch.Scheduler, plan: FleetPlan, folder: Path) -> None:
+    def __init__(self, scheduler: Scheduler, plan: FleetPlan, folder: Path) -> None:
         self.population: Population = populate(plan.size, plan.terms, plan.seed)
         self._shared = document(plan.size, self.population.quotas, plan.terms)
         self._topology = lay_out(plan.limiters, plan.terms)
@@ -176,7 +176,7 @@
 
     def __init__(self, plan: FleetPlan, folder: Path, progress: Progress) -> None:
         self._plan, self._folder, self._progress = plan, folder, progress
-        self.scheduler = sch.Scheduler(sch.Clock())
+        self.scheduler = Scheduler(Clock())
         self.world = RealFleet(self.scheduler, plan, folder)
         self._error: BaseException | None = None
         self.figures: Figures = {}
--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -21,7 +21,7 @@
 from hazelhollow.configuration import transfer
 from hazelhollow.configuration.versions import common
 from hazelhollow.net import http1
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale import settings
 from hazelhollow.scale.budgets import PLANNED
 from hazelhollow.scale.load import populate
@@ -120,7 +120,7 @@
     @property
     def taken(self) -> bool:
         """Whether a limiter takes an answer of that size."""
-        return self.size <= http1.MOST_BODY
+        return self.size <= http1.MAX_BODY_BYTES
 
 
 @cache
@@ -130,7 +130,7 @@
 
 
 def _list_size(servers: int) -> int:
-    discovery = Discovery(sch.Scheduler(sch.Clock()))
+    discovery = Discovery(Scheduler(Clock()))
     for number in range(servers):
         name = f"server-{number:05d}"
         address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379"
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.collector import collect_in_short_passes
+from hazelhollow.net.gc_pauses import shorten_collector_pauses
+from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.scale import messages
 from hazelhollow.scale.clock import DilatedClock, DilatedPoller
 from hazelhollow.scale.fleet import HollowFleet
@@ -68,13 +68,13 @@
         self._job = job
         self._clock = DilatedClock(time.monotonic(), time.time(), job.dilation)
         self._poller = DilatedPoller(job.dilation)
-        self._scheduler = sch.Scheduler(lambda: self._clock(), self._poller)
+        self._scheduler = Scheduler(lambda: self._clock(), self._poller)
         self._meter, self._lag, self._loops = Meter(), Lag(), list[int]()
         population = populate(job.size, job.fleet, job.seed)
         self._report = Report(limiters=len(job.here), memory_before=memory_bytes())
         self.fleet = HollowFleet(job, population, self._scheduler, self._meter, self._second)
         self._report.shared_settings = self.fleet.shares_settings
-        self._scheduler.stood_still = self.fleet.stood_still
+        self._scheduler.on_process_pause = self.fleet.on_process_pause
         self._began = self._window_began = self._real_until = self._processor = self._waited = 0.0
         self._began_measuring: float | None = None
         # when every tenant had asked once, before which nothing could be in time
@@ -206,7 +206,7 @@
         What is on its way still comes in, so that the ledger is whole.
         """
         self.fleet.silence()
-        self._scheduler.stood_still = None
+        self._scheduler.on_process_pause = None
         until = time.monotonic() + QUIET_S
         while time.monotonic() < until:
             self._scheduler.turn(longest=QUIET_S / 10 / self._job.dilation)
@@ -223,7 +223,7 @@
     """Plays one worker's part; raises TimeoutError where the others do not come."""
     job = messages.wait_for(folder / f"{number}.job", Job, WAIT_FOR_OTHERS_S)
     worker = Worker(job)
-    collect_in_short_passes()  # as a real limiter does
+    shorten_collector_pauses()  # as a real limiter does
     messages.write(worker.bound(), folder / f"{number}.bound")
     wired = messages.wait_for(folder / "wired", Wired, WAIT_FOR_OTHERS_S)
     worker.wire_up(wired)
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -10,9 +10,9 @@
 
 import structlog
 
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream, tls
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.operator.records import Store as StoreSettings
 from hazelhollow.shared_store.exchange import Exchange
 from hazelhollow.shared_store.link import Credentials
@@ -43,15 +43,15 @@
 class Driver:
     """One limiter's connection to its store, opened again whenever it ends."""
 
-    def __init__(self, scheduler: sch.Scheduler, exchange: Exchange) -> None:
+    def __init__(self, scheduler: Scheduler, exchange: Exchange) -> None:
         self.scheduler, self.exchange = scheduler, exchange
         self._stream: stream.Stream | None = None
         self._layer: tls.Layer | None = None
-        self._timer: sch.Timer | None = None
+        self._timer: Timer | None = None
 
     def start(self) -> None:
         """Begins to connect, and goes on until the process ends."""
-        self.scheduler.spawn_lasting(self._run, "store")
+        self.scheduler.spawn_supervised(self._run, "store")
         self._advance()
 
     def change(self, store_settings: StoreSettings) -> None:
@@ -61,7 +61,7 @@
         """
         self.exchange.store_settings = store_settings
         if self._stream:
-            self._stream.close(Ending.MOVED)
+            self._stream.close(CloseReason.MOVED)
 
     def pump(self) -> None:
         """The ledger may have something to ask."""
@@ -92,7 +92,7 @@
         driver = stream.connect(
             self.scheduler, store_settings.address, MOST_OUT, store_settings.connect_timeout
         )
-        if isinstance(driver, Ending):
+        if isinstance(driver, CloseReason):
             return driver.name.lower()
         self._stream, self._layer = driver, layer
         try:
@@ -105,15 +105,15 @@
         except ssl.SSLError as error:
             return f"TLS: {error.reason or error}"
         finally:
-            driver.close(Ending.CLOSED)
+            driver.close(CloseReason.CLOSED)
             self._stream = self._layer = None
             self.exchange.closed(self.scheduler.clock())
 
     def _read(self, driver: stream.Stream) -> str:
         while driver.ending is None:
             driver.wait()
-            data = driver.read(stream.CHUNK)
-            if isinstance(data, Ending):
+            data = driver.read(stream.READ_CHUNK_BYTES)
+            if isinstance(data, CloseReason):
                 return data.name.lower()
             if data:
                 if self._layer:
@@ -143,6 +143,6 @@
         why = self.exchange.advance(self.scheduler.clock())
         if why and self._stream:
             log.warning("store: given up", why=why)
-            self._stream.close(Ending.STALLED)
+            self._stream.close(CloseReason.STALLED)
         self._flush()
         self._arm()
--- a/hazelhollow/shared_store/leased_decisions.py
+++ b/hazelhollow/shared_store/leased_decisions.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.net.limiter import Decisions
+from hazelhollow.net.engine_driver import Decisions
 from hazelhollow.shared_store.ledger import Ledger
 
 
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -125,7 +125,7 @@
         self._pending.append(PendingCommand(now, None, step))
 
     def _write(self, words: tuple[str | bytes, ...]) -> None:
-        self.out += resp.command([w if isinstance(w, bytes) else w.encode() for w in words])
+        self.out += resp.encode_command([w if isinstance(w, bytes) else w.encode() for w in words])
 
     def call(self, call: Call, now: float) -> bool:
         """Whether it was taken: a full line takes no more, and nothing waits for room."""
@@ -172,7 +172,7 @@
         events = list[LinkEvent]()
         try:
             self._parser.feed(data)
-            while not isinstance(value := self._parser.next(), resp.More):
+            while not isinstance(value := self._parser.next(), resp.NeedMoreData):
                 if not self._pending:
                     return [*events, ConnectionBroken("an answer that nobody asked for")]
                 events += self._match(self._pending.popleft(), value, now)
@@ -185,7 +185,7 @@
     def _match(self, pending: PendingCommand, value: resp.Value, now: float) -> list[LinkEvent]:
         if pending.call is None:
             return self._handshake(pending, value)
-        if isinstance(value, resp.Fault):
+        if isinstance(value, resp.ErrorReply):
             return self._error(pending, value, now)
         answer = answer_text(pending.call.kind, value)
         if answer is None:
@@ -195,7 +195,9 @@
             return [*_fail(pending, NO_ANSWER), LateAnswer(pending.call, answer)]
         return [Answered(pending.call, answer, now - pending.sent_at)]
 
-    def _error(self, pending: PendingCommand, value: resp.Fault, now: float) -> list[LinkEvent]:
+    def _error(
+        self, pending: PendingCommand, value: resp.ErrorReply, now: float
+    ) -> list[LinkEvent]:
         code = bytes(value).partition(b" ")[0].decode("ascii", "replace")
         if code == "NOSCRIPT":
             for text in SCRIPTS.values():
@@ -206,7 +208,7 @@
         return events
 
     def _handshake(self, pending: PendingCommand, value: resp.Value) -> list[LinkEvent]:
-        if isinstance(value, resp.Fault):
+        if isinstance(value, resp.ErrorReply):
             return [ConnectionBroken(f"{pending.step}: {_error_text(value)}")]
         if pending.step == "info":
             return self._read_info(text_of(value))
@@ -249,5 +251,5 @@
     return [CallFailed(pending.call, why)] if pending.call and not pending.given_up else []
 
 
-def _error_text(value: resp.Fault) -> str:
+def _error_text(value: resp.ErrorReply) -> str:
     return bytes(value[:MOST_ERROR]).decode("ascii", "replace")
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -11,9 +11,9 @@
 
 import click
 
-from hazelhollow import config
-from hazelhollow.net import scheduler as sch
+from hazelhollow import platform_config
 from hazelhollow.net import tls
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.operator.commands import fail
 from hazelhollow.operator.syntax import CueError
 from hazelhollow.standins import node
@@ -80,7 +80,7 @@
     except (OSError, ValueError) as error:
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(2)
-    scheduler = sch.Scheduler(sch.Clock())
+    scheduler = Scheduler(Clock())
     try:
         servers = server.start(scheduler, address, seed, password, plan, shards, secure)
     except OSError as error:
@@ -138,7 +138,7 @@
 
     SIGUSR1 makes it drain (it turns new requests away and finishes what it has), SIGUSR2 ends that.
     """
-    scheduler = sch.Scheduler(sch.Clock())
+    scheduler = Scheduler(Clock())
     try:
         written = os.open(journal, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644) if journal else -1
         one = node.Node(
@@ -158,7 +158,7 @@
 
 
 def _loopback(listen: str) -> tuple[str, int]:
-    host, port = config.address(listen, least_port=0)
+    host, port = platform_config.address(listen, least_port=0)
     if not ipaddress.ip_address(host).is_loopback:
         raise ValueError(f"'{host}' is not a loopback address")
     return host, port
@@ -169,17 +169,17 @@
     sys.exit(2)
 
 
-def _until_signal(scheduler: sch.Scheduler, addresses: list[tuple[str, int]]) -> None:
+def _until_signal(scheduler: Scheduler, addresses: list[tuple[str, int]]) -> None:
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: scheduler.stop())
     for host, port in addresses:
         click.echo(f"ready {host}:{port}")
     sys.stdout.flush()
-    scheduler.spawn_lasting(lambda: _wake(scheduler), "wake")
+    scheduler.spawn_supervised(lambda: _wake(scheduler), "wake")
     scheduler.run()
 
 
-def _wake(scheduler: sch.Scheduler) -> None:
+def _wake(scheduler: Scheduler) -> None:
     """A signal's handler runs between turns: the loop must not sleep for long."""
     while True:
         scheduler.sleep(POLL)
--- a/hazelhollow/standins/discovery.py
+++ b/hazelhollow/standins/discovery.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import TIMED_OUT, Scheduler, Task
 
 MOST_HEAD = 8192
 MOST_OUT = 1 << 23  # bytes of answers that wait: a list of some 40,000 hosts
@@ -38,12 +38,12 @@
 class Discovery:
     """`down`: it takes connections and says nothing."""
 
-    scheduler: sch.Scheduler
+    scheduler: Scheduler
     hosts: dict[str, Host] = field(default_factory=dict)
     index: int = 1
     down: bool = False
     calls: int = 0
-    _waiting: list[sch.Task] = field(default_factory=list)
+    _waiting: list[Task] = field(default_factory=list)
     _socks: list[socket.socket] = field(default_factory=list)
 
     def listen(self, limiter: str, address: tuple[str, int]) -> tuple[str, int]:
@@ -51,7 +51,7 @@
         sock = socket.create_server(address, backlog=64)
         sock.setblocking(False)
         self._socks.append(sock)
-        self.scheduler.spawn_lasting(lambda: self._accept(sock, limiter), "discovery")
+        self.scheduler.spawn_supervised(lambda: self._accept(sock, limiter), "discovery")
         bound: tuple[str, int] = sock.getsockname()[:2]
         return bound
 
@@ -110,7 +110,7 @@
         )
 
     def _accept(self, sock: socket.socket, limiter: str) -> None:
-        for near in stream.accepted(self.scheduler, sock):
+        for near in stream.accept_connections(self.scheduler, sock):
             self.scheduler.spawn(
                 self._serve, stream.Stream(self.scheduler, near, MOST_OUT), limiter, name="agent"
             )
@@ -120,7 +120,7 @@
         while driver.ending is None:
             driver.wait()
             data = driver.read(MOST_HEAD)
-            if isinstance(data, Ending):
+            if isinstance(data, CloseReason):
                 driver.close(data)
             elif data:
                 held += data
@@ -129,7 +129,7 @@
                     self._answer(driver, limiter, bytes(held[: end + 2]))
                     del held[: end + 4]
                 elif len(held) > MOST_HEAD:
-                    driver.close(Ending.MALFORMED)
+                    driver.close(CloseReason.MALFORMED)
 
     def _answer(self, driver: stream.Stream, limiter: str, head: bytes) -> None:
         call = _CALL.match(head)
@@ -141,7 +141,7 @@
         until = self.scheduler.clock() + min(int(call[2] or 0) / 1000.0, LONGEST_HOLD)
         while self.down or (since == self.index and self.scheduler.clock() < until):
             self._waiting.append(self.scheduler.current())
-            if self.scheduler.wait(until=None if self.down else until) == sch.TIMEOUT:
+            if self.scheduler.wait(until=None if self.down else until) == TIMED_OUT:
                 break
         body = self.document(limiter, since)
         driver.write(
@@ -152,6 +152,6 @@
 
     def close(self) -> None:
         for sock in self._socks:
-            self.scheduler.forget(sock.fileno())
+            self.scheduler.unregister(sock.fileno())
             sock.close()
         self._socks.clear()
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -15,8 +15,8 @@
 import orjson
 
 from hazelhollow.net import resp, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import Scheduler
 
 MOST_OUT = 1024 * 1024
 MOST_WAITING = 1000
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         listen: tuple[str, int],
         work: float,
         cores: int,
@@ -73,10 +73,10 @@
         self._queue: deque[tuple[Line, list[bytes], list[resp.Value]]] = deque()
 
     def start(self) -> None:
-        self.scheduler.spawn_lasting(self._accept, "node")
+        self.scheduler.spawn_supervised(self._accept, "node")
 
     def _accept(self) -> None:
-        for sock in stream.accepted(self.scheduler, self._sock):
+        for sock in stream.accept_connections(self.scheduler, self._sock):
             line = Line(stream.Stream(self.scheduler, sock, MOST_OUT))
             self.scheduler.spawn(self._tend, line, name="node connection")
 
@@ -85,15 +85,15 @@
         while driver.ending is None:
             driver.wait()
             data = driver.read(line.parser.ring.room())
-            if isinstance(data, Ending):
+            if isinstance(data, CloseReason):
                 driver.close(data)
             elif data:
                 try:
                     line.parser.feed(data)
-                    while not isinstance(words := line.parser.next(), resp.More):
+                    while not isinstance(words := line.parser.next(), resp.NeedMoreData):
                         self._take(line, words)
                 except resp.ProtocolError:
-                    driver.close(Ending.MALFORMED)
+                    driver.close(CloseReason.MALFORMED)
 
     def _take(self, line: Line, words: resp.Value) -> None:
         place: list[bytes] = []
@@ -113,7 +113,7 @@
                 self._queue.append((line, place, words))
                 self._begin()
         elif name == b"INFO":
-            self._answer(line, place, resp.bulk(self._report()))
+            self._answer(line, place, resp.encode_bulk_string(self._report()))
         else:
             known = {b"PING": b"+PONG\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
             self._answer(line, place, known.get(name, b"-ERR unknown\r\n"))
@@ -146,7 +146,10 @@
         self._answer(
             line,
             place,
-            b"*3\r\n" + resp.bulk(b"served " + request) + b"$-1\r\n" + resp.bulk(self._report()),
+            b"*3\r\n"
+            + resp.encode_bulk_string(b"served " + request)
+            + b"$-1\r\n"
+            + resp.encode_bulk_string(self._report()),
         )
         self._begin()
 
@@ -157,5 +160,5 @@
             line.driver.write(line.answers.popleft()[0])
 
     def close(self) -> None:
-        self.scheduler.forget(self._sock.fileno())
+        self.scheduler.unregister(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -6,9 +6,9 @@
 import ssl
 import struct
 
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream, tls
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.standins.redis import faults
 from hazelhollow.standins.redis.cluster import Cluster
 from hazelhollow.standins.redis.node import Node
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         node: Node,
         listen: tuple[str, int],
         secure: ssl.SSLContext | None = None,
@@ -34,15 +34,15 @@
         self._sock.setblocking(False)
         self.address: tuple[str, int] = self._sock.getsockname()[:2]
         self._streams: dict[int, stream.Stream] = {}
-        self._timer: sch.Timer | None = None
+        self._timer: Timer | None = None
 
     def start(self) -> None:
         """Begins to accept connections."""
-        self.scheduler.spawn_lasting(self._accept, "stand-in")
+        self.scheduler.spawn_supervised(self._accept, "stand-in")
         self.advance()
 
     def _accept(self) -> None:
-        for sock in stream.accepted(self.scheduler, self._sock):
+        for sock in stream.accept_connections(self.scheduler, self._sock):
             session = self.node.connect()
             if session is None:  # down: as near to a refusal as an open port can come
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -56,8 +56,8 @@
     def _serve(self, session: Session, driver: stream.Stream) -> None:
         while driver.ending is None:
             driver.wait()
-            data = driver.read(stream.CHUNK)
-            if isinstance(data, Ending):
+            data = driver.read(stream.READ_CHUNK_BYTES)
+            if isinstance(data, CloseReason):
                 driver.close(data)
             elif data:
                 plain = self._decrypt(session, driver, data)
@@ -74,7 +74,7 @@
         try:
             plain, back = layer.feed(data)
         except ssl.SSLError:
-            driver.close(Ending.MALFORMED)
+            driver.close(CloseReason.MALFORMED)
             return b""
         driver.write(back)
         return plain
@@ -90,7 +90,7 @@
                 driver.write(layer.write(output.data) if layer else output.data)
             if output.closes:
                 driver.flush()
-                driver.close(Ending.SHUTDOWN)
+                driver.close(CloseReason.SHUTDOWN)
         if self._timer:
             self._timer.cancel()
             self._timer = None
@@ -101,13 +101,13 @@
     def close(self) -> None:
         """Ends all connections and the listening socket."""
         for driver in list(self._streams.values()):
-            driver.close(Ending.SHUTDOWN)
-        self.scheduler.forget(self._sock.fileno())
+            driver.close(CloseReason.SHUTDOWN)
+        self.scheduler.unregister(self._sock.fileno())
         self._sock.close()
 
 
 def start(
-    scheduler: sch.Scheduler,
+    scheduler: Scheduler,
     listen: tuple[str, int],
     seed: int = 0,
     password: str = "",
--- a/hazelhollow/standins/relay.py
+++ b/hazelhollow/standins/relay.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import READABLE, Scheduler, Task
 
 Address = tuple[str, int]
 MOST_HELD = 1 << 20  # bytes of one direction of a connection that wait
@@ -82,7 +82,7 @@
 
 
 class Relay:
-    def __init__(self, scheduler: sch.Scheduler, seed: int) -> None:
+    def __init__(self, scheduler: Scheduler, seed: int) -> None:
         self.scheduler, self.random = scheduler, random.Random(seed)
         self.links: dict[tuple[str, str], Link] = {}
         self.pipes: dict[Pipe, None] = {}
@@ -153,7 +153,7 @@
         self._socks.append(sock)
         self._datagrams[sender, receiver] = sock
         link = self.link(sender, receiver)
-        self.scheduler.spawn_lasting(
+        self.scheduler.spawn_supervised(
             lambda: self._read(sock, link, sender, receiver, source, target), "relay"
         )
 
@@ -167,7 +167,7 @@
         target: Address,
     ) -> None:
         while True:
-            self.scheduler.wait(sock.fileno(), sch.READ)
+            self.scheduler.wait(sock.fileno(), READABLE)
             for _ in range(BATCH):
                 try:
                     data, came_from = sock.recvfrom(MOST_DATAGRAM)
@@ -220,10 +220,12 @@
         sock = socket.create_server(listen, backlog=128)
         sock.setblocking(False)
         self._socks.append(sock)
-        self.scheduler.spawn_lasting(lambda: self._accept(sock, sender, receiver, target), "relay")
+        self.scheduler.spawn_supervised(
+            lambda: self._accept(sock, sender, receiver, target), "relay"
+        )
 
     def _accept(self, sock: socket.socket, sender: str, receiver: str, target: Address) -> None:
-        for near in stream.accepted(self.scheduler, sock):
+        for near in stream.accept_connections(self.scheduler, sock):
             pipe = Pipe(self, sender, receiver, near)
             self.pipes[pipe] = None
             self.scheduler.spawn(pipe.run, target, name="relay connection")
@@ -239,7 +241,7 @@
         for pipe in list(self.pipes):
             pipe.break_off()
         for sock in self._socks:
-            self.scheduler.forget(sock.fileno())
+            self.scheduler.unregister(sock.fileno())
             sock.close()
         self._socks.clear()
 
@@ -274,7 +276,7 @@
         self.back = Half((receiver, sender), relay.link(receiver, sender))
         self.near = stream.Stream(relay.scheduler, near, MOST_HELD)
         self.far: stream.Stream | None = None
-        self._tasks: list[sch.Task] = []
+        self._tasks: list[Task] = []
         self.broken = False
 
     def wake(self) -> None:
@@ -295,7 +297,7 @@
         self._raw.append(sock)
         if far.establish(target, self.relay.scheduler.clock() + CONNECT) or self.broken:
             self.break_off()
-            far.close(Ending.RESET)
+            far.close(CloseReason.RESET)
             return
         self.relay.scheduler.spawn(self._copy, far, self.near, self.back, name="relay connection")
         self._copy(self.near, far, self.out)
@@ -311,14 +313,14 @@
             self._tasks.append(scheduler.current())
         while not self.broken and source.ending is None:
             source.wait()
-            data = source.read(stream.CHUNK)
+            data = source.read(stream.READ_CHUNK_BYTES)
             if data is None:
                 continue
             while not self.broken and self._shut(half):
                 scheduler.wait()
             if half.link.now.delay and not self.broken:
                 scheduler.sleep(half.link.now.delay)
-            if isinstance(data, Ending):
+            if isinstance(data, CloseReason):
                 break
             if not self.broken:
                 target.write(data)
@@ -331,7 +333,7 @@
         while target.out and target.ending is None and self.relay.scheduler.clock() < until:
             target.wait(until, 0)
         for side in (source, target):
-            side.close(Ending.CLOSED)
+            side.close(CloseReason.CLOSED)
         self.relay.pipes.pop(self, None)
 
     def break_off(self) -> None:
@@ -342,6 +344,6 @@
         for side, sock in zip((self.near, self.far), self._raw, strict=False):
             if side is not None and side.ending is None:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
-                side.close(Ending.RESET)
+                side.close(CloseReason.RESET)
         self.relay.pipes.pop(self, None)
         self.wake()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -28,12 +28,12 @@
 from dataclasses import replace
 from typing import Any
 
-from hazelhollow.config import Config
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import resp
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.service import Attachment, Service
+from hazelhollow.platform_config import PlatformConfig
 
 LOOK = api.RequestClass(
     "look", latency_objective=1.0, deadline=3.0, priority_weight=1.0, effect="safe"
@@ -109,7 +109,7 @@
             "peers": (("127.0.0.1", 9), self.peer.getsockname()),
             **changes,
         }
-        self.config = Config(**values)
+        self.config = PlatformConfig(**values)
         self.service = Service(self.config, self.scheduler, attached)
         self.service.start()
         if heard:
@@ -126,10 +126,10 @@
             sock.close()
         service = self.service
         for session in [*service.frontend.sessions, *service.frontend.lingering]:
-            session._driver.close(Ending.SHUTDOWN)
+            session._driver.close(CloseReason.SHUTDOWN)
         for driver in (service.watch._driver, service.watch._slow):
             if driver:
-                driver.close(Ending.SHUTDOWN)
+                driver.close(CloseReason.SHUTDOWN)
         service.backend.close()
         for open_socket in (service.frontend, service.operator, service.limiter.peers):
             if open_socket:
@@ -209,7 +209,7 @@
             body = orjson.dumps(self.table(kind, int(version), *hosts)).decode()
             return (HEAD % (len(body), body)).encode()
         if words.startswith("["):
-            return resp.command([word.encode() for word in words.strip("[]").split()])
+            return resp.encode_command([word.encode() for word in words.strip("[]").split()])
         return words.encode().decode("unicode_escape").encode() + b"\r\n"
 
     def _send(self, who: str, words: str) -> None:
--- a/tests/test_audit_processes.py
+++ b/tests/test_audit_processes.py
@@ -20,7 +20,7 @@
 from hazelhollow.fault_injection.plan import PLANS_FROM
 from hazelhollow.fault_injection.probes import Prober
 from hazelhollow.fault_injection.world import CLIENT, World
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from tests.test_replica_processes import Kept
 
 ASK_EVERY = 0.005  # seconds
@@ -51,7 +51,7 @@
 def audited(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     three = plan.Plan(name="x", instances=3, hosts=1)
-    one = Audited(World(sch.Scheduler(sch.Clock()), three, tmp_path / "fleet", operator=audit_file))
+    one = Audited(World(Scheduler(Clock()), three, tmp_path / "fleet", operator=audit_file))
     one.until(lambda: one.whole() and one.orders() == [0, 0, 0])
     yield one
     one.world.close()
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -20,7 +20,7 @@
 from hazelhollow.fault_injection.drill import Drill
 from hazelhollow.fault_injection.plan import PLANS_FROM
 from hazelhollow.fault_injection.world import World
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.relay import Link, Relay
 from tests.test_audit_processes import Audited
 from tests.test_fleet_processes import states
@@ -101,7 +101,7 @@
 def bounded(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     six = plan.Plan(name="x", instances=MEMBERS, hosts=1)
-    one = Bounded(World(sch.Scheduler(sch.Clock()), six, tmp_path / "fleet", operator=bounded_file))
+    one = Bounded(World(Scheduler(Clock()), six, tmp_path / "fleet", operator=bounded_file))
     one.until(lambda: one.whole() and one.orders() == [0] * MEMBERS)
     yield one
     one.world.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,9 +16,9 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import resp, stream
-from hazelhollow.net.admission import MOST_LINGERING
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.session import LINGER, MOST_PIPELINED
+from hazelhollow.net.session_table import MOST_LINGERING
 from tests.scenario import BUY, LOOK, SETTINGS, Stage
 from tests.test_gossip_settings import same_key
 from tests.test_scenarios import DO, GET, VALUE, WATCH, ask
@@ -74,7 +74,7 @@
 def in_need_of_room(stage: Stage) -> None:
     session = stage.service.frontend.places.idlest()
     assert session
-    session.end(Ending.NO_DESCRIPTOR)
+    session.end(CloseReason.NO_DESCRIPTOR)
 
 
 def keep_none(stage: Stage) -> None:
@@ -107,7 +107,7 @@
 JUNK = {
     "no command": b"junk\r\n" + b"x" * 300_000,
     "too long": b"*1\r\n$99999999\r\n" + b"y" * 70_000,
-    "bad in a row": resp.command([b"Q.ASK"]) * 400,
+    "bad in a row": resp.encode_command([b"Q.ASK"]) * 400,
 }
 
 
@@ -437,8 +437,8 @@
     stage._end("s1").sendall(stage.bytes_of(VALUE))
     if order == "answer first":
         stage.settle()
-    backend.give_up(attempt, Ending.CANCELLED)
-    backend.give_up(attempt, Ending.TIMED_OUT)
+    backend.give_up(attempt, CloseReason.CANCELLED)
+    backend.give_up(attempt, CloseReason.TIMED_OUT)
     stage.settle()
     assert sum(stage.service.stats.outcomes.values()) == 1
     if order == "answer first":
@@ -453,7 +453,7 @@
     stage = Stage(hosts=1)
     attempt = stage.service.backend.start("s1", b"x" * 10, lambda result: None)
     stage.scheduler._run()  # its connection is begun, and up by now; that it is has not been read
-    stage.service.backend.give_up(attempt, Ending.CANCELLED)
+    stage.service.backend.give_up(attempt, CloseReason.CANCELLED)
     stage.settle()
     end = stage._end("s1")
     assert end.recv(99) == b"" and stage.service.stats.dispatches == 0
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 from hazelhollow.fault_injection.commands import NEVER, disk_file, view_file
 from hazelhollow.fault_injection.drill import Drill
 from hazelhollow.fault_injection.world import World
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 
 Event = plan.Event
 
@@ -112,7 +112,7 @@
 def fleet(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     three = plan.Plan(name="x", instances=3, hosts=1)
-    one = Fleet(World(sch.Scheduler(sch.Clock()), three, tmp_path / "fleet", operator=view_file))
+    one = Fleet(World(Scheduler(Clock()), three, tmp_path / "fleet", operator=view_file))
     yield one
     one.world.close()
 
@@ -201,7 +201,7 @@
     folder = tmp_path / "fleet"
     folder.mkdir()
     two = plan.Plan(name="x", instances=2, hosts=1)
-    one = Fleet(World(sch.Scheduler(sch.Clock()), two, folder, operator=stuck_file))
+    one = Fleet(World(Scheduler(Clock()), two, folder, operator=stuck_file))
     answers: list[bytes] = []
 
     def ask_until_ready() -> None:
@@ -236,7 +236,7 @@
 
     (tmp_path / "seeded").mkdir()
     world = Seeded(
-        sch.Scheduler(sch.Clock()),
+        Scheduler(Clock()),
         plan.Plan(name="x", instances=3, hosts=1),
         tmp_path / "seeded",
         operator=seeded,
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -10,8 +10,8 @@
 import pytest
 
 from hazelhollow.net import resp
-from hazelhollow.net.admission import MOST_LINGERING
 from hazelhollow.net.session import MOST_OUT, MOST_PIPELINED
+from hazelhollow.net.session_table import MOST_LINGERING
 from tests.scenario import Stage
 from tests.test_scenarios import VALUE, ask
 
@@ -77,7 +77,7 @@
     flood = stage._end("a")
     for _ in range(200):
         try:
-            flood.send(resp.command([b"INFO"]) * 200)
+            flood.send(resp.encode_command([b"INFO"]) * 200)
         except BlockingIOError:
             break
         stage.settle(2)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -13,11 +13,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow import config
+from hazelhollow import platform_config
 from hazelhollow.net import http1, resp
-from hazelhollow.net.collector import YOUNG, YOUNG_PASSES
-from hazelhollow.net.ending import Ending, outcome
-from hazelhollow.net.ring import Ring, RingFull
+from hazelhollow.net.close_reason import CloseReason, outcome
+from hazelhollow.net.gc_pauses import YOUNG, YOUNG_PASSES
+from hazelhollow.net.ring_buffer import RingBuffer, RingBufferFullError
 from hazelhollow.net.scheduler import Clock, Scheduler
 
 
@@ -28,8 +28,8 @@
     """
     script = """
 import gc
-from hazelhollow.net.collector import collect_in_short_passes
-collect_in_short_passes()
+from hazelhollow.net.gc_pauses import shorten_collector_pauses
+shorten_collector_pauses()
 looked_at = []
 def note(phase, found):
     if phase == "start":
@@ -64,7 +64,7 @@
 ) -> None:
     poller, seen = ReadablePoller(), list[str]()
     one = Scheduler(lambda: poller.now, poller)
-    one.stood_still = lambda: seen.append("stood still")
+    one.on_process_pause = lambda: seen.append("stood still")
 
     def stop() -> None:
         poller.now += 3.0
@@ -86,7 +86,7 @@
     elif stopped_in == "timer":
         one.at(poller.now, stop)
     elif stopped_in == "the end of a turn":
-        one.later(stop)
+        one.at_end_of_turn(stop)
     one.turn()
     assert seen == ["stood still", "read"]
     poller.late = 0.0
@@ -105,7 +105,7 @@
     parser, got = resp.Parser(), []
     for part in parts:
         parser.feed(part)
-        while not isinstance(value := parser.next(), resp.More):
+        while not isinstance(value := parser.next(), resp.NeedMoreData):
             got.append(value)
     return got
 
@@ -118,8 +118,10 @@
 
 def test_resp_by_single_bytes_and_with_the_largest_value() -> None:
     assert values([STREAM[i : i + 1] for i in range(len(STREAM))]) == VALUES
-    large = b"\r\n" * (resp.MOST_BYTES // 2)
-    assert values([resp.bulk(large)[:7], resp.bulk(large)[7:]]) == [large]
+    large = b"\r\n" * (resp.MAX_STRING_BYTES // 2)
+    assert values([resp.encode_bulk_string(large)[:7], resp.encode_bulk_string(large)[7:]]) == [
+        large
+    ]
 
 
 def test_a_number_that_cannot_be_read_is_none_and_ruins_nothing_beside_it() -> None:
@@ -141,7 +143,7 @@
         b"$ 1\r\n",
         b"$--1\r\n",
         b"*1000000000\r\n",
-        b"*2\r\n" + resp.bulk(b"x" * 65000) * 2,
+        b"*2\r\n" + resp.encode_bulk_string(b"x" * 65000) * 2,
     ],
 )
 def test_resp_that_is_malformed_or_too_large_is_an_error(junk: bytes) -> None:
@@ -162,10 +164,10 @@
 
 @given(st.lists(st.tuples(st.binary(max_size=3000), st.integers(0, 3000))))
 def test_a_ring_gives_what_was_written_in_its_order(steps: list[tuple[bytes, int]]) -> None:
-    ring, model = Ring(8192), b""
+    ring, model = RingBuffer(8192), b""
     for data, count in steps:
         if len(data) > ring.room():
-            with pytest.raises(RingFull):
+            with pytest.raises(RingBufferFullError):
                 ring.write(data)
         else:
             ring.write(data)
@@ -228,13 +230,15 @@
 
 def test_every_ending_has_its_outcome_and_none_after_the_last_byte_says_never_ran() -> None:
     never = {"connect_failed", "full", "moot"}
-    assert all(outcome(ending, written=True) not in never for ending in Ending)
+    assert all(outcome(ending, written=True) not in never for ending in CloseReason)
     assert all(
-        outcome(e, written=False) == "connect_failed" for e in Ending if e is not Ending.CANCELLED
+        outcome(e, written=False) == "connect_failed"
+        for e in CloseReason
+        if e is not CloseReason.CANCELLED
     )
     assert (
-        outcome(Ending.CLOSED, written=False) == "connect_failed"
-        and outcome(Ending.CLOSED, True) == "reset"
+        outcome(CloseReason.CLOSED, written=False) == "connect_failed"
+        and outcome(CloseReason.CLOSED, True) == "reset"
     )
 
 
@@ -307,7 +311,7 @@
 def test_a_good_configuration_is_read_and_the_variables_come_first(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(GOOD))
-    told = config.load({"RELAY_CONFIG": str(path), "RELAY_LISTEN": "127.0.0.9:7"})
+    told = platform_config.load({"RELAY_CONFIG": str(path), "RELAY_LISTEN": "127.0.0.9:7"})
     assert (told.listen, told.seed, told.conn_idle, told.sockets) == (
         ("127.0.0.9", 7),
         255,
@@ -316,8 +320,8 @@
     )
     assert told.peers == (("127.0.0.1", 3),) and told.settings.limiter_count == 1
     variables = {"RELAY_CONFIG": str(path), "RELAY_DISCOVERY": "127.0.0.1:9"}
-    assert config.load(variables).discovery == ("127.0.0.1", 9)
-    assert config.load(variables, again=True).discovery == (
+    assert platform_config.load(variables).discovery == ("127.0.0.1", 9)
+    assert platform_config.load(variables, again=True).discovery == (
         "127.0.0.1",
         2,
     )  # the file is the newer of the two
@@ -335,7 +339,7 @@
         with socket.create_connection(
             ("127.0.0.1", int(line.rpartition(":")[2])), timeout=30
         ) as client:
-            client.sendall(resp.command([b"PING"]))
+            client.sendall(resp.encode_command([b"PING"]))
             assert client.recv(99) == b"+PONG\r\n"  # though no discovery answers
             program.send_signal(signal.SIGUSR1)
             program.send_signal(signal.SIGHUP)
@@ -345,7 +349,7 @@
             assert any("stays as it was" in line for line in program.stderr)
             program.send_signal(signal.SIGUSR1)
             program.send_signal(signal.SIGTERM)
-            client.sendall(resp.command([b"SELECT", b"0"]))
+            client.sendall(resp.encode_command([b"SELECT", b"0"]))
             assert client.recv(99) == b"+OK\r\n"
             assert client.recv(99) == b""
         assert program.wait(30) == 0
--- a/tests/test_operator_address.py
+++ b/tests/test_operator_address.py
@@ -14,16 +14,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.net import calls
-from hazelhollow.net.operator import MOST_CALLERS, WITHIN
-from hazelhollow.net.sparse import Sparse
+from hazelhollow.net import operator_calls
+from hazelhollow.net.operator_address import MOST_CALLERS, WITHIN
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from tests.scenario import Stage
 
 GOOD = [
-    (b"check\n", calls.Call("check")),
-    (b"vars\r\n", calls.Call("vars")),
-    (b"set-down s-1\n", calls.Call("set-down", "s-1")),
-    (b"SET-UP  s-2 \n", calls.Call("set-up", "s-2")),
+    (b"check\n", operator_calls.Call("check")),
+    (b"vars\r\n", operator_calls.Call("vars")),
+    (b"set-down s-1\n", operator_calls.Call("set-down", "s-1")),
+    (b"SET-UP  s-2 \n", operator_calls.Call("set-up", "s-2")),
 ]
 BAD = [
     (b"\n", "an empty line"),
@@ -32,28 +32,28 @@
     (b"set-down\n", "set-down takes one server id"),
     (b"set-down a b\n", "set-down takes one server id"),
     (b"vars \xff\n", "plain ASCII"),
-    (b"x" * calls.MOST_LINE, "a line longer than"),
-    (b"check" + b" " * calls.MOST_LINE + b"\n", "a line longer than"),
+    (b"x" * operator_calls.MOST_LINE, "a line longer than"),
+    (b"check" + b" " * operator_calls.MOST_LINE + b"\n", "a line longer than"),
 ]
 
 
 @pytest.mark.parametrize(("line", "call"), GOOD)
-def test_calls_are_read(line: bytes, call: calls.Call) -> None:
-    assert calls.Parser().feed(line) == call
+def test_calls_are_read(line: bytes, call: operator_calls.Call) -> None:
+    assert operator_calls.Parser().feed(line) == call
 
 
 @pytest.mark.parametrize(("line", "why"), BAD)
 def test_what_is_no_call_is_named(line: bytes, why: str) -> None:
-    with pytest.raises(calls.CallError, match=why):
-        calls.Parser().feed(line)
+    with pytest.raises(operator_calls.CallError, match=why):
+        operator_calls.Parser().feed(line)
 
 
 @given(st.sampled_from(GOOD), st.lists(st.integers(0, 40), max_size=6), st.binary(max_size=30))
 def test_every_cut_of_a_call_is_the_same_call(
-    good: tuple[bytes, calls.Call], cuts: list[int], after: bytes
+    good: tuple[bytes, operator_calls.Call], cuts: list[int], after: bytes
 ) -> None:
     line, call = good
-    parser, found, places = calls.Parser(), None, sorted({min(c, len(line)) for c in cuts})
+    parser, found, places = operator_calls.Parser(), None, sorted({min(c, len(line)) for c in cuts})
     for start, end in zip([0, *places], [*places, len(line)], strict=True):
         found = parser.feed(line[start:end])
         assert found is None or end == len(line)
@@ -62,7 +62,7 @@
 
 
 def test_a_part_of_a_line_is_no_call_yet() -> None:
-    parser = calls.Parser()
+    parser = operator_calls.Parser()
     assert parser.feed(b"set-do") is None and parser.partial()
 
 
@@ -160,7 +160,7 @@
 
 def test_the_log_of_troubles_has_a_bound() -> None:
     now = [0.0]
-    sparse = Sparse(logging.getLogger("test"), lambda: now[0], per_second=5.0)
+    sparse = RateLimitedLog(logging.getLogger("test"), lambda: now[0], per_second=5.0)
     said = sum(sparse.warning("x") for _ in range(100))
     now[0] = 1.0
     said_later = sum(sparse.warning("x") for _ in range(100))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,10 +14,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow import config as cfg
-from hazelhollow.config import ConfigError
+from hazelhollow import platform_config as cfg
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.requests import Terms
+from hazelhollow.platform_config import PlatformConfigError
 from tests.scenario import BUY, LOOK, Stage
 from tests.test_endings import unanswering
 from tests.test_gateway import answer, ask, make, only
@@ -72,7 +72,7 @@
 def test_a_broken_file_is_refused_and_says_where(kind: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(broken(kind))
-    with pytest.raises(ConfigError, match="config.json"):
+    with pytest.raises(PlatformConfigError, match="config.json"):
         cfg.load({"RELAY_CONFIG": str(path)}, again=True)
 
 
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -17,13 +17,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhollow.config import Config
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import stream
-from hazelhollow.net.admission import MOST_LINGERING
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.service import _signals
 from hazelhollow.net.session import BATCH, WHOLE_WITHIN
+from hazelhollow.net.session_table import MOST_LINGERING
+from hazelhollow.platform_config import PlatformConfig
 from tests.scenario import SETTINGS, STAGES, Stage
 from tests.test_endings import (
     DEATHS,
@@ -62,27 +62,27 @@
 
     def _patch_connecting(self, patch: pytest.MonkeyPatch) -> None:
         """On loopback no connection comes up late; here it does, by the stage's clock."""
-        establish, go_on = stream.Stream.establish, stream.Stream.await_established
+        establish, go_on = stream.Stream.establish, stream.Stream.await_connected
 
-        def begin(one: stream.Stream, address: tuple[str, int], until: float) -> Ending | None:
+        def begin(one: stream.Stream, address: tuple[str, int], until: float) -> CloseReason | None:
             if address != self.address or self.mode != "late up":
                 return establish(one, address, until)
             self._late_up[one] = self.stage.now + 0.4
             return wait(one, until)
 
-        def more(one: stream.Stream, until: float) -> Ending | None:
+        def more(one: stream.Stream, until: float) -> CloseReason | None:
             return wait(one, until) if one in self._late_up else go_on(one, until)
 
-        def wait(one: stream.Stream, until: float) -> Ending | None:
+        def wait(one: stream.Stream, until: float) -> CloseReason | None:
             one._task = one.scheduler.current()
             one.scheduler.wait(until=min(until, self._late_up[one]))
             if one.ending or self.stage.now < self._late_up[one]:
-                return one.ending or Ending.NEVER_UP
+                return one.ending or CloseReason.NEVER_UP
             del self._late_up[one]
             return establish(one, self.address, until)
 
         patch.setattr(stream.Stream, "establish", begin)
-        patch.setattr(stream.Stream, "await_established", more)
+        patch.setattr(stream.Stream, "await_connected", more)
 
     def change(self) -> None:
         """Discovery has it from now on: s1 drains."""
@@ -388,7 +388,7 @@
     """
     stage = Stage(hosts=1)
 
-    def late(self: stream.Stream, address: tuple[str, int], until: float) -> Ending | None:
+    def late(self: stream.Stream, address: tuple[str, int], until: float) -> CloseReason | None:
         self._task = self.scheduler.current()
         self.scheduler.wait(until=stage.now + 0.2)
         self._sock.setblocking(True)
@@ -675,18 +675,18 @@
 
 
 def test_a_reload_that_fails_in_an_odd_way_loses_no_sigterm_that_came_with_it() -> None:
-    def reread() -> Config:
+    def reread() -> PlatformConfig:
         raise RuntimeError("not foreseen")
 
     stage = Stage(hosts=1)
     inner, outer = socket.socketpair()
     with inner, outer:
         inner.setblocking(False)
-        stage.scheduler.spawn_lasting(lambda: _signals(stage.service, inner, reread), "signals")
+        stage.scheduler.spawn_supervised(lambda: _signals(stage.service, inner, reread), "signals")
         outer.send(bytes([signal.SIGHUP, signal.SIGTERM]))
         stage.settle()
         assert stage.service.leaving
-        stage.scheduler.forget(inner.fileno())
+        stage.scheduler.unregister(inner.fileno())
 
 
 # Whole lists that leave out what drains
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -16,7 +16,7 @@
 from hazelhollow.fault_injection.commands import NEVER, disk_file, replica_file
 from hazelhollow.fault_injection.drill import Drill
 from hazelhollow.fault_injection.world import World
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.relay import Fault
 from tests.test_fleet_processes import Fleet
 
@@ -63,7 +63,7 @@
 def kept(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     four = plan.Plan(name="x", instances=4, hosts=2)
-    one = Kept(World(sch.Scheduler(sch.Clock()), four, tmp_path / "fleet", operator=disk_file))
+    one = Kept(World(Scheduler(Clock()), four, tmp_path / "fleet", operator=disk_file))
     one.until(
         lambda: one.whole() and all(one.replica(name).get("whole") for name in one.world.names)
     )
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from hazelhollow.fault_injection import checker, control, janitor, plan, shrink
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.discovery import Discovery, Host
 from hazelhollow.standins.relay import Fault, Relay
 
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self.now = 1000.0
-        self.scheduler = sch.Scheduler(lambda: self.now)
+        self.scheduler = Scheduler(lambda: self.now)
         self.relay = Relay(self.scheduler, seed=1)
         self.socks = {name: self._sock() for name in "ab"}
         own = {name: sock.getsockname() for name, sock in self.socks.items()}
@@ -155,7 +155,7 @@
     """A listener behind the relay and one client of it."""
 
     def __init__(self) -> None:
-        self.scheduler = sch.Scheduler(sch.Clock())
+        self.scheduler = Scheduler(Clock())
         self.relay = Relay(self.scheduler, seed=1)
         self.server = socket.create_server(LOOPBACK)
         with socket.create_server(LOOPBACK) as probe:
@@ -224,7 +224,7 @@
 
 
 def test_discovery_gives_each_limiter_its_addresses_and_all_for_a_foreign_index() -> None:
-    discovery = Discovery(sch.Scheduler(sch.Clock()))
+    discovery = Discovery(Scheduler(Clock()))
     discovery.change(Host("h0", {"n0": "a:1", "n1": "b:1"}))
     discovery.change(Host("h1", {"n0": "a:2", "n1": "b:2"}))
     first = json.loads(discovery.document("n1", None))
--- a/tests/test_scale_budget.py
+++ b/tests/test_scale_budget.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hazelhollow.control_budget.budget import LEAST_BYTES_PER_S, Role, settings_for
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale import settings, topology
 from hazelhollow.scale.hollow import Life, Told
 from hazelhollow.scale.load import populate
@@ -25,7 +25,7 @@
 
 def incarnation(terms: FleetTerms) -> Life:
     """One limiter of twelve that has started; the others are not there."""
-    scheduler, meter = sch.Scheduler(sch.Clock()), Meter()
+    scheduler, meter = Scheduler(Clock()), Meter()
     peers = HollowPeers(scheduler, Wire(meter), 0, ("127.0.0.1", 0), lambda: 0)
     shared = settings.document(SIZE, populate(SIZE, terms, 1).quotas, terms)
     told = Told(settings.own_document(shared, 0, topology.lay_out(SIZE.limiters, terms)), 0)
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -373,4 +373,4 @@
     shared = scheduler.Scheduler(lambda: now[0])
     own = hollow.OwnScheduler(shared, Meter())
     now[0] = 100.4
-    assert own.knowledge_age() == shared.knowledge_age() == pytest.approx(0.4)
+    assert own.time_since_poll() == shared.time_since_poll() == pytest.approx(0.4)
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -699,8 +699,8 @@
     assert [one.servers for one in lists] == sorted(one.servers for one in lists)
     each = {round(one.size / one.servers) for one in lists}
     assert max(each) - min(each) <= 1
-    assert report_documents.ServerList(1, http1.MOST_BODY).taken
-    assert not report_documents.ServerList(1, http1.MOST_BODY + 1).taken
+    assert report_documents.ServerList(1, http1.MAX_BODY_BYTES).taken
+    assert not report_documents.ServerList(1, http1.MAX_BODY_BYTES + 1).taken
 
 
 def test_a_document_that_cannot_be_handed_on_passes_its_budget_where_it_stops() -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -15,7 +15,6 @@
 import orjson
 import pytest
 
-from hazelhollow.config import Config, ConfigError
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import resp
 from hazelhollow.net.scheduler import Poller
@@ -27,6 +26,7 @@
     TURNED_AWAY,
     TURNED_AWAY_AT_ONCE,
 )
+from hazelhollow.platform_config import PlatformConfig, PlatformConfigError
 from tests.scenario import Stage
 
 ASK = "[Q.ASK 00000000b4d65521 r{0} c=look,t=basic,d=1000,units=1,spread=2,first=0]"
@@ -472,8 +472,8 @@
 
 
 def test_a_new_configuration_that_cannot_be_read_changes_nothing() -> None:
-    def unreadable() -> Config:
-        raise ConfigError("not a JSON object")
+    def unreadable() -> PlatformConfig:
+        raise PlatformConfigError("not a JSON object")
 
     stage = Stage(hosts=1)
     stage.play(f"disco expect {GET}\n{READY}\ndisco expect {WATCH.format(1)}")
@@ -553,7 +553,7 @@
 def test_bad_commands_without_end_end_the_connection() -> None:
     stage = Stage(hosts=1)
     stage.play("a send " + "[Q.ASK x]".join([""] * 2))
-    stage._end("a").sendall(resp.command([b"Q.ASK", b"x"]) * 100)
+    stage._end("a").sendall(resp.encode_command([b"Q.ASK", b"x"]) * 100)
     stage.settle()
     assert stage.service.stats.bad == MOST_BAD and not stage.service.frontend.sessions
 
@@ -574,7 +574,7 @@
 
 def test_many_commands_at_once_let_others_have_their_turn_and_are_all_answered() -> None:
     stage = Stage(hosts=1)
-    stage._end("a").sendall(resp.command([b"SELECT", b"0"]) * 300)
+    stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 300)
     stage.settle(4)
     assert 0 < stage.service.stats.commands <= 4 * BATCH
     stage.play("b send [SELECT 0]\nb expect +OK\nwait 1.1")
@@ -583,7 +583,7 @@
 
 def test_a_command_that_waited_for_its_turn_has_so_much_less_time() -> None:
     stage = Stage(hosts=1)
-    stage._end("a").sendall(resp.command([b"SELECT", b"0"]) * 250 + stage.bytes_of(ask(1)))
+    stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 250 + stage.bytes_of(ask(1)))
     stage.play(f"wait 0.55\ns1 expect {ask(1, 500)}")
     (one,) = stage.service.limiter.open.values()
     assert one.ask.request.time_left <= 0.55
@@ -650,7 +650,7 @@
     stage.play("wait 0.6")
     for _ in range(300):  # answers of 2 KiB that nobody reads
         try:
-            stage._end("a").sendall(resp.command([b"INFO"]) * 60)
+            stage._end("a").sendall(resp.encode_command([b"INFO"]) * 60)
         except BlockingIOError:
             break
         stage.settle(5)
@@ -724,7 +724,7 @@
     """
     stage = Stage(hosts=1)
     end = stage._end("a")
-    end.sendall(resp.command([b"Q.ASK", b"x"]) * MOST_BAD)
+    end.sendall(resp.encode_command([b"Q.ASK", b"x"]) * MOST_BAD)
     stage.play("wait 2.5")
     got = b""
     while True:
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -110,7 +110,7 @@
 def test_an_error_line_may_hold_figures_before_its_report(
     line: bytes, status: str, report: dict[str, float]
 ) -> None:
-    result = backend.read_answer(resp.Fault(line))
+    result = backend.read_answer(resp.ErrorReply(line))
     assert result and result.status == status and not result.figures
     assert wire.read_report(result.report) == report
 
