--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -18,7 +18,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.net.limiter import Decisions
+from hazelhollow.net.engine_driver import Decisions
 from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
--- a/tests/test_audit_processes.py
+++ b/tests/test_audit_processes.py
@@ -20,7 +20,7 @@
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
 from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.fault_injection.settings_probes import SettingsProber
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from tests.test_replica_processes import Kept
 
 ASK_EVERY = 0.005  # seconds
@@ -52,7 +52,7 @@
     (tmp_path / "fleet").mkdir()
     three = plan.Plan(name="x", instances=3, hosts=1)
     one = Audited(
-        LoopbackCluster(sch.Scheduler(sch.Clock()), three, tmp_path / "fleet", operator=audit_file)
+        LoopbackCluster(Scheduler(Clock()), three, tmp_path / "fleet", operator=audit_file)
     )
     one.until(lambda: one.whole() and one.orders() == [0, 0, 0])
     yield one
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -20,7 +20,7 @@
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.relay import Link, Relay
 from tests.test_audit_processes import Audited
 from tests.test_fleet_processes import states
@@ -102,7 +102,7 @@
     (tmp_path / "fleet").mkdir()
     six = plan.Plan(name="x", instances=MEMBERS, hosts=1)
     one = Bounded(
-        LoopbackCluster(sch.Scheduler(sch.Clock()), six, tmp_path / "fleet", operator=bounded_file)
+        LoopbackCluster(Scheduler(Clock()), six, tmp_path / "fleet", operator=bounded_file)
     )
     one.until(lambda: one.whole() and one.orders() == [0] * MEMBERS)
     yield one
