--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -18,7 +18,7 @@
 from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.relay import Fault
-from tests.test_fleet_processes import Fleet
+from tests.membership.test_membership_processes import Fleet
 
 Event = plan.Event
 
