--- a/tests/test_store_tls.py
+++ b/tests/test_store_tls.py
@@ -15,6 +15,7 @@
 from hazelhollow.net import tls
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.operator import load
+from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.driver import SharedStoreDriver
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
