--- a/hazelhollow/replication/overrides.py
+++ b/hazelhollow/replication/overrides.py
@@ -44,9 +44,20 @@
         return True
 
     def digest(self) -> int:
-        text = repr(sorted(self.calls.values()))
+        text = f"[{', '.join(_digest_text(one) for one in sorted(self.calls.values()))}]"
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") % SUM_RANGE
 
     def out(self) -> dict[str, bool]:
         """By host, whether it is out by hand."""
         return {host: bool(one.down) for host, one in self.calls.items()}
+
+
+def _digest_text(one: Override) -> str:
+    """What a digest is made of. Members of earlier versions hash the same text: it must not change.
+
+    It was the `repr` of a class that was called `Hand`.
+    """
+    return (
+        f"Hand(host={one.host!r}, order={one.order!r}, down={one.down!r}, at={one.at!r},"
+        f" member={one.member!r})"
+    )
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -712,6 +712,26 @@
     )
 
 
+def test_digests_are_those_of_earlier_versions() -> None:
+    """Overrides were hashed by the name of their class, which a rename would have changed: members
+    of two versions would have sent each other all overrides for ever. The numbers are of c5118d0.
+    """
+    one = OverrideTable()
+    assert one.digest() == 577735
+    one.put(Override("s-0001", 2, 0, 1_700_000_002_000, 4))
+    one.put(Override("10.0.0.7:9000", 9, 1, 1_700_000_004_500, 1))
+    assert one.digest() == 926526
+    one.put(Override("it's", 3, 1, 7, 0))
+    assert one.digest() == 523789
+    table = book_of(
+        [
+            CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 4, 10)),
+            CountRow("zz", "pl", 0, 3, 2, "l2", CountValue(NOW - 9, NOW - 2, 77, 0)),
+        ]
+    )
+    assert {n: sum_ for n, sum_ in enumerate(table.sums()) if sum_} == {1: 1107499, 3: 1155812}
+
+
 # Snapshots
 
 KEPT = snapshot.Snapshot(
