--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -15,7 +15,7 @@
 
 from hazelhollow.bench.modules import Fleet
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.gossip_outbox import HEADER, News
+from hazelhollow.decisions.gossip.outbox import HEADER, News
 
 LOAD_PER_GATEWAY = 40.0  # units a second inside quotas
 # of the burst: what `HoldBack` keeps back, of customers with so much left
--- a/hazelhollow/bench/load.py
+++ b/hazelhollow/bench/load.py
@@ -26,8 +26,8 @@
         deadline=3.0,
         priority_weight=2.0,
         effect="keyed",
-        group="cell",
-        window=6.0,
+        dedup_scope="cell",
+        dedup_window=6.0,
     ),
 )
 SHARES = (0.47, 0.44, 0.09)
--- a/hazelhollow/bench/losses.py
+++ b/hazelhollow/bench/losses.py
@@ -15,7 +15,7 @@
 from hazelhollow.bench.modules import Fleet
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.state import Health
+from hazelhollow.decisions.memory import Health
 
 EVERY = 3.0  # seconds between kills, of one gateway after another
 SLOW, FAILING = 3, 11  # one host in so many is so
--- a/hazelhollow/bench/model.py
+++ b/hazelhollow/bench/model.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions import state
+from hazelhollow.decisions import memory as state
 from hazelhollow.fault_injection.plan import Event, Plan
 from hazelhollow.replication import counts
 from hazelhollow.replication.counts import Book, Row, Value
@@ -65,14 +65,14 @@
         self.book.turn(now)
         for action in self.memory.closed(MOST_COUNTS):
             if isinstance(action, api.ReplicateCount):
-                c, me = action.told, self.memory.settings.limiter_id
+                c, me = action.replicated_count, self.memory.settings.limiter_id
                 own = (c.member, c.incarnation) == (me, self.memory.incarnation)
                 self.book.put(
                     Row(
                         KEY,
                         "p",
                         0,
-                        action.spread,
+                        action.set_size,
                         c.member,
                         c.incarnation,
                         Value(c.since, c.through, round(10 * c.total), int(own)),
--- a/hazelhollow/bench/modules.py
+++ b/hazelhollow/bench/modules.py
@@ -19,7 +19,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.state import Store
+from hazelhollow.decisions.memory import Store
 
 CLASSES = (
     api.RequestClass(
@@ -34,8 +34,8 @@
         deadline=15.0,
         priority_weight=2.0,
         effect="keyed",
-        group="cell",
-        window=30.0,
+        dedup_scope="cell",
+        dedup_window=30.0,
     ),
 )
 PLANS = (
@@ -295,14 +295,14 @@
             return
 
         def arrive() -> None:
-            self.heard[action.gateway] = [
-                t for t in self.heard[action.gateway] if t > self.now - 1.0
+            self.heard[action.limiter_id] = [
+                t for t in self.heard[action.limiter_id] if t > self.now - 1.0
             ]
-            if len(self.heard[action.gateway]) >= self.intake:
+            if len(self.heard[action.limiter_id]) >= self.intake:
                 self.count.lost_in_room += 1
                 return
-            self.heard[action.gateway].append(self.now)
-            self.tell(action.gateway, api.GossipReceived(me, action.text))
+            self.heard[action.limiter_id].append(self.now)
+            self.tell(action.limiter_id, api.GossipReceived(me, action.text))
 
         self.at(self.now + self.random.uniform(0.0019, 0.03), arrive)
 
@@ -326,7 +326,7 @@
             ceiling.level -= units
             self.count.lowest_ceiling = min(self.count.lowest_ceiling, ceiling.level)
         self.out[customer.name] += 1
-        status, elapsed = self.answer(action.server, units)
+        status, elapsed = self.answer(action.endpoint, units)
         gateway = self.gateways[me]
 
         def done() -> None:
@@ -342,7 +342,7 @@
                 self.tell(
                     me,
                     api.AttemptEnded(
-                        action.id, 0, action.server, status, elapsed, final=status == "ok"
+                        action.id, 0, action.endpoint, status, elapsed, final=status == "ok"
                     ),
                 )
 
@@ -356,15 +356,15 @@
         if action.id not in self.owners:
             return
         customer, units, left, _ = self.owners.pop(action.id)
-        self.count.refused[action.why] += 1
+        self.count.refused[action.reason] += 1
         store, plan = self.truth[customer.name], PLANS[customer.plan]
         room = store.fill(self.now) >= units and not (
             plan.open_limit and self.out[customer.name] >= plan.open_limit
         )
         if room:
-            self.count.with_room[action.why] += 1
+            self.count.with_room[action.reason] += 1
             if store.level >= plan.burst / 2:
-                self.count.half_unused[f"{plan.name} {action.why}"] += 1
+                self.count.half_unused[f"{plan.name} {action.reason}"] += 1
             self.count.by_plan[plan.name, "refused with room"] += units
         if left:
             self.at(
--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Any
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.replication import exchange
 from hazelhollow.replication.counts import Book, Row, Value
 from hazelhollow.replication.messages import Recent, Slice
--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -17,7 +17,7 @@
 from hazelhollow.bench import load
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.net.limiter import Decisions
 from hazelhollow.operator.records import Store as Terms
 from hazelhollow.shared_store.exchange import Exchange
@@ -208,7 +208,7 @@
         actions = self.decisions.handle(event, self.clock())
         for action in actions:
             if isinstance(action, api.StartAttempt):
-                outcome = api.AttemptEnded(action.id, 0, action.server, "ok", ANSWER, final=True)
+                outcome = api.AttemptEnded(action.id, 0, action.endpoint, "ok", ANSWER, final=True)
                 self.world.at(self.world.now + ANSWER, self._event, self._life, outcome)
             elif isinstance(action, api.SetTimer):
                 self.world.at(
@@ -220,7 +220,7 @@
             elif isinstance(action, api.SendGossip) and self.world.chance.random() >= PEER_LOSS:
                 self.world.at(
                     self.world.now + self.world.chance.uniform(*TO_PEER),
-                    self.peers[action.gateway].told,
+                    self.peers[action.limiter_id].told,
                     self.number,
                     action.text,
                 )
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -23,7 +23,7 @@
 from hazelhollow.configuration.stragglers import ASK_FOR, Rule, Ruling
 from hazelhollow.configuration.versions import MOST_CANARIES, MOST_ORDER, Candidate, Versions
 from hazelhollow.control_budget.budget import RoleBudget
-from hazelhollow.decisions import gossip_codec as gossip
+from hazelhollow.decisions.gossip import codec as gossip
 from hazelhollow.membership.driver import Driver as FleetDriver
 from hazelhollow.membership.seal import Seal
 from hazelhollow.net.peers import Peers
--- a/hazelhollow/configuration/transfer.py
+++ b/hazelhollow/configuration/transfer.py
@@ -27,7 +27,7 @@
 from hazelhollow.configuration.history import History
 from hazelhollow.configuration.slices import Comparison, Packing, finished
 from hazelhollow.configuration.versions import MOST_ORDER, common, settings_digest
-from hazelhollow.decisions.gossip_codec import base36, number36
+from hazelhollow.decisions.gossip.codec import base36, number36
 
 DIALECT = "d1"
 ASK, GIVE, NO_DIFFERENCE = "q", "g", "n"
--- a/hazelhollow/configuration/versions.py
+++ b/hazelhollow/configuration/versions.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 
 _WIDTHS = (1, 3, 3, 4, 4, 3, 4)
 LENGTH = sum(_WIDTHS)
--- a/hazelhollow/control_budget/limiter.py
+++ b/hazelhollow/control_budget/limiter.py
@@ -16,7 +16,7 @@
     settings_for,
 )
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import BEFORE, DIALECT
+from hazelhollow.decisions.gossip.codec import BEFORE, DIALECT
 from hazelhollow.net.peers import Peers
 
 
--- a/hazelhollow/decisions/engine.py
+++ b/hazelhollow/decisions/engine.py
@@ -12,12 +12,12 @@
 import random
 from collections.abc import Iterator
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions import state
-from hazelhollow.decisions.gossip_outbox import News, Outbox
+from hazelhollow.decisions import memory as state
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.gossip.outbox import News, Outbox
 from hazelhollow.decisions.gossip_schedule import SPENT, Extras, Telling
-from hazelhollow.decisions.state import Account, Attempt, Held, Server, Store, at_least
+from hazelhollow.decisions.memory import Account, Attempt, Held, Server, Store, at_least
 from hazelhollow.decisions.subsetting import stretch
 
 PERIOD = 1.0  # seconds from one renewal of the budgets to the next
@@ -68,7 +68,7 @@
 # times the cold share of the warm ones' load; of the fall multiple
 COLD_MARGIN, COLD_PART = 2.0, 0.75
 EXTRAS = Extras(PASS_ON, PASSED_ON, FAILURES_TOLD, SILENT * PERIOD, LOADS_TOLD)
-NEVER_RAN = ("full", "connect_failed", "moot")
+NEVER_RAN = ("full", "connect_failed", "never_sent")
 
 
 def may_send(held: Held, server: Server, settings: api.Settings, now: float) -> bool:
@@ -81,7 +81,7 @@
         return True
     if held.kind.effect == "unsafe" or now + settings.tick >= held.repeat_until():
         return False
-    group = held.kind.group
+    group = held.kind.dedup_scope
     return group == "all" or all(
         getattr(a.server.entry, group) == getattr(server.entry, group) for a in ran
     )
@@ -90,7 +90,7 @@
 def may_refuse(held: Held) -> bool:
     """The gate of rule 2 for a refusal, which promises that trying again is harmless."""
     harmless = held.kind.effect == "safe" or (
-        held.kind.effect == "keyed" and held.kind.group == "all"
+        held.kind.effect == "keyed" and held.kind.dedup_scope == "all"
     )
     return harmless or not any(a.may_have_run for a in held.attempts)
 
@@ -188,7 +188,7 @@
         plan = self.plans.get(event.plan_name)
         if plan is None:
             return
-        spread = max(1, min(event.spread, self.settings.limiter_count))
+        spread = max(1, min(event.set_size, self.settings.limiter_count))
         account = self._account(self._key(event.customer), plan, event.set_start, spread)
         if event.ceiling is not None:
             account.ceiling.most, account.ceiling.level = plan.ceiling_burst, event.ceiling
@@ -199,14 +199,14 @@
     def _request(self, event: api.RequestArrived) -> None:
         kind, plan = self.classes.get(event.class_name), self.plans.get(event.plan_name)
         if kind is None or plan is None or event.units <= 0 or event.time_left <= 0:
-            self.actions.append(api.RejectRequest(event.id, why="unknown"))
+            self.actions.append(api.RejectRequest(event.id, reason="unknown"))
             return
         if not self.acting:  # it stood still, and may be dead to the others: what it knows is old
             self.actions.append(
                 api.RejectRequest(event.id, min(PERIOD, self.settings.max_retry_after), "away")
             )
             return
-        spread = max(1, min(event.spread, self.settings.limiter_count))
+        spread = max(1, min(event.set_size, self.settings.limiter_count))
         account = self._account(self._key(event.customer), plan, event.set_start, spread)
         account.used = self.now
         held = Held(event, kind, account.name, account, self.now, self.settings.max_attempts)
@@ -247,7 +247,7 @@
         usual = (
             known.common(patience, NEAR * kind.deadline) if self.small else known.longest(patience)
         )
-        first = usual or (self.settings.clients_mark_retries and not held.event.repeat)
+        first = usual or (self.settings.clients_mark_retries and not held.event.is_retry)
         late = not first and kind.deadline - patience > kind.latency_objective
         if server is None or wait > (LEFTOVER if late or not held.inside else PRESSURE) * limit:
             self._refuse(
@@ -472,9 +472,9 @@
 
         Back, it is cold, since it was restarted.
         """
-        if event.down or event.server in self.banned:
-            self.table.ban(event.server, event.down, self.now)
-            self.back.update({} if event.down else {event.server: self.now})
+        if event.disabled or event.endpoint in self.banned:
+            self.table.ban(event.endpoint, event.disabled, self.now)
+            self.back.update({} if event.disabled else {event.endpoint: self.now})
             self.table.put_back(self.back, self.now)
         self.near_until = 0.0
 
@@ -557,7 +557,7 @@
         return unfit | (self.servers.keys() - self.table.up.keys())
 
     def _up(self, server: Server) -> bool:
-        return server.entry.state == "up" and server.entry.server not in self.banned
+        return server.entry.state == "up" and server.entry.name not in self.banned
 
     def _fit(self, server: Server, kind: str) -> bool:
         """It may fail one class and serve the rest.
@@ -609,7 +609,7 @@
         (server.sent if server.cold(self.now, self.settings) else self.warm_sent).add(
             self.now, work
         )
-        self.actions.append(api.StartAttempt(held.event.id, server.entry.server, begin_by=until))
+        self.actions.append(api.StartAttempt(held.event.id, server.entry.name, begin_by=until))
 
     def _leave(self) -> None:
         """What hangs goes elsewhere while that may be in time.
@@ -684,7 +684,7 @@
                 server.health[n] for n in ("", kind.name) if n in server.health and not slow
             ]:
                 health.failures, health.ejections = health.failures / 2, 0
-        if (slow or event.status != "ok") and event.status not in ("cancelled", "moot"):
+        if (slow or event.status != "ok") and event.status not in ("cancelled", "never_sent"):
             # What broke or failed at once did not wait: a lost zone or a bad host is no overload.
             waited = waited or event.status in ("full", "timeout")
             name = "" if event.status in (*NEVER_RAN, "timeout") else kind.name
@@ -706,5 +706,5 @@
             health.eject(self.now, EJECT_FOR, EJECT_AT_MOST)
             if health.ejections == 1:
                 self.actions.append(
-                    api.WriteLog(f"ejected {server.entry.server}: {kind or 'every class'} fails")
+                    api.WriteLog(f"ejected {server.entry.name}: {kind or 'every class'} fails")
                 )
--- a/hazelhollow/decisions/gossip_outbox.py
+++ b/hazelhollow/decisions/gossip/outbox.py
@@ -8,8 +8,8 @@
 import heapq
 from collections.abc import Callable
 
-from hazelhollow.decisions.accounts import Store
-from hazelhollow.decisions.gossip_codec import MOST_BYTES
+from hazelhollow.decisions.gossip.codec import MOST_BYTES
+from hazelhollow.decisions.state.accounts import Store
 
 HEADER = 28  # bytes of UDP and IP for each datagram
 BURST_S = 0.6  # seconds of the rate that may leave at once: as the control budget grants the gossip
--- a/hazelhollow/decisions/gossip_schedule.py
+++ b/hazelhollow/decisions/gossip_schedule.py
@@ -11,11 +11,11 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.accounts import Account, Store
-from hazelhollow.decisions.gossip_outbox import News, Outbox
-from hazelhollow.decisions.state import Memory
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.gossip.outbox import News, Outbox
+from hazelhollow.decisions.memory import Memory
+from hazelhollow.decisions.state.accounts import Account, Store
 
 KEYS = 36**5  # of customers in messages
 SPENT = -1  # in place of a period: the level, for the set
--- a/hazelhollow/decisions/state.py
+++ b/hazelhollow/decisions/memory.py
@@ -9,11 +9,16 @@
 from itertools import islice, takewhile
 from random import Random
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.accounts import Account, Store, Totals, at_least, key_of, mask_of
-from hazelhollow.decisions.class_statistics import Asked, ClassStats, Patience, changed_classes
-from hazelhollow.decisions.endpoints import Group, Health, Server, ServerTable, Window
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.state.accounts import Account, Store, Totals, at_least, key_of, mask_of
+from hazelhollow.decisions.state.class_statistics import (
+    Asked,
+    ClassStats,
+    Patience,
+    changed_classes,
+)
+from hazelhollow.decisions.state.endpoint_table import Group, Health, Server, ServerTable, Window
 
 __all__ = [
     "Account",
@@ -73,17 +78,23 @@
         The window counts from the first such attempt.
         """
         ran = next((a for a in self.attempts if a.may_have_run), None)
-        return ran.sent_at + self.kind.window if ran and self.kind.effect != "safe" else math.inf
+        return (
+            ran.sent_at + self.kind.dedup_window if ran and self.kind.effect != "safe" else math.inf
+        )
 
     def bound_to(self) -> Group | None:
         """The zone or cell that a further attempt has to go to, if any.
 
         The servers that drop a repeat of what may have run.
         """
-        if self.kind.effect != "keyed" or self.kind.group == "all":
+        if self.kind.effect != "keyed" or self.kind.dedup_scope == "all":
             return None
         ran = next((a for a in self.attempts if a.may_have_run), None)
-        return (self.kind.group, getattr(ran.server.entry, self.kind.group)) if ran else None
+        return (
+            (self.kind.dedup_scope, getattr(ran.server.entry, self.kind.dedup_scope))
+            if ran
+            else None
+        )
 
     def tried(self, server: Server) -> int:
         """How many attempts have gone to a server."""
@@ -196,13 +207,15 @@
     def take_view(self, event: api.MembershipChanged, direct: int, hubs: int) -> None:
         """`direct`: members of the largest set without hubs; `hubs`: of a larger one."""
         self.acting, lost, limiter_count = (
-            event.acting,
-            frozenset(event.lost),
+            event.may_admit,
+            frozenset(event.unreachable_but_serving),
             self.settings.limiter_count,
         )
-        self.away = frozenset(range(limiter_count)).difference(event.present).union(event.deaf)
+        self.away = (
+            frozenset(range(limiter_count)).difference(event.present).union(event.cannot_hear_us)
+        )
         changed = mask_of(lost ^ self.lost) | mask_of(number for number, _ in event.unused)
-        self.lost, self.keeps = lost, event.keeps
+        self.lost, self.keeps = lost, event.counts_replicated
         for key, account in self.accounts.items() if changed else ():
             if not account.set_mask & changed:
                 continue  # what its members can hear of each other is as it was
@@ -281,10 +294,12 @@
         """
         totals, recent = account.totals, (self.period - 1, self.period)
         first, second = (totals.charged.get(period, 0.0) for period in recent)
-        counts = [self._own_count(account)._replace(first=first, second=second)]
+        counts = [self._own_count(account)._replace(previous_units=first, current_units=second)]
         for who in dict.fromkeys([*(totals.bases or ()), *(who for who, _ in totals.heard)]):
             first, second = (totals.heard.get((who, period), 0.0) for period in recent)
-            counts.append(self._heard_count(account, who)._replace(first=first, second=second))
+            counts.append(
+                self._heard_count(account, who)._replace(previous_units=first, current_units=second)
+            )
         return counts
 
     def short(self) -> list[str]:
@@ -304,7 +319,7 @@
         a.totals.turn(self.period)
         counts = self._counts_with_recent(a)
         # what is on its way by gossip too
-        counts.sort(key=lambda c: c.first + c.second, reverse=True)
+        counts.sort(key=lambda c: c.previous_units + c.current_units, reverse=True)
         level = (a.budget if a.hubs_hear(self.settings.limiter_id) else a.told).fill(
             self.now
         ) - a.owed
@@ -331,17 +346,17 @@
                 one.budget.level += (
                     0.0 if one.copied else one.plan.burst * (1.0 - 1.0 / max(one.spread, 1))
                 )
-        if plan is None or not 0 < event.spread <= self.settings.limiter_count:
+        if plan is None or not 0 < event.set_size <= self.settings.limiter_count:
             return
         if event.level is not None:
-            account = make(event.key, plan, event.set_start, event.spread)
+            account = make(event.key, plan, event.set_start, event.set_size)
             if not account.copied and account.totals.bases is not None:
                 self._adopt(account, event.counts, event.level, event.period)
             return
         for count in event.counts:
             come_in = 0.0  # again, since it was used
             if account is None and count.total > plan.rate * (self.now - count.since):
-                account = make(event.key, plan, event.set_start, event.spread)
+                account = make(event.key, plan, event.set_start, event.set_size)
                 account.totals.knows, come_in = count.since, plan.rate * (self.now - count.since)
             if (
                 account
@@ -376,7 +391,7 @@
             if count.since:
                 totals.knows = min(totals.knows, count.since)
             if who == mine:
-                own -= count.total + count.first + count.second
+                own -= count.total + count.previous_units + count.current_units
                 continue
             since, through, total = totals.bases.get(who, (0, 0, 0.0))
             base, last = count.total, count.through
@@ -384,7 +399,7 @@
                 at for w, at in totals.heard if w == who and at < period - 1
             ]:  # closed where the giver is
                 through, total = max(through, at), total + totals.heard.pop((who, at))
-            for at, units in ((period - 1, count.first), (period, count.second)):
+            for at, units in ((period - 1, count.previous_units), (period, count.current_units)):
                 if at < self.period - 1:  # open when the giver told it, closed here
                     base, last = base + units, at if units else last
                     continue
@@ -550,7 +565,7 @@
     def work_out(self) -> dict[str, float]:
         """Seconds of work that this gateway has out at listed servers, by their tags."""
         out = {a.server for one in self.held.values() for a in one.attempts if a.out}
-        return {s.tag: sum(s.out.values()) for s in out if self.servers.get(s.entry.server) is s}
+        return {s.tag: sum(s.out.values()) for s in out if self.servers.get(s.entry.name) is s}
 
     def renew(self) -> None:
         """A period has begun: the final figures of those charged in the one before are due."""
--- /dev/null
+++ b/hazelhollow/decisions/state/__init__.py
@@ -0,0 +1,1 @@
+"""What a limiter remembers: customer accounts, pending requests, endpoints, class statistics."""
--- a/hazelhollow/decisions/endpoints.py
+++ b/hazelhollow/decisions/state/endpoint_table.py
@@ -14,8 +14,8 @@
 from dataclasses import replace
 from zlib import crc32
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
+from hazelhollow.decisions.gossip import codec as gossip
 
 TAGS = 36**3  # of servers' names in messages
 # classes that a server may have failed, until it is looked which of them are forgotten
@@ -119,7 +119,7 @@
         self, entry: api.EndpointEntry, cold_span: float, weights: Weights, middling: float
     ) -> None:
         self.entry, self.pace = entry, 1.0
-        self.tag = gossip.base36(crc32(entry.server.encode()) % TAGS)  # its name in messages
+        self.tag = gossip.base36(crc32(entry.name.encode()) % TAGS)  # its name in messages
         self.out: dict[tuple[str, int], float] = {}  # attempts out and their work
         self.since = 0.0  # when it answered last, or got work while it had none out
         self.health: dict[str, Health] = {}  # by class; under no name for all of them
@@ -171,7 +171,7 @@
     """
 
     def __init__(self, servers: Sequence[Server] = ()) -> None:
-        self._members = {s.entry.server: (s.tag, s.entry.server) for s in servers}
+        self._members = {s.entry.name: (s.tag, s.entry.name) for s in servers}
         self._order: list[tuple[str, str]] | None = None  # until it is next read
         self._changes = 0
 
@@ -183,7 +183,7 @@
         return self._order
 
     def put(self, server: Server) -> None:
-        name = server.entry.server
+        name = server.entry.name
         if name not in self._members:
             self._members[name] = key = server.tag, name
             order = self._in_place()
@@ -278,7 +278,7 @@
 
     def apply(self, event: api.EndpointsUpdated, now: float) -> None:
         """A list or a change to it: what is known of a server lasts until it has started anew."""
-        names = [entry.server for entry in event.entries]
+        names = [entry.name for entry in event.entries]
         if event.kind in ("change", "failed") or names == list(self.servers):
             gone = list[str]()
         else:
@@ -333,7 +333,7 @@
         """
         news, servers = list[api.EndpointEntry](), self.servers
         for entry in entries:
-            known = servers.get(entry.server)
+            known = servers.get(entry.name)
             if known is None or vars(known.entry) != vars(entry):
                 news.append(entry)
         return news
@@ -353,15 +353,15 @@
 
     def _put(self, entry: api.EndpointEntry, now: float) -> None:
         """One server as the list says it."""
-        known = self.servers.get(entry.server)
+        known = self.servers.get(entry.name)
         if entry.state == "gone":
-            self._remove(entry.server)
+            self._remove(entry.name)
         elif known is not None and known.entry.started == entry.started:
             self._change(known, entry, now)
         else:
             if known is not None:
                 self._leave(known)
-            server = self.servers[entry.server] = self._new(entry)
+            server = self.servers[entry.name] = self._new(entry)
             self._all = None
             self._tag(server)
             self._enter(server, now)
@@ -377,30 +377,30 @@
         for name in gone:
             del self.servers[name]
         for entry in news:
-            known = self.servers.get(entry.server)
+            known = self.servers.get(entry.name)
             if entry.state == "gone":
-                self.servers.pop(entry.server, None)
+                self.servers.pop(entry.name, None)
             elif known is not None and known.entry.started == entry.started:
                 known.entry = entry
             else:
-                self.servers[entry.server] = self._new(entry)
+                self.servers[entry.name] = self._new(entry)
         self._reckon_anew(now)
 
     def _reckon_anew(self, now: float) -> None:
         """All that follows from the servers."""
         servers = self.servers.values()
         cold = [s for s in servers if s.cold(now, self.settings)]
-        self._cold = {s.entry.server for s in cold}
-        self._cooling = [(s.entry.started, s.entry.server) for s in cold]
+        self._cold = {s.entry.name for s in cold}
+        self._cooling = [(s.entry.started, s.entry.name) for s in cold]
         heapq.heapify(self._cooling)
         self.weights.count([s.entry.weight for s in servers])
         self._warm_weights.count(
-            [s.entry.weight for s in servers if s.entry.server not in self._cold]
+            [s.entry.weight for s in servers if s.entry.name not in self._cold]
         )
-        up = [s for s in servers if s.entry.state == "up" and s.entry.server not in self.banned]
-        self.up = {s.entry.server: s for s in up}
+        up = [s for s in servers if s.entry.state == "up" and s.entry.name not in self.banned]
+        self.up = {s.entry.name: s for s in up}
         self._rings = {
-            is_cold: Ring([s for s in up if (s.entry.server in self._cold) == is_cold])
+            is_cold: Ring([s for s in up if (s.entry.name in self._cold) == is_cold])
             for is_cold in (False, True)
         }
         self._groups = self._all = self._all_up = self._warm_width = None
@@ -418,12 +418,12 @@
 
     def _tag(self, server: Server) -> None:
         """A server that has just been put in its place."""
-        name = server.entry.server
+        name = server.entry.name
         first = self._tagged.setdefault(server.tag, server)
-        if first.entry.server == name and server.tag not in self._same_tag:
+        if first.entry.name == name and server.tag not in self._same_tag:
             self._tagged[server.tag] = server
             return
-        same = self._same_tag.setdefault(server.tag, {first.entry.server: first})
+        same = self._same_tag.setdefault(server.tag, {first.entry.name: first})
         same[name] = server
         self._tagged[server.tag] = _last(same)
 
@@ -454,12 +454,12 @@
         self.weights.add(entry.weight)
         cold = server.cold(now, self.settings)
         if cold:
-            self._cold.add(entry.server)
-            heapq.heappush(self._cooling, (entry.started, entry.server))
+            self._cold.add(entry.name)
+            heapq.heappush(self._cooling, (entry.started, entry.name))
         else:
             self._warm_weights.add(entry.weight)
-        if entry.state == "up" and entry.server not in self.banned:
-            self.up[entry.server], self._all_up = server, None
+        if entry.state == "up" and entry.name not in self.banned:
+            self.up[entry.name], self._all_up = server, None
             if self._groups is not None:
                 _put_in_groups(self._groups, server)
             self._rings[cold].put(server)
@@ -468,16 +468,16 @@
         """The same taken back, before the entry changes."""
         entry, self._warm_width = server.entry, None
         self.weights.add(entry.weight, -1)
-        cold = entry.server in self._cold
+        cold = entry.name in self._cold
         if cold:
-            self._cold.remove(entry.server)
+            self._cold.remove(entry.name)
         else:
             self._warm_weights.add(entry.weight, -1)
-        if self.up.pop(entry.server, None) is not None:
+        if self.up.pop(entry.name, None) is not None:
             self._all_up = None
             if self._groups is not None:
                 _take_from_groups(self._groups, server)
-            self._rings[cold].take(entry.server)
+            self._rings[cold].take(entry.name)
 
     def _warm_up(self, now: float) -> None:
         """Those that have been up for long enough are cold no more."""
@@ -494,12 +494,12 @@
 
 def _put_in_groups(groups: dict[Group, dict[str, Server]], server: Server) -> None:
     for group in _groups_of(server):
-        groups.setdefault(group, {})[server.entry.server] = server
+        groups.setdefault(group, {})[server.entry.name] = server
 
 
 def _take_from_groups(groups: dict[Group, dict[str, Server]], server: Server) -> None:
     for group in _groups_of(server):
-        del groups[group][server.entry.server]
+        del groups[group][server.entry.name]
         if not groups[group]:
             del groups[group]
 
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -136,7 +136,7 @@
         self._changed()
 
     def acts(self) -> bool:
-        return self._last is not None and self._last.acting
+        return self._last is not None and self._last.may_admit
 
     def lost(self) -> frozenset[int]:
         """Those that cannot be heard and may go on letting in."""
@@ -244,12 +244,12 @@
             self._keeps,
         )
         before, quiet = self._last, replace(event, unused=())
-        acts = before is None or event.acting != before.acting
+        acts = before is None or event.may_admit != before.may_admit
         if before is not None and acts:
             log.warning(
                 "view: %s",
                 "takes work again"
-                if event.acting
+                if event.may_admit
                 else "shut out"
                 if shut
                 else "takes no new work until a peer has answered",
--- a/hazelhollow/membership/messages.py
+++ b/hazelhollow/membership/messages.py
@@ -22,7 +22,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from hazelhollow.decisions.gossip_codec import base36, number36
+from hazelhollow.decisions.gossip.codec import base36, number36
 from hazelhollow.membership.records import BUCKETS, LEFT, SUM_RANGE, Record, unpack_address
 
 DIALECT = "v1"
--- a/hazelhollow/net/limiter.py
+++ b/hazelhollow/net/limiter.py
@@ -270,7 +270,7 @@
             one = self._answer(action.id)
             if one:
                 self._stats.refused += 1
-                self._stats.refusals[action.why] += 1
+                self._stats.refusals[action.reason] += 1
                 self._stats.reply(one.ask.request.class_name, "overload")
                 one.caller.refused(math.ceil(action.retry_after * 1000))
         elif isinstance(action, api.FailRequest):
@@ -283,7 +283,7 @@
             self._scheduler.at(now + action.delay, self._timer, action.name)
         elif isinstance(action, api.SendGossip):
             if self.peers:
-                self.peers.tell(action.gateway, action.text)
+                self.peers.tell(action.limiter_id, action.text)
         elif isinstance(action, api.CancelAttempt):
             found = self.open.get(action.id)
             if found and action.attempt < len(found.attempts):
@@ -300,14 +300,18 @@
             self._events.append(
                 (
                     api.AttemptEnded(
-                        action.id, len(one.attempts) if one else 0, action.server, "moot", 0.0
+                        action.id,
+                        len(one.attempts) if one else 0,
+                        action.endpoint,
+                        "never_sent",
+                        0.0,
                     ),
                     one,
                 )
             )
             return
         if self.sent is not None:
-            self.sent[action.server] += 1
+            self.sent[action.endpoint] += 1
             if len(self.samples) < self.most_samples:
                 self.samples.append(action.id)
         number, left = len(one.attempts), one.deadline - now
@@ -316,7 +320,7 @@
         command = one.ask.command(max(1, round(left * 1000)))
         one.out += 1
         attempt = self._backend.start(
-            action.server,
+            action.endpoint,
             command,
             lambda result: self._attempt_done(one, number, result),
             lambda: self._has_ended(one),
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -9,7 +9,7 @@
 import re
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.class_statistics import changed_classes
+from hazelhollow.decisions.state.class_statistics import changed_classes
 from hazelhollow.net import resp
 
 _CUSTOMER = re.compile(rb"0{7}[01][0-9a-f]{8}")  # 16 hex digits, a number below 2**33
@@ -85,8 +85,8 @@
             units=float(units),
             time_left=int(patience) / 1000.0 - late,
             set_start=int(first),
-            spread=int(spread),
-            repeat=fields.get("r") == "1",
+            set_size=int(spread),
+            is_retry=fields.get("r") == "1",
         )
 
 
--- a/hazelhollow/net/routing.py
+++ b/hazelhollow/net/routing.py
@@ -30,7 +30,7 @@
 AT_ONCE = CONNECT = 0.15  # seconds
 PATIENT = 2.0
 PAUSE = 0.1  # before another try, under the 200 ms in which a watch goes on
-_STATES: dict[str, api.ServerState] = {
+_STATES: dict[str, api.EndpointState] = {
     "in_service": "up",
     "terminating": "draining",
     "terminated": "gone",
@@ -85,12 +85,12 @@
         if whole:
             self.entries, self.addresses = {}, {}
         for entry, address in read:
-            self.ever.add(entry.server)
+            self.ever.add(entry.name)
             if entry.state == "gone":
-                self.entries.pop(entry.server, None)
-                self.addresses.pop(entry.server, None)
+                self.entries.pop(entry.name, None)
+                self.addresses.pop(entry.name, None)
             else:
-                self.entries[entry.server], self.addresses[entry.server] = entry, address
+                self.entries[entry.name], self.addresses[entry.name] = entry, address
         kind: api.ListKind = "cached" if cached else "full" if whole else "change"
         return api.EndpointsUpdated(kind, tuple(entry for entry, _ in read))
 
@@ -105,7 +105,7 @@
 
 def _entry(e: Any) -> api.EndpointEntry:
     return api.EndpointEntry(
-        server=str(e["name"]),
+        name=str(e["name"]),
         state=_STATES[e["status"]],
         zone=str(e.get("zone", "")),
         cell=int(e.get("group", 0)),
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -18,7 +18,7 @@
 from hazelhollow.control_budget.budget import ControlBudget, Role, RoleBudget
 from hazelhollow.control_budget.limiter import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.membership.driver import Driver as FleetDriver
 from hazelhollow.membership.driver import budget
 from hazelhollow.membership.records import pack_address
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -13,8 +13,8 @@
 from hazelhollow.control_budget.budget import RoleBudget
 from hazelhollow.control_budget.waiting import Waiting
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.decisions.state import Memory, key_of
+from hazelhollow.decisions.gossip.codec import base36
+from hazelhollow.decisions.memory import Memory, key_of
 from hazelhollow.membership.driver import Driver as FleetDriver
 from hazelhollow.membership.seal import Seal
 from hazelhollow.net.peers import Peers
@@ -57,8 +57,8 @@
                 c.member,
                 c.incarnation,
                 Value(c.since, c.through, _tenths(c.total)),
-                _tenths(c.first),
-                _tenths(c.second),
+                _tenths(c.previous_units),
+                _tenths(c.current_units),
             )
             for c in one.counts
         )
@@ -66,7 +66,7 @@
             key,
             tag_of(one.plan_name),
             one.set_start,
-            one.spread,
+            one.set_size,
             max(0, _tenths(plan.burst - one.level)),
             recents,
         )
@@ -146,7 +146,7 @@
 
     def closed(self, action: api.ReplicateCount) -> None:
         """What the decision module says of its own counts, and of others' as it heard them."""
-        count = action.told
+        count = action.replicated_count
         own = count.member == self.exchange.me and count.incarnation == self.exchange.incarnation
         value = Value(count.since, count.through, _tenths(count.total), int(own))
         self.exchange.charged(
@@ -154,7 +154,7 @@
                 action.key,
                 tag_of(action.plan_name),
                 action.set_start,
-                action.spread,
+                action.set_size,
                 count.member,
                 count.incarnation,
                 value,
--- a/hazelhollow/replication/gathering.py
+++ b/hazelhollow/replication/gathering.py
@@ -9,8 +9,8 @@
 from heapq import nsmallest
 from itertools import islice
 
-from hazelhollow.decisions.accounts import Account, key_of
-from hazelhollow.decisions.state import Memory
+from hazelhollow.decisions.memory import Memory
+from hazelhollow.decisions.state.accounts import Account, key_of
 from hazelhollow.replication.snapshot import MOST, Left
 
 A_SLICE = 100  # customers
--- a/hazelhollow/replication/messages.py
+++ b/hazelhollow/replication/messages.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from hazelhollow.decisions.gossip_codec import base36, number36
+from hazelhollow.decisions.gossip.codec import base36, number36
 from hazelhollow.replication.counts import BUCKETS, SUM_RANGE, Row, Value
 
 DIALECT = "c1"
--- a/hazelhollow/scale/truth.py
+++ b/hazelhollow/scale/truth.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from hazelhollow.decisions.state import Store
+from hazelhollow.decisions.memory import Store
 from hazelhollow.scale.load import Population
 from hazelhollow.scale.results import Quotas
 
--- a/hazelhollow/shared_store/account.py
+++ b/hazelhollow/shared_store/account.py
@@ -10,7 +10,7 @@
 from typing import Literal
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.state import Store as TokenBucket
+from hazelhollow.decisions.memory import Store as TokenBucket
 from hazelhollow.operator.records import Store as StoreSettings
 from hazelhollow.shared_store.pool import Pool
 
@@ -93,7 +93,7 @@
     process before may have spent it. A quota's starts full, as the design's does: each restart may
     cost its base once more.
     """
-    spread = max(1, min(request.spread, settings.limiter_count))
+    spread = max(1, min(request.set_size, settings.limiter_count))
     base_share = store_settings.lease.base_share if spread > 1 else 1.0
 
     def pool(rate: float, burst: float, starts_full: bool) -> Pool:
--- a/hazelhollow/shared_store/leased_decisions.py
+++ b/hazelhollow/shared_store/leased_decisions.py
@@ -35,7 +35,7 @@
         ceiling = account.ceiling.available() if account.ceiling else None
         self._inner.handle(
             api.AllowanceGranted(
-                event.customer, event.plan_name, event.set_start, event.spread, quota, ceiling
+                event.customer, event.plan_name, event.set_start, event.set_size, quota, ceiling
             ),
             now,
         )
--- a/hazelhollow/shared_store/pool.py
+++ b/hazelhollow/shared_store/pool.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from hazelhollow.decisions.state import Store as TokenBucket
+from hazelhollow.decisions.memory import Store as TokenBucket
 
 SPENDING_STEP = 0.1  # seconds of spending that are reported to the store as one step
 MOST_SPENDING_STEPS = 6
--- a/hazelhollow/simulator/wire.py
+++ b/hazelhollow/simulator/wire.py
@@ -19,7 +19,7 @@
     "unreachable": "connect_failed",
     "broken": "reset",
     "withdrawn": "cancelled",
-    "void": "moot",
+    "void": "never_sent",
 }
 _STATES = {"live": "up", "quiescing": "draining", "dead": "gone"}
 _LISTS = {"patch": "change", "whole": "full", "stale_copy": "cached", "broken": "failed"}
@@ -224,8 +224,8 @@
         deadline=item.number("deadline"),
         priority_weight=item.number("credit", 1.0),
         effect=item.one_of("effect", _EFFECTS),
-        group=item.text("dedup_scope", "all"),  # type: ignore[arg-type]
-        window=item.number("window", 0.0),
+        dedup_scope=item.text("dedup_scope", "all"),  # type: ignore[arg-type]
+        dedup_window=item.number("window", 0.0),
         late_weight=item.number("late_share", 0.0),
     )
 
@@ -247,7 +247,7 @@
 def _servers(f: Fields) -> api.EndpointsUpdated:
     entries = tuple(
         api.EndpointEntry(
-            server=item.text("server"),
+            name=item.text("server"),
             state=item.one_of("stage_state", _STATES),
             zone=item.text("zone", ""),
             cell=item.integer("cluster", 0),
@@ -268,8 +268,8 @@
         units=f.number("quota_units", 0.0),
         time_left=f.number("budget"),
         set_start=f.integer("set_from", 0),
-        spread=f.integer("entry_points", 1),
-        repeat=bool(f.integer("opts", 0) & _REPEAT),
+        set_size=f.integer("entry_points", 1),
+        is_retry=bool(f.integer("opts", 0) & _REPEAT),
     )
 
 
@@ -277,7 +277,7 @@
     return api.AttemptEnded(
         id=f.text("tid"),
         attempt=f.integer("go", 0),
-        server=f.text("server"),
+        endpoint=f.text("server"),
         status=f.one_of("status", _STATUSES),
         elapsed=f.number("time_taken", 0.0),
         final=f.flag("ended"),
@@ -315,12 +315,12 @@
 
 
 _ACTIONS: dict[type, tuple[str, Callable[[Any], dict[str, Any]]]] = {
-    api.StartAttempt: ("send", lambda a: {"tid": a.id, "server": a.server, "limit": a.timeout}),
+    api.StartAttempt: ("send", lambda a: {"tid": a.id, "server": a.endpoint, "limit": a.timeout}),
     api.CancelAttempt: ("retract", lambda a: {"tid": a.id, "go": a.attempt}),
     api.RejectRequest: ("push_back", lambda a: {"tid": a.id, "hold_off": a.retry_after}),
     api.FailRequest: ("error", lambda a: {"tid": a.id}),
     api.SetTimer: ("defer", lambda a: {"delay": a.delay, "token": a.name}),
-    api.SendGossip: ("share", lambda a: {"whom": a.gateway, "payload": a.text}),
+    api.SendGossip: ("share", lambda a: {"whom": a.limiter_id, "payload": a.text}),
     api.SubscribeToEndpoints: ("keep_informed", lambda a: {"active": True}),
     api.WriteLog: ("print", lambda a: {"msg": a.text}),
 }
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -44,8 +44,8 @@
     deadline=3.0,
     priority_weight=1.0,
     effect="keyed",
-    group="cell",
-    window=5.0,
+    dedup_scope="cell",
+    dedup_window=5.0,
 )
 PLAN = api.Plan("basic", rate=100.0, burst=100.0)
 SETTINGS = api.Settings(
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -22,7 +22,7 @@
     gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
     sent = {
-        s.server
+        s.endpoint
         for i in range(40)
         for s in only(ask(gateway, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
     }
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -117,7 +117,7 @@
                 self._arrive(number, action)
 
     def _arrive(self, number: int, send: api.StartAttempt) -> None:
-        host, came = self.hosts[send.server], self.now
+        host, came = self.hosts[send.endpoint], self.now
         host.got.append(came)
 
         def begin() -> None:
@@ -129,7 +129,7 @@
         def end() -> None:
             host.busy -= 1
             self.served += 1
-            done = api.AttemptEnded(send.id, 0, send.server, "ok", self.now - came, True)
+            done = api.AttemptEnded(send.id, 0, send.endpoint, "ok", self.now - came, True)
             self.perform(number, self.gateways[number].handle(done, self.now))
             if host.queue:
                 host.queue.popleft()()
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -23,10 +23,7 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.class_statistics import Asked, ClassStats, Highest
-from hazelhollow.decisions.endpoints import HEALTHS, Server, ServerTable
 from hazelhollow.decisions.engine import (
     AWAY_A_BEAT,
     CLOSED_A_BEAT,
@@ -39,7 +36,10 @@
     YIELD,
     DecisionEngine,
 )
-from hazelhollow.decisions.state import Account
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.memory import Account
+from hazelhollow.decisions.state.class_statistics import Asked, ClassStats, Highest
+from hazelhollow.decisions.state.endpoint_table import HEALTHS, Server, ServerTable
 from hazelhollow.simulator import wire
 from tests.test_gateway import answer, ask, entry, make, only, servers
 
@@ -244,7 +244,7 @@
     And so many customers were charged one unit each by each of three members in the period of 100.
     """
     gateway = make(0, limiter_count=3)
-    gateway.handle(api.MembershipChanged(True, (0, 1, 2), keeps=True), 100.0)
+    gateway.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
     for number in range(customers):
         account = gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 3)
         account.totals.turn(100)
@@ -294,7 +294,7 @@
     costs = []
     for idle in (0, 5000):
         gateway = make(0, limiter_count=3)
-        gateway.handle(api.MembershipChanged(True, (0, 1, 2), keeps=True), 100.0)
+        gateway.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
         for number in range(idle):
             gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 3)
         only(ask(gateway, 100.0), api.StartAttempt)
@@ -302,7 +302,7 @@
         for now in (101.0, 102.0, 103.0, 104.0):
             gateway.now, gateway.period = now, int(now)
             costs.append(bytecodes(lambda: closed.extend(gateway.closed(COUNTS_A_BEAT))))  # noqa: B023
-        assert [c.told.total for c in only(closed, api.ReplicateCount)] == [
+        assert [c.replicated_count.total for c in only(closed, api.ReplicateCount)] == [
             1.0
         ] and not gateway.unclosed
     assert sum(costs[4:]) <= MARGIN * sum(costs[:4])
@@ -535,15 +535,15 @@
     def apply(self, event: api.EndpointsUpdated) -> None:
         if event.kind not in ("change", "failed"):
             self.entries = {
-                e.server: self.entries[e.server] for e in event.entries if e.server in self.entries
+                e.name: self.entries[e.name] for e in event.entries if e.name in self.entries
             }
         for one in event.entries:
-            known = self.entries.get(one.server)
+            known = self.entries.get(one.name)
             if one.state == "gone":
-                self.entries.pop(one.server, None)
+                self.entries.pop(one.name, None)
             else:
-                self.incarnations[one.server] += known is None or known.started != one.started
-                self.entries[one.server] = one
+                self.incarnations[one.name] += known is None or known.started != one.started
+                self.entries[one.name] = one
 
     def cold(self, one: api.EndpointEntry, now: float) -> bool:
         return 0 < one.started > now - self.told.warm_up_time
@@ -553,7 +553,7 @@
         return max(WIDTH * one.weight / mean, WIDTH / 4)
 
     def up(self) -> list[api.EndpointEntry]:
-        return [e for e in self.entries.values() if e.state == "up" and e.server not in self.banned]
+        return [e for e in self.entries.values() if e.state == "up" and e.name not in self.banned]
 
 
 TOLD = make().settings
@@ -591,9 +591,9 @@
     bulk: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """`bulk` 0: each list is taken as one that changes much."""
-    monkeypatch.setattr("hazelhollow.decisions.endpoints.BULK", bulk)
+    monkeypatch.setattr("hazelhollow.decisions.state.endpoint_table.BULK", bulk)
     # so that names in messages collide
-    monkeypatch.setattr("hazelhollow.decisions.endpoints.TAGS", 5)
+    monkeypatch.setattr("hazelhollow.decisions.state.endpoint_table.TAGS", 5)
 
     @hyp(max_examples=60, deadline=None)
     @given(steps)
@@ -624,19 +624,17 @@
     known = list(plain.entries.values())
     assert [s.entry for s in table.servers.values()] == known == [s.entry for s in table.all()]
     assert [s.width for s in table.all()] == pytest.approx([plain.width(e) for e in known])
-    assert {s.entry.server for s in table.all_up()} == {e.server for e in plain.up()}
+    assert {s.entry.name for s in table.all_up()} == {e.name for e in plain.up()}
     warm = [plain.width(e) for e in known if not plain.cold(e, now)]
     assert table.warm_width(now) == pytest.approx(sum(warm))
     for cold in (False, True):
         ring = sorted(
-            (table.servers[e.server].tag, e.server)
-            for e in plain.up()
-            if plain.cold(e, now) == cold
+            (table.servers[e.name].tag, e.name) for e in plain.up() if plain.cold(e, now) == cold
         )
         assert table.ring(cold, now) == ring
     for zone in "ab":
-        in_zone = {e.server for e in plain.up() if e.zone == zone}
-        assert {s.entry.server for s in table.all_of(("zone", zone))} == in_zone
+        in_zone = {e.name for e in plain.up() if e.zone == zone}
+        assert {s.entry.name for s in table.all_of(("zone", zone))} == in_zone
     tagged = {server.tag: server for server in table.servers.values()}
     assert all(table.tagged(tag) is server for tag, server in tagged.items())
     assert not [tag for tag in gossip._DIGITS if tag not in tagged and table.tagged(tag)]
@@ -668,7 +666,7 @@
     gateway.handle(
         servers("full", *(replace(e, state="draining") for e in listed(500)), entry("last")), 100.0
     )
-    assert [send.server for send in only(ask(gateway, 100.1), api.StartAttempt)] == ["last"]
+    assert [send.endpoint for send in only(ask(gateway, 100.1), api.StartAttempt)] == ["last"]
     assert gateway.avoided() == {f"s{n}" for n in range(500)}
 
 
@@ -680,15 +678,17 @@
         deadline=4.0,
         priority_weight=1.0,
         effect="keyed",
-        group="cell",
-        window=2.0,
+        dedup_scope="cell",
+        dedup_window=2.0,
     )
     for turn in range(10):
         gateway = make(turn % 3, limiter_count=gateways, classes=(order,))
         gateway.handle(servers("full", *listed(500)), 100.0)
         (send,) = only(ask(gateway, 100.0, "order"), api.StartAttempt)
         (again,) = only(answer(gateway, send, 100.1, "reset"), api.StartAttempt)
-        assert gateway.servers[again.server].entry.cell == gateway.servers[send.server].entry.cell
+        assert (
+            gateway.servers[again.endpoint].entry.cell == gateway.servers[send.endpoint].entry.cell
+        )
 
 
 # What is bounded
@@ -769,7 +769,7 @@
     plan = api.Plan("basic", 10.0, 40.0, excess_cost=1.0)
     gateway = make(1, limiter_count=RING, plans=(plan,), gossip_messages_per_s=60.0)
     everybody, now = tuple(range(RING)), 100.0
-    gateway.handle(api.MembershipChanged(True, everybody, keeps=True), now)
+    gateway.handle(api.MembershipChanged(True, everybody, counts_replicated=True), now)
     for number, (first, spread) in enumerate(sets):
         gateway._account(gossip.base36(number), plan, first, spread)
     for passed, lost, unused in told:
@@ -777,7 +777,11 @@
         present = tuple(n for n in everybody if n not in lost)
         gateway.handle(
             api.MembershipChanged(
-                True, present, lost=tuple(sorted(lost)), unused=tuple(unused), keeps=True
+                True,
+                present,
+                unreachable_but_serving=tuple(sorted(lost)),
+                unused=tuple(unused),
+                counts_replicated=True,
             ),
             now,
         )
@@ -806,7 +810,7 @@
     quick = kept_apart(sets, told)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
-            "hazelhollow.decisions.accounts._mask_of_set",
+            "hazelhollow.decisions.state.accounts._mask_of_set",
             lambda first, spread, gateways: (1 << gateways) - 1,
         )
         assert quick == kept_apart(sets, told)
@@ -819,7 +823,9 @@
         gateway._account(gossip.base36(number), gateway.plans["basic"], number, 40)
     looked_at = list[Any]()
     gateway.leave_to_lost = looked_at.append  # type: ignore[method-assign, assignment]
-    gateway.handle(api.MembershipChanged(True, tuple(range(1, LIMITERS)), lost=(0,)), 101.0)
+    gateway.handle(
+        api.MembershipChanged(True, tuple(range(1, LIMITERS)), unreachable_but_serving=(0,)), 101.0
+    )
     assert {account.first for account in looked_at} == {0, *range(LIMITERS - 39, LIMITERS)} and len(
         looked_at
     ) == 40
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -369,7 +369,7 @@
     )
 
 
-WINDOW = replace(BUY, window=0.3, group="all")
+WINDOW = replace(BUY, dedup_window=0.3, dedup_scope="all")
 UNSAFE = replace(BUY, effect="unsafe")
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.fault_injection import checker, plan
 from hazelhollow.fault_injection.commands import NEVER, disk_file, view_file
 from hazelhollow.fault_injection.drill import Drill
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.decisions.gossip import codec as gossip
 from hazelhollow.membership.records import ALIVE, DEAD, LEFT, NAMES, PRESENT, SUSPECT, Record, Table
 from hazelhollow.membership.shares import PATIENCE, QUIET, Shares
 from hazelhollow.membership.standing import Standing
@@ -231,22 +231,25 @@
     lost: tuple[int, ...] = (), unused: tuple[tuple[int, float], ...] = (), gateways: int = 5
 ) -> api.MembershipChanged:
     return api.MembershipChanged(
-        True, tuple(n for n in range(gateways) if n not in lost), lost=lost, unused=unused
+        True,
+        tuple(n for n in range(gateways) if n not in lost),
+        unreachable_but_serving=lost,
+        unused=unused,
     )
 
 
 def let_in(
-    one: DecisionEngine, begin: float, seconds: float, plan: str = "keeps", spread: int = 5
+    one: DecisionEngine, begin: float, seconds: float, plan: str = "keeps", set_size: int = 5
 ) -> int:
     """Of 40 tries a second, each answered at once."""
     served = 0
     for turn in range(int(seconds * 40)):
         now = begin + turn / 40
-        for action in ask(one, now, "look", plan_name=plan, spread=spread):
+        for action in ask(one, now, "look", plan_name=plan, set_size=set_size):
             if isinstance(action, api.StartAttempt):
                 served += 1
                 one.handle(
-                    api.AttemptEnded(action.id, 0, action.server, "ok", 0.01, True), now + 0.01
+                    api.AttemptEnded(action.id, 0, action.endpoint, "ok", 0.01, True), now + 0.01
                 )
     return served
 
@@ -285,10 +288,10 @@
         if viewed:
             one.handle(view(), 1000.01)
         if before:
-            ask(one, 1000.02, "look", plan_name="keeps", spread=5, units=1e-6)
+            ask(one, 1000.02, "look", plan_name="keeps", set_size=5, units=1e-6)
         for peer in (1, 2, 3, 4):
             one.handle(api.GossipReceived(peer, gossip.head(1000, 0.0, one.incarnation)), 1000.03)
-        ask(one, 1000.04, "look", plan_name="keeps", spread=5, units=1e-6)
+        ask(one, 1000.04, "look", plan_name="keeps", set_size=5, units=1e-6)
         assert one.whole and next(iter(one.accounts.values())).budget.level == pytest.approx(
             level, abs=1.0
         )
@@ -308,7 +311,7 @@
 
 def test_a_large_set_whose_hubs_cannot_be_heard_has_others() -> None:
     one = gateway(gateways=12)
-    ask(one, 1000.1, "look", plan_name="keeps", spread=12)
+    ask(one, 1000.1, "look", plan_name="keeps", set_size=12)
     account = next(iter(one.accounts.values()))
     before = list(account.hubs)
     one.handle(view(lost=tuple(before), gateways=12), 1000.2)
@@ -320,14 +323,14 @@
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_hub_that_is_gone_is_not_told_of_a_charge_at_once_and_the_other_is(gone: bool) -> None:
     one = gateway(gateways=12)
-    ask(one, 1000.1, "look", plan_name="keeps", spread=12)
+    ask(one, 1000.1, "look", plan_name="keeps", set_size=12)
     first, second = next(iter(one.accounts.values())).hubs
     one.handle(
         api.MembershipChanged(True, tuple(n for n in range(12) if not gone or n != first)), 1000.2
     )
     told = {
-        action.gateway
-        for action in ask(one, 1000.3, "look", plan_name="keeps", spread=12)
+        action.limiter_id
+        for action in ask(one, 1000.3, "look", plan_name="keeps", set_size=12)
         if isinstance(action, api.SendGossip)
     }
     assert one.settings.limiter_id not in (first, second) and told == (
@@ -348,7 +351,7 @@
         one.handle(
             view(tuple(n for n in range(members) if n not in inside), gateways=members), 1000.05
         )
-        let_in(one, 1000.1, 3.0, spread=members)  # the burst is gone
-        total += let_in(one, 1003.1, 5.0, spread=members)
+        let_in(one, 1000.1, 3.0, set_size=members)  # the burst is gone
+        total += let_in(one, 1003.1, 5.0, set_size=members)
     # a unit a part for where the five seconds begin
     assert 0.9 * 100 - members <= total <= 100 + members
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -566,14 +566,14 @@
     one = gateway()
     one.handle(api.MembershipChanged(False, (0, 1, 2)), 1000.1)
     refused = only(ask(one, 1000.2, "look"), api.RejectRequest)[0]
-    assert refused.why == "away" and one.held == {}
+    assert refused.reason == "away" and one.held == {}
     one.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.3)
     assert only(ask(one, 1000.4, "look"), api.StartAttempt)
 
 
 def told(one: DecisionEngine, now: float) -> set[int]:
     return {
-        action.gateway
+        action.limiter_id
         for action in one.handle(api.TimerFired("beat"), now)
         if isinstance(action, api.SendGossip)
     }
@@ -581,14 +581,17 @@
 
 @pytest.mark.parametrize(
     "event",
-    [api.MembershipChanged(True, (0, 1)), api.MembershipChanged(True, (0, 1, 2), deaf=(2,))],
+    [
+        api.MembershipChanged(True, (0, 1)),
+        api.MembershipChanged(True, (0, 1, 2), cannot_hear_us=(2,)),
+    ],
 )
 def test_those_that_are_gone_or_cannot_hear_are_not_told_until_they_are_back(
     event: api.MembershipChanged,
 ) -> None:
     one = gateway()
     one.handle(event, 1000.1)
-    ask(one, 1000.2, "look", spread=3)
+    ask(one, 1000.2, "look", set_size=3)
     assert told(one, 1000.3) == {1}
     one.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.4)
     assert 2 in told(one, 1000.5)  # with what was charged meanwhile
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,7 +15,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import NEVER_RAN, DecisionEngine
-from hazelhollow.decisions.gossip_codec import MOST_BYTES, base36, incarnation
+from hazelhollow.decisions.gossip.codec import MOST_BYTES, base36, incarnation
 
 LOOKUP = api.RequestClass(
     "lookup", latency_objective=1.0, deadline=4.0, priority_weight=1.0, effect="safe"
@@ -29,8 +29,8 @@
     deadline=4.0,
     priority_weight=1.0,
     effect="keyed",
-    group="zone",
-    window=2.0,
+    dedup_scope="zone",
+    dedup_window=2.0,
 )
 BASIC = api.Plan("basic", rate=4.0, burst=12.0, excess_cost=1.0)
 HARD = api.Plan("hard", rate=4.0, burst=12.0, excess_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
@@ -81,7 +81,7 @@
         units=1.0,
         time_left=4.0,
         set_start=0,
-        spread=3,
+        set_size=3,
     )
     return gateway.handle(api.RequestArrived(**{**values, **changes}), now)
 
@@ -94,7 +94,7 @@
     gateway: DecisionEngine, send: api.StartAttempt, now: float, status: str = "ok", **more: object
 ) -> list[api.Action]:
     final = status == "ok"
-    event = api.AttemptEnded(send.id, 0, send.server, status, 0.1, final=final, **more)  # type: ignore[arg-type]
+    event = api.AttemptEnded(send.id, 0, send.endpoint, status, 0.1, final=final, **more)  # type: ignore[arg-type]
     return gateway.handle(event, now)
 
 
@@ -113,7 +113,7 @@
 
 def test_new_gateway_allows_its_part_and_an_old_one_the_whole_burst() -> None:
     assert spend(make(), 0.0, 30) == 4  # 12 / 3
-    assert spend(make(), 0.0, 30, spread=2) == 6
+    assert spend(make(), 0.0, 30, set_size=2) == 6
     assert spend(make(), 100.0, 30) == 12
 
 
@@ -152,7 +152,7 @@
     gateway = make()
     (send,) = only(ask(gateway, 100.0, units=2.0), api.StartAttempt)
     (again,) = only(answer(gateway, send, 100.1, "error", true_units=4.0), api.StartAttempt)
-    gateway.handle(api.AttemptEnded(again.id, 1, again.server, "ok", 0.1, True, 4.0), 100.2)
+    gateway.handle(api.AttemptEnded(again.id, 1, again.endpoint, "ok", 0.1, True, 4.0), 100.2)
     assert next(iter(gateway.accounts.values())).budget.level == pytest.approx(12.0 - 4.0, abs=1.0)
 
 
@@ -160,19 +160,19 @@
     gateway = make()
     spend(gateway, 100.0, 12)
     (refusal,) = only(ask(gateway, 100.0), api.RejectRequest)
-    assert 0 < refusal.retry_after <= 1.0 and refusal.why == "quota"
+    assert 0 < refusal.retry_after <= 1.0 and refusal.reason == "quota"
 
 
 def test_a_refusal_says_its_reason_for_the_counters() -> None:
-    assert [r.why for r in only(ask(make(), 0.0, plan_name="hard"), api.RejectRequest)] == [
+    assert [r.reason for r in only(ask(make(), 0.0, plan_name="hard"), api.RejectRequest)] == [
         "ceiling"
     ]  # empty at a start
-    assert [r.why for r in only(ask(make(), 0.0, plan_name="none"), api.RejectRequest)] == [
+    assert [r.reason for r in only(ask(make(), 0.0, plan_name="none"), api.RejectRequest)] == [
         "unknown"
     ]
     bare = make()
     bare.handle(servers("full"), 0.0)
-    assert [r.why for r in only(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
+    assert [r.reason for r in only(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
 
 
 # Gossip
@@ -180,7 +180,9 @@
 
 def tell(source: DecisionEngine, now: float, to: int) -> list[api.GossipReceived]:
     told = only(source.handle(api.TimerFired("beat"), now), api.SendGossip)
-    return [api.GossipReceived(source.settings.limiter_id, t.text) for t in told if t.gateway == to]
+    return [
+        api.GossipReceived(source.settings.limiter_id, t.text) for t in told if t.limiter_id == to
+    ]
 
 
 def test_gossip_sums_the_use_and_a_repeated_message_changes_nothing() -> None:
@@ -212,9 +214,9 @@
 
 def test_only_the_customers_other_gateways_are_told_its_charges() -> None:
     one = make(0)
-    spend(one, 100.0, 3, spread=2)
+    spend(one, 100.0, 3, set_size=2)
     told = only(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
-    assert [t.gateway for t in told if ":" in t.text] == [1]
+    assert [t.limiter_id for t in told if ":" in t.text] == [1]
 
 
 def test_charges_find_room_beside_the_loads_of_a_large_fleet() -> None:
@@ -313,7 +315,7 @@
     assert gateway.held == {}
 
 
-STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot")
+STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "never_sent")
 
 
 @seed(1)
@@ -328,7 +330,7 @@
 ) -> None:
     gateway, now = make(), 100.0
     actions = ask(gateway, now, kind)
-    zones = {s.entry.server: s.entry.zone for s in gateway.servers.values()}
+    zones = {s.entry.name: s.entry.zone for s in gateway.servers.values()}
     ran: list[tuple[str, float]] = []
     for number, status in enumerate([*statuses, "timeout", "timeout", "timeout"]):
         sends = only(actions, api.StartAttempt)
@@ -339,15 +341,15 @@
         if ran and kind == "hold":
             assert not only(finals, api.RejectRequest)
             for send in sends:
-                assert zones[send.server] == ran[0][0] and now < ran[0][1] + HOLD.window
+                assert zones[send.endpoint] == ran[0][0] and now < ran[0][1] + HOLD.dedup_window
         if finals:
             assert gateway.held == {}
             return
         sent_at, now = now, now + waits[number % 4]
         if status not in NEVER_RAN:
-            ran.append((zones[sends[0].server], sent_at))
+            ran.append((zones[sends[0].endpoint], sent_at))
         final = status == "ok"
-        event = api.AttemptEnded(sends[0].id, number, sends[0].server, status, 0.1, final=final)  # type: ignore[arg-type]
+        event = api.AttemptEnded(sends[0].id, number, sends[0].endpoint, status, 0.1, final=final)  # type: ignore[arg-type]
         actions = gateway.handle(event, now)
         if final:
             assert not only(actions, api.StartAttempt) and gateway.held == {}
@@ -365,7 +367,7 @@
     )
     gateway.handle(servers("change", entry("s1", state="gone")), 99.0)
     used = {
-        s.server
+        s.endpoint
         for _ in range(9)
         for s in only(ask(gateway, 100.0, customer=f"{_}"), api.StartAttempt)
     }
@@ -378,7 +380,7 @@
     counts = dict.fromkeys(("s0", "s1", "s2", "s3"), 0)
     for i in range(200):
         for send in only(ask(gateway, 100.0 + i * 0.01, customer=f"{i}"), api.StartAttempt):
-            counts[send.server] += 1
+            counts[send.endpoint] += 1
             answer(gateway, send, 100.0 + i * 0.01)
     warm = (counts["s1"] + counts["s2"] + counts["s3"]) / 3
     assert counts["s0"] <= 0.8 * warm  # four times the cold share may not even be neared
@@ -421,7 +423,9 @@
     for i in range(40):
         (send,) = only(ask(gateway, 100.0 + i, customer=f"{i}"), api.StartAttempt)
         cost = 20.0 if i % 20 == 0 else 0.1
-        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", cost, final=True), 100.5 + i)
+        gateway.handle(
+            api.AttemptEnded(send.id, 0, send.endpoint, "ok", cost, final=True), 100.5 + i
+        )
     assert all(s.pace < 2.0 for s in gateway.servers.values()) and server.pace > 0
 
 
@@ -460,7 +464,7 @@
     for server in gateway.servers.values():
         server.out["other", 0], server.since = 0.4, 100.0
     assert only(ask(gateway, 100.1, customer="a", time_left=2.4), api.StartAttempt)
-    assert only(ask(gateway, 100.1, customer="b", time_left=2.0, repeat=marks), api.RejectRequest)
+    assert only(ask(gateway, 100.1, customer="b", time_left=2.0, is_retry=marks), api.RejectRequest)
 
 
 @pytest.mark.parametrize("gateways", [3, 12])
@@ -476,7 +480,7 @@
     for server in gateway.servers.values():
         server.out["other", 0], server.since = 0.7 if gateways > 8 else 0.4, 100.0
     late = [
-        action.why
+        action.reason
         for action in only(ask(gateway, 100.1, customer="a", time_left=2.4), api.RejectRequest)
     ]
     assert late == ([] if gateways == 3 else ["late"])
@@ -523,7 +527,7 @@
             (send,) = only(ask(gateway, second + 0.1, customer=f"{second}-{n}"), api.StartAttempt)
             status: api.Status = "error" if n % 5 == 0 else "ok"
             gateway.handle(
-                api.AttemptEnded(send.id, 0, send.server, status, 0.1, True), second + 0.2
+                api.AttemptEnded(send.id, 0, send.endpoint, status, 0.1, True), second + 0.2
             )
         gateway.handle(
             servers("change", entry(f"s{second % 4}", started=float(second))), second + 0.5
@@ -606,12 +610,12 @@
         gateway, retried = make(), 0
         for number in range(200):
             (send,) = only(ask(gateway, 1.0 + number, customer=str(number)), api.StartAttempt)
-            event = api.AttemptEnded(send.id, 0, send.server, "reset", elapsed)
+            event = api.AttemptEnded(send.id, 0, send.endpoint, "reset", elapsed)
             again = only(gateway.handle(event, 1.0 + number), api.StartAttempt)
             retried += len(again)
             for further in again:
                 gateway.handle(
-                    api.AttemptEnded(send.id, 1, further.server, "ok", 0.1, True), 1.0 + number
+                    api.AttemptEnded(send.id, 1, further.endpoint, "ok", 0.1, True), 1.0 + number
                 )
         assert 0.9 * most <= retried <= most
 
@@ -649,18 +653,18 @@
     for number in range(30):
         for send in only(ask(gateway, 1.0 + number / 10, customer=str(number)), api.StartAttempt):
             gateway.handle(
-                api.AttemptEnded(send.id, 0, send.server, "ok", 0.02, True), 1.02 + number / 10
+                api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.02, True), 1.02 + number / 10
             )
     (send,) = only(ask(gateway, 5.0, kind), api.StartAttempt)
     gateway.wait = wait
     if answers:
-        gateway.servers[send.server].since = 5.7
+        gateway.servers[send.endpoint].since = 5.7
     cancels = only(gateway.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
     actions = [
-        gateway.handle(api.AttemptEnded(c.id, c.attempt, send.server, "cancelled", 0.75), 5.75)
+        gateway.handle(api.AttemptEnded(c.id, c.attempt, send.endpoint, "cancelled", 0.75), 5.75)
         for c in cancels
     ]
-    return [again.server for a in actions for again in only(a, api.StartAttempt)], send.server
+    return [again.endpoint for a in actions for again in only(a, api.StartAttempt)], send.endpoint
 
 
 @pytest.mark.parametrize("answers", [False, True])
@@ -682,10 +686,10 @@
     gateway = make()
     (hangs,) = only(ask(gateway, 1.0), api.StartAttempt)
     for name, server in gateway.servers.items():
-        server.pace = 1.0 if name == hangs.server else 5.0  # else it would be the best
+        server.pace = 1.0 if name == hangs.endpoint else 5.0  # else it would be the best
     later = set()
     for number in range(40):
         (send,) = only(ask(gateway, 1.9, customer=str(number)), api.StartAttempt)
-        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", 0.05, True), 1.9)
-        later.add(send.server)
-    assert later and hangs.server not in later
+        gateway.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.05, True), 1.9)
+        later.add(send.endpoint)
+    assert later and hangs.endpoint not in later
--- a/tests/test_gossip_budget.py
+++ b/tests/test_gossip_budget.py
@@ -13,10 +13,10 @@
 from hypothesis import settings as hyp
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.gossip_outbox import HEADER, MOST_WAITING, News, Outbox
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.gossip.outbox import HEADER, MOST_WAITING, News, Outbox
 from tests.test_gateway import answer, ask, make, only, spend
 
 BUDGET = 600.0  # bytes a second
@@ -37,7 +37,7 @@
     return [
         word.split(":")[0]
         for t in texts
-        if t.gateway == peer
+        if t.limiter_id == peer
         for word in t.text.split()
         if ":" in word
     ]
@@ -63,7 +63,7 @@
             actions = (
                 gateway.handle(event, now)
                 if event
-                else ask(gateway, now, customer=f"{customer}", units=float(units), spread=spread)
+                else ask(gateway, now, customer=f"{customer}", units=float(units), set_size=spread)
             )
             sent += [(now, len(t.text) + HEADER) for t in told(actions)]
             for send in only(actions, api.StartAttempt):
@@ -91,8 +91,8 @@
 def test_who_is_near_its_limit_is_told_before_the_calm() -> None:
     gateway = budgeted(2, 400.0)
     for number in range(60):
-        assert spend(gateway, 100.5, 1, customer=f"calm{number}", units=2.0, spread=2)
-    assert spend(gateway, 100.5, 3, customer="near", units=2.0, spread=2) == 3
+        assert spend(gateway, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
+    assert spend(gateway, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
     (text, *_) = told(gateway.handle(api.TimerFired("beat"), 100.6))
     assert words([text], 1)[0] == key(gateway, "near")
 
@@ -162,11 +162,11 @@
 
 def test_without_a_budget_nothing_is_held_back_and_a_large_fleet_is_told_at_once() -> None:
     assert make(0).outbox is None
-    assert told(ask(make(0, limiter_count=40), 100.0, spread=30))
+    assert told(ask(make(0, limiter_count=40), 100.0, set_size=30))
     scarce = budgeted(40)
-    assert told(ask(scarce, 100.1, spread=30, units=4.0))  # there is plenty
+    assert told(ask(scarce, 100.1, set_size=30, units=4.0))  # there is plenty
     scarce.outbox.bytes.level = scarce.outbox.bytes.most / 2 - 1.0  # type: ignore[union-attr]
-    assert not told(ask(scarce, 100.1, spread=30, units=4.0, customer="d"))
+    assert not told(ask(scarce, 100.1, set_size=30, units=4.0, customer="d"))
     # by then there is room for a whole datagram
     assert told(scarce.handle(api.TimerFired("beat"), 100.4))
 
@@ -185,7 +185,12 @@
     for number, (wait, customer, units, sender) in enumerate(events):
         now += wait
         asked = ask(
-            gateway, now, id=f"q{number}", customer=f"{customer}", units=float(units), spread=spread
+            gateway,
+            now,
+            id=f"q{number}",
+            customer=f"{customer}",
+            units=float(units),
+            set_size=spread,
         )
         actions += asked
         for send in only(asked, api.StartAttempt):
--- a/tests/test_gossip_settings.py
+++ b/tests/test_gossip_settings.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.decisions.gossip import codec as gossip
 from tests.scenario import LOOK, PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
@@ -48,12 +48,12 @@
 
 def test_a_charge_on_one_plan_is_not_taken_for_one_on_another_that_stands_at_its_place() -> None:
     old, new = gateway(0, GOLD), gateway(1, BRONZE, GOLD)
-    ask(old, 1000.1, "look", plan_name="gold", spread=2, units=5.0)
+    ask(old, 1000.1, "look", plan_name="gold", set_size=2, units=5.0)
     told(old, new, 1000.2)
     (account,) = new.accounts.values()
     assert account.plan == GOLD and sum(account.totals.heard.values()) == 5.0
     # And the other way, where its place is beyond the end of the list.
-    ask(new, 1000.3, "look", plan_name="gold", spread=2, units=7.0, customer="d")
+    ask(new, 1000.3, "look", plan_name="gold", set_size=2, units=7.0, customer="d")
     told(new, old, 1000.4)
     assert [a.plan.name for a in old.accounts.values()] == ["gold", "gold"]
     assert sum(list(old.accounts.values())[1].totals.heard.values()) == 7.0
@@ -73,9 +73,9 @@
 def test_two_customers_of_one_key_do_not_go_by_each_others_plan() -> None:
     one, peer = gateway(0, BRONZE, GOLD), gateway(1, BRONZE, GOLD)
     bronze, gold = same_key(one)
-    ask(one, 1000.1, "look", plan_name="bronze", spread=2, customer=bronze)
-    ask(one, 1000.2, "look", plan_name="gold", spread=2, units=5.0, customer=gold)
-    ask(one, 1000.3, "look", plan_name="bronze", spread=2, customer=bronze)
+    ask(one, 1000.1, "look", plan_name="bronze", set_size=2, customer=bronze)
+    ask(one, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
+    ask(one, 1000.3, "look", plan_name="bronze", set_size=2, customer=bronze)
     told(one, peer, 1000.4)
     assert {(a.plan.name, a.totals.sum()) for a in one.accounts.values()} == {
         ("bronze", 2.0),
@@ -89,10 +89,10 @@
 
 def test_a_changed_plan_holds_also_after_the_old_account_is_forgotten() -> None:
     one = gateway(0, BRONZE, GOLD)
-    ask(one, 1000.1, "look", plan_name="bronze", spread=2)
-    ask(one, 1000.2, "look", plan_name="gold", spread=2)
+    ask(one, 1000.1, "look", plan_name="bronze", set_size=2)
+    ask(one, 1000.2, "look", plan_name="gold", set_size=2)
     del one.accounts[next(iter(one.accounts))]
-    ask(one, 1000.3, "look", plan_name="gold", spread=2)
+    ask(one, 1000.3, "look", plan_name="gold", set_size=2)
     (account,) = one.accounts.values()
     assert account.plan == GOLD and account.totals.sum() == 2.0
 
@@ -100,8 +100,8 @@
 def test_a_plan_that_these_settings_do_not_have_costs_its_word_alone_and_is_said_once() -> None:
     old, new = gateway(0, GOLD), gateway(1, BRONZE, GOLD)
     for customer in "abc":
-        ask(new, 1000.1, "look", plan_name="bronze", spread=2, customer=customer)
-    ask(new, 1000.1, "look", plan_name="gold", spread=2, customer="d")
+        ask(new, 1000.1, "look", plan_name="bronze", set_size=2, customer=customer)
+    ask(new, 1000.1, "look", plan_name="gold", set_size=2, customer="d")
     said = [
         a.text
         for now in (1000.2, 1000.3)
--- a/tests/test_hosts_end.py
+++ b/tests/test_hosts_end.py
@@ -18,9 +18,9 @@
 from tests.test_scenarios import DO, GET, VALUE, ask
 
 UNSAFE = replace(BUY, effect="unsafe")
-CELL = replace(BUY, group="cell", window=5.0)
-ANY = replace(BUY, group="all", window=5.0)
-SHORT = replace(BUY, group="all", window=0.3)
+CELL = replace(BUY, dedup_scope="cell", dedup_window=5.0)
+ANY = replace(BUY, dedup_scope="all", dedup_window=5.0)
+SHORT = replace(BUY, dedup_scope="all", dedup_window=0.3)
 # By class: what the client gets once the only attempt may have run, and whether another attempt is
 # made.
 MAY_HAVE_RUN = {
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import PASS_ON, DecisionEngine
+from hazelhollow.decisions.gossip import codec as gossip
 from tests.test_gateway import BASIC, LOOKUP, answer, ask, entry, make, only, servers
 from tests.test_gossip_settings import same_key
 
@@ -23,14 +23,16 @@
 
 def hubs_of(gateway: DecisionEngine, now: float, **changes: Any) -> list[int]:
     """Where a charge is told."""
-    return [t.gateway for t in only(ask(gateway, now, spread=SPREAD, **changes), api.SendGossip)]
+    return [
+        t.limiter_id for t in only(ask(gateway, now, set_size=SPREAD, **changes), api.SendGossip)
+    ]
 
 
 def deliver(gateways: list[DecisionEngine], me: int, actions: list[api.Action], now: float) -> None:
     """Every message at once, and what it leads to."""
     for tell in only(actions, api.SendGossip):
-        more = gateways[tell.gateway].handle(api.GossipReceived(me, tell.text), now)
-        deliver(gateways, tell.gateway, more, now)
+        more = gateways[tell.limiter_id].handle(api.GossipReceived(me, tell.text), now)
+        deliver(gateways, tell.limiter_id, more, now)
 
 
 def test_a_charge_in_a_large_set_is_told_to_its_hubs_alone_and_at_once() -> None:
@@ -41,7 +43,9 @@
 
 
 def test_a_quiet_customer_is_not_refused_at_the_start_of_a_large_set() -> None:
-    assert only(ask(make(3, limiter_count=FLEET), 0.0, spread=SPREAD, units=4.0), api.StartAttempt)
+    assert only(
+        ask(make(3, limiter_count=FLEET), 0.0, set_size=SPREAD, units=4.0), api.StartAttempt
+    )
 
 
 def test_the_set_is_told_when_a_busy_customer_is_spent_and_not_before() -> None:
@@ -49,7 +53,7 @@
     sent = 0
     for turn in range(3 * SPREAD):
         me = turn % SPREAD
-        actions = ask(gateways[me], 100.0 + turn / 100, spread=SPREAD, units=2.0)
+        actions = ask(gateways[me], 100.0 + turn / 100, set_size=SPREAD, units=2.0)
         sent += len(only(actions, api.StartAttempt))
         deliver(gateways, me, actions, 100.0 + turn / 100)
         if turn == 0:
@@ -65,13 +69,13 @@
         deliver(
             gateways,
             me,
-            ask(gateways[me], 99.9, spread=SPREAD, units=0.1, customer=other, plan_name="other"),
+            ask(gateways[me], 99.9, set_size=SPREAD, units=0.1, customer=other, plan_name="other"),
             99.9,
         )
     sent = 0
     for turn in range(3 * SPREAD):
         now, me = 100.0 + turn / 100, turn % SPREAD
-        actions = ask(gateways[me], now, spread=SPREAD, units=2.0, customer=busy)
+        actions = ask(gateways[me], now, set_size=SPREAD, units=2.0, customer=busy)
         sent += len(only(actions, api.StartAttempt))
         deliver(gateways, me, actions, now)
     assert 4 <= sent <= 8
@@ -92,9 +96,9 @@
         events: list[tuple[int, api.Event]] = []
         if chance.random() < 0.005 * 3 * BASIC.rate / 2.0:
             me = min(chance.randrange(SPREAD), chance.randrange(SPREAD))
-            actions = ask(gateways[me], now, spread=SPREAD, units=2.0)
+            actions = ask(gateways[me], now, set_size=SPREAD, units=2.0)
             for send in only(actions, api.StartAttempt):
-                admitted += send.server != ""
+                admitted += send.endpoint != ""
                 actions = actions + answer(gateways[me], send, now, true_units=0.0)
             waiting += _posted(chance, now, me, actions)
         due = [m for m in waiting if m[0] <= now]
@@ -118,7 +122,7 @@
     post = []
     for tell in only(actions, api.SendGossip):
         for _ in range(chance.choices((0, 1, 2), (0.07, 0.9, 0.03))[0]):
-            post.append((now + chance.uniform(0.001, 0.03), me, tell.gateway, tell.text))
+            post.append((now + chance.uniform(0.001, 0.03), me, tell.limiter_id, tell.text))
     return post
 
 
@@ -129,9 +133,9 @@
     for turn in range(60):  # the second hub hears all, the first nothing
         now = 100.0 + turn / 50
         for tell in only(
-            ask(gateways[turn % SPREAD], now, spread=SPREAD, units=2.0), api.SendGossip
+            ask(gateways[turn % SPREAD], now, set_size=SPREAD, units=2.0), api.SendGossip
         ):
-            if tell.gateway == second:
+            if tell.limiter_id == second:
                 gateways[second].handle(api.GossipReceived(turn % SPREAD, tell.text), now)
         told += len(
             [
@@ -162,14 +166,14 @@
     sent = 0
     for turn in range(turns):
         now, me = 100.0 + turn / 100, turn % 40
-        actions = ask(gateways[me], now, spread=WIDE, units=2.0, **changes)
+        actions = ask(gateways[me], now, set_size=WIDE, units=2.0, **changes)
         sent += len(only(actions, api.StartAttempt))
         queue = [(me, a) for a in only(actions, api.SendGossip)]
         while queue:
             sender, tell = queue.pop()
-            if tell.gateway != dead:
-                more = gateways[tell.gateway].handle(api.GossipReceived(sender, tell.text), now)
-                queue += [(tell.gateway, a) for a in only(more, api.SendGossip)]
+            if tell.limiter_id != dead:
+                more = gateways[tell.limiter_id].handle(api.GossipReceived(sender, tell.text), now)
+                queue += [(tell.limiter_id, a) for a in only(more, api.SendGossip)]
     return sent
 
 
@@ -179,8 +183,8 @@
 
 def hubs_in_vast() -> list[int]:
     return [
-        t.gateway
-        for t in only(ask(make(VAST - 1, limiter_count=VAST), 100.0, spread=WIDE), api.SendGossip)
+        t.limiter_id
+        for t in only(ask(make(VAST - 1, limiter_count=VAST), 100.0, set_size=WIDE), api.SendGossip)
     ]
 
 
@@ -204,35 +208,35 @@
     me, other = [n for n in range(4) if n not in (first, second)][:2]
     one, two = make(me, limiter_count=VAST), make(other, limiter_count=VAST)
     for gateway in (one, two):
-        ask(gateway, 100.0, spread=WIDE, customer="c")  # it knows the set now, and so the hubs
+        ask(gateway, 100.0, set_size=WIDE, customer="c")  # it knows the set now, and so the hubs
     (name,) = one.accounts
     word = gossip.write(gossip.Spent(name, gossip.tag("basic"), 12.0))
     one.handle(api.GossipReceived(first, gossip.head(100, 0.0, "aa") + word), 100.1)
-    soon = only(ask(one, 100.2, spread=WIDE, customer="d"), api.SendGossip)
+    soon = only(ask(one, 100.2, set_size=WIDE, customer="d"), api.SendGossip)
     assert soon and all(word in t.text for t in soon)
     elsewhere = only(
-        ask(one, 100.3, spread=9, set_start=WIDE + 5, customer="f"), api.SendGossip
+        ask(one, 100.3, set_size=9, set_start=WIDE + 5, customer="f"), api.SendGossip
     )  # not of the set
     assert elsewhere and not any(word in t.text for t in elsewhere)
-    late = only(ask(one, 100.1 + PASS_ON, spread=WIDE, customer="e"), api.SendGossip)
+    late = only(ask(one, 100.1 + PASS_ON, set_size=WIDE, customer="e"), api.SendGossip)
     assert late and not any(word in t.text for t in late)
     two.handle(api.GossipReceived(me, gossip.head(100, 0.0, "aa") + word), 100.2)
     assert told_of(two)
-    onward = only(ask(two, 100.3, spread=WIDE, customer="d"), api.SendGossip)
+    onward = only(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
     assert onward and not any(word in t.text for t in onward)
 
 
 def test_what_a_hub_told_of_a_customer_that_is_forgotten_since_is_passed_on_no_more() -> None:
     first, second = hubs_in_vast()
     one = make(next(n for n in range(4) if n not in (first, second)), limiter_count=VAST)
-    (send,) = only(ask(one, 100.0, spread=WIDE, customer="c"), api.StartAttempt)
+    (send,) = only(ask(one, 100.0, set_size=WIDE, customer="c"), api.StartAttempt)
     answer(one, send, 100.1)
     (name,) = one.accounts
     word = gossip.write(gossip.Spent(name, gossip.tag("basic"), 0.0))
     one.handle(api.GossipReceived(first, gossip.head(110, 0.0, "aa") + word), 110.8)
     one.handle(api.TimerFired("beat"), 111.0)
     assert not one.accounts
-    told = only(ask(one, 111.1, spread=WIDE, customer="d"), api.SendGossip)
+    told = only(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
     assert told and not any(word in t.text for t in told)
 
 
@@ -241,7 +245,7 @@
     let_in = {}
     for spread in (WIDE, 40):
         one = make(3, limiter_count=VAST, gossip_messages_per_s=60.0)
-        ask(one, 100.0, spread=spread)
+        ask(one, 100.0, set_size=spread)
         (name,) = one.accounts
         text = gossip.head(100, 0.0, "aa") + gossip.write(
             gossip.Spent(name, gossip.tag("basic"), 3.0)
@@ -249,7 +253,7 @@
         let_in[spread] = 0
         for _ in range(100):
             one.handle(api.GossipReceived(VAST - 1, text), 100.1)
-            sends = only(ask(one, 100.1, spread=spread), api.StartAttempt)
+            sends = only(ask(one, 100.1, set_size=spread), api.StartAttempt)
             let_in[spread] += len(sends)
             for send in sends:
                 answer(one, send, 100.1)
@@ -258,7 +262,7 @@
 
 def test_a_set_that_its_hub_can_tell_hears_nothing_second_hand() -> None:
     gateways = fleet(gossip_messages_per_s=60.0)
-    ask(gateways[5], 100.0, spread=SPREAD)
+    ask(gateways[5], 100.0, set_size=SPREAD)
     (account,) = gateways[5].accounts.values()
     word = gossip.write(gossip.Spent(account.name, gossip.tag("basic"), 12.0))
     gateways[5].handle(
@@ -266,14 +270,14 @@
     )
     assert not any(
         word in t.text
-        for t in only(ask(gateways[5], 100.2, spread=SPREAD, customer="d"), api.SendGossip)
+        for t in only(ask(gateways[5], 100.2, set_size=SPREAD, customer="d"), api.SendGossip)
     )
 
 
 def test_a_restarted_hub_takes_the_level_from_the_other() -> None:
     hub = make(hubs_of(make(39, limiter_count=FLEET), 100.0)[0], limiter_count=FLEET)
     hub.born = 100.0
-    ask(hub, 100.0, spread=SPREAD)
+    ask(hub, 100.0, set_size=SPREAD)
     (account,) = hub.accounts.values()
     (key,) = hub.accounts
     text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Spent(key, gossip.tag("basic"), 12.0))
@@ -285,7 +289,7 @@
     gateway, told = make(0, limiter_count=FLEET), 0
     for i in range(4000):
         told += len(
-            only(ask(gateway, 100.0 + i / 1000, spread=SPREAD, customer=f"{i}"), api.SendGossip)
+            only(ask(gateway, 100.0 + i / 1000, set_size=SPREAD, customer=f"{i}"), api.SendGossip)
         )
     assert told <= 100 * 0.8 * 5
 
@@ -302,7 +306,7 @@
     for i in range(2400):  # 8 a second at each of 100 gateways, for three seconds
         gateway, now = chance.choice(many), 100.0 + i / 800
         for send in only(ask(gateway, now, customer=f"{i}"), api.StartAttempt):
-            counts[send.server] += 1
+            counts[send.endpoint] += 1
             answer(gateway, send, now)
     warm = sum(counts.values()) / 13
     assert counts["cold"] <= 2 * 0.4 * warm  # the fall multiple over the cold share: 4 x 0.2
@@ -327,7 +331,7 @@
     for i in range(20):
         for kind, names in used.items():
             names |= {
-                s.server
+                s.endpoint
                 for s in only(ask(gateway, 100.4, kind, customer=f"{kind}{i}"), api.StartAttempt)
             }
     assert "s0" not in used["lookup"] and "s0" in used["issue"]
@@ -340,7 +344,7 @@
         text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Failed(tag, gossip.tag("lookup")))
         gateway.handle(api.GossipReceived(sender, text), 100.1)
     used = {
-        s.server
+        s.endpoint
         for i in range(40)
         for s in only(ask(gateway, 100.2, customer=f"{i}"), api.StartAttempt)
     }
@@ -351,7 +355,7 @@
     for i in range(count):
         for send in only(ask(gateway, now, customer=f"{now}{i}"), api.StartAttempt):
             gateway.handle(
-                api.AttemptEnded(send.id, 0, send.server, "ok", elapsed, final=True), now
+                api.AttemptEnded(send.id, 0, send.endpoint, "ok", elapsed, final=True), now
             )
 
 
@@ -378,15 +382,15 @@
 def test_an_answer_past_its_aim_while_others_hardly_wait_is_a_failure_of_its_server() -> None:
     gateway = make(0, limiter_count=FLEET)
     (send,) = only(ask(gateway, 100.0), api.StartAttempt)
-    gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", 1.5, final=True), 101.5)
-    assert gateway.servers[send.server].health["lookup"].failures == 1.0
+    gateway.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 1.5, final=True), 101.5)
+    assert gateway.servers[send.endpoint].health["lookup"].failures == 1.0
 
 
 def test_nothing_grows_with_one_request_customers_of_a_large_fleet() -> None:
     gateway = make(0, limiter_count=FLEET)
     for i in range(3000):
         for send in only(
-            ask(gateway, 100.0 + i / 100, spread=SPREAD, customer=f"k{i}"), api.StartAttempt
+            ask(gateway, 100.0 + i / 100, set_size=SPREAD, customer=f"k{i}"), api.StartAttempt
         ):
             answer(gateway, send, 100.0 + i / 100)
     for i in range(900):
@@ -397,7 +401,7 @@
 def fail(gateway: DecisionEngine, status: api.Status, count: int) -> None:
     for i in range(count):
         for send in only(ask(gateway, 100.0 + i / 100, customer=f"{status}{i}"), api.StartAttempt):
-            ended = api.AttemptEnded(send.id, 0, send.server, status, 0.003)
+            ended = api.AttemptEnded(send.id, 0, send.endpoint, status, 0.003)
             gateway.handle(ended, 100.01 + i / 100)
 
 
@@ -418,5 +422,5 @@
     for gateways, ejected in ((FLEET, 1), (3, 0)):
         gateway = make(0, limiter_count=gateways)
         (send,) = only(ask(gateway, 100.0), api.StartAttempt)
-        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "connect_failed", 0.003), 100.01)
-        assert gateway.servers[send.server].health[""].ejections == ejected
+        gateway.handle(api.AttemptEnded(send.id, 0, send.endpoint, "connect_failed", 0.003), 100.01)
+        assert gateway.servers[send.endpoint].health[""].ejections == ejected
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -227,7 +227,7 @@
 
 
 def test_every_ending_has_its_outcome_and_none_after_the_last_byte_says_never_ran() -> None:
-    never = {"connect_failed", "full", "moot"}
+    never = {"connect_failed", "full", "never_sent"}
     assert all(outcome(ending, written=True) not in never for ending in Ending)
     assert all(
         outcome(e, written=False) == "connect_failed" for e in Ending if e is not Ending.CANCELLED
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -14,7 +14,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.replication import exchange, messages, snapshot
 from hazelhollow.replication.counts import KEPT_FOR, Book, Row, Value, contradiction, merge
 from hazelhollow.replication.hands import Hands
--- a/tests/test_replica_module.py
+++ b/tests/test_replica_module.py
@@ -11,10 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import PAY_BACK, RECKONED, DecisionEngine
-from hazelhollow.decisions.state import Account, Totals
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.memory import Account, Totals
 from tests.scenario import PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
@@ -56,7 +56,10 @@
 
     def view(self, members: int, lost: tuple[int, ...] = ()) -> api.MembershipChanged:
         return api.MembershipChanged(
-            True, tuple(n for n in range(members) if n not in lost), lost=lost, keeps=True
+            True,
+            tuple(n for n in range(members) if n not in lost),
+            unreachable_but_serving=lost,
+            counts_replicated=True,
         )
 
     def ask(self, number: int, customer: str = "c") -> bool:
@@ -67,12 +70,12 @@
             "look",
             plan_name=self.plan,
             customer=customer,
-            spread=len(self.all),
+            set_size=len(self.all),
         )
         for action in actions:
             if isinstance(action, api.StartAttempt):
                 self.all[number].handle(
-                    api.AttemptEnded(action.id, 0, action.server, "ok", 0.01, True), self.now
+                    api.AttemptEnded(action.id, 0, action.endpoint, "ok", 0.01, True), self.now
                 )
                 served, self.charged = True, self.charged + 1.0
         self.carry(number, actions)
@@ -80,14 +83,25 @@
 
     def carry(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.SendGossip) and (number, action.gateway) in self.heard:
-                self.all[action.gateway].handle(api.GossipReceived(number, action.text), self.now)
+            if isinstance(action, api.SendGossip) and (number, action.limiter_id) in self.heard:
+                self.all[action.limiter_id].handle(
+                    api.GossipReceived(number, action.text), self.now
+                )
             elif isinstance(action, api.ReplicateCount):
                 known = self.closed.setdefault(
-                    (action.key, action.told.member, action.told.incarnation), action
+                    (
+                        action.key,
+                        action.replicated_count.member,
+                        action.replicated_count.incarnation,
+                    ),
+                    action,
                 )
-                if action.told.total > known.told.total:
-                    self.closed[action.key, action.told.member, action.told.incarnation] = action
+                if action.replicated_count.total > known.replicated_count.total:
+                    self.closed[
+                        action.key,
+                        action.replicated_count.member,
+                        action.replicated_count.incarnation,
+                    ] = action
 
     def beat(self, seconds: float = BEAT) -> None:
         until = self.now + seconds
@@ -104,8 +118,8 @@
                     action.key,
                     action.plan_name,
                     action.set_start,
-                    action.spread,
-                    (action.told,),
+                    action.set_size,
+                    (action.replicated_count,),
                 )
                 self.all[number].handle(event, self.now)
 
@@ -300,7 +314,7 @@
     account.aside, account.budget.level = {2: 3.0}, 0.0
     account.budget.at = one.now
     one.all[0].handle(
-        api.MembershipChanged(True, (0, 1, 2), unused=((2, 5.0),), keeps=True), one.now
+        api.MembershipChanged(True, (0, 1, 2), unused=((2, 5.0),), counts_replicated=True), one.now
     )
     assert account.budget.level == 3.0 and account.aside[2] == 0.0
 
@@ -311,7 +325,7 @@
     account = next(iter(one.all[0].accounts.values()))
     one.all[0].handle(one.view(3, lost=(2,)), one.now)
     one.all[0].handle(
-        api.MembershipChanged(True, (0, 1), keeps=True), one.now + 5.0
+        api.MembershipChanged(True, (0, 1), counts_replicated=True), one.now + 5.0
     )  # taken over: it is not there, and not lost
     one.now += 5.0
     one.beat(RECKONED + 1.0)
@@ -337,7 +351,7 @@
             assert account.budget.level - account.owed == pytest.approx(left, abs=0.1)
 
 
-@pytest.mark.parametrize("change", [{"plan_name": "gone"}, {"spread": 0}, {"spread": 9}])
+@pytest.mark.parametrize("change", [{"plan_name": "gone"}, {"set_size": 0}, {"set_size": 9}])
 def test_a_copy_that_these_settings_do_not_know_changes_nothing(change: dict[str, object]) -> None:
     one = Cluster()
     event = api.AccountReplicated(
--- a/tests/test_replica_snapshot.py
+++ b/tests/test_replica_snapshot.py
@@ -20,10 +20,10 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.state import Account
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.memory import Account
 from hazelhollow.membership.seal import Seal
 from hazelhollow.replication import messages, snapshot
 from hazelhollow.replication.driver import Driver
@@ -72,7 +72,7 @@
         )
         self.module(servers("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
-        self.module(api.MembershipChanged(True, tuple(range(MEMBERS)), keeps=True))
+        self.module(api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True))
         self.asks()
 
     # What the driver is given for the scheduler and the datagrams
@@ -101,10 +101,10 @@
         for action in self.gateway.handle(event, self.clock()):
             if isinstance(action, api.StartAttempt):
                 self.fleet.let_in += 1.0
-                done = api.AttemptEnded(action.id, 0, action.server, "ok", SERVED_IN, True)
+                done = api.AttemptEnded(action.id, 0, action.endpoint, "ok", SERVED_IN, True)
                 self.at(self.clock() + SERVED_IN, self.module, done)
             elif isinstance(action, api.SendGossip):
-                self.tell(action.gateway, action.text)
+                self.tell(action.limiter_id, action.text)
             elif isinstance(action, api.SetTimer):
                 self.at(self.clock() + action.delay, self.module, api.TimerFired(action.name))
             elif isinstance(action, api.ReplicateCount):
@@ -364,7 +364,9 @@
         gossip_messages_per_s=1000.0,
     )
     gateway = DecisionEngine(told, seed=1)
-    gateway.handle(api.MembershipChanged(True, tuple(range(MEMBERS)), keeps=True), START)
+    gateway.handle(
+        api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True), START
+    )
     chance = random.Random(1)
     for number in range(count):
         account = gateway._account(gossip.base36(number), GOLD, number % MEMBERS, 3)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -424,9 +424,7 @@
         {"status": "new"},
     ]
     event = stage.service.table.apply(table)
-    assert (
-        [entry.server for entry in event.entries] == ["s1"] == list(stage.service.table.addresses)
-    )
+    assert [entry.name for entry in event.entries] == ["s1"] == list(stage.service.table.addresses)
     monkeypatch.setattr(stage.service.table, "apply", lambda document: 1 / 0)
     stage.play(f"""
         disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.state import Health
+from hazelhollow.decisions.memory import Health
 from hazelhollow.decisions.subsetting import LEAST, SEEN_BY, stretch
 from tests.test_gateway import answer, ask, entry, make, only, servers
 
@@ -58,7 +58,7 @@
     for i in range(count):
         now = 100.0 + i / 10
         for send in only(ask(gateway, now, customer=f"{i}"), api.StartAttempt):
-            names |= {send.server} if i >= count - 100 else set()
+            names |= {send.endpoint} if i >= count - 100 else set()
             answer(gateway, send, now)
     return names
 
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -12,7 +12,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.state import Server, Window
+from hazelhollow.decisions.memory import Server, Window
 from hazelhollow.net import backend, resp
 from hazelhollow.simulator import wire
 from tests.scenario import PLAN, SETTINGS, Stage
@@ -137,7 +137,7 @@
     for turn in range(100):
         for name in sent:
             sent[name] += len(
-                only(ask(gateway, 100.0 + turn / 1000, name, spread=1), api.StartAttempt)
+                only(ask(gateway, 100.0 + turn / 1000, name, set_size=1), api.StartAttempt)
             )
     return sent
 
@@ -180,15 +180,16 @@
     gateway.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 100.0)
     for turn in range(2000):
         units, now = 1.0 + 3.0 * (turn % 2), 100.0 + turn / 10
-        (send,) = only(ask(gateway, now, "cheap", spread=1, units=units), api.StartAttempt)
+        (send,) = only(ask(gateway, now, "cheap", set_size=1, units=units), api.StartAttempt)
         gateway.handle(
-            api.AttemptEnded(send.id, 0, send.server, "ok", 0.1 if units == 1.0 else 1.0, True), now
+            api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.1 if units == 1.0 else 1.0, True),
+            now,
         )
     by_units = []
     for units in (1.0, 4.0):
-        (send,) = only(ask(gateway, 310.0, "cheap", spread=1, units=units), api.StartAttempt)
+        (send,) = only(ask(gateway, 310.0, "cheap", set_size=1, units=units), api.StartAttempt)
         by_units.append(gateway.held[send.id].attempts[0].work)
-        gateway.handle(api.AttemptEnded(send.id, 0, send.server, "ok", 0.1, True), 310.0)
+        gateway.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.1, True), 310.0)
     assert by_units[1] > 6 * by_units[0]
 
 
@@ -215,7 +216,7 @@
         return cold(server, now, settings)
 
     monkeypatch.setattr(Server, "cold", counted)
-    assert only(ask(gateway, 100.1, "look", spread=1, time_left=3.0), api.StartAttempt)
+    assert only(ask(gateway, 100.1, "look", set_size=1, time_left=3.0), api.StartAttempt)
     assert looks <= 3 * 80
 
 
@@ -230,10 +231,10 @@
     )
     gateway = DecisionEngine(told, seed=1)
     gateway.handle(servers("full", entry("old"), entry("new", started=99.0)), 100.0)
-    ask(gateway, 100.1, "look", spread=1, time_left=3.0)
+    ask(gateway, 100.1, "look", set_size=1, time_left=3.0)
     widths = gateway.table.warm_width(100.1)
     gateway.handle(servers("change", entry("third")), 100.1)  # in the same moment
-    ask(gateway, 100.1, "look", spread=1, time_left=3.0)
+    ask(gateway, 100.1, "look", set_size=1, time_left=3.0)
     assert gateway.table.warm_width(100.1) == 2 * widths > 0
 
 
