--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Any
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.replication import replica
 from hazelhollow.replication.codec import AccountCopy, RecentCount
 from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -148,7 +148,7 @@
         self._changed()
 
     def may_admit(self) -> bool:
-        return self._last is not None and self._last.acting
+        return self._last is not None and self._last.may_admit
 
     def unreachable_but_serving(self) -> frozenset[int]:
         """Those that cannot be heard and may go on letting in."""
@@ -257,12 +257,12 @@
             self._keeps,
         )
         before, quiet = self._last, replace(event, unused=())
-        acts = before is None or event.acting != before.acting
+        acts = before is None or event.may_admit != before.may_admit
         if before is not None and acts:
             log.warning(
                 "view: %s",
                 "takes work again"
-                if event.acting
+                if event.may_admit
                 else "shut out"
                 if shut
                 else "takes no new work until a peer has answered",
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -18,7 +18,7 @@
 from hazelhollow.control_budget.budget import ControlBudget, RoleBudget, TrafficRole
 from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.membership.authentication import MessageAuthenticator, parse_keys
 from hazelhollow.membership.driver import DriverOptions, MembershipDriver, max_text_bytes
 from hazelhollow.membership.membership import Membership, MembershipSettings
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -14,7 +14,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.replication import codec, replica, snapshot
 from hazelhollow.replication.codec import AccountCopy, Override, RecentCount
 from hazelhollow.replication.count_table import (
