--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -12,9 +12,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hazelhollow.membership import membership as views
 from hazelhollow.membership.allowance import Allowance
+from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import PRESENT_STATES, MemberState
+from hazelhollow.membership.sender import Datagram
+from hazelhollow.membership.settings import MembershipSettings
+from hazelhollow.membership.timing import PROBE_INTERVAL_S
 
 START = 1_700_000_000.0
 DELAY = (0.001, 0.02)  # seconds on the way
@@ -37,7 +40,7 @@
 @dataclass(eq=False)
 class Member:
     number: int
-    membership: views.Membership
+    membership: Membership
     up: bool = True
     paused: bool = False
     held: list[tuple[int, str]] = field(default_factory=list)  # what came while it stood still
@@ -82,8 +85,8 @@
         """A new incarnation; a wall clock that was set back gives it an earlier one."""
         incarnation = self.random.randrange(1 << 30)
         old = self.members.get(number)
-        view = views.Membership(
-            views.MembershipSettings(number, self.count, incarnation, versions=self.versions),
+        view = Membership(
+            MembershipSettings(number, self.count, incarnation, versions=self.versions),
             self.now,
             self.allowance(self.now),
             started_at=self.now - clock_back,
@@ -118,8 +121,8 @@
             return
         one.epoch = epoch = epoch + 1
         self._pass(one, one.membership.tick(self.now))
-        self._at(self.now + views.BEAT, lambda: self._beat(one, epoch))
-        self._at(self.now + one.membership.indirect_probe_delay(), lambda: self._due(one))
+        self._at(self.now + PROBE_INTERVAL_S, lambda: self._beat(one, epoch))
+        self._at(self.now + one.membership.indirect_probe_after_s, lambda: self._due(one))
 
     def _due(self, one: Member) -> None:
         if one.up and not one.paused:
@@ -127,16 +130,15 @@
 
     # The network
 
-    def _pass(self, one: Member, sends: list[views.Datagram]) -> None:
+    def _pass(self, one: Member, sends: list[Datagram]) -> None:
         for send in sends:
             self.sent += 1
             self.bytes += len(send.text)
             if self.random.random() >= self.lose and not self.cut(one.number, send.recipient):
                 when = self.now + self.random.uniform(*DELAY)
                 self._at(when, lambda n=send.recipient, t=send.text: self.deliver(one.number, n, t))  # type: ignore[misc]
-        if one.membership.changed:
-            one.membership.changed = False
-            self._watch(one)
+        if one.membership.take_changes():
+            self._watch(one, one.membership.take_changed_members())
 
     def deliver(self, source: int, target: int, text: str) -> None:
         one = self.members.get(target)
@@ -150,9 +152,8 @@
     def _take(self, one: Member, source: int, text: str) -> None:
         self._pass(one, one.membership.receive(source, text, self.now))
 
-    def _watch(self, one: Member) -> None:
-        moved, one.membership.moved = one.membership.moved, []
-        for number in moved:
+    def _watch(self, one: Member, changed_members: list[int]) -> None:
+        for number in changed_members:
             record = one.membership.table.get(number)
             if (
                 record
--- a/hazelhollow/bench/zones.py
+++ b/hazelhollow/bench/zones.py
@@ -23,9 +23,9 @@
     TrafficRole,
     settings_for,
 )
-from hazelhollow.membership import membership as views
 from hazelhollow.membership.allowance import Allowance
 from hazelhollow.membership.records import MemberState
+from hazelhollow.membership.sender import Datagram
 
 VERSIONS = "i4pz002k3f9005wa1cz0q1"  # as the audit writes them, the same at all members
 SLOT = 0.25  # seconds that are counted together
@@ -79,7 +79,7 @@
         self.ledger = Ledger(self.now)
         self.false_deaths: set[tuple[int, int]] = set()  # member held dead, and the second
 
-    def _pass(self, one: Member, sends: list[views.Datagram]) -> None:
+    def _pass(self, one: Member, sends: list[Datagram]) -> None:
         for send in sends:
             self.ledger.add(one.number, len(send.text) + HEADER_BYTES, self.now)
         super()._pass(one, sends)
@@ -88,8 +88,8 @@
         self.forget()
         self.ledger = Ledger(self.now)
 
-    def _watch(self, one: Member) -> None:
-        for number in one.membership.moved:
+    def _watch(self, one: Member, changed_members: list[int]) -> None:
+        for number in changed_members:
             record, told = one.membership.table.get(number), self.members.get(number)
             if record is None or record.state != MemberState.DEAD or told is None:
                 continue
@@ -99,7 +99,7 @@
                 and not self.cut(one.number, number)
             ):
                 self.false_deaths.add((number, round(self.now)))
-        super()._watch(one)
+        super()._watch(one, changed_members)
 
 
 def zone_of(member: int) -> int:
--- a/hazelhollow/membership/allowance.py
+++ b/hazelhollow/membership/allowance.py
@@ -1,4 +1,4 @@
-"""What the view may send, and what of it is the most useful. No I/O, no clock."""
+"""What membership may send, and which of its datagrams go first."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 from typing import Protocol
 
 
-class Use(Enum):
+class Purpose(Enum):
     """What a datagram is for, the most useful first.
 
     The value is the share of the burst that it leaves to those before it (trunk reservation), so
-    that a table in pieces never keeps an answer from going out.
+    that a table sent in pieces never keeps an answer from going out.
     """
 
-    ANSWER = 0.0  # one that is not given makes a member that is up look dead
-    PROBE = 0.25  # its own; where those take all that there is, answers still find room
-    ASK = 0.3  # others, to probe for this one
-    SUSPECT = 0.35  # a ping to one that is suspected, so that it can refute
-    DOUBT = 0.4  # a ping to one whose death others tell
-    ABSENT = 0.43  # a ping to one that is held dead, which finds out that a cut has healed
-    PIECE = 0.45  # records that another's table lacks
-    TABLE = 0.6  # what asks for those: rarer, the less is left to answer it with
-    NEWS = 0.65  # records that ride along
+    ANSWER = 0.0  # a member whose answer is missing looks dead
+    PROBE = 0.25  # own pings; when those take all that there is, answers still find room
+    PROBE_REQUEST = 0.3  # asks others to ping for this member
+    SUSPECT = 0.35  # a ping to a suspect, so that it can refute
+    CONFIRMATION = 0.4  # a ping to a member whose death others report
+    ABSENT = 0.43  # a ping to a member that is held dead: finds out that a partition has healed
+    RECORDS = 0.45  # records that another's table lacks
+    TABLE_DIGEST = 0.6  # asks for those: rarer, the less is left to answer it with
+    NEWS = 0.65  # records that ride along with other datagrams
 
 
 class Allowance(Protocol):
-    """The view's part of a budget. Bytes are of texts; headers are the allowance's matter."""
+    """Membership's part of the control budget. Bytes are of texts, without headers."""
 
     @property
     def burst(self) -> float:
-        """Bytes."""
+        """Bytes that a full bucket holds."""
 
     def available_bytes(self, now: float) -> float:
         """Bytes of text that may leave now in one datagram."""
 
     def take(self, length: int, now: float, keep: float = 0.0) -> bool:
-        """Whether a text of that length may leave now.
+        """Whether a text of that length may leave now, and spends it if so.
 
-        `keep`: share of the burst that must be left.
+        `keep`: share of the burst that must be left, 0 to 1.
         """
 
     def drop(self) -> None:
-        """A message was given up."""
+        """Counts a message that was given up."""
--- a/hazelhollow/membership/authentication.py
+++ b/hazelhollow/membership/authentication.py
@@ -1,6 +1,6 @@
 """A keyed hash at the end of a message, with keys that can be changed while the fleet runs.
 
-No I/O.
+TEXT ~0123456789abcdef      blake2b with the key, 8 bytes in hex
 """
 
 from __future__ import annotations
@@ -9,17 +9,18 @@
 from collections.abc import Sequence
 from hashlib import blake2b
 
-MARK = " ~"
-SIZE = 8  # bytes of the hash
-LENGTH = len(MARK) + 2 * SIZE
-MIN_KEY_BYTES = 16  # bytes
+SEPARATOR = " ~"
+HASH_BYTES = 8
+SUFFIX_BYTES = len(SEPARATOR) + 2 * HASH_BYTES
+MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 64  # of which the rest is left out, as blake2b takes no more
 
 
 class MessageAuthenticator:
-    """The first key seals; each of them opens.
+    """Signs with the first of its `keys` and accepts each of them. Without keys it does neither.
 
-    To change keys: the new one goes second everywhere, then first everywhere, then the old one
-    goes. No keys: nothing is sealed, and nothing is asked for.
+    To change keys without a gap: the new one goes second everywhere, then first everywhere, then
+    the old one is removed.
     """
 
     def __init__(self, keys: Sequence[bytes] = ()) -> None:
@@ -27,38 +28,34 @@
 
     @property
     def overhead_bytes(self) -> int:
-        """Bytes that it adds."""
-        return LENGTH if self.keys else 0
+        """Bytes that signing adds to a text."""
+        return SUFFIX_BYTES if self.keys else 0
 
     def sign(self, text: str) -> str:
-        return text + MARK + _hash(self.keys[0], text) if self.keys else text
+        """The text with its hash."""
+        return text + SEPARATOR + _hash(self.keys[0], text) if self.keys else text
 
-    def verify(self, text: str) -> str | None:
-        """The text without its hash; nothing if none of the keys made that."""
+    def verify(self, signed: str) -> str | None:
+        """The text without its hash; None if no key made that hash."""
         if not self.keys:
-            return text
-        plain, mark, given = (
-            text[:-LENGTH],
-            text[-LENGTH : -LENGTH + len(MARK)],
-            text[-LENGTH + len(MARK) :],
-        )
-        if mark != MARK or not given.isascii():
+            return signed
+        text, suffix = signed[:-SUFFIX_BYTES], signed[-SUFFIX_BYTES:]
+        separator, given = suffix[: len(SEPARATOR)], suffix[len(SEPARATOR) :]
+        if separator != SEPARATOR or not given.isascii():
             return None
-        return (
-            plain
-            if any([hmac.compare_digest(_hash(key, plain), given) for key in self.keys])
-            else None
-        )
+        # All keys are tried, so that the time taken does not tell which one matched.
+        matches = [hmac.compare_digest(_hash(key, text), given) for key in self.keys]
+        return text if any(matches) else None
 
 
 def _hash(key: bytes, text: str) -> str:
-    return blake2b(text.encode(), key=key[:64], digest_size=SIZE).hexdigest()
+    return blake2b(text.encode(), key=key[:MAX_KEY_BYTES], digest_size=HASH_BYTES).hexdigest()
 
 
 def parse_keys(data: bytes) -> list[bytes]:
-    """One a line; blank lines and those that begin with # say nothing.
+    """The keys of a key file: one a line; blank lines and those that begin with # hold none.
 
-    Raises ValueError for a key that is too short.
+    Raises ValueError for a key that is too short, and where there is none.
     """
     lines = [line.strip() for line in data.splitlines()]
     keys = [line for line in lines if line and not line.startswith(b"#")]
--- /dev/null
+++ b/hazelhollow/membership/change_log.py
@@ -0,0 +1,39 @@
+"""What changed in the member table since the driver last asked."""
+
+from __future__ import annotations
+
+from hazelhollow.membership.records import Record
+
+
+class ChangeLog:
+    """Changes for the driver, and since when each member has been in its state, for operators."""
+
+    def __init__(self) -> None:
+        self._has_changed = True
+        self._changed_members: list[int] = []
+        self._since: dict[int, float] = {}
+
+    def note_change(self) -> None:
+        """Something has changed that is no record: whether this member may admit work."""
+        self._has_changed = True
+
+    def record_changed(self, before: Record | None, after: Record, now: float) -> None:
+        """The member table holds `after` from now on."""
+        self._has_changed = True
+        if before is None or (before.state, before.incarnation) != (after.state, after.incarnation):
+            self._since[after.number] = now
+            self._changed_members.append(after.number)
+
+    def take(self) -> bool:
+        """Whether anything has changed since the last call."""
+        changed, self._has_changed = self._has_changed, False
+        return changed
+
+    def take_members(self) -> list[int]:
+        """Members whose state or incarnation has changed since the last call, in order."""
+        members, self._changed_members = self._changed_members, []
+        return members
+
+    def since(self, number: int, default: float) -> float:
+        """When this member first saw that one's present state, in seconds."""
+        return self._since.get(number, default)
--- a/hazelhollow/membership/codec.py
+++ b/hazelhollow/membership/codec.py
@@ -1,17 +1,31 @@
-"""The view's datagrams: values to at most 256 bytes of text and back.
-
-Translation only; knows no rule and no socket.
-
-    v1p 3.9k2jd01xa.2.1.1f.abcde 7 5.9k2jd00aa.0.2 ...
-
-Dialect and kind; the sender's number, incarnation, turn, state, the message's serial and the digest
-of the sender's table; what the kind needs; records. Numbers are base 36. A message that any part of
-is not so is none.
-
-A record may be written relative to the sender's, ` 5.+1ab.0.2=`: how much later its incarnation
-began (or `-`, earlier), and `=` behind the state where its versions are the sender's. Most of a
-fleet began within days of each other and acts on the same versions, so that a datagram holds twice
-to three times as many.
+"""Membership's datagrams: messages to at most 256 bytes of text and back. Translation only.
+
+    v1p 3.9k2jd01xa.2.1.1f.abcde/7/5k 5 9.5k2jd00aa.0.2 ...
+    |   |                       | |   | records, each: number.incarnation.record_version.state, and
+    |   |                       | |   |   where they are not empty .unreachable.versions.address
+    |   |                       | |   arguments, joined by -
+    |   |                       | digest of the sender's table
+    |   |                       serial of the datagram
+    |   the sender's record
+    dialect and kind
+
+Numbers are base 36. A text that any part of is not so is no message.
+
+| kind | letter | arguments |
+| --- | --- | --- |
+| PING | p | id of the probe |
+| ACK | a | id of the probe |
+| PING_REQUEST | q | id of the probe, target |
+| INDIRECT_PING | i | id of the probe, prober |
+| INDIRECT_ACK | j | id of the probe, prober, target |
+| BUCKET_DIGESTS | s | one digest a bucket of the member table |
+| RECORDS | t | none: carries records that the other's table lacks |
+| PRESENCE_BITMAP | b | first member, bitmap of who has joined (`first:base64`) |
+
+A record may be written relative to the sender's, ` 5.+1ab.0.2=`: by how much its incarnation is
+later (`-`: earlier), and `=` behind the state where its versions are the sender's. Most of a fleet
+began within days of each other and acts on the same versions, so that a datagram holds two to three
+times as many.
 """
 
 from __future__ import annotations
@@ -19,205 +33,229 @@
 import base64
 import binascii
 from collections.abc import Sequence
+from enum import StrEnum
 from functools import lru_cache
 from typing import NamedTuple
 
 from hazelhollow.decisions.gossip_codec import base36, number36
-from hazelhollow.membership.records import BUCKETS, SUM_RANGE, MemberState, Record, unpack_address
+from hazelhollow.membership.member_table import BUCKETS, DIGEST_SPAN
+from hazelhollow.membership.records import MemberState, Record, unpack_address
 
 DIALECT = "v1"
-MOST_BYTES = 256
-MOST_UNHEARD = 8  # members named in one record; the rest are left out
-MAX_VERSIONS_BYTES = 24  # bytes
-SAME, SIGNS = (
-    "=",
-    ("+", "-"),
-)  # of relative records: the sender's versions; before what their incarnations are apart by
-KEPT = 4096  # records whose words are known both ways: most that come have come before
-PING, ANSWER = "p", "a"
-# of a helper; by it to the target; its answer, by way of the helper
-ASK, INDIRECT, RELAYED = "q", "i", "j"
-SUMS, PIECE = "s", "t"  # of a table's buckets; records that the other's table lacks
-BITS = "b"  # who is there, as a bitmap: the first member's number and BITS_SPAN bits
-BITS_SPAN = 1008  # members in one bitmap: 168 characters
-_PARTS = {
-    PING: 1,
-    ANSWER: 1,
-    ASK: 2,
-    INDIRECT: 2,
-    RELAYED: 3,
-    SUMS: BUCKETS,
-    PIECE: 0,
-}  # numbers that a kind needs
-_MOST_LIFE = 36**12
-_MOST = 36**7
+MAX_TEXT_BYTES = 256
+MAX_UNREACHABLE = 8  # members that one record names; the rest is left out
+MAX_VERSIONS_BYTES = 24
+BITMAP_SPAN = 1008  # members in one bitmap: 168 characters
+CACHED_RECORDS = 4096  # whose texts are known both ways: most that come have come before
+_SAME_VERSIONS = "="  # in a relative record
+_SIGNS = ("+", "-")  # before the difference of incarnations in a relative record
+_INCARNATION_SPAN = 36**12  # incarnations are below it
+_NUMBER_SPAN = 36**7  # all other numbers are below it, unless they are members
+
+
+class MessageKind(StrEnum):
+    """What a message is for; the letter that stands for it."""
+
+    PING = "p"
+    ACK = "a"
+    PING_REQUEST = "q"
+    INDIRECT_PING = "i"
+    INDIRECT_ACK = "j"
+    BUCKET_DIGESTS = "s"
+    RECORDS = "t"
+    PRESENCE_BITMAP = "b"
+
+
+# Numbers that each kind takes, but for the bitmap, which has a form of its own.
+ARGUMENT_COUNTS = {
+    MessageKind.PING: 1,
+    MessageKind.ACK: 1,
+    MessageKind.PING_REQUEST: 2,
+    MessageKind.INDIRECT_PING: 2,
+    MessageKind.INDIRECT_ACK: 3,
+    MessageKind.BUCKET_DIGESTS: BUCKETS,
+    MessageKind.RECORDS: 0,
+}
+# Kinds whose arguments after the first are members.
+_NAMING_MEMBERS = (
+    MessageKind.PING_REQUEST,
+    MessageKind.INDIRECT_PING,
+    MessageKind.INDIRECT_ACK,
+)
 
 
 class Message(NamedTuple):
-    """`parts`: PING, ANSWER: the probe's number.
+    """One datagram's message; `arguments` as the kind takes them."""
 
-    ASK: that and the target. INDIRECT: that and the asker. RELAYED: that, the asker and the target.
-    SUMS: one a bucket. BITS: the first member, and the bitmap, whose lowest bit is that member's.
-    """
-
-    kind: str
+    kind: MessageKind
     sender: Record
     serial: int
     digest: int
-    parts: tuple[int, ...] = ()
+    arguments: tuple[int, ...] = ()
     records: tuple[Record, ...] = ()
 
 
-@lru_cache(KEPT)
-def record_word(record: Record) -> str:
-    """One record, with the space before it."""
-    numbers = (record.number, record.incarnation, record.record_version)
-    text = f" {'.'.join(map(base36, numbers))}.{record.state}"
-    return text + _tail(record.unreachable, record.versions, record.address)
-
-
-def _tail(unheard: Sequence[int], versions: str, address: str) -> str:
-    """The parts that most records lack; empty ones stand only before others."""
-    parts = "-".join(base36(n) for n in unheard[:MOST_UNHEARD]), versions, address
-    return "".join(f".{part}" for part in parts).rstrip(".")
-
-
-@lru_cache(KEPT)
-def relative_word(record: Record, incarnation: int, versions: str) -> str:
-    """One record, with the space before it, for a reader who knows the sender's incarnation and
-    versions.
-
-    The full word where that is not longer.
-    """
-    apart, same = record.incarnation - incarnation, bool(versions) and record.versions == versions
-    sign = "-" if apart < 0 else "+"
-    state = f"{record.state}{SAME if same else ''}"
-    numbers = f"{base36(record.number)}.{sign}{base36(abs(apart))}.{base36(record.record_version)}"
-    text = f" {numbers}.{state}"
-    text += _tail(record.unreachable, "" if same else record.versions, record.address)
-    return min(record_word(record), text, key=len)
-
-
-def write(
-    message: Message, records: Sequence[Record], most: int = MOST_BYTES, relative: bool = False
+def encode(
+    message: Message,
+    records: Sequence[Record],
+    max_bytes: int = MAX_TEXT_BYTES,
+    relative: bool = False,
 ) -> tuple[str, int]:
-    """The text with as many of the records, in their order.
+    """The text with as many of `records`, in their order, as fit, and how many that are.
 
-    As fit into so many bytes, and their number. `relative`: records are written relative to the
-    sender's.
+    `relative`: records are written relative to the sender's where that is shorter.
     """
-    own = record_word(message.sender)[1:]
-    line = f"{DIALECT}{message.kind} {own}/{base36(message.serial)}/{base36(message.digest)} "
-    line += (
-        _bits_word(*message.parts) if message.kind == BITS else "-".join(map(base36, message.parts))
-    )
-    for number, record in enumerate(records):
-        word = (
-            relative_word(record, message.sender.incarnation, message.sender.versions)
-            if relative
-            else record_word(record)
-        )
-        if len(line) + len(word) > most:
-            return line, number
-        line += word
-    return line, len(records)
+    sender = message.sender
+    own = _encode_record(sender)[1:]
+    text = f"{DIALECT}{message.kind} {own}/{base36(message.serial)}/{base36(message.digest)} "
+    if message.kind == MessageKind.PRESENCE_BITMAP:
+        text += _encode_bitmap(*message.arguments)
+    else:
+        text += "-".join(map(base36, message.arguments))
+    for count, record in enumerate(records):
+        if relative:
+            word = _encode_relative(record, sender.incarnation, sender.versions)
+        else:
+            word = _encode_record(record)
+        if len(text) + len(word) > max_bytes:
+            return text, count
+        text += word
+    return text, len(records)
 
 
-def read(text: str, members: int) -> Message | None:
+def decode(text: str, member_count: int) -> Message | None:
     """The message.
 
-    Nothing where any part of it cannot be: too long, of another dialect, garbled, out of range.
+    None where any part of it cannot be: too long, of another dialect, garbled, out of range.
     """
     try:
-        head, own, parts, *records = text.split(" ")
-        sender, serial, digest = own.split("/")
-        kind = head[len(DIALECT) :]
-        if len(text) > MOST_BYTES or not head.startswith(DIALECT) or kind not in (*_PARTS, BITS):
+        head, own, arguments, *records = text.split(" ")
+        sender_text, serial, digest = own.split("/")
+        if len(text) > MAX_TEXT_BYTES or not head.startswith(DIALECT):
             return None
-        numbers: tuple[int, ...]
-        if kind == BITS:
-            numbers = _bits(parts, members)
-        else:
-            numbers = tuple(number36(part, _MOST) for part in parts.split("-")) if parts else ()
-        if kind != BITS and len(numbers) != _PARTS[kind]:
-            return None
-        if kind in (ASK, INDIRECT, RELAYED) and any(n >= members for n in numbers[1:]):
-            return None
-        message = Message(
+        kind = MessageKind(head[len(DIALECT) :])
+        numbers = _decode_arguments(kind, arguments, member_count)
+        sender = _decode_record(sender_text, member_count)
+        return Message(
             kind,
-            _record(sender, members),
-            number36(serial, _MOST),
-            number36(digest, SUM_RANGE),
+            sender,
+            number36(serial, _NUMBER_SPAN),
+            number36(digest, DIGEST_SPAN),
             numbers,
-        )
-        return message._replace(
-            records=tuple([_told(word, members, message.sender) for word in records])
+            tuple([_decode_reported(word, member_count, sender) for word in records]),
         )
     except (ValueError, KeyError):
         return None
 
 
-def _told(word: str, members: int, sender: Record) -> Record:
-    """A record that a message tells of. Raises ValueError for what is none."""
-    if word[word.find(".") + 1 :].startswith(SIGNS):
-        return _relative_record(word, members, sender.incarnation, sender.versions)
-    return _record(word, members)
+def _decode_arguments(kind: MessageKind, text: str, member_count: int) -> tuple[int, ...]:
+    """Raises ValueError where they are not what the kind takes."""
+    if kind == MessageKind.PRESENCE_BITMAP:
+        return _decode_bitmap(text, member_count)
+    numbers = tuple(number36(part, _NUMBER_SPAN) for part in text.split("-")) if text else ()
+    if len(numbers) != ARGUMENT_COUNTS[kind]:
+        raise ValueError(f"{kind.name} takes {ARGUMENT_COUNTS[kind]} arguments, not {len(numbers)}")
+    if kind in _NAMING_MEMBERS and any(number >= member_count for number in numbers[1:]):
+        raise ValueError(f"{text} names no member of {member_count}")
+    return numbers
 
 
-@lru_cache(KEPT)
-def _relative_record(word: str, members: int, incarnation: int, versions: str) -> Record:
-    number, apart, turn, state, *rest = word.split(".")
-    same = state.endswith(SAME)
-    if same and (not versions or (len(rest) > 1 and rest[1])):
-        raise ValueError(word)  # the sender's are none, or others stand there too
-    began = incarnation + (-1 if apart[0] == "-" else 1) * number36(apart[1:], _MOST_LIFE)
-    if began < 0:
-        raise ValueError(word)
-    plain = ".".join((number, base36(began), turn, state.removesuffix(SAME), *rest))
-    record = _record(plain, members)
-    return record._replace(versions=versions) if same else record
+@lru_cache(CACHED_RECORDS)
+def _encode_record(record: Record) -> str:
+    """One record, with the space before it."""
+    numbers = (record.number, record.incarnation, record.record_version)
+    text = f" {'.'.join(map(base36, numbers))}.{record.state}"
+    return text + _encode_rest(record.unreachable, record.versions, record.address)
+
+
+@lru_cache(CACHED_RECORDS)
+def _encode_relative(record: Record, incarnation: int, versions: str) -> str:
+    """One record relative to a sender of that incarnation and versions, with a space before it.
 
+    The full form where that is not longer.
+    """
+    later = record.incarnation - incarnation
+    same_versions = bool(versions) and record.versions == versions
+    sign = "-" if later < 0 else "+"
+    numbers = f"{base36(record.number)}.{sign}{base36(abs(later))}.{base36(record.record_version)}"
+    text = f" {numbers}.{record.state}{_SAME_VERSIONS if same_versions else ''}"
+    text += _encode_rest(
+        record.unreachable, "" if same_versions else record.versions, record.address
+    )
+    return min(_encode_record(record), text, key=len)
 
-@lru_cache(KEPT)
-def _record(word: str, members: int) -> Record:
-    number, incarnation, turn, state, *rest = word.split(".")
-    unheard = tuple(number36(n, members) for n in rest[0].split("-")) if rest and rest[0] else ()
+
+def _encode_rest(unreachable: Sequence[int], versions: str, address: str) -> str:
+    """The parts that most records lack; empty ones stand only before others."""
+    named = "-".join(base36(number) for number in unreachable[:MAX_UNREACHABLE])
+    return "".join(f".{part}" for part in (named, versions, address)).rstrip(".")
+
+
+def _decode_reported(word: str, member_count: int, sender: Record) -> Record:
+    """A record, full or relative to the sender's. Raises ValueError for what is none."""
+    if word[word.find(".") + 1 :].startswith(_SIGNS):
+        return _decode_relative(word, member_count, sender.incarnation, sender.versions)
+    return _decode_record(word, member_count)
+
+
+@lru_cache(CACHED_RECORDS)
+def _decode_relative(word: str, member_count: int, incarnation: int, versions: str) -> Record:
+    number, difference, record_version, state, *rest = word.split(".")
+    same_versions = state.endswith(_SAME_VERSIONS)
+    if same_versions and (not versions or (len(rest) > 1 and rest[1])):
+        raise ValueError(f"{word}: the sender has no versions, or others stand there too")
+    later = number36(difference[1:], _INCARNATION_SPAN)
+    own_incarnation = incarnation + (-later if difference[0] == "-" else later)
+    if own_incarnation < 0:
+        raise ValueError(f"{word}: the incarnation is below 0")
+    plain_state = state.removesuffix(_SAME_VERSIONS)
+    full = ".".join((number, base36(own_incarnation), record_version, plain_state, *rest))
+    record = _decode_record(full, member_count)
+    return record._replace(versions=versions) if same_versions else record
+
+
+@lru_cache(CACHED_RECORDS)
+def _decode_record(word: str, member_count: int) -> Record:
+    number, incarnation, record_version, state, *rest = word.split(".")
+    unreachable: tuple[int, ...] = ()
+    if rest and rest[0]:
+        unreachable = tuple(number36(part, member_count) for part in rest[0].split("-"))
     versions, address = (*rest[1:], "", "")[:2]
     plain = (versions + address).isascii() and (versions + address + "0").isalnum()
     if (
         len(rest) > 3
-        or len(unheard) > MOST_UNHEARD
+        or len(unreachable) > MAX_UNREACHABLE
         or len(versions) > MAX_VERSIONS_BYTES
         or not plain
     ):
-        raise ValueError(word)
+        raise ValueError(f"{word} is no record")
     if address:
         unpack_address(address)
     return Record(
-        number36(number, members),
-        number36(incarnation, _MOST_LIFE),
-        number36(turn, _MOST),
+        number36(number, member_count),
+        number36(incarnation, _INCARNATION_SPAN),
+        number36(record_version, _NUMBER_SPAN),
         MemberState(number36(state, len(MemberState))),
-        unheard,
+        unreachable,
         versions,
         address,
     )
 
 
-def _bits_word(start: int, bits: int) -> str:
+def _encode_bitmap(start: int, bits: int) -> str:
     """The bitmap without the zeros at its end."""
     packed = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
     return f"{base36(start)}:{base64.urlsafe_b64encode(packed).decode()}"
 
 
-def _bits(text: str, members: int) -> tuple[int, int]:
-    """Raises ValueError for what is no bitmap of these members."""
+def _decode_bitmap(text: str, member_count: int) -> tuple[int, int]:
+    """The first member, and the bits. Raises ValueError for what is no bitmap of the members."""
     start, packed = text.split(":")
     try:
         bits = int.from_bytes(base64.b64decode(packed, altchars=b"-_", validate=True), "little")
     except binascii.Error as error:
-        raise ValueError(text) from error
-    first = number36(start, members)
-    if bits.bit_length() > min(BITS_SPAN, members - first):
-        raise ValueError(text)
+        raise ValueError(f"{text} is no bitmap") from error
+    first = number36(start, member_count)
+    if bits.bit_length() > min(BITMAP_SPAN, member_count - first):
+        raise ValueError(f"{text} goes beyond the {member_count} members")
     return first, bits
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -1,6 +1,8 @@
-"""The thin driver of the view.
+"""The driver of membership: reads and writes its datagrams, sets its timers, tells what changed.
 
-Its datagrams go with the gossip's, its beats on the limiter's clock.
+One driver for each limiter, made by `operator/attach.py`. Membership's datagrams share a socket
+with gossip, replication and configuration, and are known by `DATAGRAM_PREFIX`. What is known of the
+fleet goes to the decision engine as one `MembershipChanged` event whenever it changes.
 """
 
 from __future__ import annotations
@@ -15,33 +17,37 @@
 import orjson
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.membership import membership as views
+from hazelhollow.membership import counters
 from hazelhollow.membership.authentication import MessageAuthenticator
-from hazelhollow.membership.codec import DIALECT, MOST_BYTES
+from hazelhollow.membership.codec import DIALECT, MAX_TEXT_BYTES
+from hazelhollow.membership.membership import Membership
+from hazelhollow.membership.operator_report import fleet_document, history_row
 from hazelhollow.membership.partition_quota import PartitionQuota
 from hazelhollow.membership.records import unpack_address
+from hazelhollow.membership.sender import Datagram
+from hazelhollow.membership.timing import PROBE_INTERVAL_S
 from hazelhollow.net.peers import Peers
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.sparse import Sparse
 from hazelhollow.storage.append_file import AppendFile
 
-MARK = DIALECT[0]  # what a datagram of the view begins with; the gossip's begin with another letter
-# seconds of incarnation in which a twin is told at each beat; between tellings later
-YOUNG, TWIN_EVERY = 3.0, 2.0
-TALKS = 8  # members of the largest fleet whose gossip comes at every beat
-TROUBLE_EVERY = 10.0  # seconds between lines about datagrams that were dropped
+DATAGRAM_PREFIX = DIALECT[0]  # the other subsystems' datagrams begin with other letters
+YOUNG_S = 3.0  # from the start, while it is announced to the own address at each tick
+ANNOUNCE_EVERY_S = 2.0  # between announcements to the own address later
+GOSSIPS_EVERY_BEAT_MEMBERS = 8  # of the largest fleet in which gossip comes at every beat
+DROPPED_LOG_EVERY_S = 10.0  # between log lines about datagrams that were dropped
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class DriverOptions:
-    """What a driver is given beside its sockets and timers.
+    """What a driver is given beside its socket and timers.
 
     `on_change` gets what the decision engine is to know, whenever it changes. `on_superseded` is
     called once, if another process has this one's id. `history_file` gets a JSON line whenever the
     membership changes. `seeds`: addresses to ask where peers are not listed. `replicates`: whether
-    counts are replicated. `gossip_is_paced`: the gossip keeps to a byte budget, so that its silence
+    counts are replicated. `gossip_is_paced`: gossip keeps to a byte budget, so that its silence
     tells nothing.
     """
 
@@ -54,258 +60,254 @@
 
 
 class MembershipDriver:
-    """Reads and writes the datagrams of one member and sets its timers."""
+    """`peers`: the socket, whose datagrams it takes first and passes on what is not its own.
+
+    `shut_out_rule`, where it is set: given the time, whether this member is shut out for its old
+    settings. It is asked before the decision engine is told anything.
+    """
 
     def __init__(
         self,
         scheduler: Scheduler,
         peers: Peers,
-        view: views.Membership,
-        seal: MessageAuthenticator,
+        membership: Membership,
+        authenticator: MessageAuthenticator,
         options: DriverOptions,
     ) -> None:
-        self._keeps = options.replicates
-        self._scheduler, self._peers, self.membership, self._seal = scheduler, peers, view, seal
-        self._told, self._yielded = options.on_change, options.on_superseded
-        self._seeds = tuple(options.seeds)
-        self._lines = options.history_file
-        self._last: api.MembershipChanged | None = None
-        self.shut_out_rule: Callable[[float], bool] | None = (
-            None  # whether it is shut out, asked before the decision module is told
+        self._scheduler, self._peers, self._options = scheduler, peers, options
+        self.membership, self._authenticator = membership, authenticator
+        self.shut_out_rule: Callable[[float], bool] | None = None
+        small = membership.member_count <= GOSSIPS_EVERY_BEAT_MEMBERS
+        self._quota = PartitionQuota(
+            membership.limiter_id, gossips_every_beat=small and not options.gossip_is_paced
         )
-        talks = view.member_count <= TALKS and not options.gossip_is_paced
-        self._shares = PartitionQuota(view.limiter_id, view.member_count, scheduler.clock(), talks)
-        view.table.subscribe(self._shares.note)
-        self._gossip = peers.heard
-        self._ended = False
-        self._reported = 0
+        membership.table.subscribe(self._quota.record_changed)
+        self._last_event: api.MembershipChanged | None = None
+        self._pass_to_others = peers.heard
+        self._has_ended = False
+        self._dropped_logged = 0
         self._log = Sparse(log, scheduler.clock)
-        self._random = random.Random(view.own.incarnation)
+        self._random = random.Random(membership.own.incarnation)
+
+    # What the limiter calls
 
     def start(self) -> None:
-        self._peers.heard, self._peers.stranger = self.heard, self._stranger
-        self._scheduler.stood_still = self._woken
-        self._beat()
-        self._report()
-        self._tell_twin()
-
-    def heard(self, sender: int, text: str) -> None:
-        if not text.startswith(MARK):
-            self._shares.gossip_received(sender, self._scheduler.clock())
-            self._gossip(sender, text)
+        """Takes the socket's datagrams from now on and begins to probe."""
+        self._peers.heard, self._peers.stranger = self.received, self._received_from_stranger
+        self._scheduler.stood_still = self._resumed_after_stall
+        self._tick()
+        self._log_dropped()
+        self._announce_to_own_address()
+
+    def leave(self) -> None:
+        """Tells the others that this limiter goes for good."""
+        if not self._has_ended:
+            self._has_ended = True
+            self._send_all(self.membership.leave(self._scheduler.clock()))
+
+    def reevaluate(self) -> None:
+        """What `shut_out_rule` goes by may have changed."""
+        self.membership.take_changes()
+        self._report_changes()
+
+    def may_admit(self) -> bool:
+        """Whether this limiter may admit work, as the decision engine was last told."""
+        return self._last_event is not None and self._last_event.acting
+
+    def unreachable_but_serving(self) -> frozenset[int]:
+        """Members that cannot be heard and may go on admitting."""
+        return self._quota.unreachable_but_serving
+
+    def document(self) -> dict[str, Any]:
+        """Membership as operators see it."""
+        return fleet_document(self.membership, self._quota, self._scheduler.clock())
+
+    # Datagrams
+
+    def received(self, sender_id: int, text: str) -> None:
+        """A datagram from that member's address."""
+        now = self._scheduler.clock()
+        if not text.startswith(DATAGRAM_PREFIX):
+            self._quota.gossip_received(sender_id, now)
+            self._pass_to_others(sender_id, text)
             return
-        plain = self._seal.verify(text)
+        plain = self._authenticator.verify(text)
         if plain is None:
-            self.membership.counts["unsealed"] += 1
+            self.membership.counts[counters.UNAUTHENTICATED] += 1
             return
-        self._pass_on(self.membership.receive(sender, plain, self._scheduler.clock()))
+        self._send_all(self.membership.receive(sender_id, plain, now))
 
-    def _stranger(self, text: str, source: tuple[str, int]) -> bool:
-        """From an address that is no peer's.
+    def _received_from_stranger(self, text: str, source: tuple[str, int]) -> bool:
+        """A datagram from an address that is no known peer's. Whether it was for this driver.
 
-        A process that has this one's number and address (of what peers send here each gets a part,
-        by chance), or, where members are found by seeds, one that is not known yet.
+        It may come from another process with this one's id and address, between which the kernel
+        divides what peers send here; or, where members are found by seeds, from one that is not
+        known yet.
         """
-        plain = self._seal.verify(text) if text.startswith(MARK) else None
+        is_own = text.startswith(DATAGRAM_PREFIX)
+        plain = self._authenticator.verify(text) if is_own else None
         if plain is None:
             return False
         if source[0] == self._peers.address[0] and self.membership.detect_duplicate(plain):
-            self._pass_on([])
+            self._send_all([])
             return True
-        number = self.membership.identify_sender(plain, source) if self._seeds else None
-        if number is None:
+        sender_id = None
+        if self._options.seeds:
+            sender_id = self.membership.identify_sender(plain, source)
+        if sender_id is None:
             return False
-        self._peers.learn(number, source)
-        self._pass_on(self.membership.receive(number, plain, self._scheduler.clock()))
+        self._peers.learn(sender_id, source)
+        self._send_all(self.membership.receive(sender_id, plain, self._scheduler.clock()))
         return True
 
-    def _tell_twin(self) -> None:
-        """Datagrams to the own address go to one of the processes that listen there, by the port
-        that they come from: so each comes from another.
+    def _send_all(self, datagrams: list[Datagram]) -> None:
+        for datagram in datagrams:
+            self._send(datagram)
+        if self.membership.take_changes():
+            self._report_changes()
+
+    def _send(self, datagram: Datagram) -> None:
+        text = self._authenticator.sign(datagram.text)
+        if not self._options.seeds or self._peers.knows(datagram.recipient):
+            self._peers.tell(datagram.recipient, text)
+        else:  # whichever seed gets it answers with the members that it knows
+            self._peers.send(self._random.choice(self._options.seeds), text)
+
+    def _announce_to_own_address(self) -> None:
+        """Lets another process with this one's id and address know of this one.
+
+        The kernel picks the process that gets a datagram by the port that it comes from, so each
+        announcement comes from another port.
         """
-        if self._ended:
+        if self._has_ended:
             return
-        young = self._scheduler.clock() - self.membership.began < YOUNG
-        self._scheduler.at(
-            self._scheduler.clock() + (views.BEAT if young else TWIN_EVERY), self._tell_twin
-        )
-        word = self.membership.own_announcement()
-        if self.membership.allowance and not self.membership.allowance.take(
-            len(word), self._scheduler.clock()
-        ):
+        membership, now = self.membership, self._scheduler.clock()
+        is_young = now - membership.began < YOUNG_S
+        next_in_s = PROBE_INTERVAL_S if is_young else ANNOUNCE_EVERY_S
+        self._scheduler.at(now + next_in_s, self._announce_to_own_address)
+        text = membership.own_announcement()
+        if membership.allowance and not membership.allowance.take(len(text), now):
             return  # at the next time
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 sock.setblocking(False)
                 sock.bind((self._peers.address[0], 0))
-                sock.sendto(self._seal.sign(word).encode(), self._peers.address)
+                sock.sendto(self._authenticator.sign(text).encode(), self._peers.address)
         except OSError as error:
-            self._log.warning("view: cannot send to the own address: %s", error)
-
-    def reevaluate(self) -> None:
-        """What the rule goes by may have changed."""
-        self.membership.changed = False
-        self._changed()
-
-    def may_admit(self) -> bool:
-        return self._last is not None and self._last.acting
+            self._log.warning("membership: cannot send to the own address: %s", error)
 
-    def unreachable_but_serving(self) -> frozenset[int]:
-        """Those that cannot be heard and may go on letting in."""
-        return self._shares.lost
-
-    def leave(self) -> None:
-        if not self._ended:
-            self._ended = True
-            self._pass_on(self.membership.leave(self._scheduler.clock()))
+    # Timers
 
-    def _beat(self) -> None:
-        if self._ended:
+    def _tick(self) -> None:
+        if self._has_ended:
             return
         now = self._scheduler.clock()
-        self._scheduler.at(now + views.BEAT, self._beat)
-        self._pass_on(self.membership.tick(now))
-        self._tell()
-        self._scheduler.at(now + self.membership.indirect_probe_delay(), self._due)
-
-    def _woken(self) -> None:
-        """Before anything is read that came while the process stood still.
-
-        What is taken by what it knew then, or answered to those who hold it dead, would be a
-        member's act.
+        self._scheduler.at(now + PROBE_INTERVAL_S, self._tick)
+        self._send_all(self.membership.tick(now))
+        self._tell_engine()
+        after_s = self.membership.indirect_probe_after_s
+        self._scheduler.at(now + after_s, self._request_indirect_probes)
+
+    def _request_indirect_probes(self) -> None:
+        if not self._has_ended:
+            now = self._scheduler.clock()
+            self._send_all(self.membership.request_indirect_probes(now))
+            self._tell_engine()
+
+    def _resumed_after_stall(self) -> None:
+        """Called before anything is read that came while the process stood still.
+
+        To admit work by what it knew before, or to answer those who hold it dead, would be an act
+        of a member that it may no longer be.
         """
-        if (
-            not self._ended
-            and self._scheduler.clock() - self.membership.last_beat > views.BEAT + views.STALL
-        ):
-            self._pass_on(self.membership.tick(self._scheduler.clock()))
-
-    def _due(self) -> None:
-        if not self._ended:
-            self._pass_on(self.membership.request_indirect_probes(self._scheduler.clock()))
-            self._tell()
-
-    def _report(self) -> None:
-        """Datagrams that were dropped, said within a bound."""
-        if self._ended:
+        now = self._scheduler.clock()
+        if not self._has_ended and self.membership.is_stalled(now):
+            self._send_all(self.membership.tick(now))
+
+    def _log_dropped(self) -> None:
+        """One line at most in `DROPPED_LOG_EVERY_S`, where more datagrams were dropped."""
+        if self._has_ended:
             return
-        self._scheduler.at(self._scheduler.clock() + TROUBLE_EVERY, self._report)
-        counts = {
-            k: self.membership.counts[k]
-            for k in ("garbled", "forged", "replayed", "unsealed", "earlier_life")
-            if self.membership.counts[k]
-        }
-        if sum(counts.values()) > self._reported:
-            self._reported = sum(counts.values())
-            log.warning("view: datagrams dropped so far: %s", counts)
-
-    def _pass_on(self, sends: list[views.Datagram]) -> None:
-        for send in sends:
-            self._send(send)
-        if self.membership.changed:
-            self.membership.changed = False
-            self._changed()
-
-    def _send(self, send: views.Datagram) -> None:
-        text = self._seal.sign(send.text)
-        if not self._seeds or self._peers.knows(send.recipient):
-            self._peers.tell(send.recipient, text)
-        else:  # whoever gets it answers, with what it knows
-            self._peers.send(self._random.choice(self._seeds), text)
-
-    def _learn_addresses(self, moved: list[int]) -> None:
-        for number in moved:
+        self._scheduler.at(self._scheduler.clock() + DROPPED_LOG_EVERY_S, self._log_dropped)
+        counts = self.membership.counts
+        dropped = {name: counts[name] for name in counters.DROPPED if counts[name]}
+        if sum(dropped.values()) > self._dropped_logged:
+            self._dropped_logged = sum(dropped.values())
+            log.warning("membership: datagrams dropped so far: %s", dropped)
+
+    # What changed
+
+    def _report_changes(self) -> None:
+        """To the decision engine, the log, the history file, and the socket's addresses."""
+        membership = self.membership
+        admission_changed = self._tell_engine()
+        changed_members = membership.take_changed_members()
+        if self._options.seeds:
+            self._learn_addresses(changed_members)
+        if changed_members or admission_changed:
+            states = membership.member_states()
+            for number in dict.fromkeys(changed_members):
+                state, _ = states[number]
+                self._log.say(logging.INFO, "membership: member %d is %s", number, state)
+            self._write_history()
+        if membership.superseded and not self._has_ended:
+            self._has_ended = True
+            log.error(
+                "membership: another process has number %d and began later; this one leaves",
+                membership.limiter_id,
+            )
+            self._options.on_superseded()
+
+    def _learn_addresses(self, numbers: list[int]) -> None:
+        for number in numbers:
             record = self.membership.table.get(number)
             if record and record.address and number != self.membership.limiter_id:
                 self._peers.learn(number, unpack_address(record.address))
 
-    def _changed(self) -> None:
-        view = self.membership
-        acts = self._tell()
-        moved, view.moved = view.moved, []
-        if self._seeds:
-            self._learn_addresses(moved)
-        if moved or acts:
-            shown = view.member_states()
-            for number in dict.fromkeys(moved):
-                self._log.say(logging.INFO, "view: member %d is %s", number, shown[number][0])
-            self._write(shown)
-        if view.superseded and not self._ended:
-            self._ended = True
-            log.error(
-                "view: another process has number %d and began later; this one leaves",
-                view.limiter_id,
-            )
-            self._yielded()
-
-    def _tell(self) -> bool:
-        """The decision module, of what is new to it.
+    def _tell_engine(self) -> bool:
+        """Tells the decision engine what is new to it.
 
-        Whether this one has begun or ceased to act.
+        Whether this limiter may admit work from now on, or no longer may.
         """
-        view, now = self.membership, self._scheduler.clock()
-        shut = self.shut_out_rule(now) if self.shut_out_rule else False
-        view.set_shut_out(shut)
-        unused = self._shares.update(now)
+        membership, now = self.membership, self._scheduler.clock()
+        is_shut_out = self.shut_out_rule(now) if self.shut_out_rule else False
+        membership.set_shut_out(is_shut_out)
+        unused = self._quota.update(now)
         event = api.MembershipChanged(
-            view.may_admit and not shut,
-            view.present(),
-            tuple(view.unreachable()),
-            view.cannot_hear_us(),
-            tuple(sorted(self._shares.lost)),
+            membership.may_admit and not is_shut_out,
+            membership.present(),
+            tuple(membership.unreachable()),
+            membership.cannot_hear_us(),
+            tuple(sorted(self._quota.unreachable_but_serving)),
             tuple(unused),
-            self._keeps,
+            self._options.replicates,
         )
-        before, quiet = self._last, replace(event, unused=())
-        acts = before is None or event.acting != before.acting
-        if before is not None and acts:
-            log.warning(
-                "view: %s",
-                "takes work again"
-                if event.acting
-                else "shut out"
-                if shut
-                else "takes no new work until a peer has answered",
-            )
-        if quiet != before or event.unused:
-            self._last = quiet
-            self._told(event)
-        return acts
-
-    def document(self) -> dict[str, Any]:
-        """The view as operators see it.
-
-        State, incarnation, seconds in that state and whom it cannot hear, by number; and whose part
-        of the quotas is left to them because they cannot be heard.
-        """
-        now, view, members = self._scheduler.clock(), self.membership, {}
-        for record in sorted(view.table):
-            members[str(record.number)] = {
-                "state": record.state.label,
-                "life": record.incarnation,
-                "for_s": round(now - view.since.get(record.number, now), 1),
-                "unheard": list(record.unreachable),
-            }
-        return {
-            "me": view.limiter_id,
-            "acting": view.may_admit,
-            "members": members,
-            "out_of_reach": sorted(self._shares.lost),
-            "counts": dict(view.counts),
-        }
-
-    def _write(self, shown: dict[int, tuple[str, int]]) -> None:
-        if self._lines:
-            members = {str(number): entry for number, entry in shown.items()}
-            row = {
-                "t": self._scheduler.clock(),
-                "me": self.membership.limiter_id,
-                "acting": self.membership.may_admit,
-                "members": members,
-            }
-            self._lines.append(orjson.dumps(row) + b"\n")
-
-
-def max_text_bytes(seal: MessageAuthenticator) -> int:
-    """Bytes that a text of the view may have, so that it fits into a datagram with its hash."""
-    return MOST_BYTES - seal.overhead_bytes
+        last = self._last_event
+        admission_changed = last is None or event.acting != last.acting
+        if last is not None and admission_changed:
+            self._log_admission(event.acting, is_shut_out)
+        # What is unused is given back once and is no part of what the engine knows.
+        known = replace(event, unused=())
+        if known != last or event.unused:
+            self._last_event = known
+            self._options.on_change(event)
+        return admission_changed
+
+    def _log_admission(self, may_admit: bool, is_shut_out: bool) -> None:
+        if may_admit:
+            text = "takes work again"
+        elif is_shut_out:
+            text = "shut out"
+        else:
+            text = "takes no new work until a peer has answered"
+        log.warning("membership: %s", text)
+
+    def _write_history(self) -> None:
+        if self._options.history_file:
+            row = history_row(self.membership, self._scheduler.clock())
+            self._options.history_file.append(orjson.dumps(row) + b"\n")
+
+
+def max_text_bytes(authenticator: MessageAuthenticator) -> int:
+    """Bytes that a text may have so that it fits into a datagram together with its hash."""
+    return MAX_TEXT_BYTES - authenticator.overhead_bytes
--- a/hazelhollow/membership/partition_quota.py
+++ b/hazelhollow/membership/partition_quota.py
@@ -1,10 +1,18 @@
-"""Whose part of the quotas is out of reach: members that cannot be heard and may go on letting in.
+"""Whose part of the quotas is left to them: members that cannot be heard and may go on admitting.
 
-No I/O, no clock.
+While a link is down neither side hears what the other admits. So each side leaves the other its
+even part of each quota. `docs/design/replication.md` has the rule and its bound.
 
-While a link is down neither side hears what the other lets in. So each side leaves the other its
-even part. `docs/design/ replication.md` has the rule and its bound. What is kept changes with the
-records that change: a look goes through those, the lost ones and, in a small fleet, through all.
+| a peer | its part |
+| --- | --- |
+| can be heard | shared with all |
+| suspect, dead, or silent where gossip comes at every beat | left to it |
+| the same for `TAKE_OVER_AFTER_S`, seen from the larger side | taken over by that side |
+| back in the same incarnation | shared again: it may have used its part |
+| back in another one, its part not taken over | shared again, and what nobody used is given back |
+| left | shared: it said that it goes |
+
+Only members whose record has changed are looked at, and in a small fleet all.
 """
 
 from __future__ import annotations
@@ -13,114 +21,118 @@
 
 from hazelhollow.membership.records import MemberState, Record
 
-SILENCE_S = (
-    0.35  # seconds without gossip after which one that is told at every beat cannot be heard
-)
-# seconds after which the larger side takes over what the smaller does not say that it uses
+SILENCE_S = 0.35  # without gossip, until a peer that gossips at every beat cannot be heard
+# Until the larger side takes over what the smaller does not say that it uses.
 TAKE_OVER_AFTER_S = 10.0
 
 
 @dataclass
 class Peer:
-    """`known_incarnation`.
+    """What is known of one peer. Times are in Unix seconds.
 
-    The incarnation that the view knows; `incarnation`: the one it was last known to let in with;
-    `gone`: whether the view holds it suspect or dead; `lost`: since when its part is out of reach,
-    0 where it is not; `taken`: over, by the larger side.
+    `last_heard`: by gossip or by its record. `known_incarnation`: as the member table has it.
+    `admitting_incarnation`: the one in which it was last known to admit. `is_gone`: suspect or
+    dead. `unreachable_since`: 0 where its part is shared. `is_taken_over`: by the larger side.
     """
 
-    heard: float  # when it was last heard by gossip or by the view
+    last_heard: float
     known_incarnation: int
-    incarnation: int
-    gone: bool
-    lost: float = 0.0
-    taken: bool = False
+    admitting_incarnation: int
+    is_gone: bool
+    unreachable_since: float = 0.0
+    is_taken_over: bool = False
 
 
 class PartitionQuota:
-    """`members`: how many the fleet has.
+    """The rule for one member.
 
-    `talks`: gossip comes at every beat, so that silence tells at once.
+    `gossips_every_beat`: gossip comes at every beat, so that silence tells at once.
     """
 
-    def __init__(self, me: int, members: int, now: float, talks: bool) -> None:
-        self.me, self.members, self.talks, self.began = me, members, talks, now
+    def __init__(self, limiter_id: int, gossips_every_beat: bool) -> None:
+        self._limiter_id, self._gossips_every_beat = limiter_id, gossips_every_beat
         self.peers: dict[int, Peer] = {}
-        self.lost: frozenset[int] = frozenset()
-        self._changed = dict[int, Record]()  # since the last look
-        self._out_of_reach = set[int]()  # peers whose part is, taken over or not
+        self.unreachable_but_serving: frozenset[int] = frozenset()  # whose part is left to them
+        self._changed = dict[int, Record]()  # since the last update
+        self._unreachable = set[int]()  # peers that cannot be heard, taken over or not
 
-    def note(self, record: Record) -> None:
-        """That record of a member is new."""
-        if record.number != self.me:
+    def record_changed(self, record: Record) -> None:
+        """The member table holds this record from now on."""
+        if record.number != self._limiter_id:
             self._changed[record.number] = record
 
     def gossip_received(self, number: int, now: float) -> None:
-        """A word of a peer has come."""
+        """A datagram of gossip has come from that peer."""
         peer = self.peers.get(number)
         if peer is not None:
-            peer.heard = now
+            peer.last_heard = now
 
     def update(self, now: float) -> list[tuple[int, float]]:
-        """To be called at each beat of the view and when it changes.
+        """To be called in each protocol period and when the membership changes.
 
-        Gives seconds of a member's part that nobody used: it came back in another incarnation,
-        before its part was taken over.
+        Returns members with seconds of their part that nobody used: they came back in another
+        incarnation, before their part was taken over.
         """
         changed, self._changed = self._changed, {}
         for record in changed.values():
-            self._take(record, now)
+            self._note(record, now)
         unused = list[tuple[int, float]]()
-        for number in list(self.peers) if self.talks else changed:
+        for number in list(self.peers) if self._gossips_every_beat else changed:
             peer = self.peers.get(number)
             if peer is not None:
                 unused += self._judge(number, peer, now)
-        taken = self._take_over(now)
-        if changed or taken or self.talks:
-            self.lost = frozenset(n for n in self._out_of_reach if not self.peers[n].taken)
+        taken_over = self._take_over(now)
+        if changed or taken_over or self._gossips_every_beat:
+            self.unreachable_but_serving = frozenset(
+                number for number in self._unreachable if not self.peers[number].is_taken_over
+            )
         return unused
 
-    def _take(self, record: Record, now: float) -> None:
-        number, gone = record.number, record.state in (MemberState.SUSPECT, MemberState.DEAD)
-        if record.state == MemberState.LEFT:  # it said that it goes: nothing is kept for it
+    def _note(self, record: Record, now: float) -> None:
+        """What a changed record says of its member."""
+        number, incarnation = record.number, record.incarnation
+        if record.state == MemberState.LEFT:
             self.peers.pop(number, None)
-            self._out_of_reach.discard(number)
+            self._unreachable.discard(number)
             return
+        is_gone = record.state in (MemberState.SUSPECT, MemberState.DEAD)
         peer = self.peers.get(number)
         if peer is not None:
-            peer.known_incarnation, peer.gone = record.incarnation, gone
-        elif record.incarnation:  # else nobody has ever seen it
-            self.peers[number] = Peer(now, record.incarnation, record.incarnation, gone)
+            peer.known_incarnation, peer.is_gone = incarnation, is_gone
+        elif incarnation:  # else nobody has ever seen it
+            self.peers[number] = Peer(now, incarnation, incarnation, is_gone)
 
     def _judge(self, number: int, peer: Peer, now: float) -> list[tuple[int, float]]:
-        """Whether its part is out of reach from now on, or within it again.
+        """Whether its part is left to it from now on, or shared again.
 
-        The seconds of it that nobody used.
+        Returns it with the seconds of its part that nobody used, if there are any.
         """
+        is_silent = self._gossips_every_beat and now - peer.last_heard > SILENCE_S
+        if peer.is_gone or is_silent:
+            if not peer.unreachable_since:
+                peer.unreachable_since = now
+                self._unreachable.add(number)
+            return []
         unused = list[tuple[int, float]]()
-        if peer.gone or (self.talks and now - peer.heard > SILENCE_S):
-            if not peer.lost:
-                peer.lost = now
-                self._out_of_reach.add(number)
-            return unused
-        if peer.lost:
-            if peer.known_incarnation != peer.incarnation and not peer.taken:
-                unused.append((number, now - peer.lost))  # it died, and a dead one lets nothing in
-            peer.lost, peer.taken = 0.0, False
-            self._out_of_reach.discard(number)
-        peer.incarnation = peer.known_incarnation
+        if peer.unreachable_since:
+            has_restarted = peer.known_incarnation != peer.admitting_incarnation
+            if has_restarted and not peer.is_taken_over:  # it was dead, and admitted nothing
+                unused.append((number, now - peer.unreachable_since))
+            peer.unreachable_since, peer.is_taken_over = 0.0, False
+            self._unreachable.discard(number)
+        peer.admitting_incarnation = peer.known_incarnation
         return unused
 
     def _take_over(self, now: float) -> bool:
-        """The larger side alone: both would take what the other uses.
+        """Takes parts over, on the larger side only. Whether it took any.
 
-        The smaller keeps to its own part. Whether anything was.
+        Else both sides would take what the other uses.
         """
-        everybody, taken = len(self.peers) + 1, False
-        if 2 * (everybody - len(self._out_of_reach)) <= everybody:
+        everybody, has_taken = len(self.peers) + 1, False
+        if 2 * (everybody - len(self._unreachable)) <= everybody:
             return False
-        for number in self._out_of_reach:
+        for number in self._unreachable:
             peer = self.peers[number]
-            if not peer.taken and now - peer.lost >= TAKE_OVER_AFTER_S:
-                peer.taken = taken = True
-        return taken
+            if not peer.is_taken_over and now - peer.unreachable_since >= TAKE_OVER_AFTER_S:
+                peer.is_taken_over = has_taken = True
+        return has_taken
--- a/hazelhollow/membership/records.py
+++ b/hazelhollow/membership/records.py
@@ -1,19 +1,29 @@
-"""What is known of each member, and the one rule by which two records of one member become one.
-
-No I/O, no clock.
+"""What is known of a member, and the rule by which two records of one member become one.
+
+| state | meaning | becomes |
+| --- | --- | --- |
+| joining | started; no peer has answered yet | alive: one answered, or none did in time; suspect |
+| alive | answers probes and may admit work | suspect; shut out; left |
+| shut out | alive, but admits nothing new: its settings are too old | alive; suspect; left |
+| suspect | a probe of it failed | as before: it refuted; dead: it did not in time; left |
+| dead | did not refute, or was never heard of | as before: it refuted; joining: it started again |
+| left | said that it goes for good | joining: it started again |
+
+Only a member itself raises its record version and its incarnation. It refutes a suspicion or a
+death by a record of a higher version; a restart begins a higher incarnation. `timing.py` says when
+others hold it suspect or dead.
 """
 
 from __future__ import annotations
 
 import socket
-from collections.abc import Callable, Iterator, Sequence
 from enum import IntEnum
 from hashlib import blake2b
 from typing import NamedTuple
 
 
 class MemberState(IntEnum):
-    """What a member is held to be. Of two records of one version the greater state holds."""
+    """State of a member. Of two records of one version the one with the greater state holds."""
 
     JOINING = 0
     ALIVE = 1
@@ -22,12 +32,9 @@
     DEAD = 4
     LEFT = 5
 
-    def __hash__(self) -> int:
-        return self.value
-
     @property
     def label(self) -> str:
-        """As operators read it: `shut out`."""
+        """As operators read it, such as `shut out`."""
         return self.name.lower().replace("_", " ")
 
 
@@ -38,17 +45,15 @@
     MemberState.SHUT_OUT,
     MemberState.SUSPECT,
 )
-BUCKETS = 32
-SUM_RANGE = 36**5  # of a digest as it is sent
 
 
 class Record(NamedTuple):
-    """`incarnation`.
+    """What a member says of itself, or others of it. The order of the fields is the merge rule's.
 
-    When it began, and a random part; `turn` within the incarnation, which the member alone raises;
-    `unheard`: members that it cannot hear though others can; `versions`: of what it acts on;
-    `address`: twelve hex digits, where the configuration does not say it. The order of the fields
-    is the rule's.
+    `number`: the member's id. `incarnation`: its run (`incarnation.py`). `record_version`: grows
+    within the incarnation. `unreachable`: members that it cannot hear though others can.
+    `versions`: of the settings that it acts on, as `configuration/versions.py` writes them.
+    `address`: twelve hex digits, empty where the configuration lists it.
     """
 
     number: int
@@ -59,105 +64,32 @@
     versions: str = ""
     address: str = ""
 
+    def as_dead(self) -> Record:
+        """The same member held dead, without what matters of one that is there only."""
+        return self._replace(state=MemberState.DEAD, unreachable=(), versions="")
 
-def merge(one: Record, other: Record) -> Record:
-    """Of two records of a member the greater by incarnation, turn and state.
 
-    In any order, however often, the same.
+def merge(first: Record, second: Record) -> Record:
+    """The greater by incarnation, record version and state.
+
+    Associative, commutative and idempotent: order, duplication and loss of records cannot matter.
     """
-    return max(one, other)
+    return max(first, second)
 
 
 def pack_address(host: str, port: int) -> str:
+    """An IPv4 address and port as twelve hex digits."""
     return socket.inet_aton(host).hex() + f"{port:04x}"
 
 
 def unpack_address(text: str) -> tuple[str, int]:
-    """Raises ValueError for what is none."""
+    """Host and port. Raises ValueError for what is no packed address."""
     if len(text) != 12:
-        raise ValueError(text)
+        raise ValueError(f"an address has 12 hex digits, not {text!r}")
     return socket.inet_ntoa(bytes.fromhex(text[:8])), int(text[8:], 16)
 
 
 def fingerprint(record: Record) -> int:
+    """64 bits that differ for records that differ in what the merge rule compares first."""
     text = f"{record.number}.{record.incarnation}.{record.record_version}.{record.state}"
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
-
-
-class MemberTable:
-    """The records, with sums by which two tables show that they are the same.
-
-    Or in which buckets they are not.
-    """
-
-    def __init__(self) -> None:
-        self._records: dict[int, Record] = {}
-        self._sums = [0] * BUCKETS
-        self._watchers: list[Callable[[Record], None]] = []
-        self.present_count = 0
-
-    def __iter__(self) -> Iterator[Record]:
-        return iter(self._records.values())
-
-    def __len__(self) -> int:
-        return len(self._records)
-
-    def get(self, number: int) -> Record | None:
-        return self._records.get(number)
-
-    def subscribe(self, watcher: Callable[[Record], None]) -> None:
-        """Calls it with each record that there is, and from now on with each that changes."""
-        for record in self._records.values():
-            watcher(record)
-        self._watchers.append(watcher)
-
-    def put(self, record: Record) -> bool:
-        """Whether it changed anything."""
-        old = self._records.get(record.number)
-        new = record if old is None else merge(old, record)
-        if new is old or new == old:
-            return False
-        bucket = record.number % BUCKETS
-        if old is not None:
-            self._sums[bucket] ^= fingerprint(old)
-        self._sums[bucket] ^= fingerprint(new)
-        self._records[record.number] = new
-        self.present_count += (new.state in PRESENT_STATES) - (
-            old is not None and old.state in PRESENT_STATES
-        )
-        for watcher in self._watchers:
-            watcher(new)
-        return True
-
-    def digest(self) -> int:
-        return sum(self._sums) % SUM_RANGE
-
-    def bucket_digests(self) -> list[int]:
-        """A number below 36**3 a bucket."""
-        return [one % 36**3 for one in self._sums]
-
-    def in_buckets(self, buckets: Sequence[int]) -> list[Record]:
-        """BucketSettings by bucket, in the order in which they are given."""
-        found: dict[int, list[Record]] = {bucket: [] for bucket in buckets}
-        for record in self._records.values():
-            if record.number % BUCKETS in found:
-                found[record.number % BUCKETS].append(record)
-        return [record for records in found.values() for record in records]
-
-    def joined_bitmap(self, start: int, span: int) -> int:
-        """A bitmap of the members from `start` on.
-
-        1 for each that has joined and is not suspected.
-        """
-        bits = 0
-        for place in range(span):
-            record = self._records.get(start + place)
-            if record is not None and record.state in (MemberState.ALIVE, MemberState.SHUT_OUT):
-                bits |= 1 << place
-        return bits
-
-    def present(self) -> list[int]:
-        """Members that may answer."""
-        return [
-            record.number for record in self._records.values() if record.state in PRESENT_STATES
-        ]
--- a/hazelhollow/membership/replay_window.py
+++ b/hazelhollow/membership/replay_window.py
@@ -1,21 +1,29 @@
-"""What has come from one sender: against replay and doubling. No I/O, no clock."""
+"""Which datagrams of a sender were received before, or come from a run of it that is over."""
 
 from __future__ import annotations
 
+from enum import Enum, auto
+
+from hazelhollow.membership.records import Record
+
 WINDOW = 64  # serials behind the newest that may still come
+HINT_INTERVAL_S = 0.5  # between datagrams that tell one sender of a later process with its id
 
 
 class ReplayWindow:
-    """The serials that have come from one incarnation of a sender."""
+    """The serials that were received of one incarnation of a sender."""
 
-    __slots__ = ("incarnation", "highest", "mask", "hinted")
+    __slots__ = ("incarnation", "highest", "mask", "hinted_at")
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation, self.highest, self.mask = incarnation, -1, 0
-        self.hinted = -1e9  # when the sender was last told that another has its number
+        self.hinted_at = -1e9  # when the sender was last told that another has its id, in seconds
 
-    def fresh(self, serial: int) -> bool:
-        """Whether this serial has not come before; far behind the newest counts as if it had."""
+    def is_fresh(self, serial: int) -> bool:
+        """Whether this serial was not received before; from now on it was.
+
+        One that lies `WINDOW` or more behind the newest counts as received.
+        """
         if serial > self.highest:
             self.mask = ((self.mask << min(serial - self.highest, WINDOW)) | 1) & (
                 (1 << WINDOW) - 1
@@ -27,3 +35,42 @@
             return False
         self.mask |= 1 << behind
         return True
+
+
+class Freshness(Enum):
+    """Whether a datagram may be read."""
+
+    FRESH = auto()
+    REPLAYED = auto()
+    EARLIER_INCARNATION = auto()
+
+
+class ReplayGuard:
+    """The windows of all senders."""
+
+    def __init__(self) -> None:
+        self._windows: dict[int, ReplayWindow] = {}
+
+    def check(self, sender: Record, serial: int, known: Record | None) -> Freshness:
+        """`known`: what the member table holds of the sender."""
+        window = self._windows.get(sender.number)
+        newest = max(window.incarnation if window else 0, known.incarnation if known else 0)
+        if sender.incarnation < newest:
+            if window is None:
+                self._windows[sender.number] = ReplayWindow(newest)
+            return Freshness.EARLIER_INCARNATION
+        if window is None or window.incarnation != sender.incarnation:
+            window = self._windows[sender.number] = ReplayWindow(sender.incarnation)
+        return Freshness.FRESH if window.is_fresh(serial) else Freshness.REPLAYED
+
+    def take_hint(self, sender_id: int, now: float) -> bool:
+        """Whether a sender of an earlier incarnation is to be told of the later one now.
+
+        Its datagrams are dropped, so it would not learn otherwise that another has its id. Once
+        `HINT_INTERVAL_S` at most.
+        """
+        window = self._windows[sender_id]
+        if now - window.hinted_at < HINT_INTERVAL_S:
+            return False
+        window.hinted_at = now
+        return True
--- a/hazelhollow/membership/suspicion.py
+++ b/hazelhollow/membership/suspicion.py
@@ -1,202 +1,130 @@
-"""Members whose death is not certain yet.
-
-Suspicions of this member's own, and deaths that others tell. No I/O, no clock.
-
-Each is asked whether it is there before it is held dead. With many at once the asking is spread
-over the beats, and those that wait are not held dead for want of a turn; but once several in a row
-that were asked have said nothing, the rest need no asking of their own: a whole zone is gone. One
-that answers ends that.
+"""Members that this one holds suspect, until they refute it or their time is over.
+
+| event | effect on a suspicion |
+| --- | --- |
+| a probe fails, or another reports the suspicion | begins; `SUSPICION_TIMEOUT_S` to refute |
+| the suspect refutes, leaves or is known dead | ends |
+| a datagram of the suspect comes that does not refute | its time begins again, unpinged |
+| its time is over and it was pinged meanwhile | the suspect is dead |
+| its time is over and it was not pinged | waits for its ping |
+
+Each suspect is pinged so that it can refute before it is held dead. With many at once the pings are
+spread over the periods, and none is held dead for want of a ping. Once `MASS_FAILURE_SAMPLE` in a
+row were pinged and said nothing, a whole zone is gone: the rest need no pings of their own. Any
+suspect that answers ends that.
 """
 
 from __future__ import annotations
 
-import random
+import math
 from dataclasses import dataclass
 
-from hazelhollow.membership.records import Record
+from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record
+from hazelhollow.membership.timing import MASS_FAILURE_SAMPLE
 
-ASKED = 2  # times that a member is asked about its death that others tell
-# asked in a row that said nothing, after which the others are held for dead without being asked
-SAMPLE = 8
+MAX_PINGS_PER_PERIOD = 4  # to suspects, by one member
+FLEET_PINGS_PER_PERIOD = 8  # to one suspect, by all members together
 
 
 @dataclass
 class Suspicion:
-    """`until`.
+    """`since` and `until`: when it began, and when it ends in death if it was not refuted.
 
-    When it ends in death, if the suspect was asked by then; `asked`: how often it was.
+    `pings`: how often the suspect was told of it, by pings or along with other datagrams.
     """
 
     record: Record
     since: float
     until: float
-    asked: int = 0
+    pings: int = 0
 
 
-class Suspicions:
-    """This member's own, and those that others told in time."""
+class SuspicionTable:
+    """The suspicions that this member holds, its own and those that others reported."""
 
     def __init__(self) -> None:
         self._suspicions: dict[int, Suspicion] = {}
-        self._silent = 0  # in a row
+        self._silent_in_a_row = 0  # suspects that were pinged and whose time ended in death
 
     def __len__(self) -> int:
         return len(self._suspicions)
 
     def record(self, number: int) -> Record | None:
-        one = self._suspicions.get(number)
-        return one.record if one else None
+        """The record by which that member is suspected."""
+        suspicion = self._suspicions.get(number)
+        return suspicion.record if suspicion else None
 
-    def many(self) -> bool:
-        """Whether several in a row were asked in vain.
+    def is_mass_failure(self) -> bool:
+        """Whether so many in a row said nothing that pinging more tells less than other news."""
+        return self._silent_in_a_row >= MASS_FAILURE_SAMPLE
 
-        Then asking more is worth less than telling of those that are gone.
-        """
-        return self._silent >= SAMPLE
+    def record_changed(self, record: Record, now: float, timeout_s: float) -> None:
+        """The member table holds this record of another member from now on."""
+        if record.state == MemberState.SUSPECT:
+            self.add(record, now, timeout_s)
+        else:
+            self.withdraw(record.number, record.state in PRESENT_STATES)
 
-    def add(self, record: Record, now: float, seconds: float) -> None:
-        """In place of an older one about that member."""
-        self._suspicions[record.number] = Suspicion(record, now, now + seconds)
+    def add(self, record: Record, now: float, timeout_s: float) -> None:
+        """Begins a suspicion, in place of an older one about that member."""
+        self._suspicions[record.number] = Suspicion(record, now, now + timeout_s)
 
     def withdraw(self, number: int, refuted: bool) -> None:
-        """It has refuted it, or it is known to be gone."""
+        """Ends a suspicion: the member has refuted it, or it is known to be gone."""
         if self._suspicions.pop(number, None) and refuted:
-            self._silent = 0
-        self._forget()
+            self._silent_in_a_row = 0
+        self._reset_if_empty()
 
-    def restart(self, now: float, seconds: float) -> None:
-        """This member stood still: nothing that was timed before holds."""
-        for one in self._suspicions.values():
-            one.since, one.until, one.asked = now, now + seconds, 0
-        self._silent = 0
+    def restart_all(self, now: float, timeout_s: float) -> None:
+        """This member stood still: no time that was running before counts."""
+        for suspicion in self._suspicions.values():
+            suspicion.since, suspicion.until, suspicion.pings = now, now + timeout_s, 0
+        self._silent_in_a_row = 0
 
-    def spoke(self, number: int, now: float, seconds: float) -> None:
-        """That member, which is held suspect or dead, has been heard.
+    def heard_from(self, number: int, now: float, timeout_s: float) -> None:
+        """A datagram has come of a member that is held suspect or dead.
 
-        Where many have been silent, what kept them so may have been a cut that is over: each has
-        its time anew.
+        In a mass failure it shows that what kept many silent may have been a partition that is
+        over: each gets its time anew.
         """
-        if self.many():
-            self.restart(now, seconds)
+        if self.is_mass_failure():
+            self.restart_all(now, timeout_s)
             return
-        one = self._suspicions.get(number)
-        if one:
-            one.until, one.asked = now + seconds, 0
-
-    def to_ask(self, most: int) -> list[int]:
-        """Suspects to ping now: those pinged least, and of them the newest."""
-        order = sorted(self._suspicions.values(), key=lambda one: (one.asked, -one.since))
-        return [one.record.number for one in order[:most]]
-
-    def asked(self, number: int) -> None:
-        """It was told that it is suspected, by a ping or along with another message."""
-        one = self._suspicions.get(number)
-        if one:
-            one.asked += 1
+        suspicion = self._suspicions.get(number)
+        if suspicion:
+            suspicion.until, suspicion.pings = now + timeout_s, 0
 
-    def ended(self, now: float) -> list[Record]:
-        """Suspicions whose time is over, which are taken out.
+    def pings_per_period(self, present_count: int) -> int:
+        """This member's part of the pings to suspects that all `present_count` members send."""
+        if not self._suspicions:
+            return 0
+        if self.is_mass_failure():
+            return 1
+        part = FLEET_PINGS_PER_PERIOD * len(self._suspicions) / present_count
+        return max(1, min(MAX_PINGS_PER_PERIOD, math.ceil(part)))
 
-        The others wait until their suspect was asked.
-        """
-        found = list[Record]()
-        for number, one in list(self._suspicions.items()):
-            if now >= one.until and (one.asked or self._silent >= SAMPLE):
-                self._silent += bool(one.asked)
+    def next_to_ping(self, limit: int) -> list[int]:
+        """Suspects to ping now: those pinged least, and of them the newest."""
+        order = sorted(self._suspicions.values(), key=lambda known: (known.pings, -known.since))
+        return [suspicion.record.number for suspicion in order[:limit]]
+
+    def pinged(self, number: int) -> None:
+        """That member was sent the suspicion."""
+        suspicion = self._suspicions.get(number)
+        if suspicion:
+            suspicion.pings += 1
+
+    def take_expired(self, now: float) -> list[Record]:
+        """Takes out suspicions whose time is over and whose suspect was pinged."""
+        expired = list[Record]()
+        for number, suspicion in list(self._suspicions.items()):
+            if now >= suspicion.until and (suspicion.pings or self.is_mass_failure()):
+                self._silent_in_a_row += bool(suspicion.pings)
                 del self._suspicions[number]
-                found.append(one.record)
-        self._forget()
-        return found
+                expired.append(suspicion.record)
+        self._reset_if_empty()
+        return expired
 
-    def _forget(self) -> None:
+    def _reset_if_empty(self) -> None:
         if not self._suspicions:
-            self._silent = 0
-
-
-@dataclass
-class DeathConfirmation:
-    """A death that others told.
-
-    `until`: when the member's time to answer is over, where it was asked; `asked`: how often.
-    """
-
-    record: Record
-    since: float
-    until: float | None = None
-    asked: int = 0
-
-
-class DeathConfirmations:
-    """Deaths that others told of members that are well here."""
-
-    def __init__(self, chance: random.Random) -> None:
-        self._confirmations: dict[int, DeathConfirmation] = {}
-        self._random = chance
-        self._silent = 0  # in a row
-
-    def __len__(self) -> int:
-        return len(self._confirmations)
-
-    def record(self, number: int) -> Record | None:
-        one = self._confirmations.get(number)
-        return one.record if one else None
-
-    def add(self, record: Record, now: float) -> bool:
-        """Whether it is new."""
-        known = self._confirmations.get(record.number)
-        if known is None:
-            self._confirmations[record.number] = DeathConfirmation(record, now)
-        elif record > known.record:
-            known.record = record
-        return known is None
-
-    def refuted(self, number: int) -> None:
-        """The member is there."""
-        if self._confirmations.pop(number, None):
-            self._silent = 0
-
-    def settled(self, number: int) -> None:
-        """It is known to be gone."""
-        self._confirmations.pop(number, None)
-
-    def spoke(self) -> None:
-        """A member that was held dead has been heard: those that were silent may answer now."""
-        self._silent = 0
-
-    def clear(self) -> None:
-        self._confirmations.clear()
-        self._silent = 0
-
-    def to_ask(self, most: int, most_open: int) -> list[int]:
-        """Members to ask now, drawn by chance so that others ask other ones, those first that were
-        asked once; at most so many open at once.
-        """
-        waiting = [number for number, one in self._confirmations.items() if one.until is None]
-        self._random.shuffle(waiting)
-        waiting.sort(key=lambda number: -self._confirmations[number].asked)
-        return waiting[: max(0, min(most, most_open - (len(self._confirmations) - len(waiting))))]
-
-    def asked(self, number: int, until: float) -> None:
-        one = self._confirmations.get(number)
-        if one and one.until is None:
-            one.until, one.asked = until, one.asked + 1
-
-    def ended(self, now: float, wait: float) -> list[Record]:
-        """Deaths to be believed now, which are taken out.
-
-        `wait`: seconds that each has at least.
-        """
-        found = list[Record]()
-        for number, one in list(self._confirmations.items()):
-            if one.until is not None and now >= one.until:
-                if one.asked < ASKED and self._silent < SAMPLE:
-                    one.until = None  # its answer may have been lost
-                    continue
-                self._silent += 1
-            elif one.until is not None or self._silent < SAMPLE or now < one.since + wait:
-                continue
-            del self._confirmations[number]
-            found.append(one.record)
-        if not self._confirmations:
-            self._silent = 0
-        return found
+            self._silent_in_a_row = 0
--- a/hazelhollow/membership/table_exchange.py
+++ b/hazelhollow/membership/table_exchange.py
@@ -1,143 +1,144 @@
-"""Anti-entropy between two members' tables.
+"""Anti-entropy between two members' tables: finds what dissemination missed.
 
-Who is asked for what this one lacks, and what another lacks is given. No I/O, no clock.
-
-A digest in each message shows whether two tables are the same. One that differs is asked at the
-next beat, by digests of buckets or by a bitmap of who is there, and answers with the records that
-differ.
+Every message carries a digest of its sender's table. At the next tick after one that differs, its
+sender is asked for what this member lacks, by digests of buckets or by a bitmap of who has joined,
+and answers with the records that differ. A healed partition settles by this: its news is old, and
+no longer piggybacked.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Sequence
-from typing import Protocol
 
 from hazelhollow.membership import codec
-from hazelhollow.membership.allowance import Use
-from hazelhollow.membership.codec import Message
-from hazelhollow.membership.records import MemberTable, Record
-
-PIECES = 4  # datagrams of records for one that asks for them
-PIECES_WITHIN = 12  # the same, where an allowance bounds them
-SUMS_EVERY = 2  # beats between digests of buckets, where the others hold bitmaps
+from hazelhollow.membership.allowance import Purpose
+from hazelhollow.membership.codec import Message, MessageKind
+from hazelhollow.membership.member_table import MemberTable
+from hazelhollow.membership.records import Record
+from hazelhollow.membership.sender import DatagramSender, Outgoing, Piggyback
+from hazelhollow.membership.settings import MembershipSettings
+from hazelhollow.membership.timing import PROBE_INTERVAL_S
+
+MAX_DATAGRAMS = 4  # of records, in answer to one that asks
+MAX_DATAGRAMS_BOUNDED = 12  # the same, where an allowance bounds them
+DIGESTS_EVERY = 2  # ticks between digests of buckets, where the others carry bitmaps
+# Kinds whose digests are compared: not those by which tables are exchanged.
 COMPARED = (
-    codec.PING,
-    codec.ANSWER,
-    codec.ASK,
-    codec.INDIRECT,
-    codec.RELAYED,
-)  # not what tables are exchanged by
-
-
-class Sender(Protocol):
-    """Sends one message, without rumours.
-
-    How many of the records it holds, or nothing where there is no room for it.
-    """
-
-    def __call__(
-        self, number: int, kind: str, parts: tuple[int, ...], first: list[Record], use: Use
-    ) -> int | None: ...
+    MessageKind.PING,
+    MessageKind.ACK,
+    MessageKind.PING_REQUEST,
+    MessageKind.INDIRECT_PING,
+    MessageKind.INDIRECT_ACK,
+)
 
 
 class TableExchange:
-    """`me` of `members`.
-
-    `bounded`: whether an allowance bounds what is sent; `wait`: seconds between two members that
-    are asked.
-    """
+    """`bounded`: whether an allowance bounds what is sent."""
 
     def __init__(
         self,
-        me: int,
-        members: int,
+        settings: MembershipSettings,
         table: MemberTable,
         chance: random.Random,
+        sender: DatagramSender,
         bounded: bool,
-        wait: float,
-        send: Sender,
     ) -> None:
-        self._me, self._members, self._table, self._random = me, members, table, chance
-        self._bounded, self._wait, self._send = bounded, wait, send
+        self._limiter_id, self._member_count = settings.limiter_id, settings.member_count
+        self._table, self._random, self._sender = table, chance, sender
+        self._bounded = bounded
         self._noted_at = -1.0
         self._to_ask: int | None = None
 
     def compare(self, message: Message, now: float) -> bool:
-        """Whether the sender's table is the same.
-
-        If it is not, its sender is asked at the next beat.
-        """
+        """Whether the sender's table is the same; if not, it is asked at the next tick."""
         same = message.digest == self._table.digest()
-        if not same and message.kind in COMPARED and now - self._noted_at >= self._wait:
-            self._noted_at, self._to_ask = (
-                now,
-                message.sender.number,
-            )  # one at a time, or many would ask the same
+        is_due = now - self._noted_at >= PROBE_INTERVAL_S
+        if not same and message.kind in COMPARED and is_due:
+            # One at a time: many would be asked for the same records.
+            self._noted_at, self._to_ask = now, message.sender.number
         return same
 
-    def tick(self, beats: int) -> None:
-        """`beats`: since the start of this member."""
+    def tick(self, ticks: int, now: float) -> None:
+        """Asks the member that was noted. `ticks`: since the start of this member."""
         if self._to_ask is not None:
-            self._ask(self._to_ask, beats)
+            self._ask(self._to_ask, ticks, now)
             self._to_ask = None
 
-    def receive(self, message: Message) -> None:
+    def receive(self, message: Message, now: float) -> None:
         """One of the messages by which tables are exchanged."""
-        source, parts = message.sender.number, message.parts
-        if message.kind == codec.PIECE:
-            self._give(source, self._newer(message.records))
-        elif message.kind == codec.SUMS:
-            self._give_buckets(source, parts)
-        elif message.kind == codec.BITS:
-            self._give_members(source, *parts)
-
-    def _ask(self, number: int, beats: int) -> None:
-        """For what this one lacks of another's table.
-
-        Within an allowance mostly by a bitmap, which shows exactly who is there at one and not at
+        peer, arguments = message.sender.number, message.arguments
+        if message.kind == MessageKind.RECORDS:
+            self._send_records(peer, self._newer_than(message.records), now)
+        elif message.kind == MessageKind.BUCKET_DIGESTS:
+            self._answer_digests(peer, arguments, now)
+        elif message.kind == MessageKind.PRESENCE_BITMAP:
+            self._answer_bitmap(peer, arguments, now)
+
+    def _ask(self, peer: int, ticks: int, now: float) -> None:
+        """Asks for what this member lacks of another's table.
+
+        Within an allowance mostly by a bitmap, which shows exactly who has joined at one and not at
         the other; digests of buckets show the rest.
         """
-        if not self._bounded or beats % SUMS_EVERY == 0:
-            self._send(number, codec.SUMS, tuple(self._table.bucket_digests()), [], Use.TABLE)
-            return
-        start = codec.BITS_SPAN * self._random.randrange(-(-self._members // codec.BITS_SPAN))
-        bits = self._table.joined_bitmap(start, codec.BITS_SPAN)
-        self._send(number, codec.BITS, (start, bits), [], Use.TABLE)
-
-    def _give_buckets(self, number: int, sums: tuple[int, ...]) -> None:
-        """Records of the buckets in which the other's table is not as this one."""
-        pairs = zip(self._table.bucket_digests(), sums, strict=True)
-        differ = [bucket for bucket, (one, other) in enumerate(pairs) if one != other]
-        # whole buckets: parts of all would leave each to be sent again
+        if not self._bounded or ticks % DIGESTS_EVERY == 0:
+            kind, arguments = MessageKind.BUCKET_DIGESTS, tuple(self._table.bucket_digests())
+        else:
+            spans = -(-self._member_count // codec.BITMAP_SPAN)
+            start = codec.BITMAP_SPAN * self._random.randrange(spans)
+            bits = self._table.joined_bitmap(start, codec.BITMAP_SPAN)
+            kind, arguments = MessageKind.PRESENCE_BITMAP, (start, bits)
+        ask = Outgoing(
+            peer, kind, arguments, piggyback=Piggyback.NOTHING, purpose=Purpose.TABLE_DIGEST
+        )
+        self._sender.send(ask, now)
+
+    def _answer_digests(self, peer: int, digests: tuple[int, ...], now: float) -> None:
+        """Sends the records of the buckets whose digests differ.
+
+        Whole buckets: of parts of all buckets each would have to be sent again.
+        """
+        pairs = zip(self._table.bucket_digests(), digests, strict=True)
+        differ = [bucket for bucket, (own, other) in enumerate(pairs) if own != other]
         self._random.shuffle(differ)
-        self._give(number, self._table.in_buckets(differ))
+        self._send_records(peer, self._table.in_buckets(differ), now)
+
+    def _answer_bitmap(self, peer: int, arguments: tuple[int, ...], now: float) -> None:
+        """Sends the records of the members that have joined at one of the two only.
 
-    def _give_members(self, number: int, start: int, bits: int) -> None:
-        """Records of the members that are there at one of the two and not at the other."""
-        differ = bits ^ self._table.joined_bitmap(start, codec.BITS_SPAN)
+        In an order drawn by chance, so that of several that are asked each sends other ones first.
+        """
+        start, bits = arguments
+        differ = bits ^ self._table.joined_bitmap(start, codec.BITMAP_SPAN)
         numbers = [start + place for place in range(differ.bit_length()) if differ >> place & 1]
-        self._random.shuffle(numbers)  # so that of several that are asked each gives other ones
-        self._give(number, [record for n in numbers if (record := self._table.get(n)) is not None])
+        self._random.shuffle(numbers)
+        records = [record for n in numbers if (record := self._table.get(n)) is not None]
+        self._send_records(peer, records, now)
 
-    def _newer(self, records: Sequence[Record]) -> list[Record]:
-        """What this one knows better than the one that told these.
+    def _newer_than(self, records: Sequence[Record]) -> list[Record]:
+        """What this member knows better than the one that sent these records.
 
-        It has the difference before it, and the other, whom all ask whose tables are not as its
-        own, may find no room to ask for it.
+        That one, whom all ask whose tables differ from its own, may find no room to ask back.
         """
         known = [
             (self._table.get(record.number), record)
             for record in records
-            if record.number != self._me
+            if record.number != self._limiter_id
         ]
-        return [here for here, told in known if here is not None and here[:4] > told[:4]]
+        return [own for own, other in known if own is not None and own[:4] > other[:4]]
 
-    def _give(self, number: int, records: list[Record]) -> None:
-        for _ in range(PIECES_WITHIN if self._bounded else PIECES):
+    def _send_records(self, peer: int, records: list[Record], now: float) -> None:
+        for _ in range(MAX_DATAGRAMS_BOUNDED if self._bounded else MAX_DATAGRAMS):
             if not records:
                 return
-            taken = self._send(number, codec.PIECE, (), records, Use.PIECE)
+            outgoing = Outgoing(
+                peer,
+                MessageKind.RECORDS,
+                records=records,
+                piggyback=Piggyback.NOTHING,
+                purpose=Purpose.RECORDS,
+            )
+            taken = self._sender.send(outgoing, now)
             if taken is None:
                 return
             records = records[taken:]
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -21,8 +21,9 @@
 from hazelhollow.decisions.gossip_codec import base36
 from hazelhollow.membership.authentication import MessageAuthenticator, parse_keys
 from hazelhollow.membership.driver import DriverOptions, MembershipDriver, max_text_bytes
-from hazelhollow.membership.membership import Membership, MembershipSettings
+from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import pack_address
+from hazelhollow.membership.settings import MembershipSettings
 from hazelhollow.net.limiter import Decisions
 from hazelhollow.net.peers import Peers
 from hazelhollow.net.service import Service
--- a/hazelhollow/scale/agreement.py
+++ b/hazelhollow/scale/agreement.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable
 
-from hazelhollow.membership.membership import INCARNATIONS_PER_S
+from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record
 from hazelhollow.scale.topology import Cut, open_network
 
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -23,8 +23,9 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.membership.driver import DriverOptions, MembershipDriver, max_text_bytes
-from hazelhollow.membership.membership import Membership, MembershipSettings
+from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import Record
+from hazelhollow.membership.settings import MembershipSettings
 from hazelhollow.net import scheduler as sch
 from hazelhollow.net.backend import Attempt, Backend, Host, Result
 from hazelhollow.net.ending import Ending, outcome
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -23,7 +23,7 @@
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.plan import Plan as RigPlan
 from hazelhollow.fault_injection.world import RigError, World
-from hazelhollow.membership.membership import INCARNATIONS_PER_S
+from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.net import scheduler as sch
 from hazelhollow.scale.coordinator import Coordinator, RunError
 from hazelhollow.scale.load import Population, populate, split
--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -35,10 +35,21 @@
     settings_for,
 )
 from hazelhollow.control_budget.send_queue import SendQueue
-from hazelhollow.membership import codec, membership
+from hazelhollow.membership import codec
+from hazelhollow.membership.codec import Message, MessageKind
+from hazelhollow.membership.death_confirmation import DeathConfirmations
 from hazelhollow.membership.dissemination import DisseminationQueue
-from hazelhollow.membership.records import MemberState, MemberTable, Record
-from hazelhollow.membership.suspicion import ASKED, SAMPLE, DeathConfirmations, Suspicions
+from hazelhollow.membership.member_table import MemberTable
+from hazelhollow.membership.membership import Membership
+from hazelhollow.membership.records import MemberState, Record
+from hazelhollow.membership.settings import MembershipSettings
+from hazelhollow.membership.suspicion import SuspicionTable
+from hazelhollow.membership.timing import (
+    CONFIRMATION_ATTEMPTS,
+    MASS_FAILURE_SAMPLE,
+    PROBE_INTERVAL_S,
+    SUSPICION_TIMEOUT_S,
+)
 from hazelhollow.operator import load, records
 from hazelhollow.operator.attach import Attached
 from hazelhollow.operator.syntax import CueError
@@ -220,11 +231,11 @@
     assert settings.rate * 10.0 + settings.burst <= 4000.0 * 10.0
 
 
-def member_of(members: int, allowance: RoleBudget | None = None) -> membership.Membership:
-    return membership.Membership(membership.MembershipSettings(0, members, 1), START, allowance)
+def member_of(members: int, allowance: RoleBudget | None = None) -> Membership:
+    return Membership(MembershipSettings(0, members, 1), START, allowance)
 
 
-# Suspicions and doubts
+# Suspicions and confirmations
 
 
 def suspect(number: int) -> Record:
@@ -232,62 +243,77 @@
 
 
 def test_a_suspect_that_was_not_asked_is_not_held_dead_until_several_were_asked_in_vain() -> None:
-    suspicions = Suspicions()
-    for number in range(SAMPLE + 2):
+    suspicions = SuspicionTable()
+    for number in range(MASS_FAILURE_SAMPLE + 2):
         suspicions.add(suspect(number), START, 1.0)
-    for number in range(SAMPLE - 1):
-        suspicions.asked(number)
-    assert {r.number for r in suspicions.ended(START + 1.0)} == set(range(SAMPLE - 1))
-    assert suspicions.ended(START + 100.0) == []
-    suspicions.asked(SAMPLE - 1)
-    assert {r.number for r in suspicions.ended(START + 100.0)} == {SAMPLE - 1, SAMPLE, SAMPLE + 1}
+    for number in range(MASS_FAILURE_SAMPLE - 1):
+        suspicions.pinged(number)
+    assert {r.number for r in suspicions.take_expired(START + 1.0)} == set(
+        range(MASS_FAILURE_SAMPLE - 1)
+    )
+    assert suspicions.take_expired(START + 100.0) == []
+    suspicions.pinged(MASS_FAILURE_SAMPLE - 1)
+    assert {r.number for r in suspicions.take_expired(START + 100.0)} == {
+        MASS_FAILURE_SAMPLE - 1,
+        MASS_FAILURE_SAMPLE,
+        MASS_FAILURE_SAMPLE + 1,
+    }
 
 
 def test_one_that_refutes_ends_the_belief_in_the_death_of_those_not_asked() -> None:
-    suspicions = Suspicions()
-    for number in range(SAMPLE + 2):
+    suspicions = SuspicionTable()
+    for number in range(MASS_FAILURE_SAMPLE + 2):
         suspicions.add(suspect(number), START, 1.0)
-    for number in range(SAMPLE):
-        suspicions.asked(number)
-    suspicions.withdraw(SAMPLE + 1, refuted=True)
-    assert len(suspicions.ended(START + 0.5)) == 0
-    suspicions.add(suspect(SAMPLE + 2), START + 100.0, 1.0)
-    assert len(suspicions.ended(START + 1.0)) == SAMPLE + 1 and suspicions.many()
-    suspicions.add(suspect(SAMPLE + 3), START, 1.0)
-    suspicions.withdraw(SAMPLE + 3, refuted=True)
-    assert not suspicions.many() and suspicions.ended(START + 200.0) == []
+    for number in range(MASS_FAILURE_SAMPLE):
+        suspicions.pinged(number)
+    suspicions.withdraw(MASS_FAILURE_SAMPLE + 1, refuted=True)
+    assert len(suspicions.take_expired(START + 0.5)) == 0
+    suspicions.add(suspect(MASS_FAILURE_SAMPLE + 2), START + 100.0, 1.0)
+    assert (
+        len(suspicions.take_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 1
+        and suspicions.is_mass_failure()
+    )
+    suspicions.add(suspect(MASS_FAILURE_SAMPLE + 3), START, 1.0)
+    suspicions.withdraw(MASS_FAILURE_SAMPLE + 3, refuted=True)
+    assert not suspicions.is_mass_failure() and suspicions.take_expired(START + 200.0) == []
 
 
 def test_one_held_dead_that_speaks_gives_all_their_time_anew_where_many_were_silent() -> None:
-    suspicions = Suspicions()
-    for number in range(SAMPLE + 3):
+    suspicions = SuspicionTable()
+    for number in range(MASS_FAILURE_SAMPLE + 3):
         suspicions.add(suspect(number), START, 1.0)
-    for number in range(SAMPLE):
-        suspicions.asked(number)
-    assert len(suspicions.ended(START + 1.0)) == SAMPLE + 3
+    for number in range(MASS_FAILURE_SAMPLE):
+        suspicions.pinged(number)
+    assert len(suspicions.take_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 3
     for number in (20, 21):
         suspicions.add(suspect(number), START, 1.0)
-    for number in range(SAMPLE):
+    for number in range(MASS_FAILURE_SAMPLE):
         suspicions.add(suspect(number), START, 0.1)
-        suspicions.asked(number)
-    assert len(suspicions.ended(START + 0.5)) == SAMPLE and suspicions.many()
-    suspicions.spoke(3, START + 0.9, 1.0)  # one of the dead
-    assert not suspicions.many() and suspicions.ended(START + 1.0) == []
+        suspicions.pinged(number)
+    assert (
+        len(suspicions.take_expired(START + 0.5)) == MASS_FAILURE_SAMPLE
+        and suspicions.is_mass_failure()
+    )
+    suspicions.heard_from(3, START + 0.9, 1.0)  # one of the dead
+    assert not suspicions.is_mass_failure() and suspicions.take_expired(START + 1.0) == []
     for number in (20, 21):
-        suspicions.asked(number)
-    assert suspicions.ended(START + 1.8) == [] and len(suspicions.ended(START + 1.9)) == 2
+        suspicions.pinged(number)
+    assert (
+        suspicions.take_expired(START + 1.8) == []
+        and len(suspicions.take_expired(START + 1.9)) == 2
+    )
 
 
 def test_one_suspect_that_speaks_has_its_own_time_anew_and_is_asked_again() -> None:
-    suspicions = Suspicions()
+    suspicions = SuspicionTable()
     for number in (1, 2):
         suspicions.add(suspect(number), START, 1.0)
-        suspicions.asked(number)
-    suspicions.spoke(1, START + 0.5, 1.0)
-    assert [r.number for r in suspicions.ended(START + 1.0)] == [2]
-    assert suspicions.ended(START + 1.5) == []  # it was not asked since
-    suspicions.asked(1)
-    assert [r.number for r in suspicions.ended(START + 1.5)] == [1]
+        suspicions.pinged(number)
+    suspicions.heard_from(1, START + 0.5, 1.0)
+    assert [r.number for r in suspicions.take_expired(START + 1.0)] == [2]
+    assert suspicions.take_expired(START + 1.5) == []  # it was not asked since
+    suspicions.pinged(1)
+    assert [r.number for r in suspicions.take_expired(START + 1.5)] == [1]
 
 
 @pytest.mark.parametrize(
@@ -300,60 +326,62 @@
     one = member_of(40)
     for number in range(1, 30):
         one.table.put(Record(number, 36**8, 1, MemberState.ALIVE))
-    for number in range(1, SAMPLE + 2):
-        one._put(Record(number, 36**8, 1, MemberState.SUSPECT))
-        one._suspicions.asked(number)
-    one.now = START + membership.SUSPICION
-    one._put(Record(20, 36**8, 1, state))
-    one._put(Record(21, 36**8, 1, MemberState.SUSPECT))
-    one._expire()
-    assert one._suspicions.many()
+    for number in range(1, MASS_FAILURE_SAMPLE + 2):
+        one._state.apply(Record(number, 36**8, 1, MemberState.SUSPECT))
+        one._state.suspicions.pinged(number)
+    one._state.now = START + SUSPICION_TIMEOUT_S
+    one._state.apply(Record(20, 36**8, 1, state))
+    one._state.apply(Record(21, 36**8, 1, MemberState.SUSPECT))
+    one._period._expire()
+    assert one._state.suspicions.is_mass_failure()
     sender = Record(20, 36**8 + (0 if same_life else 1), 1, MemberState.ALIVE)
     one.receive(
         20,
-        codec.write(codec.Message(codec.PING, sender, 1, 7, (9,)), ())[0],
-        one.now + 0.1,
+        codec.encode(Message(MessageKind.PING, sender, 1, 7, (9,)), ())[0],
+        one._state.now + 0.1,
     )
-    assert one._suspicions.many() is not same_life
+    assert one._state.suspicions.is_mass_failure() is not same_life
 
 
 def test_suspects_are_asked_in_turn_and_the_newest_first() -> None:
-    suspicions, order = Suspicions(), list[int]()
+    suspicions, order = SuspicionTable(), list[int]()
     for number in range(4):
         suspicions.add(suspect(number), START + number, 1.0)
     for _ in range(6):
-        (number,) = suspicions.to_ask(1)
-        suspicions.asked(number)
+        (number,) = suspicions.next_to_ping(1)
+        suspicions.pinged(number)
         order.append(number)
     assert order == [3, 2, 1, 0, 3, 2]
 
 
 def test_a_death_that_others_tell_is_asked_about_twice_before_it_is_believed() -> None:
-    doubts, now = DeathConfirmations(random.Random(1)), START
-    doubts.add(Record(1, 5, 1, MemberState.DEAD), now)
-    for _ in range(ASKED):
-        assert doubts.ended(now, 0.5) == [] and doubts.to_ask(2, 8) == [1]
-        doubts.asked(1, now + 0.5)
+    confirmations, now = DeathConfirmations(random.Random(1)), START
+    confirmations.add(Record(1, 5, 1, MemberState.DEAD), now)
+    for _ in range(CONFIRMATION_ATTEMPTS):
+        assert confirmations.take_confirmed(now, 0.5) == [] and confirmations.next_to_ping(
+            2, 8
+        ) == [1]
+        confirmations.pinged(1, now + 0.5)
         now += 0.5
-    assert [r.number for r in doubts.ended(now, 0.5)] == [1]
+    assert [r.number for r in confirmations.take_confirmed(now, 0.5)] == [1]
 
 
 def test_more_deaths_than_can_be_asked_about_wait_unless_several_were_asked_in_vain() -> None:
-    doubts, now = DeathConfirmations(random.Random(1)), START
+    confirmations, now = DeathConfirmations(random.Random(1)), START
     for number in range(20):
-        doubts.add(Record(number, 5, 1, MemberState.DEAD), now)
-    assert doubts.ended(now + 100.0, 0.5) == []
-    for _ in range(ASKED):
-        for number in doubts.to_ask(20, 8):
-            doubts.asked(number, now + 0.5)
+        confirmations.add(Record(number, 5, 1, MemberState.DEAD), now)
+    assert confirmations.take_confirmed(now + 100.0, 0.5) == []
+    for _ in range(CONFIRMATION_ATTEMPTS):
+        for number in confirmations.next_to_ping(20, 8):
+            confirmations.pinged(number, now + 0.5)
         now += 0.5
-        doubts.ended(now, 0.5)
-    doubts.ended(now, 0.5)
-    assert len(doubts) == 0
+        confirmations.take_confirmed(now, 0.5)
+    confirmations.take_confirmed(now, 0.5)
+    assert len(confirmations) == 0
     for number in range(20):
-        doubts.add(Record(number, 5, 1, MemberState.DEAD), now)
-    doubts.refuted(3)
-    assert doubts.ended(now + 100.0, 0.5) == []
+        confirmations.add(Record(number, 5, 1, MemberState.DEAD), now)
+    confirmations.refute(3)
+    assert confirmations.take_confirmed(now + 100.0, 0.5) == []
 
 
 # What waits
@@ -465,16 +493,16 @@
 # Bitmaps
 
 
-@given(st.integers(0, 40), st.sets(st.integers(0, codec.BITS_SPAN - 1)))
+@given(st.integers(0, 40), st.sets(st.integers(0, codec.BITMAP_SPAN - 1)))
 def test_a_bitmap_reads_as_it_was_and_fits(start: int, places: set[int]) -> None:
     sender, bits = (
         Record(3, 36**8, 2, MemberState.ALIVE, (), "", "7f0000011f0a"),
         sum(1 << place for place in places),
     )
-    message = codec.Message(codec.BITS, sender, 36**4 - 1, 36**5 - 1, (start, bits))
-    text, _ = codec.write(message, [])
-    assert len(text) <= codec.MOST_BYTES - 18  # with a seal
-    assert codec.read(text, 2000) == message
+    message = Message(MessageKind.PRESENCE_BITMAP, sender, 36**4 - 1, 36**5 - 1, (start, bits))
+    text, _ = codec.encode(message, [])
+    assert len(text) <= codec.MAX_TEXT_BYTES - 18  # with a seal
+    assert codec.decode(text, 2000) == message
 
 
 @pytest.mark.parametrize(
@@ -482,8 +510,8 @@
     ["0", "0:!", "0:A", "zz:AQ==", "0:////", "0:____", "-1:AQ==", "0:AQ==:", "9:Ag==", "0:A Q=="],
 )
 def test_what_cannot_be_is_no_bitmap(parts: str) -> None:
-    assert codec.read("v1b 3.1.1.1/1/1 8:AQ==", 10) is not None
-    assert codec.read("v1b 3.1.1.1/1/1 " + parts, 10) is None
+    assert codec.decode("v1b 3.1.1.1/1/1 8:AQ==", 10) is not None
+    assert codec.decode("v1b 3.1.1.1/1/1 " + parts, 10) is None
 
 
 def test_a_bitmap_shows_who_has_joined_and_is_not_suspected() -> None:
@@ -523,8 +551,8 @@
         now = START + step / 10
         outs = one.tick(now) if step % 5 == 0 else []
         for peer in peers:
-            message = codec.Message(codec.PING, peer, step + 1, step, (1,))
-            outs = outs + one.receive(peer.number, codec.write(message, ())[0], now)
+            message = Message(MessageKind.PING, peer, step + 1, step, (1,))
+            outs = outs + one.receive(peer.number, codec.encode(message, ())[0], now)
         sent[now] += sum(len(send.text) + HEADER_BYTES for send in outs)
     settings = settings_for(3000.0)
     for first, began in enumerate(sent):
@@ -540,8 +568,8 @@
     peer = Record(1, 36**8, 1, MemberState.ALIVE)
     while allowance.take(1, START, 0.25):
         pass
-    sums = codec.write(codec.Message(codec.SUMS, peer, 1, 7, tuple(range(32))), ())[0]
-    ping = codec.write(codec.Message(codec.PING, peer, 2, 7, (9,)), ())[0]
+    sums = codec.encode(Message(MessageKind.BUCKET_DIGESTS, peer, 1, 7, tuple(range(32))), ())[0]
+    ping = codec.encode(Message(MessageKind.PING, peer, 2, 7, (9,)), ())[0]
     assert one.receive(1, sums, START) == []
     (answer,) = one.receive(1, ping, START)
     assert answer.text.startswith("v1a") and one.counts["held back"] > 0
@@ -551,16 +579,20 @@
     allowance = part(3000.0)
     one = member_of(4, allowance)
     for send in one.tick(START):
-        ping = codec.read(send.text, 4)
+        ping = codec.decode(send.text, 4)
         assert ping
-        answer = codec.Message(
-            codec.ANSWER, Record(send.recipient, 36**8, 1, MemberState.ALIVE), 1, 7, ping.parts
+        answer = Message(
+            MessageKind.ACK,
+            Record(send.recipient, 36**8, 1, MemberState.ALIVE),
+            1,
+            7,
+            ping.arguments,
         )
-        one.receive(send.recipient, codec.write(answer, ())[0], START)
+        one.receive(send.recipient, codec.encode(answer, ())[0], START)
     for turn in range(1, 12):
-        now = START + turn * membership.BEAT
+        now = START + turn * PROBE_INTERVAL_S
         one.tick(now)
-        now += one.indirect_probe_delay()
+        now += one.indirect_probe_after_s
         while allowance.take(1, now):  # others use all that there is
             pass
         one.request_indirect_probes(now)
@@ -607,29 +639,29 @@
     one = sim.members[2].membership
     known = one.table.get(5)
     assert known is not None
-    older = codec.Message(
-        codec.PIECE,
+    older = Message(
+        MessageKind.RECORDS,
         Record(3, sim.members[3].membership.own.incarnation, 9, MemberState.ALIVE),
         10**6,
         7,
     )
-    sends = one.receive(3, codec.write(older, [known._replace(record_version=0)])[0], sim.now)
-    message = codec.read(sends[-1].text, 8)
+    sends = one.receive(3, codec.encode(older, [known._replace(record_version=0)])[0], sim.now)
+    message = codec.decode(sends[-1].text, 8)
     assert (
         message
         and sends[-1].recipient == 3
-        and message.kind == codec.PIECE
+        and message.kind == MessageKind.RECORDS
         and known in message.records
     )
 
 
 def test_refutations_are_passed_on_before_other_news() -> None:
-    rumours, table = DisseminationQueue(100), MemberTable()
+    dissemination, table = DisseminationQueue(100), MemberTable()
     for record in (
         Record(1, 5, 1, MemberState.DEAD),
         Record(2, 5, 1, MemberState.ALIVE),
         Record(3, 5, 2, MemberState.ALIVE),
     ):
         table.put(record)
-        rumours.changed(record)
-    assert [record.number for record in rumours.news(table, 0)] == [3, 1, 2]
+        dissemination.record_changed(record)
+    assert [record.number for record in dissemination.next_records(table, 0)] == [3, 1, 2]
--- a/tests/membership/test_datagram_format.py
+++ b/tests/membership/test_datagram_format.py
@@ -6,7 +6,7 @@
 
 from hazelhollow.membership import codec
 from hazelhollow.membership.authentication import MessageAuthenticator
-from hazelhollow.membership.codec import Message
+from hazelhollow.membership.codec import Message, MessageKind
 from hazelhollow.membership.records import MemberState, Record, fingerprint, pack_address
 
 MEMBERS = 2000
@@ -22,14 +22,16 @@
 )
 
 DATAGRAMS = [
-    Message(codec.PING, SENDER, 7, 99, (36**4 - 1,), RECORDS),
-    Message(codec.ANSWER, PLAIN, 1, 36**5 - 1, (12,), RECORDS[1:]),
-    Message(codec.ASK, PLAIN, 36**6, 0, (12, 1500), ()),
-    Message(codec.INDIRECT, PLAIN, 40, 5, (12, 3), RECORDS[:1]),
-    Message(codec.RELAYED, PLAIN, 41, 5, (12, 3, 41), ()),
-    Message(codec.SUMS, PLAIN, 42, 6, tuple(range(0, 32 * 1457, 1457)), RECORDS[2:]),
-    Message(codec.PIECE, SENDER, 43, 6, (), RECORDS),
-    Message(codec.BITS, PLAIN, 44, 6, (1008, 0b1011 << 64 | 7), ()),
+    Message(MessageKind.PING, SENDER, 7, 99, (36**4 - 1,), RECORDS),
+    Message(MessageKind.ACK, PLAIN, 1, 36**5 - 1, (12,), RECORDS[1:]),
+    Message(MessageKind.PING_REQUEST, PLAIN, 36**6, 0, (12, 1500), ()),
+    Message(MessageKind.INDIRECT_PING, PLAIN, 40, 5, (12, 3), RECORDS[:1]),
+    Message(MessageKind.INDIRECT_ACK, PLAIN, 41, 5, (12, 3, 41), ()),
+    Message(
+        MessageKind.BUCKET_DIGESTS, PLAIN, 42, 6, tuple(range(0, 32 * 1457, 1457)), RECORDS[2:]
+    ),
+    Message(MessageKind.RECORDS, SENDER, 43, 6, (), RECORDS),
+    Message(MessageKind.PRESENCE_BITMAP, PLAIN, 44, 6, (1008, 0b1011 << 64 | 7), ()),
 ]
 FULL = [
     (
@@ -80,11 +82,11 @@
     """A limiter of another version in the same fleet would read a changed form as garbled."""
     bare = message._replace(records=())
     for text, is_relative in ((full, False), (relative, True)):
-        assert codec.write(bare, message.records, relative=is_relative) == (
+        assert codec.encode(bare, message.records, relative=is_relative) == (
             text,
             len(message.records),
         )
-        assert codec.read(text, MEMBERS) == message
+        assert codec.decode(text, MEMBERS) == message
 
 
 def test_the_keyed_hash_of_a_datagram_keeps_its_bytes() -> None:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -16,16 +16,22 @@
 from hazelhollow.bench.fleet import Sim
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.membership import authentication, codec, membership
+from hazelhollow.membership import codec
+from hazelhollow.membership.authentication import MessageAuthenticator, parse_keys
+from hazelhollow.membership.codec import Message, MessageKind
+from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
+from hazelhollow.membership.member_table import BUCKETS, MemberTable
+from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import (
-    BUCKETS,
     MemberState,
-    MemberTable,
     Record,
     merge,
     pack_address,
     unpack_address,
 )
+from hazelhollow.membership.sender import Datagram
+from hazelhollow.membership.settings import MembershipSettings
+from hazelhollow.membership.timing import PROBE_INTERVAL_S
 from tests.scenario import SETTINGS
 from tests.test_gateway import ask, entry, only, servers
 
@@ -36,7 +42,7 @@
     st.integers(0, 36**9),
     st.integers(0, 50),
     st.integers(0, MemberState.LEFT),
-    st.lists(st.integers(0, MEMBERS - 1), max_size=codec.MOST_UNHEARD).map(tuple),
+    st.lists(st.integers(0, MEMBERS - 1), max_size=codec.MAX_UNREACHABLE).map(tuple),
     st.text("abc0189", max_size=codec.MAX_VERSIONS_BYTES),
     st.sampled_from(["", pack_address("127.0.0.9", 7946)]),
 )
@@ -87,20 +93,18 @@
 # Words
 
 
-kinds = st.sampled_from(sorted(codec._PARTS)).flatmap(
+kinds = st.sampled_from(sorted(codec.ARGUMENT_COUNTS)).flatmap(
     lambda kind: st.tuples(
         st.just(kind),
         st.lists(
             st.integers(0, MEMBERS - 1),
-            min_size=codec._PARTS[kind],
-            max_size=codec._PARTS[kind],
+            min_size=codec.ARGUMENT_COUNTS[kind],
+            max_size=codec.ARGUMENT_COUNTS[kind],
         ),
     )
 )
 heads = st.builds(
-    lambda kind, sender, serial, digest: codec.Message(
-        kind[0], sender, serial, digest, tuple(kind[1])
-    ),
+    lambda kind, sender, serial, digest: Message(kind[0], sender, serial, digest, tuple(kind[1])),
     kinds,
     records,
     st.integers(0, 36**5 - 1),
@@ -110,26 +114,28 @@
 
 @given(heads, st.lists(records, max_size=20), st.sets(st.integers(0, 19)), st.booleans())
 def test_what_is_written_reads_as_it_was_and_fits(
-    message: codec.Message, told: list[Record], alike: set[int], relative: bool
+    message: Message, told: list[Record], alike: set[int], relative: bool
 ) -> None:
     sender = message.sender
-    if message.kind == codec.SUMS:  # these leave no room for more, as the sender knows
+    if (
+        message.kind == MessageKind.BUCKET_DIGESTS
+    ):  # these leave no room for more, as the sender knows
         sender = sender._replace(unreachable=(), versions="")
         message = message._replace(sender=sender)
     told = [r._replace(versions=sender.versions) if n in alike else r for n, r in enumerate(told)]
-    text, taken = codec.write(message, told, relative=relative)
-    assert len(text) <= codec.MOST_BYTES
-    assert codec.read(text, MEMBERS) == message._replace(records=tuple(told[:taken]))
+    text, taken = codec.encode(message, told, relative=relative)
+    assert len(text) <= codec.MAX_TEXT_BYTES
+    assert codec.decode(text, MEMBERS) == message._replace(records=tuple(told[:taken]))
 
 
 def test_records_relative_to_the_senders_take_a_third_of_the_room_and_never_more() -> None:
     versions = "i4pz002k3f9005wa1cz0q1"
     sender = Record(3, 9**15, 2, MemberState.ALIVE, (), versions)
     told = [Record(n, 9**15 + 20_000 * n, 1, MemberState.ALIVE, (), versions) for n in range(4, 34)]
-    message = codec.Message(codec.PIECE, sender, 7, 99)
-    assert codec.write(message, told, relative=True)[1] >= 3 * codec.write(message, told)[1]
+    message = Message(MessageKind.RECORDS, sender, 7, 99)
+    assert codec.encode(message, told, relative=True)[1] >= 3 * codec.encode(message, told)[1]
     strange = [Record(n, 1, 0, MemberState.DEAD, (1, 2), "other") for n in range(4, 34)]
-    assert codec.write(message, strange, relative=True) == codec.write(message, strange)
+    assert codec.encode(message, strange, relative=True) == codec.encode(message, strange)
 
 
 @pytest.mark.parametrize(
@@ -151,16 +157,18 @@
 def test_what_cannot_be_relative_to_the_sender_is_no_message(word: str) -> None:
     versions = ".." + "i4" if word != "4.+1.0.1=" else ""  # else the sender's versions are none
     head = f"v1p 3.1000.1.1{versions}/1/1 1"
-    assert codec.read(head, MEMBERS) is not None and codec.read(f"{head} {word}", MEMBERS) is None
+    assert (
+        codec.decode(head, MEMBERS) is not None and codec.decode(f"{head} {word}", MEMBERS) is None
+    )
 
 
-LONG = codec.write(
-    codec.Message(codec.PING, Record(3, 9**9, 2, MemberState.ALIVE), 7, 99, (5,)),
+LONG = codec.encode(
+    Message(MessageKind.PING, Record(3, 9**9, 2, MemberState.ALIVE), 7, 99, (5,)),
     [Record(4, 8**9, 1, MemberState.DEAD)] * 20,
     999,
 )[0]
-SOUND = codec.write(
-    codec.Message(codec.ASK, Record(3, 9**9, 2, MemberState.ALIVE), 7, 99, (5, 4)),
+SOUND = codec.encode(
+    Message(MessageKind.PING_REQUEST, Record(3, 9**9, 2, MemberState.ALIVE), 7, 99, (5, 4)),
     [Record(4, 8**9, 1, MemberState.DEAD)],
 )[0]
 
@@ -189,12 +197,12 @@
     ],
 )
 def test_what_cannot_be_is_no_message(text: str) -> None:
-    assert codec.read(SOUND, MEMBERS) is not None and codec.read(text, MEMBERS) is None
+    assert codec.decode(SOUND, MEMBERS) is not None and codec.decode(text, MEMBERS) is None
 
 
 @given(st.text(max_size=80) | st.integers(0, len(SOUND)).map(lambda n: SOUND[:n]))
 def test_no_text_makes_reading_fail(text: str) -> None:
-    codec.read(text, MEMBERS)
+    codec.decode(text, MEMBERS)
 
 
 OLD, NEW, OTHER = b"o" * 16, b"n" * 16, b"x" * 16
@@ -205,10 +213,7 @@
     for before, after in zip(steps, steps[1:], strict=False):
         for one, other in ((before, after), (after, before)):
             assert (
-                authentication.MessageAuthenticator(one).verify(
-                    authentication.MessageAuthenticator(other).sign(SOUND)
-                )
-                == SOUND
+                MessageAuthenticator(one).verify(MessageAuthenticator(other).sign(SOUND)) == SOUND
             )
 
 
@@ -216,48 +221,48 @@
     "text",
     [
         SOUND,
-        authentication.MessageAuthenticator([OTHER]).sign(SOUND),
-        authentication.MessageAuthenticator([OLD]).sign(SOUND)[:-1],
-        authentication.MessageAuthenticator([OLD]).sign(SOUND).replace("v1q", "v1p"),
+        MessageAuthenticator([OTHER]).sign(SOUND),
+        MessageAuthenticator([OLD]).sign(SOUND)[:-1],
+        MessageAuthenticator([OLD]).sign(SOUND).replace("v1q", "v1p"),
         "",
         "~",
         SOUND + " ~" + "\xe9" * 16,
     ],
 )
 def test_a_seal_refuses_what_no_key_made(text: str) -> None:
-    assert authentication.MessageAuthenticator([OLD, NEW]).verify(text) is None
+    assert MessageAuthenticator([OLD, NEW]).verify(text) is None
 
 
 def test_a_key_file_says_what_is_wrong_with_it() -> None:
-    assert authentication.parse_keys(b"# first\n" + OLD + b"\n\n" + NEW) == [OLD, NEW]
+    assert parse_keys(b"# first\n" + OLD + b"\n\n" + NEW) == [OLD, NEW]
     for text, says in ((b"short", "shorter than 16"), (b"# none\n", "no key")):
         with pytest.raises(ValueError, match=says):
-            authentication.parse_keys(text)
+            parse_keys(text)
 
 
 # One member
 
 
-def alone(me: int = 0, members: int = 3, now: float = 1000.0) -> membership.Membership:
-    return membership.Membership(membership.MembershipSettings(me, members, 1), now)
+def alone(me: int = 0, members: int = 3, now: float = 1000.0) -> Membership:
+    return Membership(MembershipSettings(me, members, 1), now)
 
 
 def from_peer(
     sender: Record,
     serial: int = 1,
-    kind: str = codec.PING,
+    kind: MessageKind = MessageKind.PING,
     parts: tuple[int, ...] = (1,),
     told: tuple[Record, ...] = (),
 ) -> str:
-    return codec.write(codec.Message(kind, sender, serial, 0, parts), told)[0]
+    return codec.encode(Message(kind, sender, serial, 0, parts), told)[0]
 
 
 PEER = Record(1, 36**8, 1, MemberState.ALIVE)
 
 
 def answered(
-    one: membership.Membership, now: float, serial: int = 1, told: tuple[Record, ...] = ()
-) -> list[membership.Datagram]:
+    one: Membership, now: float, serial: int = 1, told: tuple[Record, ...] = ()
+) -> list[Datagram]:
     """The peer answers a ping of this beat; an answer to none that waits would wake nobody.
 
     What the beat sent.
@@ -266,11 +271,11 @@
     ping = next(
         m
         for s in sent
-        if s.recipient == 1 and (m := codec.read(s.text, 3)) and m.kind == codec.PING
+        if s.recipient == 1 and (m := codec.decode(s.text, 3)) and m.kind == MessageKind.PING
     )
     one.receive(
         1,
-        from_peer(PEER, serial=serial, kind=codec.ANSWER, parts=ping.parts, told=told),
+        from_peer(PEER, serial=serial, kind=MessageKind.ACK, parts=ping.arguments, told=told),
         now + 0.1,
     )
     return sent
@@ -374,7 +379,7 @@
     assert one.may_admit
     sent = one.tick(1005.0)
     assert not one.may_admit and sent
-    one.receive(1, from_peer(PEER, serial=2, kind=codec.ANSWER, parts=(1,)), 1005.05)
+    one.receive(1, from_peer(PEER, serial=2, kind=MessageKind.ACK, parts=(1,)), 1005.05)
     assert not one.may_admit  # it answers a ping of before
     dead = one.own._replace(state=MemberState.DEAD)
     answered(one, 1005.25, serial=3, told=(dead,))
@@ -383,7 +388,7 @@
     )  # it has learned of its death first
     one.tick(1010.0)
     for n in range(8):
-        one.tick(1010.25 + n * membership.BEAT)
+        one.tick(1010.25 + n * PROBE_INTERVAL_S)
     assert one.may_admit  # nobody is there
 
 
@@ -391,7 +396,7 @@
     one = alone()
     answered(one, 1000.0)
     for n in range(1, 8):
-        one.tick(1000.0 + n * membership.BEAT)
+        one.tick(1000.0 + n * PROBE_INTERVAL_S)
     suspects = [r for r in one.table if r.state == MemberState.SUSPECT]
     assert suspects  # the peer says nothing any more
     one.tick(1020.0)
@@ -617,7 +622,7 @@
         one.table.put(
             Record(
                 number,
-                one.own.incarnation - round(seconds * membership.INCARNATIONS_PER_S),
+                one.own.incarnation - round(seconds * INCARNATIONS_PER_S),
                 1,
                 MemberState.ALIVE,
             )
--- a/tests/membership/test_partition_quota.py
+++ b/tests/membership/test_partition_quota.py
@@ -12,9 +12,10 @@
 from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.membership.member_table import MemberTable
 from hazelhollow.membership.partition_quota import SILENCE_S, TAKE_OVER_AFTER_S, PartitionQuota
 from hazelhollow.membership.presence_index import PresenceIndex
-from hazelhollow.membership.records import PRESENT_STATES, MemberState, MemberTable, Record
+from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record
 from tests.scenario import PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
@@ -29,15 +30,15 @@
     Who is in neither has left.
     """
     for number in one.peers.keys() - gone.keys() - present.keys():
-        one.note(Record(number, one.peers[number].known_incarnation, 9, MemberState.LEFT))
+        one.record_changed(Record(number, one.peers[number].known_incarnation, 9, MemberState.LEFT))
     for incarnations, state in ((gone, MemberState.DEAD), (present, MemberState.ALIVE)):
         for number, incarnation in incarnations.items():
-            one.note(Record(number, incarnation, 0, state))
+            one.record_changed(Record(number, incarnation, 0, state))
     return one.update(now)
 
 
 def told(talks: bool = True) -> PartitionQuota:
-    one = PartitionQuota(0, 5, 100.0, talks)
+    one = PartitionQuota(0, gossips_every_beat=talks)
     look(one, {}, LIVES, 100.0)
     return one
 
@@ -53,17 +54,20 @@
     for talks, lost in ((True, {2, 3, 4}), (False, set())):
         one = told(talks)
         hears(one, 100.0 + SILENCE_S, 1)
-        assert look(one, {}, LIVES, 100.0 + SILENCE_S + 0.1) == [] and one.lost == lost
+        assert (
+            look(one, {}, LIVES, 100.0 + SILENCE_S + 0.1) == []
+            and one.unreachable_but_serving == lost
+        )
 
 
 def test_a_suspect_keeps_its_part_and_one_that_left_does_not() -> None:
     one = told(talks=False)
     assert look(
         one, {3: 13}, {n: incarnation for n, incarnation in LIVES.items() if n != 3}, 101.0
-    ) == [] and one.lost == {3}
+    ) == [] and one.unreachable_but_serving == {3}
     assert (
         look(one, {}, {n: incarnation for n, incarnation in LIVES.items() if n != 3}, 102.0) == []
-        and one.lost == set()
+        and one.unreachable_but_serving == set()
     )
 
 
@@ -74,7 +78,10 @@
     one = told(talks=False)
     others = {n: born for n, born in LIVES.items() if n != 3}
     look(one, {3: 13}, others, 101.0)
-    assert look(one, {}, others | {3: incarnation}, 105.0) == unused and one.lost == set()
+    assert (
+        look(one, {}, others | {3: incarnation}, 105.0) == unused
+        and one.unreachable_but_serving == set()
+    )
 
 
 def test_the_larger_side_takes_over_in_time_and_the_smaller_never() -> None:
@@ -86,23 +93,23 @@
         )
         look(one, away, others, 101.0)
         look(one, away, others, 101.0 + TAKE_OVER_AFTER_S - 0.1)
-        assert one.lost == gone
+        assert one.unreachable_but_serving == gone
         look(one, away, others, 101.0 + TAKE_OVER_AFTER_S)
-        assert one.lost == (set() if taken else gone)
+        assert one.unreachable_but_serving == (set() if taken else gone)
 
 
 def test_a_part_that_was_taken_over_is_not_credited_too() -> None:
     one, others = told(talks=False), {n: born for n, born in LIVES.items() if n != 3}
     for now in (101.0, 101.0 + TAKE_OVER_AFTER_S):
         look(one, {3: 13}, others, now)
-    assert look(one, {}, others | {3: 99}, 120.0) == [] and one.lost == set()
+    assert look(one, {}, others | {3: 99}, 120.0) == [] and one.unreachable_but_serving == set()
 
 
 def test_a_member_that_starts_in_a_part_leaves_the_others_theirs() -> None:
-    one = PartitionQuota(0, 5, 100.0, talks=False)
+    one = PartitionQuota(0, gossips_every_beat=False)
     # 4 has never been seen: nobody keeps a part for it
     look(one, {2: 12, 3: 13, 4: 0}, {1: 11}, 100.0)
-    assert one.lost == {2, 3}
+    assert one.unreachable_but_serving == {2, 3}
 
 
 # The decision module
@@ -181,7 +188,7 @@
     talks: bool, steps: list[Any]
 ) -> None:
     one, whole, table, now = (
-        PartitionQuota(0, 6, 100.0, talks),
+        PartitionQuota(0, gossips_every_beat=talks),
         WholeTableShares(talks),
         dict[int, Record](),
         100.0,
@@ -194,21 +201,21 @@
                 whole.heard[number] = now
         for number, incarnation, state in changes:
             table[number] = Record(number, incarnation, 0, state)
-            one.note(table[number])
+            one.record_changed(table[number])
         unused, lost = whole.look(table, now)
-        assert sorted(one.update(now)) == sorted(unused) and one.lost == lost
+        assert sorted(one.update(now)) == sorted(unused) and one.unreachable_but_serving == lost
 
 
 @given(changes=st.lists(st.tuples(st.integers(0, 5), st.sampled_from(MemberState), st.booleans())))
 def test_who_is_present_and_who_is_deaf_is_kept_up_record_by_record(
     changes: list[tuple[int, MemberState, bool]],
 ) -> None:
-    table, standing = MemberTable(), PresenceIndex(2)
-    table.subscribe(standing.note)
+    table, presence = MemberTable(), PresenceIndex(2)
+    table.subscribe(presence.record_changed)
     for turn, (number, state, deaf) in enumerate(changes):
         table.put(Record(number, 1, turn, state, (2,) if deaf else ()))
-        assert standing.present() == tuple(sorted(table.present()))
-        assert standing.cannot_hear_us() == tuple(
+        assert presence.present() == tuple(sorted(table.present()))
+        assert presence.cannot_hear_us() == tuple(
             sorted(r.number for r in table if r.state in PRESENT_STATES and r.unreachable)
         )
         assert table.present_count == len(table.present())
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -19,7 +19,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.membership.membership import INCARNATIONS_PER_S
+from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.membership.records import MemberState, Record
 from hazelhollow.scale import (
     coordinator,
