--- a/hazelhollow/control_budget/budget.py
+++ b/hazelhollow/control_budget/budget.py
@@ -1,11 +1,15 @@
 """A hierarchical token bucket over a limiter's control traffic.
 
-No I/O, no clock: the time is passed in, in seconds.
+| bucket | is filled by | is spent by |
+| --- | --- | --- |
+| one a role | the role's guaranteed rate | that role only |
+| the pool | overflow of those, and the rate that no role is guaranteed | any role |
 
-Each role has a bucket of its own that nobody else draws on: its guaranteed rate. What a full bucket
-cannot hold, and the rate that no role is guaranteed, fills a shared pool, which is lent by
-priority. Tokens are bytes and only move, so that in any window of `w` seconds at most `rate * w +
-burst` bytes leave, whatever the roles ask for. `docs/design/control-budget.md` says why.
+Of the pool each role leaves `POOL_RESERVE_SHARE` to each role before it.
+
+Tokens are bytes, headers included, and only move: in any window of `w` seconds at most
+`rate * w + burst` bytes leave, whatever the roles ask for. No I/O, no clock: the time is passed in,
+in seconds. `docs/design/control-budget.md` says why it is built so.
 """
 
 from __future__ import annotations
@@ -15,17 +19,21 @@
 from enum import Enum
 from typing import Any
 
-HEADER_BYTES = 28  # of IP and UDP, a datagram
-MAX_DATAGRAM_BYTES = 256 + HEADER_BYTES  # bytes of the largest datagram, with its headers
-SUSTAINED = 0.9  # of bytes_per_s; the rest is what a full burst adds to the worst ten seconds
-BURST_SECONDS = 1.0  # of bytes_per_s, over all
-POOL_KEPT = 0.15  # share of the pool that each role leaves to each one before it
-# below this the view is guaranteed less than its probes and answers need
+HEADER_BYTES = 28  # of IP and UDP, for each datagram
+MAX_DATAGRAM_BYTES = 256 + HEADER_BYTES  # of the largest datagram, with its headers
+# Below this membership is guaranteed less than its probes and answers need.
 MIN_BYTES_PER_S = 3000.0
+# Of bytes_per_s; the rest is what a full burst adds to the worst ten seconds.
+SUSTAINED_SHARE = 0.9
+BURST_S = 1.0  # of bytes_per_s, that all buckets together hold
+POOL_RESERVE_SHARE = 0.15  # of the pool, that each role leaves to each one before it
 
 
 class TrafficRole(Enum):
-    """What a datagram is for, in the order in which unused rate is lent."""
+    """What a datagram is for, in the order in which the pool is lent.
+
+    The values are the keys of the operators' page.
+    """
 
     MEMBERSHIP = "view"
     QUOTA = "quota"
@@ -35,13 +43,13 @@
 
 @dataclass(frozen=True)
 class RoleGuarantee:
-    """`rate`.
+    """`rate_share`: of bytes_per_s that a role is guaranteed.
 
-    Of bytes_per_s that a role is guaranteed; `seconds`: of that rate that its bucket holds.
+    `burst_s`: seconds of that rate that its bucket holds.
     """
 
-    rate: float
-    seconds: float
+    rate_share: float
+    burst_s: float
 
 
 ROLE_GUARANTEES: Mapping[TrafficRole, RoleGuarantee] = {
@@ -54,7 +62,7 @@
 
 @dataclass(frozen=True)
 class BucketSettings:
-    """Bytes a second, and the most bytes that it holds."""
+    """`rate`: bytes a second that come in. `burst`: the most bytes that it holds."""
 
     rate: float
     burst: float
@@ -62,7 +70,10 @@
 
 @dataclass(frozen=True)
 class BudgetSettings:
-    """`rate` of all together, in bytes a second; the roles' buckets and the pool."""
+    """`rate` of all together, in bytes a second; the roles' buckets; bytes that the pool holds.
+
+    Raises ValueError where the parts do not fit together.
+    """
 
     rate: float
     roles: Mapping[TrafficRole, BucketSettings]
@@ -85,28 +96,28 @@
 def settings_for(bytes_per_s: float) -> BudgetSettings:
     """Buckets by which at most that many bytes a second leave over the worst ten seconds.
 
-    Raises ValueError for too few.
+    Raises ValueError for less than `MIN_BYTES_PER_S`.
     """
     if bytes_per_s < MIN_BYTES_PER_S:
         raise ValueError(f"{bytes_per_s:g} bytes a second is less than {MIN_BYTES_PER_S:g}")
     roles = {
         role: BucketSettings(
-            share.rate * bytes_per_s,
-            max(MAX_DATAGRAM_BYTES, share.seconds * share.rate * bytes_per_s),
+            guarantee.rate_share * bytes_per_s,
+            max(MAX_DATAGRAM_BYTES, guarantee.burst_s * guarantee.rate_share * bytes_per_s),
         )
-        for role, share in ROLE_GUARANTEES.items()
+        for role, guarantee in ROLE_GUARANTEES.items()
     }
-    held = sum(bucket.burst for bucket in roles.values())
-    return BudgetSettings(
-        SUSTAINED * bytes_per_s, roles, max(MAX_DATAGRAM_BYTES, BURST_SECONDS * bytes_per_s - held)
-    )
+    roles_burst = sum(bucket.burst for bucket in roles.values())
+    pool_burst = max(MAX_DATAGRAM_BYTES, BURST_S * bytes_per_s - roles_burst)
+    return BudgetSettings(SUSTAINED_SHARE * bytes_per_s, roles, pool_burst)
 
 
 @dataclass
 class RoleUsage:
-    """Of one role since the start.
+    """Counters of one role since the start; their names are those of the operators' page.
 
-    Datagrams and bytes sent; messages that had to wait, and those given up.
+    `sent` datagrams and their `bytes`; messages that had to wait (`deferred`, each time that one
+    asked in vain) and those given up (`dropped`).
     """
 
     sent: int = 0
@@ -116,30 +127,31 @@
 
 
 class ControlBudget:
-    """The budget of one limiter.
+    """The budget of one limiter. `now`: of the start, in seconds; the buckets are full then.
 
-    A clock that goes back gives nothing for that time; one that jumps ahead, the burst.
+    A clock that goes back gives nothing for that time; one that jumps ahead gives the burst.
     """
 
     def __init__(self, settings: BudgetSettings, now: float) -> None:
         self.settings = settings
         self.usage = {role: RoleUsage() for role in TrafficRole}
-        self._roles = tuple(settings.roles)
         self._tokens = {role: bucket.burst for role, bucket in settings.roles.items()}
-        self._pool = settings.pool_burst
+        self._pool = settings.pool_burst  # below 0: bytes that left without being asked about
         self._unguaranteed = settings.rate - sum(bucket.rate for bucket in settings.roles.values())
-        self._kept = {
-            role: POOL_KEPT * place * settings.pool_burst for place, role in enumerate(self._roles)
+        # Bytes of the pool that each role leaves to those before it.
+        self._reserved = {
+            role: POOL_RESERVE_SHARE * place * settings.pool_burst
+            for place, role in enumerate(settings.roles)
         }
-        self._at = now
+        self._filled_at = now
 
     def available(self, role: TrafficRole, now: float) -> float:
         """Bytes that the role may send now: its own, and what may be lent to it."""
         self._refill(now)
-        return self._tokens[role] + max(0.0, self._pool - self._kept[role])
+        return self._tokens[role] + max(0.0, self._pool - self._reserved[role])
 
     def take(self, role: TrafficRole, size: int, now: float, keep: float = 0.0) -> bool:
-        """Whether a datagram of that size, headers included, may leave now.
+        """Whether a datagram of `size` bytes, headers included, may leave now; spends them if so.
 
         `keep`: bytes that must be left to the role.
         """
@@ -152,15 +164,15 @@
     def debit(self, role: TrafficRole, size: int, now: float) -> None:
         """A datagram that has left without being asked about.
 
-        What the role's bucket lacks is the pool's debt, so that nothing is lent until it is made
-        good. The debt is at most as large as the burst.
+        What the role's bucket lacks is the pool's debt: nothing is lent until it is paid. The debt
+        is at most as large as the burst.
         """
         self._refill(now)
         self._spend(role, size)
         self._pool = max(self._pool, -self.settings.burst)
 
     def drop(self, role: TrafficRole) -> None:
-        """A message that had to wait was given up."""
+        """Counts a message that had to wait and was given up."""
         self.usage[role].dropped += 1
 
     def document(self) -> dict[str, Any]:
@@ -172,11 +184,11 @@
         }
 
     def _spend(self, role: TrafficRole, size: int) -> None:
-        """What is lent goes first.
+        """Takes what the pool lends first.
 
-        The role's own bucket, once full, fills the pool again, and a full pool is lost.
+        The role's own bucket overflows into the pool once it is full, and a full pool is lost.
         """
-        lent = min(size, max(0.0, self._pool - self._kept[role]))
+        lent = min(size, max(0.0, self._pool - self._reserved[role]))
         own = min(self._tokens[role], size - lent)
         self._tokens[role] -= own
         self._pool -= size - own
@@ -184,7 +196,7 @@
         self.usage[role].bytes += size
 
     def _refill(self, now: float) -> None:
-        passed, self._at = max(0.0, now - self._at), now
+        passed, self._filled_at = max(0.0, now - self._filled_at), now
         if not passed:
             return
         to_pool = self._unguaranteed * passed
@@ -196,15 +208,15 @@
 
 
 class RoleBudget:
-    """One role's side of the budget, as a producer asks it.
+    """One role's side of the budget, as a subsystem asks it.
 
-    `overhead`: bytes beyond a message's text.
+    `overhead_bytes`: of each datagram beyond its text; by default its headers.
     """
 
     def __init__(
-        self, budget: ControlBudget, role: TrafficRole, overhead: int = HEADER_BYTES
+        self, budget: ControlBudget, role: TrafficRole, overhead_bytes: int = HEADER_BYTES
     ) -> None:
-        self.budget, self.role, self.overhead = budget, role, overhead
+        self.budget, self.role, self.overhead_bytes = budget, role, overhead_bytes
 
     @property
     def burst(self) -> float:
@@ -213,14 +225,15 @@
 
     def available_bytes(self, now: float) -> float:
         """Bytes of text that one datagram may have now."""
-        return self.budget.available(self.role, now) - self.overhead
+        return self.budget.available(self.role, now) - self.overhead_bytes
 
     def take(self, length: int, now: float, keep: float = 0.0) -> bool:
-        """Whether a text of that length may leave now.
+        """Whether a text of `length` bytes may leave now; spends them if so.
 
-        `keep`: share of the role's own burst that must be left.
+        `keep`: share of the role's own burst that must be left, 0 to 1.
         """
-        return self.budget.take(self.role, length + self.overhead, now, keep * self.burst)
+        return self.budget.take(self.role, length + self.overhead_bytes, now, keep * self.burst)
 
     def drop(self) -> None:
+        """Counts a message that was given up."""
         self.budget.drop(self.role)
--- a/hazelhollow/control_budget/limiter_budget.py
+++ b/hazelhollow/control_budget/limiter_budget.py
@@ -1,6 +1,7 @@
 """The control budget of one limiter, as its subsystems are given it.
 
-A part for each role, and the gossip's debit.
+Each subsystem asks its role's part before it sends. The decision engine does not ask: it paces its
+gossip by a rate in its settings, and what it sends is debited as it leaves.
 """
 
 from __future__ import annotations
@@ -21,8 +22,9 @@
 
 
 def with_gossip_rate(settings: api.Settings, bytes_per_s: float) -> api.Settings:
-    """Settings whose gossip keeps to the QUOTA role's part of so many bytes a second of control
-    traffic.
+    """The settings with gossip kept to its guaranteed rate.
+
+    `bytes_per_s`: of all control traffic. Raises ValueError for too few.
     """
     quota = settings_for(bytes_per_s).roles[TrafficRole.QUOTA]
     return replace(settings, gossip_bytes_per_s=quota.rate)
@@ -31,22 +33,26 @@
 class LimiterBudget:
     """`bytes_per_s`: of all control traffic, headers included.
 
-    `seal_bytes`: that a keyed hash adds to a datagram. Raises ValueError for too few bytes a
+    `signature_bytes`: that a keyed hash adds to a datagram. Raises ValueError for too few bytes a
     second.
     """
 
     def __init__(
-        self, bytes_per_s: float, peers: Peers, clock: Callable[[], float], seal_bytes: int = 0
+        self,
+        bytes_per_s: float,
+        peers: Peers,
+        clock: Callable[[], float],
+        signature_bytes: int = 0,
     ) -> None:
         self.budget = ControlBudget(settings_for(bytes_per_s), clock())
-        self._clock, self._overhead = clock, HEADER_BYTES + seal_bytes
+        self._clock, self._overhead_bytes = clock, HEADER_BYTES + signature_bytes
         peers.meter = self._debit_gossip
 
     def for_role(self, role: TrafficRole) -> RoleBudget:
-        """What that role asks before it sends."""
-        return RoleBudget(self.budget, role, self._overhead)
+        """What that role's subsystem asks before it sends."""
+        return RoleBudget(self.budget, role, self._overhead_bytes)
 
     def _debit_gossip(self, text: str) -> None:
-        """The decision module paces its gossip by itself and does not ask."""
+        """A datagram has left. Gossip is known by its first letter."""
         if text[0] in (DIALECT, BEFORE):
             self.budget.debit(TrafficRole.QUOTA, len(text) + HEADER_BYTES, self._clock())
--- a/hazelhollow/control_budget/send_queue.py
+++ b/hazelhollow/control_budget/send_queue.py
@@ -1,7 +1,4 @@
-"""Messages that wait for their role's part of the budget, the most useful first.
-
-No I/O, no clock.
-"""
+"""Messages that wait for their role's part of the budget, the most useful first."""
 
 from __future__ import annotations
 
@@ -10,13 +7,15 @@
 
 from hazelhollow.control_budget.budget import RoleBudget
 
-MAX_WAITING_MESSAGES = 64  # messages of one role; a newer one takes the place of the least useful
-MAX_WAIT_S = 2.0  # seconds after which a message is void: what it said is said again by then
+MAX_WAITING_MESSAGES = 64  # of one role; a newer one takes the place of the least useful
+MAX_WAIT_S = 2.0  # after which a message is dropped: what it said is said again by then
 
 Payload = TypeVar("Payload")
 
 
 class _Entry(NamedTuple):
+    """A waiting message; the least entry leaves first."""
+
     rank: int
     serial: int
     length: int
@@ -24,41 +23,49 @@
 
 
 class SendQueue(Generic[Payload]):
-    """One role's queue. `most`, `longest`: as the constants above."""
+    """One role's queue.
+
+    `max_waiting`: messages that it holds. `max_wait_s`: seconds after which one is dropped.
+    """
 
     def __init__(
-        self, allowance: RoleBudget, most: int = MAX_WAITING_MESSAGES, longest: float = MAX_WAIT_S
+        self,
+        allowance: RoleBudget,
+        max_waiting: int = MAX_WAITING_MESSAGES,
+        max_wait_s: float = MAX_WAIT_S,
     ) -> None:
-        self._allowance, self._most, self._longest = allowance, most, longest
+        self._allowance, self._max_waiting, self._max_wait_s = allowance, max_waiting, max_wait_s
         self._heap: list[_Entry] = []
-        self._payloads: dict[int, Payload] = {}
+        self._payloads: dict[int, Payload] = {}  # by serial
         self._serial = 0
 
     def __len__(self) -> int:
         return len(self._heap)
 
     def contains(self, payload: Payload) -> bool:
+        """Whether that message waits already."""
         return payload in self._payloads.values()
 
     def add(self, rank: int, length: int, payload: Payload, now: float) -> None:
-        """A message of that many bytes of text; those of a lower rank go first."""
+        """Queues a message of `length` bytes of text; those of a lower rank go first."""
         self._serial += 1
-        heapq.heappush(self._heap, _Entry(rank, self._serial, length, now + self._longest))
+        entry = _Entry(rank, self._serial, length, now + self._max_wait_s)
+        heapq.heappush(self._heap, entry)
         self._payloads[self._serial] = payload
-        while len(self._heap) > self._most:
+        while len(self._heap) > self._max_waiting:
             self._drop(max(self._heap))
 
     def take_sendable(self, now: float) -> list[Payload]:
-        """What may leave now, which is taken out.
+        """Takes out and pays for what may leave now.
 
         One that finds no room holds back all that are less useful.
         """
-        for entry in [entry for entry in self._heap if entry.until < now]:
-            self._drop(entry)
-        found = list[Payload]()
+        for expired in [entry for entry in self._heap if entry.until < now]:
+            self._drop(expired)
+        sendable = list[Payload]()
         while self._heap and self._allowance.take(self._heap[0].length, now):
-            found.append(self._payloads.pop(heapq.heappop(self._heap).serial))
-        return found
+            sendable.append(self._payloads.pop(heapq.heappop(self._heap).serial))
+        return sendable
 
     def _drop(self, entry: _Entry) -> None:
         self._heap.remove(entry)
--- a/hazelhollow/membership/codec.py
+++ b/hazelhollow/membership/codec.py
@@ -76,6 +76,7 @@
     MessageKind.BUCKET_DIGESTS: BUCKETS,
     MessageKind.RECORDS: 0,
 }
+_KINDS = {kind.value: kind for kind in MessageKind}
 # Kinds whose arguments after the first are members.
 _NAMING_MEMBERS = (
     MessageKind.PING_REQUEST,
@@ -108,7 +109,7 @@
     sender = message.sender
     own = _encode_record(sender)[1:]
     text = f"{DIALECT}{message.kind} {own}/{base36(message.serial)}/{base36(message.digest)} "
-    if message.kind == MessageKind.PRESENCE_BITMAP:
+    if message.kind is MessageKind.PRESENCE_BITMAP:
         text += _encode_bitmap(*message.arguments)
     else:
         text += "-".join(map(base36, message.arguments))
@@ -133,7 +134,7 @@
         sender_text, serial, digest = own.split("/")
         if len(text) > MAX_TEXT_BYTES or not head.startswith(DIALECT):
             return None
-        kind = MessageKind(head[len(DIALECT) :])
+        kind = _KINDS[head[len(DIALECT) :]]
         numbers = _decode_arguments(kind, arguments, member_count)
         sender = _decode_record(sender_text, member_count)
         return Message(
@@ -150,7 +151,7 @@
 
 def _decode_arguments(kind: MessageKind, text: str, member_count: int) -> tuple[int, ...]:
     """Raises ValueError where they are not what the kind takes."""
-    if kind == MessageKind.PRESENCE_BITMAP:
+    if kind is MessageKind.PRESENCE_BITMAP:
         return _decode_bitmap(text, member_count)
     numbers = tuple(number36(part, _NUMBER_SPAN) for part in text.split("-")) if text else ()
     if len(numbers) != ARGUMENT_COUNTS[kind]:
--- a/hazelhollow/membership/incarnation_conflict.py
+++ b/hazelhollow/membership/incarnation_conflict.py
@@ -1,11 +1,11 @@
 """Which of two processes with one limiter id goes on: the one that started later.
 
-| this member | hears of a later incarnation of its id | result |
+| this member | a later incarnation of its id is | result |
 | --- | --- | --- |
-| joining, first time | its own earlier run, whose clock was ahead | takes a still later incarnation |
+| joining, first time | its own earlier run, whose clock was ahead | goes past it, still joining |
 | joining, second time | another process | yields |
 | joined | another process | yields |
-| any | from a process on this machine | yields |
+| any | another process on this machine | yields |
 """
 
 from __future__ import annotations
--- a/hazelhollow/membership/reception.py
+++ b/hazelhollow/membership/reception.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from hazelhollow.membership import codec, counters
 from hazelhollow.membership.codec import Message, MessageKind
 from hazelhollow.membership.incarnation_conflict import (
@@ -20,7 +22,18 @@
 
     def __init__(self, state: MembershipState) -> None:
         self._state = state
+        self._limiter_id = state.settings.limiter_id
         self._replays, self._conflict = ReplayGuard(), IncarnationConflict()
+        self._handlers: dict[MessageKind, Callable[[Message], None]] = {
+            MessageKind.PING: self._handle_ping,
+            MessageKind.ACK: self._handle_ack,
+            MessageKind.PING_REQUEST: self._handle_ping_request,
+            MessageKind.INDIRECT_PING: self._handle_indirect_ping,
+            MessageKind.INDIRECT_ACK: self._handle_indirect_ack,
+            MessageKind.BUCKET_DIGESTS: self._handle_table_message,
+            MessageKind.RECORDS: self._handle_table_message,
+            MessageKind.PRESENCE_BITMAP: self._handle_table_message,
+        }
 
     def receive(self, sender_id: int, text: str) -> None:
         """A datagram from that member's address."""
@@ -28,7 +41,7 @@
         message = codec.decode(text, state.settings.member_count)
         if state.superseded or message is None:
             state.counts[counters.GARBLED] += 1
-        elif message.sender.number != sender_id or sender_id == state.settings.limiter_id:
+        elif message.sender.number != sender_id or sender_id == self._limiter_id:
             state.counts[counters.FORGED] += 1
         elif self._is_fresh(message):
             state.detector.heard_directly(sender_id)
@@ -38,7 +51,7 @@
             for record in message.records:
                 self._learn(record)
             if not state.superseded:
-                self._handle(message)
+                self._handlers[message.kind](message)
                 same_table = state.exchange.compare(message, state.now)
                 state.dissemination.table_compared(same_table)
 
@@ -75,7 +88,7 @@
         """A record that a peer has sent."""
         state = self._state
         known = state.table.get(record.number)
-        if record.number == state.settings.limiter_id:
+        if record.number == self._limiter_id:
             self._learn_of_itself(record)
         elif not state.confirmations.is_needed(record, known):
             state.apply(record)
@@ -103,35 +116,40 @@
         same_run = reported.incarnation == own.incarnation
         return same_run and reported > own and own.state != MemberState.LEFT
 
-    def _handle(self, message: Message) -> None:
-        """Does what the kind of message asks for."""
+    def _handle_ack(self, message: Message) -> None:
+        """Ends a probe's wait; one of this member's own also ends its joining."""
+        if self._state.detector.acknowledged(message.arguments[0], message.sender.number):
+            self._state.complete_join()
+
+    def _handle_ping_request(self, message: Message) -> None:
+        """Pings the target for the prober."""
+        probe_id, target = message.arguments
+        self._send(target, MessageKind.INDIRECT_PING, (probe_id, message.sender.number))
+
+    def _handle_indirect_ping(self, message: Message) -> None:
+        """Answers the helper, and the prober too: it may hear this member, if not the reverse."""
+        probe_id, prober = message.arguments
+        self._send(prober, MessageKind.ACK, (probe_id,))
+        indirect_ack = (probe_id, prober, self._limiter_id)
+        self._send(message.sender.number, MessageKind.INDIRECT_ACK, indirect_ack)
+
+    def _handle_table_message(self, message: Message) -> None:
+        self._state.exchange.receive(message, self._state.now)
+
+    def _handle_indirect_ack(self, message: Message) -> None:
+        """As the prober notes it; as the helper passes it on."""
         state = self._state
-        peer, arguments = message.sender.number, message.arguments
-        if message.kind == MessageKind.PING:
-            self._acknowledge(message)
-        elif message.kind == MessageKind.ACK:
-            if state.detector.acknowledged(arguments[0], peer):
-                state.complete_join()
-        elif message.kind == MessageKind.PING_REQUEST:
-            probe_id, target = arguments
-            self._send(target, MessageKind.INDIRECT_PING, (probe_id, peer))
-        elif message.kind == MessageKind.INDIRECT_PING:
-            probe_id, prober = arguments
-            # The prober may hear this member though this one does not hear it.
-            self._send(prober, MessageKind.ACK, (probe_id,))
-            self._send(
-                peer, MessageKind.INDIRECT_ACK, (probe_id, prober, state.settings.limiter_id)
-            )
-        elif message.kind == MessageKind.INDIRECT_ACK:
-            self._handle_indirect_ack(message)
-        else:
-            state.exchange.receive(message, state.now)
+        probe_id, prober, target = message.arguments
+        if prober == self._limiter_id:
+            state.detector.acknowledged_indirectly(probe_id, target)
+        elif message.sender.number == target:  # passed on once, by the helper, and by nobody else
+            self._send(prober, MessageKind.INDIRECT_ACK, message.arguments)
 
     def _send(self, number: int, kind: MessageKind, arguments: tuple[int, ...]) -> None:
         state = self._state
         state.sender.send(Outgoing(number, kind, arguments), state.now)
 
-    def _acknowledge(self, ping: Message) -> None:
+    def _handle_ping(self, ping: Message) -> None:
         """Answers a ping, and tells its sender what is held of it if that differs."""
         state = self._state
         peer, known = ping.sender.number, state.table.get(ping.sender.number)
@@ -150,11 +168,3 @@
         state.sender.send(ack, state.now)
         if reported_death:
             state.confirmations.pinged(peer, state.now + state.health.probe_timeout_s)
-
-    def _handle_indirect_ack(self, message: Message) -> None:
-        state = self._state
-        probe_id, prober, target = message.arguments
-        if prober == state.settings.limiter_id:
-            state.detector.acknowledged_indirectly(probe_id, target)
-        elif message.sender.number == target:  # passed on once, by the helper, and by nobody else
-            self._send(prober, MessageKind.INDIRECT_ACK, message.arguments)
--- a/hazelhollow/membership/sender.py
+++ b/hazelhollow/membership/sender.py
@@ -17,6 +17,9 @@
 from hazelhollow.membership.records import Record
 from hazelhollow.membership.suspicion import SuspicionTable
 
+# Kinds whose arguments leave no room for all of the sender's record.
+FULL_KINDS = frozenset((MessageKind.BUCKET_DIGESTS, MessageKind.PRESENCE_BITMAP))
+
 
 class Datagram(NamedTuple):
     """A text for the driver to send to the member `recipient`."""
@@ -73,7 +76,8 @@
         limits: SendLimits,
         counts: Counter[str],
     ) -> None:
-        self._own, self._table, self._limits, self._counts = own, table, limits, counts
+        self._own, self._table, self._counts = own, table, counts
+        self._max_text_bytes, self._allowance = limits.max_text_bytes, limits.allowance
         self._dissemination, self._suspicions = sources
         self._serial = 0
         self._datagrams: list[Datagram] = []
@@ -89,18 +93,18 @@
         None where the allowance has no room for it: it is not sent.
         """
         own, recipient, kind = self._own.record, outgoing.recipient, outgoing.kind
-        if kind in (MessageKind.BUCKET_DIGESTS, MessageKind.PRESENCE_BITMAP):
-            own = own._replace(unreachable=(), versions="")  # else they find no room
+        if kind in FULL_KINDS:
+            own = own._replace(unreachable=(), versions="")
         message = Message(kind, own, self._serial + 1, self._table.digest(), outgoing.arguments)
-        first, suspicion = list(outgoing.records), None
-        if outgoing.piggyback is not Piggyback.NOTHING:
+        first, suspicion, piggyback = list(outgoing.records), None, outgoing.piggyback
+        if piggyback is not Piggyback.NOTHING:
             suspicion = self._suspicions.record(recipient)
             if suspicion:
                 first.insert(0, suspicion)
         news = list[Record]()
-        if outgoing.piggyback is Piggyback.NEWS:
+        if piggyback is Piggyback.NEWS:
             news = self._dissemination.next_records(self._table, own.number)
-        allowance = self._limits.allowance
+        allowance = self._allowance
         text, taken = codec.encode(
             message, [*first, *news], self._room(message, first, news, now), allowance is not None
         )
@@ -118,7 +122,7 @@
 
     def _room(self, message: Message, first: list[Record], news: list[Record], now: float) -> int:
         """Bytes that the text may have, with what the allowance leaves for news."""
-        most, allowance = self._limits.max_text_bytes, self._limits.allowance
+        most, allowance = self._max_text_bytes, self._allowance
         if allowance is None or not news:
             return most
         without_news = len(codec.encode(message, first, most, relative=True)[0])
--- a/hazelhollow/membership/state.py
+++ b/hazelhollow/membership/state.py
@@ -45,6 +45,7 @@
         started_at: float | None,
     ) -> None:
         self.settings, self.now, self.began = settings, now, now
+        self._limiter_id = settings.limiter_id
         self.superseded = False  # another process has its id and goes on in its place
         self.counts: Counter[str] = Counter()  # by the names of `counters.py`
         self.random = random.Random(settings.seed)
@@ -97,7 +98,7 @@
         assert after is not None
         self.dissemination.record_changed(after)
         self.changes.record_changed(before, after, self.now)
-        if record.number != self.settings.limiter_id:
+        if record.number != self._limiter_id:
             timeout_s = self.health.suspicion_timeout_s
             self.suspicions.record_changed(after, self.now, timeout_s)
             self.confirmations.record_changed(after)
--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -389,7 +389,7 @@
 
 def test_what_waits_leaves_by_rank_within_the_budget_and_is_void_after_a_while() -> None:
     allowance = RoleBudget(ControlBudget(settings_for(3000.0), START), TrafficRole.CONFIGURATION)
-    waiting = SendQueue[str](allowance, most=3, longest=2.0)
+    waiting = SendQueue[str](allowance, max_waiting=3, max_wait_s=2.0)
     while allowance.take(1, START):
         pass
     for rank, payload in ((2, "piece"), (1, "ask"), (3, "digest"), (1, "another ask")):
