--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -17,12 +17,12 @@
 from hazelhollow.bench import load
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.net.limiter import Decisions
-from hazelhollow.operator.records import Store as Terms
-from hazelhollow.shared_store.exchange import Exchange
+from hazelhollow.decisions.gossip.codec import base36
+from hazelhollow.net.engine_driver import Decisions
+from hazelhollow.operator.settings import StoreSettings
+from hazelhollow.shared_store.client import StoreClient
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 from hazelhollow.shared_store.leased_decisions import LeasedDecisions
-from hazelhollow.shared_store.ledger import Ledger
 from hazelhollow.shared_store.link import Credentials
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.session import Session
@@ -138,7 +138,7 @@
         world: World,
         number: int,
         settings: api.Settings,
-        terms: Terms | None,
+        terms: StoreSettings | None,
         host: StoreHost | None,
     ) -> None:
         self.world, self.number, self.settings, self.terms, self.host = (
@@ -153,8 +153,8 @@
         self.dead = True  # until its start
         self.skew = 0.0  # of this limiter's clock
         self.wire: Wire | None = None
-        self.exchange: Exchange | None = None
-        self.ledger: Ledger | None = None
+        self.exchange: StoreClient | None = None
+        self.ledger: LeaseLedger | None = None
         self.decisions: Decisions
         self._life = 0
         self._held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
@@ -173,8 +173,8 @@
         self.decisions = DecisionEngine(self.settings, seed)
         self.exchange = self.ledger = None
         if self.terms and self.host:
-            self.ledger = Ledger(self.settings, self.terms, base36(int(now * 1000)), now)
-            self.exchange = Exchange(self.ledger, self.terms, seed)
+            self.ledger = LeaseLedger(self.settings, self.terms, base36(int(now * 1000)), now)
+            self.exchange = StoreClient(self.ledger, self.terms, seed)
             self.decisions = LeasedDecisions(self.decisions, self.ledger, self._pump)
             self._connect(self._life)
             self._arm()
@@ -208,7 +208,7 @@
         actions = self.decisions.handle(event, self.clock())
         for action in actions:
             if isinstance(action, api.StartAttempt):
-                outcome = api.AttemptEnded(action.id, 0, action.server, "ok", ANSWER, final=True)
+                outcome = api.AttemptEnded(action.id, 0, action.endpoint, "ok", ANSWER, final=True)
                 self.world.at(self.world.now + ANSWER, self._event, self._life, outcome)
             elif isinstance(action, api.SetTimer):
                 self.world.at(
@@ -220,7 +220,7 @@
             elif isinstance(action, api.SendGossip) and self.world.chance.random() >= PEER_LOSS:
                 self.world.at(
                     self.world.now + self.world.chance.uniform(*TO_PEER),
-                    self.peers[action.gateway].told,
+                    self.peers[action.limiter_id].told,
                     self.number,
                     action.text,
                 )
@@ -302,7 +302,7 @@
         seed: int,
         gateways: int,
         seconds: float,
-        terms: Terms | None,
+        terms: StoreSettings | None,
         node: Callable[[Callable[[], float]], Node],
         uneven: bool = False,
     ) -> None:
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -23,12 +23,12 @@
 from hazelhollow.configuration.stragglers import ASK_FOR, Rule, Ruling
 from hazelhollow.configuration.versions import MOST_CANARIES, MOST_ORDER, Candidate, Versions
 from hazelhollow.control_budget.budget import RoleBudget
-from hazelhollow.decisions import gossip_codec as gossip
+from hazelhollow.decisions.gossip import codec as gossip
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.membership.driver import MembershipDriver
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.sparse import Sparse
 
 # Seconds at most until settings are on record, before a request is served by them: a peer's, and an
 # operator's, which are in force already, so that nobody is served meanwhile.
@@ -81,7 +81,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        peers: Peers,
+        peers: PeerSocket,
         fleet: MembershipDriver,
         seal: MessageAuthenticator,
         port: Port,
@@ -95,7 +95,7 @@
         me = fleet.membership.limiter_id
         self.rule, self.ruling, self.rollout = Rule(me), Ruling("current"), Rollout(me)
         self._acts = Acts(me, record, port, scheduler.clock)
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._heard_before = peers.heard
         self._given_order = 0  # of settings that a peer gave, or that are tried
         # digest and order of the settings, and whether they are tried
--- a/hazelhollow/control_budget/limiter_budget.py
+++ b/hazelhollow/control_budget/limiter_budget.py
@@ -17,8 +17,8 @@
     settings_for,
 )
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import BEFORE, DIALECT
-from hazelhollow.net.peers import Peers
+from hazelhollow.decisions.gossip.codec import BEFORE, DIALECT
+from hazelhollow.net.peer_socket import PeerSocket
 
 
 def with_gossip_rate(settings: api.Settings, bytes_per_s: float) -> api.Settings:
@@ -40,7 +40,7 @@
     def __init__(
         self,
         bytes_per_s: float,
-        peers: Peers,
+        peers: PeerSocket,
         clock: Callable[[], float],
         signature_bytes: int = 0,
     ) -> None:
--- a/hazelhollow/membership/codec.py
+++ b/hazelhollow/membership/codec.py
@@ -37,7 +37,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from hazelhollow.decisions.gossip_codec import base36, number36
+from hazelhollow.decisions.gossip.codec import base36, number36
 from hazelhollow.membership.member_table import BUCKETS, DIGEST_SPAN
 from hazelhollow.membership.records import MemberState, Record, unpack_address
 
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -26,9 +26,9 @@
 from hazelhollow.membership.records import unpack_address
 from hazelhollow.membership.sender import Datagram
 from hazelhollow.membership.timing import PROBE_INTERVAL_S
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.sparse import Sparse
 from hazelhollow.storage.append_file import AppendFile
 
 DATAGRAM_PREFIX = DIALECT[0]  # the other subsystems' datagrams begin with other letters
@@ -69,7 +69,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        peers: Peers,
+        peers: PeerSocket,
         membership: Membership,
         authenticator: MessageAuthenticator,
         options: DriverOptions,
@@ -86,7 +86,7 @@
         self._pass_to_others = peers.heard
         self._has_ended = False
         self._dropped_logged = 0
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._random = random.Random(membership.own.incarnation)
 
     # What the limiter calls
@@ -94,7 +94,7 @@
     def start(self) -> None:
         """Takes the socket's datagrams from now on and begins to probe."""
         self._peers.heard, self._peers.stranger = self.received, self._received_from_stranger
-        self._scheduler.stood_still = self._resumed_after_stall
+        self._scheduler.on_process_pause = self._resumed_after_stall
         self._tick()
         self._log_dropped()
         self._announce_to_own_address()
@@ -112,7 +112,7 @@
 
     def may_admit(self) -> bool:
         """Whether this limiter may admit work, as the decision engine was last told."""
-        return self._last_event is not None and self._last_event.acting
+        return self._last_event is not None and self._last_event.may_admit
 
     def unreachable_but_serving(self) -> frozenset[int]:
         """Members that cannot be heard and may go on admitting."""
@@ -283,9 +283,9 @@
             self._options.replicates,
         )
         last = self._last_event
-        admission_changed = last is None or event.acting != last.acting
+        admission_changed = last is None or event.may_admit != last.may_admit
         if last is not None and admission_changed:
-            self._log_admission(event.acting, is_shut_out)
+            self._log_admission(event.may_admit, is_shut_out)
         # What is unused is given back once and is no part of what the engine knows.
         known = replace(event, unused=())
         if known != last or event.unused:
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -18,24 +18,31 @@
 from hazelhollow.control_budget.budget import ControlBudget, RoleBudget, TrafficRole
 from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.membership.authentication import MessageAuthenticator, parse_keys
 from hazelhollow.membership.driver import DriverOptions, MembershipDriver, max_text_bytes
 from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import pack_address
 from hazelhollow.membership.settings import MembershipSettings
-from hazelhollow.net.limiter import Decisions
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.engine_driver import Decisions
+from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.service import Service
-from hazelhollow.operator import load, logs, records
+from hazelhollow.operator import live_changes, load, logs
 from hazelhollow.operator.commands import fail
-from hazelhollow.operator.syntax import CueError, Place, Trouble
+from hazelhollow.operator.errors import CueError, Place, Problem
+from hazelhollow.operator.settings import (
+    AuditSettings,
+    ControlSettings,
+    FleetSettings,
+    OperatorSettings,
+    ReplicationSettings,
+)
 from hazelhollow.replication import snapshot
-from hazelhollow.replication.driver import Driver as ReplicaDriver
-from hazelhollow.shared_store.driver import Driver
-from hazelhollow.shared_store.exchange import Exchange
+from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.shared_store.client import StoreClient
+from hazelhollow.shared_store.driver import SharedStoreDriver
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 from hazelhollow.shared_store.leased_decisions import LeasedDecisions
-from hazelhollow.shared_store.ledger import Ledger
 from hazelhollow.storage.append_file import AppendFile
 from hazelhollow.storage.writer import BackgroundWriter
 
@@ -89,12 +96,12 @@
     Every call comes from the limiter's own thread.
     """
 
-    def __init__(self, file: str, operator: records.Operator) -> None:
+    def __init__(self, file: str, operator: OperatorSettings) -> None:
         self.file, self.operator = file, operator
-        self.ledger: Ledger | None = None
-        self.driver: Driver | None = None
+        self.ledger: LeaseLedger | None = None
+        self.driver: SharedStoreDriver | None = None
         self.fleet: MembershipDriver | None = None
-        self.replica: ReplicaDriver | None = None
+        self.replica: ReplicationDriver | None = None
         self.audit: AuditDriver | None = None
         self.control: ControlBudget | None = None
         self._budget: LimiterBudget | None = None
@@ -118,7 +125,7 @@
         terms = self.operator.store
         if terms is None:
             return inner
-        self.ledger = Ledger(settings, terms, base36(int(now * 1000)), now)
+        self.ledger = LeaseLedger(settings, terms, base36(int(now * 1000)), now)
         return LeasedDecisions(inner, self.ledger, self._pump)
 
     def _pump(self) -> None:
@@ -129,14 +136,14 @@
         """The limiter is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
-            exchange = Exchange(self.ledger, self.operator.store, self._seed)
-            self.driver = Driver(service.scheduler, exchange)
+            exchange = StoreClient(self.ledger, self.operator.store, self._seed)
+            self.driver = SharedStoreDriver(service.scheduler, exchange)
             service.stats.store = {"books": self.ledger.counts, "link": exchange.counts}
             self.driver.start()
         if self.operator.fleet:
             self._begin_view(service, self.operator.fleet)
 
-    def _begin_view(self, service: Service, terms: records.Fleet) -> None:
+    def _begin_view(self, service: Service, terms: FleetSettings) -> None:
         settings, peers = service.settings, service.limiter.peers
         if peers is None or not settings.peers or settings.limiter_count < 2:
             log.warning(
@@ -184,7 +191,7 @@
         if terms.audit:
             self._begin_audit(service, self.fleet, terms.audit)
 
-    def _begin_control(self, service: Service, peers: Peers, terms: records.Control) -> None:
+    def _begin_control(self, service: Service, peers: PeerSocket, terms: ControlSettings) -> None:
         self._budget = LimiterBudget(
             terms.bytes_per_s, peers, service.scheduler.clock, self.seal.overhead_bytes
         )
@@ -196,16 +203,16 @@
         return self._budget.for_role(role) if self._budget else None
 
     def _begin_replica(
-        self, service: Service, fleet: MembershipDriver, terms: records.Replicate
+        self, service: Service, fleet: MembershipDriver, terms: ReplicationSettings
     ) -> None:
         peers = service.limiter.peers
         assert peers is not None
         file = (
-            snapshot.File(Path(terms.state_dir), service.settings.limiter_id, self._writer)
+            snapshot.SnapshotFile(Path(terms.state_dir), service.settings.limiter_id, self._writer)
             if terms.state_dir
             else None
         )
-        self.replica = ReplicaDriver(
+        self.replica = ReplicationDriver(
             service.scheduler,
             peers,
             fleet,
@@ -219,10 +226,10 @@
             self._part(TrafficRole.REPLICATION),
         )
         service.limiter.closed = self.replica.closed
-        service.stats.replica = self.replica.exchange.counts
+        service.stats.replica = self.replica.replica.counts
         self.replica.start()
 
-    def _begin_audit(self, service: Service, fleet: MembershipDriver, terms: records.Audit) -> None:
+    def _begin_audit(self, service: Service, fleet: MembershipDriver, terms: AuditSettings) -> None:
         peers, me, incarnation = (
             service.limiter.peers,
             service.settings.limiter_id,
@@ -310,24 +317,24 @@
         try:
             new = load.load(self.file)
         except CueError as error:
-            for trouble in error.troubles:
-                log.error("the operator file stays as it was", trouble=str(trouble))
+            for problem in error.problems:
+                log.error("the operator file stays as it was", problem=str(problem))
             return
-        live, later = load.changes(self.operator, new)
+        live, later = live_changes.changes(self.operator, new)
         if later:
             log.warning("these settings need a restart and stay as they were", settings=later)
         self._take(new, live)
         if taken:
             self.order = self._order_told()
 
-    def _take(self, new: records.Operator, live: list[str]) -> None:
+    def _take(self, new: OperatorSettings, live: list[str]) -> None:
         if any(path.startswith("log.") for path in live):
             logs.configure(new.log)
-        self.operator = load.merged(self.operator, new)
+        self.operator = live_changes.merged(self.operator, new)
         try:
             self.seal.keys = _keys(self.operator.fleet)
         except (OSError, ValueError) as error:
-            log.error("the keys stay as they were", trouble=str(error))
+            log.error("the keys stay as they were", problem=str(error))
         if self.driver and self.operator.store:
             self.driver.change(
                 self.operator.store
@@ -338,7 +345,7 @@
 def open_file(file: str) -> Attached:
     """Reads the file and sets up logs.
 
-    Ends the program, with a line for each trouble, if it cannot be used.
+    Ends the program, with a line for each problem, if it cannot be used.
     """
     try:
         operator = load.load(file)
@@ -349,9 +356,9 @@
         return Attached(file, operator)
     except (OSError, ValueError) as error:
         place = operator.fleet.keys_file if operator.fleet else file
-        fail(CueError([Trouble(Place(place, 1, 1), "fleet.keys_file", str(error))]))
+        fail(CueError([Problem(Place(place, 1, 1), "fleet.keys_file", str(error))]))
 
 
-def _keys(terms: records.Fleet | None) -> list[bytes]:
+def _keys(terms: FleetSettings | None) -> list[bytes]:
     """Raises OSError or ValueError for a file that cannot be used."""
     return parse_keys(Path(terms.keys_file).read_bytes()) if terms and terms.keys_file else []
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -26,12 +26,12 @@
 from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import Record
 from hazelhollow.membership.settings import MembershipSettings
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net.backend import Attempt, Backend, Host, Result
-from hazelhollow.net.ending import Ending, outcome
-from hazelhollow.net.limiter import Limiter
+from hazelhollow.net.close_reason import CloseReason, outcome
+from hazelhollow.net.engine_driver import Limiter
+from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
-from hazelhollow.replication.driver import Driver as ReplicaDriver
+from hazelhollow.replication.driver import ReplicationDriver
 from hazelhollow.scale.load import Drawn, service_time
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeers
@@ -43,7 +43,7 @@
 KEY = b"the key of a scale run, which is no secret"
 DRIVERS: tuple[tuple[type, Role], ...] = (
     (MembershipDriver, Role.VIEW),
-    (ReplicaDriver, Role.REPLICATION),
+    (ReplicationDriver, Role.REPLICATION),
     (AuditDriver, Role.AUDIT),
     (Backend, Role.REQUESTS),
 )
@@ -59,12 +59,12 @@
     return next((role for kind, role in DRIVERS if isinstance(owner, kind)), Role.TIMERS)
 
 
-class OwnScheduler(sch.Scheduler):
+class OwnScheduler(Scheduler):
     """One incarnation's part of the shared scheduler."""
 
-    def __init__(self, shared: sch.Scheduler, meter: Meter) -> None:
+    def __init__(self, shared: Scheduler, meter: Meter) -> None:
         self._shared, self._meter = shared, meter
-        self.clock, self.stood_still = shared.clock, None
+        self.clock, self.on_process_pause = shared.clock, None
         self.alive = True
 
     def __getattr__(self, name: str) -> Any:
@@ -73,24 +73,24 @@
         """
         return getattr(self._shared, name)
 
-    def at(self, when: float, call: Callable[..., object], *args: Any) -> sch.Timer:
+    def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
         return self._shared.at(when, self._play, role_of_call(call), call, args)
 
-    def knowledge_age(self) -> float:
-        return self._shared.knowledge_age()
+    def time_since_poll(self) -> float:
+        return self._shared.time_since_poll()
 
     def _play(self, role: Role, call: Callable[..., object], args: tuple[Any, ...]) -> None:
         if self.alive:
             self._meter.turn(role, call, *args)
 
     def later(self, call: Callable[[], object]) -> None:
-        self._shared.later(lambda: self._play(Role.REQUESTS, call, ()))
+        self._shared.at_end_of_turn(lambda: self._play(Role.REQUESTS, call, ()))
 
 
 class HollowBackend(Backend):
     """Modelled servers: each attempt is answered after a drawn time."""
 
-    def __init__(self, scheduler: sch.Scheduler, seed: int, service_s: float) -> None:
+    def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
         self._scheduler, self._service_s = scheduler, service_s
         self._chance = random.Random(seed)
 
@@ -110,10 +110,10 @@
         """Its server has answered."""
         attempt.finish(Result("ok"))
 
-    def give_up(self, attempt: Attempt, ending: Ending) -> None:
+    def give_up(self, attempt: Attempt, ending: CloseReason) -> None:
         attempt.finish(Result(outcome(ending, True)))
 
-    def hold_back(self, attempt: Attempt, ending: Ending) -> None:
+    def hold_back(self, attempt: Attempt, ending: CloseReason) -> None:
         """Every attempt goes out whole at once."""
 
 
@@ -170,7 +170,7 @@
 
     def __init__(
         self,
-        shared: sch.Scheduler,
+        shared: Scheduler,
         meter: Meter,
         peers: HollowPeers,
         told: Told,
@@ -198,7 +198,7 @@
         )
         self.limiter.peers = peers
         self.fleet: MembershipDriver | None = None
-        self.replica: ReplicaDriver | None = None
+        self.replica: ReplicationDriver | None = None
         self.audit: AuditDriver | None = None
         self._serial = 0
 
@@ -249,7 +249,7 @@
     def _start_replica(
         self, fleet: MembershipDriver, seal: MessageAuthenticator, most: int
     ) -> None:
-        self.replica = ReplicaDriver(
+        self.replica = ReplicationDriver(
             self.scheduler,
             self._peers,
             fleet,
--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -1,4 +1,4 @@
-"""The stand-in on real sockets: a thin driver on our scheduler, one `Node` a listening address."""
+"""The stand-in on real sockets: a thin driver, one `Node` for each listening address."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import ssl
 import struct
 
-from hazelhollow.net import scheduler as sch
 from hazelhollow.net import stream, tls
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.standins.redis import faults
 from hazelhollow.standins.redis.cluster import Cluster
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.session import Session
 
-MOST_OUT = 16 * 1024 * 1024  # bytes that wait for one connection
+MAX_OUT = 16 * 1024 * 1024  # bytes that wait for one connection
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 seconds
 
 
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         node: Node,
         listen: tuple[str, int],
         secure: ssl.SSLContext | None = None,
@@ -34,21 +34,21 @@
         self._sock.setblocking(False)
         self.address: tuple[str, int] = self._sock.getsockname()[:2]
         self._streams: dict[int, stream.Stream] = {}
-        self._timer: sch.Timer | None = None
+        self._timer: Timer | None = None
 
     def start(self) -> None:
         """Begins to accept connections."""
-        self.scheduler.spawn_lasting(self._accept, "stand-in")
+        self.scheduler.spawn_supervised(self._accept, "stand-in")
         self.advance()
 
     def _accept(self) -> None:
-        for sock in stream.accepted(self.scheduler, self._sock):
+        for sock in stream.accept_connections(self.scheduler, self._sock):
             session = self.node.connect()
             if session is None:  # down: as near to a refusal as an open port can come
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 sock.close()
                 continue
-            self._streams[session.id] = driver = stream.Stream(self.scheduler, sock, MOST_OUT)
+            self._streams[session.id] = driver = stream.Stream(self.scheduler, sock, MAX_OUT)
             if self._secure:
                 self._tls_layers[session.id] = tls.Layer(self._secure)
             self.scheduler.spawn(self._serve, session, driver, name="stand-in connection")
@@ -56,8 +56,8 @@
     def _serve(self, session: Session, driver: stream.Stream) -> None:
         while driver.ending is None:
             driver.wait()
-            data = driver.read(stream.CHUNK)
-            if isinstance(data, Ending):
+            data = driver.read(stream.READ_CHUNK_BYTES)
+            if isinstance(data, CloseReason):
                 driver.close(data)
             elif data:
                 plain = self._decrypt(session, driver, data)
@@ -74,13 +74,13 @@
         try:
             plain, back = layer.feed(data)
         except ssl.SSLError:
-            driver.close(Ending.MALFORMED)
+            driver.close(CloseReason.MALFORMED)
             return b""
         driver.write(back)
         return plain
 
     def advance(self) -> None:
-        """Does what the node has to do now and sees to it that it is called when it has more."""
+        """Carries out what the node has due and sets a timer for its next turn."""
         for output in self.node.turn():
             driver = self._streams.get(output.session.id)
             if driver is None:
@@ -90,7 +90,7 @@
                 driver.write(layer.write(output.data) if layer else output.data)
             if output.closes:
                 driver.flush()
-                driver.close(Ending.SHUTDOWN)
+                driver.close(CloseReason.SHUTDOWN)
         if self._timer:
             self._timer.cancel()
             self._timer = None
@@ -101,13 +101,13 @@
     def close(self) -> None:
         """Ends all connections and the listening socket."""
         for driver in list(self._streams.values()):
-            driver.close(Ending.SHUTDOWN)
-        self.scheduler.forget(self._sock.fileno())
+            driver.close(CloseReason.SHUTDOWN)
+        self.scheduler.unregister(self._sock.fileno())
         self._sock.close()
 
 
 def start(
-    scheduler: sch.Scheduler,
+    scheduler: Scheduler,
     listen: tuple[str, int],
     seed: int = 0,
     password: str = "",
@@ -115,9 +115,9 @@
     shards: int = 1,
     secure: ssl.SSLContext | None = None,
 ) -> list[Server]:
-    """So many servers, at ports in a row from `listen` or, with port 0, at any.
+    """Starts `shards` servers; more than one form a cluster.
 
-    More than one are a cluster.
+    They listen at consecutive ports from that of `listen`, or at any free ones where it is 0.
     """
     host, port = listen
     servers = []
