--- a/hazelhollow/membership/allowance.py
+++ b/hazelhollow/membership/allowance.py
@@ -18,7 +18,7 @@
     PROBE_REQUEST = 0.3  # asks others to ping for this member
     SUSPECT = 0.35  # a ping to a suspect, so that it can refute
     CONFIRMATION = 0.4  # a ping to a member whose death others report
-    ABSENT = 0.43  # a ping to a member that is held dead: finds out that a partition has healed
+    ABSENT = 0.43  # a ping to a dead member: finds out that a partition has healed
     RECORDS = 0.45  # records that another's table lacks
     TABLE_DIGEST = 0.6  # asks for those: rarer, the less is left to answer it with
     NEWS = 0.65  # records that ride along with other datagrams
--- a/hazelhollow/membership/death_confirmation.py
+++ b/hazelhollow/membership/death_confirmation.py
@@ -99,7 +99,7 @@
         self._confirmations.pop(number, None)
 
     def heard_from_dead(self) -> None:
-        """A member that was held dead was heard: those that were silent may answer now."""
+        """A member that was considered dead was heard: those that were silent may answer now."""
         self._silent_in_a_row = 0
 
     def clear(self) -> None:
--- a/hazelhollow/membership/dissemination.py
+++ b/hazelhollow/membership/dissemination.py
@@ -26,16 +26,16 @@
         factor = RETRANSMIT_FACTOR_BOUNDED if bounded else RETRANSMIT_FACTOR
         self._max_transmissions = factor * math.ceil(math.log2(member_count + 1))
         self._transmissions: dict[int, int] = {}  # by member: times that its record was sent
-        self._equal_tables = 0  # members in a row whose table was the same as this one's
+        self._equal_tables = 0  # members in a row whose table was the same as this member's
 
     def record_changed(self, record: Record) -> None:
         """The member table holds this record from now on."""
-        # A member that is up may be held dead until its refutation arrives.
+        # A member that is up may be considered dead until its refutation arrives.
         refutes = record.record_version > 1 and record.state == MemberState.ALIVE
         self._transmissions[record.number] = -REFUTATION_LEAD if refutes else 0
 
     def table_compared(self, equal: bool) -> None:
-        """A member has shown whether its table is the same as this one's.
+        """A member has shown whether its table is the same as this member's.
 
         Once several in a row are, digests show what the others lack.
         """
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -1,4 +1,4 @@
-"""The driver of membership: reads and writes its datagrams, sets its timers, tells what changed.
+"""The driver of membership: reads and writes its datagrams and sets its timers.
 
 One driver for each limiter, made by `operator/attach.py`. Membership's datagrams share a socket
 with gossip, replication and configuration, and are known by `DATAGRAM_PREFIX`. What is known of the
@@ -45,10 +45,10 @@
     """What a driver is given beside its socket and timers.
 
     `on_change` gets what the decision engine is to know, whenever it changes. `on_superseded` is
-    called once, if another process has this one's id. `history_file` gets a JSON line whenever the
-    membership changes. `seeds`: addresses to ask where peers are not listed. `replicates`: whether
-    counts are replicated. `gossip_is_paced`: gossip keeps to a byte budget, so that its silence
-    tells nothing.
+    called once, if another process has this member's id. `history_file` gets a JSON line whenever
+    the membership changes. `seeds`: addresses to ask where peers are not listed. `replicates`:
+    whether counts are replicated. `gossip_is_paced`: gossip keeps to a byte budget, so that its
+    silence tells nothing.
     """
 
     on_change: Callable[[api.MembershipChanged], None]
@@ -63,7 +63,7 @@
     """`peers`: the socket, whose datagrams it takes first and passes on what is not its own.
 
     `shut_out_rule`, where it is set: given the time, whether this member is shut out for its old
-    settings. It is asked before the decision engine is told anything.
+    settings. It is asked before the decision engine is notified of anything.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self._report_changes()
 
     def may_admit(self) -> bool:
-        """Whether this limiter may admit work, as the decision engine was last told."""
+        """Whether this limiter may admit work, as the decision engine was last notified."""
         return self._last_event is not None and self._last_event.may_admit
 
     def unreachable_but_serving(self) -> frozenset[int]:
@@ -140,7 +140,7 @@
     def _received_from_stranger(self, text: str, source: tuple[str, int]) -> bool:
         """A datagram from an address that is no known peer's. Whether it was for this driver.
 
-        It may come from another process with this one's id and address, between which the kernel
+        It may come from another process with this member's id and address, between which the kernel
         divides what peers send here; or, where members are found by seeds, from one that is not
         known yet.
         """
@@ -174,7 +174,7 @@
             self._peers.send(self._random.choice(self._options.seeds), text)
 
     def _announce_to_own_address(self) -> None:
-        """Lets another process with this one's id and address know of this one.
+        """Lets another process with this member's id and address know of this process.
 
         The kernel picks the process that gets a datagram by the port that it comes from, so each
         announcement comes from another port.
@@ -217,8 +217,8 @@
     def _resumed_after_stall(self) -> None:
         """Called before anything is read that came while the process stood still.
 
-        To admit work by what it knew before, or to answer those who hold it dead, would be an act
-        of a member that it may no longer be.
+        Else it would admit work by what it knew before, and answer those who consider it dead as
+        if it were still a member.
         """
         now = self._scheduler.clock()
         if not self._has_ended and self.membership.is_stalled(now):
--- a/hazelhollow/membership/failure_detector.py
+++ b/hazelhollow/membership/failure_detector.py
@@ -121,7 +121,7 @@
             self._probes[probe_id] = Probe(target, now)
 
     def probe_absent(self, now: float) -> None:
-        """Pings one of the members that are held dead.
+        """Pings one of the members that are considered dead.
 
         Nobody else would find out that a partition has healed. No ack is awaited.
         """
--- a/hazelhollow/membership/join.py
+++ b/hazelhollow/membership/join.py
@@ -1,6 +1,6 @@
 """How a member joins, and joins again after it stood still.
 
-Until a peer has answered it admits nothing: the others may hold it dead, or another process may
+Until a peer has answered it admits nothing: the others may consider it dead, or another process may
 have its id, and what a peer says of that arrives with its answer. With nobody there it goes on
 alone.
 """
--- a/hazelhollow/membership/membership.py
+++ b/hazelhollow/membership/membership.py
@@ -45,7 +45,7 @@
 from hazelhollow.membership.state import MembershipState
 from hazelhollow.membership.timing import INDIRECT_PROBE_HELPERS
 
-LEAVE_FANOUT = 2 * INDIRECT_PROBE_HELPERS  # members that are told of the own leaving
+LEAVE_FANOUT = 2 * INDIRECT_PROBE_HELPERS  # members that are notified of the own leaving
 
 
 class Membership:
@@ -98,7 +98,7 @@
         return self._state.sender.take()
 
     def leave(self, now: float) -> list[Datagram]:
-        """It goes for good: several are told at once, since it cannot repeat it later."""
+        """It goes for good: several are notified at once, since it cannot repeat it later."""
         self._state.now = now
         if not self._state.superseded and self.own.state != MemberState.LEFT:
             self._state.apply(self._state.own_record.restate(MemberState.LEFT))
@@ -109,9 +109,9 @@
         return self._state.sender.take()
 
     def detect_duplicate(self, text: str) -> bool:
-        """A datagram from this machine: whether it is of a process with this one's id.
+        """A datagram from this machine: whether it is of a process with this member's id.
 
-        It may be of this process itself. One that started later supersedes this one.
+        It may be of this process itself. One that started later supersedes this process.
         """
         message = codec.decode(text, self.member_count)
         if message is None or message.sender.number != self.limiter_id:
@@ -205,13 +205,13 @@
         }
 
     def present(self) -> tuple[int, ...]:
-        """Members that may answer, this one among them, in order."""
+        """Members that may answer, this member among them, in order."""
         return self._state.presence.present()
 
     def cannot_hear_us(self) -> tuple[int, ...]:
-        """Members that say that they cannot hear this one, in order."""
+        """Members that say that they cannot hear this member, in order."""
         return self._state.presence.cannot_hear_us()
 
     def unreachable(self) -> list[int]:
-        """Members that this one cannot hear though others can, in order."""
+        """Members that this member cannot hear though others can, in order."""
         return sorted(self._state.own_record.unreachable)
--- a/hazelhollow/membership/period.py
+++ b/hazelhollow/membership/period.py
@@ -10,7 +10,7 @@
 from hazelhollow.membership.state import MembershipState
 from hazelhollow.membership.timing import NEVER_SEEN_TIMEOUT_S
 
-ABSENT_PROBE_EVERY = 2  # ticks between pings to members that are held dead
+ABSENT_PROBE_EVERY = 2  # ticks between pings to members that are considered dead
 
 
 class ProtocolPeriod:
@@ -41,7 +41,7 @@
         state.exchange.tick(self._ticks, state.now)
 
     def _restart_after_stall(self) -> None:
-        """Nothing that was timed before counts, and the others may hold this member dead."""
+        """Nothing that was timed before counts, and the others may consider this member dead."""
         state = self._state
         state.counts[counters.STALLED] += 1
         state.detector.clear()
--- a/hazelhollow/membership/presence_index.py
+++ b/hazelhollow/membership/presence_index.py
@@ -1,6 +1,6 @@
 """Who is present and who cannot hear this member, kept up record by record.
 
-The decision engine is told of both at each change; a pass over all members each time would cost
+The decision engine is notified of both at each change; a pass over all members each time would cost
 too much in a large fleet.
 """
 
@@ -29,11 +29,11 @@
         self._place(self._cannot_hear_us, record.number, cannot_hear_us)
 
     def present(self) -> tuple[int, ...]:
-        """Members that may answer, this one among them, in order."""
+        """Members that may answer, this member among them, in order."""
         return self._tuples()[0]
 
     def cannot_hear_us(self) -> tuple[int, ...]:
-        """Members that say that they cannot hear this one, in order."""
+        """Members that say that they cannot hear this member, in order."""
         return self._tuples()[1]
 
     def _tuples(self) -> tuple[tuple[int, ...], tuple[int, ...]]:
--- a/hazelhollow/membership/reception.py
+++ b/hazelhollow/membership/reception.py
@@ -75,7 +75,7 @@
         return freshness is Freshness.FRESH
 
     def _heard_from_suspect(self, sender: Record) -> None:
-        """A member that is held suspect or dead in that incarnation is there."""
+        """A member that is suspect or dead here in that incarnation is there."""
         state = self._state
         known = state.table.get(sender.number)
         held_gone = known and known.state in (MemberState.SUSPECT, MemberState.DEAD)
@@ -111,7 +111,7 @@
             state.apply(state.own_record.refute(reported))
 
     def _must_refute(self, reported: Record) -> bool:
-        """Whether others hold what is not so of this incarnation, and would go on doing so."""
+        """Whether others know something of this incarnation that is wrong and would win a merge."""
         own = self._state.own
         same_run = reported.incarnation == own.incarnation
         return same_run and reported > own and own.state != MemberState.LEFT
@@ -150,7 +150,7 @@
         state.sender.send(Outgoing(number, kind, arguments), state.now)
 
     def _handle_ping(self, ping: Message) -> None:
-        """Answers a ping, and tells its sender what is held of it if that differs."""
+        """Answers a ping, and sends what is known of its sender here if that differs."""
         state = self._state
         peer, known = ping.sender.number, state.table.get(ping.sender.number)
         reported_death = state.confirmations.record(peer)
--- a/hazelhollow/membership/replay_window.py
+++ b/hazelhollow/membership/replay_window.py
@@ -64,7 +64,7 @@
         return Freshness.FRESH if window.is_fresh(serial) else Freshness.REPLAYED
 
     def take_hint(self, sender_id: int, now: float) -> bool:
-        """Whether a sender of an earlier incarnation is to be told of the later one now.
+        """Whether a sender of an earlier incarnation is to be notified of the later one now.
 
         Its datagrams are dropped, so it would not learn otherwise that another has its id. Once
         `HINT_INTERVAL_S` at most.
--- a/hazelhollow/membership/settings.py
+++ b/hazelhollow/membership/settings.py
@@ -1,4 +1,4 @@
-"""What a member is told of itself and the fleet when it starts."""
+"""What a member knows of itself and the fleet when it starts."""
 
 from __future__ import annotations
 
--- a/hazelhollow/membership/stall.py
+++ b/hazelhollow/membership/stall.py
@@ -1,17 +1,14 @@
 """Whether this process itself stood still: a paused machine, a stopped process, a slow disk.
 
 A stalled member must not judge others by timers that ran out while it could not read, and must not
-admit work on what it knew before: the others may hold it dead.
+admit work on what it knew before: the others may consider it dead.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-from hazelhollow.membership.timing import PROBE_INTERVAL_S
-
-STALL_S = 1.0  # by which a tick must be late for the process to have stood still
-LATE_TICK_S = 0.1  # by which a late tick shows a slow machine
+from hazelhollow.membership.timing import LATE_TICK_S, PROBE_INTERVAL_S, STALL_S
 
 
 class Lateness(Enum):
--- a/hazelhollow/membership/state.py
+++ b/hazelhollow/membership/state.py
@@ -137,7 +137,7 @@
             self.confirmations.pinged(number, self.now + self.health.probe_timeout_s)
 
     def ping(self, number: int, purpose: Purpose, report: Record | None = None) -> int | None:
-        """A ping whose ack is not awaited: it shows the member what is held of it."""
+        """A ping whose ack is not awaited: it shows the member what is known of it here."""
         ping = Outgoing(
             number,
             MessageKind.PING,
--- a/hazelhollow/membership/suspicion.py
+++ b/hazelhollow/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Members that this one holds suspect, until they refute it or their time is over.
+"""Members that this member suspects, until they refute it or their time is over.
 
 | event | effect on a suspicion |
 | --- | --- |
@@ -8,10 +8,10 @@
 | its time is over and it was pinged meanwhile | the suspect is dead |
 | its time is over and it was not pinged | waits for its ping |
 
-Each suspect is pinged so that it can refute before it is held dead. With many at once the pings are
-spread over the periods, and none is held dead for want of a ping. Once `MASS_FAILURE_SAMPLE` in a
-row were pinged and said nothing, a whole zone is gone: the rest need no pings of their own. Any
-suspect that answers ends that.
+Each suspect is pinged so that it can refute before it is considered dead. With many at once the
+pings are spread over the periods, and none is considered dead for want of a ping. Once
+`MASS_FAILURE_SAMPLE` in a row were pinged and said nothing, a whole zone is gone: the rest need no
+pings of their own. Any suspect that answers ends that.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 class Suspicion:
     """`since` and `until`: when it began, and when it ends in death if it was not refuted.
 
-    `pings`: how often the suspect was told of it, by pings or along with other datagrams.
+    `pings`: how often the suspect was notified of it, by pings or along with other datagrams.
     """
 
     record: Record
@@ -82,7 +82,7 @@
         self._silent_in_a_row = 0
 
     def heard_from(self, number: int, now: float, timeout_s: float) -> None:
-        """A datagram has come of a member that is held suspect or dead.
+        """A datagram has come of a member that is suspect or dead here.
 
         In a mass failure it shows that what kept many silent may have been a partition that is
         over: each gets its time anew.
--- a/hazelhollow/membership/timing.py
+++ b/hazelhollow/membership/timing.py
@@ -1,18 +1,19 @@
 """When a member is suspected and when it is dead: every time and count that decides it.
 
-Suspected, by the member that probed it: neither the ping nor an indirect ping was answered within
-`PROBE_TIMEOUT_S`. One member is probed every `PROBE_INTERVAL_S`; `INDIRECT_PROBE_HELPERS` others
-are asked to ping it too after `INDIRECT_PROBE_AFTER_S` (`failure_detector.py`).
+| becomes | when | rule in |
+| --- | --- | --- |
+| suspect | a probe and its indirect pings had no ack in `PROBE_TIMEOUT_S` | `failure_detector.py` |
+| dead | suspect for `SUSPICION_TIMEOUT_S`, pinged meanwhile, not refuted | `suspicion.py` |
+| dead | reported dead, and `CONFIRMATION_ATTEMPTS` pings not acked | `death_confirmation.py` |
+| dead | never heard of, `NEVER_SEEN_TIMEOUT_S` after this member's start | `period.py` |
 
-Dead, at each member that holds it suspect: `SUSPICION_TIMEOUT_S` have passed, it was told of the
-suspicion in that time, and it has not refuted it (`suspicion.py`). A death that others report of a
-member that is well here counts once `CONFIRMATION_ATTEMPTS` pings to it had no answer in time
-(`death_confirmation.py`). After `MASS_FAILURE_SAMPLE` silent members in a row the rest of the
-suspects need no ping of their own. A member of which nobody has ever heard is dead
-`NEVER_SEEN_TIMEOUT_S` after this one's start.
+Each member pings one other every `PROBE_INTERVAL_S`, all in turn in an order drawn by chance, and
+after `INDIRECT_PROBE_AFTER_S` without an ack asks `INDIRECT_PROBE_HELPERS` others to ping it too.
+After `MASS_FAILURE_SAMPLE` silent members in a row the other suspects need no ping of their own.
 
-A member that is itself slow waits longer: `LocalHealth` stretches the times of a probe and of a
-suspicion by 1 to 1 + `MAX_HEALTH_SCORE` * `HEALTH_STEP`.
+A member that is itself slow waits longer. `LocalHealth` multiplies its probe's and its suspicion's
+times by 1 to 1 + `MAX_HEALTH_SCORE` * `HEALTH_STEP`; each tick that is `LATE_TICK_S` late adds a
+step. After a tick that is `STALL_S` late all of its times begin again (`stall.py`).
 """
 
 from __future__ import annotations
@@ -27,6 +28,8 @@
 NEVER_SEEN_TIMEOUT_S = 3.0  # from the own start, until a member nobody heard of counts as dead
 MAX_HEALTH_SCORE = 4  # steps by which a slow member's own times are stretched at most
 HEALTH_STEP = 0.5  # of the plain time, for each step
+LATE_TICK_S = 0.1  # by which a late tick shows a slow machine
+STALL_S = 1.0  # by which a tick must be late for the process to have stood still
 
 
 class LocalHealth:
