--- /dev/null
+++ b/hazelhollow/fault_injection/addresses.py
@@ -0,0 +1,60 @@
+"""Addresses of a cluster in 127.0.0.0/8: one for each process, and one of the relay for each."""
+
+from __future__ import annotations
+
+import os
+import random
+import socket
+from typing import NamedTuple
+
+from hazelhollow.fault_injection.errors import HarnessError
+
+Address = tuple[str, int]
+CLIENT_PORT = 6379
+PEER_PORT = 7946
+OPERATOR_PORT = 7000
+DISCOVERY_PORT = 8500  # of the first limiter's agent; the others follow
+ENDPOINT_PORT = 6379
+FIRST_RELAY_PORT = 20000  # of the first limiter; the others follow
+FIRST_ENDPOINT = 100  # last part of an endpoint's address; the others follow
+SHARED = 250  # last part of the address of discovery and supervisor
+MAX_NETWORK_TRIES = 20
+
+
+class Network(NamedTuple):
+    """Two adjacent /24 networks: the processes' own addresses, and the relay's."""
+
+    own_prefix: str
+    relay_prefix: str
+
+    def own(self, number: int, port: int) -> Address:
+        """An address on which a process itself listens."""
+        return f"{self.own_prefix}.{number}", port
+
+    def relayed(self, number: int, port: int) -> Address:
+        """The relay's address that others take for that process's."""
+        return f"{self.relay_prefix}.{number}", port
+
+
+def free_network() -> Network:
+    """Two networks in which nobody listens at the ports of a cluster.
+
+    Raises:
+        HarnessError: none was found.
+    """
+    draw = random.Random(os.urandom(8))
+    for _ in range(MAX_NETWORK_TRIES):
+        second, third = draw.randint(16, 250), 2 * draw.randint(1, 120)
+        network = Network(f"127.{second}.{third}", f"127.{second}.{third + 1}")
+        try:
+            for port in (CLIENT_PORT, DISCOVERY_PORT):
+                socket.create_server(network.own(SHARED, port)).close()
+            return network
+        except OSError:
+            continue
+    raise HarnessError("no free addresses in 127.0.0.0/8")
+
+
+def to_text(address: Address) -> str:
+    """`HOST:PORT`."""
+    return f"{address[0]}:{address[1]}"
--- a/hazelhollow/fault_injection/audit_comparison.py
+++ b/hazelhollow/fault_injection/audit_comparison.py
@@ -11,7 +11,7 @@
 
 from hazelhollow.configuration import files
 from hazelhollow.configuration.merge import Fleet, Span
-from hazelhollow.fault_injection.checker import rows
+from hazelhollow.fault_injection.run_files import rows
 
 NEAR = 1.25  # seconds by which a probe and a record may differ: the record is written once a second
 FIRST = "n"
--- a/hazelhollow/fault_injection/clients.py
+++ b/hazelhollow/fault_injection/clients.py
@@ -1,8 +1,7 @@
-"""The clients of a drill.
+"""Clients of a run: requests at times laid down ahead, each on a connection of its own.
 
-Requests at times laid down ahead, each on a connection of its own while it is out.
-
-What became of each goes into a file, a JSON line a request. Times are Unix seconds.
+Open loop: a slow limiter is sent as much as a fast one. What becomes of each request is written to
+a file, one JSON line a request, with times in Unix seconds.
 """
 
 from __future__ import annotations
@@ -19,61 +18,67 @@
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
 
-PATIENCE = {"look": 1.5, "buy": 1.0}  # seconds
-USUAL_PATIENCE = 1.5  # of classes that are not of the harness's own settings
-KEYED = "buy"  # the class whose requests must not run twice
-GRACE = 0.5  # seconds past its patience that a client looks for an answer, to tell late from never
-CONNECT = 0.5
-MOST_OUT = 1 << 16
+DEADLINES_S = {"look": 1.5, "buy": 1.0}
+DEFAULT_DEADLINE_S = 1.5  # of classes that only some revisions of the settings have
+WRITE_CLASS = "buy"  # its requests must not run twice
+GRACE_S = 0.5  # past the deadline, in which an answer is late and not missing
+CONNECT_TIMEOUT_S = 0.5
+MAX_OUT_BYTES = 1 << 16
 
 
 @dataclass(eq=False)
-class Line:
+class ClientConnection:
+    """A connection to a limiter and the parser of its answers."""
+
     driver: stream.Stream
     parser: resp.Parser = field(default_factory=resp.Parser)
 
 
 @dataclass(eq=False)
 class ClientTarget:
-    """A limiter as its clients see it."""
+    """A limiter as its clients see it, with the idle connections to it."""
 
     name: str
     number: int
     address: tuple[str, int]
-    idle: deque[Line] = field(default_factory=deque)
+    idle: deque[ClientConnection] = field(default_factory=deque)
 
 
 class Clients:
-    def __init__(self, scheduler: Scheduler, seed: int, out: IO[bytes], spread: int) -> None:
-        self.scheduler, self.random, self._out, self.spread = (
-            scheduler,
-            random.Random(seed),
-            out,
-            spread,
-        )
+    """All clients of a run.
+
+    Args:
+        scheduler: on which they run.
+        seed: of request ids and of the phases of their sequences.
+        out: gets the lines.
+        set_size: limiters of each customer's set.
+    """
+
+    def __init__(self, scheduler: Scheduler, seed: int, out: IO[bytes], set_size: int) -> None:
+        self.scheduler, self.random = scheduler, random.Random(seed)
+        self._out, self._set_size = out, set_size
         self.sent = self.open = 0
-        # seconds by which a request went out after its time: the drill's own slowness
-        self.most_late = 0.0
+        # Seconds by which a request went out after its time: the slowness of this process.
+        self.max_lateness = 0.0
         self.outcomes: dict[str, int] = {}
 
     def run(
         self, target: ClientTarget, load: Load, begin: float, end: float, phase: float | None = None
     ) -> None:
-        """Until `end`: a request each 1/rate seconds, whatever becomes of the ones before.
+        """Sends a request each 1/rate seconds until `end`, whatever becomes of earlier ones.
 
-        `phase`: the part of that time after `begin` at which the first goes out; drawn where none
-        is given.
+        `phase` is the part of that interval after `begin` at which the first is sent; None: drawn.
         """
         at = begin + (self.random.random() if phase is None else phase) / load.rate
         while at < end:
             now = self.scheduler.clock()
             if now < at:
                 self.scheduler.sleep(at - now)
-            self.most_late = max(self.most_late, self.scheduler.clock() - at)
-            self.scheduler.spawn(self._one, target, load, at, name="client")
+            self.max_lateness = max(self.max_lateness, self.scheduler.clock() - at)
+            self.scheduler.spawn(self._request, target, load, at, name="client")
             at += 1.0 / load.rate
 
-    def _one(self, target: ClientTarget, load: Load, due: float) -> None:
+    def _request(self, target: ClientTarget, load: Load, due: float) -> None:
         request = f"{self.random.getrandbits(64):016x}"
         began = self.scheduler.clock()
         self.sent, self.open = self.sent + 1, self.open + 1
@@ -86,76 +91,75 @@
             "plan": load.plan,
             "kind": load.kind,
             "units": load.units,
-            "patience": PATIENCE.get(load.kind, USUAL_PATIENCE),
+            "patience": DEADLINES_S.get(load.kind, DEFAULT_DEADLINE_S),
             "extra": 0,
         }
-        outcome, value = self._ask(target, load, request, began, row)
-        # the limiter ended the connection between requests, as it may: once more
+        connection = target.idle.pop() if target.idle else None
+        outcome, value = self._attempt(target, load, row, connection)
+        # The limiter may close an idle connection just as the request is sent: once more, anew.
         if outcome == "crossed":
-            outcome, value = self._ask(target, load, request, began, row, fresh=True)
+            outcome, value = self._attempt(target, load, row, None)
         row |= {"end": self.scheduler.clock(), "outcome": outcome, "value": value}
         self._out.write(orjson.dumps(row) + b"\n")
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         self.open -= 1
 
-    def _ask(
+    def _attempt(
         self,
         target: ClientTarget,
         load: Load,
-        request: str,
-        began: float,
         row: dict[str, Any],
-        fresh: bool = False,
+        connection: ClientConnection | None,
     ) -> tuple[str, str]:
-        patience = PATIENCE.get(load.kind, USUAL_PATIENCE)
-        line = None if fresh or not target.idle else target.idle.pop()
-        used = line is not None
-        if line is None:
-            made = stream.connect(self.scheduler, target.address, MOST_OUT, CONNECT)
-            if isinstance(made, CloseReason):
+        """Sends the request of `row` on the idle connection, or on a new one; its outcome."""
+        deadline = row["t"] + row["patience"]
+        is_reused = connection is not None
+        if connection is None:
+            opened = stream.connect(
+                self.scheduler, target.address, MAX_OUT_BYTES, CONNECT_TIMEOUT_S
+            )
+            if isinstance(opened, CloseReason):
                 return "refused", ""
-            line = Line(made)
-        left = int((began + patience - self.scheduler.clock()) * 1000)
-        fields = (
-            f"c={load.kind},t={load.plan},d={max(left, 1)},"
-            f"units={load.units},spread={self.spread},first={load.first}"
-        )
-        verb = b"Q.DO" if load.kind == KEYED else b"Q.ASK"
-        words = [
-            verb,
-            load.customer.encode(),
-            request.encode(),
-            fields.encode(),
-            *([b"BODY"] if verb == b"Q.DO" else []),
-        ]
-        line.driver.write(resp.encode_command(words))
-        line.driver.flush()
-        answer = self._answer(line, began + patience + GRACE)
+            connection = ClientConnection(opened)
+        time_left_ms = max(int((deadline - self.scheduler.clock()) * 1000), 1)
+        connection.driver.write(self._command(load, row["id"], time_left_ms))
+        connection.driver.flush()
+        answer = self._answer(connection, deadline + GRACE_S)
         if isinstance(answer, CloseReason):
-            line.driver.close(answer)
-            return _ended(answer, used), ""
-        if not isinstance(line.parser.next(), resp.NeedMoreData):
+            connection.driver.close(answer)
+            return _outcome_of(answer, is_reused), ""
+        if not isinstance(connection.parser.next(), resp.NeedMoreData):
             row["extra"] += 1
-        target.idle.append(line)
+        target.idle.append(connection)
         return _read(answer)
 
-    def _answer(self, line: Line, until: float) -> resp.Value | CloseReason:
-        while isinstance(answer := line.parser.next(), resp.NeedMoreData):
-            if line.driver.wait(until) == TIMED_OUT:
+    def _command(self, load: Load, request: str, time_left_ms: int) -> bytes:
+        fields = (
+            f"c={load.kind},t={load.plan},d={time_left_ms},"
+            f"units={load.units},spread={self._set_size},first={load.first}"
+        )
+        arguments = [load.customer.encode(), request.encode(), fields.encode()]
+        if load.kind == WRITE_CLASS:
+            return resp.encode_command([b"Q.DO", *arguments, b"BODY"])
+        return resp.encode_command([b"Q.ASK", *arguments])
+
+    def _answer(self, connection: ClientConnection, until: float) -> resp.Value | CloseReason:
+        while isinstance(answer := connection.parser.next(), resp.NeedMoreData):
+            if connection.driver.wait(until) == TIMED_OUT:
                 return CloseReason.TIMED_OUT
-            data = line.driver.read(stream.READ_CHUNK_BYTES)
+            data = connection.driver.read(stream.READ_CHUNK_BYTES)
             if isinstance(data, CloseReason):
                 return data
             if data:
-                line.parser.feed(data)
+                connection.parser.feed(data)
         return answer
 
 
-def _ended(ending: CloseReason, used: bool) -> str:
-    if ending is CloseReason.TIMED_OUT:
+def _outcome_of(reason: CloseReason, is_reused: bool) -> str:
+    if reason is CloseReason.TIMED_OUT:
         return "silent"
-    if ending is CloseReason.CLOSED:
-        return "crossed" if used else "closed"
+    if reason is CloseReason.CLOSED:
+        return "crossed" if is_reused else "closed"
     return "reset"
 
 
--- /dev/null
+++ b/hazelhollow/fault_injection/drawn_plans.py
@@ -0,0 +1,125 @@
+"""Plans with overlapping faults, drawn from a seed: the same plan for the same seed."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from hazelhollow.fault_injection.plan import Event, Load, Plan
+
+QUIET_END_S = 8.0  # seconds without a new fault at the end
+
+
+def drawn_plan(
+    seed: int, instances: int = 8, seconds: float = 60.0, hosts: int = 2, changes: bool = False
+) -> Plan:
+    """Draws a plan.
+
+    Args:
+        seed: of all draws.
+        instances: limiters.
+        seconds: of load; the last QUIET_END_S are without a new fault.
+        hosts: endpoints.
+        changes: settings of three revisions are given to one limiter or several meanwhile, and one
+            limiter restarts with the first.
+    """
+    draw, last_fault_at = random.Random(seed), max(seconds - QUIET_END_S, seconds / 2)
+    names, events = [f"n{n}" for n in range(instances)], list[Event]()
+    at = 3.0 + draw.random()
+    while at < last_fault_at - 1.0:
+        events.append(_draw_event(draw, names, hosts, at, last_fault_at))
+        at += draw.expovariate(1 / 2.5)
+    if changes:
+        events += _draw_changes(random.Random(seed + 1), names, last_fault_at)
+    load = (
+        Load(customer="00000000b4d65521", rate=10.0),
+        Load(customer="00000000a1b2c3d4", kind="buy", rate=2.0),
+        Load(customer="0000000012345678", plan="iron", rate=4.0),
+    )
+    return Plan(
+        name=f"seed {seed}",
+        instances=instances,
+        hosts=hosts,
+        seconds=seconds,
+        seed=seed,
+        load=load,
+        events=tuple(events),
+    )
+
+
+def _draw_changes(draw: random.Random, names: list[str], last_fault_at: float) -> list[Event]:
+    found = [
+        Event(
+            at=round(draw.uniform(0.5, 0.95) * last_fault_at, 2),
+            what="old",
+            whom=(draw.choice(names),),
+            lasts=0.5,
+        )
+    ]
+    for revision in (1, 2, 3):
+        limiters = draw.sample(names, draw.choice((1, 1, max(1, len(names) // 2))))
+        found.append(
+            Event(
+                at=round(last_fault_at * (revision - draw.random()) / 3.3 + 1.0, 2),
+                what="settings",
+                whom=tuple(sorted(limiters)),
+                amount=revision,
+            )
+        )
+    return found
+
+
+def _draw_event(
+    draw: random.Random, names: list[str], hosts: int, at: float, last_fault_at: float
+) -> Event:
+    what: Any = draw.choices(
+        (
+            "cut",
+            "stall",
+            "lose",
+            "delay",
+            "double",
+            "reorder",
+            "kill",
+            "pause",
+            "restart",
+            "thin",
+            "host",
+            "discovery_down",
+        ),
+        (6, 2, 3, 2, 1, 1, 5, 4, 2, 1, 1, 1),
+    )[0]
+    lasts = round(min(draw.uniform(0.3, 6.0), last_fault_at - at), 2)
+    at = round(at, 2)
+    limiters = tuple(sorted(draw.sample(names, draw.randint(1, max(1, len(names) // 2)))))
+    if what == "host":
+        return Event(at=at, what="kill", whom=(f"h{draw.randrange(hosts)}",), lasts=lasts)
+    if what == "discovery_down":
+        return Event(at=at, what="discovery_down", whom=("d",), lasts=lasts)
+    if what == "kill":
+        hits_all = draw.random() < 0.1
+        return Event(
+            at=at,
+            what="kill",
+            whom=tuple(names) if hits_all else limiters[:2],
+            lasts=max(lasts, 0.3),
+        )
+    if what == "pause":
+        return Event(at=at, what=what, whom=limiters[:1], lasts=lasts)
+    if what == "restart":
+        return Event(at=at, what=what, whom=limiters[:1])
+    amount = {
+        "lose": 0.1 + 0.3 * draw.random(),
+        "delay": 0.02 + 0.2 * draw.random(),
+        "double": 0.3,
+        "reorder": 0.3,
+        "thin": 20.0,
+    }
+    return Event(
+        at=at,
+        what=what,
+        whom=limiters,
+        lasts=lasts,
+        one_way=what == "cut" and draw.random() < 0.4,
+        amount=round(amount.get(what, 0.0), 3),
+    )
--- a/hazelhollow/fault_injection/loopback_cluster.py
+++ b/hazelhollow/fault_injection/loopback_cluster.py
@@ -1,15 +1,13 @@
-"""A fleet on loopback: limiters, hosts and discovery, with the relay between all of them.
+"""A cluster on loopback: limiters, endpoints and discovery, with the relay between all of them.
 
-Every process has an address of its own in 127.0.0.0/8, drawn anew for each harness, so that ports
-can be the usual ones. What a limiter is told are the relay's addresses, one for each pair.
+Every process has an address of its own in 127.0.0.0/8, drawn anew for each cluster, so that ports
+can be the usual ones. Limiters are configured with the relay's addresses, one for each pair of
+processes, so that each direction can be given faults of its own.
 """
 
 from __future__ import annotations
 
-import os
-import random
 import resource
-import socket
 import sys
 from collections.abc import Callable
 from pathlib import Path
@@ -17,39 +15,49 @@
 
 import orjson
 
-from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION, Plan, limiters, zone_of
+from hazelhollow.fault_injection import limiter_settings
+from hazelhollow.fault_injection.addresses import (
+    CLIENT_PORT,
+    DISCOVERY_PORT,
+    ENDPOINT_PORT,
+    FIRST_ENDPOINT,
+    FIRST_RELAY_PORT,
+    OPERATOR_PORT,
+    PEER_PORT,
+    SHARED,
+    Address,
+    free_network,
+    to_text,
+)
+from hazelhollow.fault_injection.errors import HarnessError
+from hazelhollow.fault_injection.operator_call import call
+from hazelhollow.fault_injection.plan import Plan, limiters
 from hazelhollow.fault_injection.processes import ProcessGroup
-from hazelhollow.net import stream
-from hazelhollow.net.close_reason import CloseReason
-from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
+from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.standins.discovery import Discovery, Host
-from hazelhollow.standins.relay import Relay
-
-# ports
-CLIENT_PORT, PEER_PORT, OPERATOR_PORT, DISCOVERY_PORT, ENDPOINT_PORT, FIRST_RELAY_PORT = (
-    6379,
-    7946,
-    7000,
-    8500,
-    6379,
-    20000,
-)
-TRIES = 20  # nets that are tried
-READY_WITHIN = 60.0  # seconds for a whole fleet on a busy machine
-WORK, CORES = 0.01, 16  # of a host
-COLD_FOR, COLD_FROM = 4.0, 0.25
-
-Address = tuple[str, int]
+from hazelhollow.standins.relay import DatagramRoute, Relay
 
+READY_TIMEOUT_S = 60.0  # for a whole cluster on a busy machine
+READY_POLL_S = 0.02
+ENDPOINT_WORK_S = 0.01  # for a request
+ENDPOINT_CORES = 16
+DESCRIPTORS = 8192  # the relay has a socket for each pair
 
-class HarnessError(Exception):
-    """The fleet could not be started, or did not come up."""
+OperatorFile = Callable[[str, Path], str]
 
 
 class LoopbackCluster:
-    """`operator`.
+    """The processes of one run, their wiring and their files.
 
-    Gives the text of a limiter's operator file by its name and folder; None: without one.
+    Args:
+        scheduler: on which the relay and discovery run.
+        plan: numbers of processes, zones, quotas and seed.
+        folder: for all files; each limiter has a folder of its own in it.
+        keep: leaves the folder at the end.
+        operator: gives the text of a limiter's operator file by its name and folder; None: none.
+
+    Raises:
+        HarnessError: addresses are not free.
     """
 
     def __init__(
@@ -58,21 +66,23 @@
         plan: Plan,
         folder: Path,
         keep: bool = False,
-        operator: Callable[[str, Path], str] | None = None,
+        operator: OperatorFile | None = None,
     ) -> None:
         self.scheduler, self.plan, self.folder = scheduler, plan, folder
         self.operator = operator
         self.names = limiters(plan)
         self.hosts = [f"h{n}" for n in range(plan.hosts)]
-        _more_descriptors()
-        self.net = free_network()
+        _raise_descriptor_limit()
+        self.network = free_network()
         self.relay, self.discovery = Relay(scheduler, plan.seed), Discovery(scheduler)
         self.processes = ProcessGroup(folder, keep)
         try:
-            self._wire()
-            self._hosts()
-            for number, name in enumerate(self.names):
-                self._limiter(number, name, operator)
+            for number in range(len(self.names)):
+                self._connect_limiter(number)
+            for number in range(len(self.hosts)):
+                self._add_endpoint(number)
+            for number in range(len(self.names)):
+                self._add_limiter(number)
         except OSError as error:
             self.processes.close()
             raise HarnessError(f"cannot listen: {error.strerror or error}") from None
@@ -80,258 +90,158 @@
     # Addresses
 
     def own(self, number: int, port: int) -> Address:
-        return f"{self.net}.{number}", port
-
-    def relayed(self, number: int, port: int) -> Address:
-        head, _, third = self.net.rpartition(".")
-        return f"{head}.{int(third) + 1}.{number}", port
+        """An address on which a process itself listens; limiter n has number n + 1."""
+        return self.network.own(number, port)
 
     def client_address(self, name: str) -> Address:
         """Where clients reach a limiter."""
-        return self.relayed(self.names.index(name) + 1, CLIENT_PORT)
+        return self.network.relayed(self.names.index(name) + 1, CLIENT_PORT)
 
     def operator_address(self, name: str) -> Address:
-        """Its operator address, which no fault hits."""
+        """A limiter's operator address, which no fault hits."""
         return self.own(self.names.index(name) + 1, OPERATOR_PORT)
 
-    def _wire(self) -> None:
-        for a, sender in enumerate(self.names):
-            for b, receiver in enumerate(self.names):
-                if a != b:
-                    listen = self.relayed(b + 1, FIRST_RELAY_PORT + a)
-                    self.relay.datagrams(
-                        sender,
-                        receiver,
-                        listen,
-                        self.own(a + 1, PEER_PORT),
-                        self.own(b + 1, PEER_PORT),
-                    )
-            for h, host in enumerate(self.hosts):
-                self.relay.connections(
-                    sender,
-                    host,
-                    self.relayed(100 + h, FIRST_RELAY_PORT + a),
-                    self.own(100 + h, ENDPOINT_PORT),
-                )
-            agent = self.discovery.listen(sender, self.own(250, DISCOVERY_PORT + a))
-            self.relay.connections(sender, "d", self.relayed(250, FIRST_RELAY_PORT + a), agent)
-            self.relay.connections(
-                "c", sender, self.client_address(sender), self.own(a + 1, CLIENT_PORT)
-            )
-
-    def _hosts(self) -> None:
-        for h, name in enumerate(self.hosts):
-            address = self.own(100 + h, ENDPOINT_PORT)
-            words = [
-                "standin",
-                "node",
-                "--listen",
-                _text(address),
-                "--work",
-                str(WORK),
-                "--cores",
-                str(CORES),
-            ]
-            words += [
-                "--cold-for",
-                str(COLD_FOR),
-                "--cold-from",
-                str(COLD_FROM),
-                "--journal",
-                str(self.folder / f"{name}.jsonl"),
-            ]
-            self.processes.add(name, [sys.executable, "-m", "hazelhollow", *words], {})
-            reached = {
-                n: _text(self.relayed(100 + h, FIRST_RELAY_PORT + a))
-                for a, n in enumerate(self.names)
-            }
-            self.discovery.change(Host(name, reached))
-
-    def _limiter(self, number: int, name: str, operator: Callable[[str, Path], str] | None) -> None:
+    def _relayed_by(self, number: int, limiter: int) -> Address:
+        """The address of a process as that limiter knows it."""
+        return self.network.relayed(number, FIRST_RELAY_PORT + limiter)
+
+    # Wiring
+
+    def _connect_limiter(self, limiter: int) -> None:
+        sender, own_peer = self.names[limiter], self.own(limiter + 1, PEER_PORT)
+        for peer, receiver in enumerate(self.names):
+            if peer != limiter:
+                listen = self._relayed_by(peer + 1, limiter)
+                route = DatagramRoute(listen, own_peer, self.own(peer + 1, PEER_PORT))
+                self.relay.relay_datagrams(sender, receiver, route)
+        for number, host in enumerate(self.hosts):
+            address = FIRST_ENDPOINT + number
+            listen, target = self._relayed_by(address, limiter), self.own(address, ENDPOINT_PORT)
+            self.relay.relay_connections(sender, host, listen, target)
+        agent = self.discovery.listen(sender, self.own(SHARED, DISCOVERY_PORT + limiter))
+        self.relay.relay_connections(sender, "d", self._relayed_by(SHARED, limiter), agent)
+        clients = self.own(limiter + 1, CLIENT_PORT)
+        self.relay.relay_connections("c", sender, self.client_address(sender), clients)
+
+    def _add_endpoint(self, number: int) -> None:
+        name, address = self.hosts[number], FIRST_ENDPOINT + number
+        options = {
+            "--listen": to_text(self.own(address, ENDPOINT_PORT)),
+            "--work": str(ENDPOINT_WORK_S),
+            "--cores": str(ENDPOINT_CORES),
+            "--cold-for": str(limiter_settings.WARM_UP_S),
+            "--cold-from": str(limiter_settings.INITIAL_SPEED),
+            "--journal": str(self.folder / f"{name}.jsonl"),
+        }
+        command = [sys.executable, "-m", "hazelhollow", "standin", "node"]
+        for option, value in options.items():
+            command += [option, value]
+        self.processes.add(name, command, {})
+        addresses = {
+            limiter: to_text(self._relayed_by(address, position))
+            for position, limiter in enumerate(self.names)
+        }
+        self.discovery.change(Host(name, addresses))
+
+    def _add_limiter(self, number: int) -> None:
+        name = self.names[number]
         home = self.folder / name
         home.mkdir()
-        config = home / "config.json"
         self.write_files(name, 0)
-        words = ["-m", "hazelhollow", "serve"]
-        if operator:
-            words += ["--operator", str(home / "operator.cue")]
-        self.processes.add(
-            name, [sys.executable, *words], {"RELAY_CONFIG": str(config), "TMPDIR": str(home)}
-        )
-
-    def write_files(self, name: str, order: int) -> None:
-        """What a limiter reads at its start and at SIGHUP, with the settings of that order."""
+        command = [sys.executable, "-m", "hazelhollow", "serve"]
+        if self.operator:
+            command += ["--operator", str(home / "operator.cue")]
+        environment = {"RELAY_CONFIG": str(home / "config.json"), "TMPDIR": str(home)}
+        self.processes.add(name, command, environment)
+
+    # Files of limiters
+
+    def write_files(self, name: str, revision: int) -> None:
+        """Writes what a limiter reads at its start and at SIGHUP, with settings of a revision."""
         home = self.folder / name
-        (home / "config.json").write_bytes(
-            orjson.dumps(self.config(self.names.index(name), order), option=orjson.OPT_INDENT_2)
-        )
+        document = self.config(self.names.index(name), revision)
+        (home / "config.json").write_bytes(orjson.dumps(document, option=orjson.OPT_INDENT_2))
         if self.operator:
             text = self.operator(name, home)
-            (home / "operator.cue").write_text(
-                text + (f"fleet: audit: order: {order}\n" if "audit:" in text else "")
-            )
+            if "audit:" in text:
+                text += f"fleet: audit: order: {revision}\n"
+            (home / "operator.cue").write_text(text)
 
-    def config(self, number: int, order: int = 0) -> dict[str, Any]:
-        """What that limiter is told."""
+    def config(self, number: int, revision: int = 0) -> dict[str, Any]:
+        """The platform's configuration document of one limiter."""
         peers = [
-            self.own(b + 1, PEER_PORT)
-            if b == number
-            else self.relayed(b + 1, FIRST_RELAY_PORT + number)
-            for b in range(len(self.names))
+            self.own(peer + 1, PEER_PORT) if peer == number else self._relayed_by(peer + 1, number)
+            for peer in range(len(self.names))
         ]
         return {
             "name": self.names[number],
-            "listen": _text(self.own(number + 1, CLIENT_PORT)),
-            "operator": _text(self.own(number + 1, OPERATOR_PORT)),
-            "peer_listen": _text(self.own(number + 1, PEER_PORT)),
-            "peers": [_text(peer) for peer in peers],
-            "discovery": _text(self.relayed(250, FIRST_RELAY_PORT + number)),
+            "listen": to_text(self.own(number + 1, CLIENT_PORT)),
+            "operator": to_text(self.own(number + 1, OPERATOR_PORT)),
+            "peer_listen": to_text(self.own(number + 1, PEER_PORT)),
+            "peers": [to_text(peer) for peer in peers],
+            "discovery": to_text(self._relayed_by(SHARED, number)),
             "seed": f"{self.plan.seed * 1000 + number:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": orjson.loads(self.discovery.document(self.names[number], None)),
-            "settings": settings(self.plan, number, order),
+            "settings": limiter_settings.settings(self.plan, number, revision),
         }
 
-    # Its incarnation
+    # Processes
 
     def start(self) -> None:
-        """All processes, and waits until each limiter says that it is ready. Raises RigError."""
+        """Starts all processes and waits until each limiter is ready.
+
+        Raises:
+            HarnessError: one ended, or was not ready in time.
+        """
         for name in [*self.hosts, *self.names]:
             self.processes.start(name)
         self.await_ready(self.names)
 
     def await_ready(self, names: list[str]) -> None:
-        until = self.scheduler.clock() + READY_WITHIN
+        """Waits until each of these limiters says that it is ready.
+
+        Raises:
+            HarnessError: one ended, or was not ready in time.
+        """
+        until = self.scheduler.clock() + READY_TIMEOUT_S
         for name in names:
-            while not self.call(name, "check").startswith(b"done"):
+            while not self.is_ready(name):
                 if self.processes.reap(name):
-                    tail = self.processes.members[name].log.read_text(errors="replace")[-600:]
-                    raise HarnessError(
-                        f"{name} ended with status {self.processes.members[name].status}: {tail}"
-                    )
+                    process = self.processes.members[name]
+                    tail = process.log.read_text(errors="replace")[-600:]
+                    raise HarnessError(f"{name} ended with status {process.status}: {tail}")
                 if self.scheduler.clock() > until:
-                    raise HarnessError(f"{name} was not ready within {READY_WITHIN:.0f} s")
-                self.scheduler.sleep(0.02)
+                    raise HarnessError(f"{name} was not ready within {READY_TIMEOUT_S:.0f} s")
+                self.scheduler.sleep(READY_POLL_S)
+
+    def is_ready(self, name: str) -> bool:
+        """Whether a limiter says at its operator address that it is ready."""
+        return self.call(name, "check").startswith(b"done")
 
-    def call(self, name: str, words: str, within: float = 1.0) -> bytes:
-        """A call at the operator address of a limiter; nothing if it does not answer."""
-        return call(self.scheduler, self.operator_address(name), words, within)
+    def call(self, name: str, line: str, timeout: float = 1.0) -> bytes:
+        """A call at the operator address of a limiter; empty if it does not answer."""
+        return call(self.scheduler, self.operator_address(name), line, timeout)
 
     def set_host(self, name: str, state: str, started: float | None = None) -> None:
-        """What discovery says of a host."""
+        """Changes what discovery says of an endpoint; `started` in Unix seconds, None: as it is."""
         host = self.discovery.hosts[name]
         host.state = state
         host.started = host.started if started is None else started
         self.discovery.change(host)
 
     def stop(self) -> None:
-        """No process is left; the folder still is."""
+        """Kills all processes; files stay."""
         self.processes.stop()
 
     def close(self) -> None:
-        """Nothing is left, but the folder where it is to be kept."""
+        """Ends everything and removes the folder, unless it is to be kept."""
         self.processes.close()
         self.relay.close()
         self.discovery.close()
 
 
-def call(scheduler: Scheduler, address: Address, words: str, within: float = 1.0) -> bytes:
-    """A call at an operator address; nothing if nobody answers."""
-    driver = stream.connect(scheduler, address, 4096, within)
-    if isinstance(driver, CloseReason):
-        return b""
-    driver.write(words.encode() + b"\n")
-    until, answer = scheduler.clock() + within, b""
-    while driver.wait(until) != TIMED_OUT:
-        data = driver.read(stream.READ_CHUNK_BYTES)
-        if isinstance(data, CloseReason):
-            break
-        answer += data or b""
-    driver.close(CloseReason.CLOSED)
-    return answer
-
-
-def settings(plan: Plan, number: int, order: int = 0) -> dict[str, Any]:
-    """The settings object that all limiters of a harness share, but for the position.
-
-    Those of an order have a class of its name, by which it shows from outside whether they are in
-    force.
-    """
-    new = (
-        [{"name": f"o{order}", "objective": 0.5, "deadline": 1.5, "effect": "pure", "credit": 1.0}]
-        if order
-        else []
-    )
-    return {
-        "position": number,
-        "balancers": plan.instances,
-        "zone": "abcdefgh"[zone_of(plan, number)],
-        "step": 0.001,
-        "grades": [
-            {"name": "look", "objective": 0.5, "deadline": 1.5, "effect": "pure", "credit": 1.0},
-            {
-                "name": "buy",
-                "objective": 0.5,
-                "deadline": 1.0,
-                "effect": "side_effect",
-                "credit": 3.0,
-            },
-            *new,
-        ],
-        "tariffs": [
-            {
-                "name": "gold",
-                "per_second": plan.per_second + (order >= FIRST_PLAN_REVISION),
-                "most_at_once": plan.burst,
-                "excess_cost": 1.0,
-            },
-            {
-                "name": "iron",
-                "per_second": 10.0,
-                "most_at_once": 20.0,
-                "ceiling_rate": 12.0,
-                "hard_burst": 24.0,
-                "excess_cost": 1.0,
-            },
-        ],
-        "family_info": {"max_units": 4, "inbox_per_s": 100.0},
-        "policy_limits": {
-            "max_attempts": 3,
-            "peers": True,
-            "retry_after": True,
-            "max_retry_after": 1.0,
-            "cancelling": True,
-        },
-        "safety": {
-            "cold": COLD_FOR,
-            "cold_from": COLD_FROM,
-            "drain_grace": 0.25,
-            "tip_after": 2.0,
-            "tip_multiple": 4.0,
-        },
-    }
-
-
-def _text(address: Address) -> str:
-    return f"{address[0]}:{address[1]}"
-
-
-def free_network() -> str:
-    """Two nets of 127.0.0.0/8 side by side in which nobody listens."""
-    chance = random.Random(os.urandom(8))
-    for _ in range(TRIES):
-        net = f"127.{chance.randint(16, 250)}.{2 * chance.randint(1, 120)}"
-        try:
-            for port in (CLIENT_PORT, DISCOVERY_PORT):
-                socket.create_server((f"{net}.250", port)).close()
-            return net
-        except OSError:
-            continue
-    raise HarnessError("no free addresses in 127.0.0.0/8")
-
-
-def _more_descriptors() -> None:
-    """The relay holds a socket for each pair."""
+def _raise_descriptor_limit() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < 8192:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, hard), hard))
+    if soft < DESCRIPTORS:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTORS, hard), hard))
--- a/hazelhollow/fault_injection/process_sweeper.py
+++ b/hazelhollow/fault_injection/process_sweeper.py
@@ -1,11 +1,9 @@
-"""Ends what a harness started when the harness itself is gone.
+"""Kills the processes of a run when the run's own process is gone. Imports nothing of the rest.
 
-Started beside it, it waits for the end of its standard input.
-
-`python -m hazelhollow.fault_injection.process_sweeper FOLDER`: the folder holds `pids`, a line `PID
-START` for each process, START as the system's own count of when it began, so that another process
-that has got the number since is left alone. Then it removes the folder. It imports nothing of the
-rest.
+`python -m hazelhollow.fault_injection.process_sweeper [--keep] FOLDER` waits for the end of its
+standard input, a pipe from the run. The folder holds the file `pids`, a line `PID START` for each
+process. START is the kernel's start time, so that another process that has got the same number
+since is left alone. Then the folder is removed, unless `--keep` is given.
 """
 
 from __future__ import annotations
@@ -16,9 +14,11 @@
 import sys
 from pathlib import Path
 
+PIDS_FILE = "pids"
+
 
-def started(pid: int) -> str:
-    """When a process began, in the system's ticks; nothing if there is none."""
+def start_time(pid: int) -> str:
+    """When a process started, in clock ticks since boot; empty if there is none."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[19]
     except (OSError, IndexError):
@@ -26,26 +26,28 @@
 
 
 def sweep(folder: Path) -> list[int]:
-    """Kills what the folder names and is still there, and gives the numbers."""
+    """Kills the processes that the folder's file names and that still run; their numbers."""
     try:
-        lines = (folder / "pids").read_text().splitlines()
+        lines = (folder / PIDS_FILE).read_text().splitlines()
     except OSError:
         lines = []
-    found = [
-        (int(pid), start)
-        for pid, start in (line.split() for line in lines if len(line.split()) == 2)
+    entries = [line.split() for line in lines]
+    # A line that was cut short by the end of the run has no start time.
+    running = [
+        int(entry[0])
+        for entry in entries
+        if len(entry) == 2 and start_time(int(entry[0])) == entry[1]
     ]
-    alive = [pid for pid, start in found if started(pid) == start]
-    for pid in alive:
+    for pid in running:
         os.kill(pid, signal.SIGKILL)
-    return alive
+    return running
 
 
 def main() -> None:
+    """Waits for the end of standard input, then sweeps."""
+    # Ctrl-C goes to the whole process group; the sweeper must end after the others.
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        signal.signal(
-            number, signal.SIG_IGN
-        )  # Ctrl-C goes to the whole group; this one ends after the others
+        signal.signal(number, signal.SIG_IGN)
     keep, folder = sys.argv[1] == "--keep", Path(sys.argv[-1])
     sys.stdin.read()
     sweep(folder)
--- a/hazelhollow/fault_injection/processes.py
+++ b/hazelhollow/fault_injection/processes.py
@@ -1,6 +1,8 @@
-"""Real processes.
+"""The real processes of a run: started, signalled, reaped, and gone when the run is.
 
-Started, killed, stopped, reaped, and gone when the harness is, however the harness ends.
+Two guards make sure that no process outlives the run: each is killed by the kernel when its parent
+dies, and a sweeper process kills what is left when the run's own process is killed with SIGKILL,
+which no handler can catch.
 """
 
 from __future__ import annotations
@@ -26,9 +28,19 @@
 
 @dataclass
 class Process:
-    """`running` from its start until it was reaped.
-
-    `cpu`: seconds of this and its earlier incarnations.
+    """One named process through all its incarnations.
+
+    Attributes:
+        name: as the plan calls it.
+        command: argument vector.
+        environment: all variables.
+        log: file that gets its output.
+        popen: the present incarnation; None: it does not run.
+        paused: stopped by SIGSTOP.
+        starts: incarnations so far.
+        cpu: seconds of processor time of the ended incarnations.
+        max_memory_kb: most memory of any ended incarnation.
+        status: exit status of the last ended incarnation.
     """
 
     name: str
@@ -39,102 +51,105 @@
     paused: bool = False
     starts: int = 0
     cpu: float = 0.0
-    most_kb: int = 0  # of memory, in any incarnation
-    status: int | None = None  # of the last incarnation that ended
+    max_memory_kb: int = 0
+    status: int | None = None
 
     @property
     def pid(self) -> int:
+        """Number of the process; 0: it does not run."""
         return self.popen.pid if self.popen else 0
 
     @property
     def running(self) -> bool:
+        """From its start until it was reaped."""
         return self.popen is not None
 
 
 class ProcessGroup:
-    """The processes of one harness, with the process sweeper beside them."""
+    """The processes of one run, with the sweeper beside them."""
 
     def __init__(self, folder: Path, keep: bool) -> None:
         self.folder, self.members = folder, dict[str, Process]()
-        words = [
-            sys.executable,
-            "-m",
-            "hazelhollow.fault_injection.process_sweeper",
-            *(["--keep"] if keep else []),
-            str(folder),
-        ]
-        self._sweeper = subprocess.Popen(words, stdin=subprocess.PIPE, start_new_session=True)
+        command = [sys.executable, "-m", "hazelhollow.fault_injection.process_sweeper"]
+        if keep:
+            command.append("--keep")
+        command.append(str(folder))
+        self._sweeper = subprocess.Popen(command, stdin=subprocess.PIPE, start_new_session=True)
 
     def add(self, name: str, command: Sequence[str], environment: Mapping[str, str]) -> Process:
-        one = self.members[name] = Process(
-            name, command, {**os.environ, **environment}, self.folder / f"{name}.log"
-        )
-        return one
+        """Adds a process without starting it; `environment` adds to this process's own."""
+        log = self.folder / f"{name}.log"
+        process = Process(name, command, {**os.environ, **environment}, log)
+        self.members[name] = process
+        return process
 
     def start(self, name: str) -> None:
-        one = self.members[name]
-        if one.running:
+        """Starts a process, unless it runs."""
+        process = self.members[name]
+        if process.running:
             return
-        with one.log.open("ab") as out:
-            one.popen = subprocess.Popen(
-                one.command,
-                env=one.environment,
+        with process.log.open("ab") as out:
+            process.popen = subprocess.Popen(
+                process.command,
+                env=process.environment,
                 stdin=subprocess.DEVNULL,
                 stdout=out,
                 stderr=out,
                 preexec_fn=_die_with_parent,
             )
-        one.starts += 1
-        one.paused = False
-        with (self.folder / "pids").open("a") as book:
-            book.write(f"{one.pid} {process_sweeper.started(one.pid)}\n")
+        process.starts += 1
+        process.paused = False
+        started = process_sweeper.start_time(process.pid)
+        with (self.folder / process_sweeper.PIDS_FILE).open("a") as pids:
+            pids.write(f"{process.pid} {started}\n")
 
     def signal(self, name: str, number: int) -> None:
-        one = self.members[name]
-        if one.popen:
-            one.paused = {signal.SIGSTOP: True, signal.SIGCONT: False}.get(
-                signal.Signals(number), one.paused
-            )
-            os.kill(one.pid, number)
+        """Sends a signal, if the process runs."""
+        process = self.members[name]
+        if process.popen is None:
+            return
+        if number == signal.SIGSTOP:
+            process.paused = True
+        elif number == signal.SIGCONT:
+            process.paused = False
+        os.kill(process.pid, number)
 
     def reap(self, name: str, wait: bool = False) -> bool:
-        """Whether it is over. With `wait` it stays until it is."""
-        one = self.members[name]
-        if one.popen is None:
+        """Whether the process has ended; with `wait` returns only when it has."""
+        process = self.members[name]
+        if process.popen is None:
             return True
-        pid, status, usage = os.wait4(one.pid, 0 if wait else os.WNOHANG)
+        pid, status, usage = os.wait4(process.pid, 0 if wait else os.WNOHANG)
         if pid == 0:
             return False
-        one.popen.returncode = one.status = os.waitstatus_to_exitcode(status)
-        one.cpu += usage.ru_utime + usage.ru_stime
-        one.most_kb = max(one.most_kb, usage.ru_maxrss)
-        one.popen = None
+        process.popen.returncode = process.status = os.waitstatus_to_exitcode(status)
+        process.cpu += usage.ru_utime + usage.ru_stime
+        process.max_memory_kb = max(process.max_memory_kb, usage.ru_maxrss)
+        process.popen = None
         return True
 
     def kill(self, name: str) -> None:
+        """Kills a process and waits for its end."""
         self.signal(name, signal.SIGKILL)
         self.reap(name, wait=True)
 
     def cpu_of(self, name: str) -> float:
-        """Seconds of processor time of all its incarnations so far."""
-        one = self.members[name]
-        if one.popen is None:
-            return one.cpu
-        fields = Path(f"/proc/{one.pid}/stat").read_text().rpartition(")")[2].split()
-        return one.cpu + (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+        """Seconds of processor time of all incarnations so far."""
+        process = self.members[name]
+        if process.popen is None:
+            return process.cpu
+        fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
+        return process.cpu + (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def stop(self) -> None:
-        """All processes end."""
+        """Kills all processes."""
         for name in self.members:
             self.signal(name, signal.SIGKILL)
         for name in self.members:
             self.reap(name, wait=True)
 
     def close(self) -> None:
-        """Everything ends, the process sweeper last.
-
-        It removes the folder unless it is to be kept.
-        """
+        """Kills all processes, then ends the sweeper, which removes the folder unless kept."""
         self.stop()
         if self._sweeper.stdin:
             self._sweeper.stdin.close()
--- a/hazelhollow/fault_injection/run.py
+++ b/hazelhollow/fault_injection/run.py
@@ -1,89 +1,93 @@
-"""One drill.
+"""One fault-injection run: a cluster starts, clients send, faults happen, files are checked.
 
-A fleet comes up, clients ask, the plan's faults happen, and files of all of it are left for the
-checker.
+All that the checker needs is left in files of the run's folder; `checker.py` lists them.
 """
 
 from __future__ import annotations
 
-import signal
 from collections.abc import Callable
 from pathlib import Path
 from typing import IO, Any
 
-import msgspec
 import orjson
 
 from hazelhollow.fault_injection import audit_comparison, checker
+from hazelhollow.fault_injection.addresses import CLIENT_PORT
 from hazelhollow.fault_injection.clients import Clients, ClientTarget
-from hazelhollow.fault_injection.loopback_cluster import CLIENT_PORT, HarnessError, LoopbackCluster
+from hazelhollow.fault_injection.fault_player import FaultPlayer
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster, OperatorFile
 from hazelhollow.fault_injection.plan import (
-    LINK_FAULTS,
-    Event,
     Plan,
     end_of_last_fault,
     expanded_events,
     newest_revision,
-    pairs,
     write,
 )
-from hazelhollow.fault_injection.settings_probes import SettingsProber
+from hazelhollow.fault_injection.settings_probes import ProbeOptions, SettingsProber
 from hazelhollow.net.scheduler import Clock, Scheduler
-from hazelhollow.standins.relay import Fault
 
-LISTED_AFTER = 1.5  # seconds until discovery knows that a host has died or is back
-END_WITHIN = 4.0  # seconds for requests that are out, and for processes that were told to end
-# seconds past the last fault that a drill goes on at least, so that views can settle
-SETTLE_WITHIN = 6.0
-TICK, TOO_LATE = (
-    0.05,
-    0.1,
-)  # seconds between looks at the drill's own clock; by which it is too late to judge others
-GIVE_UP = 0.02  # seconds between looks
-SIGNALS = {
-    "kill": signal.SIGKILL,
-    "pause": signal.SIGSTOP,
-    "restart": signal.SIGTERM,
-    "old": signal.SIGKILL,
-}
+OPEN_REQUESTS_TIMEOUT_S = 4.0  # at the end of the load
+SETTLE_S = 6.0  # past the last fault, at least, so that memberships can agree
+LOAD_DELAY_S = 0.2  # from the start of the cluster
+WATCHDOG_INTERVAL_S = 0.05
+MAX_LATENESS_S = 0.1  # of this process, by which it is too late to judge others
+POLL_S = 0.02
+COUNT_INTERVAL_S = 1.0
 
 Progress = Callable[[str], None]
 
 
+def _no_progress(_: str) -> None:
+    pass
+
+
 class FaultInjectionRun:
-    """`folder` exists and is empty. `operator` as for World."""
+    """One run; `run` once.
+
+    Args:
+        plan: what is to happen.
+        folder: exists and is empty.
+        progress: gets texts for a person who waits.
+        operator: as for LoopbackCluster.
+        keep: leaves the folder at the end.
+    """
 
     def __init__(
         self,
         plan: Plan,
         folder: Path,
-        progress: Progress = lambda text: None,
-        operator: Callable[[str, Path], str] | None = None,
+        progress: Progress = _no_progress,
+        operator: OperatorFile | None = None,
         keep: bool = False,
     ) -> None:
         self.plan, self.folder, self.progress = plan, folder, progress
         self.scheduler = Scheduler(Clock())
         (folder / "plan.json").write_bytes(write(plan))
         self.cluster = LoopbackCluster(self.scheduler, plan, folder, keep, operator)
-        self._faults: IO[bytes] = (folder / "faults.jsonl").open("wb")
-        self._relay: IO[bytes] = (folder / "relay.jsonl").open("wb")
-        self._requests: IO[bytes] = (folder / "clients.jsonl").open("wb")
-        self.clients = Clients(self.scheduler, plan.seed, self._requests, plan.instances)
+        self._fault_lines: IO[bytes] = (folder / "faults.jsonl").open("wb")
+        self._relay_lines: IO[bytes] = (folder / "relay.jsonl").open("wb")
+        self._request_lines: IO[bytes] = (folder / "clients.jsonl").open("wb")
+        self.clients = Clients(self.scheduler, plan.seed, self._request_lines, plan.instances)
+        self.faults = FaultPlayer(self.cluster, self._fault_lines, progress, self._fail)
         self.error: BaseException | None = None
         self.begin = self.cpu_at_begin = 0.0
-        self._affected, self._gone = (
-            set[str](),
-            set[str](),
-        )  # processes that a fault is at work on; that it killed for good
-        self.crashes: list[str] = []  # processes that ended by themselves, or badly
+
+    @property
+    def crashes(self) -> list[str]:
+        """Processes that ended by themselves, or with an error when told to end."""
+        return self.faults.crashes
 
     def run(self) -> dict[str, Any]:
-        """The checker's figures. Raises RigError if the fleet did not come up."""
+        """Plays the plan and gives the checker's figures.
+
+        Raises:
+            HarnessError: the cluster did not start, or a process did not come back.
+        """
         self.scheduler.spawn(self._guarded, name="drill")
         try:
             self.scheduler.run()
             self.cluster.stop()
-            for file in (self._faults, self._relay, self._requests):
+            for file in (self._fault_lines, self._relay_lines, self._request_lines):
                 file.close()
             if self.error:
                 raise self.error
@@ -104,234 +108,99 @@
         finally:
             self.scheduler.stop()
 
+    def _fail(self, error: Exception) -> None:
+        """A fault that cannot be made ends the run."""
+        self.error = self.error or error
+        self.scheduler.stop()
+
     def _play(self) -> None:
         plan, cluster = self.plan, self.cluster
         self.progress(f"{plan.name}: {plan.instances} limiters and {plan.hosts} hosts start")
         cluster.start()
-        self.begin = self.scheduler.clock() + 0.2
+        self.begin = self.scheduler.clock() + LOAD_DELAY_S
         self.cpu_at_begin = sum(cluster.processes.cpu_of(name) for name in cluster.names)
-        self._note(what="load", t=self.begin, until=self.begin + plan.seconds, whom=[])
-        for name in cluster.names:
-            target = ClientTarget(name, cluster.names.index(name), cluster.client_address(name))
-            for load in plan.load:
-                self.scheduler.spawn(
-                    self.clients.run,
-                    target,
-                    load,
-                    self.begin,
-                    self.begin + plan.seconds,
-                    name="clients",
-                )
-        self.scheduler.spawn_supervised(self._count, "count")
-        self.scheduler.spawn_supervised(self._watch_itself, "watch itself")
+        self.faults.note(what="load", t=self.begin, until=self.begin + plan.seconds, whom=[])
+        self._spawn_clients()
+        self.scheduler.spawn_supervised(self._count_datagrams, "count")
+        self.scheduler.spawn_supervised(self._watch_lateness, "watch itself")
         if newest_revision(plan):
             self._probe_settings(newest_revision(plan))
         for event in expanded_events(plan):
-            self.scheduler.at(self.begin + event.at, self.scheduler.spawn, self._happen, event)
-        end = self.begin + max(
-            plan.seconds, end_of_last_fault(plan) + SETTLE_WITHIN if plan.events else 0.0
-        )
+            self.scheduler.at(self.begin + event.at, self.scheduler.spawn, self.faults.play, event)
+        settled = end_of_last_fault(plan) + SETTLE_S if plan.events else 0.0
+        end = self.begin + max(plan.seconds, settled)
         while (now := self.scheduler.clock()) < end:
             self.progress(
                 f"{plan.name}: {now - self.begin:5.1f} of {end - self.begin:.0f} s, "
                 f"{self.clients.sent} requests"
             )
             self.scheduler.sleep(min(1.0, end - now))
-            self._look_for_crashes()
-        while self.clients.open and self.scheduler.clock() < end + END_WITHIN:
-            self.scheduler.sleep(GIVE_UP)
+            self.faults.look_for_crashes()
+        while self.clients.open and self.scheduler.clock() < end + OPEN_REQUESTS_TIMEOUT_S:
+            self.scheduler.sleep(POLL_S)
         self.cluster.relay.heal()
 
-    def _probe_settings(self, order: int) -> None:
-        """From outside, past the relay: whether each limiter serves, and by which settings."""
-        rows: IO[bytes] = (self.folder / "probes.jsonl").open("wb")
+    def _spawn_clients(self) -> None:
+        for number, name in enumerate(self.cluster.names):
+            target = ClientTarget(name, number, self.cluster.client_address(name))
+            for load in self.plan.load:
+                end = self.begin + self.plan.seconds
+                self.scheduler.spawn(
+                    self.clients.run, target, load, self.begin, end, name="clients"
+                )
+
+    def _probe_settings(self, revision: int) -> None:
+        """Probes bypass the relay: no link fault hides by which settings a limiter serves."""
+        lines: IO[bytes] = (self.folder / "probes.jsonl").open("wb")
+        options = ProbeOptions(revision, self.plan.instances)
         for number, name in enumerate(self.cluster.names):
             target = ClientTarget(name, number, self.cluster.own(number + 1, CLIENT_PORT))
-            self.scheduler.spawn(
-                SettingsProber(self.scheduler, target, order, rows, self.plan.instances).run,
-                name="probe",
-            )
+            prober = SettingsProber(self.scheduler, target, options, lines)
+            self.scheduler.spawn(prober.run, name="probe")
 
     def _cost(self) -> dict[str, Any]:
-        """CPU and memory of the limiters, and how late the drill's own clients were."""
-        incarnations = [self.cluster.processes.members[name] for name in self.cluster.names]
-        cpu, sent = (
-            sum(one.cpu for one in incarnations) - self.cpu_at_begin,
-            max(1, self.clients.sent),
-        )
+        """CPU and memory of the limiters, and how late this process's own clients were."""
+        limiters = [self.cluster.processes.members[name] for name in self.cluster.names]
+        cpu = sum(limiter.cpu for limiter in limiters) - self.cpu_at_begin
+        max_memory_kb = max(limiter.max_memory_kb for limiter in limiters)
         return {
-            "cpu_per_request_us": round(1e6 * cpu / sent, 1),
+            "cpu_per_request_us": round(1e6 * cpu / max(1, self.clients.sent), 1),
             "cpu_per_request_ratio": None,
-            "most_memory_mb": round(max(one.most_kb for one in incarnations) / 1024, 1),
-            "drill_late_s": round(self.clients.most_late, 3),
+            "most_memory_mb": round(max_memory_kb / 1024, 1),
+            "drill_late_s": round(self.clients.max_lateness, 3),
         }
 
-    def _note(self, **line: Any) -> None:
-        line.setdefault("t", self.scheduler.clock())
-        self._faults.write(orjson.dumps(line) + b"\n")
-        self._faults.flush()
-
-    def _watch_itself(self) -> None:
-        """When the drill itself was late.
-
-        What it measured then may be the machine's doing, not the limiters'.
-        """
+    def _watch_lateness(self) -> None:
+        """Notes when this process was late: what it measured then may be the machine's doing."""
         while True:
-            due = self.scheduler.clock() + TICK
-            self.scheduler.sleep(TICK)
+            due = self.scheduler.clock() + WATCHDOG_INTERVAL_S
+            self.scheduler.sleep(WATCHDOG_INTERVAL_S)
             late = self.scheduler.clock() - due
-            if late > TOO_LATE:
-                self._note(what="late", t=due + late, late=round(late, 3), whom=[])
+            if late > MAX_LATENESS_S:
+                self.faults.note(what="late", t=due + late, late=round(late, 3), whom=[])
 
-    def _look_for_crashes(self) -> None:
-        processes = self.cluster.processes
-        for name in [*self.cluster.names, *self.cluster.hosts]:
-            if name not in self._affected and name not in self._gone and processes.reap(name):
-                self._gone.add(name)
-                self.crashes.append(
-                    f"{name} ended by itself with status {processes.members[name].status}"
-                )
-
-    # Faults
-
-    def _happen(self, event: Event) -> None:
-        """A fault that cannot be made ends the drill: its figures would be of another plan."""
-        try:
-            self._make(event)
-        except Exception as error:
-            self.error = self.error or error
-            self.scheduler.stop()
-
-    def _make(self, event: Event) -> None:
-        self.progress(
-            f"{self.plan.name}: {event.what} {' '.join(event.whom)} for {event.lasts:g} s"
-        )
-        if event.what in LINK_FAULTS:
-            self._links(event)
-        elif event.what == "settings":
-            self._settings(event)
-        elif event.what == "discovery_down":
-            self.cluster.discovery.set_down(True)
-            self._note(what=event.what, whom=["d"], on=True)
-            self.scheduler.sleep(event.lasts)
-            self.cluster.discovery.set_down(False)
-            self._note(what=event.what, whom=["d"], on=False)
-        else:
-            for name in event.whom[1:]:
-                self.scheduler.spawn(
-                    self._happen, msgspec.structs.replace(event, whom=(name,)), name="fault"
-                )
-            self._process(event, event.whom[0])
-
-    def _settings(self, event: Event) -> None:
-        for name in event.whom:
-            self.cluster.write_files(name, int(event.amount))
-            if (
-                self.cluster.processes.members[name].running and name not in self._affected
-            ):  # one that is starting reads them anyway
-                self.cluster.processes.signal(name, signal.SIGHUP)
-        self._note(what="settings", whom=list(event.whom), order=int(event.amount))
-
-    def _links(self, event: Event) -> None:
-        fault = {
-            "cut": Fault(cut=True),
-            "stall": Fault(stalled=True),
-            "reset": Fault(reset=True),
-            "delay": Fault(delay=event.amount),
-            "lose": Fault(lose=event.amount),
-            "double": Fault(double=event.amount),
-            "reorder": Fault(reorder=event.amount),
-            "thin": Fault(thin=event.amount),
-        }[event.what]
-        hit = pairs(self.plan, event)
-        number = self.cluster.relay.begin(fault, hit)
-        self._note(what=event.what, pairs=hit, number=number, on=True, amount=event.amount)
-        self.scheduler.sleep(event.lasts)
-        self.cluster.relay.end(number)
-        self._note(what=event.what, pairs=hit, number=number, on=False)
-
-    def _process(self, event: Event, name: str) -> None:
-        """One that another fault has in hand already is left to it."""
-        one = self.cluster.processes.members[name]
-        if name in self._affected or not one.running:
-            return
-        self._affected.add(name)
-        try:
-            self._hit(event, name)
-        finally:
-            self._affected.discard(name)
-
-    def _hit(self, event: Event, name: str) -> None:
-        processes, one = self.cluster.processes, self.cluster.processes.members[name]
-        self._note(what=event.what, whom=[name], on=True)
-        incarnation = one.starts
-        processes.signal(name, SIGNALS[event.what])
-        if event.what == "pause":
-            self.scheduler.sleep(event.lasts)
-            if one.starts == incarnation and one.running:
-                processes.signal(name, signal.SIGCONT)
-                self._note(what="pause", whom=[name], on=False)
-            return
-        until = self.scheduler.clock() + END_WITHIN
-        while not processes.reap(name):
-            if self.scheduler.clock() > until:
-                processes.signal(name, signal.SIGKILL)
-            self.scheduler.sleep(GIVE_UP)
-        if name in self.cluster.hosts:
-            self.scheduler.at(self.scheduler.clock() + LISTED_AFTER, self._list_host, name)
-        if event.what == "restart" and one.status:
-            self.crashes.append(f"{name} ended with status {one.status} when told to end")
-        if event.what == "kill" and not event.lasts:
-            self._gone.add(name)
-            return
-        self.scheduler.sleep(event.lasts)
-        if event.what == "old":
-            self.cluster.write_files(name, 0)
-        processes.start(name)
-        while name in self.cluster.names and not self.cluster.call(name, "check").startswith(
-            b"done"
-        ):
-            if processes.reap(name):
-                raise HarnessError(f"{name} ended with status {one.status} while it started")
-            self.scheduler.sleep(GIVE_UP)
-        self._note(what=event.what, whom=[name], on=False)
-
-    def _list_host(self, name: str) -> None:
-        """What discovery learns of a host's incarnation."""
-        one, host = self.cluster.processes.members[name], self.cluster.discovery.hosts[name]
-        if one.running:
-            self.cluster.set_host(name, "up", self.scheduler.clock() - LISTED_AFTER)
-        elif host.state != "gone":
-            self.cluster.set_host(name, "gone")
-            self.scheduler.spawn(self._until_back, name, name="host back")
-
-    def _until_back(self, name: str) -> None:
-        while not self.cluster.processes.members[name].running:
-            self.scheduler.sleep(0.1)
-        self.scheduler.at(self.scheduler.clock() + LISTED_AFTER, self._list_host, name)
-
-    def _count(self) -> None:
-        """What crossed between limiters, second by second."""
-        before: dict[str, Any] = {}
+    def _count_datagrams(self) -> None:
+        """Writes once a second what crossed between limiters."""
+        before: dict[str, int] = {}
         while True:
-            self.scheduler.sleep(1.0)
-            counts = {
-                k: v
-                for k, v in self.cluster.relay.counts().items()
-                if set(k.split(">")) <= set(self.cluster.names)
-            }
-            now = {
-                kind: sum(count[kind] for count in counts.values())
-                for kind in ("passed", "lost", "bytes")
-            }
+            self.scheduler.sleep(COUNT_INTERVAL_S)
+            now = self._datagram_totals()
             if before:
+                running = [self.cluster.processes.members[n].running for n in self.cluster.names]
                 row = {
                     "t": self.scheduler.clock(),
-                    "members": sum(
-                        self.cluster.processes.members[n].running for n in self.cluster.names
-                    ),
+                    "members": sum(running),
+                    "datagrams": now["passed"] + now["lost"] - before["passed"] - before["lost"],
+                    "bytes": now["bytes"] - before["bytes"],
                 }
-                row["datagrams"] = now["passed"] + now["lost"] - before["passed"] - before["lost"]
-                row["bytes"] = now["bytes"] - before["bytes"]
-                self._relay.write(orjson.dumps(row) + b"\n")
+                self._relay_lines.write(orjson.dumps(row) + b"\n")
             before = now
+
+    def _datagram_totals(self) -> dict[str, int]:
+        names = set(self.cluster.names)
+        counts = [
+            count
+            for direction, count in self.cluster.relay.counts().items()
+            if set(direction.split(">")) <= names
+        ]
+        return {kind: sum(count[kind] for count in counts) for kind in ("passed", "lost", "bytes")}
--- a/hazelhollow/fault_injection/settings_probes.py
+++ b/hazelhollow/fault_injection/settings_probes.py
@@ -1,11 +1,12 @@
-"""By which settings a limiter serves, seen from outside.
+"""Finds from outside by which settings a limiter serves.
 
-A request of a class that only the newest have, and one that all have.
+At regular intervals each limiter is sent a request of a class that only the newest settings have,
+and one of a class that all settings have.
 """
 
 from __future__ import annotations
 
-from typing import IO
+from typing import IO, NamedTuple
 
 import orjson
 
@@ -14,41 +15,41 @@
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
 
-EVERY = 0.25  # seconds
-WITHIN = 1.0  # for an answer
-MOST_OUT = 4096
+INTERVAL_S = 0.25
+TIMEOUT_S = 1.0  # for an answer
+MAX_OUT_BYTES = 4096
+FIRST_CUSTOMER = 0xF000  # each limiter's probes have a customer of their own
+
+
+class ProbeOptions(NamedTuple):
+    """What probes ask for: the newest revision of the settings, and the size of customers' sets."""
+
+    revision: int
+    set_size: int
 
 
 class SettingsProber:
+    """Probes one limiter for as long as it runs; writes a JSON line for each pair of requests."""
+
     def __init__(
-        self,
-        scheduler: Scheduler,
-        target: ClientTarget,
-        order: int,
-        out: IO[bytes],
-        spread: int,
+        self, scheduler: Scheduler, target: ClientTarget, options: ProbeOptions, out: IO[bytes]
     ) -> None:
-        self._scheduler, self._target, self._order, self._out, self._spread = (
-            scheduler,
-            target,
-            order,
-            out,
-            spread,
-        )
+        self._scheduler, self._target, self._options, self._out = scheduler, target, options, out
         self._serial = 0
 
     def run(self) -> None:
+        """Never returns."""
         while True:
-            self._scheduler.sleep(EVERY)
+            self._scheduler.sleep(INTERVAL_S)
             began = self._scheduler.clock()
-            found = [self.ask(kind) for kind in (f"o{self._order}", "look")]
+            newest, common = [self.ask(kind) for kind in (f"o{self._options.revision}", "look")]
             row = {
                 "t": began,
                 "end": self._scheduler.clock(),
                 "to": self._target.name,
-                "order": self._order,
-                "new": found[0],
-                "look": found[1],
+                "order": self._options.revision,
+                "new": newest,
+                "look": common,
             }
             self._out.write(orjson.dumps(row) + b"\n")
             self._out.flush()
@@ -56,33 +57,34 @@
     def ask(self, kind: str) -> str:
         """Sends a request of class `kind`.
 
-        Served, busy, unknown (no such class), or nothing if there was no answer.
+        Gives `served`, `busy`, `unknown` (no such class), or nothing if there was no answer.
         """
-        made = stream.connect(self._scheduler, self._target.address, MOST_OUT, WITHIN)
-        if isinstance(made, CloseReason):
+        driver = stream.connect(self._scheduler, self._target.address, MAX_OUT_BYTES, TIMEOUT_S)
+        if isinstance(driver, CloseReason):
             return ""
-        self._serial += 1
-        customer, request = (
-            f"{0xF000 + self._target.number:016x}",
-            f"{self._target.number:06x}{self._serial:010x}",
-        )
-        fields = f"c={kind},t=iron,d={int(WITHIN * 1000)},units=1,spread={self._spread},first=0"
-        made.write(
-            resp.encode_command([b"Q.ASK", customer.encode(), request.encode(), fields.encode()])
-        )
-        made.flush()
-        parser, until = resp.Parser(), self._scheduler.clock() + WITHIN
+        driver.write(self._command(kind))
+        driver.flush()
+        parser, until = resp.Parser(), self._scheduler.clock() + TIMEOUT_S
         while isinstance(value := parser.next(), resp.NeedMoreData):
-            data = (
-                made.read(stream.READ_CHUNK_BYTES)
-                if made.wait(until) != TIMED_OUT
-                else CloseReason.TIMED_OUT
-            )
+            if driver.wait(until) == TIMED_OUT:
+                data: bytes | CloseReason | None = CloseReason.TIMED_OUT
+            else:
+                data = driver.read(stream.READ_CHUNK_BYTES)
             if isinstance(data, CloseReason):
-                made.close(data)
+                driver.close(data)
                 return ""
             parser.feed(data or b"")
-        made.close(CloseReason.CLOSED)
+        driver.close(CloseReason.CLOSED)
         if isinstance(value, resp.ErrorReply):
             return "busy" if value.startswith(b"BUSY") else "unknown"
         return "served"
+
+    def _command(self, kind: str) -> bytes:
+        self._serial += 1
+        customer = f"{FIRST_CUSTOMER + self._target.number:016x}"
+        request = f"{self._target.number:06x}{self._serial:010x}"
+        fields = (
+            f"c={kind},t=iron,d={int(TIMEOUT_S * 1000)},units=1,"
+            f"spread={self._options.set_size},first=0"
+        )
+        return resp.encode_command([b"Q.ASK", customer.encode(), request.encode(), fields.encode()])
--- a/hazelhollow/fault_injection/shrink.py
+++ b/hazelhollow/fault_injection/shrink.py
@@ -1,4 +1,4 @@
-"""From a plan that fails to a smaller one that still does.
+"""Reduces a plan that fails to a smaller one that still fails.
 
 Knows nothing of how a plan is played.
 """
@@ -11,50 +11,52 @@
 
 from hazelhollow.fault_injection.plan import Plan, end_of_last_fault
 
-TAIL = 4.0  # seconds of load that are kept after the last event
+LOAD_AFTER_LAST_FAULT_S = 4.0
+MIN_SECONDS = 5.0  # of load
 
 
-def shrink(plan: Plan, fails: Callable[[Plan], bool], most: int) -> tuple[Plan, int]:
-    """The smallest plan found with at most so many trials, and how many were made.
+def shrink(plan: Plan, fails: Callable[[Plan], bool], max_trials: int) -> tuple[Plan, int]:
+    """The smallest plan found that still fails, and the number of trials made.
 
-    First events go, in halves, then quarters, then one by one; then the time after the last; then
-    limiters that no event names.
+    Events are removed first, in halves, then quarters, then one by one; then the time after the
+    last one; then limiters that no event names.
     """
     trials = 0
 
-    def still(one: Plan) -> bool:
+    def still_fails(candidate: Plan) -> bool:
         nonlocal trials
-        if trials >= most:
+        if trials >= max_trials:
             return False
         trials += 1
-        return fails(one)
+        return fails(candidate)
 
     size = max(1, len(plan.events) // 2)
-    while plan.events and trials < most:
-        kept = _without(plan, size, still)
-        if kept is None and size == 1:
+    while plan.events and trials < max_trials:
+        smaller = _without(plan, size, still_fails)
+        if smaller is None and size == 1:
             break
-        plan, size = kept or plan, size if kept else max(1, size // 2)
+        plan, size = smaller or plan, size if smaller else max(1, size // 2)
         size = min(size, max(1, len(plan.events)))
-    short = msgspec.structs.replace(plan, seconds=max(5.0, end_of_last_fault(plan) + TAIL))
-    if short.seconds < plan.seconds and still(short):
+    seconds = max(MIN_SECONDS, end_of_last_fault(plan) + LOAD_AFTER_LAST_FAULT_S)
+    short = msgspec.structs.replace(plan, seconds=seconds)
+    if short.seconds < plan.seconds and still_fails(short):
         plan = short
-    while plan.instances > 2 and not _named(plan, f"n{plan.instances - 1}"):
+    while plan.instances > 2 and not _is_named(plan, f"n{plan.instances - 1}"):
         fewer = msgspec.structs.replace(plan, instances=plan.instances - 1)
-        if not still(fewer):
+        if not still_fails(fewer):
             break
         plan = fewer
     return plan, trials
 
 
-def _without(plan: Plan, size: int, still: Callable[[Plan], bool]) -> Plan | None:
+def _without(plan: Plan, size: int, still_fails: Callable[[Plan], bool]) -> Plan | None:
     for start in range(0, len(plan.events), size):
-        left = plan.events[:start] + plan.events[start + size :]
-        one = msgspec.structs.replace(plan, events=left)
-        if still(one):
-            return one
+        events = plan.events[:start] + plan.events[start + size :]
+        candidate = msgspec.structs.replace(plan, events=events)
+        if still_fails(candidate):
+            return candidate
     return None
 
 
-def _named(plan: Plan, name: str) -> bool:
+def _is_named(plan: Plan, name: str) -> bool:
     return any(name in (*event.whom, *event.others) for event in plan.events)
--- a/hazelhollow/fault_injection/supervisor.py
+++ b/hazelhollow/fault_injection/supervisor.py
@@ -1,6 +1,7 @@
-"""A fleet that stays up.
+"""A cluster that stays up until it is told to end.
 
-Its supervisor takes one JSON line a connection at an address that a file names.
+Its supervisor takes commands at an address that a file in the cluster's folder names: one JSON line
+a connection, with the token of that file.
 """
 
 from __future__ import annotations
@@ -15,41 +16,42 @@
 
 import orjson
 
-from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.addresses import SHARED, to_text
+from hazelhollow.fault_injection.errors import CommandError
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster, OperatorFile
 from hazelhollow.fault_injection.plan import Plan
 from hazelhollow.net import stream
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.scheduler import TIMED_OUT, Clock, Scheduler
-from hazelhollow.standins.relay import Fault
+from hazelhollow.standins.link_faults import LinkFault
 
-FILE = "rig.json"  # address, token and number of the supervisor; readable by its owner alone
+FILE = "rig.json"  # address, token and pid of the supervisor; readable by its owner alone
 PORT = 7100
-MOST = 1 << 16
-WITHIN = 10.0  # seconds for a command
-LOOK = 0.1  # seconds between looks at processes that have ended
-
-
-class CommandError(Exception):
-    """A command that cannot be done; says why."""
+MAX_BYTES = 1 << 16  # of a command or its answer
+TIMEOUT_S = 10.0  # for a command
+REAP_INTERVAL_S = 0.1
 
 
 class Supervisor:
-    def __init__(
-        self, plan: Plan, folder: Path, operator: Callable[[str, Path], str] | None = None
-    ) -> None:
+    """Starts a cluster and carries out commands until one of them ends it."""
+
+    def __init__(self, plan: Plan, folder: Path, operator: OperatorFile | None = None) -> None:
         self.scheduler, self.folder = Scheduler(Clock()), folder
         self.cluster = LoopbackCluster(self.scheduler, plan, folder, operator=operator)
         self.token, self._stopping = secrets.token_hex(16), False
-        self._sock = socket.create_server(self.cluster.own(250, PORT), backlog=16)
+        self._sock = socket.create_server(self.cluster.own(SHARED, PORT), backlog=16)
         self._sock.setblocking(False)
         self.error: BaseException | None = None
 
     def run(self, ready: Callable[[LoopbackCluster], None]) -> None:
-        """Until `down`, SIGTERM or Ctrl-C; then no process, socket or file is left."""
+        """Runs until `down`, SIGTERM or Ctrl-C; calls `ready` once all limiters are.
+
+        No process, socket or file is left at the end.
+        """
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: self.scheduler.stop())
         self.scheduler.spawn(self._begin, ready, name="begin")
-        self.scheduler.spawn_supervised(self._look, "look")
+        self.scheduler.spawn_supervised(self._reap, "reap")
         try:
             self.scheduler.run()
         finally:
@@ -76,31 +78,31 @@
             self.error = error
             self.scheduler.stop()
 
-    def _look(self) -> None:
+    def _reap(self) -> None:
         while True:
             for name in self.cluster.processes.members:
                 self.cluster.processes.reap(name)
-            self.scheduler.sleep(LOOK)
+            self.scheduler.sleep(REAP_INTERVAL_S)
 
     def _accept(self) -> None:
         for sock in stream.accept_connections(self.scheduler, self._sock):
             self.scheduler.spawn(
-                self._serve, stream.Stream(self.scheduler, sock, MOST), name="command"
+                self._serve, stream.Stream(self.scheduler, sock, MAX_BYTES), name="command"
             )
 
     def _serve(self, driver: stream.Stream) -> None:
-        until, held = self.scheduler.clock() + WITHIN, b""
-        while not held.endswith(b"\n"):
-            if driver.wait(until) == TIMED_OUT or len(held) > MOST:
+        until, received = self.scheduler.clock() + TIMEOUT_S, b""
+        while not received.endswith(b"\n"):
+            if driver.wait(until) == TIMED_OUT or len(received) > MAX_BYTES:
                 driver.close(CloseReason.TIMED_OUT)
                 return
-            data = driver.read(MOST)
+            data = driver.read(MAX_BYTES)
             if isinstance(data, CloseReason):
                 driver.close(data)
                 return
-            held += data or b""
+            received += data or b""
         try:
-            answer = {"done": self._do(orjson.loads(held))}
+            answer = {"done": self._do(orjson.loads(received))}
         except (CommandError, KeyError, TypeError, orjson.JSONDecodeError) as error:
             answer = {"error": str(error)}
         driver.write(orjson.dumps(answer) + b"\n")
@@ -109,10 +111,10 @@
         if self._stopping:
             self.scheduler.stop()
 
-    def _do(self, words: dict[str, Any]) -> Any:
-        if not secrets.compare_digest(str(words.get("token", "")), self.token):
+    def _do(self, command: dict[str, Any]) -> Any:
+        if not secrets.compare_digest(str(command.get("token", "")), self.token):
             raise CommandError("not the token of this fleet")
-        verb = words.get("do")
+        verb = command.get("do")
         if verb == "status":
             return self.status()
         if verb == "down":
@@ -122,9 +124,9 @@
             self.cluster.relay.heal()
             return "every link is whole"
         if verb == "cut":
-            return self._cut(words["a"], words["b"], bool(words.get("one_way")))
+            return self._cut(command["a"], command["b"], bool(command.get("one_way")))
         if verb in ("kill", "start", "pause", "resume"):
-            return self._process(verb, words["name"])
+            return self._signal(verb, command["name"])
         raise CommandError(f"no command {verb!r}")
 
     def _cut(self, a: str, b: str, one_way: bool) -> str:
@@ -134,21 +136,23 @@
                 raise CommandError(f"no process {name!r}; there are {', '.join(sorted(known))}")
         if a == b:
             raise CommandError("a link is between two")
-        self.cluster.relay.begin(Fault(cut=True), [(a, b)] if one_way else [(a, b), (b, a)])
+        self.cluster.relay.begin(
+            LinkFault(partitioned=True), [(a, b)] if one_way else [(a, b), (b, a)]
+        )
         return f"{a} no longer reaches {b}" + ("" if one_way else ", nor the other way")
 
-    def _process(self, verb: str, name: str) -> str:
+    def _signal(self, verb: str, name: str) -> str:
         processes = self.cluster.processes
         if name not in processes.members:
             raise CommandError(
                 f"no process {name!r}; there are {', '.join(sorted(processes.members))}"
             )
-        one = processes.members[name]
+        process = processes.members[name]
         if verb == "start":
-            if one.running:
+            if process.running:
                 raise CommandError(f"{name} runs already")
             processes.start(name)
-        elif not one.running:
+        elif not process.running:
             raise CommandError(f"{name} does not run")
         else:
             processes.signal(
@@ -158,28 +162,26 @@
         return f"{verb} {name}"
 
     def _view(self, name: str) -> dict[str, Any]:
-        """What a limiter says of the others.
-
-        By number, the state and for how long; nothing where it keeps no view.
-        """
+        """A limiter's membership by number, with states; empty where it keeps none."""
         first, _, _ = self.cluster.call(name, "fleet").partition(b"\n")
         members: dict[str, Any] = orjson.loads(first)["members"] if first.startswith(b"{") else {}
         return members
 
     def status(self) -> dict[str, Any]:
-        """What runs, what each limiter says of itself and of the others.
-
-        And which links are not whole.
-        """
+        """Processes with their states and memberships, and links that have faults."""
         found: dict[str, Any] = {"processes": [], "links": []}
-        for name, one in self.cluster.processes.members.items():
+        for name, process in self.cluster.processes.members.items():
             state = (
-                "paused" if one.paused and one.running else "running" if one.running else "ended"
+                "paused"
+                if process.paused and process.running
+                else "running"
+                if process.running
+                else "ended"
             )
-            row = {"name": name, "pid": one.pid, "state": state, "starts": one.starts}
+            row = {"name": name, "pid": process.pid, "state": state, "starts": process.starts}
             if name in self.cluster.names and state == "running":
-                row["ready"] = self.cluster.call(name, "check").startswith(b"done")
-                row["address"] = ":".join(map(str, self.cluster.client_address(name)))
+                row["ready"] = self.cluster.is_ready(name)
+                row["address"] = to_text(self.cluster.client_address(name))
                 row["view"] = self._view(name)
             found["processes"].append(row)
         for (a, b), link in sorted(self.cluster.relay.links.items()):
@@ -190,14 +192,18 @@
         return found
 
 
-def command(folder: Path, **words: Any) -> Any:
-    """Asks the supervisor whose file is in that folder. Raises CommandError."""
+def command(folder: Path, **arguments: Any) -> Any:
+    """Sends a command to the supervisor whose file is in that folder.
+
+    Raises:
+        CommandError: no cluster is up there, or the command was refused.
+    """
     try:
-        told = orjson.loads((folder / FILE).read_bytes())
-        with socket.create_connection(tuple(told["address"]), timeout=WITHIN) as sock:
-            sock.sendall(orjson.dumps(words | {"token": told["token"]}) + b"\n")
+        contact = orjson.loads((folder / FILE).read_bytes())
+        with socket.create_connection(tuple(contact["address"]), timeout=TIMEOUT_S) as sock:
+            sock.sendall(orjson.dumps(arguments | {"token": contact["token"]}) + b"\n")
             answer = b""
-            while chunk := sock.recv(MOST):
+            while chunk := sock.recv(MAX_BYTES):
                 answer += chunk
         document = orjson.loads(answer)
     except FileNotFoundError:
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -20,18 +20,19 @@
 import msgspec
 import orjson
 
-from hazelhollow.fault_injection.checker import rows
-from hazelhollow.fault_injection.clients import Clients, ClientTarget
-from hazelhollow.fault_injection.loopback_cluster import (
+from hazelhollow.fault_injection.addresses import (
     CLIENT_PORT,
     DISCOVERY_PORT,
     ENDPOINT_PORT,
     OPERATOR_PORT,
-    call,
     free_network,
+    to_text,
 )
+from hazelhollow.fault_injection.clients import Clients, ClientTarget
+from hazelhollow.fault_injection.operator_call import call
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.processes import ProcessGroup
+from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.net.gc_pauses import shorten_collector_pauses
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale.results import Latency, Size
@@ -211,7 +212,7 @@
     def __init__(self, plan: LatencyPlan, folder: Path) -> None:
         self._plan, self._folder = plan, folder
         self.scheduler = Scheduler(Clock(), FinePoller())
-        self._net = free_network()
+        self._network = free_network()
         self._crew = ProcessGroup(folder, keep=False)
         self._discovery = Discovery(self.scheduler)
         self._error: BaseException | None = None
@@ -239,10 +240,10 @@
 
     def memory_bytes(self) -> float:
         """The most that the limiter held, its start included; known once it has ended."""
-        return self._crew.members[LIMITER].most_kb * 1024.0
+        return self._crew.members[LIMITER].max_memory_kb * 1024.0
 
     def _start(self) -> None:
-        agent = self._discovery.listen(LIMITER, (f"{self._net}.1", DISCOVERY_PORT))
+        agent = self._discovery.listen(LIMITER, self._network.own(1, DISCOVERY_PORT))
         server = self._text(2, ENDPOINT_PORT)
         for number in range(self._plan.size.servers):
             name = f"s-{number:05d}"
@@ -259,7 +260,7 @@
         self._crew.start(LIMITER)
 
     def _text(self, number: int, port: int) -> str:
-        return f"{self._net}.{number}:{port}"
+        return to_text(self._network.own(number, port))
 
     def _config(self, discovery: str) -> dict[str, Any]:
         return {
@@ -284,7 +285,7 @@
 
     def _await_ready(self) -> None:
         until = self.scheduler.clock() + READY_WITHIN_S
-        operator_address = (f"{self._net}.1", OPERATOR_PORT)
+        operator_address = self._network.own(1, OPERATOR_PORT)
         while not call(self.scheduler, operator_address, "check").startswith(b"done"):
             if self._crew.reap(LIMITER):
                 tail = self._crew.members[LIMITER].log.read_text(errors="replace")[-600:]
@@ -301,11 +302,11 @@
         end = self.counted_from + self._plan.seconds
         load = Load(customer=CUSTOMER, plan=PLAN, kind=ROUTE, rate=size.requests_per_s)
         shorten_collector_pauses()
-        clients = Clients(self.scheduler, self._plan.seed, self._out, spread=1)
+        clients = Clients(self.scheduler, self._plan.seed, self._out, set_size=1)
         for number, (name, host, port) in enumerate(
             ((LIMITER, 1, CLIENT_PORT), (SERVER, 2, ENDPOINT_PORT))
         ):
-            target = ClientTarget(name, number, (f"{self._net}.{host}", port))
+            target = ClientTarget(name, number, self._network.own(host, port))
             self.scheduler.spawn(clients.run, target, load, begin, end, number / 2, name="clients")
         self.scheduler.sleep(end - self.scheduler.clock())
         until = self.scheduler.clock() + END_WITHIN_S
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -18,11 +18,12 @@
 
 import msgspec
 
-from hazelhollow.fault_injection.checker import rows
 from hazelhollow.fault_injection.clients import Clients, ClientTarget
-from hazelhollow.fault_injection.loopback_cluster import HarnessError, LoopbackCluster
+from hazelhollow.fault_injection.errors import HarnessError
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.plan import Plan as HarnessPlan
+from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale.coordinator import Coordinator, RunError
@@ -159,7 +160,7 @@
             name="compare", instances=plan.limiters, hosts=plan.servers, seed=plan.seed
         )
         super().__init__(scheduler, rig, folder, operator=operator_file)
-        self.relay.watching = self._passed
+        self.relay.on_datagram = self._passed
 
     def config(self, number: int, order: int = 0) -> dict[str, Any]:
         """What that limiter is told."""
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -82,7 +82,9 @@
         sys.exit(2)
     scheduler = Scheduler(Clock())
     try:
-        servers = server.start(scheduler, address, seed, password, plan, shards, secure)
+        servers = server.start(
+            scheduler, address, server.ServerOptions(seed, password, plan, shards, secure)
+        )
     except OSError as error:
         _cannot_listen(listen, error)
     _until_signal(scheduler, [started.address for started in servers])
--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -5,12 +5,14 @@
 import socket
 import ssl
 import struct
+from collections.abc import Sequence
+from dataclasses import dataclass
 
 from hazelhollow.net import stream, tls
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.scheduler import Scheduler, Timer
-from hazelhollow.standins.redis import faults
 from hazelhollow.standins.redis.cluster import Cluster
+from hazelhollow.standins.redis.faults import Fault
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.session import Session
 
@@ -106,25 +108,40 @@
         self._sock.close()
 
 
+@dataclass(frozen=True)
+class ServerOptions:
+    """How the servers of a stand-in behave.
+
+    Attributes:
+        seed: of all draws of the first server; the others have the numbers after it.
+        password: that clients must give; empty: none.
+        faults: their schedule, counted from the start.
+        shards: servers; more than one form a cluster.
+        secure: TLS, or None.
+    """
+
+    seed: int = 0
+    password: str = ""
+    faults: Sequence[Fault] = ()
+    shards: int = 1
+    secure: ssl.SSLContext | None = None
+
+
 def start(
-    scheduler: Scheduler,
-    listen: tuple[str, int],
-    seed: int = 0,
-    password: str = "",
-    plan: list[faults.Fault] | None = None,
-    shards: int = 1,
-    secure: ssl.SSLContext | None = None,
+    scheduler: Scheduler, listen: tuple[str, int], options: ServerOptions = ServerOptions()
 ) -> list[Server]:
-    """Starts `shards` servers; more than one form a cluster.
+    """Starts the servers; they listen at consecutive ports from that of `listen`.
 
-    They listen at consecutive ports from that of `listen`, or at any free ones where it is 0.
+    With port 0 each listens at any free one.
     """
     host, port = listen
     servers = []
-    for number in range(shards):
-        node = Node(scheduler.clock, seed + number, password, plan)
-        servers.append(Server(scheduler, node, (host, port + number if port else 0), secure))
-    if shards > 1:
+    for number in range(options.shards):
+        node = Node(scheduler.clock, options.seed + number, options.password, list(options.faults))
+        servers.append(
+            Server(scheduler, node, (host, port + number if port else 0), options.secure)
+        )
+    if options.shards > 1:
         ids = [server.node.state.engine.run_id for server in servers]
         for number, server in enumerate(servers):
             server.node.state.cluster = Cluster([s.address for s in servers], number, ids)
--- a/hazelhollow/standins/relay.py
+++ b/hazelhollow/standins/relay.py
@@ -1,349 +1,226 @@
-"""A stand-in for the network.
+"""A stand-in for the network between processes of this machine: datagrams and TCP, with faults.
 
-Datagrams and TCP between processes of this machine, with faults by pair and direction.
-
-Each process has a name (`n0`, `h1`, `d`). What goes from one to another passes a socket of the
-relay's that the sender takes for the other's own, and leaves by the one that the receiver takes for
-the sender's. The relay changes no byte.
+Each process has a name (`n0`, `h1`, `d`). What one sends to another goes to a socket of the relay
+that the sender takes for the other's own, and leaves by the one that the receiver takes for the
+sender's. The relay changes no byte.
 """
 
 from __future__ import annotations
 
 import random
 import socket
-import struct
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from functools import partial
+from typing import NamedTuple
 
 from hazelhollow.net import stream
-from hazelhollow.net.close_reason import CloseReason
-from hazelhollow.net.scheduler import READABLE, Scheduler, Task
+from hazelhollow.net.scheduler import READABLE, Scheduler
+from hazelhollow.standins.link_faults import NO_FAULT, Link, LinkFault
+from hazelhollow.standins.relayed_connection import Direction, RelayedConnection
 
 Address = tuple[str, int]
-MAX_HELD = 1 << 20  # bytes of one direction of a connection that wait
-MAX_STALLED = 2000  # datagrams of one direction that wait for a stalled link
-MAX_DATAGRAM = 65536
-BATCH = 64  # datagrams read before others get their turn
-CONNECT = 1.0  # seconds
-
-
-@dataclass(frozen=True)
-class Fault:
-    """What is wrong with a link in one direction; a share is 0 to 1, times are seconds."""
-
-    cut: bool = False  # nothing passes; what was sent is lost
-    stalled: bool = False  # nothing passes; what was sent comes when the stall ends
-    reset: bool = False  # connections end and new ones are ended at once; datagrams are lost
-    delay: float = 0.0
-    lose: float = 0.0
-    double: float = 0.0
-    reorder: float = 0.0  # share of datagrams that later ones overtake
-    thin: float = 0.0  # datagrams a second that pass at most; 0: no bound
-
-    def __or__(self, other: Fault) -> Fault:
-        """Both at once."""
-        rates = [rate for rate in (self.thin, other.thin) if rate]
-        return Fault(
-            self.cut or other.cut,
-            self.stalled or other.stalled,
-            self.reset or other.reset,
-            self.delay + other.delay,
-            1 - (1 - self.lose) * (1 - other.lose),
-            max(self.double, other.double),
-            max(self.reorder, other.reorder),
-            min(rates, default=0.0),
-        )
+Pair = tuple[str, str]  # names of sender and receiver
+MAX_STALLED_DATAGRAMS = 2000  # of one direction
+MAX_DATAGRAM_BYTES = 65536
+DATAGRAMS_A_TURN = 64  # read before other tasks get their turn
+REORDERING_DELAY_S = 0.05
 
 
-SOUND = Fault()
-NO_LINGER = struct.pack("ii", 1, 0)  # closing ends the connection with a reset
-OVERTAKEN = 0.05  # seconds that a reordered datagram waits
+class DatagramRoute(NamedTuple):
+    """How datagrams of one direction are relayed.
 
+    Attributes:
+        listen: the address that the sender takes for the receiver's.
+        source: the sender's own address; datagrams of others are dropped.
+        target: the receiver's own address.
+    """
 
-@dataclass(eq=False)
-class Link:
-    """One direction between two processes."""
+    listen: Address
+    source: Address
+    target: Address
 
-    faults: dict[int, Fault] = field(default_factory=dict)
-    now: Fault = SOUND
-    passed: int = 0
-    lost: int = 0
-    bytes: int = 0
-    room: float = 1.0  # of a thinned link
-    room_at: float = 0.0
-    waiting: list[Callable[[], None]] = field(default_factory=list)  # what a stall holds back
 
-    def change(self) -> None:
-        self.now = SOUND
-        for fault in self.faults.values():
-            self.now |= fault
+class Datagram(NamedTuple):
+    """A datagram on its way: the socket that it leaves by, and its receiver's own address."""
+
+    data: bytes
+    out: socket.socket
+    target: Address
 
 
 class Relay:
+    """All links between the processes of a run, and the sockets through which they talk."""
+
     def __init__(self, scheduler: Scheduler, seed: int) -> None:
         self.scheduler, self.random = scheduler, random.Random(seed)
-        self.links: dict[tuple[str, str], Link] = {}
-        self.pipes: dict[Pipe, None] = {}
-        self._serial = 0
-        self._socks: list[socket.socket] = []
-        # by sender and whom it stands for
-        self._datagrams: dict[tuple[str, str], socket.socket] = {}
-        self.watching: Callable[[bytes], None] | None = None  # gets each datagram that passes
+        self.links: dict[Pair, Link] = {}
+        self._connections: dict[RelayedConnection, None] = {}
+        self._last_fault = 0
+        self._sockets: list[socket.socket] = []
+        self._datagram_sockets: dict[Pair, socket.socket] = {}
+        self.on_datagram: Callable[[bytes], None] | None = None  # gets each one that passes
 
     def link(self, sender: str, receiver: str) -> Link:
+        """The link of one direction."""
         return self.links.setdefault((sender, receiver), Link())
 
+    def datagram_socket(self, sender: str, receiver: str) -> socket.socket:
+        """The socket that `sender` takes for `receiver`; what it sends seems to be `receiver`'s."""
+        return self._datagram_sockets[sender, receiver]
+
     # Faults
 
-    def begin(self, fault: Fault, pairs: list[tuple[str, str]]) -> int:
-        """The fault holds for each direction until `end` gets the number that this gives."""
-        self._serial += 1
+    def begin(self, fault: LinkFault, pairs: list[Pair]) -> int:
+        """Activates a fault on each of these directions; gives the number that ends it."""
+        self._last_fault += 1
         for pair in pairs:
-            link = self.link(*pair)
-            link.faults[self._serial] = fault
-            link.change()
+            self.link(*pair).add(self._last_fault, fault)
         if fault.reset:
-            self._reset(set(pairs))
-        return self._serial
+            self._reset_connections(set(pairs))
+        return self._last_fault
 
     def end(self, number: int) -> None:
-        """A connection whose bytes a cut has kept back is broken by now.
+        """Ends a fault.
 
-        What a stall kept back goes on its way.
+        What a stall held back is sent on; connections of which a partition held bytes back are
+        reset, as their peers would have given up by then.
         """
         for pair, link in self.links.items():
-            if link.faults.pop(number, None) is None:
+            before = link.active
+            if not link.remove(number):
                 continue
-            before = link.now
-            link.change()
-            if before.stalled and not link.now.stalled:
-                held, link.waiting = link.waiting, []
-                for send in held:
+            if before.stalled and not link.active.stalled:
+                sends, link.stalled_sends = link.stalled_sends, []
+                for send in sends:
                     send()
-            if before.cut and not link.now.cut:
-                self._reset({pair}, only_held=True)
-            for pipe in list(self.pipes):
-                if pair in (pipe.out.pair, pipe.back.pair):
-                    pipe.wake()
+            if before.partitioned and not link.active.partitioned:
+                self._reset_connections({pair}, only_with_lost_bytes=True)
+            for connection in list(self._connections):
+                if pair in (connection.forward.pair, connection.backward.pair):
+                    connection.wake()
 
     def heal(self) -> None:
-        """Every fault ends."""
-        for number in sorted({n for link in self.links.values() for n in link.faults}):
+        """Ends every fault."""
+        for number in sorted({number for link in self.links.values() for number in link.faults}):
             self.end(number)
 
-    def _reset(self, pairs: set[tuple[str, str]], only_held: bool = False) -> None:
-        for pipe in list(self.pipes):
-            hit = [half for half in (pipe.out, pipe.back) if half.pair in pairs]
-            if hit and (not only_held or any(half.kept for half in hit)):
-                pipe.break_off()
+    def _reset_connections(self, pairs: set[Pair], only_with_lost_bytes: bool = False) -> None:
+        for connection in list(self._connections):
+            affected = [
+                direction
+                for direction in (connection.forward, connection.backward)
+                if direction.pair in pairs
+            ]
+            lost_bytes = any(direction.lost_bytes for direction in affected)
+            if affected and (lost_bytes or not only_with_lost_bytes):
+                connection.reset()
 
     # Datagrams
 
-    def datagrams(
-        self, sender: str, receiver: str, listen: Address, source: Address, target: Address
-    ) -> None:
-        """What `sender`, whose own address is `source`, sends to `listen` goes to `receiver` at
-        `target`.
-        """
+    def relay_datagrams(self, sender: str, receiver: str, route: DatagramRoute) -> None:
+        """Relays what `sender` sends to `receiver`."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
-        sock.bind(listen)
-        self._socks.append(sock)
-        self._datagrams[sender, receiver] = sock
-        link = self.link(sender, receiver)
+        sock.bind(route.listen)
+        self._sockets.append(sock)
+        self._datagram_sockets[sender, receiver] = sock
+        self.link(sender, receiver)
         self.scheduler.spawn_supervised(
-            lambda: self._read(sock, link, sender, receiver, source, target), "relay"
+            lambda: self._read_datagrams(sock, (sender, receiver), route), "relay"
         )
 
-    def _read(
-        self,
-        sock: socket.socket,
-        link: Link,
-        sender: str,
-        receiver: str,
-        source: Address,
-        target: Address,
-    ) -> None:
+    def _read_datagrams(self, sock: socket.socket, pair: Pair, route: DatagramRoute) -> None:
+        link, (sender, receiver) = self.link(*pair), pair
         while True:
             self.scheduler.wait(sock.fileno(), READABLE)
-            for _ in range(BATCH):
+            for _ in range(DATAGRAMS_A_TURN):
                 try:
-                    data, came_from = sock.recvfrom(MAX_DATAGRAM)
+                    data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
                 except OSError:
                     break
-                out = self._datagrams.get(
-                    (receiver, sender)
-                )  # whose address the receiver takes for the sender's
-                if came_from == source and out is not None:
-                    self._pass(link, partial(self._send, link, out, data, target))
-
-    def _pass(self, link: Link, send: Callable[[], None]) -> None:
-        fault, now, chance = link.now, self.scheduler.clock(), self.random.random
-        if fault is SOUND:
+                # The socket whose address the receiver takes for the sender's.
+                out = self._datagram_sockets.get((receiver, sender))
+                if source == route.source and out is not None:
+                    self.forward(link, Datagram(data, out, route.target))
+
+    def forward(self, link: Link, datagram: Datagram) -> None:
+        """Sends a datagram on under the link's faults: once or twice, now, later or never."""
+        fault, now, draw = link.active, self.scheduler.clock(), self.random.random
+        send = partial(self._send, link, datagram)
+        if fault is NO_FAULT:
             send()
             return
         if (
-            fault.cut
+            fault.partitioned
             or fault.reset
-            or (fault.lose and chance() < fault.lose)
-            or not _room(link, now)
+            or (fault.loss and draw() < fault.loss)
+            or not link.take_token(now)
         ):
             link.lost += 1
             return
         if fault.stalled:
-            if len(link.waiting) < MAX_STALLED:
-                link.waiting.append(send)
+            if len(link.stalled_sends) < MAX_STALLED_DATAGRAMS:
+                link.stalled_sends.append(send)
             return
-        late = fault.delay + (OVERTAKEN if fault.reorder and chance() < fault.reorder else 0.0)
-        for _ in range(2 if fault.double and chance() < fault.double else 1):
-            if late:
-                self.scheduler.at(now + late, send)
+        delay = fault.delay
+        if fault.reordering and draw() < fault.reordering:
+            delay += REORDERING_DELAY_S
+        for _ in range(2 if fault.duplication and draw() < fault.duplication else 1):
+            if delay:
+                self.scheduler.at(now + delay, send)
             else:
                 send()
 
-    def _send(self, link: Link, out: socket.socket, data: bytes, target: Address) -> None:
+    def _send(self, link: Link, datagram: Datagram) -> None:
         link.passed += 1
-        link.bytes += len(data)
-        if self.watching:
-            self.watching(data)
+        link.bytes += len(datagram.data)
+        if self.on_datagram:
+            self.on_datagram(datagram.data)
         try:
-            out.sendto(data, target)
-        except OSError:  # nobody there; or an error that an earlier one met
+            datagram.out.sendto(datagram.data, datagram.target)
+        except OSError:  # nobody listens there, or an earlier datagram's error is reported now
             link.lost += 1
 
     # TCP
 
-    def connections(self, sender: str, receiver: str, listen: Address, target: Address) -> None:
-        """Connections of `sender` to `listen` go on to `receiver` at `target`."""
+    def relay_connections(
+        self, sender: str, receiver: str, listen: Address, target: Address
+    ) -> None:
+        """Relays connections that `sender` opens to `listen` to `receiver` at `target`."""
         sock = socket.create_server(listen, backlog=128)
         sock.setblocking(False)
-        self._socks.append(sock)
+        self._sockets.append(sock)
         self.scheduler.spawn_supervised(
-            lambda: self._accept(sock, sender, receiver, target), "relay"
+            lambda: self._accept(sock, (sender, receiver), target), "relay"
         )
 
-    def _accept(self, sock: socket.socket, sender: str, receiver: str, target: Address) -> None:
+    def _accept(self, sock: socket.socket, pair: Pair, target: Address) -> None:
+        sender, receiver = pair
         for near in stream.accept_connections(self.scheduler, sock):
-            pipe = Pipe(self, sender, receiver, near)
-            self.pipes[pipe] = None
-            self.scheduler.spawn(pipe.run, target, name="relay connection")
+            directions = (
+                Direction((sender, receiver), self.link(sender, receiver)),
+                Direction((receiver, sender), self.link(receiver, sender)),
+            )
+            connection = RelayedConnection(self.scheduler, near, directions, self._forget)
+            self._connections[connection] = None
+            self.scheduler.spawn(connection.run, target, name="relay connection")
+
+    def _forget(self, connection: RelayedConnection) -> None:
+        self._connections.pop(connection, None)
 
     def counts(self) -> dict[str, Counter[str]]:
-        """By direction: datagrams and bytes passed, datagrams lost."""
+        """By direction (`n0>n1`): datagrams and bytes passed, datagrams lost."""
         return {
-            f"{a}>{b}": Counter(passed=link.passed, bytes=link.bytes, lost=link.lost)
-            for (a, b), link in self.links.items()
+            f"{sender}>{receiver}": Counter(passed=link.passed, bytes=link.bytes, lost=link.lost)
+            for (sender, receiver), link in self.links.items()
         }
 
     def close(self) -> None:
-        for pipe in list(self.pipes):
-            pipe.break_off()
-        for sock in self._socks:
+        """Resets all connections and closes all sockets."""
+        for connection in list(self._connections):
+            connection.reset()
+        for sock in self._sockets:
             self.scheduler.unregister(sock.fileno())
             sock.close()
-        self._socks.clear()
-
-
-def _room(link: Link, now: float) -> bool:
-    """Whether a thinned link has room for one more."""
-    if not link.now.thin:
-        return True
-    link.room = min(1.0, link.room + link.now.thin * (now - link.room_at))
-    link.room_at = now
-    if link.room < 1.0:
-        return False
-    link.room -= 1.0
-    return True
-
-
-@dataclass(eq=False)
-class Half:
-    """One direction of a connection."""
-
-    pair: tuple[str, str]
-    link: Link
-    kept: bool = False  # a cut holds bytes back
-
-
-class Pipe:
-    """One connection from end to end."""
-
-    def __init__(self, relay: Relay, sender: str, receiver: str, near: socket.socket) -> None:
-        self.relay, self._raw = relay, [near]
-        self.out = Half((sender, receiver), relay.link(sender, receiver))
-        self.back = Half((receiver, sender), relay.link(receiver, sender))
-        self.near = stream.Stream(relay.scheduler, near, MAX_HELD)
-        self.far: stream.Stream | None = None
-        self._tasks: list[Task] = []
-        self.broken = False
-
-    def wake(self) -> None:
-        for task in self._tasks:
-            self.relay.scheduler.wake(task)
-
-    def run(self, target: Address) -> None:
-        self._tasks.append(self.relay.scheduler.current())
-        if self.out.link.now.reset or self.back.link.now.reset:
-            self.break_off()
-        # it does not come up
-        while not self.broken and self._shut(self.out) | self._shut(self.back):
-            self.relay.scheduler.wait()
-        if self.broken:
-            return
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        far = self.far = stream.Stream(self.relay.scheduler, sock, MAX_HELD)
-        self._raw.append(sock)
-        if far.establish(target, self.relay.scheduler.clock() + CONNECT) or self.broken:
-            self.break_off()
-            far.close(CloseReason.RESET)
-            return
-        self.relay.scheduler.spawn(self._copy, far, self.near, self.back, name="relay connection")
-        self._copy(self.near, far, self.out)
-
-    def _shut(self, half: Half) -> bool:
-        fault = half.link.now
-        half.kept |= fault.cut
-        return fault.cut or fault.stalled
-
-    def _copy(self, source: stream.Stream, target: stream.Stream, half: Half) -> None:
-        scheduler = self.relay.scheduler
-        if scheduler.current() not in self._tasks:
-            self._tasks.append(scheduler.current())
-        while not self.broken and source.ending is None:
-            source.wait()
-            data = source.read(stream.READ_CHUNK_BYTES)
-            if data is None:
-                continue
-            while not self.broken and self._shut(half):
-                scheduler.wait()
-            if half.link.now.delay and not self.broken:
-                scheduler.sleep(half.link.now.delay)
-            if isinstance(data, CloseReason):
-                break
-            if not self.broken:
-                target.write(data)
-                target.flush()
-        self._finish(source, target)
-
-    def _finish(self, source: stream.Stream, target: stream.Stream) -> None:
-        """One side has ended: so does the other, once it has what was on its way."""
-        until = self.relay.scheduler.clock() + CONNECT
-        while target.out and target.ending is None and self.relay.scheduler.clock() < until:
-            target.wait(until, 0)
-        for side in (source, target):
-            side.close(CloseReason.CLOSED)
-        self.relay.pipes.pop(self, None)
-
-    def break_off(self) -> None:
-        """Both ends see a reset."""
-        if self.broken:
-            return
-        self.broken = True
-        for side, sock in zip((self.near, self.far), self._raw, strict=False):
-            if side is not None and side.ending is None:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
-                side.close(CloseReason.RESET)
-        self.relay.pipes.pop(self, None)
-        self.wake()
+        self._sockets.clear()
--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -7,7 +7,7 @@
 import itertools
 import json
 from collections import defaultdict
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from functools import partial
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -21,12 +21,14 @@
     settings_for,
 )
 from hazelhollow.fault_injection import plan
-from hazelhollow.fault_injection.commands import BROKEN_PROMISES, control_file
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.operator_files import control_file
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
 from hazelhollow.fault_injection.run import FaultInjectionRun
+from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
 from hazelhollow.net.scheduler import Clock, Scheduler
-from hazelhollow.standins.relay import Link, Relay
+from hazelhollow.standins import relay as relays
+from hazelhollow.standins.link_faults import Link
 from tests.membership.test_membership_processes import states
 from tests.test_audit_processes import Audited
 
@@ -50,22 +52,20 @@
 class Meter:
     """What each limiter sends, as the relay reads it, whether or not it is lost on the way."""
 
-    def __init__(self, relay: Relay) -> None:
+    def __init__(self, relay: relays.Relay) -> None:
         self._relay = relay
         self._names = {id(link): sender for (sender, _), link in relay.links.items()}
-        self._through = relay._pass
+        self._forward = relay.forward
         # each process has a budget, and a burst, of its own
         self.incarnations: dict[str, int] = defaultdict(int)
         self.sent: dict[tuple[str, int], list[Datagram]] = defaultdict(list)
-        relay._pass = self._pass  # type: ignore[method-assign]
+        relay.forward = self._count  # type: ignore[method-assign]
 
-    def _pass(self, link: Link, send: Callable[[], None]) -> None:
-        assert isinstance(send, partial)
-        data = send.args[2]
+    def _count(self, link: Link, datagram: relays.Datagram) -> None:
         name = self._names[id(link)]
-        row = Datagram(self._relay.scheduler.clock(), len(data) + HEADER_BYTES)
+        row = Datagram(self._relay.scheduler.clock(), len(datagram.data) + HEADER_BYTES)
         self.sent[name, self.incarnations[name]].append(row)
-        self._through(link, send)
+        self._forward(link, datagram)
 
     def check(self) -> None:
         """In no window more than the budget, the gossip's part included."""
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -12,10 +12,12 @@
 import pytest
 
 from hazelhollow.decisions.gossip.codec import base36
-from hazelhollow.fault_injection import checker, plan
-from hazelhollow.fault_injection.commands import BROKEN_PROMISES, disk_file, view_file
+from hazelhollow.fault_injection import plan
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.operator_files import disk_file, view_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
+from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.net.scheduler import Clock, Scheduler
 
 Event = plan.Event
@@ -37,7 +39,7 @@
     """What one limiter held another for, in order."""
     lines = [
         row["members"].get(str(number), ["unknown"])[0]
-        for row in checker.rows(folder / f"{observer}.view.jsonl")
+        for row in rows(folder / f"{observer}.view.jsonl")
     ]
     return [state for n, state in enumerate(lines) if n == 0 or lines[n - 1] != state]
 
@@ -104,7 +106,7 @@
         )
 
     def view(self, name: str) -> dict[str, Any]:
-        lines = checker.rows(self.folder / f"{name}.view.jsonl")
+        lines = rows(self.folder / f"{name}.view.jsonl")
         members: dict[str, Any] = lines[-1]["members"] if lines else {}
         return members
 
@@ -125,7 +127,7 @@
     fleet.cluster.processes.signal("n0", signal.SIGCONT)
 
     def acting() -> list[bool]:
-        return [row["acting"] for row in checker.rows(fleet.folder / "n0.view.jsonl")]
+        return [row["acting"] for row in rows(fleet.folder / "n0.view.jsonl")]
 
     fleet.until(lambda: fleet.whole() and acting()[-1])
     assert acting()[0] is False and False in acting()[acting().index(True) :]
@@ -159,7 +161,7 @@
     fleet.until(fleet.whole)
     before = fleet.view("n0")
     relay, target = fleet.cluster.relay, fleet.cluster.own(1, 7946)
-    out = relay._datagrams["n0", "n1"]  # n1's address, as n0 knows it
+    out = relay.datagram_socket("n0", "n1")  # n1's address, as n0 knows it
     old = before["1"][1] - 1
     for text in (
         "v1p nonsense",
--- a/tests/test_audit_processes.py
+++ b/tests/test_audit_processes.py
@@ -14,12 +14,14 @@
 
 from hazelhollow.configuration import files, merge
 from hazelhollow.fault_injection import plan
+from hazelhollow.fault_injection.addresses import CLIENT_PORT
 from hazelhollow.fault_injection.clients import ClientTarget
-from hazelhollow.fault_injection.commands import BROKEN_PROMISES, audit_file
-from hazelhollow.fault_injection.loopback_cluster import CLIENT_PORT, LoopbackCluster
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.operator_files import audit_file
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.settings_probes import SettingsProber
+from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.settings_probes import ProbeOptions, SettingsProber
 from hazelhollow.net.scheduler import Clock, Scheduler
 from tests.test_replica_processes import Kept
 
@@ -108,7 +110,7 @@
     def ask_until_served() -> None:
         with (audited.folder / "asked.jsonl").open("wb") as out:
             target = ClientTarget(killed, number, cluster.own(number + 1, CLIENT_PORT))
-            prober = SettingsProber(cluster.scheduler, target, 1, out, spread=3)
+            prober = SettingsProber(cluster.scheduler, target, ProbeOptions(1, set_size=3), out)
             while prober.ask("o1") != "served":
                 cluster.scheduler.sleep(ASK_EVERY)
         cluster.processes.kill(killed)
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -12,7 +12,7 @@
 from hazelhollow.configuration import files, record, versions
 from hazelhollow.configuration.record import Entry
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
-from hazelhollow.fault_injection import checker
+from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.net.bans import BanFile, path_for
 from hazelhollow.replication import snapshot
 from hazelhollow.replication.codec import Override
@@ -125,7 +125,7 @@
 
 
 def test_the_lines_of_the_membership() -> None:
-    first, second = checker.rows(FOLDER / "n0.view.jsonl")
+    first, second = rows(FOLDER / "n0.view.jsonl")
     assert first == {
         "t": 1_700_000_000.5,
         "me": 0,
--- a/tests/test_replica_bench.py
+++ b/tests/test_replica_bench.py
@@ -14,7 +14,7 @@
 from hazelhollow.bench import model, replica
 from hazelhollow.bench.commands import bench
 from hazelhollow.fault_injection import plan
-from hazelhollow.fault_injection.commands import _earlier
+from hazelhollow.fault_injection.run_commands import _earlier
 
 CHARGE, TURN, COUNTS = ("charge", 0), ("turn",), ("counts", 0, 1)
 FAST = model.Bounds(charges=1, sends=2, turns=3, crashes=0, copies=0, depth=9)
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -12,12 +12,14 @@
 
 import pytest
 
-from hazelhollow.fault_injection import checker, plan
-from hazelhollow.fault_injection.commands import BROKEN_PROMISES, disk_file, replica_file
+from hazelhollow.fault_injection import plan
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.operator_files import disk_file, replica_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
+from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.net.scheduler import Clock, Scheduler
-from hazelhollow.standins.relay import Fault
+from hazelhollow.standins.link_faults import LinkFault
 from tests.membership.test_membership_processes import Fleet
 
 Event = plan.Event
@@ -55,7 +57,8 @@
     def apart(self, some: tuple[str, ...]) -> int:
         rest = [name for name in self.cluster.names if name not in some]
         return self.cluster.relay.begin(
-            Fault(cut=True), [pair for a in some for b in rest for pair in ((a, b), (b, a))]
+            LinkFault(partitioned=True),
+            [pair for a in some for b in rest for pair in ((a, b), (b, a))],
         )
 
 
@@ -156,9 +159,7 @@
     """
     rate, burst = 20.0, 40.0  # of the plan `gold`
     answered = [
-        row
-        for row in checker.rows(folder / "clients.jsonl")
-        if row["outcome"] in ("served", "busy")
+        row for row in rows(folder / "clients.jsonl") if row["outcome"] in ("served", "busy")
     ]
     level, at, served = burst, 0.0, 0
     for row in sorted(answered, key=lambda row: row["t"]):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -21,9 +21,14 @@
 from hypothesis import strategies as st
 
 from hazelhollow.fault_injection import checker, plan, process_sweeper, shrink, supervisor
+from hazelhollow.fault_injection.drawn_plans import QUIET_END_S, drawn_plan
+from hazelhollow.fault_injection.errors import CommandError, PlanError
+from hazelhollow.fault_injection.fault_history import FaultHistory
+from hazelhollow.fault_injection.named_plans import NAMED, named_plan
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.discovery import Discovery, Host
-from hazelhollow.standins.relay import Fault, Relay
+from hazelhollow.standins.link_faults import LinkFault
+from hazelhollow.standins.relay import DatagramRoute, Relay
 
 LOOPBACK = ("127.0.0.1", 0)
 
@@ -48,8 +53,9 @@
         self.socks = {name: self._sock() for name in "ab"}
         own = {name: sock.getsockname() for name, sock in self.socks.items()}
         self.known = {"a": self._free(), "b": self._free()}  # by whom it stands for
-        self.relay.datagrams("a", "b", self.known["b"], own["a"], own["b"])
-        self.relay.datagrams("b", "a", self.known["a"], own["b"], own["a"])
+        for sender, receiver in (("a", "b"), ("b", "a")):
+            route = DatagramRoute(self.known[receiver], own[sender], own[receiver])
+            self.relay.relay_datagrams(sender, receiver, route)
 
     @staticmethod
     def _sock() -> socket.socket:
@@ -101,18 +107,18 @@
 @pytest.mark.parametrize(
     ("fault", "passes", "other_way"),
     [
-        (Fault(), ["1", "2"], ["3"]),
-        (Fault(cut=True), [], ["3"]),
-        (Fault(reset=True), [], ["3"]),
-        (Fault(lose=1.0), [], ["3"]),
-        (Fault(double=1.0), ["1", "1", "2", "2"], ["3"]),
-        (Fault(thin=1.0), ["1"], ["3"]),
-        (Fault(stalled=True), [], ["3"]),
-        (Fault(delay=0.5), [], ["3"]),
+        (LinkFault(), ["1", "2"], ["3"]),
+        (LinkFault(partitioned=True), [], ["3"]),
+        (LinkFault(reset=True), [], ["3"]),
+        (LinkFault(loss=1.0), [], ["3"]),
+        (LinkFault(duplication=1.0), ["1", "1", "2", "2"], ["3"]),
+        (LinkFault(max_datagrams_per_s=1.0), ["1"], ["3"]),
+        (LinkFault(stalled=True), [], ["3"]),
+        (LinkFault(delay=0.5), [], ["3"]),
     ],
 )
 def test_a_fault_hits_one_direction_alone(
-    net: Net, fault: Fault, passes: list[str], other_way: list[str]
+    net: Net, fault: LinkFault, passes: list[str], other_way: list[str]
 ) -> None:
     net.relay.begin(fault, [("a", "b")])
     net.send("a", "1", "2")
@@ -122,9 +128,9 @@
 
 def test_what_a_stall_or_a_delay_held_back_comes_and_what_a_cut_took_does_not(net: Net) -> None:
     for fault, late in (
-        (Fault(stalled=True), ["x"]),
-        (Fault(delay=0.5), ["x"]),
-        (Fault(cut=True), []),
+        (LinkFault(stalled=True), ["x"]),
+        (LinkFault(delay=0.5), ["x"]),
+        (LinkFault(partitioned=True), []),
     ):
         number = net.relay.begin(fault, [("a", "b")])
         net.send("a", "x")
@@ -134,8 +140,8 @@
 
 
 def test_a_fault_that_ends_does_not_end_another(net: Net) -> None:
-    first = net.relay.begin(Fault(cut=True), [("a", "b")])
-    second = net.relay.begin(Fault(cut=True), [("a", "b"), ("b", "a")])
+    first = net.relay.begin(LinkFault(partitioned=True), [("a", "b")])
+    second = net.relay.begin(LinkFault(partitioned=True), [("a", "b"), ("b", "a")])
     net.relay.end(second)
     net.send("a", "x")
     assert net.got("b") == []
@@ -160,7 +166,7 @@
         self.server = socket.create_server(LOOPBACK)
         with socket.create_server(LOOPBACK) as probe:
             listen = probe.getsockname()
-        self.relay.connections("c", "n0", listen, self.server.getsockname())
+        self.relay.relay_connections("c", "n0", listen, self.server.getsockname())
         self.client = socket.create_connection(listen)
         self.until(lambda: readable(self.server, 0))
         self.far, _ = self.server.accept()
@@ -196,13 +202,13 @@
     wire = Wire()
     wire.client.send(b"one")
     assert wire.receives(wire.far) == b"one"
-    number = wire.relay.begin(Fault(stalled=True), [("c", "n0")])
+    number = wire.relay.begin(LinkFault(stalled=True), [("c", "n0")])
     wire.client.send(b"two")
     wire.far.send(b"back")
     assert wire.receives(wire.far) is None and wire.receives(wire.client) == b"back"
     wire.relay.end(number)
     assert wire.receives(wire.far) == b"two"
-    number = wire.relay.begin(Fault(cut=True), [("c", "n0")])
+    number = wire.relay.begin(LinkFault(partitioned=True), [("c", "n0")])
     wire.client.send(b"three")
     assert wire.receives(wire.far) is None
     wire.relay.end(number)
@@ -217,7 +223,7 @@
     assert wire.receives(wire.client) == b""
     wire.close()
     wire = Wire()
-    wire.relay.begin(Fault(reset=True), [("n0", "c")])
+    wire.relay.begin(LinkFault(reset=True), [("n0", "c")])
     with pytest.raises(ConnectionResetError):
         wire.receives(wire.client)
     wire.close()
@@ -244,16 +250,16 @@
 def test_a_drawn_plan_is_playable_the_same_again_and_reads_as_written(
     seed: int, instances: int
 ) -> None:
-    one = plan.drawn_plan(seed, instances)
+    one = drawn_plan(seed, instances)
     plan.check(one)
-    assert one == plan.drawn_plan(seed, instances) == plan.read(plan.write(one))
-    assert one.events and plan.end_of_last_fault(one) <= one.seconds - plan.SETTLE + 0.01
+    assert one == drawn_plan(seed, instances) == plan.read(plan.write(one))
+    assert one.events and plan.end_of_last_fault(one) <= one.seconds - QUIET_END_S + 0.01
 
 
-@pytest.mark.parametrize("name", plan.NAMED)
+@pytest.mark.parametrize("name", NAMED)
 def test_named_plans_are_playable(name: str) -> None:
     for instances in (2, 5, 20):
-        plan.check(plan.named_plan(name, instances))
+        plan.check(named_plan(name, instances))
 
 
 @pytest.mark.parametrize(
@@ -285,7 +291,7 @@
     ],
 )
 def test_a_bad_plan_is_refused_with_its_place(text: str, says: str) -> None:
-    with pytest.raises(plan.PlanError, match=says.replace("(", r"\(").replace(")", r"\)")):
+    with pytest.raises(PlanError, match=says.replace("(", r"\(").replace(")", r"\)")):
         plan.read(text)
 
 
@@ -299,7 +305,7 @@
 
 
 def test_shrinking_keeps_what_matters() -> None:
-    one = plan.drawn_plan(5, 8)
+    one = drawn_plan(5, 8)
     guilty = one.events[len(one.events) // 2]
     small, trials = shrink.shrink(one, lambda p: guilty in p.events, 60)
     assert small.events == (guilty,) and trials <= 60 and small.seconds < one.seconds
@@ -448,7 +454,7 @@
 
 def alive(pid: int) -> bool:
     return (
-        process_sweeper.started(pid) != ""
+        process_sweeper.start_time(pid) != ""
         and Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     )
 
@@ -518,7 +524,7 @@
         ]
 
     wait_until(lambda: views() == [{"0": "alive", "1": "alive"}] * 2, one)
-    with pytest.raises(supervisor.CommandError, match="no process 'n7'"):
+    with pytest.raises(CommandError, match="no process 'n7'"):
         supervisor.command(folder, do="kill", name="n7")
     supervisor.command(folder, do="cut", a="n0", b="n1", one_way=True)
     status = supervisor.command(folder, do="status")
@@ -548,9 +554,9 @@
     told = json.loads((folder / supervisor.FILE).read_text())
     other.mkdir()
     (other / supervisor.FILE).write_text(json.dumps(told | {"token": "0" * 32}))
-    with pytest.raises(supervisor.CommandError, match="not the token"):
+    with pytest.raises(CommandError, match="not the token"):
         supervisor.command(other, do="down")
-    with pytest.raises(supervisor.CommandError, match="no fleet is up"):
+    with pytest.raises(CommandError, match="no fleet is up"):
         supervisor.command(tmp_path, do="down")
     one.send_signal(signal.SIGTERM)
     assert one.wait() == 0 and not folder.exists()
@@ -592,7 +598,7 @@
         subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) for _ in range(2)
     ]
     lines = [
-        f"{both[0].pid} {process_sweeper.started(both[0].pid)}",
+        f"{both[0].pid} {process_sweeper.start_time(both[0].pid)}",
         f"{both[1].pid} 12345",
         "half a li",
         "",
@@ -632,15 +638,13 @@
 def test_drawn_changes_are_the_same_for_a_seed_grow_in_order_and_can_be_played(
     seed: int, instances: int
 ) -> None:
-    one = plan.drawn_plan(seed, instances, changes=True)
+    one = drawn_plan(seed, instances, changes=True)
     plan.check(one)
-    assert one == plan.drawn_plan(seed, instances, changes=True) == plan.read(plan.write(one))
+    assert one == drawn_plan(seed, instances, changes=True) == plan.read(plan.write(one))
     given_ = [(event.at, int(event.amount)) for event in one.events if event.what == "settings"]
     assert [order for _, order in sorted(given_)] == [1, 2, 3] and plan.newest_revision(one) == 3
     assert [
-        event
-        for event in plan.drawn_plan(seed, instances).events
-        if event.what in ("settings", "old")
+        event for event in drawn_plan(seed, instances).events if event.what in ("settings", "old")
     ] == []
 
 
@@ -662,7 +666,7 @@
         and ("h1", "n0") in hit
         and ("n2", "n3") not in hit
     )
-    with pytest.raises(plan.PlanError, match="z2"):
+    with pytest.raises(PlanError, match="z2"):
         plan.check(
             plan.Plan(
                 name="x", zones=2, events=(plan.Event(at=1, what="cut", whom=("z2",), lasts=2),)
@@ -672,7 +676,7 @@
 
 @pytest.mark.parametrize("amount", [0.0, 0.5])
 def test_settings_of_no_order_are_refused(amount: float) -> None:
-    with pytest.raises(plan.PlanError, match="whole number"):
+    with pytest.raises(PlanError, match="whole number"):
         plan.check(
             plan.Plan(
                 name="x", events=(plan.Event(at=1, what="settings", whom=("n0",), amount=amount),)
@@ -712,5 +716,5 @@
     }
     for name, lines in rows.items():
         (tmp_path / name).write_text("\n".join(map(json.dumps, lines)))
-    found = checker.settings(tmp_path, {"instances": 4}, checker.Faults(rows["faults.jsonl"]))
+    found = checker.settings(tmp_path, {"instances": 4}, FaultHistory(rows["faults.jsonl"]))
     assert found == {"acted_on_old_after_s_p99": 2.0, "stragglers": 1}
--- a/tests/test_standin_redis.py
+++ b/tests/test_standin_redis.py
@@ -37,7 +37,9 @@
 
     def _run(self, shards: int, options: dict[str, Any]) -> None:
         scheduler = Scheduler(lambda: time.time() + self.offset)
-        self.servers = server.start(scheduler, ("127.0.0.1", 0), shards=shards, **options)
+        self.servers = server.start(
+            scheduler, ("127.0.0.1", 0), server.ServerOptions(shards=shards, **options)
+        )
         self.up.set()
         while not self.over:
             scheduler.turn(longest=0.005)
