--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -127,8 +127,11 @@
     secure: ssl.SSLContext | None = None
 
 
+DEFAULT_OPTIONS = ServerOptions()
+
+
 def start(
-    scheduler: Scheduler, listen: tuple[str, int], options: ServerOptions = ServerOptions()
+    scheduler: Scheduler, listen: tuple[str, int], options: ServerOptions = DEFAULT_OPTIONS
 ) -> list[Server]:
     """Starts the servers; they listen at consecutive ports from that of `listen`.
 
