--- a/hazelhollow/bench/documents.py
+++ b/hazelhollow/bench/documents.py
@@ -8,9 +8,17 @@
 
 import random
 
-from hazelhollow.configuration import transfer
-from hazelhollow.configuration.documents import ASK_HOLDERS, ASK_RANK, BEAT, GIVE_RANK, MOST_WAITING
-from hazelhollow.configuration.history import History
+from hazelhollow.configuration.distribution import codec
+from hazelhollow.configuration.distribution.exchange import (
+    HOLDER_REQUEST_PROBABILITY,
+    MAX_QUEUED_DATAGRAMS,
+    PIECE_RANK,
+    REQUEST_INTERVAL_S,
+    REQUEST_RANK,
+)
+from hazelhollow.configuration.distribution.fetch import PIECE_RETRY_S, DeltaBase, DocumentFetch
+from hazelhollow.configuration.distribution.history import SettingsHistory
+from hazelhollow.configuration.distribution.source import DocumentSource
 from hazelhollow.configuration.versions import settings_digest
 from hazelhollow.control_budget.budget import (
     Bucket,
@@ -31,11 +39,11 @@
 
     def __init__(self, settings: BudgetSettings, has: bool) -> None:
         allowance = RoleBudget(ControlBudget(settings, 0.0), Role.CONFIGURATION)
-        self.waiting = Waiting[tuple[int, str]](allowance, MOST_WAITING, transfer.AGAIN_AFTER)
+        self.waiting = Waiting[tuple[int, str]](allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
         self.has = has
 
 
-BASE = transfer.Base("base", {"step": 1})
+BASE = DeltaBase("base", {"step": 1})
 
 
 class _Given:
@@ -43,22 +51,22 @@
 
     def __init__(self, pieces: int) -> None:
         self.digest = "digest"
-        self._pieces = [f"{n:x}".rjust(transfer.PIECE, "0") for n in range(pieces)]
+        self._pieces = [f"{n:x}".rjust(codec.PIECE_CHARACTERS, "0") for n in range(pieces)]
 
-    def answer_at_once(self, asked: transfer.Asked) -> list[str]:
+    def answer_at_once(self, asked: codec.PieceRequest) -> list[str]:
         total = len(self._pieces)
         return [
-            transfer.give(transfer.Given(1, self.digest, n, total, self._pieces[n]))
+            codec.encode_piece(codec.Piece(1, self.digest, n, total, self._pieces[n]))
             for n in asked.pieces or (0,)
         ]
 
 
-def _changed() -> transfer.Giver:
+def _changed() -> DocumentSource:
     """Settings that came after `BASE`, and the difference."""
-    history, document = History(), {"step": 2}
+    history, document = SettingsHistory(), {"step": 2}
     history.put(BASE.digest, BASE.document)
     history.put(settings_digest(document), document)
-    return transfer.Giver(1, document, history)
+    return DocumentSource(1, document, history)
 
 
 def seconds_to_all(
@@ -76,35 +84,36 @@
     all_members = [Member(settings, number < holders) for number in range(members)]
     given = _Given(texts) if texts else _changed()
     base = None if texts else BASE
-    takers = {number: transfer.Taker(1, given.digest, base) for number in range(holders, members)}
+    takers = {number: DocumentFetch(1, given.digest, base) for number in range(holders, members)}
     got = {number: set[int]() for number in takers}
+    steps_per_request = round(REQUEST_INTERVAL_S / STEP)
     while any(not one.has for one in all_members) and now < LONGEST:
         now += STEP
         having = [number for number, one in enumerate(all_members) if one.has]
         mail = list[tuple[int, int, str]]()
         for number, one in enumerate(all_members):
-            if not one.has and round(now / STEP) % round(BEAT / STEP) == number % round(
-                BEAT / STEP
-            ):
-                text = takers[number].wants_few(chance, now, bool(takers[number].base))
+            if not one.has and round(now / STEP) % steps_per_request == number % steps_per_request:
+                text = takers[number].next_budgeted_request(chance, now, bool(takers[number].base))
                 few = not takers[number].base and 2 * len(having) < members - 1
-                of_others = few and not (takers[number].short() and chance.random() < ASK_HOLDERS)
+                of_others = few and not (
+                    takers[number].may_be_short() and chance.random() < HOLDER_REQUEST_PROBABILITY
+                )
                 others = range(members) if of_others else having
                 giver = chance.choice([n for n in others if n != number])
                 if text is not None:
-                    one.waiting.add(ASK_RANK, len(text), (giver, text), now)
+                    one.waiting.add(REQUEST_RANK, len(text), (giver, text), now)
             mail += [(number, to, text) for to, text in one.waiting.due(now)]
         for sender, receiver, text in mail:
-            said, one = transfer.read(text), all_members[receiver]
-            if isinstance(said, transfer.Asked):
+            said, one = codec.decode(text), all_members[receiver]
+            if isinstance(said, codec.PieceRequest):
                 for line in (
                     given.answer_at_once(said) if one.has else takers[receiver].answer(said)
                 ):
                     if not one.waiting.holds((sender, line)):
-                        one.waiting.add(GIVE_RANK, len(line), (sender, line), now)
-            elif isinstance(said, transfer.Given) and not one.has:
-                got[receiver].add(said.piece)
+                        one.waiting.add(PIECE_RANK, len(line), (sender, line), now)
+            elif isinstance(said, codec.Piece) and not one.has:
+                got[receiver].add(said.number)
                 one.has = len(got[receiver]) == max(texts, 1)
                 if not one.has:
-                    takers[receiver].take(said)
+                    takers[receiver].put(said)
     return now
--- /dev/null
+++ b/hazelhollow/configuration/audit/merge.py
@@ -0,0 +1,176 @@
+"""Records of many limiters in one order: who acted on which settings when, and what went wrong.
+
+Clocks differ; `clocks` finds by how much. Entries are read one by one and only spans are held in
+memory. No I/O.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterable
+from typing import Any
+
+from hazelhollow.configuration.audit import findings
+from hazelhollow.configuration.audit.clocks import ClockBound, clock_offsets
+from hazelhollow.configuration.audit.entries import AuditEntry
+from hazelhollow.configuration.audit.findings import ADOPTION_LIMIT_S, Finding
+from hazelhollow.configuration.audit.timeline import (
+    Evidence,
+    MemberTimeline,
+    ObservedRolloutEvent,
+    SettingsSpan,
+)
+
+
+class AuditMerge:
+    """Takes entries with `add`, each member's in its own order, and is read after `finish`.
+
+    Attributes:
+        members: what each member's record says.
+        findings: what was not as it should be.
+        unknowns: lines about what could not be read or decided.
+        offsets: seconds by member that bring all clocks into one.
+        entries: how many were taken.
+    """
+
+    def __init__(self) -> None:
+        self._evidence = Evidence()
+        self.members: dict[int, MemberTimeline] = defaultdict(
+            lambda: MemberTimeline(self._evidence)
+        )
+        self.findings: list[Finding] = []
+        self.unknowns: list[str] = []
+        self.offsets: dict[int, float] = {}
+        self.entries = 0
+
+    def add(self, entry: AuditEntry) -> None:
+        """Takes an entry, unless it was taken before."""
+        self.entries += self.members[entry.member].add(entry)
+
+    def finish(self) -> None:
+        """Brings all times to one clock and finds what was not as it should be."""
+        self._set_clocks()
+        for number, member in self.members.items():
+            for span in member.spans:
+                span.shift(self.offsets[number])
+            if member.missing_entries:
+                self.unknowns.append(
+                    f"member {number}: {member.missing_entries} entries are missing"
+                )
+        for event in self.rollout_events:
+            event.time += self.offsets[event.member]
+        self.rollout_events.sort(key=lambda event: event.time)
+        evidence = self._evidence
+        self.findings += findings.old_settings(evidence.observations, self.offsets, self.members)
+        self.findings += findings.contradictions(self.members)
+        self.findings += findings.disabled_hosts_used(evidence.disabled_host_uses, self.offsets)
+        self.findings.sort(key=lambda finding: finding.time)
+
+    @property
+    def rollout_events(self) -> list[ObservedRolloutEvent]:
+        """What became of candidates, in order of time once it is finished."""
+        return self._evidence.rollout_events
+
+    def _set_clocks(self) -> None:
+        bounds = list[ClockBound]()
+        for seen in self._evidence.observations:
+            peer = self.members.get(seen.peer)
+            began_at = peer.began_at.get((seen.revision, seen.settings)) if peer else None
+            if began_at is not None:
+                bounds.append(ClockBound(seen.observer, seen.peer, began_at - seen.time))
+        self.offsets, consistent = clock_offsets(self.members, bounds)
+        if not consistent:
+            self.unknowns.append(
+                "the clocks cannot be brought into one order: what some heard contradicts "
+                "what others wrote"
+            )
+
+    def changes(self) -> list[dict[str, Any]]:
+        """For each revision that was in force: who acted on it, and how long others did not."""
+        spans = [
+            span for member in self.members.values() for span in member.spans if not span.tried
+        ]
+        return [_change(revision, spans) for revision in sorted({span.revision for span in spans})]
+
+    def settings_at(self, time: float) -> dict[int, SettingsSpan | None]:
+        """What each member acted on at that time; None where it is not known."""
+        return {
+            number: next((span for span in member.spans if span.begin <= time < span.end), None)
+            for number, member in self.members.items()
+        }
+
+    def document(self) -> dict[str, Any]:
+        """All of it as JSON, in the form of `fleet audit --json`."""
+        return {
+            "entries": self.entries,
+            "members": {
+                str(number): {
+                    "lives": len(member.incarnations),
+                    "offset_s": round(self.offsets.get(number, 0.0), 3),
+                    "spans": [_span_document(span) for span in member.spans],
+                }
+                for number, member in sorted(self.members.items())
+            },
+            "changes": self.changes(),
+            "rollout": [
+                {
+                    "t": event.time,
+                    "member": event.member,
+                    "order": event.revision,
+                    "step": event.event,
+                    "why": event.reason,
+                }
+                for event in self.rollout_events
+            ],
+            "findings": [
+                {
+                    "what": finding.kind,
+                    "t": finding.time,
+                    "members": list(finding.members),
+                    "text": finding.text,
+                }
+                for finding in self.findings
+            ],
+            "not_known": self.unknowns,
+        }
+
+
+def merge_entries(entries: Iterable[AuditEntry]) -> AuditMerge:
+    """All of these entries, merged."""
+    merge = AuditMerge()
+    for entry in entries:
+        merge.add(entry)
+    merge.finish()
+    return merge
+
+
+def _change(revision: int, spans: list[SettingsSpan]) -> dict[str, Any]:
+    """When the first member acted on a revision, and when the last ceased to act on an older."""
+    own = [span for span in spans if span.revision == revision]
+    out_at = min(span.begin for span in own)
+    older = [span for span in spans if span.revision < revision and span.end > out_at]
+    last = max(
+        (span.end for span in older if not span.took_nothing_since(out_at, ADOPTION_LIMIT_S)),
+        default=out_at,
+    )
+    return {
+        "order": revision,
+        "digests": sorted({span.settings for span in own}),
+        "out_at": out_at,
+        "last_old_after_s": round(last - out_at, 3),
+        "requests_under_older_since": sum(span.requests for span in older if span.begin >= out_at),
+        "members": sorted({span.member for span in own}),
+    }
+
+
+def _span_document(span: SettingsSpan) -> dict[str, Any]:
+    return {
+        "order": span.revision,
+        "settings": span.settings,
+        "tried": span.tried,
+        "begin": span.begin,
+        "end": span.end,
+        "why": span.reason,
+        "requests": span.requests,
+        "shut_out": span.shut_out,
+    }
--- /dev/null
+++ b/hazelhollow/configuration/audit/segments.py
@@ -0,0 +1,79 @@
+"""The files of one limiter's audit record.
+
+A new incarnation begins a new segment; the oldest segments go when there are too many.
+"""
+
+from __future__ import annotations
+
+import logging
+import os
+from pathlib import Path
+
+from hazelhollow.configuration.audit.entries import AuditEntry, encode_entry
+from hazelhollow.storage.writer import DirectWriter, WriteJob, Writer
+
+MAX_SEGMENT_BYTES = 1 << 20
+MAX_SEGMENTS = 16  # of one limiter
+
+log = logging.getLogger(__name__)
+
+
+class SegmentWriter:
+    """Writes one limiter's segments.
+
+    A disk that fails costs the record alone: it is logged once, and tried again with the next
+    segment.
+
+    Args:
+        folder: where the segments are.
+        member: the limiter's number.
+        incarnation: its incarnation.
+        writer: carries out the writing; None: at once.
+    """
+
+    def __init__(
+        self, folder: Path, member: int, incarnation: int, writer: Writer | None = None
+    ) -> None:
+        self._folder, self._member, self._incarnation = folder, member, incarnation
+        self._writer = writer or DirectWriter()
+        self._file = -1  # descriptor of the open segment; -1: none
+        self._size, self._number = 0, 0  # of the open segment
+        self._failed = False
+
+    def write(self, entries: list[AuditEntry]) -> None:
+        """Hands entries over to be written."""
+        data = b"".join(encode_entry(entry) for entry in entries)
+        self._writer.submit(WriteJob(lambda: self._append(data), len(data)))
+
+    def written(self, within: float) -> bool:
+        """Waits until all is written, `within` seconds at most; whether it is."""
+        return self._writer.finish(within)
+
+    def close(self) -> None:
+        """Closes the open segment once all is written."""
+        self._writer.submit(WriteJob(self._close))
+
+    def _append(self, data: bytes) -> None:
+        try:
+            if self._file < 0 or self._size + len(data) > MAX_SEGMENT_BYTES:
+                self._open_next()
+            self._size += os.write(self._file, data)
+        except OSError as error:
+            if not self._failed:
+                log.error("audit: the record cannot be written: %s", error)
+            self._failed = True
+            self._close()
+
+    def _open_next(self) -> None:
+        self._close()
+        self._number += 1
+        name = f"audit-{self._member}-{self._incarnation:014d}-{self._number:04d}.seg"
+        self._file = os.open(self._folder / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+        self._size, self._failed = 0, False
+        for old in sorted(self._folder.glob(f"audit-{self._member}-*.seg"))[:-MAX_SEGMENTS]:
+            old.unlink(missing_ok=True)
+
+    def _close(self) -> None:
+        if self._file >= 0:
+            os.close(self._file)
+        self._file = -1
--- /dev/null
+++ b/hazelhollow/configuration/known_versions.py
@@ -0,0 +1,101 @@
+"""The versions that the members that are up act on, kept up record by record. No I/O, no clock."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterator, Mapping
+
+from hazelhollow.configuration import versions
+from hazelhollow.configuration.versions import Versions
+from hazelhollow.membership.records import PRESENT, Record
+
+
+class KnownVersions(Mapping[int, Versions]):
+    """Versions by member; finds the newest revision among them without a pass over all.
+
+    Args:
+        known: the versions to begin with; None: none.
+    """
+
+    def __init__(self, known: Mapping[int, Versions] | None = None) -> None:
+        self._by_member: dict[int, Versions] = {}
+        # Members that act on a revision and digest that is in force there.
+        self._members_by_settings = Counter[tuple[int, str]]()
+        self._canaries = dict[int, Versions]()  # by member, of those that try settings
+        self._changed = dict[int, None]()  # members, in order, since `take_changed`
+        for number, member_versions in (known or {}).items():
+            self.put(number, member_versions)
+
+    def __getitem__(self, number: int) -> Versions:
+        return self._by_member[number]
+
+    def __iter__(self) -> Iterator[int]:
+        return iter(self._by_member)
+
+    def __len__(self) -> int:
+        return len(self._by_member)
+
+    def update_from(self, record: Record) -> None:
+        """Takes the versions of a new membership record, or forgets those of an absent member."""
+        decoded = versions.decode(record.versions) if record.state in PRESENT else None
+        if decoded is None:
+            self._remove(record.number)
+        else:
+            self.put(record.number, decoded)
+
+    def put(self, number: int, member_versions: Versions) -> None:
+        """A member acts on these."""
+        if self._by_member.get(number) == member_versions:
+            return
+        self._remove(number)
+        self._by_member[number] = member_versions
+        if member_versions.candidate:
+            self._canaries[number] = member_versions
+        else:
+            self._members_by_settings[member_versions.revision, member_versions.settings] += 1
+        self._changed[number] = None
+
+    def newest(self) -> tuple[int, set[str]]:
+        """The greatest revision in force at any member, and the digests that it stands for.
+
+        More than one digest is a contradiction.
+        """
+        newest = max((revision for revision, _ in self._members_by_settings), default=0)
+        return newest, {
+            settings for revision, settings in self._members_by_settings if revision == newest
+        }
+
+    def greatest(self) -> int:
+        """The greatest revision, in force or tried."""
+        tried = max((canary.revision for canary in self._canaries.values()), default=0)
+        return max(tried, self.newest()[0])
+
+    def canaries(self) -> Mapping[int, Versions]:
+        """By member, the settings that are tried and newer than all that are in force."""
+        newest = self.newest()[0]
+        return {
+            number: canary for number, canary in self._canaries.items() if canary.revision > newest
+        }
+
+    def digests_of(self, revision: int) -> set[str]:
+        """The digests that members act on under that revision, in force or tried."""
+        return {member.settings for member in self.values() if member.revision == revision}
+
+    def take_changed(self) -> list[tuple[int, Versions]]:
+        """The members whose versions have changed since the last call, as far as still known."""
+        changed, self._changed = self._changed, {}
+        return [
+            (number, self._by_member[number]) for number in changed if number in self._by_member
+        ]
+
+    def _remove(self, number: int) -> None:
+        before = self._by_member.pop(number, None)
+        if before is None:
+            return
+        if before.candidate:
+            del self._canaries[number]
+            return
+        key = before.revision, before.settings
+        self._members_by_settings[key] -= 1
+        if not self._members_by_settings[key]:
+            del self._members_by_settings[key]
--- a/hazelhollow/configuration/rollout.py
+++ b/hazelhollow/configuration/rollout.py
@@ -1,11 +1,24 @@
-"""Settings that a few members try before all act on them.
-
-Who tries them, when they are held, when they come into force. No I/O, no clock.
-
-A member that tries settings says so with its versions, so that no other follows it but those that
-are to try them too. Which these are follows from the order and the members' numbers alone. Where
-one of them fails, or is gone, the settings are held: nobody else takes them until an operator
-releases them or goes back.
+"""Canary rollout: settings that a few members try before all act on them.
+
+A canary announces with its versions that it tries the settings, so that no other member follows it
+but those that are to be canaries too. Which these are follows from the revision and the members'
+numbers alone. One member, the leader, was given the candidate by an operator and releases it.
+
+| state     | meaning                           | left by                                        |
+| --------- | --------------------------------- | ---------------------------------------------- |
+| no canary | its settings are in force         | `push` -> leading; `join` -> trying            |
+| leading   | was given the candidate, which is | released when it is due -> no canary; held on  |
+|           | baking                            | a fault (below); `end` -> no canary            |
+| trying    | takes part; the candidate is      | in force elsewhere -> no canary; held on a     |
+|           | baking                            | fault; `end` -> no canary                      |
+| held      | goes on, but nobody else takes it | in force elsewhere, or released by an operator |
+|           |                                   | -> no canary; `end` -> no canary               |
+
+`end` comes of a reload, a roll back, or other settings that come into force.
+
+A baking candidate is held, at each canary that sees it, when its revision stands for other settings
+somewhere, when another canary holds it, or when requests fail under it that did not before; and at
+the leader when a canary is gone or too few tried it by the time it was due. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -16,21 +29,18 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from hazelhollow.configuration.known import KnownVersions
+from hazelhollow.configuration.known_versions import KnownVersions
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
 
-SETTLES = (
-    # seconds that a member which takes no work, or has just woken, waits before it judges the
-    # others
-    2.0
-)
-LEAST_REQUESTS = 50  # under the candidate, before its failures say anything
-MOST_FAILED = 0.02  # of them
-TIMES_FAILED = 3.0  # as large a part as before is too much
+# A leader that takes no work, or has just woken, waits before it judges the others.
+SETTLE_S = 2.0
+MIN_REQUESTS = 50  # under the candidate, before its failures say anything
+MAX_FAILED_SHARE = 0.02  # of the requests
+MAX_FAILED_RATIO = 3.0  # of the share that failed against the share before
 
 
-class Step(StrEnum):
-    """What became of a candidate at a member, as the record has it."""
+class RolloutEvent(StrEnum):
+    """What became of a candidate at a member; as the records hold it."""
 
     PUSHED = "pushed"
     TAKEN = "taken"
@@ -40,181 +50,200 @@
     ROLLED_BACK = "rolled back"
 
 
-class Verdict(NamedTuple):
-    """`step`: HELD or RELEASED."""
+class RolloutVerdict(NamedTuple):
+    """What is to become of the candidate now: HELD or RELEASED, and why."""
 
-    step: Step
-    why: str
+    event: RolloutEvent
+    reason: str
 
 
-class Invitation(NamedTuple):
-    """Settings that this member is to try; `givers` act on them."""
+class CanaryInvitation(NamedTuple):
+    """Settings that this member is to try; `holders` try them already."""
 
-    order: int
+    revision: int
     digest: str
-    givers: tuple[int, ...]
+    holders: tuple[int, ...]
     candidate: Candidate
 
 
 @dataclass
 class _Lead:
-    """Of the member that was given the candidate.
+    """What the leader remembers.
 
-    `due`: when it comes into force; `seen`: members that have acted on it.
+    Attributes:
+        due_at: when the candidate comes into force, in seconds of the clock.
+        seen: members that have tried it.
     """
 
-    due: float
+    due_at: float
     seen: set[int] = field(default_factory=set)
 
 
-class Health:
-    """Whether requests fail under a candidate that did not before."""
+class FailureCheck:
+    """Whether requests fail under a candidate that did not before.
+
+    Args:
+        figures: counts of `requests` and `failed` that only grow, as the candidate begins.
+    """
 
     def __init__(self, figures: Mapping[str, int]) -> None:
-        """`figures`: counts that only grow, as they are when the candidate begins."""
-        self._began = dict(figures)
-
-    def trouble(self, figures: Mapping[str, int]) -> str:
-        """What is wrong; nothing where nothing is."""
-        requests = figures["requests"] - self._began["requests"]
-        failed = figures["failed"] - self._began["failed"]
-        if requests < LEAST_REQUESTS:
+        self._at_start = dict(figures)
+
+    def failure(self, figures: Mapping[str, int]) -> str:
+        """What is wrong by these counts; empty if nothing is.
+
+        From MIN_REQUESTS on, a share of failures above MAX_FAILED_SHARE and above MAX_FAILED_RATIO
+        times the share before.
+        """
+        requests = figures["requests"] - self._at_start["requests"]
+        failed = figures["failed"] - self._at_start["failed"]
+        if requests < MIN_REQUESTS:
             return ""
-        before = self._began["failed"] / max(1, self._began["requests"])
-        if failed / requests <= max(MOST_FAILED, TIMES_FAILED * before):
+        before = self._at_start["failed"] / max(1, self._at_start["requests"])
+        if failed / requests <= max(MAX_FAILED_SHARE, MAX_FAILED_RATIO * before):
             return ""
         return f"{failed} of {requests} requests failed here, of those before {100 * before:.1f}%"
 
 
-class Rollout:
-    """Member `me`'s part.
-
-    `candidate`: what is said with its versions, while what it acts on is tried.
-    """
+class CanaryRollout:
+    """Member `me`'s part in a rollout; `candidate` is what it announces with its versions."""
 
     def __init__(self, me: int) -> None:
         self.me = me
         self.candidate: Candidate | None = None
         self._lead: _Lead | None = None
-        self._health: Health | None = None
-        self._refused = set[tuple[int, str]]()
-
-    def push(self, canaries: int, due: float, figures: Mapping[str, int]) -> None:
-        """This member was given a candidate.
+        self._failures: FailureCheck | None = None
+        self._refused = set[tuple[int, str]]()  # revisions and digests
 
-        Which comes into force at `due` if nothing speaks against it.
-        """
+    def push(self, canaries: int, due_at: float, figures: Mapping[str, int]) -> None:
+        """An operator gave this member a candidate, which comes into force at `due_at`."""
         self.candidate = Candidate(canaries, Phase.BAKING)
-        self._lead, self._health = _Lead(due), Health(figures)
+        self._lead, self._failures = _Lead(due_at), FailureCheck(figures)
 
-    def take(self, candidate: Candidate, figures: Mapping[str, int]) -> None:
-        """It has taken one that another was given."""
-        self.candidate, self._lead, self._health = candidate, None, Health(figures)
+    def join(self, candidate: Candidate, figures: Mapping[str, int]) -> None:
+        """This member tries a candidate that another was given."""
+        self.candidate, self._lead, self._failures = candidate, None, FailureCheck(figures)
 
-    def refuse(self, invitation: Invitation) -> None:
-        """It cannot act on these settings, and is not to be asked again."""
-        self._refused.add((invitation.order, invitation.digest))
+    def refuse(self, invitation: CanaryInvitation) -> None:
+        """This member cannot use these settings and is not to be invited again."""
+        self._refused.add((invitation.revision, invitation.digest))
 
     def hold(self) -> None:
+        """Nobody else is to take the candidate."""
         if self.candidate:
             self.candidate = self.candidate._replace(phase=Phase.HELD)
         self._lead = None
 
     def end(self) -> None:
-        """What it acts on is in force for all, or is no candidate."""
-        self.candidate = self._lead = self._health = None
-
-    def invitation(self, known: KnownVersions) -> Invitation | None:
-        """The newest settings that others try, where this member is to try them too."""
-        own = known[self.me].order
-        tried = {n: one for n, one in known.candidates().items() if one.order > own}
-        order = max((one.order for one in tried.values()), default=0)
-        givers = {n: one for n, one in tried.items() if one.order == order}
-        digests = {one.settings for one in givers.values()}
+        """The settings of this member are in force, and no candidate any more."""
+        self.candidate = self._lead = self._failures = None
+
+    def invitation(self, known: KnownVersions) -> CanaryInvitation | None:
+        """The newest settings that others try, if this member is to try them too."""
+        own = known[self.me].revision
+        tried = {n: canary for n, canary in known.canaries().items() if canary.revision > own}
+        revision = max((canary.revision for canary in tried.values()), default=0)
+        holders = {n: canary for n, canary in tried.items() if canary.revision == revision}
+        digests = {canary.settings for canary in holders.values()}
         if len(digests) != 1:
             return None
         (digest,) = digests
-        candidate = _joined(givers.values())
-        if (order, digest) in self._refused:
+        candidate = _common_candidate(holders.values())
+        if (revision, digest) in self._refused:
             return None
-        if self.me not in canaries(order, candidate.canaries, givers, known):
+        if self.me not in choose_canaries(revision, candidate.canaries, holders, known):
             return None
-        return Invitation(order, digest, tuple(sorted(givers)), candidate)
-
-    def look(
-        self, known: KnownVersions, figures: Mapping[str, int], now: float, acting: bool
-    ) -> Verdict | None:
-        """To be called at each beat.
-
-        `acting`: whether it takes work, and so knows of the others.
+        return CanaryInvitation(revision, digest, tuple(sorted(holders)), candidate)
+
+    def evaluate(
+        self, known: KnownVersions, figures: Mapping[str, int], now: float, may_admit: bool
+    ) -> RolloutVerdict | None:
+        """Whether the candidate is to be held or released now; None: it goes on as it is.
+
+        Args:
+            known: what the members that are up act on, this one among them.
+            figures: this member's counts, as for `FailureCheck`.
+            now: seconds.
+            may_admit: whether this member takes work, and so knows of the others.
         """
         own = known[self.me]
         if self.candidate is None or own.candidate is None:
             return None
-        order, digests = known.newest()
-        if order == own.order and own.settings in digests:
-            return Verdict(Step.RELEASED, "it is in force at others")
+        newest, digests = known.newest()
+        if newest == own.revision and own.settings in digests:
+            return RolloutVerdict(RolloutEvent.RELEASED, "it is in force at others")
         if self.candidate.phase is Phase.HELD:
             return None
-        with_it = {
-            n: one
-            for n, one in known.candidates().items()
-            if (one.order, one.settings) == (own.order, own.settings)
+        canaries = {
+            number: canary
+            for number, canary in known.canaries().items()
+            if (canary.revision, canary.settings) == (own.revision, own.settings)
         }
-        if len(meanings(known, own.order)) > 1:
-            return Verdict(Step.HELD, f"order {own.order} stands for other settings at others")
-        held = sorted(
-            n for n, one in with_it.items() if one.candidate and one.candidate.phase is Phase.HELD
-        )
-        if held:
-            return Verdict(Step.HELD, f"member {held[0]} holds it")
-        trouble = self._health.trouble(figures) if self._health else ""
-        if trouble:
-            return Verdict(Step.HELD, trouble)
-        return (
-            self._look_as_leader(self._lead, set(with_it), len(known), now, acting)
-            if self._lead
-            else None
-        )
-
-    def _look_as_leader(
-        self, lead: _Lead, with_it: set[int], up: int, now: float, acting: bool
-    ) -> Verdict | None:
-        if not acting:
-            lead.due = max(lead.due, now + SETTLES)
+        fault = self._fault(own.revision, known, canaries, figures)
+        if fault:
+            return RolloutVerdict(RolloutEvent.HELD, fault)
+        if self._lead is None:
+            return None
+        if not may_admit:
+            self._lead.due_at = max(self._lead.due_at, now + SETTLE_S)
             return None
-        lead.seen |= with_it
-        gone = sorted(lead.seen - with_it)
+        return self._evaluate_as_leader(self._lead, set(canaries), len(known), now)
+
+    def _fault(
+        self,
+        revision: int,
+        known: KnownVersions,
+        canaries: Mapping[int, Versions],
+        figures: Mapping[str, int],
+    ) -> str:
+        """What speaks against the candidate at any canary; empty if nothing does."""
+        if len(known.digests_of(revision)) > 1:
+            return f"order {revision} stands for other settings at others"
+        holding = [
+            number
+            for number, canary in canaries.items()
+            if canary.candidate and canary.candidate.phase is Phase.HELD
+        ]
+        if holding:
+            return f"member {min(holding)} holds it"
+        return self._failures.failure(figures) if self._failures else ""
+
+    def _evaluate_as_leader(
+        self, lead: _Lead, canaries: set[int], present: int, now: float
+    ) -> RolloutVerdict | None:
+        """`present`: how many members are up."""
+        lead.seen |= canaries
+        gone = lead.seen - canaries
         if gone:
-            return Verdict(Step.HELD, f"member {gone[0]}, which tried it, does so no more")
-        if now < lead.due:
+            reason = f"member {min(gone)}, which tried it, does so no more"
+            return RolloutVerdict(RolloutEvent.HELD, reason)
+        if now < lead.due_at:
             return None
-        expected = min(self.candidate.canaries if self.candidate else 0, up)
-        if len(with_it) < expected:
-            return Verdict(Step.HELD, f"{len(with_it)} of {expected} members tried it")
-        return Verdict(Step.RELEASED, f"{len(with_it)} members have tried it")
-
-
-def meanings(known: KnownVersions, order: int) -> set[str]:
-    """Digests of the settings that members act on under that order, in force or tried."""
-    return {one.settings for one in known.values() if one.order == order}
+        expected = min(self.candidate.canaries if self.candidate else 0, present)
+        if len(canaries) < expected:
+            reason = f"{len(canaries)} of {expected} members tried it"
+            return RolloutVerdict(RolloutEvent.HELD, reason)
+        return RolloutVerdict(RolloutEvent.RELEASED, f"{len(canaries)} members have tried it")
 
 
-def canaries(order: int, wanted: int, trying: Collection[int], up: Collection[int]) -> set[int]:
-    """Members that are to try the settings of that order.
+def choose_canaries(
+    revision: int, wanted: int, trying: Collection[int], present: Collection[int]
+) -> set[int]:
+    """Members that are to try the settings of that revision.
 
-    Those that do, and as many more as are wanted, the same for all that know of the same members.
+    Those that do, and as many more as are wanted; the same for all that know the same members.
     """
-    others = sorted((n for n in up if n not in trying), key=lambda n: _rank(order, n))
+    others = sorted((n for n in present if n not in trying), key=lambda n: _rank(revision, n))
     return {*trying, *others[: max(0, wanted - len(trying))]}
 
 
-def _rank(order: int, number: int) -> bytes:
-    return blake2b(f"{order}.{number}".encode(), digest_size=8).digest()
+def _rank(revision: int, number: int) -> bytes:
+    return blake2b(f"{revision}.{number}".encode(), digest_size=8).digest()
 
 
-def _joined(versions: Collection[Versions]) -> Candidate:
-    """What those that try the same settings say together: held where one of them holds them."""
-    said = [one.candidate for one in versions if one.candidate]
-    held = any(one.phase is Phase.HELD for one in said)
-    return Candidate(max(one.canaries for one in said), Phase.HELD if held else Phase.BAKING)
+def _common_candidate(canaries: Collection[Versions]) -> Candidate:
+    """What the canaries of the same settings announce together: held if one of them holds them."""
+    candidates = [canary.candidate for canary in canaries if canary.candidate]
+    held = any(candidate.phase is Phase.HELD for candidate in candidates)
+    most = max(candidate.canaries for candidate in candidates)
+    return Candidate(most, Phase.HELD if held else Phase.BAKING)
--- /dev/null
+++ b/hazelhollow/configuration/state.py
@@ -0,0 +1,176 @@
+"""What one member acts on and what it knows of the others: shared by the parts of the driver."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+from hazelhollow import __version__
+from hazelhollow.configuration import versions
+from hazelhollow.configuration.admission_verdict import AdmissionRule, AdmissionVerdict
+from hazelhollow.configuration.audit.activity import ActivityRecorder, ObservedLimiter
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.distribution.history import SettingsHistory
+from hazelhollow.configuration.known_versions import KnownVersions
+from hazelhollow.configuration.rollout import CanaryRollout
+from hazelhollow.configuration.versions import Candidate, Versions
+from hazelhollow.decisions import gossip_codec as gossip
+from hazelhollow.net.sparse import Sparse
+
+log = logging.getLogger(__name__)
+
+
+class ConfigurableLimiter(ObservedLimiter, Protocol):
+    """What is asked of the limiter."""
+
+    def document(self) -> Mapping[str, Any]:
+        """The settings document that it acts on; another object whenever they change."""
+
+    def check(self, document: Mapping[str, Any]) -> str:
+        """Why a running limiter cannot use settings of another member; empty if it can."""
+
+    def take(self, document: Mapping[str, Any]) -> str:
+        """Acts on settings of another member from now on, unless it cannot: then why."""
+
+
+class SettingsInForce:
+    """The settings that this member acts on, and those before.
+
+    Args:
+        limiter: acts on them.
+        file_revision: the operator's number of them, as the operator file says it now.
+    """
+
+    def __init__(self, limiter: ConfigurableLimiter, file_revision: Callable[[], int]) -> None:
+        self.history = SettingsHistory()
+        self._limiter, self._file_revision = limiter, file_revision
+        self._given_revision = 0  # of settings that a peer gave, or that are tried
+        self._document: Mapping[str, Any] | None = None  # of which `_digest` is the digest
+        self._digest = ""
+        self._untried = list[str]()  # the last two digests that were acted on without trying them
+
+    def revision(self) -> int:
+        """The greater one of the file's and of what was given to this member."""
+        return max(self._file_revision(), self._given_revision)
+
+    def digest(self) -> str:
+        """The digest of the settings."""
+        document = self._limiter.document()
+        if self._document is not document:
+            self._set(document, versions.settings_digest(document))
+        return self._digest
+
+    def document(self) -> Mapping[str, Any]:
+        """The settings."""
+        self.digest()
+        assert self._document is not None
+        return self._document
+
+    def take(self, digest: str, document: Mapping[str, Any]) -> str:
+        """Has the limiter act on a document of a known digest; why it cannot, or nothing."""
+        reason = self._limiter.take(document) if digest != self.digest() else ""
+        if not reason:
+            self._set(self._limiter.document(), digest)
+        return reason
+
+    def number(self, revision: int) -> None:
+        """The settings were given to this member under that revision."""
+        self._given_revision = revision
+
+    def forget_given(self) -> None:
+        """What the file says counts alone."""
+        self._given_revision = 0
+
+    def note_untried(self, digest: str) -> None:
+        """These settings are in force, not tried."""
+        if self._untried[-1:] != [digest]:
+            self._untried = [*self._untried[-1:], digest]
+
+    def digest_before(self, candidate_exists: bool) -> str:
+        """What a roll back goes to; empty where nothing earlier is known.
+
+        That is, what was in force before a candidate, or else before what is in force.
+        """
+        earlier = self._untried if candidate_exists else self._untried[:-1]
+        return earlier[-1] if earlier else ""
+
+    def _set(self, document: Mapping[str, Any], digest: str) -> None:
+        self._document, self._digest = document, digest
+        self.history.put(digest, versions.shared_settings(document))
+
+
+@dataclass(frozen=True)
+class MemberParts:
+    """What a `ConfigurationState` is made of.
+
+    Attributes:
+        me: the member's number.
+        limiter: the limiter itself.
+        file_revision: the operator's number of the settings, as the operator file says it now.
+        record: where it writes down what it acts on.
+        clock: seconds.
+    """
+
+    me: int
+    limiter: ConfigurableLimiter
+    file_revision: Callable[[], int]
+    record: AuditRecord
+    clock: Callable[[], float]
+
+
+class ConfigurationState:
+    """One member's state, and its part in each rule."""
+
+    def __init__(self, parts: MemberParts) -> None:
+        self.me, self.limiter, self.clock = parts.me, parts.limiter, parts.clock
+        self.in_force = SettingsInForce(parts.limiter, parts.file_revision)
+        self.admission, self.rollout = AdmissionRule(parts.me), CanaryRollout(parts.me)
+        self.activity = ActivityRecorder(parts.me, parts.record, parts.limiter, parts.clock)
+        self.log = Sparse(log, parts.clock)  # for what others can cause many times
+        self.peers = KnownVersions()  # this member's own versions are brought up by `known`
+
+    def versions(self) -> Versions:
+        """What this member acts on now."""
+        list_index, discovery = self.limiter.listed()
+        return Versions(
+            gossip.DIALECT,
+            versions.program_digest(__version__),
+            self.in_force.revision(),
+            self.in_force.digest(),
+            versions.bounded_list_index(list_index),
+            versions.discovery_digest(discovery),
+            versions.overrides_digest(self.limiter.out()),
+            self.rollout.candidate,
+        )
+
+    def known(self) -> KnownVersions:
+        """What the members that are up act on, this one as it is now."""
+        self.peers.put(self.me, self.versions())
+        return self.peers
+
+    def document(self, verdict: AdmissionVerdict) -> dict[str, Any]:
+        """What `call fleet` shows as `audit`."""
+        return {
+            "order": self.in_force.revision(),
+            "settings": self.in_force.digest(),
+            "candidate": _candidate_document(self.rollout.candidate),
+            "state": verdict.state,
+            "why": verdict.reason,
+            "members": {
+                str(number): {
+                    "order": member.revision,
+                    "settings": member.settings,
+                    "candidate": _candidate_document(member.candidate),
+                    "listed": member.list_index,
+                }
+                for number, member in sorted(self.known().items())
+            },
+        }
+
+
+def _candidate_document(candidate: Candidate | None) -> dict[str, Any] | None:
+    if candidate is None:
+        return None
+    return {"canaries": candidate.canaries, "phase": candidate.phase.name.lower()}
--- a/hazelhollow/fault_injection/audited.py
+++ b/hazelhollow/fault_injection/audited.py
@@ -9,8 +9,11 @@
 from pathlib import Path
 from typing import Any
 
-from hazelhollow.configuration import files
-from hazelhollow.configuration.merge import Fleet, Span
+from hazelhollow.configuration.admission_verdict import SettingsState
+from hazelhollow.configuration.audit.entries import EntryKind
+from hazelhollow.configuration.audit.merge import AuditMerge
+from hazelhollow.configuration.audit.reader import read_entries
+from hazelhollow.configuration.audit.timeline import SettingsSpan
 from hazelhollow.fault_injection.checker import rows
 
 NEAR = 1.25  # seconds by which a probe and a record may differ: the record is written once a second
@@ -19,17 +22,17 @@
 
 def compare(folder: Path) -> dict[str, Any]:
     """Keys of the drill's figures; nothing is known (None) where no limiter kept a record."""
-    troubles, fleet = list[str](), Fleet()
+    troubles, fleet = list[str](), AuditMerge()
     rulings, brought, shut = Counter[str](), 0, set[int]()
     back = 0
-    for entry in files.entries(folder, troubles.append):
-        fleet.take(entry)
-        brought += entry.what == "settings" and entry.why.startswith("given by")
-        if entry.what == "ruling":
+    for entry in read_entries(folder, troubles.append):
+        fleet.add(entry)
+        brought += entry.kind == EntryKind.SETTINGS and entry.reason.startswith("given by")
+        if entry.kind == EntryKind.VERDICT:
             rulings[entry.version] += 1
-            back += entry.member in shut and entry.version == "current"
-            shut.discard(entry.member) if entry.version == "current" else None
-            shut.update([entry.member] if entry.version == "shut out" else [])
+            back += entry.member in shut and entry.version == SettingsState.CURRENT
+            shut.discard(entry.member) if entry.version == SettingsState.CURRENT else None
+            shut.update([entry.member] if entry.version == SettingsState.SHUT_OUT else [])
     if not fleet.entries:
         return dict.fromkeys(
             (
@@ -41,20 +44,20 @@
                 "audit_findings",
             )
         )
-    fleet.settle()
+    fleet.finish()
     unseen, wrong = _against(fleet, folder)
     return {
         "brought_up": brought,
-        "shut_out": rulings["shut out"],
+        "shut_out": rulings[SettingsState.SHUT_OUT],
         "came_back": back,
         "contradictions_unseen": unseen,
         "audit_wrong": wrong,
-        "audit_findings": dict(Counter(finding.what for finding in fleet.findings)),
-        "audit_not_known": [*troubles, *fleet.troubles],
+        "audit_findings": dict(Counter(finding.kind for finding in fleet.findings)),
+        "audit_not_known": [*troubles, *fleet.unknowns],
     }
 
 
-def _against(fleet: Fleet, folder: Path) -> tuple[int, int]:
+def _against(fleet: AuditMerge, folder: Path) -> tuple[int, int]:
     """Probes that saw a member serve by older settings where the audit has it on the newest.
 
     And the other way. All clocks of a drill are this machine's, so the writers' own times are
@@ -76,5 +79,5 @@
     return unseen, wrong
 
 
-def _holds(span: Span, order: int) -> bool:
-    return span.order >= order
+def _holds(span: SettingsSpan, order: int) -> bool:
+    return span.revision >= order
--- a/hazelhollow/fault_injection/commands.py
+++ b/hazelhollow/fault_injection/commands.py
@@ -16,7 +16,8 @@
 import click
 import orjson
 
-from hazelhollow.configuration import commands as audit_commands
+from hazelhollow.configuration import commands as configuration_commands
+from hazelhollow.configuration.audit import commands as audit_commands
 from hazelhollow.fault_injection import control, cost, plan, shrink, world
 from hazelhollow.fault_injection.drill import Drill
 
@@ -154,7 +155,7 @@
 
 
 fleet.add_command(audit_commands.audit)
-fleet.add_command(audit_commands.config)
+fleet.add_command(configuration_commands.config)
 
 
 def _simple(verb: str, text: str) -> None:
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -12,9 +12,14 @@
 
 import structlog
 
-from hazelhollow.configuration import config_call
-from hazelhollow.configuration.driver import Driver as AuditDriver
-from hazelhollow.configuration.record import Record, Segments
+from hazelhollow.configuration import operator_calls
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.audit.segments import SegmentWriter
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
 from hazelhollow.control_budget.budget import ControlBudget, Role, RoleBudget
 from hazelhollow.control_budget.limiter import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
@@ -95,7 +100,7 @@
         self.driver: Driver | None = None
         self.fleet: FleetDriver | None = None
         self.replica: ReplicaDriver | None = None
-        self.audit: AuditDriver | None = None
+        self.audit: ConfigurationDriver | None = None
         self.control: ControlBudget | None = None
         self._budget: LimiterBudget | None = None
         self._writer = BackgroundWriter()
@@ -226,21 +231,19 @@
         )
         assert peers is not None
         segments = (
-            Segments(Path(terms.state_dir), me, incarnation, self._writer)
+            SegmentWriter(Path(terms.state_dir), me, incarnation, self._writer)
             if terms.state_dir
             else None
         )
         service.limiter.sent, service.limiter.most_samples = Counter(), terms.samples
-        self.audit = AuditDriver(
-            service.scheduler,
-            peers,
-            fleet,
-            self.seal,
-            Port(service),
-            lambda: self.order,
-            Record(me, incarnation, segments),
-            self._seed,
-            self._part(Role.CONFIGURATION),
+        self.audit = ConfigurationDriver(
+            Connections(service.scheduler, peers, fleet, self.seal, Port(service)),
+            ConfigurationOptions(
+                lambda: self.order,
+                AuditRecord(me, incarnation, segments),
+                self._seed,
+                self._part(Role.CONFIGURATION),
+            ),
         )
         self.audit.start()
 
@@ -268,23 +271,25 @@
 
     def written(self) -> list[Any] | None:
         """What `call audit` answers."""
-        return self.audit.record.last() if self.audit else None
+        return self.audit.record.newest() if self.audit else None
 
     def config_call(self, words: tuple[str, ...]) -> str | None:
         """What `call config ...` answers."""
-        return config_call.answer(self.audit, Path(self.file).parent, words) if self.audit else None
+        if self.audit is None:
+            return None
+        return operator_calls.answer(self.audit.rollouts, Path(self.file).parent, words)
 
     def called(self, server: str, down: bool) -> None:
         """An operator has put a server out or back at this limiter."""
         if self.replica:
             self.replica.call(server, down)
         if self.audit:
-            self.audit.write_changes("operator call")
+            self.audit.publish("operator call")
 
     def settings_in_force(self) -> None:
         """The limiter has taken the settings of its file, and no request was served by them yet."""
         if self.audit:
-            self.audit.settings_in_force()
+            self.audit.settings_reloaded()
 
     def end(self) -> None:
         """The limiter has answered all and ends."""
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -15,8 +15,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hazelhollow.configuration.driver import Driver as AuditDriver
-from hazelhollow.configuration.record import Record as AuditRecord
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
 from hazelhollow.control_budget.budget import Role as BudgetRole
 from hazelhollow.control_budget.budget import RoleBudget
 from hazelhollow.control_budget.limiter import LimiterBudget, with_gossip_rate
@@ -45,7 +49,7 @@
 DRIVERS: tuple[tuple[type, Role], ...] = (
     (FleetDriver, Role.VIEW),
     (ReplicaDriver, Role.REPLICATION),
-    (AuditDriver, Role.AUDIT),
+    (ConfigurationDriver, Role.AUDIT),
     (Backend, Role.REQUESTS),
 )
 
@@ -166,7 +170,7 @@
 class Life:
     """One limiter from its start to its end.
 
-    Implements what the audit asks of a limiter (`audit.driver.Port`).
+    Implements what the audit asks of a limiter (`configuration.state.ConfigurableLimiter`).
     """
 
     def __init__(
@@ -200,7 +204,7 @@
         self.limiter.peers = peers
         self.fleet: FleetDriver | None = None
         self.replica: ReplicaDriver | None = None
-        self.audit: AuditDriver | None = None
+        self.audit: ConfigurationDriver | None = None
         self._serial = 0
 
     # Its start and its end
@@ -259,16 +263,11 @@
     def _start_audit(self, fleet: FleetDriver, seal: Seal, incarnation: int) -> None:
         record = AuditRecord(self._settings.limiter_id, incarnation)
         self.limiter.sent = Counter()
-        self.audit = AuditDriver(
-            self.scheduler,
-            self._peers,
-            fleet,
-            seal,
-            self,
-            lambda: self.order,
-            record,
-            self._seed,
-            self._part(BudgetRole.CONFIGURATION),
+        self.audit = ConfigurationDriver(
+            Connections(self.scheduler, self._peers, fleet, seal, self),
+            ConfigurationOptions(
+                lambda: self.order, record, self._seed, self._part(BudgetRole.CONFIGURATION)
+            ),
         )
         self._meter.turn(Role.AUDIT, self.audit.start)
 
@@ -316,7 +315,7 @@
         trouble = self.take(document)
         assert not trouble, trouble
 
-    # What the audit asks (audit.driver.Port)
+    # What the audit asks (configuration.state.ConfigurableLimiter)
 
     def document(self) -> Mapping[str, Any]:
         return self._document
--- a/hazelhollow/scale/measure.py
+++ b/hazelhollow/scale/measure.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from hazelhollow.configuration import transfer
+from hazelhollow.configuration.distribution import codec as configuration_codec
 from hazelhollow.membership import messages as view_messages
 from hazelhollow.replication import messages as replica_messages
 from hazelhollow.scale.results import HEADER_BYTES, Role, RoleSums
@@ -20,7 +20,7 @@
 ROLES_BY_LETTER = {
     view_messages.DIALECT[0]: Role.VIEW,
     replica_messages.DIALECT[0]: Role.REPLICATION,
-    transfer.DIALECT[0]: Role.AUDIT,
+    configuration_codec.DATAGRAM_PREFIX[0]: Role.AUDIT,
 }
 
 
--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -18,8 +18,10 @@
 import msgspec
 import orjson
 
-from hazelhollow.configuration import transfer
-from hazelhollow.configuration.versions import common
+from hazelhollow.configuration.distribution.codec import MAX_PIECES
+from hazelhollow.configuration.distribution.incremental import MAX_DOCUMENT_BYTES
+from hazelhollow.configuration.distribution.source import DocumentSource
+from hazelhollow.configuration.versions import shared_settings
 from hazelhollow.net import http1
 from hazelhollow.net import scheduler as sch
 from hazelhollow.scale import settings
@@ -59,7 +61,7 @@
     @property
     def travels(self) -> bool:
         """Whether members can hand it on to each other."""
-        return self.pieces <= transfer.MOST_PIECES and self.size <= transfer.MOST_DOCUMENT
+        return self.pieces <= MAX_PIECES and self.size <= MAX_DOCUMENT_BYTES
 
 
 def documents() -> Iterator[Document]:
@@ -73,9 +75,10 @@
 def measured(routes: int, kind: Routes) -> Document:
     """The document of so many routes, cut up as the audit cuts it."""
     told = _document(routes, kind)
-    giver = transfer.Giver(1, told)
-    size = len(orjson.dumps(common(told), option=orjson.OPT_SORT_KEYS))
-    return Document(routes, kind, size, sum(map(len, giver.whole())), len(giver.whole()))
+    source = DocumentSource(1, told)
+    size = len(orjson.dumps(shared_settings(told), option=orjson.OPT_SORT_KEYS))
+    pieces = source.all_pieces()
+    return Document(routes, kind, size, sum(map(len, pieces)), len(pieces))
 
 
 @cache
--- a/tests/audit_fleet.py
+++ b/tests/configuration/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of the audit's drivers in memory.
+"""A fleet of configuration drivers in memory.
 
 One virtual clock, a network that delays, loses and cuts, a view that tells in time.
 """
@@ -12,12 +12,16 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hazelhollow.configuration import transfer
-from hazelhollow.configuration.driver import Driver
-from hazelhollow.configuration.merge import Fleet as MergedFleet
-from hazelhollow.configuration.merge import merged
-from hazelhollow.configuration.record import Record
-from hazelhollow.configuration.versions import LENGTH
+from hazelhollow.configuration.audit.entries import EntryKind
+from hazelhollow.configuration.audit.merge import AuditMerge, merge_entries
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.distribution import codec
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
+from hazelhollow.configuration.versions import ENCODED_LENGTH
 from hazelhollow.membership.records import ALIVE, DEAD
 from hazelhollow.membership.records import Record as FleetRecord
 from hazelhollow.membership.seal import Seal
@@ -59,7 +63,7 @@
     """
 
     def __init__(
-        self, fleet: AuditFleet, number: int, document: Mapping[str, Any], order: int
+        self, fleet: ConfigurationFleet, number: int, document: Mapping[str, Any], order: int
     ) -> None:
         self.fleet, self.me, self.alive, self.acting = fleet, number, True, True
         self.file: tuple[Mapping[str, Any], int] = (document, order)
@@ -71,16 +75,11 @@
         self.rule: Callable[[float], bool] = lambda now: False
         self._watchers = list[Callable[[FleetRecord], None]]()
         self.view = self.table = self
-        self.record = Record(number, self.incarnation, fleet.segments(number))  # type: ignore[arg-type]
-        self.driver = Driver(
-            self,  # type: ignore[arg-type]
-            self,  # type: ignore[arg-type]
-            self,  # type: ignore[arg-type]
-            Seal(),
-            self,
-            lambda: self.file[1],
-            self.record,
-            number,
+        segments = fleet.segments(number)
+        self.record = AuditRecord(number, self.incarnation, segments)  # type: ignore[arg-type]
+        self.driver = ConfigurationDriver(
+            Connections(self, self, self, Seal(), self),  # type: ignore[arg-type]
+            ConfigurationOptions(lambda: self.file[1], self.record, number),
         )
         self.driver.start()
 
@@ -111,7 +110,7 @@
             )
 
     def note(self, record: FleetRecord) -> None:
-        if self.earlier_release and len(record.versions) > LENGTH:
+        if self.earlier_release and len(record.versions) > ENCODED_LENGTH:
             record = record._replace(versions="")
         for watcher in self._watchers:
             watcher(record)
@@ -157,13 +156,13 @@
 
     def hang_up(self) -> None:
         self.acts_on = dict(self.file[0])
-        self.driver.settings_in_force()
+        self.driver.settings_reloaded()
 
     def steps(self) -> list[str]:
-        return [entry.version for entry in self.record.kept if entry.what == "rollout"]
+        return [entry.version for entry in self.record.entries if entry.kind is EntryKind.ROLLOUT]
 
 
-class AuditFleet:
+class ConfigurationFleet:
     """`lose`: the part of the datagrams that is lost."""
 
     def __init__(
@@ -262,7 +261,7 @@
     # Datagrams
 
     def carry(self, sender: int, number: int, text: str) -> None:
-        self.carried[text[len(transfer.DIALECT)]] += 1
+        self.carried[text[len(codec.DATAGRAM_PREFIX)]] += 1
         self.bytes_to[number] += len(text)
         if self.random.random() < self.lose or (sender, number) in self._cut:
             return
@@ -277,16 +276,16 @@
     # What there is to see
 
     def orders(self) -> list[int]:
-        return [one.driver.order() for one in self.members.values() if one.alive]
+        return [one.driver.revision() for one in self.members.values() if one.alive]
 
     def trying(self) -> set[int]:
-        return {n for n, one in self.members.items() if one.alive and one.driver.rollout.candidate}
+        return {n for n, one in self.members.items() if one.alive and one.driver.rollouts.candidate}
 
     def same(self, document: Mapping[str, Any]) -> set[int]:
         """Members that act on these settings."""
         return {n for n, one in self.members.items() if one.alive and one.acts_on == document}
 
-    def merged(self) -> MergedFleet:
-        return merged(
-            entry for one in (*self.ended, *self.members.values()) for entry in one.record.kept
+    def merged(self) -> AuditMerge:
+        return merge_entries(
+            entry for one in (*self.ended, *self.members.values()) for entry in one.record.entries
         )
--- a/tests/test_audit_processes.py
+++ b/tests/configuration/test_audit_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from hazelhollow.configuration import files, merge
+from hazelhollow.configuration.audit import merge, reader
 from hazelhollow.fault_injection import plan
 from hazelhollow.fault_injection.clients import Door
 from hazelhollow.fault_injection.commands import NEVER, audit_file
@@ -43,8 +43,8 @@
         self.world.write_files(name, order)
         self.world.crew.signal(name, signal.SIGHUP)
 
-    def records(self) -> merge.Fleet:
-        return merge.merged(files.entries(self.folder, lambda text: None))
+    def records(self) -> merge.AuditMerge:
+        return merge.merge_entries(reader.read_entries(self.folder, lambda text: None))
 
 
 @pytest.fixture
@@ -72,9 +72,9 @@
     home.write_text(home.read_text().replace("order: 0", "order: 2"))
     audited.world.crew.signal("n2", signal.SIGHUP)
 
-    def why_of(found: merge.Fleet) -> dict[tuple[int, int], str]:
+    def why_of(found: merge.AuditMerge) -> dict[tuple[int, int], str]:
         return {
-            (span.member, span.order): span.why
+            (span.member, span.revision): span.reason
             for one in found.members.values()
             for span in one.spans
         }
@@ -115,24 +115,25 @@
     world.scheduler.spawn(ask_until_served)
     audited.change("n0", 1)
     audited.until(lambda: bool(answers))
-    assert [span.order for span in audited.records().members[number].spans] == [0, 1]
+    assert [span.revision for span in audited.records().members[number].spans] == [0, 1]
 
 
 def test_running_limiters_tell_what_they_have_written_down(audited: Audited) -> None:
     audited.change("n0", 1)
     audited.until(lambda: audited.orders() == [1, 1, 1])
 
-    def live() -> merge.Fleet:
-        return merge.merged(
+    def live() -> merge.AuditMerge:
+        return merge.merge_entries(
             [
                 entry
                 for name in audited.world.names
-                for entry in files.told(audited.call(name, "audit"))
+                for entry in reader.decode_answer(audited.call(name, "audit"))
             ]
         )
 
     audited.until(
-        lambda: [span.order for one in live().members.values() for span in one.spans] == [0, 1] * 3
+        lambda: [span.revision for one in live().members.values() for span in one.spans]
+        == [0, 1] * 3
     )
     assert not live().findings
 
@@ -190,7 +191,7 @@
     )
     assert all(audited.call(name, "check").startswith(b"done") for name in audited.world.names)
     audited.until(
-        lambda: "contradiction" in {finding.what for finding in audited.records().findings}
+        lambda: "contradiction" in {finding.kind for finding in audited.records().findings}
     )
     audited.change("n2", 3)  # the operator raises the order: that settles it
     audited.until(
@@ -257,9 +258,11 @@
     assert audited.call(idle, "config rollback") == b"done config rollback\n"
     audited.until(lambda: audited.orders() == [2, 2, 2])
     assert len({audited.audit(name)["settings"] for name in names}) == 1
-    audited.until(lambda: "rolled back" in {step.step for step in audited.records().rollout})
+    audited.until(
+        lambda: "rolled back" in {event.event for event in audited.records().rollout_events}
+    )
     found = audited.records()
-    assert [step.step for step in found.rollout] == [
+    assert [event.event for event in found.rollout_events] == [
         "pushed",
         "taken",
         "taken",
--- a/tests/test_difference.py
+++ b/tests/configuration/test_delta.py
@@ -14,11 +14,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.configuration import transfer
-from hazelhollow.configuration.difference import Change, apply, difference
-from hazelhollow.configuration.history import History
-from hazelhollow.configuration.slices import Packing, finished
-from hazelhollow.configuration.versions import common, settings_digest
+from hazelhollow.configuration.distribution import codec
+from hazelhollow.configuration.distribution.delta import Change, apply_delta, compute_delta
+from hazelhollow.configuration.distribution.fetch import (
+    MAX_DELTA_REFUSALS,
+    MAX_UNANSWERED_DELTA_REQUESTS,
+    DeltaBase,
+    DocumentFetch,
+)
+from hazelhollow.configuration.distribution.history import SettingsHistory
+from hazelhollow.configuration.distribution.incremental import DocumentPacking, run_to_end
+from hazelhollow.configuration.distribution.source import DocumentSource
+from hazelhollow.configuration.versions import settings_digest, shared_settings
 from hazelhollow.scale import settings
 from hazelhollow.scale.load import populate
 from hazelhollow.scale.plan import FleetTerms
@@ -35,7 +42,7 @@
     **BASE,
     "grades": [{"name": f"class-{n}", "deadline": n + (n == 4)} for n in range(9)],
 }
-KNOWN = transfer.Base(
+KNOWN = DeltaBase(
     settings_digest(BASE), {k: v for k, v in BASE.items() if k not in ("position", "zone")}
 )
 
@@ -63,23 +70,23 @@
     base: dict[str, Any], new: dict[str, Any]
 ) -> None:
     before = copy.deepcopy(base)
-    made = apply(base, difference(base, new))
+    made = apply_delta(base, compute_delta(base, new))
     assert settings_digest(made) == settings_digest(new)
     assert base == before
-    assert difference(new, new) == [] and difference(copy.deepcopy(new), new) == []
+    assert compute_delta(new, new) == [] and compute_delta(copy.deepcopy(new), new) == []
 
 
 def test_a_list_in_which_two_entries_have_one_name_is_replaced() -> None:
     base = {"grades": [{"name": "a", "x": 1}, {"name": "a", "x": 2}]}
     new = {"grades": [{"name": "a", "x": 3}, {"name": "a", "x": 2}]}
     assert (
-        difference(base, new) == [["=", ["grades"], new["grades"]]]
-        and apply(base, difference(base, new)) == new
+        compute_delta(base, new) == [["=", ["grades"], new["grades"]]]
+        and apply_delta(base, compute_delta(base, new)) == new
     )
 
 
 def test_what_did_not_change_is_the_bases_own() -> None:
-    made = apply(BASE, difference(BASE, NEW))
+    made = apply_delta(BASE, compute_delta(BASE, NEW))
     assert [made["grades"][n] is BASE["grades"][n] for n in range(9)] == [n != 4 for n in range(9)]
 
 
@@ -109,7 +116,7 @@
 def test_changes_are_told_as_shortly_as_they_can_be(
     new: dict[str, Any], changes: list[Change]
 ) -> None:
-    assert difference(BASE, new) == changes
+    assert compute_delta(BASE, new) == changes
 
 
 @pytest.mark.parametrize(
@@ -136,57 +143,57 @@
 def test_changes_that_do_not_fit_are_an_error_and_nothing_else(changes: list[Any]) -> None:
     before = copy.deepcopy(BASE)
     with pytest.raises(ValueError):
-        apply(BASE, changes)
+        apply_delta(BASE, changes)
     assert before == BASE
 
 
 # From member to member
 
 
-def giver(new: dict[str, Any] = NEW, *bases: transfer.Base) -> transfer.Giver:
+def giver(new: dict[str, Any] = NEW, *bases: DeltaBase) -> DocumentSource:
     """It has acted on these bases, one after the other, before the new ones."""
-    history = History()
+    history = SettingsHistory()
     for base in bases:
         history.put(base.digest, base.document)
-    history.put(settings_digest(new), common(new))
-    return transfer.Giver(ORDER, new, history)
+    history.put(settings_digest(new), shared_settings(new))
+    return DocumentSource(ORDER, new, history)
 
 
 def packed(value: Any) -> list[str]:
-    packing = Packing(value, transfer.PIECE)
-    finished(packing)
+    packing = DocumentPacking(value, codec.PIECE_CHARACTERS)
+    run_to_end(packing)
     return packing.pieces
 
 
-def taker(new: dict[str, Any] = NEW, base: transfer.Base | None = KNOWN) -> transfer.Taker:
-    return transfer.Taker(ORDER, settings_digest(new), base)
+def taker(new: dict[str, Any] = NEW, base: DeltaBase | None = KNOWN) -> DocumentFetch:
+    return DocumentFetch(ORDER, settings_digest(new), base)
 
 
 def talk(
-    one: transfer.Taker,
-    answers: Callable[[transfer.Asked], list[str]],
+    one: DocumentFetch,
+    answers: Callable[[codec.PieceRequest], list[str]],
     asks: int = 60,
     chance: random.Random | None = None,
     lose: float = 0.0,
-) -> tuple[dict[str, Any] | None, list[transfer.Asked]]:
+) -> tuple[dict[str, Any] | None, list[codec.PieceRequest]]:
     """The document that it takes, if it does, and what it asked for.
 
     Each ask goes to another member.
     """
-    chance, asked = chance or random.Random(1), list[transfer.Asked]()
+    chance, asked = chance or random.Random(1), list[codec.PieceRequest]()
     for number in range(asks):
-        said = transfer.read(one.wants(bool(one.may_differ([number]))))
-        assert isinstance(said, transfer.Asked)
+        said = codec.decode(one.next_request(bool(one.delta_holders([number]))))
+        assert isinstance(said, codec.PieceRequest)
         asked.append(said)
         replies = answers(said)
         chance.shuffle(replies)
         for text in replies:
             if chance.random() < lose:
                 continue
-            reply = transfer.read(text)
-            if isinstance(reply, transfer.NoDifference):
-                one.refused(number, reply)
-            elif isinstance(reply, transfer.Given) and (document := one.take(reply)):
+            reply = codec.decode(text)
+            if isinstance(reply, codec.DeltaUnavailable):
+                one.delta_refused(number, reply)
+            elif isinstance(reply, codec.Piece) and (document := one.put(reply)):
                 return document, asked
     return None, asked
 
@@ -198,7 +205,7 @@
     )
     before = settings.document(size, populate(size, terms, seed=1).quotas, terms)
     after = settings.changed(before, [5_000], 1)
-    base = transfer.Base(settings_digest(before), before)
+    base = DeltaBase(settings_digest(before), before)
     document, asked = talk(taker(after, base), giver(after, base).answer_at_once)
     assert (
         len(asked) == 1
@@ -219,22 +226,24 @@
         "grades": [{**one, "key": chance.random()} for one in base["grades"][:1_500]]
         + base["grades"][1_500:],
     }
-    known = transfer.Base(settings_digest(base), base)
+    known = DeltaBase(settings_digest(base), base)
     one = taker(new, known)
     document, asked = talk(one, giver(new, known).answer_at_once, chance=chance, lose=lose)
     assert (
         document == new
-        and len(asked) > transfer.MOST_UNANSWERED
+        and len(asked) > MAX_UNANSWERED_DELTA_REQUESTS
         and {said.base for said in asked} == {known.digest}
     )
 
 
 def test_one_whose_settings_nobody_knows_is_given_the_whole_document() -> None:
     document, asked = talk(taker(), giver().answer_at_once)
-    assert document == apply(KNOWN.document, difference(KNOWN.document, giver()._common))
+    assert document == apply_delta(
+        KNOWN.document, compute_delta(KNOWN.document, shared_settings(NEW))
+    )
     bases = [said.base for said in asked]
-    assert bases[: transfer.MOST_REFUSALS] == [KNOWN.digest] * transfer.MOST_REFUSALS
-    assert set(bases[transfer.MOST_REFUSALS :]) == {""}
+    assert bases[:MAX_DELTA_REFUSALS] == [KNOWN.digest] * MAX_DELTA_REFUSALS
+    assert set(bases[MAX_DELTA_REFUSALS:]) == {""}
 
 
 def test_members_that_know_of_no_differences_are_asked_for_the_whole_document() -> None:
@@ -243,32 +252,30 @@
     document, asked = talk(taker(), lambda said: [] if said.base else whole.answer_at_once(said))
     assert (
         document is not None
-        and [said.base for said in asked].count(KNOWN.digest) == transfer.MOST_UNANSWERED
+        and [said.base for said in asked].count(KNOWN.digest) == MAX_UNANSWERED_DELTA_REQUESTS
     )
 
 
 def test_the_whole_is_asked_for_where_the_only_holder_knows_no_difference() -> None:
     """One that began with the new settings has no others as a base."""
     one, origin = taker(), giver()
-    assert one.may_differ([5]) == [5]
-    (refusal,) = origin.answer_at_once(transfer.Asked(ORDER, (), one.base))
-    reply = transfer.read(refusal)
-    assert isinstance(reply, transfer.NoDifference)
-    one.refused(5, reply)
-    assert one.may_differ([5]) == [] and one.may_differ([5, 6]) == [6]
-    whole = transfer.read(one.wants(False))
-    assert isinstance(whole, transfer.Asked) and whole.base == ""
+    assert one.delta_holders([5]) == [5]
+    (refusal,) = origin.answer_at_once(codec.PieceRequest(ORDER, (), one.base))
+    reply = codec.decode(refusal)
+    assert isinstance(reply, codec.DeltaUnavailable)
+    one.delta_refused(5, reply)
+    assert one.delta_holders([5]) == [] and one.delta_holders([5, 6]) == [6]
+    whole = codec.decode(one.next_request(False))
+    assert isinstance(whole, codec.PieceRequest) and whole.base == ""
     # 6 has taken the whole
-    (piece,) = giver(NEW, KNOWN).answer_at_once(transfer.Asked(ORDER, (), one.base))
-    given_ = transfer.read(piece)
-    assert isinstance(given_, transfer.Given) and one.take(given_) is not None
+    (piece,) = giver(NEW, KNOWN).answer_at_once(codec.PieceRequest(ORDER, (), one.base))
+    given_ = codec.decode(piece)
+    assert isinstance(given_, codec.Piece) and one.put(given_) is not None
 
 
 def test_a_difference_that_makes_another_document_is_thrown_away_and_the_whole_asked_for() -> None:
-    wrong = transfer.give(
-        transfer.Given(
-            ORDER, settings_digest(NEW), 0, 1, packed([["-", ["step"]]])[0], KNOWN.digest
-        )
+    wrong = codec.encode_piece(
+        codec.Piece(ORDER, settings_digest(NEW), 0, 1, packed([["-", ["step"]]])[0], KNOWN.digest)
     )
     whole = giver()
     document, asked = talk(
@@ -284,20 +291,20 @@
     text = packed([["-", ["step"]]])[0]
     digest, base = settings_digest(NEW), KNOWN.digest
     other = {
-        "whole": transfer.Given(ORDER, digest, 0, 1, text),
-        "other base": transfer.Given(ORDER, digest, 0, 1, text, "zzzz"),
-        "other order": transfer.Given(ORDER - 1, digest, 0, 1, text, base),
+        "whole": codec.Piece(ORDER, digest, 0, 1, text),
+        "other base": codec.Piece(ORDER, digest, 0, 1, text, "zzzz"),
+        "other order": codec.Piece(ORDER - 1, digest, 0, 1, text, base),
     }[told]
-    assert one.take(other) is None and one.base == base and not one._difference._texts
+    assert one.put(other) is None and one.base == base and not one._delta._texts
     assert talk(one, right.answer_at_once)[0] is not None
 
 
 def test_a_refusal_of_something_else_does_not_end_the_asking_for_a_difference() -> None:
     one = taker()
     for sender in range(10):
-        one.refused(sender, transfer.NoDifference(ORDER, "zzzz"))
-        one.refused(sender, transfer.NoDifference(ORDER + 1, KNOWN.digest))
-        one.refused(1, transfer.NoDifference(ORDER, KNOWN.digest))
+        one.delta_refused(sender, codec.DeltaUnavailable(ORDER, "zzzz"))
+        one.delta_refused(sender, codec.DeltaUnavailable(ORDER + 1, KNOWN.digest))
+        one.delta_refused(1, codec.DeltaUnavailable(ORDER, KNOWN.digest))
     assert one.base == KNOWN.digest
 
 
@@ -306,9 +313,9 @@
     base, new = (
         {"grades": [{"name": f"{n}", "key": chance.random()} for n in range(60)]} for _ in range(2)
     )
-    known = transfer.Base(settings_digest(base), base)
-    (text,) = giver(new, known).answer_at_once(transfer.Asked(ORDER, (), known.digest))
-    assert transfer.read(text) == transfer.NoDifference(ORDER, known.digest)
+    known = DeltaBase(settings_digest(base), base)
+    (text,) = giver(new, known).answer_at_once(codec.PieceRequest(ORDER, (), known.digest))
+    assert codec.decode(text) == codec.DeltaUnavailable(ORDER, known.digest)
 
 
 def test_members_that_lack_the_same_difference_give_each_other_its_pieces() -> None:
@@ -318,15 +325,15 @@
         "grades": [{**one, "key": chance.random()} for one in base["grades"][:80]]
         + base["grades"][80:]
     }
-    known = transfer.Base(settings_digest(base), base)
+    known = DeltaBase(settings_digest(base), base)
     first, second, other = taker(new, known), taker(new, known), taker(new, None)
-    for text in giver(new, known).answer_at_once(transfer.Asked(ORDER, (0, 1), known.digest)):
-        piece = transfer.read(text)
-        assert isinstance(piece, transfer.Given)
-        first.take(piece)
-    asked = transfer.Asked(ORDER, (0, 1, 2), known.digest)
-    given_on = [transfer.read(text) for text in first.answer(asked)]
-    assert [piece.piece for piece in given_on if isinstance(piece, transfer.Given)] == [0, 1]
+    for text in giver(new, known).answer_at_once(codec.PieceRequest(ORDER, (0, 1), known.digest)):
+        piece = codec.decode(text)
+        assert isinstance(piece, codec.Piece)
+        first.put(piece)
+    asked = codec.PieceRequest(ORDER, (0, 1, 2), known.digest)
+    given_on = [codec.decode(text) for text in first.answer(asked)]
+    assert [piece.number for piece in given_on if isinstance(piece, codec.Piece)] == [0, 1]
     assert (
         second.answer(asked) == [] == other.answer(asked)
         and first.answer(asked._replace(base="")) == []
--- a/tests/test_history.py
+++ b/tests/configuration/test_history.py
@@ -10,17 +10,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.configuration import slices, transfer
-from hazelhollow.configuration.documents import MOST_ASKS_WAITING, DocumentExchange, Target
-from hazelhollow.configuration.history import History
-from hazelhollow.configuration.slices import Comparison, Packing, finished
-from hazelhollow.configuration.versions import common, settings_digest
-from tests.test_difference import documents, packed
-
-
-def put(history: History, document: dict[str, Any]) -> str:
+from hazelhollow.configuration.distribution import codec, incremental
+from hazelhollow.configuration.distribution.exchange import (
+    MAX_WAITING_REQUESTS,
+    DocumentExchange,
+    ExchangePort,
+    WantedDocument,
+)
+from hazelhollow.configuration.distribution.history import SettingsHistory
+from hazelhollow.configuration.distribution.incremental import (
+    DeltaComputation,
+    DocumentPacking,
+    run_to_end,
+    unpack,
+)
+from hazelhollow.configuration.versions import settings_digest, shared_settings
+from tests.configuration.test_delta import documents, packed
+
+
+def put(history: SettingsHistory, document: dict[str, Any]) -> str:
     digest = settings_digest(document)
-    history.put(digest, common(document))
+    history.put(digest, shared_settings(document))
     return digest
 
 
@@ -28,7 +38,7 @@
 def test_every_document_that_was_acted_on_can_be_had_again(
     told: list[dict[str, Any]], data: st.DataObject
 ) -> None:
-    history = History()
+    history = SettingsHistory()
     for document in told:
         digest = put(history, document)
         assert history.current == digest
@@ -41,16 +51,16 @@
 
 
 def test_what_was_never_acted_on_is_not_known() -> None:
-    history = History()
+    history = SettingsHistory()
     put(history, {"step": 1})
     assert not history.knows("zzzz") and history.document("zzzz") is None
 
 
 @pytest.mark.parametrize(("steps", "size", "known"), [(3, 10**6, 4), (100, 50, 3), (100, 1, 1)])
 def test_what_is_kept_is_bounded_in_steps_and_bytes(steps: int, size: int, known: int) -> None:
-    history = History(steps, size)
+    history = SettingsHistory(steps, size)
     digests = [put(history, {"step": 1000 + n}) for n in range(10)]
-    finished(history)
+    run_to_end(history)
     assert [history.document(digest) is not None for digest in digests] == [False] * (
         10 - known
     ) + [True] * known
@@ -63,16 +73,16 @@
 
 def test_a_comparison_is_done_in_slices_and_says_what_all_at_once_says() -> None:
     base, new = routes(1000, 1), routes(1000, 2)
-    comparison, steps = Comparison(base, new), 1
+    comparison, steps = DeltaComputation(base, new), 1
     while not comparison.step():
         steps += 1
-    assert steps >= 2000 / slices.COMPARED_A_STEP  # each route, and its deadline
+    assert steps >= 2000 / incremental.PLACES_PER_STEP  # each route, and its deadline
     assert comparison.changes == slices_of_one(base, new)
 
 
 def slices_of_one(base: dict[str, Any], new: dict[str, Any]) -> list[Any]:
-    whole = Comparison(base, new)
-    finished(whole)
+    whole = DeltaComputation(base, new)
+    run_to_end(whole)
     return whole.changes
 
 
@@ -96,12 +106,12 @@
 
 def test_packing_is_done_in_slices_and_read_again() -> None:
     value = routes(3000)
-    packing, steps = Packing(value, transfer.PIECE), 1
+    packing, steps = DocumentPacking(value, codec.PIECE_CHARACTERS), 1
     while not packing.step():
         assert not packing.pieces
         steps += 1
-    assert steps > 5 and transfer._unpack("".join(packing.pieces)) == value
-    assert {len(piece) for piece in packing.pieces[:-1]} == {transfer.PIECE}
+    assert steps > 5 and unpack("".join(packing.pieces)) == value
+    assert {len(piece) for piece in packing.pieces[:-1]} == {codec.PIECE_CHARACTERS}
 
 
 # What a member gives, slice by slice
@@ -111,19 +121,23 @@
     """One member's exchange, and what it has sent."""
 
     def __init__(self, document: dict[str, Any], earlier: dict[str, Any]) -> None:
-        self.history, self.sent = History(), list[tuple[int, str]]()
+        self.history, self.sent = SettingsHistory(), list[tuple[int, str]]()
         self.base = put(self.history, earlier)
         self.digest = put(self.history, document)
-        tell = lambda number, text: self.sent.append((number, text))  # noqa: E731
         self.exchange = DocumentExchange(
-            0, self.history, random.Random(1), tell, lambda order: None, None
+            0,
+            self.history,
+            random.Random(1),
+            ExchangePort(
+                lambda number, text: self.sent.append((number, text)), lambda revision: None
+            ),
         )
-        self.exchange.acts_on(5, self.digest, document)
+        self.exchange.serve(5, self.digest, document)
 
     def finish(self) -> int:
         """Steps until nobody waits any more."""
         steps = 0
-        while self.exchange.busy():
+        while self.exchange.is_busy():
             self.exchange.step(0.0)
             steps += 1
         return steps
@@ -138,49 +152,49 @@
 def test_asks_wait_until_the_difference_is_made_and_are_all_answered() -> None:
     one = Exchange(changed(routes(2000)), routes(2000))
     for number in (3, 4):
-        one.exchange.heard(number, transfer.ask(5, (), one.base), 0.0)
+        one.exchange.receive(number, codec.encode_request(5, (), one.base), 0.0)
     assert not one.sent and one.finish() > 10
     assert [number for number, _ in one.sent] == [3, 4]
-    given_ = [transfer.read(text) for _, text in one.sent]
-    assert all(isinstance(said, transfer.Given) and said.base == one.base for said in given_)
-    one.exchange.heard(6, transfer.ask(5, (), one.base), 0.0)  # it is made now
-    assert len(one.sent) == 3 and not one.exchange.busy()
+    given_ = [codec.decode(text) for _, text in one.sent]
+    assert all(isinstance(said, codec.Piece) and said.base == one.base for said in given_)
+    one.exchange.receive(6, codec.encode_request(5, (), one.base), 0.0)  # it is made now
+    assert len(one.sent) == 3 and not one.exchange.is_busy()
 
 
 def test_asks_that_wait_are_bounded_and_those_for_what_is_acted_on_no_more_are_forgotten() -> None:
     one = Exchange(changed(routes(500)), routes(500))
-    for number in range(MOST_ASKS_WAITING + 10):
-        one.exchange.heard(number, transfer.ask(5, (), one.base), 0.0)
+    for number in range(MAX_WAITING_REQUESTS + 10):
+        one.exchange.receive(number, codec.encode_request(5, (), one.base), 0.0)
     one.finish()
-    assert len(one.sent) == MOST_ASKS_WAITING
-    one.exchange.heard(1, transfer.ask(5, ()), 0.0)
-    one.exchange.acts_on(6, one.digest, changed(routes(500)))
-    assert not one.exchange.busy()
+    assert len(one.sent) == MAX_WAITING_REQUESTS
+    one.exchange.receive(1, codec.encode_request(5, ()), 0.0)
+    one.exchange.serve(6, one.digest, changed(routes(500)))
+    assert not one.exchange.is_busy()
 
 
 def test_what_is_given_a_second_is_bounded() -> None:
     one = Exchange(routes(2000, 3), routes(2000))
-    pieces = range(transfer.AT_ONCE)
-    one.exchange.heard(1, transfer.ask(5, pieces), 0.0)
+    pieces = range(codec.MAX_PIECES_PER_REQUEST)
+    one.exchange.receive(1, codec.encode_request(5, pieces), 0.0)
     one.finish()
     for number in range(40):
-        one.exchange.heard(number, transfer.ask(5, pieces), 0.0)
+        one.exchange.receive(number, codec.encode_request(5, pieces), 0.0)
     assert len(one.sent) == 200
     one.exchange.new_second()
-    one.exchange.heard(1, transfer.ask(5, pieces), 1.0)
-    assert len(one.sent) == 200 + transfer.AT_ONCE
+    one.exchange.receive(1, codec.encode_request(5, pieces), 1.0)
+    assert len(one.sent) == 200 + codec.MAX_PIECES_PER_REQUEST
 
 
 def test_a_wanted_document_is_asked_for_by_the_difference_from_what_is_acted_on() -> None:
     giver, taker = Exchange(changed(routes(300)), routes(300)), Exchange(routes(300), routes(10))
-    taker.exchange.fetch(Target(5, giver.digest, (0,)), {0, 1}, 0.0)
+    taker.exchange.fetch(WantedDocument(5, giver.digest, (0,)), {0, 1}, 0.0)
     ((number, ask),) = taker.sent
-    said = transfer.read(ask)
-    assert number == 0 and isinstance(said, transfer.Asked) and said.base == giver.base
-    giver.exchange.heard(1, ask, 0.0)
+    said = codec.decode(ask)
+    assert number == 0 and isinstance(said, codec.PieceRequest) and said.base == giver.base
+    giver.exchange.receive(1, ask, 0.0)
     giver.finish()
-    arrived = taker.exchange.heard(0, giver.sent[0][1], 0.0)
-    assert arrived is not None and (arrived.order, arrived.digest, arrived.sender) == (
+    arrived = taker.exchange.receive(0, giver.sent[0][1], 0.0)
+    assert arrived is not None and (arrived.revision, arrived.digest, arrived.sender) == (
         5,
         giver.digest,
         0,
--- a/tests/test_rollout.py
+++ b/tests/configuration/test_rollout.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -14,12 +15,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.configuration import config_call, transfer
-from hazelhollow.configuration.config_call import ConfigCallError
-from hazelhollow.configuration.rollout import LEAST_REQUESTS, Health, canaries
+from hazelhollow.configuration import operator_calls
+from hazelhollow.configuration.audit.entries import EntryKind
+from hazelhollow.configuration.distribution.source import DocumentSource
+from hazelhollow.configuration.errors import RolloutRefusedError, SettingsFileError
+from hazelhollow.configuration.rollout import MIN_REQUESTS, FailureCheck, choose_canaries
 from hazelhollow.configuration.versions import Phase
 from hazelhollow.fault_injection.commands import fleet as fleet_commands
-from tests.audit_fleet import AuditFleet, Member, settings
+from tests.configuration.configuration_fleet import ConfigurationFleet, Member, settings
 
 BEFORE, AFTER = settings(), settings(changed=2, deadline=0.5)
 MEMBERS, TRIED_BY, BAKES = 8, 3, 20.0
@@ -27,22 +30,31 @@
 
 
 @pytest.fixture
-def fleet() -> AuditFleet:
-    one = AuditFleet(MEMBERS, BEFORE)
+def fleet() -> ConfigurationFleet:
+    one = ConfigurationFleet(MEMBERS, BEFORE)
     one.run(1.0)
     return one
 
 
-def pushed(fleet: AuditFleet, at: int = 0, document: dict[str, Any] = AFTER) -> Member:
+def refusal(call: Callable[[], None]) -> str:
+    """What the operator is told, whose call is not carried out."""
+    with pytest.raises(RolloutRefusedError) as refused:
+        call()
+    return str(refused.value)
+
+
+def pushed(fleet: ConfigurationFleet, at: int = 0, document: dict[str, Any] = AFTER) -> Member:
     """The member that was given a candidate, once as many try it as should."""
     leader = fleet.members[at]
-    assert leader.driver.push(1, TRIED_BY, BAKES, document) == ""
+    leader.driver.rollouts.push(1, TRIED_BY, BAKES, document)
     fleet.until(lambda: len(fleet.trying()) == TRIED_BY)
     fleet.run(1.0)  # and all have heard of them
     return leader
 
 
-def test_some_try_it_and_when_nothing_speaks_against_it_all_act_on_it(fleet: AuditFleet) -> None:
+def test_some_try_it_and_when_nothing_speaks_against_it_all_act_on_it(
+    fleet: ConfigurationFleet,
+) -> None:
     leader = pushed(fleet)
     trying = fleet.trying()
     fleet.run(BAKES - 2.0)
@@ -52,13 +64,13 @@
     assert set(fleet.orders()) == {1}
     assert leader.steps() == ["pushed", "released"]
     merged = fleet.merged()
-    assert not merged.findings and not merged.troubles
+    assert not merged.findings and not merged.unknowns
     (_, change) = merged.changes()
     assert change["members"] == sorted(ALL) and change["last_old_after_s"] < 2.0
 
 
 def test_through_loss_no_more_try_it_than_should_and_all_have_it_in_the_end() -> None:
-    fleet = AuditFleet(MEMBERS, BEFORE, lose=0.3)
+    fleet = ConfigurationFleet(MEMBERS, BEFORE, lose=0.3)
     fleet.run(1.0)
     pushed(fleet)
     fleet.run(BAKES / 2)
@@ -67,24 +79,24 @@
 
 
 def test_held_at_one_that_tries_it_nobody_else_takes_it_until_it_is_released(
-    fleet: AuditFleet,
+    fleet: ConfigurationFleet,
 ) -> None:
     pushed(fleet)
     trying = fleet.trying()
     other = max(trying)
-    assert fleet.members[other].driver.hold() == ""
+    fleet.members[other].driver.rollouts.hold()
     fleet.run(3 * BAKES)
     assert fleet.trying() == trying == fleet.same(AFTER)
     assert all("held" in fleet.members[n].steps() for n in trying)
-    assert fleet.members[other].driver.release() == ""
+    fleet.members[other].driver.rollouts.release()
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying())
 
 
 def test_one_that_comes_to_try_held_settings_holds_them_from_the_beginning(
-    fleet: AuditFleet,
+    fleet: ConfigurationFleet,
 ) -> None:
     leader = pushed(fleet)
-    assert leader.driver.hold() == ""
+    leader.driver.rollouts.hold()
     fleet.run(1.0)
     before = fleet.trying()
     fleet.kill(max(before - {leader.me}))
@@ -92,31 +104,35 @@
     (new,) = fleet.trying() - before
     assert fleet.members[new].steps() == ["taken"] and fleet.members[
         new
-    ].driver.rollout.candidate == (
+    ].driver.rollouts.candidate == (
         3,
         Phase.HELD,
     )
 
 
-def test_one_that_is_behind_cannot_be_given_a_candidate(fleet: AuditFleet) -> None:
+def test_one_that_is_behind_cannot_be_given_a_candidate(fleet: ConfigurationFleet) -> None:
     one = fleet.members[3]
     one.cannot_take = lambda document: "plans differ"
     fleet.members[0].read_file(AFTER, 1)
     fleet.run(3.0)
     one.cannot_take = lambda document: ""
-    assert "not on the newest settings" in one.driver.push(2, TRIED_BY, BAKES, settings(changed=4))
+    assert "not on the newest settings" in refusal(
+        lambda: one.driver.rollouts.push(2, TRIED_BY, BAKES, settings(changed=4))
+    )
 
 
-def test_one_that_tries_nothing_says_who_does(fleet: AuditFleet) -> None:
-    assert "no settings are tried" in fleet.members[0].driver.hold()
+def test_one_that_tries_nothing_says_who_does(fleet: ConfigurationFleet) -> None:
+    assert "no settings are tried" in refusal(fleet.members[0].driver.rollouts.hold)
     pushed(fleet)
     trying = ", ".join(map(str, sorted(fleet.trying())))
     idle = fleet.members[min(ALL - fleet.trying())]
-    assert trying in idle.driver.hold() and trying in idle.driver.release()
+    assert trying in refusal(idle.driver.rollouts.hold) and trying in refusal(
+        idle.driver.rollouts.release
+    )
 
 
 def test_when_the_member_that_was_given_it_dies_it_stays_with_the_others_until_an_operator_says(
-    fleet: AuditFleet,
+    fleet: ConfigurationFleet,
 ) -> None:
     leader = pushed(fleet)
     rest = fleet.trying() - {leader.me}
@@ -128,20 +144,20 @@
     fleet.start(leader.me, BEFORE, 0)  # its own files are still the old ones
     fleet.run(5.0)
     assert len(fleet.trying()) == TRIED_BY
-    assert fleet.members[min(rest)].driver.release() == ""
+    fleet.members[min(rest)].driver.rollouts.release()
     fleet.until(lambda: fleet.same(AFTER) == ALL)
 
 
-def test_when_one_that_tries_it_dies_it_is_held(fleet: AuditFleet) -> None:
+def test_when_one_that_tries_it_dies_it_is_held(fleet: ConfigurationFleet) -> None:
     leader = pushed(fleet)
     fleet.kill(max(fleet.trying() - {leader.me}))
     fleet.run(3 * BAKES)
     assert leader.steps() == ["pushed", "held"] and len(fleet.same(AFTER)) <= TRIED_BY
-    (held,) = [entry for entry in leader.record.kept if entry.version == "held"]
-    assert "tried it" in held.why
+    (held,) = [entry for entry in leader.record.entries if entry.version == "held"]
+    assert "tried it" in held.reason
 
 
-def test_when_the_member_that_was_given_it_is_cut_off_it_is_held(fleet: AuditFleet) -> None:
+def test_when_the_member_that_was_given_it_is_cut_off_it_is_held(fleet: ConfigurationFleet) -> None:
     leader = pushed(fleet)
     trying = fleet.trying()
     fleet.cut({leader.me})
@@ -154,7 +170,7 @@
     assert all(fleet.members[n].steps()[-1] == "held" for n in trying)
 
 
-def test_one_that_waits_for_others_to_answer_does_not_judge_them(fleet: AuditFleet) -> None:
+def test_one_that_waits_for_others_to_answer_does_not_judge_them(fleet: ConfigurationFleet) -> None:
     leader = pushed(fleet)
     fleet.run(BAKES - 3.0)
     leader.acting = False  # it stood still, say
@@ -164,50 +180,52 @@
     fleet.until(lambda: fleet.same(AFTER) == ALL)
 
 
-def test_rolled_back_at_a_member_that_does_not_try_it(fleet: AuditFleet) -> None:
+def test_rolled_back_at_a_member_that_does_not_try_it(fleet: ConfigurationFleet) -> None:
     pushed(fleet)
     idle = fleet.members[min(ALL - fleet.trying())]
     fleet.carried.clear()
-    assert idle.driver.roll_back() == ""
+    idle.driver.rollouts.roll_back()
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {2})
     assert not fleet.trying() and not fleet.carried  # all have known these settings
     assert idle.steps() == ["rolled back"] and not fleet.merged().findings
 
 
-def test_rolled_back_at_a_member_that_tries_it(fleet: AuditFleet) -> None:
+def test_rolled_back_at_a_member_that_tries_it(fleet: ConfigurationFleet) -> None:
     leader = pushed(fleet)
-    assert leader.driver.roll_back() == ""
+    leader.driver.rollouts.roll_back()
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {2})
 
 
-def test_rolled_back_after_it_was_in_force_for_all(fleet: AuditFleet) -> None:
+def test_rolled_back_after_it_was_in_force_for_all(fleet: ConfigurationFleet) -> None:
     pushed(fleet)
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying())
     fleet.carried.clear()
-    assert fleet.members[5].driver.roll_back() == ""
+    fleet.members[5].driver.rollouts.roll_back()
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {2})
     assert not fleet.carried
 
 
-def test_of_two_candidates_in_a_row_it_goes_back_to_what_was_in_force(fleet: AuditFleet) -> None:
+def test_of_two_candidates_in_a_row_it_goes_back_to_what_was_in_force(
+    fleet: ConfigurationFleet,
+) -> None:
     leader = pushed(fleet)
-    assert leader.driver.push(2, TRIED_BY, BAKES, settings(changed=3, deadline=0.2)) == ""
+    leader.driver.rollouts.push(2, TRIED_BY, BAKES, settings(changed=3, deadline=0.2))
     fleet.run(3.0)
-    assert leader.driver.roll_back() == ""
+    leader.driver.rollouts.roll_back()
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {3})
 
 
-def test_one_that_has_just_begun_knows_of_nothing_earlier(fleet: AuditFleet) -> None:
-    assert "no earlier settings" in fleet.members[0].driver.roll_back()
+def test_one_that_has_just_begun_knows_of_nothing_earlier(fleet: ConfigurationFleet) -> None:
+    assert "no earlier settings" in refusal(fleet.members[0].driver.rollouts.roll_back)
 
 
-def test_where_one_cannot_take_it_it_is_held_and_goes_no_further(fleet: AuditFleet) -> None:
+def test_where_one_cannot_take_it_it_is_held_and_goes_no_further(fleet: ConfigurationFleet) -> None:
     for number in ALL - {0}:
         fleet.members[number].cannot_take = (
             lambda document: "plans differ" if document == AFTER else ""
         )
     leader = fleet.members[0]
-    assert leader.driver.push(1, TRIED_BY, BAKES, AFTER) == ""
+    leader.driver.rollouts.push(1, TRIED_BY, BAKES, AFTER)
     fleet.run(2 * BAKES)
     assert fleet.trying() == {0} and leader.steps() == ["pushed", "held"]
     refused = [n for n in ALL if fleet.members[n].steps() == ["refused"]]
@@ -215,10 +233,10 @@
     assert fleet.same(BEFORE) == ALL - {0}
 
 
-def test_requests_that_fail_under_it_hold_it(fleet: AuditFleet) -> None:
+def test_requests_that_fail_under_it_hold_it(fleet: ConfigurationFleet) -> None:
     leader = pushed(fleet)
     other = fleet.members[max(fleet.trying() - {leader.me})]
-    other.counts.update(requests=LEAST_REQUESTS, failed=LEAST_REQUESTS // 5)
+    other.counts.update(requests=MIN_REQUESTS, failed=MIN_REQUESTS // 5)
     fleet.run(3 * BAKES)
     assert other.steps() == ["taken", "held"] and leader.steps() == ["pushed", "held"]
     assert len(fleet.trying()) == TRIED_BY
@@ -227,7 +245,7 @@
 @pytest.mark.parametrize(
     ("before", "since", "troubled"),
     [
-        ((0, 0), (LEAST_REQUESTS - 1, LEAST_REQUESTS - 1), False),  # too few to say anything
+        ((0, 0), (MIN_REQUESTS - 1, MIN_REQUESTS - 1), False),  # too few to say anything
         ((0, 0), (100, 2), False),
         ((0, 0), (100, 3), True),
         ((1000, 100), (100, 30), False),  # as before, or near it
@@ -237,28 +255,28 @@
 def test_failures_count_against_those_of_before(
     before: tuple[int, int], since: tuple[int, int], troubled: bool
 ) -> None:
-    health = Health({"requests": before[0], "failed": before[1]})
+    check = FailureCheck({"requests": before[0], "failed": before[1]})
     now = {"requests": before[0] + since[0], "failed": before[1] + since[1]}
-    assert bool(health.trouble(now)) is troubled
+    assert bool(check.failure(now)) is troubled
 
 
 def test_two_given_under_one_order_are_taken_by_nobody_else_and_neither_is_released(
-    fleet: AuditFleet,
+    fleet: ConfigurationFleet,
 ) -> None:
     other = settings(changed=4, deadline=0.1)
-    assert fleet.members[0].driver.push(1, TRIED_BY, BAKES, AFTER) == ""
+    fleet.members[0].driver.rollouts.push(1, TRIED_BY, BAKES, AFTER)
     # before it has heard of the first
-    assert fleet.members[1].driver.push(1, TRIED_BY, BAKES, other) == ""
+    fleet.members[1].driver.rollouts.push(1, TRIED_BY, BAKES, other)
     fleet.run(2 * BAKES)
     assert fleet.same(BEFORE) >= ALL - {0, 1} and fleet.members[0].steps()[-1] == "held"
-    (held,) = [entry for entry in fleet.members[0].record.kept if entry.version == "held"]
-    assert held.why == "order 1 stands for other settings at others"
-    assert "other settings" in fleet.members[0].driver.release()
-    assert fleet.members[7].driver.roll_back() == ""
+    (held,) = [entry for entry in fleet.members[0].record.entries if entry.version == "held"]
+    assert held.reason == "order 1 stands for other settings at others"
+    assert "other settings" in refusal(fleet.members[0].driver.rollouts.release)
+    fleet.members[7].driver.rollouts.roll_back()
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {2})
 
 
-def test_settings_in_force_under_the_same_order_win(fleet: AuditFleet) -> None:
+def test_settings_in_force_under_the_same_order_win(fleet: ConfigurationFleet) -> None:
     pushed(fleet)
     other = settings(changed=4, deadline=0.1)
     fleet.members[min(ALL - fleet.trying())].read_file(other, 1)  # an operator elsewhere, by SIGHUP
@@ -266,14 +284,14 @@
 
 
 def test_a_program_of_the_release_before_follows_no_candidate_and_what_is_in_force(
-    fleet: AuditFleet,
+    fleet: ConfigurationFleet,
 ) -> None:
     for number in ALL - {0}:
         fleet.members[number].earlier_release = True
-    assert fleet.members[0].driver.push(1, TRIED_BY, BAKES, AFTER) == ""
+    fleet.members[0].driver.rollouts.push(1, TRIED_BY, BAKES, AFTER)
     fleet.run(2 * BAKES)
     assert fleet.same(AFTER) == {0} and fleet.members[0].steps() == ["pushed", "held"]
-    assert fleet.members[0].driver.release() == ""
+    fleet.members[0].driver.rollouts.release()
     fleet.until(lambda: fleet.same(AFTER) == ALL)
 
 
@@ -289,23 +307,27 @@
     ],
 )
 def test_what_cannot_be_pushed_changes_nothing(
-    fleet: AuditFleet, order: int, by: int, document: dict[str, Any], says: str
+    fleet: ConfigurationFleet, order: int, by: int, document: dict[str, Any], says: str
 ) -> None:
     one = fleet.members[0]
     one.cannot_take = lambda document: "" if document["grades"] else "no routes"
-    assert says in one.driver.push(order, by, BAKES, document)
+    assert says in refusal(lambda: one.driver.rollouts.push(order, by, BAKES, document))
     fleet.run(5.0)
     assert fleet.same(BEFORE) == ALL and not fleet.trying() and not one.steps()
 
 
-def test_the_greatest_order_counts_whether_it_is_tried_or_in_force(fleet: AuditFleet) -> None:
+def test_the_greatest_order_counts_whether_it_is_tried_or_in_force(
+    fleet: ConfigurationFleet,
+) -> None:
     pushed(fleet)
     idle = fleet.members[min(ALL - fleet.trying())]
-    assert "not above 1" in idle.driver.push(1, TRIED_BY, BAKES, settings(changed=4, deadline=0.1))
+    assert "not above 1" in refusal(
+        lambda: idle.driver.rollouts.push(1, TRIED_BY, BAKES, settings(changed=4, deadline=0.1))
+    )
 
 
 def test_one_brought_up_by_others_that_reads_its_old_files_again_stays_with_them(
-    fleet: AuditFleet,
+    fleet: ConfigurationFleet,
 ) -> None:
     fleet.members[0].read_file(AFTER, 1)
     fleet.until(lambda: fleet.same(AFTER) == ALL)
@@ -314,11 +336,11 @@
     assert fleet.members[3].acts_on == AFTER  # in the same turn
     fleet.run(3.0)
     assert fleet.same(AFTER) == ALL and set(fleet.orders()) == {1} and not fleet.carried
-    assert not [finding for finding in fleet.merged().findings if finding.what == "contradiction"]
+    assert not [finding for finding in fleet.merged().findings if finding.kind == "contradiction"]
 
 
 def test_settings_that_a_peer_gave_are_acted_on_once_they_are_on_record_or_after_a_while(
-    fleet: AuditFleet,
+    fleet: ConfigurationFleet,
 ) -> None:
     one = fleet.members[3]
     fleet.slow_disk = {3}
@@ -327,13 +349,16 @@
     fleet.run(0.1)
     fleet.carried.clear()
     fleet.run(0.5)
-    assert one.driver.order() == 0 and 3 not in fleet.same(AFTER)
+    assert one.driver.revision() == 0 and 3 not in fleet.same(AFTER)
     assert not fleet.carried  # it has them, and asks no more
-    assert [entry.order for entry in one.record.kept if entry.what == "settings"] == [0, 1]
+    assert [entry.revision for entry in one.record.entries if entry.kind is EntryKind.SETTINGS] == [
+        0,
+        1,
+    ]
     fleet.slow_disk = set()
     fleet.run(0.5)
     assert fleet.same(AFTER) == ALL
-    spans = [(span.order, span.why[:8]) for span in fleet.merged().members[3].spans]
+    spans = [(span.revision, span.reason[:8]) for span in fleet.merged().members[3].spans]
     assert spans == [(0, "began"), (1, "given by")]  # written down once
     fleet.slow_disk = {3}
     fleet.members[0].read_file(BEFORE, 2)
@@ -343,7 +368,7 @@
 
 def test_one_that_was_away_for_many_changes_is_told_them_in_a_few_datagrams() -> None:
     routes, changes = 400, 40
-    fleet = AuditFleet(4, settings(routes))
+    fleet = ConfigurationFleet(4, settings(routes))
     fleet.run(1.0)
     fleet.kill(3)
     for order in range(1, changes + 1):
@@ -357,7 +382,7 @@
     fleet.carried.clear()
     fleet.start(3, settings(routes), 0)
     assert fleet.until(lambda: fleet.same(newest) == {0, 1, 2, 3}) < 10.0
-    whole = sum(map(len, transfer.Giver(changes, newest).whole()))
+    whole = sum(map(len, DocumentSource(changes, newest).all_pieces()))
     assert fleet.bytes_to[3] < whole / 2 and fleet.carried["n"] == 0
 
 
@@ -368,9 +393,9 @@
     order: int, wanted: int, up: set[int], data: st.DataObject
 ) -> None:
     trying = data.draw(st.sets(st.sampled_from(sorted(up)), max_size=wanted))
-    chosen = canaries(order, wanted, trying, up)
+    chosen = choose_canaries(order, wanted, trying, up)
     assert trying <= chosen <= up and len(chosen) == max(len(trying), min(wanted, len(up)))
-    assert canaries(order, wanted, chosen, up) == chosen  # once they do, nobody else is to
+    assert choose_canaries(order, wanted, chosen, up) == chosen  # once they do, nobody else is to
 
 
 # The calls
@@ -395,20 +420,20 @@
     ],
 )
 def test_a_call_that_cannot_be_says_what_is_wrong(
-    fleet: AuditFleet, tmp_path: Path, words: list[str], says: str
+    fleet: ConfigurationFleet, tmp_path: Path, words: list[str], says: str
 ) -> None:
     (tmp_path / "bad.json").write_text("{")
     (tmp_path / "none.json").write_text("[]")
-    said = config_call.answer(fleet.members[0].driver, tmp_path, tuple(words))
+    said = operator_calls.answer(fleet.members[0].driver.rollouts, tmp_path, tuple(words))
     assert said.startswith("error ") and says in said and "\n" not in said
 
 
-def test_calls_are_carried_out(fleet: AuditFleet, tmp_path: Path) -> None:
+def test_calls_are_carried_out(fleet: ConfigurationFleet, tmp_path: Path) -> None:
     (tmp_path / "next.json").write_bytes(orjson.dumps({"settings": AFTER}))
-    driver = fleet.members[0].driver
+    rollouts = fleet.members[0].driver.rollouts
     push = ("push", "next.json", "1", "1", "60")
     said = [
-        config_call.answer(driver, tmp_path, words)
+        operator_calls.answer(rollouts, tmp_path, words)
         for words in (push, ("hold",), ("release",), ("rollback",))
     ]
     assert said == [
@@ -421,8 +446,8 @@
 
 
 def test_settings_that_cannot_be_read_raise_with_the_files_name(tmp_path: Path) -> None:
-    with pytest.raises(ConfigCallError, match="absent"):
-        config_call.read_settings(tmp_path / "absent")
+    with pytest.raises(SettingsFileError, match="absent"):
+        operator_calls.read_settings(tmp_path / "absent")
 
 
 def test_where_nobody_answers_the_command_says_so() -> None:
--- a/tests/test_control_budget.py
+++ b/tests/test_control_budget.py
@@ -20,9 +20,20 @@
 
 from hazelhollow.bench import documents, zones
 from hazelhollow.bench.fleet import Sim
-from hazelhollow.configuration import transfer
-from hazelhollow.configuration.known import KnownVersions
-from hazelhollow.configuration.stragglers import ASK_FOR, LONGEST_ASK, Rule
+from hazelhollow.configuration.admission_verdict import (
+    FETCH_TIMEOUT_S,
+    MAX_FETCH_S,
+    AdmissionRule,
+)
+from hazelhollow.configuration.distribution import codec
+from hazelhollow.configuration.distribution.fetch import (
+    FIRST_PIECE_RETRY_S,
+    MAX_PIECES_PER_BUDGETED_REQUEST,
+    PIECE_RETRY_S,
+    DocumentFetch,
+)
+from hazelhollow.configuration.distribution.source import DocumentSource
+from hazelhollow.configuration.known_versions import KnownVersions
 from hazelhollow.configuration.versions import Versions
 from hazelhollow.control_budget.budget import (
     HEADER_BYTES,
@@ -358,24 +369,28 @@
 def test_a_document_comes_whole_from_members_that_have_parts_of_it() -> None:
     """Each is asked for a few pieces, none of them twice within a while."""
     document = {"classes": [{"name": f"c{n}", "weight": n * 7919 % 1009} for n in range(400)]}
-    whole = transfer.Giver(3, document)
-    chance, total = random.Random(1), len(whole.whole())
-    takers = [transfer.Taker(3, whole.digest) for _ in range(2)]
+    whole = DocumentSource(3, document)
+    chance, total = random.Random(1), len(whole.all_pieces())
+    takers = [DocumentFetch(3, whole.digest) for _ in range(2)]
     got: list[dict[str, Any] | None] = [None, None]
     by_peer = 0
     for turn in range(4 * total):
         for number, taker in enumerate(takers):
-            text = taker.wants_few(chance, START + turn, False) if got[number] is None else None
-            asked = transfer.read(text) if text else None
-            if not isinstance(asked, transfer.Asked):
+            text = (
+                taker.next_budgeted_request(chance, START + turn, False)
+                if got[number] is None
+                else None
+            )
+            asked = codec.decode(text) if text else None
+            if not isinstance(asked, codec.PieceRequest):
                 continue
-            assert len(asked.pieces) <= transfer.FEW
+            assert len(asked.pieces) <= MAX_PIECES_PER_BUDGETED_REQUEST
             giver = whole if turn % 2 else takers[1 - number]
             by_peer += len(giver.answer(asked)) * (giver is not whole)
             for line in giver.answer(asked):
-                given_piece = transfer.read(line)
-                assert isinstance(given_piece, transfer.Given)
-                got[number] = taker.take(given_piece) or got[number]
+                given_piece = codec.decode(line)
+                assert isinstance(given_piece, codec.Piece)
+                got[number] = taker.put(given_piece) or got[number]
     assert got == [document, document] and total > 8 and by_peer > 0
 
 
@@ -388,15 +403,15 @@
 
 def test_a_piece_that_is_on_its_way_is_not_asked_for_again_at_once() -> None:
     """The first piece sooner: without it nothing is known of the others."""
-    taker, chance = transfer.Taker(3, "abc"), random.Random(1)
-    assert taker.wants_few(chance, START, False) == "d1q 3 0"
-    assert taker.wants_few(chance, START + 0.9 * transfer.FIRST_AGAIN_AFTER, False) is None
-    assert taker.wants_few(chance, START + transfer.FIRST_AGAIN_AFTER, False) == "d1q 3 0"
-    taker.take(transfer.Given(3, "abc", 0, 2, "AAAA"))
-    now = START + transfer.FIRST_AGAIN_AFTER
-    assert taker.wants_few(chance, now, False) == "d1q 3 1"
-    assert taker.wants_few(chance, now + 0.9 * transfer.AGAIN_AFTER, False) is None
-    assert taker.wants_few(chance, now + transfer.AGAIN_AFTER, False) == "d1q 3 1"
+    taker, chance = DocumentFetch(3, "abc"), random.Random(1)
+    assert taker.next_budgeted_request(chance, START, False) == "d1q 3 0"
+    assert taker.next_budgeted_request(chance, START + 0.9 * FIRST_PIECE_RETRY_S, False) is None
+    assert taker.next_budgeted_request(chance, START + FIRST_PIECE_RETRY_S, False) == "d1q 3 0"
+    taker.put(codec.Piece(3, "abc", 0, 2, "AAAA"))
+    now = START + FIRST_PIECE_RETRY_S
+    assert taker.next_budgeted_request(chance, now, False) == "d1q 3 1"
+    assert taker.next_budgeted_request(chance, now + 0.9 * PIECE_RETRY_S, False) is None
+    assert taker.next_budgeted_request(chance, now + PIECE_RETRY_S, False) == "d1q 3 1"
 
 
 def test_a_short_document_that_few_have_is_at_all_soon() -> None:
@@ -409,11 +424,11 @@
     known = {
         n: Versions("i", "p", 1 if n else 0, "new" if n else "old", 1, "d", "h") for n in range(4)
     }
-    rule = Rule(0)
-    for second in range(int(LONGEST_ASK) + 20):
-        rule.progressed(1, START + second)
-        state = rule.look(KnownVersions(known), START + second).state
-        assert state == ("asking" if second < LONGEST_ASK + ASK_FOR else "shut out")
+    rule = AdmissionRule(0)
+    for second in range(int(MAX_FETCH_S) + 20):
+        rule.piece_arrived(1, START + second)
+        state = rule.evaluate(KnownVersions(known), START + second).state
+        assert state == ("asking" if second < MAX_FETCH_S + FETCH_TIMEOUT_S else "shut out")
 
 
 # The operator file
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -22,7 +22,7 @@
 from hazelhollow.fault_injection.world import World
 from hazelhollow.net import scheduler as sch
 from hazelhollow.standins.relay import Link, Relay
-from tests.test_audit_processes import Audited
+from tests.configuration.test_audit_processes import Audited
 from tests.test_fleet_processes import states
 
 MEMBERS = 6
--- a/tests/test_scale_report.py
+++ b/tests/test_scale_report.py
@@ -16,7 +16,7 @@
 from hypothesis import assume, given
 from hypothesis import strategies as st
 
-from hazelhollow.configuration import transfer
+from hazelhollow.configuration.distribution import codec
 from hazelhollow.net import http1
 from hazelhollow.scale import budgets, report, report_claims, report_documents, results
 from hazelhollow.scale.report_claims import CLAIMS, Verdict, verdict
@@ -680,7 +680,7 @@
 def test_a_document_has_its_routes_and_unlike_ones_take_more(kind: report_documents.Routes) -> None:
     one, ten = (report_documents.measured(routes, kind) for routes in (100, 1_000))
     assert 9 < ten.size / one.size < 11 and one.travels
-    assert one.pieces == -(-one.characters // transfer.PIECE)
+    assert one.pieces == -(-one.characters // codec.PIECE_CHARACTERS)
     alike = report_documents.measured(1_000, report_documents.Routes.ALIKE)
     assert ten.characters >= alike.characters
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -12,7 +12,9 @@
 
 import pytest
 
-from hazelhollow.configuration.record import Entry, Record, Segments, unpack
+from hazelhollow.configuration.audit.entries import AuditEntry, EntryKind, decode_entries
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.audit.segments import SegmentWriter
 from hazelhollow.replication import snapshot
 from hazelhollow.storage.append_file import AppendFile
 from hazelhollow.storage.writer import BackgroundWriter, WriteJob
@@ -110,38 +112,38 @@
     assert file.load(NOW + 3.0) == saved(NOW + 2.0)
 
 
-def entries(folder: Path) -> list[Entry | str]:
-    return [one for path in sorted(folder.iterdir()) for one in unpack(path.read_bytes())]
+def entries(folder: Path) -> list[AuditEntry | str]:
+    return [one for path in sorted(folder.iterdir()) for one in decode_entries(path.read_bytes())]
 
 
 @pytest.mark.parametrize("within", [0.0, 0.001])
 def test_the_record_is_written_when_the_disk_goes_on(
     disk: Disk, tmp_path: Path, within: float
 ) -> None:
-    record = Record(4, 1, Segments(tmp_path, 4, 1, disk.writer))
-    record.add(NOW, "settings", "aaaa")
+    record = AuditRecord(4, 1, SegmentWriter(tmp_path, 4, 1, disk.writer))
+    record.add(NOW, EntryKind.SETTINGS, "aaaa")
     record.flush()
     assert not record.written(within)
-    record.add(NOW + 1.0, "settings", "bbbb")
+    record.add(NOW + 1.0, EntryKind.SETTINGS, "bbbb")
     record.close()
     assert entries(tmp_path) == []
     disk.go_on()
-    assert entries(tmp_path) == list(record.kept)
+    assert entries(tmp_path) == list(record.entries)
 
 
 def test_what_must_be_on_record_is_waited_for_within_a_bound(tmp_path: Path) -> None:
-    segments = Segments(tmp_path, 4, 1, BackgroundWriter())
-    record = Record(4, 1, segments)
-    record.add(NOW, "settings", "aaaa")
+    segments = SegmentWriter(tmp_path, 4, 1, BackgroundWriter())
+    record = AuditRecord(4, 1, segments)
+    record.add(NOW, EntryKind.SETTINGS, "aaaa")
     record.flush()
-    assert record.written(LONG) and entries(tmp_path) == list(record.kept)
+    assert record.written(LONG) and entries(tmp_path) == list(record.entries)
     disk = Disk()
-    behind = Record(4, 2, Segments(tmp_path, 4, 2, disk.writer))
-    behind.add(NOW, "settings", "aaaa")
+    behind = AuditRecord(4, 2, SegmentWriter(tmp_path, 4, 2, disk.writer))
+    behind.add(NOW, EntryKind.SETTINGS, "aaaa")
     behind.flush()
     assert not behind.written(0.001)
     disk.go_on()
-    assert behind.written() and Record(4, 3).written()
+    assert behind.written() and AuditRecord(4, 3).written()
 
 
 def test_records_are_appended_and_a_file_that_cannot_be_opened_is_said_once(
