--- a/hazelhollow/configuration/adoption.py
+++ b/hazelhollow/configuration/adoption.py
@@ -135,7 +135,7 @@
         state = self._state
         unusable = ""
         if settings.digest != state.in_force.digest():
-            unusable = state.limiter.check(settings.document)
+            unusable = state.limiter.check_settings(settings.document)
         if unusable:
             self._refuse(settings, unusable)
             return False
@@ -168,7 +168,7 @@
             return
         state.in_force.number(settings.revision)
         if settings.invitation:
-            state.rollout.join(settings.invitation.candidate, state.limiter.figures())
+            state.rollout.join(settings.invitation.candidate, state.limiter.request_counts())
             state.activity.rollout(RolloutEvent.TAKEN, settings.reason, state.in_force.revision())
         else:
             state.rollout.end()
--- a/hazelhollow/configuration/audit/activity.py
+++ b/hazelhollow/configuration/audit/activity.py
@@ -21,19 +21,19 @@
 class ObservedLimiter(Protocol):
     """What the record asks of the limiter."""
 
-    def listed(self) -> tuple[int, str]:
+    def endpoint_list(self) -> tuple[int, str]:
         """The index of its endpoint list, and the address of discovery."""
 
-    def out(self) -> set[str]:
+    def disabled_hosts(self) -> set[str]:
         """Hosts that operators have disabled."""
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         """Counts that only grow: requests, served, refused, failed."""
 
-    def sent(self) -> Counter[str]:
+    def take_attempts(self) -> Counter[str]:
         """Attempts by host since the last call."""
 
-    def samples(self) -> list[str]:
+    def take_samples(self) -> list[str]:
         """Ids of some or all requests since the last call."""
 
 
@@ -64,13 +64,13 @@
 
     def endpoints(self, revision: int) -> None:
         """Its endpoint list, and the hosts that operators have disabled."""
-        disabled = self._limiter.out()
+        disabled = self._limiter.disabled_hosts()
         if disabled != self._disabled_hosts:
             self._disabled_hosts = set(disabled)
             digest = versions.overrides_digest(disabled)
             hosts = dict.fromkeys(sorted(disabled), 1)
             self._add(EntryKind.OVERRIDES, digest, hosts=hosts, revision=revision)
-        index = self._limiter.listed()[0]
+        index = self._limiter.endpoint_list()[0]
         if index != self._list_index:
             reason = (
                 ""
@@ -91,15 +91,15 @@
 
     def second(self, digest: str, revision: int) -> None:
         """What was done in the last second, under these settings."""
-        figures = self._limiter.figures()
+        figures = self._limiter.request_counts()
         counts = {name: count - self._figures.get(name, 0) for name, count in figures.items()}
         self._figures = figures
-        hosts = self._limiter.sent()
+        hosts = self._limiter.take_attempts()
         if any(counts.values()) or hosts:
             more: dict[str, Any] = {
                 "counts": counts,
                 "hosts": dict(hosts),
-                "samples": self._limiter.samples(),
+                "samples": self._limiter.take_samples(),
             }
             self._add(EntryKind.ACTIVITY, digest, revision=revision, **more)
 
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -33,14 +33,12 @@
 from hazelhollow.control_budget.budget import RoleBudget
 from hazelhollow.membership.driver import Driver as FleetDriver
 from hazelhollow.membership.seal import Seal
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.scheduler import Scheduler
 
 DISK_CHECK_INTERVAL_S = 0.005  # while settings wait until they are on disk
 SLICE_INTERVAL_S = 0.002  # between steps of long work on documents
 
-log = logging.getLogger(__name__)
-
 
 @dataclass(frozen=True)
 class Connections:
@@ -55,7 +53,7 @@
     """
 
     scheduler: Scheduler
-    peers: Peers
+    peers: PeerSocket
     membership: FleetDriver
     authenticator: Seal
     limiter: ConfigurableLimiter
--- a/hazelhollow/configuration/rollout_control.py
+++ b/hazelhollow/configuration/rollout_control.py
@@ -49,7 +49,9 @@
     def tick(self, now: float, may_admit: bool) -> None:
         """Holds or releases the candidate, if it is time; `may_admit`: the member takes work."""
         state = self._state
-        verdict = state.rollout.evaluate(state.known(), state.limiter.figures(), now, may_admit)
+        verdict = state.rollout.evaluate(
+            state.known(), state.limiter.request_counts(), now, may_admit
+        )
         if verdict is None:
             return
         if verdict.event is RolloutEvent.HELD:
@@ -68,12 +70,12 @@
         """
         state = self._state
         self._check_push(revision, canaries, document)
-        unusable = state.limiter.take(document)
+        unusable = state.limiter.apply_settings(document)
         if unusable:
             raise RolloutRefusedError(unusable)
         self._adoption.cancel()
         state.in_force.number(revision)
-        state.rollout.push(canaries, state.clock() + after, state.limiter.figures())
+        state.rollout.push(canaries, state.clock() + after, state.limiter.request_counts())
         self._record(
             RolloutEvent.PUSHED, f"{canaries} members try it, all act on it after {after:g} s"
         )
--- a/hazelhollow/configuration/state.py
+++ b/hazelhollow/configuration/state.py
@@ -17,7 +17,7 @@
 from hazelhollow.configuration.rollout import CanaryRollout
 from hazelhollow.configuration.versions import Candidate, Versions
 from hazelhollow.decisions import gossip_codec as gossip
-from hazelhollow.net.sparse import Sparse
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 
 log = logging.getLogger(__name__)
 
@@ -25,13 +25,13 @@
 class ConfigurableLimiter(ObservedLimiter, Protocol):
     """What is asked of the limiter."""
 
-    def document(self) -> Mapping[str, Any]:
+    def settings_document(self) -> Mapping[str, Any]:
         """The settings document that it acts on; another object whenever they change."""
 
-    def check(self, document: Mapping[str, Any]) -> str:
+    def check_settings(self, document: Mapping[str, Any]) -> str:
         """Why a running limiter cannot use settings of another member; empty if it can."""
 
-    def take(self, document: Mapping[str, Any]) -> str:
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
         """Acts on settings of another member from now on, unless it cannot: then why."""
 
 
@@ -57,7 +57,7 @@
 
     def digest(self) -> str:
         """The digest of the settings."""
-        document = self._limiter.document()
+        document = self._limiter.settings_document()
         if self._document is not document:
             self._set(document, versions.settings_digest(document))
         return self._digest
@@ -70,9 +70,9 @@
 
     def take(self, digest: str, document: Mapping[str, Any]) -> str:
         """Has the limiter act on a document of a known digest; why it cannot, or nothing."""
-        reason = self._limiter.take(document) if digest != self.digest() else ""
+        reason = self._limiter.apply_settings(document) if digest != self.digest() else ""
         if not reason:
-            self._set(self._limiter.document(), digest)
+            self._set(self._limiter.settings_document(), digest)
         return reason
 
     def number(self, revision: int) -> None:
@@ -128,12 +128,12 @@
         self.in_force = SettingsInForce(parts.limiter, parts.file_revision)
         self.admission, self.rollout = AdmissionRule(parts.me), CanaryRollout(parts.me)
         self.activity = ActivityRecorder(parts.me, parts.record, parts.limiter, parts.clock)
-        self.log = Sparse(log, parts.clock)  # for what others can cause many times
+        self.log = RateLimitedLog(log, parts.clock)  # for what others can cause many times
         self.peers = KnownVersions()  # this member's own versions are brought up by `known`
 
     def versions(self) -> Versions:
         """What this member acts on now."""
-        list_index, discovery = self.limiter.listed()
+        list_index, discovery = self.limiter.endpoint_list()
         return Versions(
             gossip.DIALECT,
             versions.program_digest(__version__),
@@ -141,7 +141,7 @@
             self.in_force.digest(),
             versions.bounded_list_index(list_index),
             versions.discovery_digest(discovery),
-            versions.overrides_digest(self.limiter.out()),
+            versions.overrides_digest(self.limiter.disabled_hosts()),
             self.rollout.candidate,
         )
 
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -29,8 +29,8 @@
 from hazelhollow.membership.records import pack_address
 from hazelhollow.membership.seal import Seal, read_keys
 from hazelhollow.membership.view import View
-from hazelhollow.net.limiter import Decisions
-from hazelhollow.net.peers import Peers
+from hazelhollow.net.engine_driver import Decisions
+from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.service import Service
 from hazelhollow.operator import live_changes, load, logs
 from hazelhollow.operator.commands import fail
@@ -62,22 +62,22 @@
     def __init__(self, service: Service) -> None:
         self._service = service
 
-    def document(self) -> Mapping[str, Any]:
+    def settings_document(self) -> Mapping[str, Any]:
         return self._service.document
 
-    def check(self, document: Mapping[str, Any]) -> str:
+    def check_settings(self, document: Mapping[str, Any]) -> str:
         return self._service.check_settings(document)
 
-    def take(self, document: Mapping[str, Any]) -> str:
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
         return self._service.take_settings(document)
 
-    def listed(self) -> tuple[int, str]:
+    def endpoint_list(self) -> tuple[int, str]:
         return self._service.table.version, ":".join(map(str, self._service.watch.address))
 
-    def out(self) -> set[str]:
+    def disabled_hosts(self) -> set[str]:
         return self._service.banned
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         stats = self._service.stats
         return {
             "requests": stats.requests,
@@ -86,11 +86,11 @@
             "failed": stats.failed,
         }
 
-    def sent(self) -> Counter[str]:
+    def take_attempts(self) -> Counter[str]:
         counts, self._service.limiter.sent = self._service.limiter.sent or Counter(), Counter()
         return counts
 
-    def samples(self) -> list[str]:
+    def take_samples(self) -> list[str]:
         found, self._service.limiter.samples = self._service.limiter.samples, []
         return found
 
@@ -192,7 +192,7 @@
         if terms.audit:
             self._begin_audit(service, self.fleet, terms.audit)
 
-    def _begin_control(self, service: Service, peers: Peers, terms: ControlSettings) -> None:
+    def _begin_control(self, service: Service, peers: PeerSocket, terms: ControlSettings) -> None:
         self._budget = LimiterBudget(
             terms.bytes_per_s, peers, service.scheduler.clock, self.seal.length
         )
--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -23,7 +23,7 @@
 from hazelhollow.configuration.distribution.source import DocumentSource
 from hazelhollow.configuration.versions import shared_settings
 from hazelhollow.net import http1
-from hazelhollow.net import scheduler as sch
+from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale import settings
 from hazelhollow.scale.budgets import PLANNED
 from hazelhollow.scale.load import populate
@@ -123,7 +123,7 @@
     @property
     def taken(self) -> bool:
         """Whether a limiter takes an answer of that size."""
-        return self.size <= http1.MOST_BODY
+        return self.size <= http1.MAX_BODY_BYTES
 
 
 @cache
@@ -133,7 +133,7 @@
 
 
 def _list_size(servers: int) -> int:
-    discovery = Discovery(sch.Scheduler(sch.Clock()))
+    discovery = Discovery(Scheduler(Clock()))
     for number in range(servers):
         name = f"server-{number:05d}"
         address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379"
--- a/tests/configuration/configuration_fleet.py
+++ b/tests/configuration/configuration_fleet.py
@@ -120,31 +120,31 @@
 
     # The limiter
 
-    def document(self) -> Mapping[str, Any]:
+    def settings_document(self) -> Mapping[str, Any]:
         return self.acts_on
 
-    def check(self, document: Mapping[str, Any]) -> str:
+    def check_settings(self, document: Mapping[str, Any]) -> str:
         return self.cannot_take(document)
 
-    def take(self, document: Mapping[str, Any]) -> str:
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
         trouble = self.cannot_take(document)
         if not trouble:
             self.acts_on = dict(document)
         return trouble
 
-    def listed(self) -> tuple[int, str]:
+    def endpoint_list(self) -> tuple[int, str]:
         return 1, ""
 
-    def out(self) -> set[str]:
+    def disabled_hosts(self) -> set[str]:
         return set()
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         return dict(self.counts)
 
-    def sent(self) -> Counter[str]:
+    def take_attempts(self) -> Counter[str]:
         return Counter()
 
-    def samples(self) -> list[str]:
+    def take_samples(self) -> list[str]:
         return []
 
     # What happens to it
