--- /dev/null
+++ b/tests/configuration/test_admission_verdict.py
@@ -0,0 +1,106 @@
+"""When a member with older settings may take new work."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from hazelhollow.configuration.admission_verdict import (
+    FETCH_TIMEOUT_S,
+    MIN_OPEN_S,
+    MIN_SERVING_SHARE,
+    AdmissionRule,
+)
+from hazelhollow.configuration.known_versions import KnownVersions
+from tests.configuration.audit_entries import NEW, OLD, OTHER
+
+
+def test_a_member_is_shut_out_when_nobody_gives_the_newer_settings() -> None:
+    """Two members act on newer settings and never give them; the third stops taking new work."""
+    rule, known = AdmissionRule(2), {0: NEW, 1: NEW, 2: OLD}
+    assert AdmissionRule(2).evaluate(KnownVersions({2: OLD, 1: OLD}), 0.0).state == "current"
+    verdict = rule.evaluate(KnownVersions(known), 100.0)
+    assert (verdict.state, verdict.rejects_new_work, verdict.holders) == ("asking", False, (0, 1))
+    verdict = rule.evaluate(KnownVersions(known), 100.0 + FETCH_TIMEOUT_S)
+    assert (
+        verdict.state == "shut out" and verdict.rejects_new_work and verdict.holders == (0, 1)
+    )  # a later giver is still welcome
+    assert rule.evaluate(KnownVersions({0: NEW, 1: NEW, 2: NEW}), 106.0).state == "current"
+
+
+def test_a_member_that_has_just_started_takes_no_work_on_old_settings() -> None:
+    """A member starts on old files. It rejects new work from the first moment on."""
+    assert (
+        AdmissionRule(2)
+        .evaluate(KnownVersions({0: NEW, 1: NEW, 2: OLD}), 100.0, just_started=True)
+        .rejects_new_work
+    )
+    assert (
+        not AdmissionRule(2)
+        .evaluate(KnownVersions({0: OLD, 1: OLD, 2: OLD}), 100.0, just_started=True)
+        .rejects_new_work
+    )
+
+
+def test_unusable_settings_shut_a_member_out_until_there_is_a_newer_revision() -> None:
+    """The newer settings need a restart: the member is shut out, and asks anew for the next."""
+    rule = AdmissionRule(2)
+    rule.evaluate(KnownVersions({0: NEW, 1: NEW, 2: OLD}), 100.0)
+    rule.settings_refused(2, "plans differ")
+    verdict = rule.evaluate(KnownVersions({0: NEW, 1: NEW, 2: OLD}), 100.5)
+    assert verdict.state == "shut out" and verdict.reason == "plans differ"
+    newer = NEW._replace(revision=3)
+    assert rule.evaluate(KnownVersions({0: newer, 1: newer, 2: OLD}), 101.0).state == "asking"
+
+
+@given(st.integers(1, 12), st.data())
+def test_half_of_the_members_serve_whoever_is_behind(members: int, data: st.DataObject) -> None:
+    """Nobody gives the newer settings to those that are behind; enough of them go on serving."""
+    new = data.draw(st.sets(st.integers(0, members - 1), min_size=1))
+    known = {n: NEW if n in new else OLD for n in range(members)}
+    serving = 0
+    for number in range(members):
+        rule = AdmissionRule(number)
+        rule.evaluate(KnownVersions(known), 0.0)
+        serving += not rule.evaluate(KnownVersions(known), FETCH_TIMEOUT_S).rejects_new_work
+    assert serving >= MIN_SERVING_SHARE * members and serving >= len(new)
+
+
+def test_a_contradiction_shuts_nobody_out() -> None:
+    """Two members act on different settings of one revision. Nobody can say which is meant."""
+    for me, own in ((0, NEW), (1, OTHER), (2, OLD)):
+        rule = AdmissionRule(me)
+        for now in (0.0, FETCH_TIMEOUT_S + 1.0):
+            verdict = rule.evaluate(
+                KnownVersions({0: NEW, 1: OTHER, 2: own if me == 2 else OLD}), now
+            )
+            assert (
+                verdict.state == "contradiction"
+                and not verdict.rejects_new_work
+                and "2 settings" in verdict.reason
+            )
+
+
+def test_the_greatest_revision_counts_and_not_the_majority() -> None:
+    assert (
+        AdmissionRule(0).evaluate(KnownVersions({0: NEW, 1: OLD, 2: OLD, 3: OLD}), 0.0).state
+        == "current"
+    )
+    back = OLD._replace(
+        revision=3
+    )  # rolled back on purpose: the old settings under a greater order
+    assert AdmissionRule(0).evaluate(KnownVersions({0: NEW, 1: back}), 0.0).state == "asking"
+
+
+def test_flapping_revisions_do_not_open_and_shut_a_member_at_every_tick() -> None:
+    """A newer revision comes, goes and comes again. The member stays open for a while."""
+    rule, low, high = AdmissionRule(2), {0: OLD, 1: OLD, 2: OLD}, {0: NEW, 1: NEW, 2: OLD}
+    rule.evaluate(KnownVersions(high), 0.0)
+    assert rule.evaluate(KnownVersions(high), FETCH_TIMEOUT_S).rejects_new_work
+    assert not rule.evaluate(
+        KnownVersions(low), FETCH_TIMEOUT_S + 0.1
+    ).rejects_new_work  # the newer order is gone again
+    rule.evaluate(KnownVersions(high), FETCH_TIMEOUT_S + 0.2)
+    rule.settings_refused(2, "no")
+    assert rule.evaluate(KnownVersions(high), FETCH_TIMEOUT_S + 0.3).state == "behind"
+    assert rule.evaluate(KnownVersions(high), FETCH_TIMEOUT_S + 0.1 + MIN_OPEN_S).rejects_new_work
--- a/tests/configuration/test_audit_processes.py
+++ b/tests/configuration/test_audit_processes.py
@@ -59,9 +59,10 @@
     one.cluster.close()
 
 
-def test_settings_given_to_one_reach_all_also_one_that_was_dead_and_the_record_says_who_gave_them(
+def test_settings_reach_all_members_and_one_that_was_dead(
     audited: Audited,
 ) -> None:
+    """One of three is dead while settings change, and comes back on its old files."""
     audited.cluster.processes.kill("n2")
     audited.change("n0", 1)
     audited.until(lambda: audited.orders("n0", "n1") == [1, 1])
@@ -120,7 +121,7 @@
     assert [span.revision for span in audited.records().members[number].spans] == [0, 1]
 
 
-def test_running_limiters_tell_what_they_have_written_down(audited: Audited) -> None:
+def test_running_limiters_tell_their_records(audited: Audited) -> None:
     audited.change("n0", 1)
     audited.until(lambda: audited.orders() == [1, 1, 1])
 
@@ -140,9 +141,10 @@
     assert not live().findings
 
 
-def test_one_that_cannot_take_the_newer_settings_takes_nothing_new_until_it_is_started_again(
+def test_a_member_that_needs_a_restart_for_newer_settings_is_shut_out(
     audited: Audited,
 ) -> None:
+    """The newer settings change a plan, which no running limiter takes; it needs a restart."""
     audited.change("n0", FIRST_PLAN_REVISION)
     audited.until(lambda: b'"reload_failure":1' in audited.call("n0", "vars"))
     assert audited.orders() == [0, 0, 0]  # what it cannot take live it does not claim to act on
@@ -167,7 +169,8 @@
     audited.until(lambda: audited.state("n0", 2) == "alive")
 
 
-def test_where_most_are_behind_half_of_them_serve_on(audited: Audited) -> None:
+def test_half_of_the_processes_serve_on_when_most_are_behind(audited: Audited) -> None:
+    """Two of three cannot use the newer settings; one of these goes on serving."""
     audited.cluster.processes.kill("n0")
     audited.cluster.write_files("n0", FIRST_PLAN_REVISION)
     audited.cluster.processes.start("n0")
@@ -178,7 +181,8 @@
     assert audited.call("n1", "check").startswith(b"done")
 
 
-def test_two_meanings_of_one_order_shut_nobody_out_and_are_said_and_found(audited: Audited) -> None:
+def test_two_settings_under_one_revision_on_two_sides_of_a_partition(audited: Audited) -> None:
+    """Each side of a partition gets other settings under one revision; all serve on."""
     number = audited.apart(("n0",))
     audited.change("n0", 1)
     audited.cluster.write_files("n1", 2)  # other settings, under the same number
@@ -202,9 +206,10 @@
     )
 
 
-def test_a_drill_of_a_change_through_loss_a_pause_and_a_kill_finds_the_audit_right(
+def test_the_audit_is_right_through_loss_a_pause_and_a_kill(
     tmp_path: Path,
 ) -> None:
+    """Settings change while datagrams are lost and members stand still or are killed."""
     events = (
         plan.Event(at=2.0, what="lose", whom=("*",), others=("*",), lasts=6.0, amount=0.2),
         plan.Event(at=2.5, what="pause", whom=("n3",), lasts=3.0),
@@ -230,7 +235,7 @@
     assert not found["audit_findings"] and found["requests"] > 300
 
 
-def test_settings_are_tried_by_some_and_go_on_without_the_member_that_was_given_them(
+def test_a_rollout_goes_on_without_its_leader(
     audited: Audited,
 ) -> None:
     """The one that was given them is killed, and comes back on its old files.
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -66,7 +66,7 @@
 
 
 @given(documents, documents)
-def test_a_base_and_its_changes_make_the_new_document_and_leave_the_base_alone(
+def test_a_delta_makes_the_new_document_and_leaves_the_base_alone(
     base: dict[str, Any], new: dict[str, Any]
 ) -> None:
     before = copy.deepcopy(base)
@@ -76,7 +76,7 @@
     assert compute_delta(new, new) == [] and compute_delta(copy.deepcopy(new), new) == []
 
 
-def test_a_list_in_which_two_entries_have_one_name_is_replaced() -> None:
+def test_a_list_with_a_name_that_stands_twice_is_replaced() -> None:
     base = {"grades": [{"name": "a", "x": 1}, {"name": "a", "x": 2}]}
     new = {"grades": [{"name": "a", "x": 3}, {"name": "a", "x": 2}]}
     assert (
@@ -85,7 +85,7 @@
     )
 
 
-def test_what_did_not_change_is_the_bases_own() -> None:
+def test_what_did_not_change_is_shared_with_the_base() -> None:
     made = apply_delta(BASE, compute_delta(BASE, NEW))
     assert [made["grades"][n] is BASE["grades"][n] for n in range(9)] == [n != 4 for n in range(9)]
 
@@ -113,9 +113,7 @@
         ({**BASE, "grades": BASE["grades"][::-1]}, [["=", ["grades"], BASE["grades"][::-1]]]),
     ],
 )
-def test_changes_are_told_as_shortly_as_they_can_be(
-    new: dict[str, Any], changes: list[Change]
-) -> None:
+def test_a_delta_is_as_short_as_it_can_be(new: dict[str, Any], changes: list[Change]) -> None:
     assert compute_delta(BASE, new) == changes
 
 
@@ -140,7 +138,8 @@
         [["=", 3, 1]],
     ],
 )
-def test_changes_that_do_not_fit_are_an_error_and_nothing_else(changes: list[Any]) -> None:
+def test_a_delta_that_does_not_fit_raises_value_error(changes: list[Any]) -> None:
+    """A peer gives changes of another base, or nonsense. Nothing but ValueError may come of it."""
     before = copy.deepcopy(BASE)
     with pytest.raises(ValueError):
         apply_delta(BASE, changes)
@@ -215,7 +214,8 @@
 
 
 @pytest.mark.parametrize("lose", [0.0, 0.4])
-def test_a_difference_in_many_pieces_comes_whole_through_loss_and_any_order(lose: float) -> None:
+def test_a_long_delta_is_assembled_through_loss_and_reordering(lose: float) -> None:
+    """Datagrams are lost and reordered; the delta is applied all the same."""
     chance = random.Random(3)
     base: dict[str, Any] = {
         "grades": [{"name": f"class-{n}", "key": chance.random()} for n in range(2_000)],
@@ -236,7 +236,8 @@
     )
 
 
-def test_one_whose_settings_nobody_knows_is_given_the_whole_document() -> None:
+def test_a_member_with_unknown_settings_gets_the_whole_document() -> None:
+    """Nobody knows the settings from which the delta is wanted, and three members say so."""
     document, asked = talk(taker(), giver().answer_at_once)
     assert document == apply_delta(
         KNOWN.document, compute_delta(KNOWN.document, shared_settings(NEW))
@@ -246,8 +247,8 @@
     assert set(bases[MAX_DELTA_REFUSALS:]) == {""}
 
 
-def test_members_that_know_of_no_differences_are_asked_for_the_whole_document() -> None:
-    """A program of the release before says nothing to an ask that it cannot read."""
+def test_a_release_without_deltas_is_asked_for_the_whole_document() -> None:
+    """A program of the release before does not answer a request that it cannot read."""
     whole = giver()
     document, asked = talk(taker(), lambda said: [] if said.base else whole.answer_at_once(said))
     assert (
@@ -256,8 +257,8 @@
     )
 
 
-def test_the_whole_is_asked_for_where_the_only_holder_knows_no_difference() -> None:
-    """One that began with the new settings has no others as a base."""
+def test_the_only_holder_has_no_delta() -> None:
+    """The only holder started with the new settings and has no others as a base."""
     one, origin = taker(), giver()
     assert one.delta_holders([5]) == [5]
     (refusal,) = origin.answer_at_once(codec.PieceRequest(ORDER, (), one.base))
@@ -273,7 +274,8 @@
     assert isinstance(given_, codec.Piece) and one.put(given_) is not None
 
 
-def test_a_difference_that_makes_another_document_is_thrown_away_and_the_whole_asked_for() -> None:
+def test_a_wrong_delta_is_discarded_for_the_whole_document() -> None:
+    """A member gives a delta that makes another document than the announced one."""
     wrong = codec.encode_piece(
         codec.Piece(ORDER, settings_digest(NEW), 0, 1, packed([["-", ["step"]]])[0], KNOWN.digest)
     )
@@ -286,7 +288,8 @@
 
 
 @pytest.mark.parametrize("told", ["whole", "other base", "other order"])
-def test_pieces_of_something_else_do_not_enter_a_difference(told: str) -> None:
+def test_pieces_of_something_else_do_not_enter_a_delta(told: str) -> None:
+    """Pieces of another base, of another revision and of the whole document arrive meanwhile."""
     one, right = taker(), giver(NEW, KNOWN)
     text = packed([["-", ["step"]]])[0]
     digest, base = settings_digest(NEW), KNOWN.digest
@@ -299,7 +302,8 @@
     assert talk(one, right.answer_at_once)[0] is not None
 
 
-def test_a_refusal_of_something_else_does_not_end_the_asking_for_a_difference() -> None:
+def test_refusals_of_another_delta_do_not_count() -> None:
+    """Members say that they lack a delta that nobody asked for."""
     one = taker()
     for sender in range(10):
         one.delta_refused(sender, codec.DeltaUnavailable(ORDER, "zzzz"))
@@ -308,7 +312,7 @@
     assert one.base == KNOWN.digest
 
 
-def test_a_difference_as_long_as_the_document_is_not_given() -> None:
+def test_a_delta_as_long_as_the_document_is_not_given() -> None:
     chance = random.Random(4)
     base, new = (
         {"grades": [{"name": f"{n}", "key": chance.random()} for n in range(60)]} for _ in range(2)
@@ -318,7 +322,7 @@
     assert codec.decode(text) == codec.DeltaUnavailable(ORDER, known.digest)
 
 
-def test_members_that_lack_the_same_difference_give_each_other_its_pieces() -> None:
+def test_members_give_each_other_pieces_of_a_delta_that_both_lack() -> None:
     chance = random.Random(5)
     base = {"grades": [{"name": f"class-{n}", "key": chance.random()} for n in range(400)]}
     new = {
--- /dev/null
+++ b/tests/configuration/test_fetch.py
@@ -0,0 +1,115 @@
+"""A whole document on its way, piece by piece, and datagrams that are malformed."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from hazelhollow.configuration import versions
+from hazelhollow.configuration.distribution import codec
+from hazelhollow.configuration.distribution.fetch import DocumentFetch
+from hazelhollow.configuration.distribution.incremental import unpack
+from hazelhollow.configuration.distribution.source import DocumentSource
+
+DOCUMENT = {
+    "position": 3,
+    "zone": "b",
+    "grades": [{"name": f"class-{n}", "objective": n / 7} for n in range(60)],
+}
+
+
+@pytest.mark.parametrize("lose", [0.0, 0.3])
+def test_a_document_is_assembled_through_loss_duplicates_and_reordering(lose: float) -> None:
+    """Datagrams are lost, doubled and reordered; the document is complete and right in the end."""
+    chance, giver = random.Random(1), DocumentSource(4, DOCUMENT)
+    taker, got = DocumentFetch(4, giver.digest), None
+    for _ in range(200):
+        asked = codec.decode(taker.next_request(False))
+        assert isinstance(asked, codec.PieceRequest) and len(taker.next_request(False)) <= 256
+        answers = giver.answer_at_once(asked)
+        for text in chance.sample([*answers, *answers], 2 * len(answers)):
+            given_ = codec.decode(text)
+            # room for the keyed hash
+            assert isinstance(given_, codec.Piece) and len(text) <= 256 - 18
+            if chance.random() >= lose and got is None:
+                got = taker.put(given_)
+        if got is not None:
+            break
+    assert got == versions.shared_settings(DOCUMENT)
+
+
+def test_pieces_of_another_document_are_ignored_and_nonsense_is_discarded() -> None:
+    """A member gives another document, or a text that cannot be unpacked. Neither is taken."""
+    giver = DocumentSource(4, DOCUMENT)
+    for taker in (DocumentFetch(4, "zzzz"), DocumentFetch(5, giver.digest)):
+        asked = codec.decode(taker.next_request(False))
+        assert isinstance(asked, codec.PieceRequest)
+        assert [
+            taker.put(given_)
+            for text in giver.answer_at_once(asked)
+            if isinstance(given_ := codec.decode(text), codec.Piece)
+        ] in ([], [None])
+    forged = DocumentFetch(4, giver.digest)
+    assert forged.put(codec.Piece(4, giver.digest, 0, 1, "AAAA")) is None  # whole, and nonsense
+    assert (
+        isinstance(codec.decode(forged.next_request(False)), codec.PieceRequest)
+        and not forged._whole._texts
+    )
+
+
+def test_late_pieces_of_an_older_document_are_ignored() -> None:
+    """Pieces of the revision before arrive between those of the new one."""
+    giver, older = DocumentSource(4, DOCUMENT), DocumentSource(3, {**DOCUMENT, "step": 2})
+    taker, got = DocumentFetch(4, giver.digest), []
+    for n, text in enumerate(giver.all_pieces()):
+        got.append(taker.put(codec.Piece(4, giver.digest, n, len(giver.all_pieces()), text)))
+        got.append(
+            taker.put(
+                codec.Piece(3, older.digest, 0, len(giver.all_pieces()), older.all_pieces()[0])
+            )
+        )
+    assert [one for one in got if one] == [versions.shared_settings(DOCUMENT)]
+
+
+def test_a_document_with_another_digest_than_announced_is_discarded() -> None:
+    """A member gives another document under the announced digest. It is complete, and not taken."""
+    other = DocumentSource(4, {"step": 2})
+    taker = DocumentFetch(4, DocumentSource(4, DOCUMENT).digest)
+    assert (
+        taker.put(codec.Piece(4, taker.digest, 0, len(other.all_pieces()), other.all_pieces()[0]))
+        is None
+        and len(other.all_pieces()) == 1
+    )
+
+
+def test_a_compressed_bomb_is_not_unpacked() -> None:
+    """A few kilobytes of text would unpack to megabytes and exhaust the memory."""
+    import base64
+    import zlib
+
+    bomb = base64.b64encode(zlib.compress(b'{"a":"' + b"x" * (8 << 20) + b'"}', 9)).decode()
+    assert unpack(bomb) is None
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "d1q",
+        "d1q 1 1-2 3 4",
+        "d1q 1 1-2 .",
+        "d1n 1",
+        "d1n 1 .",
+        "d1n 1 a b",
+        "d1g 1 ab 0-1 x .",
+        "d1g 1 ab 0-1 x a b",
+        "d1g 1 ab 3-2 x",
+        "d1g 1 ab 1-2 " + "x" * 300,
+        "d2q 1 ",
+        "d1q 1 -",
+        "d1q 1 " + "1-" * 20 + "1",
+    ],
+)
+def test_malformed_datagrams_are_ignored(text: str) -> None:
+    assert codec.decode(text) is None
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -35,7 +35,7 @@
 
 
 @given(st.lists(documents, min_size=1, max_size=6), st.data())
-def test_every_document_that_was_acted_on_can_be_had_again(
+def test_every_earlier_document_can_be_had_again(
     told: list[dict[str, Any]], data: st.DataObject
 ) -> None:
     history = SettingsHistory()
@@ -50,14 +50,14 @@
         assert history.knows(digest) and found is not None and settings_digest(found) == digest
 
 
-def test_what_was_never_acted_on_is_not_known() -> None:
+def test_settings_that_were_never_in_force_are_unknown() -> None:
     history = SettingsHistory()
     put(history, {"step": 1})
     assert not history.knows("zzzz") and history.document("zzzz") is None
 
 
 @pytest.mark.parametrize(("steps", "size", "known"), [(3, 10**6, 4), (100, 50, 3), (100, 1, 1)])
-def test_what_is_kept_is_bounded_in_steps_and_bytes(steps: int, size: int, known: int) -> None:
+def test_the_history_is_bounded_in_steps_and_bytes(steps: int, size: int, known: int) -> None:
     history = SettingsHistory(steps, size)
     digests = [put(history, {"step": 1000 + n}) for n in range(10)]
     run_to_end(history)
@@ -71,16 +71,16 @@
     return {"grades": [{"name": f"r{n}", "deadline": chance.random()} for n in range(count)]}
 
 
-def test_a_comparison_is_done_in_slices_and_says_what_all_at_once_says() -> None:
+def test_a_delta_computed_in_slices_is_that_computed_at_once() -> None:
     base, new = routes(1000, 1), routes(1000, 2)
     comparison, steps = DeltaComputation(base, new), 1
     while not comparison.step():
         steps += 1
     assert steps >= 2000 / incremental.PLACES_PER_STEP  # each route, and its deadline
-    assert comparison.changes == slices_of_one(base, new)
+    assert comparison.changes == delta_at_once(base, new)
 
 
-def slices_of_one(base: dict[str, Any], new: dict[str, Any]) -> list[Any]:
+def delta_at_once(base: dict[str, Any], new: dict[str, Any]) -> list[Any]:
     whole = DeltaComputation(base, new)
     run_to_end(whole)
     return whole.changes
@@ -96,15 +96,15 @@
 
 
 @given(documents, documents, st.integers(0, 9))
-def test_all_that_know_two_documents_make_the_same_pieces_of_their_difference(
+def test_all_members_make_the_same_pieces_of_a_delta(
     base: dict[str, Any], new: dict[str, Any], seed: int
 ) -> None:
     chance = random.Random(seed)
-    one = packed(slices_of_one(base, new))
-    assert one == packed(slices_of_one(shuffled(base, chance), shuffled(new, chance)))
+    one = packed(delta_at_once(base, new))
+    assert one == packed(delta_at_once(shuffled(base, chance), shuffled(new, chance)))
 
 
-def test_packing_is_done_in_slices_and_read_again() -> None:
+def test_packing_is_done_in_slices_and_unpacked_again() -> None:
     value = routes(3000)
     packing, steps = DocumentPacking(value, codec.PIECE_CHARACTERS), 1
     while not packing.step():
@@ -117,7 +117,7 @@
 # What a member gives, slice by slice
 
 
-class Exchange:
+class RecordedExchange:
     """One member's exchange, and what it has sent."""
 
     def __init__(self, document: dict[str, Any], earlier: dict[str, Any]) -> None:
@@ -149,8 +149,8 @@
     return new
 
 
-def test_asks_wait_until_the_difference_is_made_and_are_all_answered() -> None:
-    one = Exchange(changed(routes(2000)), routes(2000))
+def test_requests_wait_until_the_delta_is_made() -> None:
+    one = RecordedExchange(changed(routes(2000)), routes(2000))
     for number in (3, 4):
         one.exchange.receive(number, codec.encode_request(5, (), one.base), 0.0)
     assert not one.sent and one.finish() > 10
@@ -161,8 +161,9 @@
     assert len(one.sent) == 3 and not one.exchange.is_busy()
 
 
-def test_asks_that_wait_are_bounded_and_those_for_what_is_acted_on_no_more_are_forgotten() -> None:
-    one = Exchange(changed(routes(500)), routes(500))
+def test_waiting_requests_are_bounded_and_forgotten_with_the_settings() -> None:
+    """More members ask than can wait, and then the settings change again."""
+    one = RecordedExchange(changed(routes(500)), routes(500))
     for number in range(MAX_WAITING_REQUESTS + 10):
         one.exchange.receive(number, codec.encode_request(5, (), one.base), 0.0)
     one.finish()
@@ -172,8 +173,9 @@
     assert not one.exchange.is_busy()
 
 
-def test_what_is_given_a_second_is_bounded() -> None:
-    one = Exchange(routes(2000, 3), routes(2000))
+def test_the_pieces_sent_in_a_second_are_bounded() -> None:
+    """Forty members ask at once. No more than so many datagrams leave in a second."""
+    one = RecordedExchange(routes(2000, 3), routes(2000))
     pieces = range(codec.MAX_PIECES_PER_REQUEST)
     one.exchange.receive(1, codec.encode_request(5, pieces), 0.0)
     one.finish()
@@ -185,8 +187,11 @@
     assert len(one.sent) == 200 + codec.MAX_PIECES_PER_REQUEST
 
 
-def test_a_wanted_document_is_asked_for_by_the_difference_from_what_is_acted_on() -> None:
-    giver, taker = Exchange(changed(routes(300)), routes(300)), Exchange(routes(300), routes(10))
+def test_a_wanted_document_is_requested_as_a_delta() -> None:
+    giver, taker = (
+        RecordedExchange(changed(routes(300)), routes(300)),
+        RecordedExchange(routes(300), routes(10)),
+    )
     taker.exchange.fetch(WantedDocument(5, giver.digest, (0,)), {0, 1}, 0.0)
     ((number, ask),) = taker.sent
     said = codec.decode(ask)
--- a/tests/configuration/test_rollout.py
+++ b/tests/configuration/test_rollout.py
@@ -52,7 +52,7 @@
     return leader
 
 
-def test_some_try_it_and_when_nothing_speaks_against_it_all_act_on_it(
+def test_a_candidate_without_faults_is_released_to_all(
     fleet: ConfigurationFleet,
 ) -> None:
     leader = pushed(fleet)
@@ -69,7 +69,8 @@
     assert change["members"] == sorted(ALL) and change["last_old_after_s"] < 2.0
 
 
-def test_through_loss_no_more_try_it_than_should_and_all_have_it_in_the_end() -> None:
+def test_a_rollout_through_loss() -> None:
+    """Three datagrams of ten are lost. No more members try the candidate than should."""
     fleet = ConfigurationFleet(MEMBERS, BEFORE, lose=0.3)
     fleet.run(1.0)
     pushed(fleet)
@@ -78,7 +79,7 @@
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying(), longest=60.0)
 
 
-def test_held_at_one_that_tries_it_nobody_else_takes_it_until_it_is_released(
+def test_a_held_candidate_stays_with_the_canaries_until_released(
     fleet: ConfigurationFleet,
 ) -> None:
     pushed(fleet)
@@ -92,9 +93,10 @@
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying())
 
 
-def test_one_that_comes_to_try_held_settings_holds_them_from_the_beginning(
+def test_a_replacement_canary_holds_a_held_candidate(
     fleet: ConfigurationFleet,
 ) -> None:
+    """A canary of a held candidate dies. The member that takes its place holds it too."""
     leader = pushed(fleet)
     leader.driver.rollouts.hold()
     fleet.run(1.0)
@@ -110,7 +112,8 @@
     )
 
 
-def test_one_that_is_behind_cannot_be_given_a_candidate(fleet: ConfigurationFleet) -> None:
+def test_a_member_that_is_behind_refuses_a_candidate(fleet: ConfigurationFleet) -> None:
+    """A member could not use the newest settings, and an operator pushes others to it."""
     one = fleet.members[3]
     one.cannot_take = lambda document: "plans differ"
     fleet.members[0].read_file(AFTER, 1)
@@ -121,7 +124,8 @@
     )
 
 
-def test_one_that_tries_nothing_says_who_does(fleet: ConfigurationFleet) -> None:
+def test_a_member_that_is_no_canary_names_those_that_are(fleet: ConfigurationFleet) -> None:
+    """An operator asks the wrong member to hold or release."""
     assert "no settings are tried" in refusal(fleet.members[0].driver.rollouts.hold)
     pushed(fleet)
     trying = ", ".join(map(str, sorted(fleet.trying())))
@@ -131,9 +135,10 @@
     )
 
 
-def test_when_the_member_that_was_given_it_dies_it_stays_with_the_others_until_an_operator_says(
+def test_the_leader_dies(
     fleet: ConfigurationFleet,
 ) -> None:
+    """Nobody but an operator releases the candidate then; the canaries go on, with one more."""
     leader = pushed(fleet)
     rest = fleet.trying() - {leader.me}
     fleet.kill(leader.me)
@@ -148,7 +153,8 @@
     fleet.until(lambda: fleet.same(AFTER) == ALL)
 
 
-def test_when_one_that_tries_it_dies_it_is_held(fleet: ConfigurationFleet) -> None:
+def test_a_canary_dies(fleet: ConfigurationFleet) -> None:
+    """The leader sees it gone and holds the candidate."""
     leader = pushed(fleet)
     fleet.kill(max(fleet.trying() - {leader.me}))
     fleet.run(3 * BAKES)
@@ -157,7 +163,8 @@
     assert "tried it" in held.reason
 
 
-def test_when_the_member_that_was_given_it_is_cut_off_it_is_held(fleet: ConfigurationFleet) -> None:
+def test_the_leader_is_cut_off(fleet: ConfigurationFleet) -> None:
+    """The leader cannot hear the canaries and holds the candidate; after the heal so do they."""
     leader = pushed(fleet)
     trying = fleet.trying()
     fleet.cut({leader.me})
@@ -170,7 +177,8 @@
     assert all(fleet.members[n].steps()[-1] == "held" for n in trying)
 
 
-def test_one_that_waits_for_others_to_answer_does_not_judge_them(fleet: ConfigurationFleet) -> None:
+def test_a_leader_that_takes_no_work_judges_nobody(fleet: ConfigurationFleet) -> None:
+    """The leader stood still and has not heard the others yet: it must not hold them for gone."""
     leader = pushed(fleet)
     fleet.run(BAKES - 3.0)
     leader.acting = False  # it stood still, say
@@ -180,7 +188,9 @@
     fleet.until(lambda: fleet.same(AFTER) == ALL)
 
 
-def test_rolled_back_at_a_member_that_does_not_try_it(fleet: ConfigurationFleet) -> None:
+def test_a_candidate_is_rolled_back_at_a_member_that_is_no_canary(
+    fleet: ConfigurationFleet,
+) -> None:
     pushed(fleet)
     idle = fleet.members[min(ALL - fleet.trying())]
     fleet.carried.clear()
@@ -190,13 +200,13 @@
     assert idle.steps() == ["rolled back"] and not fleet.merged().findings
 
 
-def test_rolled_back_at_a_member_that_tries_it(fleet: ConfigurationFleet) -> None:
+def test_a_candidate_is_rolled_back_at_a_canary(fleet: ConfigurationFleet) -> None:
     leader = pushed(fleet)
     leader.driver.rollouts.roll_back()
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {2})
 
 
-def test_rolled_back_after_it_was_in_force_for_all(fleet: ConfigurationFleet) -> None:
+def test_settings_in_force_are_rolled_back(fleet: ConfigurationFleet) -> None:
     pushed(fleet)
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying())
     fleet.carried.clear()
@@ -205,7 +215,7 @@
     assert not fleet.carried
 
 
-def test_of_two_candidates_in_a_row_it_goes_back_to_what_was_in_force(
+def test_a_second_candidate_is_rolled_back_to_what_was_in_force(
     fleet: ConfigurationFleet,
 ) -> None:
     leader = pushed(fleet)
@@ -215,11 +225,13 @@
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {3})
 
 
-def test_one_that_has_just_begun_knows_of_nothing_earlier(fleet: ConfigurationFleet) -> None:
+def test_a_member_that_has_just_started_cannot_roll_back(fleet: ConfigurationFleet) -> None:
+    """It knows of no earlier settings, and says so."""
     assert "no earlier settings" in refusal(fleet.members[0].driver.rollouts.roll_back)
 
 
-def test_where_one_cannot_take_it_it_is_held_and_goes_no_further(fleet: ConfigurationFleet) -> None:
+def test_canaries_that_cannot_use_the_candidate(fleet: ConfigurationFleet) -> None:
+    """All canaries but the leader refuse it: too few try it, and it goes no further."""
     for number in ALL - {0}:
         fleet.members[number].cannot_take = (
             lambda document: "plans differ" if document == AFTER else ""
@@ -233,7 +245,8 @@
     assert fleet.same(BEFORE) == ALL - {0}
 
 
-def test_requests_that_fail_under_it_hold_it(fleet: ConfigurationFleet) -> None:
+def test_failing_requests_hold_a_candidate(fleet: ConfigurationFleet) -> None:
+    """A fifth of the requests fail at one canary."""
     leader = pushed(fleet)
     other = fleet.members[max(fleet.trying() - {leader.me})]
     other.counts.update(requests=MIN_REQUESTS, failed=MIN_REQUESTS // 5)
@@ -260,9 +273,10 @@
     assert bool(check.failure(now)) is troubled
 
 
-def test_two_given_under_one_order_are_taken_by_nobody_else_and_neither_is_released(
+def test_two_candidates_under_one_revision(
     fleet: ConfigurationFleet,
 ) -> None:
+    """Two operators push different settings under one revision. Neither goes further."""
     other = settings(changed=4, deadline=0.1)
     fleet.members[0].driver.rollouts.push(1, TRIED_BY, BAKES, AFTER)
     # before it has heard of the first
@@ -276,16 +290,20 @@
     fleet.until(lambda: fleet.same(BEFORE) == ALL and set(fleet.orders()) == {2})
 
 
-def test_settings_in_force_under_the_same_order_win(fleet: ConfigurationFleet) -> None:
+def test_settings_in_force_win_over_a_candidate_of_the_same_revision(
+    fleet: ConfigurationFleet,
+) -> None:
+    """An operator puts other settings in force elsewhere, under the candidate's revision."""
     pushed(fleet)
     other = settings(changed=4, deadline=0.1)
     fleet.members[min(ALL - fleet.trying())].read_file(other, 1)  # an operator elsewhere, by SIGHUP
     fleet.until(lambda: fleet.same(other) == ALL and not fleet.trying())
 
 
-def test_a_program_of_the_release_before_follows_no_candidate_and_what_is_in_force(
+def test_the_release_before_follows_no_candidate(
     fleet: ConfigurationFleet,
 ) -> None:
+    """All others run a program that knows of no canaries. They follow once it is released."""
     for number in ALL - {0}:
         fleet.members[number].earlier_release = True
     fleet.members[0].driver.rollouts.push(1, TRIED_BY, BAKES, AFTER)
@@ -306,9 +324,10 @@
         (1, 3, {"grades": []}, "no routes"),
     ],
 )
-def test_what_cannot_be_pushed_changes_nothing(
+def test_a_refused_push_changes_nothing(
     fleet: ConfigurationFleet, order: int, by: int, document: dict[str, Any], says: str
 ) -> None:
+    """The revision, the number of canaries or the settings cannot be."""
     one = fleet.members[0]
     one.cannot_take = lambda document: "" if document["grades"] else "no routes"
     assert says in refusal(lambda: one.driver.rollouts.push(order, by, BAKES, document))
@@ -316,9 +335,10 @@
     assert fleet.same(BEFORE) == ALL and not fleet.trying() and not one.steps()
 
 
-def test_the_greatest_order_counts_whether_it_is_tried_or_in_force(
+def test_a_push_must_be_above_the_tried_revisions_too(
     fleet: ConfigurationFleet,
 ) -> None:
+    """An operator pushes under a revision that others try already."""
     pushed(fleet)
     idle = fleet.members[min(ALL - fleet.trying())]
     assert "not above 1" in refusal(
@@ -326,9 +346,10 @@
     )
 
 
-def test_one_brought_up_by_others_that_reads_its_old_files_again_stays_with_them(
+def test_a_reload_of_old_files_does_not_undo_newer_settings(
     fleet: ConfigurationFleet,
 ) -> None:
+    """A member got its settings from others; SIGHUP makes it read its own old files again."""
     fleet.members[0].read_file(AFTER, 1)
     fleet.until(lambda: fleet.same(AFTER) == ALL)
     fleet.carried.clear()
@@ -339,9 +360,10 @@
     assert not [finding for finding in fleet.merged().findings if finding.kind == "contradiction"]
 
 
-def test_settings_that_a_peer_gave_are_acted_on_once_they_are_on_record_or_after_a_while(
+def test_settings_of_a_peer_wait_for_a_slow_disk(
     fleet: ConfigurationFleet,
 ) -> None:
+    """The disk stands still. Settings wait until they are on record, but not for ever."""
     one = fleet.members[3]
     fleet.slow_disk = {3}
     fleet.members[0].read_file(AFTER, 1)
@@ -366,7 +388,8 @@
     assert fleet.same(BEFORE) == ALL  # although the disk stands still
 
 
-def test_one_that_was_away_for_many_changes_is_told_them_in_a_few_datagrams() -> None:
+def test_a_member_that_missed_forty_changes_fetches_one_delta() -> None:
+    """A member was dead for forty changes. It gets them in less than half a document."""
     routes, changes = 400, 40
     fleet = ConfigurationFleet(4, settings(routes))
     fleet.run(1.0)
@@ -389,7 +412,7 @@
 @given(
     st.integers(1, 46655), st.integers(1, 35), st.sets(st.integers(0, 40), min_size=1), st.data()
 )
-def test_who_is_to_try_it_follows_from_the_order_and_the_members(
+def test_canaries_follow_from_the_revision_and_the_members(
     order: int, wanted: int, up: set[int], data: st.DataObject
 ) -> None:
     trying = data.draw(st.sets(st.sampled_from(sorted(up)), max_size=wanted))
@@ -419,9 +442,10 @@
         (["push", "none.json", "7", "3", "60"], "no settings"),
     ],
 )
-def test_a_call_that_cannot_be_says_what_is_wrong(
+def test_a_malformed_call_is_answered_with_the_error(
     fleet: ConfigurationFleet, tmp_path: Path, words: list[str], says: str
 ) -> None:
+    """An operator mistypes a call or names a file that cannot be used."""
     (tmp_path / "bad.json").write_text("{")
     (tmp_path / "none.json").write_text("[]")
     said = operator_calls.answer(fleet.members[0].driver.rollouts, tmp_path, tuple(words))
@@ -445,11 +469,13 @@
     assert fleet.members[0].steps() == ["pushed", "held", "released", "rolled back"]
 
 
-def test_settings_that_cannot_be_read_raise_with_the_files_name(tmp_path: Path) -> None:
+def test_an_unreadable_settings_file_is_named_in_the_error(tmp_path: Path) -> None:
+    """The file of a push is not there."""
     with pytest.raises(SettingsFileError, match="absent"):
         operator_calls.read_settings(tmp_path / "absent")
 
 
-def test_where_nobody_answers_the_command_says_so() -> None:
+def test_the_command_reports_a_limiter_that_does_not_answer() -> None:
+    """Nothing listens at the operator address."""
     found = CliRunner().invoke(fleet_commands, ["config", "hold", "--at", "127.0.0.1:1"])
     assert found.exit_code == 2 and "127.0.0.1:1" in found.output
--- /dev/null
+++ b/tests/configuration/test_versions.py
@@ -0,0 +1,80 @@
+"""Versions as they are encoded, their digests, and what is known of all members'."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from hazelhollow.configuration import versions
+from hazelhollow.configuration.known_versions import KnownVersions
+from hazelhollow.configuration.versions import MAX_CANARIES, Candidate, Phase, Versions
+from hazelhollow.membership.messages import MOST_VERSIONS
+from hazelhollow.membership.records import ALIVE, DEAD
+from hazelhollow.membership.records import Record as FleetRecord
+from tests.configuration.audit_entries import NEW, OLD, OTHER
+
+
+@given(
+    st.builds(
+        Versions,
+        st.sampled_from("hij"),
+        st.just("4pz"),
+        st.integers(0, 46655),
+        st.just("k3f9"),
+        st.integers(0, 36**4 - 1),
+        st.just("a1c"),
+        st.just("z0q1"),
+        st.none() | st.builds(Candidate, st.integers(1, MAX_CANARIES), st.sampled_from(Phase)),
+    )
+)
+def test_versions_survive_encoding_and_fit_the_membership_record(one: Versions) -> None:
+    assert (
+        versions.decode(versions.encode(one)) == one and len(versions.encode(one)) <= MOST_VERSIONS
+    )
+
+
+@pytest.mark.parametrize(
+    "text",
+    ["", "i", "i" * 21, "i" * 23, "I" * 22, "-" * 22, "i" * 22 + "0b", "i" * 22 + "3x", "i" * 25],
+)
+def test_malformed_versions_are_ignored(text: str) -> None:
+    assert versions.decode(text) is None
+
+
+def test_the_settings_digest_ignores_the_fields_of_one_limiter() -> None:
+    one = {"position": 0, "zone": "a", "tariffs": [{"name": "gold"}], "step": 1}
+    other = {"step": 1, "tariffs": [{"name": "gold"}], "position": 4, "zone": "b"}
+    assert (
+        versions.settings_digest(one)
+        == versions.settings_digest(other)
+        != versions.settings_digest({**one, "step": 2})
+    )
+
+
+CHANGE = st.tuples(
+    st.integers(0, 4),
+    st.sampled_from(["", *map(versions.encode, (OLD, NEW, OTHER))]),
+    st.sampled_from([ALIVE, DEAD]),
+)
+
+
+@given(st.lists(CHANGE))
+def test_known_versions_follow_the_membership_records(changes: list[tuple[int, str, int]]) -> None:
+    """Members come, change and die; the newest revision is that of a pass over all of them."""
+    known, table, heard = KnownVersions(), dict[int, Versions](), dict[int, Versions]()
+    for turn, (number, text, state) in enumerate(changes):
+        known.update_from(FleetRecord(number, 1, turn, state, (), text))
+        read = versions.decode(text) if state == ALIVE else None
+        table.pop(number, None)
+        if read:
+            table[number] = read
+        revision = max((one.revision for one in table.values()), default=0)
+        assert dict(known) == table
+        assert known.newest() == (
+            revision,
+            {one.settings for one in table.values() if one.revision == revision},
+        )
+        if turn % 3 == 0:
+            heard.update(known.take_changed())
+            assert {n: heard[n] for n in table} == table
