--- a/hazelhollow/bench/documents.py
+++ b/hazelhollow/bench/documents.py
@@ -21,14 +21,14 @@
 from hazelhollow.configuration.distribution.source import DocumentSource
 from hazelhollow.configuration.versions import settings_digest
 from hazelhollow.control_budget.budget import (
-    Bucket,
+    BucketSettings,
     BudgetSettings,
     ControlBudget,
-    Role,
     RoleBudget,
+    TrafficRole,
     settings_for,
 )
-from hazelhollow.control_budget.waiting import Waiting
+from hazelhollow.control_budget.send_queue import SendQueue
 
 STEP = 0.05  # seconds of the virtual clock
 LONGEST = 3600.0  # seconds until it counts as never
@@ -38,8 +38,8 @@
     """One that has the document, or takes it."""
 
     def __init__(self, settings: BudgetSettings, has: bool) -> None:
-        allowance = RoleBudget(ControlBudget(settings, 0.0), Role.CONFIGURATION)
-        self.waiting = Waiting[tuple[int, str]](allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
+        allowance = RoleBudget(ControlBudget(settings, 0.0), TrafficRole.CONFIGURATION)
+        self.waiting = SendQueue[tuple[int, str]](allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
         self.has = has
 
 
@@ -79,8 +79,10 @@
     """
     settings, chance, now = settings_for(bytes_per_s), random.Random(seed), 0.0
     if contended:
-        own = settings.roles[Role.CONFIGURATION]
-        settings = BudgetSettings(own.rate, {Role.CONFIGURATION: Bucket(own.rate, own.burst)}, 0.0)
+        own = settings.roles[TrafficRole.CONFIGURATION]
+        settings = BudgetSettings(
+            own.rate, {TrafficRole.CONFIGURATION: BucketSettings(own.rate, own.burst)}, 0.0
+        )
     all_members = [Member(settings, number < holders) for number in range(members)]
     given = _Given(texts) if texts else _changed()
     base = None if texts else BASE
@@ -102,14 +104,14 @@
                 giver = chance.choice([n for n in others if n != number])
                 if text is not None:
                     one.waiting.add(REQUEST_RANK, len(text), (giver, text), now)
-            mail += [(number, to, text) for to, text in one.waiting.due(now)]
+            mail += [(number, to, text) for to, text in one.waiting.take_sendable(now)]
         for sender, receiver, text in mail:
             said, one = codec.decode(text), all_members[receiver]
             if isinstance(said, codec.PieceRequest):
                 for line in (
                     given.answer_at_once(said) if one.has else takers[receiver].answer(said)
                 ):
-                    if not one.waiting.holds((sender, line)):
+                    if not one.waiting.contains((sender, line)):
                         one.waiting.add(PIECE_RANK, len(line), (sender, line), now)
             elif isinstance(said, codec.Piece) and not one.has:
                 got[receiver].add(said.number)
--- a/hazelhollow/configuration/distribution/codec.py
+++ b/hazelhollow/configuration/distribution/codec.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from hazelhollow.configuration.versions import MAX_REVISION
-from hazelhollow.decisions.gossip_codec import base36, number36
+from hazelhollow.decisions.gossip.codec import base36, number36
 
 DATAGRAM_PREFIX = "d1"
 REQUEST, PIECE, NO_DELTA = "q", "g", "n"  # the kind of a datagram, after the prefix
--- a/hazelhollow/configuration/distribution/exchange.py
+++ b/hazelhollow/configuration/distribution/exchange.py
@@ -16,7 +16,7 @@
 from hazelhollow.configuration.distribution.history import SettingsHistory
 from hazelhollow.configuration.distribution.source import DocumentSource
 from hazelhollow.control_budget.budget import RoleBudget
-from hazelhollow.control_budget.waiting import Waiting
+from hazelhollow.control_budget.send_queue import SendQueue
 
 REQUEST_INTERVAL_S = 0.25  # between requests for a document
 MAX_PIECES_SENT_PER_S = 200  # datagrams
@@ -84,8 +84,10 @@
         self, me: int, history: SettingsHistory, chance: random.Random, port: ExchangePort
     ) -> None:
         self._me, self._history, self._random, self._port = me, history, chance, port
-        self._queue: Waiting[tuple[int, str]] | None = (
-            Waiting(port.allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S) if port.allowance else None
+        self._queue: SendQueue[tuple[int, str]] | None = (
+            SendQueue(port.allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
+            if port.allowance
+            else None
         )
         self._fetch: DocumentFetch | None = None
         self._source: DocumentSource | None = None
@@ -217,12 +219,12 @@
     def _send(self, number: int, text: str, rank: int, now: float) -> None:
         if self._queue is None:
             self._port.send(number, text)
-        elif not self._queue.holds((number, text)):
+        elif not self._queue.contains((number, text)):
             self._queue.add(rank, len(text), (number, text), now)
             self.send_due(now)
 
     def send_due(self, now: float) -> None:
         """Sends what the allowance has room for now."""
         if self._queue is not None:
-            for number, text in self._queue.due(now):
+            for number, text in self._queue.take_sendable(now):
                 self._port.send(number, text)
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -31,8 +31,8 @@
 from hazelhollow.configuration.rollout_control import RolloutControl
 from hazelhollow.configuration.state import ConfigurableLimiter, ConfigurationState, MemberParts
 from hazelhollow.control_budget.budget import RoleBudget
-from hazelhollow.membership.driver import Driver as FleetDriver
-from hazelhollow.membership.seal import Seal
+from hazelhollow.membership.authentication import MessageAuthenticator
+from hazelhollow.membership.driver import MembershipDriver
 from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.scheduler import Scheduler
 
@@ -48,14 +48,14 @@
         scheduler: its clock and timers.
         peers: sends and receives datagrams.
         membership: announces versions and asks for the verdict.
-        authenticator: seals and opens datagrams.
+        authenticator: signs and verifies datagrams.
         limiter: the limiter itself.
     """
 
     scheduler: Scheduler
     peers: PeerSocket
-    membership: FleetDriver
-    authenticator: Seal
+    membership: MembershipDriver
+    authenticator: MessageAuthenticator
     limiter: ConfigurableLimiter
 
 
@@ -90,7 +90,7 @@
         self._membership = connections.membership
         self._authenticator = connections.authenticator
         self.record, self.verdict = options.record, AdmissionVerdict(SettingsState.CURRENT)
-        clock, me = connections.scheduler.clock, connections.membership.view.me
+        clock, me = connections.scheduler.clock, connections.membership.membership.limiter_id
         self._state = ConfigurationState(
             MemberParts(me, connections.limiter, options.file_revision, options.record, clock)
         )
@@ -113,8 +113,8 @@
         """The limiter is about to serve."""
         self._receive_other, self._peers.heard = self._peers.heard, self.receive
         self._keeper.announce()
-        self._membership.view.table.watch(self._state.peers.update_from)
-        self._membership.rule = self.rejects_new_work
+        self._membership.membership.table.subscribe(self._state.peers.update_from)
+        self._membership.shut_out_rule = self.rejects_new_work
         self._keeper.begin()
         self._tick()
 
@@ -161,7 +161,7 @@
         self._keeper.publish("read again")
         self._state.activity.peers(self._state.known(), self.revision())
         self._reevaluate()
-        self.rollouts.tick(now, self._membership.view.acting)
+        self.rollouts.tick(now, self._membership.membership.may_admit)
         self._fetch()
         self._exchange.send_due(now)
         self._schedule_slice()
@@ -184,11 +184,11 @@
     # Membership
 
     def _announce(self, encoded_versions: str) -> None:
-        self._membership.view.set_versions(encoded_versions)
+        self._membership.membership.set_versions(encoded_versions)
 
     def _reevaluate(self) -> None:
         """Has membership ask `rejects_new_work` again."""
-        self._membership.look_again()
+        self._membership.reevaluate()
 
     def rejects_new_work(self, now: float) -> bool:
         """The admission verdict of this moment.
@@ -196,7 +196,7 @@
         Membership asks for it before it tells the decision engine what has changed, so that a
         member that wakes is judged before it acts.
         """
-        if not self._membership.view.acting:
+        if not self._membership.membership.may_admit:
             self._woke_at = now
         state, before = self._state, self.verdict
         just_started = now - self._woke_at < FETCH_TIMEOUT_S
@@ -235,7 +235,7 @@
         if not text.startswith(DATAGRAM_PREFIX[0]):
             self._receive_other(sender, text)
             return
-        plain = self._authenticator.open(text)
+        plain = self._authenticator.verify(text)
         received = None
         if plain is not None:
             received = self._exchange.receive(sender, plain, self._scheduler.clock())
@@ -247,7 +247,7 @@
         self._schedule_slice()
 
     def _send(self, number: int, text: str) -> None:
-        self._peers.tell(number, self._authenticator.close(text))
+        self._peers.tell(number, self._authenticator.sign(text))
 
     def _piece_arrived(self, revision: int) -> None:
         self._state.admission.piece_arrived(revision, self._scheduler.clock())
--- a/hazelhollow/configuration/known_versions.py
+++ b/hazelhollow/configuration/known_versions.py
@@ -7,7 +7,7 @@
 
 from hazelhollow.configuration import versions
 from hazelhollow.configuration.versions import Versions
-from hazelhollow.membership.records import PRESENT, Record
+from hazelhollow.membership.records import PRESENT_STATES, Record
 
 
 class KnownVersions(Mapping[int, Versions]):
@@ -37,7 +37,7 @@
 
     def update_from(self, record: Record) -> None:
         """Takes the versions of a new membership record, or forgets those of an absent member."""
-        decoded = versions.decode(record.versions) if record.state in PRESENT else None
+        decoded = versions.decode(record.versions) if record.state in PRESENT_STATES else None
         if decoded is None:
             self._remove(record.number)
         else:
--- a/hazelhollow/configuration/state.py
+++ b/hazelhollow/configuration/state.py
@@ -16,7 +16,7 @@
 from hazelhollow.configuration.known_versions import KnownVersions
 from hazelhollow.configuration.rollout import CanaryRollout
 from hazelhollow.configuration.versions import Candidate, Versions
-from hazelhollow.decisions import gossip_codec as gossip
+from hazelhollow.decisions.gossip import codec as gossip_codec
 from hazelhollow.net.rate_limited_log import RateLimitedLog
 
 log = logging.getLogger(__name__)
@@ -135,7 +135,7 @@
         """What this member acts on now."""
         list_index, discovery = self.limiter.endpoint_list()
         return Versions(
-            gossip.DIALECT,
+            gossip_codec.DIALECT,
             versions.program_digest(__version__),
             self.in_force.revision(),
             self.in_force.digest(),
--- a/hazelhollow/configuration/versions.py
+++ b/hazelhollow/configuration/versions.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 
 # Characters of each part, in order.
 _DIALECT, _PROGRAM, _REVISION, _SETTINGS, _LIST, _DISCOVERY, _OVERRIDES = 1, 3, 3, 4, 4, 3, 4
--- a/tests/configuration/test_rollout.py
+++ b/tests/configuration/test_rollout.py
@@ -58,7 +58,7 @@
     leader = pushed(fleet)
     trying = fleet.trying()
     fleet.run(BAKES - 2.0)
-    assert fleet.trying() == trying == fleet.same(AFTER) and leader.me in trying
+    assert fleet.trying() == trying == fleet.same(AFTER) and leader.limiter_id in trying
     assert fleet.same(BEFORE) == ALL - trying
     fleet.until(lambda: fleet.same(AFTER) == ALL and not fleet.trying())
     assert set(fleet.orders()) == {1}
@@ -101,7 +101,7 @@
     leader.driver.rollouts.hold()
     fleet.run(1.0)
     before = fleet.trying()
-    fleet.kill(max(before - {leader.me}))
+    fleet.kill(max(before - {leader.limiter_id}))
     fleet.until(lambda: len(fleet.trying()) == TRIED_BY)
     (new,) = fleet.trying() - before
     assert fleet.members[new].steps() == ["taken"] and fleet.members[
@@ -140,13 +140,13 @@
 ) -> None:
     """Nobody but an operator releases the candidate then; the canaries go on, with one more."""
     leader = pushed(fleet)
-    rest = fleet.trying() - {leader.me}
-    fleet.kill(leader.me)
+    rest = fleet.trying() - {leader.limiter_id}
+    fleet.kill(leader.limiter_id)
     fleet.run(3 * BAKES)
     assert (
         rest <= fleet.trying() == fleet.same(AFTER) and len(fleet.trying()) == TRIED_BY
     )  # one more in its place
-    fleet.start(leader.me, BEFORE, 0)  # its own files are still the old ones
+    fleet.start(leader.limiter_id, BEFORE, 0)  # its own files are still the old ones
     fleet.run(5.0)
     assert len(fleet.trying()) == TRIED_BY
     fleet.members[min(rest)].driver.rollouts.release()
@@ -156,7 +156,7 @@
 def test_a_canary_dies(fleet: ConfigurationFleet) -> None:
     """The leader sees it gone and holds the candidate."""
     leader = pushed(fleet)
-    fleet.kill(max(fleet.trying() - {leader.me}))
+    fleet.kill(max(fleet.trying() - {leader.limiter_id}))
     fleet.run(3 * BAKES)
     assert leader.steps() == ["pushed", "held"] and len(fleet.same(AFTER)) <= TRIED_BY
     (held,) = [entry for entry in leader.record.entries if entry.version == "held"]
@@ -167,7 +167,7 @@
     """The leader cannot hear the canaries and holds the candidate; after the heal so do they."""
     leader = pushed(fleet)
     trying = fleet.trying()
-    fleet.cut({leader.me})
+    fleet.cut({leader.limiter_id})
     fleet.run(3 * BAKES)
     assert leader.steps() == ["pushed", "held"] and leader.acts_on == AFTER
     fleet.heal()
@@ -181,10 +181,10 @@
     """The leader stood still and has not heard the others yet: it must not hold them for gone."""
     leader = pushed(fleet)
     fleet.run(BAKES - 3.0)
-    leader.acting = False  # it stood still, say
+    leader.may_admit = False  # it stood still, say
     fleet.run(6.0)
     assert leader.steps() == ["pushed"]
-    leader.acting = True
+    leader.may_admit = True
     fleet.until(lambda: fleet.same(AFTER) == ALL)
 
 
@@ -248,7 +248,7 @@
 def test_failing_requests_hold_a_candidate(fleet: ConfigurationFleet) -> None:
     """A fifth of the requests fail at one canary."""
     leader = pushed(fleet)
-    other = fleet.members[max(fleet.trying() - {leader.me})]
+    other = fleet.members[max(fleet.trying() - {leader.limiter_id})]
     other.counts.update(requests=MIN_REQUESTS, failed=MIN_REQUESTS // 5)
     fleet.run(3 * BAKES)
     assert other.steps() == ["taken", "held"] and leader.steps() == ["pushed", "held"]
--- a/tests/configuration/test_versions.py
+++ b/tests/configuration/test_versions.py
@@ -9,8 +9,8 @@
 from hazelhollow.configuration import versions
 from hazelhollow.configuration.known_versions import KnownVersions
 from hazelhollow.configuration.versions import MAX_CANARIES, Candidate, Phase, Versions
-from hazelhollow.membership.messages import MOST_VERSIONS
-from hazelhollow.membership.records import ALIVE, DEAD
+from hazelhollow.membership.codec import MAX_VERSIONS_BYTES
+from hazelhollow.membership.records import MemberState
 from hazelhollow.membership.records import Record as FleetRecord
 from tests.configuration.audit_entries import NEW, OLD, OTHER
 
@@ -30,7 +30,8 @@
 )
 def test_versions_survive_encoding_and_fit_the_membership_record(one: Versions) -> None:
     assert (
-        versions.decode(versions.encode(one)) == one and len(versions.encode(one)) <= MOST_VERSIONS
+        versions.decode(versions.encode(one)) == one
+        and len(versions.encode(one)) <= MAX_VERSIONS_BYTES
     )
 
 
@@ -55,17 +56,19 @@
 CHANGE = st.tuples(
     st.integers(0, 4),
     st.sampled_from(["", *map(versions.encode, (OLD, NEW, OTHER))]),
-    st.sampled_from([ALIVE, DEAD]),
+    st.sampled_from([MemberState.ALIVE, MemberState.DEAD]),
 )
 
 
 @given(st.lists(CHANGE))
-def test_known_versions_follow_the_membership_records(changes: list[tuple[int, str, int]]) -> None:
+def test_known_versions_follow_the_membership_records(
+    changes: list[tuple[int, str, MemberState]],
+) -> None:
     """Members come, change and die; the newest revision is that of a pass over all of them."""
     known, table, heard = KnownVersions(), dict[int, Versions](), dict[int, Versions]()
     for turn, (number, text, state) in enumerate(changes):
         known.update_from(FleetRecord(number, 1, turn, state, (), text))
-        read = versions.decode(text) if state == ALIVE else None
+        read = versions.decode(text) if state == MemberState.ALIVE else None
         table.pop(number, None)
         if read:
             table[number] = read
