--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -23,7 +23,7 @@
 from hazelhollow.fault_injection.loopback_cluster import HarnessError, LoopbackCluster
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.plan import Plan as HarnessPlan
-from hazelhollow.membership.membership import INCARNATIONS_PER_S
+from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale.coordinator import Coordinator, RunError
 from hazelhollow.scale.load import Population, populate, split
