--- a/hazelhollow/configuration/admission_verdict.py
+++ b/hazelhollow/configuration/admission_verdict.py
@@ -63,10 +63,10 @@
 
 
 class AdmissionRule:
-    """The rule of this module for member `me`, and what it has to remember between ticks."""
+    """The rule of this module for one member, and what it has to remember between ticks."""
 
-    def __init__(self, me: int) -> None:
-        self.me = me
+    def __init__(self, limiter_id: int) -> None:
+        self.limiter_id = limiter_id
         # By revision newer than its own, in seconds of the clock.
         self._heard_of_at: dict[int, float] = {}
         self._piece_arrived_at: dict[int, float] = {}
@@ -92,22 +92,25 @@
             just_started: it began or woke less than FETCH_TIMEOUT_S ago, and must not first act on
                 settings that went out of force meanwhile.
         """
-        own = known[self.me]
+        own = known[self.limiter_id]
         newest, digests = known.newest()
-        if not _is_behind(own, newest, digests):
-            self._caught_up(now)
-            if len(digests) > 1:
-                reason = (
-                    f"order {newest} stands for {len(digests)} settings: "
-                    f"{', '.join(sorted(digests))}"
-                )
-                return AdmissionVerdict(SettingsState.CONTRADICTION, reason=reason)
-            return AdmissionVerdict(SettingsState.CURRENT)
-        self._heard_of_at.setdefault(newest, now)
+        if _is_behind(own, newest, digests):
+            self._heard_of_at.setdefault(newest, now)
+            return self._evaluate_behind(known, now, just_started)
+        self._caught_up(now)
         if len(digests) > 1:
-            reason = (
-                f"order {newest} stands for {len(digests)} settings; {own.revision} goes on here"
-            )
+            listed = ", ".join(sorted(digests))
+            reason = f"order {newest} stands for {len(digests)} settings: {listed}"
+            return AdmissionVerdict(SettingsState.CONTRADICTION, reason=reason)
+        return AdmissionVerdict(SettingsState.CURRENT)
+
+    def _evaluate_behind(
+        self, known: KnownVersions, now: float, just_started: bool
+    ) -> AdmissionVerdict:
+        own = known[self.limiter_id].revision
+        newest, digests = known.newest()
+        if len(digests) > 1:
+            reason = f"order {newest} stands for {len(digests)} settings; {own} goes on here"
             return AdmissionVerdict(SettingsState.CONTRADICTION, reason=reason)
         holders = tuple(
             sorted(
@@ -118,7 +121,7 @@
         )
         if newest not in self._refusals and self._may_still_arrive(newest, now):
             rejects = just_started and self._enough_serve_without_me(known)
-            reason = f"order {newest} is out, {own.revision} acts here"
+            reason = f"order {newest} is out, {own} acts here"
             return AdmissionVerdict(SettingsState.ASKING, rejects, holders, reason)
         reason = self._refusals.get(
             newest, f"nobody gave order {newest} within {FETCH_TIMEOUT_S:g} s"
@@ -149,7 +152,7 @@
         behind = sorted(n for n, member in known.items() if _is_behind(member, newest, digests))
         not_behind = len(known) - len(behind)
         must_serve = max(0, math.ceil(MIN_SERVING_SHARE * len(known)) - not_behind)
-        return behind.index(self.me) >= must_serve
+        return behind.index(self.limiter_id) >= must_serve
 
 
 def _is_behind(member: Versions, newest: int, digests: set[str]) -> bool:
--- a/hazelhollow/configuration/audit/activity.py
+++ b/hazelhollow/configuration/audit/activity.py
@@ -38,12 +38,17 @@
 
 
 class ActivityRecorder:
-    """Writes member `me`'s entries, each when it differs from the one of its kind before."""
+    """Writes one member's entries, each when it differs from the last of its kind."""
 
     def __init__(
-        self, me: int, record: AuditRecord, limiter: ObservedLimiter, clock: Callable[[], float]
+        self,
+        limiter_id: int,
+        record: AuditRecord,
+        limiter: ObservedLimiter,
+        clock: Callable[[], float],
     ) -> None:
-        self._me, self._record, self._limiter, self._clock = me, record, limiter, clock
+        self._limiter_id, self._record = limiter_id, record
+        self._limiter, self._clock = limiter, clock
         self._settings = ("", 0, False)  # digest, revision, tried
         self._disabled_hosts: set[str] = set()
         self._list_index = -1
@@ -84,7 +89,7 @@
         """The settings that others act on, where they have changed since the last call."""
         for number, peer_versions in known.take_changed():
             settings = _without_other_versions(peer_versions)
-            if number != self._me and self._peer_versions.get(number) != settings:
+            if number != self._limiter_id and self._peer_versions.get(number) != settings:
                 self._peer_versions[number] = settings
                 encoded = versions.encode(peer_versions)
                 self._add(EntryKind.PEER_VERSIONS, encoded, revision=revision, peer=number)
--- a/hazelhollow/configuration/distribution/exchange.py
+++ b/hazelhollow/configuration/distribution/exchange.py
@@ -74,16 +74,17 @@
     """One member's part in handing settings on.
 
     Args:
-        me: this member's number.
+        limiter_id: this member's number.
         history: the settings that it has had in force.
         chance: draws members and pieces.
         port: what it calls.
     """
 
     def __init__(
-        self, me: int, history: SettingsHistory, chance: random.Random, port: ExchangePort
+        self, limiter_id: int, history: SettingsHistory, chance: random.Random, port: ExchangePort
     ) -> None:
-        self._me, self._history, self._random, self._port = me, history, chance, port
+        self._limiter_id, self._history = limiter_id, history
+        self._random, self._port = chance, port
         self._queue: SendQueue[tuple[int, str]] | None = (
             SendQueue(port.allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
             if port.allowance
@@ -140,7 +141,7 @@
         would ask the first holder. A short document is asked of a holder with
         HOLDER_REQUEST_PROBABILITY.
         """
-        others = [number for number in present if number != self._me]
+        others = [number for number in present if number != self._limiter_id]
         few_holders = 2 * len(wanted.holders) < len(others)
         ask_any = few_holders and not (
             fetch.may_be_short() and self._random.random() < HOLDER_REQUEST_PROBABILITY
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -29,7 +29,7 @@
 )
 from hazelhollow.configuration.record_keeping import RecordKeeper
 from hazelhollow.configuration.rollout_control import RolloutControl
-from hazelhollow.configuration.state import ConfigurableLimiter, ConfigurationState, MemberParts
+from hazelhollow.configuration.state import ConfigurableLimiter, ConfigurationState
 from hazelhollow.control_budget.budget import RoleBudget
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.membership.driver import MembershipDriver
@@ -90,13 +90,14 @@
         self._membership = connections.membership
         self._authenticator = connections.authenticator
         self.record, self.verdict = options.record, AdmissionVerdict(SettingsState.CURRENT)
-        clock, me = connections.scheduler.clock, connections.membership.membership.limiter_id
+        clock = connections.scheduler.clock
+        limiter_id = connections.membership.membership.limiter_id
         self._state = ConfigurationState(
-            MemberParts(me, connections.limiter, options.file_revision, options.record, clock)
+            limiter_id, connections.limiter, options.file_revision, options.record, clock
         )
         port = ExchangePort(self._send, self._piece_arrived, options.allowance)
         self._exchange = DocumentExchange(
-            me, self._state.in_force.history, random.Random(options.seed), port
+            limiter_id, self._state.in_force.history, random.Random(options.seed), port
         )
         self._keeper = RecordKeeper(
             self._state, options.record, self._announce, self._exchange.serve
@@ -169,9 +170,10 @@
             self._exchange.new_second()
 
     def _schedule_slice(self) -> None:
-        """Sets a timer if there is long work to be done."""
-        busy = self._exchange.is_busy() or not self._state.in_force.history.step()
-        if not self._slice_is_due and busy:
+        """Sets a timer if there is long work to be done, and none is set."""
+        if self._slice_is_due:
+            return
+        if self._exchange.is_busy() or not self._state.in_force.history.step():
             self._slice_is_due = True
             self._scheduler.at(self._scheduler.clock() + SLICE_INTERVAL_S, self._do_slice)
 
--- a/hazelhollow/configuration/rollout.py
+++ b/hazelhollow/configuration/rollout.py
@@ -106,10 +106,10 @@
 
 
 class CanaryRollout:
-    """Member `me`'s part in a rollout; `candidate` is what it announces with its versions."""
+    """One member's part in a rollout; `candidate` is what it announces with its versions."""
 
-    def __init__(self, me: int) -> None:
-        self.me = me
+    def __init__(self, limiter_id: int) -> None:
+        self.limiter_id = limiter_id
         self.candidate: Candidate | None = None
         self._lead: _Lead | None = None
         self._failures: FailureCheck | None = None
@@ -140,7 +140,7 @@
 
     def invitation(self, known: KnownVersions) -> CanaryInvitation | None:
         """The newest settings that others try, if this member is to try them too."""
-        own = known[self.me].revision
+        own = known[self.limiter_id].revision
         tried = {n: canary for n, canary in known.canaries().items() if canary.revision > own}
         revision = max((canary.revision for canary in tried.values()), default=0)
         holders = {n: canary for n, canary in tried.items() if canary.revision == revision}
@@ -151,7 +151,7 @@
         candidate = _common_candidate(holders.values())
         if (revision, digest) in self._refused:
             return None
-        if self.me not in choose_canaries(revision, candidate.canaries, holders, known):
+        if self.limiter_id not in choose_canaries(revision, candidate.canaries, holders, known):
             return None
         return CanaryInvitation(revision, digest, tuple(sorted(holders)), candidate)
 
@@ -166,7 +166,7 @@
             now: seconds.
             may_admit: whether this member takes work, and so knows of the others.
         """
-        own = known[self.me]
+        own = known[self.limiter_id]
         if self.candidate is None or own.candidate is None:
             return None
         newest, digests = known.newest()
--- a/hazelhollow/configuration/state.py
+++ b/hazelhollow/configuration/state.py
@@ -4,7 +4,6 @@
 
 import logging
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
 from typing import Any, Protocol
 
 from hazelhollow import __version__
@@ -101,35 +100,31 @@
         self.history.put(digest, versions.shared_settings(document))
 
 
-@dataclass(frozen=True)
-class MemberParts:
-    """What a `ConfigurationState` is made of.
+class ConfigurationState:
+    """One member's state, and its part in each rule.
 
-    Attributes:
-        me: the member's number.
+    Args:
+        limiter_id: the member's number.
         limiter: the limiter itself.
         file_revision: the operator's number of the settings, as the operator file says it now.
         record: where it writes down what it acts on.
         clock: seconds.
     """
 
-    me: int
-    limiter: ConfigurableLimiter
-    file_revision: Callable[[], int]
-    record: AuditRecord
-    clock: Callable[[], float]
-
-
-class ConfigurationState:
-    """One member's state, and its part in each rule."""
-
-    def __init__(self, parts: MemberParts) -> None:
-        self.me, self.limiter, self.clock = parts.me, parts.limiter, parts.clock
-        self.in_force = SettingsInForce(parts.limiter, parts.file_revision)
-        self.admission, self.rollout = AdmissionRule(parts.me), CanaryRollout(parts.me)
-        self.activity = ActivityRecorder(parts.me, parts.record, parts.limiter, parts.clock)
-        self.log = RateLimitedLog(log, parts.clock)  # for what others can cause many times
-        self.peers = KnownVersions()  # this member's own versions are brought up by `known`
+    def __init__(
+        self,
+        limiter_id: int,
+        limiter: ConfigurableLimiter,
+        file_revision: Callable[[], int],
+        record: AuditRecord,
+        clock: Callable[[], float],
+    ) -> None:
+        self.limiter_id, self.limiter, self.clock = limiter_id, limiter, clock
+        self.in_force = SettingsInForce(limiter, file_revision)
+        self.admission, self.rollout = AdmissionRule(limiter_id), CanaryRollout(limiter_id)
+        self.activity = ActivityRecorder(limiter_id, record, limiter, clock)
+        self.log = RateLimitedLog(log, clock)  # for what others can cause many times
+        self.peers = KnownVersions()  # this member's own versions among them as of `known`
 
     def versions(self) -> Versions:
         """What this member acts on now."""
@@ -147,7 +142,7 @@
 
     def known(self) -> KnownVersions:
         """What the members that are up act on, this one as it is now."""
-        self.peers.put(self.me, self.versions())
+        self.peers.put(self.limiter_id, self.versions())
         return self.peers
 
     def document(self, verdict: AdmissionVerdict) -> dict[str, Any]:
--- /dev/null
+++ b/tests/configuration/test_adoption.py
@@ -0,0 +1,74 @@
+"""A new configuration that cannot be used: who says so, and what stays in force."""
+
+from __future__ import annotations
+
+import pytest
+
+from hazelhollow.configuration.audit.entries import EntryKind
+from hazelhollow.configuration.rollout import RolloutEvent
+from tests.configuration.configuration_fleet import ConfigurationFleet, settings
+
+BEFORE, AFTER = settings(), settings(changed=2, deadline=0.5)
+MEMBERS = 5
+
+
+@pytest.fixture
+def fleet() -> ConfigurationFleet:
+    members = ConfigurationFleet(MEMBERS, BEFORE)
+    members.run(1.0)
+    return members
+
+
+def test_settings_of_peers_that_cannot_be_used_leave_those_before_in_force(
+    fleet: ConfigurationFleet, caplog: pytest.LogCaptureFixture
+) -> None:
+    """One member of five needs a restart for the new settings. It says why, in three places."""
+    member = fleet.members[3]
+    member.cannot_take = lambda document: "plans differ" if document == AFTER else ""
+    fleet.members[0].read_file(AFTER, 1)
+    fleet.until(lambda: fleet.same(AFTER) == set(range(MEMBERS)) - {3})
+    fleet.run(1.0)
+    assert member.acts_on == BEFORE and member.driver.revision() == 0
+    shown = member.driver.document()
+    assert (shown["state"], shown["why"]) == ("shut out", "plans differ")
+    assert "order 1 cannot be taken: plans differ" in caplog.text
+    verdicts = [
+        (entry.version, entry.reason)
+        for entry in member.record.entries
+        if entry.kind is EntryKind.VERDICT
+    ]
+    assert verdicts[-1] == ("shut out", "plans differ")
+
+
+def test_a_candidate_that_cannot_be_used_leaves_the_settings_before_in_force(
+    fleet: ConfigurationFleet, caplog: pytest.LogCaptureFixture
+) -> None:
+    """All other members need a restart for the candidate. Those invited refuse it and serve on."""
+    others = [fleet.members[number] for number in range(1, MEMBERS)]
+    for member in others:
+        member.cannot_take = lambda document: "plans differ" if document == AFTER else ""
+    fleet.members[0].driver.rollouts.push(1, 2, 5.0, AFTER)
+    fleet.run(10.0)
+    assert fleet.same(BEFORE) == set(range(1, MEMBERS))
+    assert {member.driver.document()["state"] for member in others} == {"current"}
+    refused = [member for member in others if member.steps() == [RolloutEvent.REFUSED]]
+    assert len(refused) == 1 and fleet.members[0].steps() == ["pushed", "held"]
+    assert "order 1 cannot be taken: plans differ" in caplog.text
+
+
+def test_settings_that_the_limiter_refuses_at_the_last_moment_are_not_announced(
+    fleet: ConfigurationFleet, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """They passed the check and were on record, and could not be put in force all the same."""
+    member = fleet.members[3]
+    monkeypatch.setattr(member, "apply_settings", lambda document: "plans differ")
+    fleet.members[0].read_file(AFTER, 1)
+    fleet.until(lambda: fleet.same(AFTER) == set(range(MEMBERS)) - {3})
+    fleet.run(1.0)
+    shown = member.driver.document()
+    assert (shown["order"], shown["settings"]) == (
+        0,
+        fleet.members[3].driver.document()["settings"],
+    )
+    assert member.acts_on == BEFORE and shown["state"] == "shut out"
+    assert fleet.members[0].driver.document()["settings"] != shown["settings"]
