--- a/tests/configuration/configuration_fleet.py
+++ b/tests/configuration/configuration_fleet.py
@@ -26,10 +26,10 @@
 from hazelhollow.membership.records import MemberState
 from hazelhollow.membership.records import Record as FleetRecord
 
-BEGAN = 1000.0
-ON_THE_WAY = 0.01  # seconds of a datagram
-TOLD_WITHIN = 0.3  # seconds until all know of a change in a member's record
-DEAD_AFTER = 2.0  # seconds until all hold a dead one for dead
+START_S = 1000.0
+DATAGRAM_DELAY_S = 0.01  # seconds of a datagram
+MAX_NEWS_DELAY_S = 0.3  # seconds until all know of a change in a member's record
+DEATH_NOTICED_AFTER_S = 2.0  # seconds until all hold a dead one for dead
 
 
 def settings(routes: int = 6, changed: int | None = None, deadline: float = 1.0) -> dict[str, Any]:
@@ -128,10 +128,10 @@
         return self.cannot_take(document)
 
     def apply_settings(self, document: Mapping[str, Any]) -> str:
-        trouble = self.cannot_take(document)
-        if not trouble:
+        reason = self.cannot_take(document)
+        if not reason:
             self.acts_on = dict(document)
-        return trouble
+        return reason
 
     def endpoint_list(self) -> tuple[int, str]:
         return 1, ""
@@ -169,7 +169,7 @@
     def __init__(
         self, members: int, document: Mapping[str, Any], lose: float = 0.0, seed: int = 1
     ) -> None:
-        self.now, self.lose, self.random = BEGAN, lose, random.Random(seed)
+        self.now, self.lose, self.random = START_S, lose, random.Random(seed)
         self.incarnations = itertools.count(1)
         self._due: list[tuple[float, int, Callable[[], object]]] = []
         self._serials = itertools.count()
@@ -210,10 +210,10 @@
         before = self.members.get(number)
         if before is not None:
             self.ended.append(before)
-        one = self.members[number] = Member(self, number, document, order)
+        member = self.members[number] = Member(self, number, document, order)
         for other in self.members.values():
-            if other is not one and other.alive:
-                one.note(
+            if other is not member and other.alive:
+                member.note(
                     FleetRecord(
                         other.limiter_id,
                         other.incarnation,
@@ -223,26 +223,26 @@
                         other.versions,
                     )
                 )
-        return one
+        return member
 
     def kill(self, number: int) -> None:
-        one = self.members[number]
-        one.alive = False
+        member = self.members[number]
+        member.alive = False
         self.at(
-            self.now + DEAD_AFTER,
-            lambda: self._spread(FleetRecord(number, one.incarnation, 1, MemberState.DEAD)),
+            self.now + DEATH_NOTICED_AFTER_S,
+            lambda: self._spread(FleetRecord(number, member.incarnation, 1, MemberState.DEAD)),
         )
 
     def tell_all(self, number: int, record: FleetRecord) -> None:
-        delay = self.random.uniform(0.0, TOLD_WITHIN)
+        delay = self.random.uniform(0.0, MAX_NEWS_DELAY_S)
         self.at(self.now + delay, lambda: self._spread(record, number))
 
     def _spread(self, record: FleetRecord, sender: int = -1) -> None:
-        one = self.members.get(record.number)
+        member = self.members.get(record.number)
         if (
-            one is None
-            or record.incarnation != one.incarnation
-            or (one.alive and record.versions != one.versions)
+            member is None
+            or record.incarnation != member.incarnation
+            or (member.alive and record.versions != member.versions)
         ):
             return  # an older word
         for other in self.members.values():
@@ -260,14 +260,14 @@
         """
         sides = some, set(self.members) - some
         self._cut = {pair for a, b in itertools.product(*sides) for pair in ((a, b), (b, a))}
-        self.at(self.now + DEAD_AFTER, lambda: self._note_across(MemberState.DEAD))
+        self.at(self.now + DEATH_NOTICED_AFTER_S, lambda: self._note_across(MemberState.DEAD))
 
     def heal(self) -> None:
         crossing, self._cut = self._cut, set()
         for a, b in crossing:
-            one = self.members[a]
+            member = self.members[a]
             self.members[b].note(
-                FleetRecord(a, one.incarnation, 2, MemberState.ALIVE, (), one.versions)
+                FleetRecord(a, member.incarnation, 2, MemberState.ALIVE, (), member.versions)
             )
 
     def _note_across(self, state: MemberState) -> None:
@@ -282,7 +282,7 @@
         if self.random.random() < self.lose or (sender, number) in self._cut:
             return
         receiver = self.members[number]
-        self.at(self.now + ON_THE_WAY, lambda: self._arrive(receiver, sender, text))
+        self.at(self.now + DATAGRAM_DELAY_S, lambda: self._arrive(receiver, sender, text))
 
     @staticmethod
     def _arrive(receiver: Member, sender: int, text: str) -> None:
@@ -292,16 +292,24 @@
     # What there is to see
 
     def orders(self) -> list[int]:
-        return [one.driver.revision() for one in self.members.values() if one.alive]
+        return [member.driver.revision() for member in self.members.values() if member.alive]
 
     def trying(self) -> set[int]:
-        return {n for n, one in self.members.items() if one.alive and one.driver.rollouts.candidate}
+        return {
+            n
+            for n, member in self.members.items()
+            if member.alive and member.driver.rollouts.candidate
+        }
 
     def same(self, document: Mapping[str, Any]) -> set[int]:
         """Members that act on these settings."""
-        return {n for n, one in self.members.items() if one.alive and one.acts_on == document}
+        return {
+            n for n, member in self.members.items() if member.alive and member.acts_on == document
+        }
 
     def merged(self) -> AuditMerge:
         return merge_entries(
-            entry for one in (*self.ended, *self.members.values()) for entry in one.record.entries
+            entry
+            for member in (*self.ended, *self.members.values())
+            for entry in member.record.entries
         )
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -149,7 +149,7 @@
 # From member to member
 
 
-def giver(new: dict[str, Any] = NEW, *bases: DeltaBase) -> DocumentSource:
+def source_of(new: dict[str, Any] = NEW, *bases: DeltaBase) -> DocumentSource:
     """It has acted on these bases, one after the other, before the new ones."""
     history = SettingsHistory()
     for base in bases:
@@ -164,37 +164,34 @@
     return packing.pieces
 
 
-def taker(new: dict[str, Any] = NEW, base: DeltaBase | None = KNOWN) -> DocumentFetch:
+def fetch_of(new: dict[str, Any] = NEW, base: DeltaBase | None = KNOWN) -> DocumentFetch:
     return DocumentFetch(ORDER, settings_digest(new), base)
 
 
-def talk(
-    one: DocumentFetch,
+def converse(
+    fetch: DocumentFetch,
     answers: Callable[[codec.PieceRequest], list[str]],
-    asks: int = 60,
+    max_requests: int = 60,
     chance: random.Random | None = None,
     lose: float = 0.0,
 ) -> tuple[dict[str, Any] | None, list[codec.PieceRequest]]:
-    """The document that it takes, if it does, and what it asked for.
-
-    Each ask goes to another member.
-    """
-    chance, asked = chance or random.Random(1), list[codec.PieceRequest]()
-    for number in range(asks):
-        said = codec.decode(one.next_request(bool(one.delta_holders([number]))))
-        assert isinstance(said, codec.PieceRequest)
-        asked.append(said)
-        replies = answers(said)
+    """The document that is fetched, if it is, and the requests, each to another member."""
+    chance, requests = chance or random.Random(1), list[codec.PieceRequest]()
+    for number in range(max_requests):
+        request = codec.decode(fetch.next_request(bool(fetch.delta_holders([number]))))
+        assert isinstance(request, codec.PieceRequest)
+        requests.append(request)
+        replies = answers(request)
         chance.shuffle(replies)
         for text in replies:
             if chance.random() < lose:
                 continue
             reply = codec.decode(text)
             if isinstance(reply, codec.DeltaUnavailable):
-                one.delta_refused(number, reply)
-            elif isinstance(reply, codec.Piece) and (document := one.put(reply)):
-                return document, asked
-    return None, asked
+                fetch.delta_refused(number, reply)
+            elif isinstance(reply, codec.Piece) and (document := fetch.put(reply)):
+                return document, requests
+    return None, requests
 
 
 def test_one_changed_route_of_thousands_is_one_datagram() -> None:
@@ -205,9 +202,9 @@
     before = settings.document(size, populate(size, terms, seed=1).quotas, terms)
     after = settings.changed(before, [5_000], 1)
     base = DeltaBase(settings_digest(before), before)
-    document, asked = talk(taker(after, base), giver(after, base).answer_at_once)
+    document, requests = converse(fetch_of(after, base), source_of(after, base).answer_at_once)
     assert (
-        len(asked) == 1
+        len(requests) == 1
         and document is not None
         and settings_digest(document) == settings_digest(after)
     )
@@ -226,40 +223,45 @@
         "grades": [{**one, "key": chance.random()} for one in base["grades"][:1_500]]
         + base["grades"][1_500:],
     }
-    known = DeltaBase(settings_digest(base), base)
-    one = taker(new, known)
-    document, asked = talk(one, giver(new, known).answer_at_once, chance=chance, lose=lose)
+    delta_base = DeltaBase(settings_digest(base), base)
+    one = fetch_of(new, delta_base)
+    document, requests = converse(
+        one, source_of(new, delta_base).answer_at_once, chance=chance, lose=lose
+    )
     assert (
         document == new
-        and len(asked) > MAX_UNANSWERED_DELTA_REQUESTS
-        and {said.base for said in asked} == {known.digest}
+        and len(requests) > MAX_UNANSWERED_DELTA_REQUESTS
+        and {request.base for request in requests} == {delta_base.digest}
     )
 
 
 def test_a_member_with_unknown_settings_gets_the_whole_document() -> None:
     """Nobody knows the settings from which the delta is wanted, and three members say so."""
-    document, asked = talk(taker(), giver().answer_at_once)
+    document, requests = converse(fetch_of(), source_of().answer_at_once)
     assert document == apply_delta(
         KNOWN.document, compute_delta(KNOWN.document, shared_settings(NEW))
     )
-    bases = [said.base for said in asked]
+    bases = [request.base for request in requests]
     assert bases[:MAX_DELTA_REFUSALS] == [KNOWN.digest] * MAX_DELTA_REFUSALS
     assert set(bases[MAX_DELTA_REFUSALS:]) == {""}
 
 
 def test_a_release_without_deltas_is_asked_for_the_whole_document() -> None:
     """A program of the release before does not answer a request that it cannot read."""
-    whole = giver()
-    document, asked = talk(taker(), lambda said: [] if said.base else whole.answer_at_once(said))
+    whole = source_of()
+    document, requests = converse(
+        fetch_of(), lambda request: [] if request.base else whole.answer_at_once(request)
+    )
     assert (
         document is not None
-        and [said.base for said in asked].count(KNOWN.digest) == MAX_UNANSWERED_DELTA_REQUESTS
+        and [request.base for request in requests].count(KNOWN.digest)
+        == MAX_UNANSWERED_DELTA_REQUESTS
     )
 
 
 def test_the_only_holder_has_no_delta() -> None:
     """The only holder started with the new settings and has no others as a base."""
-    one, origin = taker(), giver()
+    one, origin = fetch_of(), source_of()
     assert one.delta_holders([5]) == [5]
     (refusal,) = origin.answer_at_once(codec.PieceRequest(ORDER, (), one.base))
     reply = codec.decode(refusal)
@@ -269,9 +271,9 @@
     whole = codec.decode(one.next_request(False))
     assert isinstance(whole, codec.PieceRequest) and whole.base == ""
     # 6 has taken the whole
-    (piece,) = giver(NEW, KNOWN).answer_at_once(codec.PieceRequest(ORDER, (), one.base))
-    given_ = codec.decode(piece)
-    assert isinstance(given_, codec.Piece) and one.put(given_) is not None
+    (text,) = source_of(NEW, KNOWN).answer_at_once(codec.PieceRequest(ORDER, (), one.base))
+    piece = codec.decode(text)
+    assert isinstance(piece, codec.Piece) and one.put(piece) is not None
 
 
 def test_a_wrong_delta_is_discarded_for_the_whole_document() -> None:
@@ -279,18 +281,18 @@
     wrong = codec.encode_piece(
         codec.Piece(ORDER, settings_digest(NEW), 0, 1, packed([["-", ["step"]]])[0], KNOWN.digest)
     )
-    whole = giver()
-    document, asked = talk(
-        taker(), lambda said: [wrong] if said.base else whole.answer_at_once(said)
+    whole = source_of()
+    document, requests = converse(
+        fetch_of(), lambda request: [wrong] if request.base else whole.answer_at_once(request)
     )
     assert document is not None and settings_digest(document) == settings_digest(NEW)
-    assert [said.base for said in asked][0] == KNOWN.digest and asked[1].base == ""
+    assert [request.base for request in requests][0] == KNOWN.digest and requests[1].base == ""
 
 
 @pytest.mark.parametrize("told", ["whole", "other base", "other order"])
 def test_pieces_of_something_else_do_not_enter_a_delta(told: str) -> None:
     """Pieces of another base, of another revision and of the whole document arrive meanwhile."""
-    one, right = taker(), giver(NEW, KNOWN)
+    one, right = fetch_of(), source_of(NEW, KNOWN)
     text = packed([["-", ["step"]]])[0]
     digest, base = settings_digest(NEW), KNOWN.digest
     other = {
@@ -299,12 +301,12 @@
         "other order": codec.Piece(ORDER - 1, digest, 0, 1, text, base),
     }[told]
     assert one.put(other) is None and one.base == base and not one._delta._texts
-    assert talk(one, right.answer_at_once)[0] is not None
+    assert converse(one, right.answer_at_once)[0] is not None
 
 
 def test_refusals_of_another_delta_do_not_count() -> None:
     """Members say that they lack a delta that nobody asked for."""
-    one = taker()
+    one = fetch_of()
     for sender in range(10):
         one.delta_refused(sender, codec.DeltaUnavailable(ORDER, "zzzz"))
         one.delta_refused(sender, codec.DeltaUnavailable(ORDER + 1, KNOWN.digest))
@@ -317,9 +319,11 @@
     base, new = (
         {"grades": [{"name": f"{n}", "key": chance.random()} for n in range(60)]} for _ in range(2)
     )
-    known = DeltaBase(settings_digest(base), base)
-    (text,) = giver(new, known).answer_at_once(codec.PieceRequest(ORDER, (), known.digest))
-    assert codec.decode(text) == codec.DeltaUnavailable(ORDER, known.digest)
+    delta_base = DeltaBase(settings_digest(base), base)
+    (text,) = source_of(new, delta_base).answer_at_once(
+        codec.PieceRequest(ORDER, (), delta_base.digest)
+    )
+    assert codec.decode(text) == codec.DeltaUnavailable(ORDER, delta_base.digest)
 
 
 def test_members_give_each_other_pieces_of_a_delta_that_both_lack() -> None:
@@ -329,16 +333,18 @@
         "grades": [{**one, "key": chance.random()} for one in base["grades"][:80]]
         + base["grades"][80:]
     }
-    known = DeltaBase(settings_digest(base), base)
-    first, second, other = taker(new, known), taker(new, known), taker(new, None)
-    for text in giver(new, known).answer_at_once(codec.PieceRequest(ORDER, (0, 1), known.digest)):
+    delta_base = DeltaBase(settings_digest(base), base)
+    first, second, other = fetch_of(new, delta_base), fetch_of(new, delta_base), fetch_of(new, None)
+    for text in source_of(new, delta_base).answer_at_once(
+        codec.PieceRequest(ORDER, (0, 1), delta_base.digest)
+    ):
         piece = codec.decode(text)
         assert isinstance(piece, codec.Piece)
         first.put(piece)
-    asked = codec.PieceRequest(ORDER, (0, 1, 2), known.digest)
-    given_on = [codec.decode(text) for text in first.answer(asked)]
+    requests = codec.PieceRequest(ORDER, (0, 1, 2), delta_base.digest)
+    given_on = [codec.decode(text) for text in first.answer(requests)]
     assert [piece.number for piece in given_on if isinstance(piece, codec.Piece)] == [0, 1]
     assert (
-        second.answer(asked) == [] == other.answer(asked)
-        and first.answer(asked._replace(base="")) == []
+        second.answer(requests) == [] == other.answer(requests)
+        and first.answer(requests._replace(base="")) == []
     )
--- a/tests/configuration/test_fetch.py
+++ b/tests/configuration/test_fetch.py
@@ -22,18 +22,18 @@
 @pytest.mark.parametrize("lose", [0.0, 0.3])
 def test_a_document_is_assembled_through_loss_duplicates_and_reordering(lose: float) -> None:
     """Datagrams are lost, doubled and reordered; the document is complete and right in the end."""
-    chance, giver = random.Random(1), DocumentSource(4, DOCUMENT)
-    taker, got = DocumentFetch(4, giver.digest), None
+    chance, source = random.Random(1), DocumentSource(4, DOCUMENT)
+    fetch, got = DocumentFetch(4, source.digest), None
     for _ in range(200):
-        asked = codec.decode(taker.next_request(False))
-        assert isinstance(asked, codec.PieceRequest) and len(taker.next_request(False)) <= 256
-        answers = giver.answer_at_once(asked)
+        asked = codec.decode(fetch.next_request(False))
+        assert isinstance(asked, codec.PieceRequest) and len(fetch.next_request(False)) <= 256
+        answers = source.answer_at_once(asked)
         for text in chance.sample([*answers, *answers], 2 * len(answers)):
-            given_ = codec.decode(text)
+            piece = codec.decode(text)
             # room for the keyed hash
-            assert isinstance(given_, codec.Piece) and len(text) <= 256 - 18
+            assert isinstance(piece, codec.Piece) and len(text) <= 256 - 18
             if chance.random() >= lose and got is None:
-                got = taker.put(given_)
+                got = fetch.put(piece)
         if got is not None:
             break
     assert got == versions.shared_settings(DOCUMENT)
@@ -41,17 +41,17 @@
 
 def test_pieces_of_another_document_are_ignored_and_nonsense_is_discarded() -> None:
     """A member gives another document, or a text that cannot be unpacked. Neither is taken."""
-    giver = DocumentSource(4, DOCUMENT)
-    for taker in (DocumentFetch(4, "zzzz"), DocumentFetch(5, giver.digest)):
-        asked = codec.decode(taker.next_request(False))
+    source = DocumentSource(4, DOCUMENT)
+    for fetch in (DocumentFetch(4, "zzzz"), DocumentFetch(5, source.digest)):
+        asked = codec.decode(fetch.next_request(False))
         assert isinstance(asked, codec.PieceRequest)
         assert [
-            taker.put(given_)
-            for text in giver.answer_at_once(asked)
-            if isinstance(given_ := codec.decode(text), codec.Piece)
+            fetch.put(piece)
+            for text in source.answer_at_once(asked)
+            if isinstance(piece := codec.decode(text), codec.Piece)
         ] in ([], [None])
-    forged = DocumentFetch(4, giver.digest)
-    assert forged.put(codec.Piece(4, giver.digest, 0, 1, "AAAA")) is None  # whole, and nonsense
+    forged = DocumentFetch(4, source.digest)
+    assert forged.put(codec.Piece(4, source.digest, 0, 1, "AAAA")) is None  # whole, and nonsense
     assert (
         isinstance(codec.decode(forged.next_request(False)), codec.PieceRequest)
         and not forged._whole._texts
@@ -60,13 +60,13 @@
 
 def test_late_pieces_of_an_older_document_are_ignored() -> None:
     """Pieces of the revision before arrive between those of the new one."""
-    giver, older = DocumentSource(4, DOCUMENT), DocumentSource(3, {**DOCUMENT, "step": 2})
-    taker, got = DocumentFetch(4, giver.digest), []
-    for n, text in enumerate(giver.all_pieces()):
-        got.append(taker.put(codec.Piece(4, giver.digest, n, len(giver.all_pieces()), text)))
+    source, older = DocumentSource(4, DOCUMENT), DocumentSource(3, {**DOCUMENT, "step": 2})
+    fetch, got = DocumentFetch(4, source.digest), []
+    for n, text in enumerate(source.all_pieces()):
+        got.append(fetch.put(codec.Piece(4, source.digest, n, len(source.all_pieces()), text)))
         got.append(
-            taker.put(
-                codec.Piece(3, older.digest, 0, len(giver.all_pieces()), older.all_pieces()[0])
+            fetch.put(
+                codec.Piece(3, older.digest, 0, len(source.all_pieces()), older.all_pieces()[0])
             )
         )
     assert [one for one in got if one] == [versions.shared_settings(DOCUMENT)]
@@ -75,9 +75,9 @@
 def test_a_document_with_another_digest_than_announced_is_discarded() -> None:
     """A member gives another document under the announced digest. It is complete, and not taken."""
     other = DocumentSource(4, {"step": 2})
-    taker = DocumentFetch(4, DocumentSource(4, DOCUMENT).digest)
+    fetch = DocumentFetch(4, DocumentSource(4, DOCUMENT).digest)
     assert (
-        taker.put(codec.Piece(4, taker.digest, 0, len(other.all_pieces()), other.all_pieces()[0]))
+        fetch.put(codec.Piece(4, fetch.digest, 0, len(other.all_pieces()), other.all_pieces()[0]))
         is None
         and len(other.all_pieces()) == 1
     )
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -188,20 +188,20 @@
 
 
 def test_a_wanted_document_is_requested_as_a_delta() -> None:
-    giver, taker = (
+    holder, requester = (
         RecordedExchange(changed(routes(300)), routes(300)),
         RecordedExchange(routes(300), routes(10)),
     )
-    taker.exchange.fetch(WantedDocument(5, giver.digest, (0,)), {0, 1}, 0.0)
-    ((number, ask),) = taker.sent
-    said = codec.decode(ask)
-    assert number == 0 and isinstance(said, codec.PieceRequest) and said.base == giver.base
-    giver.exchange.receive(1, ask, 0.0)
-    giver.finish()
-    arrived = taker.exchange.receive(0, giver.sent[0][1], 0.0)
+    requester.exchange.fetch(WantedDocument(5, holder.digest, (0,)), {0, 1}, 0.0)
+    ((number, request),) = requester.sent
+    said = codec.decode(request)
+    assert number == 0 and isinstance(said, codec.PieceRequest) and said.base == holder.base
+    holder.exchange.receive(1, request, 0.0)
+    holder.finish()
+    arrived = requester.exchange.receive(0, holder.sent[0][1], 0.0)
     assert arrived is not None and (arrived.revision, arrived.digest, arrived.sender) == (
         5,
-        giver.digest,
+        holder.digest,
         0,
     )
-    assert settings_digest(arrived.document) == giver.digest
+    assert settings_digest(arrived.document) == holder.digest
