--- a/hazelhollow/configuration/audit/entries.py
+++ b/hazelhollow/configuration/audit/entries.py
@@ -16,6 +16,7 @@
 _LENGTH_BYTES = _CHECKSUM_BYTES = 4
 HEADER_BYTES = _LENGTH_BYTES + _CHECKSUM_BYTES  # before an entry
 MAX_ENTRY_BYTES = 1 << 16
+ACTIVITY_PERIOD_S = 1.0  # that an ACTIVITY entry covers, up to its time
 
 
 class EntryKind(StrEnum):
--- a/hazelhollow/configuration/audit/findings.py
+++ b/hazelhollow/configuration/audit/findings.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
+from hazelhollow.configuration.audit.entries import ACTIVITY_PERIOD_S
 from hazelhollow.configuration.audit.timeline import (
     DisabledHostUse,
     MemberTimeline,
@@ -19,7 +20,6 @@
 
 # A member that heard of newer settings has ceased to act on the older ones by then, or is shut out.
 ADOPTION_LIMIT_S = 3.0
-_ACTIVITY_S = 1.0  # requests are on record by the second
 
 
 class FindingKind(StrEnum):
@@ -76,7 +76,7 @@
 def _went_on(span: SettingsSpan, heard_at: float) -> bool:
     return (
         span.begin <= heard_at < span.end
-        and span.last_request_at - heard_at > ADOPTION_LIMIT_S + _ACTIVITY_S
+        and span.last_request_at - heard_at > ADOPTION_LIMIT_S + ACTIVITY_PERIOD_S
         and not span.took_nothing_since(heard_at, ADOPTION_LIMIT_S)
     )
 
--- a/hazelhollow/configuration/audit/timeline.py
+++ b/hazelhollow/configuration/audit/timeline.py
@@ -10,11 +10,10 @@
 
 from hazelhollow.configuration import versions
 from hazelhollow.configuration.admission_verdict import SettingsState
-from hazelhollow.configuration.audit.entries import AuditEntry, EntryKind
+from hazelhollow.configuration.audit.entries import ACTIVITY_PERIOD_S, AuditEntry, EntryKind
 
 # Nothing more goes to a host from this long after an operator has disabled it.
 DISABLED_HOST_GRACE_S = 1.0
-_ACTIVITY_S = 1.0  # the time before an ACTIVITY entry that it covers
 
 
 @dataclass
@@ -197,7 +196,7 @@
             span.end = max(span.end, entry.time)
         for host, attempts in entry.hosts.items():
             since = self._disabled_since.get(host)
-            if since is not None and entry.time - _ACTIVITY_S > since + DISABLED_HOST_GRACE_S:
+            if since is not None and entry.time - ACTIVITY_PERIOD_S > since + DISABLED_HOST_GRACE_S:
                 use = DisabledHostUse(entry.member, entry.time, host, attempts)
                 self._evidence.disabled_host_uses.append(use)
 
