--- a/hazelhollow/configuration/adoption.py
+++ b/hazelhollow/configuration/adoption.py
@@ -162,11 +162,11 @@
 
     def _put_in_force(self, settings: ProposedSettings) -> None:
         state = self._state
-        unusable = state.in_force.take(settings.digest, settings.document)
+        unusable = state.in_force.apply(settings.digest, settings.document)
         if unusable:
             self._refuse(settings, unusable)
             return
-        state.in_force.number(settings.revision)
+        state.in_force.set_given_revision(settings.revision)
         if settings.invitation:
             state.rollout.join(settings.invitation.candidate, state.limiter.request_counts())
             state.activity.rollout(RolloutEvent.TAKEN, settings.reason, state.in_force.revision())
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -145,7 +145,7 @@
 
         Candidates, and what peers gave, no longer count.
         """
-        self._state.in_force.forget_given()
+        self._state.in_force.clear_given_revision()
         self._adoption.cancel()
         self._state.rollout.end()
         self._keeper.publish("read again")
--- a/hazelhollow/configuration/record_keeping.py
+++ b/hazelhollow/configuration/record_keeping.py
@@ -107,7 +107,7 @@
             self._current = digest, revision, tried
             self._serve(revision, digest, in_force.document())
             if not tried:
-                in_force.note_untried(digest)
+                in_force.remember_in_force(digest)
         changed = not self._ahead and self._state.activity.settings(digest, revision, tried, reason)
         self._state.activity.endpoints(revision)
         return changed
--- a/hazelhollow/configuration/rollout_control.py
+++ b/hazelhollow/configuration/rollout_control.py
@@ -74,7 +74,7 @@
         if unusable:
             raise RolloutRefusedError(unusable)
         self._adoption.cancel()
-        state.in_force.number(revision)
+        state.in_force.set_given_revision(revision)
         state.rollout.push(canaries, state.clock() + after, state.limiter.request_counts())
         self._record(
             RolloutEvent.PUSHED, f"{canaries} members try it, all act on it after {after:g} s"
@@ -135,7 +135,7 @@
         """
         state = self._state
         known = state.known()
-        digest = state.in_force.digest_before(bool(known.canaries()))
+        digest = state.in_force.rollback_digest(bool(known.canaries()))
         document = state.in_force.history.document(digest) if digest else None
         if document is None:
             raise RolloutRefusedError(
@@ -145,10 +145,10 @@
         revision = known.greatest() + 1
         if revision > MAX_REVISION:
             raise RolloutRefusedError(f"there is no order above {MAX_REVISION}")
-        unusable = state.in_force.take(digest, document)
+        unusable = state.in_force.apply(digest, document)
         if unusable:
             raise RolloutRefusedError(unusable)
-        state.in_force.number(revision)
+        state.in_force.set_given_revision(revision)
         self._adoption.cancel()
         state.rollout.end()
         self._record(RolloutEvent.ROLLED_BACK, "by an operator")
--- a/hazelhollow/configuration/state.py
+++ b/hazelhollow/configuration/state.py
@@ -48,10 +48,11 @@
         self._given_revision = 0  # of settings that a peer gave, or that are tried
         self._document: Mapping[str, Any] | None = None  # of which `_digest` is the digest
         self._digest = ""
-        self._untried = list[str]()  # the last two digests that were acted on without trying them
+        # The last two digests of settings that were in force here, and not only tried.
+        self._digests_in_force = list[str]()
 
     def revision(self) -> int:
-        """The greater one of the file's and of what was given to this member."""
+        """The greater one of the file's revision and the one given with the settings."""
         return max(self._file_revision(), self._given_revision)
 
     def digest(self) -> str:
@@ -67,32 +68,32 @@
         assert self._document is not None
         return self._document
 
-    def take(self, digest: str, document: Mapping[str, Any]) -> str:
+    def apply(self, digest: str, document: Mapping[str, Any]) -> str:
         """Has the limiter act on a document of a known digest; why it cannot, or nothing."""
         reason = self._limiter.apply_settings(document) if digest != self.digest() else ""
         if not reason:
             self._set(self._limiter.settings_document(), digest)
         return reason
 
-    def number(self, revision: int) -> None:
+    def set_given_revision(self, revision: int) -> None:
         """The settings were given to this member under that revision."""
         self._given_revision = revision
 
-    def forget_given(self) -> None:
-        """What the file says counts alone."""
+    def clear_given_revision(self) -> None:
+        """Only the revision of the file counts now."""
         self._given_revision = 0
 
-    def note_untried(self, digest: str) -> None:
-        """These settings are in force, not tried."""
-        if self._untried[-1:] != [digest]:
-            self._untried = [*self._untried[-1:], digest]
+    def remember_in_force(self, digest: str) -> None:
+        """These settings are in force here, and not only tried."""
+        if self._digests_in_force[-1:] != [digest]:
+            self._digests_in_force = [*self._digests_in_force[-1:], digest]
 
-    def digest_before(self, candidate_exists: bool) -> str:
-        """What a roll back goes to; empty where nothing earlier is known.
+    def rollback_digest(self, candidate_exists: bool) -> str:
+        """The digest of the settings that a roll back restores; empty where none are known.
 
         That is, what was in force before a candidate, or else before what is in force.
         """
-        earlier = self._untried if candidate_exists else self._untried[:-1]
+        earlier = self._digests_in_force if candidate_exists else self._digests_in_force[:-1]
         return earlier[-1] if earlier else ""
 
     def _set(self, document: Mapping[str, Any], digest: str) -> None:
