--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -12,9 +12,14 @@
 
 import structlog
 
-from hazelhollow.configuration import config_call
-from hazelhollow.configuration.driver import Driver as AuditDriver
-from hazelhollow.configuration.record import Record, Segments
+from hazelhollow.configuration import operator_calls
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.audit.segments import SegmentWriter
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
 from hazelhollow.control_budget.budget import ControlBudget, RoleBudget, TrafficRole
 from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
@@ -57,22 +62,22 @@
     def __init__(self, service: Service) -> None:
         self._service = service
 
-    def document(self) -> Mapping[str, Any]:
+    def settings_document(self) -> Mapping[str, Any]:
         return self._service.document
 
-    def check(self, document: Mapping[str, Any]) -> str:
+    def check_settings(self, document: Mapping[str, Any]) -> str:
         return self._service.check_settings(document)
 
-    def take(self, document: Mapping[str, Any]) -> str:
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
         return self._service.take_settings(document)
 
-    def listed(self) -> tuple[int, str]:
+    def endpoint_list(self) -> tuple[int, str]:
         return self._service.table.version, ":".join(map(str, self._service.watch.address))
 
-    def out(self) -> set[str]:
+    def disabled_hosts(self) -> set[str]:
         return self._service.banned
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         stats = self._service.stats
         return {
             "requests": stats.requests,
@@ -81,11 +86,11 @@
             "failed": stats.failed,
         }
 
-    def sent(self) -> Counter[str]:
+    def take_attempts(self) -> Counter[str]:
         counts, self._service.limiter.sent = self._service.limiter.sent or Counter(), Counter()
         return counts
 
-    def samples(self) -> list[str]:
+    def take_samples(self) -> list[str]:
         found, self._service.limiter.samples = self._service.limiter.samples, []
         return found
 
@@ -102,7 +107,7 @@
         self.driver: SharedStoreDriver | None = None
         self.fleet: MembershipDriver | None = None
         self.replica: ReplicationDriver | None = None
-        self.audit: AuditDriver | None = None
+        self.audit: ConfigurationDriver | None = None
         self.control: ControlBudget | None = None
         self._budget: LimiterBudget | None = None
         self._writer = BackgroundWriter()
@@ -237,21 +242,19 @@
         )
         assert peers is not None
         segments = (
-            Segments(Path(terms.state_dir), me, incarnation, self._writer)
+            SegmentWriter(Path(terms.state_dir), me, incarnation, self._writer)
             if terms.state_dir
             else None
         )
         service.limiter.sent, service.limiter.most_samples = Counter(), terms.samples
-        self.audit = AuditDriver(
-            service.scheduler,
-            peers,
-            fleet,
-            self.seal,
-            Port(service),
-            lambda: self.order,
-            Record(me, incarnation, segments),
-            self._seed,
-            self._part(TrafficRole.CONFIGURATION),
+        self.audit = ConfigurationDriver(
+            Connections(service.scheduler, peers, fleet, self.seal, Port(service)),
+            ConfigurationOptions(
+                lambda: self.order,
+                AuditRecord(me, incarnation, segments),
+                self._seed,
+                self._part(TrafficRole.CONFIGURATION),
+            ),
         )
         self.audit.start()
 
@@ -279,23 +282,25 @@
 
     def written(self) -> list[Any] | None:
         """What `call audit` answers."""
-        return self.audit.record.last() if self.audit else None
+        return self.audit.record.newest() if self.audit else None
 
     def config_call(self, words: tuple[str, ...]) -> str | None:
         """What `call config ...` answers."""
-        return config_call.answer(self.audit, Path(self.file).parent, words) if self.audit else None
+        if self.audit is None:
+            return None
+        return operator_calls.answer(self.audit.rollouts, Path(self.file).parent, words)
 
     def called(self, server: str, down: bool) -> None:
         """An operator has put a server out or back at this limiter."""
         if self.replica:
             self.replica.call(server, down)
         if self.audit:
-            self.audit.write_changes("operator call")
+            self.audit.publish("operator call")
 
     def settings_in_force(self) -> None:
         """The limiter has taken the settings of its file, and no request was served by them yet."""
         if self.audit:
-            self.audit.settings_in_force()
+            self.audit.settings_reloaded()
 
     def end(self) -> None:
         """The limiter has answered all and ends."""
--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -29,8 +29,8 @@
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins import relay as relays
 from hazelhollow.standins.link_faults import Link
+from tests.configuration.test_audit_processes import Audited
 from tests.membership.test_membership_processes import states
-from tests.test_audit_processes import Audited
 
 MEMBERS = 6
 BUDGET = settings_for(MIN_BYTES_PER_S)
