--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -1,7 +1,4 @@
-"""The budget of control traffic.
-
-What may leave in any window, what each role is sure of; and the view within its part.
-"""
+"""The control budget: what may leave in any window, and what waits for it."""
 
 from __future__ import annotations
 
@@ -9,7 +6,6 @@
 import random
 import subprocess
 import sys
-from collections import Counter
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -18,8 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.bench import documents, zones
-from hazelhollow.bench.fleet import Sim
+from hazelhollow.bench import documents
 from hazelhollow.configuration import transfer
 from hazelhollow.configuration.known import KnownVersions
 from hazelhollow.configuration.stragglers import ASK_FOR, LONGEST_ASK, Rule
@@ -35,21 +30,6 @@
     settings_for,
 )
 from hazelhollow.control_budget.send_queue import SendQueue
-from hazelhollow.membership import codec
-from hazelhollow.membership.codec import Message, MessageKind
-from hazelhollow.membership.death_confirmation import DeathConfirmations
-from hazelhollow.membership.dissemination import DisseminationQueue
-from hazelhollow.membership.member_table import MemberTable
-from hazelhollow.membership.membership import Membership
-from hazelhollow.membership.records import MemberState, Record
-from hazelhollow.membership.settings import MembershipSettings
-from hazelhollow.membership.suspicion import SuspicionTable
-from hazelhollow.membership.timing import (
-    CONFIRMATION_ATTEMPTS,
-    MASS_FAILURE_SAMPLE,
-    PROBE_INTERVAL_S,
-    SUSPICION_TIMEOUT_S,
-)
 from hazelhollow.operator import load
 from hazelhollow.operator.attach import Attached
 from hazelhollow.operator.errors import CueError
@@ -57,10 +37,17 @@
 from tests.scenario import SETTINGS
 
 START = 1000.0
+
+
 ROUNDING = 1e-3  # bytes
 
+
 budgets = st.floats(3000.0, 20_000.0).map(settings_for)
+
+
 roles = st.sampled_from(list(TrafficRole))
+
+
 asks = st.lists(
     st.tuples(
         st.floats(0.0, 2.0), roles, st.integers(1, MAX_DATAGRAM_BYTES), st.floats(0.0, 300.0)
@@ -69,9 +56,6 @@
 )
 
 
-# What may leave
-
-
 @given(budgets, asks)
 def test_in_any_window_at_most_the_rate_and_the_burst_leave(
     settings: BudgetSettings, asked: list[tuple[float, TrafficRole, int, float]]
@@ -232,162 +216,6 @@
     assert settings.rate * 10.0 + settings.burst <= 4000.0 * 10.0
 
 
-def member_of(members: int, allowance: RoleBudget | None = None) -> Membership:
-    return Membership(MembershipSettings(0, members, 1), START, allowance)
-
-
-# Suspicions and confirmations
-
-
-def suspect(number: int) -> Record:
-    return Record(number, 5, 1, MemberState.SUSPECT)
-
-
-def test_a_suspect_that_was_not_asked_is_not_held_dead_until_several_were_asked_in_vain() -> None:
-    suspicions = SuspicionTable()
-    for number in range(MASS_FAILURE_SAMPLE + 2):
-        suspicions.add(suspect(number), START, 1.0)
-    for number in range(MASS_FAILURE_SAMPLE - 1):
-        suspicions.pinged(number)
-    assert {r.number for r in suspicions.take_expired(START + 1.0)} == set(
-        range(MASS_FAILURE_SAMPLE - 1)
-    )
-    assert suspicions.take_expired(START + 100.0) == []
-    suspicions.pinged(MASS_FAILURE_SAMPLE - 1)
-    assert {r.number for r in suspicions.take_expired(START + 100.0)} == {
-        MASS_FAILURE_SAMPLE - 1,
-        MASS_FAILURE_SAMPLE,
-        MASS_FAILURE_SAMPLE + 1,
-    }
-
-
-def test_one_that_refutes_ends_the_belief_in_the_death_of_those_not_asked() -> None:
-    suspicions = SuspicionTable()
-    for number in range(MASS_FAILURE_SAMPLE + 2):
-        suspicions.add(suspect(number), START, 1.0)
-    for number in range(MASS_FAILURE_SAMPLE):
-        suspicions.pinged(number)
-    suspicions.withdraw(MASS_FAILURE_SAMPLE + 1, refuted=True)
-    assert len(suspicions.take_expired(START + 0.5)) == 0
-    suspicions.add(suspect(MASS_FAILURE_SAMPLE + 2), START + 100.0, 1.0)
-    assert (
-        len(suspicions.take_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 1
-        and suspicions.is_mass_failure()
-    )
-    suspicions.add(suspect(MASS_FAILURE_SAMPLE + 3), START, 1.0)
-    suspicions.withdraw(MASS_FAILURE_SAMPLE + 3, refuted=True)
-    assert not suspicions.is_mass_failure() and suspicions.take_expired(START + 200.0) == []
-
-
-def test_one_held_dead_that_speaks_gives_all_their_time_anew_where_many_were_silent() -> None:
-    suspicions = SuspicionTable()
-    for number in range(MASS_FAILURE_SAMPLE + 3):
-        suspicions.add(suspect(number), START, 1.0)
-    for number in range(MASS_FAILURE_SAMPLE):
-        suspicions.pinged(number)
-    assert len(suspicions.take_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 3
-    for number in (20, 21):
-        suspicions.add(suspect(number), START, 1.0)
-    for number in range(MASS_FAILURE_SAMPLE):
-        suspicions.add(suspect(number), START, 0.1)
-        suspicions.pinged(number)
-    assert (
-        len(suspicions.take_expired(START + 0.5)) == MASS_FAILURE_SAMPLE
-        and suspicions.is_mass_failure()
-    )
-    suspicions.heard_from(3, START + 0.9, 1.0)  # one of the dead
-    assert not suspicions.is_mass_failure() and suspicions.take_expired(START + 1.0) == []
-    for number in (20, 21):
-        suspicions.pinged(number)
-    assert (
-        suspicions.take_expired(START + 1.8) == []
-        and len(suspicions.take_expired(START + 1.9)) == 2
-    )
-
-
-def test_one_suspect_that_speaks_has_its_own_time_anew_and_is_asked_again() -> None:
-    suspicions = SuspicionTable()
-    for number in (1, 2):
-        suspicions.add(suspect(number), START, 1.0)
-        suspicions.pinged(number)
-    suspicions.heard_from(1, START + 0.5, 1.0)
-    assert [r.number for r in suspicions.take_expired(START + 1.0)] == [2]
-    assert suspicions.take_expired(START + 1.5) == []  # it was not asked since
-    suspicions.pinged(1)
-    assert [r.number for r in suspicions.take_expired(START + 1.5)] == [1]
-
-
-@pytest.mark.parametrize(
-    ("state", "same_life"),
-    [(MemberState.SUSPECT, True), (MemberState.DEAD, True), (MemberState.DEAD, False)],
-)
-def test_only_the_life_that_is_held_dead_ends_the_silence_of_many(
-    state: MemberState, same_life: bool
-) -> None:
-    one = member_of(40)
-    for number in range(1, 30):
-        one.table.put(Record(number, 36**8, 1, MemberState.ALIVE))
-    for number in range(1, MASS_FAILURE_SAMPLE + 2):
-        one._state.apply(Record(number, 36**8, 1, MemberState.SUSPECT))
-        one._state.suspicions.pinged(number)
-    one._state.now = START + SUSPICION_TIMEOUT_S
-    one._state.apply(Record(20, 36**8, 1, state))
-    one._state.apply(Record(21, 36**8, 1, MemberState.SUSPECT))
-    one._period._expire()
-    assert one._state.suspicions.is_mass_failure()
-    sender = Record(20, 36**8 + (0 if same_life else 1), 1, MemberState.ALIVE)
-    one.receive(
-        20,
-        codec.encode(Message(MessageKind.PING, sender, 1, 7, (9,)), ())[0],
-        one._state.now + 0.1,
-    )
-    assert one._state.suspicions.is_mass_failure() is not same_life
-
-
-def test_suspects_are_asked_in_turn_and_the_newest_first() -> None:
-    suspicions, order = SuspicionTable(), list[int]()
-    for number in range(4):
-        suspicions.add(suspect(number), START + number, 1.0)
-    for _ in range(6):
-        (number,) = suspicions.next_to_ping(1)
-        suspicions.pinged(number)
-        order.append(number)
-    assert order == [3, 2, 1, 0, 3, 2]
-
-
-def test_a_death_that_others_tell_is_asked_about_twice_before_it_is_believed() -> None:
-    confirmations, now = DeathConfirmations(random.Random(1)), START
-    confirmations.add(Record(1, 5, 1, MemberState.DEAD), now)
-    for _ in range(CONFIRMATION_ATTEMPTS):
-        assert confirmations.take_confirmed(now, 0.5) == [] and confirmations.next_to_ping(
-            2, 8
-        ) == [1]
-        confirmations.pinged(1, now + 0.5)
-        now += 0.5
-    assert [r.number for r in confirmations.take_confirmed(now, 0.5)] == [1]
-
-
-def test_more_deaths_than_can_be_asked_about_wait_unless_several_were_asked_in_vain() -> None:
-    confirmations, now = DeathConfirmations(random.Random(1)), START
-    for number in range(20):
-        confirmations.add(Record(number, 5, 1, MemberState.DEAD), now)
-    assert confirmations.take_confirmed(now + 100.0, 0.5) == []
-    for _ in range(CONFIRMATION_ATTEMPTS):
-        for number in confirmations.next_to_ping(20, 8):
-            confirmations.pinged(number, now + 0.5)
-        now += 0.5
-        confirmations.take_confirmed(now, 0.5)
-    confirmations.take_confirmed(now, 0.5)
-    assert len(confirmations) == 0
-    for number in range(20):
-        confirmations.add(Record(number, 5, 1, MemberState.DEAD), now)
-    confirmations.refute(3)
-    assert confirmations.take_confirmed(now + 100.0, 0.5) == []
-
-
-# What waits
-
-
 def test_what_waits_leaves_by_rank_within_the_budget_and_is_void_after_a_while() -> None:
     allowance = RoleBudget(ControlBudget(settings_for(3000.0), START), TrafficRole.CONFIGURATION)
     waiting = SendQueue[str](allowance, max_waiting=3, max_wait_s=2.0)
@@ -464,9 +292,6 @@
         assert state == ("asking" if second < LONGEST_ASK + ASK_FOR else "shut out")
 
 
-# The operator file
-
-
 def test_without_a_control_block_there_is_no_budget_and_with_one_there_is_all_of_it(
     tmp_path: Path,
 ) -> None:
@@ -489,180 +314,3 @@
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == ""
-
-
-# Bitmaps
-
-
-@given(st.integers(0, 40), st.sets(st.integers(0, codec.BITMAP_SPAN - 1)))
-def test_a_bitmap_reads_as_it_was_and_fits(start: int, places: set[int]) -> None:
-    sender, bits = (
-        Record(3, 36**8, 2, MemberState.ALIVE, (), "", "7f0000011f0a"),
-        sum(1 << place for place in places),
-    )
-    message = Message(MessageKind.PRESENCE_BITMAP, sender, 36**4 - 1, 36**5 - 1, (start, bits))
-    text, _ = codec.encode(message, [])
-    assert len(text) <= codec.MAX_TEXT_BYTES - 18  # with a seal
-    assert codec.decode(text, 2000) == message
-
-
-@pytest.mark.parametrize(
-    "parts",
-    ["0", "0:!", "0:A", "zz:AQ==", "0:////", "0:____", "-1:AQ==", "0:AQ==:", "9:Ag==", "0:A Q=="],
-)
-def test_what_cannot_be_is_no_bitmap(parts: str) -> None:
-    assert codec.decode("v1b 3.1.1.1/1/1 8:AQ==", 10) is not None
-    assert codec.decode("v1b 3.1.1.1/1/1 " + parts, 10) is None
-
-
-def test_a_bitmap_shows_who_has_joined_and_is_not_suspected() -> None:
-    table = MemberTable()
-    for number, state in enumerate(
-        (
-            MemberState.JOINING,
-            MemberState.ALIVE,
-            MemberState.SUSPECT,
-            MemberState.DEAD,
-            MemberState.LEFT,
-            MemberState.ALIVE,
-        )
-    ):
-        table.put(Record(number, 5, 1, state))
-    assert (
-        table.joined_bitmap(0, 10) == 0b100010
-        and table.joined_bitmap(5, 10) == 1
-        and table.joined_bitmap(2, 3) == 0
-    )
-
-
-# The view within its part
-
-
-def part(bytes_per_s: float, now: float = START) -> RoleBudget:
-    return RoleBudget(ControlBudget(settings_for(bytes_per_s), now), TrafficRole.MEMBERSHIP)
-
-
-def test_a_view_sends_no_more_than_it_may_whatever_comes() -> None:
-    """Answers too: they are the last to go, and they are counted when they do."""
-    allowance = part(3000.0)
-    one = member_of(40, allowance)
-    sent = Counter[float]()
-    peers = [Record(number, 36**8, 1, MemberState.ALIVE) for number in range(1, 40)]
-    for step in range(400):
-        now = START + step / 10
-        outs = one.tick(now) if step % 5 == 0 else []
-        for peer in peers:
-            message = Message(MessageKind.PING, peer, step + 1, step, (1,))
-            outs = outs + one.receive(peer.number, codec.encode(message, ())[0], now)
-        sent[now] += sum(len(send.text) + HEADER_BYTES for send in outs)
-    settings = settings_for(3000.0)
-    for first, began in enumerate(sent):
-        for last in list(sent)[first:]:
-            within = sum(size for at, size in sent.items() if began <= at <= last)
-            assert within <= settings.rate * (last - began) + settings.burst + ROUNDING
-    assert allowance.budget.usage[TrafficRole.MEMBERSHIP].dropped > 0
-
-
-def test_answers_go_out_when_tables_and_news_find_no_room() -> None:
-    allowance = part(3000.0)
-    one = member_of(40, allowance)
-    peer = Record(1, 36**8, 1, MemberState.ALIVE)
-    while allowance.take(1, START, 0.25):
-        pass
-    sums = codec.encode(Message(MessageKind.BUCKET_DIGESTS, peer, 1, 7, tuple(range(32))), ())[0]
-    ping = codec.encode(Message(MessageKind.PING, peer, 2, 7, (9,)), ())[0]
-    assert one.receive(1, sums, START) == []
-    (answer,) = one.receive(1, ping, START)
-    assert answer.text.startswith("v1a") and one.counts["held back"] > 0
-
-
-def test_a_probe_whose_helpers_could_not_be_asked_shows_nothing() -> None:
-    allowance = part(3000.0)
-    one = member_of(4, allowance)
-    for send in one.tick(START):
-        ping = codec.decode(send.text, 4)
-        assert ping
-        answer = Message(
-            MessageKind.ACK,
-            Record(send.recipient, 36**8, 1, MemberState.ALIVE),
-            1,
-            7,
-            ping.arguments,
-        )
-        one.receive(send.recipient, codec.encode(answer, ())[0], START)
-    for turn in range(1, 12):
-        now = START + turn * PROBE_INTERVAL_S
-        one.tick(now)
-        now += one.indirect_probe_after_s
-        while allowance.take(1, now):  # others use all that there is
-            pass
-        one.request_indirect_probes(now)
-    assert one.may_admit and one.counts["suspected"] == 0
-
-
-@pytest.mark.parametrize("contended", [False, True])
-def test_a_fleet_within_its_budget_settles_and_holds_nobody_falsely_dead(contended: bool) -> None:
-    found = zones.play(24, 1, 0.0, zones.allowances(4000.0, contended), lambda text: None)
-    phases = {name: phase for name, phase in found.items() if isinstance(phase, dict)}
-    settings, rate = settings_for(4000.0), settings_for(4000.0).rate
-    if contended:
-        rate = settings.roles[TrafficRole.MEMBERSHIP].rate
-    for name, phase in phases.items():
-        assert phase["settled_s"] is not None, name
-        assert phase["worst_second"] <= rate + settings.burst, name
-        assert phase["worst_ten_seconds"] <= rate + settings.burst / 10.0, name
-    assert found["false_deaths"] == 0
-
-
-def test_after_a_heal_nobody_is_held_dead_for_want_of_a_turn_to_be_asked() -> None:
-    """With more members on each side than are asked at once."""
-    sim = zones.CountingSim(48, 3, 0.0, lambda now: None)
-    sim.start_all()
-    assert sim.settle() is not None
-    cut = set(range(16))
-    rest = set(range(16, 48))
-    sim.cut = lambda a, b: (a in cut) != (b in cut)
-    assert sim.settle(lambda: sim.agreed(cut) and sim.agreed(rest)) is not None
-    sim.false_deaths.clear()
-    sim.cut = lambda a, b: False
-    assert sim.settle() is not None
-    assert not sim.false_deaths
-
-
-def test_all_members_learn_of_one_that_holds_an_older_record_by_what_it_gives() -> None:
-    """All ask the one whose table differs.
-
-    What it gives that is older is answered with what is newer.
-    """
-    sim = Sim(8, 1)
-    sim.start_all()
-    assert sim.settle() is not None
-    one = sim.members[2].membership
-    known = one.table.get(5)
-    assert known is not None
-    older = Message(
-        MessageKind.RECORDS,
-        Record(3, sim.members[3].membership.own.incarnation, 9, MemberState.ALIVE),
-        10**6,
-        7,
-    )
-    sends = one.receive(3, codec.encode(older, [known._replace(record_version=0)])[0], sim.now)
-    message = codec.decode(sends[-1].text, 8)
-    assert (
-        message
-        and sends[-1].recipient == 3
-        and message.kind == MessageKind.RECORDS
-        and known in message.records
-    )
-
-
-def test_refutations_are_passed_on_before_other_news() -> None:
-    dissemination, table = DisseminationQueue(100), MemberTable()
-    for record in (
-        Record(1, 5, 1, MemberState.DEAD),
-        Record(2, 5, 1, MemberState.ALIVE),
-        Record(3, 5, 2, MemberState.ALIVE),
-    ):
-        table.put(record)
-        dissemination.record_changed(record)
-    assert [record.number for record in dissemination.next_records(table, 0)] == [3, 1, 2]
