--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -76,7 +76,9 @@
 def test_a_role_that_asks_for_its_guaranteed_rate_always_gets_it(
     settings: BudgetSettings, role: TrafficRole, size: int, seed: int
 ) -> None:
-    """The others ask for all that they can get, at every moment."""
+    """The other roles ask for all that they can get at every moment. The guaranteed rate is
+    there.
+    """
     budget, chance = ControlBudget(settings, START), random.Random(seed)
     for turn in range(1, 120):
         now = START + turn * size / settings.roles[role].rate
@@ -88,7 +90,7 @@
 
 @pytest.mark.parametrize("role", TrafficRole)
 @pytest.mark.parametrize("bytes_per_s", [3000.0, 4000.0, 12_000.0])
-def test_what_nobody_uses_is_lent(role: TrafficRole, bytes_per_s: float) -> None:
+def test_unused_rate_is_lent(role: TrafficRole, bytes_per_s: float) -> None:
     settings = settings_for(bytes_per_s)
     budget = ControlBudget(settings, START)
     for step in range(1, 4001):
@@ -98,7 +100,7 @@
 
 
 @pytest.mark.parametrize("keep", [0.0, 400.0, 864.0])
-def test_what_a_role_keeps_free_costs_it_no_rate(keep: float) -> None:
+def test_bytes_that_a_role_keeps_free_cost_it_no_rate(keep: float) -> None:
     settings = settings_for(4000.0)
     budget = ControlBudget(settings, START)
     for step in range(1, 4001):
@@ -128,6 +130,9 @@
 def test_a_clock_that_jumps_gives_no_more_than_the_burst(
     settings: BudgetSettings, jump: float, back: bool
 ) -> None:
+    """The wall clock is set back or ahead. Going back gives nothing, a jump ahead no more than
+    the burst.
+    """
     budget, sent = ControlBudget(settings, START), 0
     for role in TrafficRole:
         while budget.take(role, 50, START):
@@ -154,10 +159,12 @@
     budgets,
     st.lists(st.tuples(st.floats(0.0, 1.0), st.integers(1, MAX_DATAGRAM_BYTES)), max_size=100),
 )
-def test_what_leaves_without_asking_is_taken_from_what_is_lent(
+def test_what_leaves_without_asking_is_taken_from_the_pool(
     settings: BudgetSettings, gossip: list[tuple[float, int]]
 ) -> None:
-    """And never from what another role is guaranteed."""
+    """Gossip leaves more than its guaranteed rate. What the other roles are guaranteed is still
+    there.
+    """
     budget, now = ControlBudget(settings, START), START
     for pause, size in gossip:
         now += pause
@@ -169,6 +176,9 @@
 
 
 def test_a_debt_is_paid_before_anything_is_lent() -> None:
+    """Gossip has overdrawn the pool. The other roles have only their own buckets until that is
+    paid.
+    """
     settings = settings_for(4000.0)
     budget = ControlBudget(settings, START)
     for _ in range(20):
@@ -179,7 +189,7 @@
     assert budget.available(TrafficRole.MEMBERSHIP, START + 10.0) > own
 
 
-def test_what_was_asked_for_is_counted_by_role() -> None:
+def test_usage_is_counted_by_role() -> None:
     budget = ControlBudget(settings_for(3000.0), START)
     part = RoleBudget(budget, TrafficRole.MEMBERSHIP)
     while part.take(100, START):
@@ -196,11 +206,13 @@
 
 @pytest.mark.parametrize("bytes_per_s", [0.0, 2999.0, float("-inf")])
 def test_a_budget_that_holds_no_datagram_is_refused(bytes_per_s: float) -> None:
+    """Settings with too few bytes a second: the error says so."""
     with pytest.raises(ValueError, match="less than"):
         settings_for(bytes_per_s)
 
 
 def test_guarantees_beyond_the_rate_and_buckets_below_a_datagram_are_refused() -> None:
+    """Settings that contradict each other: the error names which."""
     with pytest.raises(ValueError, match="guaranteed more"):
         BudgetSettings(
             100.0, {TrafficRole.MEMBERSHIP: BucketSettings(101.0, MAX_DATAGRAM_BYTES)}, 0.0
@@ -211,28 +223,31 @@
         )
 
 
-def test_over_ten_seconds_the_figure_of_the_settings_holds() -> None:
+def test_the_configured_rate_holds_over_ten_seconds() -> None:
     settings = settings_for(4000.0)
     assert settings.rate * 10.0 + settings.burst <= 4000.0 * 10.0
 
 
-def test_what_waits_leaves_by_rank_within_the_budget_and_is_void_after_a_while() -> None:
+def test_waiting_messages_leave_by_rank_within_the_budget_and_expire() -> None:
+    """The budget is spent. Messages wait, the most useful leave first, and old ones are dropped."""
     allowance = RoleBudget(ControlBudget(settings_for(3000.0), START), TrafficRole.CONFIGURATION)
-    waiting = SendQueue[str](allowance, max_waiting=3, max_wait_s=2.0)
+    queue = SendQueue[str](allowance, max_waiting=3, max_wait_s=2.0)
     while allowance.take(1, START):
         pass
     for rank, payload in ((2, "piece"), (1, "ask"), (3, "digest"), (1, "another ask")):
-        waiting.add(rank, 200, payload, START)
-    assert waiting.take_sendable(START) == [] and len(waiting) == 3 and waiting.contains("piece")
-    assert not waiting.contains("digest")  # the least useful made room
-    assert waiting.take_sendable(START + 1.5)[:2] == ["ask", "another ask"]
-    waiting.add(1, 10**6, "too long", START + 1.5)
-    assert waiting.take_sendable(START + 4.0) == [] and len(waiting) == 0
+        queue.add(rank, 200, payload, START)
+    assert queue.take_sendable(START) == [] and len(queue) == 3 and queue.contains("piece")
+    assert not queue.contains("digest")  # the least useful made room
+    assert queue.take_sendable(START + 1.5)[:2] == ["ask", "another ask"]
+    queue.add(1, 10**6, "too long", START + 1.5)
+    assert queue.take_sendable(START + 4.0) == [] and len(queue) == 0
     assert allowance.budget.usage[TrafficRole.CONFIGURATION].dropped >= 2
 
 
 def test_a_document_comes_whole_from_members_that_have_parts_of_it() -> None:
-    """Each is asked for a few pieces, none of them twice within a while."""
+    """A document arrives in pieces from several members. Each is asked for a few, none of them
+    twice within a while.
+    """
     document = {"classes": [{"name": f"c{n}", "weight": n * 7919 % 1009} for n in range(400)]}
     whole = transfer.Giver(3, document)
     chance, total = random.Random(1), len(whole.whole())
@@ -256,6 +271,9 @@
 
 
 def test_a_document_reaches_all_at_the_guaranteed_rate_alone() -> None:
+    """The other roles use all that they can get. The document still reaches all, at its
+    guaranteed rate.
+    """
     pieces, settings = 30, settings_for(4000.0)
     alone = pieces * MAX_DATAGRAM_BYTES / settings.roles[TrafficRole.CONFIGURATION].rate
     assert documents.seconds_to_all(2, 1, pieces, 4000.0, True, 1) <= 2 * alone
@@ -263,7 +281,9 @@
 
 
 def test_a_piece_that_is_on_its_way_is_not_asked_for_again_at_once() -> None:
-    """The first piece sooner: without it nothing is known of the others."""
+    """No piece has come yet. The first is asked for again sooner: without it nothing is known
+    of the others.
+    """
     taker, chance = transfer.Taker(3, "abc"), random.Random(1)
     assert taker.wants_few(chance, START, False) == "d1q 3 0"
     assert taker.wants_few(chance, START + 0.9 * transfer.FIRST_AGAIN_AFTER, False) is None
@@ -282,6 +302,9 @@
 
 
 def test_one_to_whom_pieces_come_asks_on_and_is_not_shut_out_meanwhile() -> None:
+    """A member with old settings gets pieces of newer ones slowly. It is shut out only once it
+    asked for too long.
+    """
     known = {
         n: Versions("i", "p", 1 if n else 0, "new" if n else "old", 1, "d", "h") for n in range(4)
     }
@@ -308,7 +331,7 @@
         read("fleet: control: bytes_per_s: 2999")
 
 
-def test_the_platforms_path_imports_nothing_of_it() -> None:
+def test_the_platform_run_imports_nothing_of_the_control_budget() -> None:
     code = (
         "import sys, hazelhollow.net.service; print(*[m for m in sys.modules if '.control' in m])"
     )
--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -115,7 +115,9 @@
 
 
 def test_a_drill_within_the_budget_breaks_no_promise(tmp_path: Path) -> None:
-    """Faults that overlap, under load and while settings change."""
+    """Links, processes and settings fail and change at once under load, within the budget. No
+    promise of the drill is broken.
+    """
     events = (
         plan.Event(at=1.0, what="cut", whom=("n0", "n1"), lasts=3.0),
         plan.Event(at=2.0, what="settings", whom=("n2",), amount=1.0),
@@ -135,10 +137,9 @@
     assert found["requests"] > 400 and (found["kills"], found["stalls"], found["cuts"]) == (1, 1, 1)
 
 
-def test_gossip_that_is_paced_takes_nobodys_part_out_of_reach(bounded: Bounded) -> None:
-    """In a fleet of eight or fewer gossip comes at every beat.
-
-    And silence tells that a peer is gone; not under a budget.
+def test_paced_gossip_leaves_no_part_to_a_peer_that_is_up(bounded: Bounded) -> None:
+    """In a small fleet silent gossip means that a peer is gone; paced gossip is silent at
+    times. No part is left to a peer that is up.
     """
     enough = 600 + sum(map(len, bounded.meter.sent.values()))
 
@@ -154,6 +155,9 @@
 
 
 def test_several_killed_at_once_while_settings_change(bounded: Bounded) -> None:
+    """Two of six limiters are killed while new settings spread. The rest agree, the two come
+    back with the new ones, and no budget is passed.
+    """
     names, killed = bounded.cluster.names, ("n4", "n5")
     rest = [name for name in names if name not in killed]
     bounded.change("n0", 1)
@@ -171,7 +175,7 @@
     assert sum(roles[role.value]["deferred"] for role in TrafficRole) > 0, "the budget did not bind"
 
 
-def test_one_that_begins_with_newer_settings_gives_them_to_all_in_time(
+def test_a_limiter_that_starts_with_newer_settings_gives_them_to_all_in_time(
     bounded: Bounded,
 ) -> None:
     """It has never acted on the older ones, so that it can tell no difference from them."""
@@ -187,6 +191,9 @@
 
 
 def test_a_cut_in_two_parts_and_its_heal(bounded: Bounded) -> None:
+    """The fleet is partitioned and the settings change on one side. After the heal all act on
+    them, and neither side ever held its own members dead.
+    """
     names = bounded.cluster.names
     one, other = names[:3], names[3:]
     number = bounded.apart(tuple(one))
@@ -204,8 +211,10 @@
     bounded.meter.check()
 
 
-def test_one_that_acts_on_an_older_order_is_still_reported(bounded: Bounded) -> None:
-    """It cannot take what it is given, and the others' budgets are at their least."""
+def test_a_limiter_with_an_older_revision_is_still_reported(bounded: Bounded) -> None:
+    """One limiter cannot take the new settings, while the budgets are at their least. The
+    others report it as behind.
+    """
     for name in bounded.cluster.names[:-1]:  # a plan changes: they are started again with it
         bounded.cluster.processes.kill(name)
         bounded.cluster.write_files(name, FIRST_PLAN_REVISION)
--- a/tests/control_budget/test_hollow_limiter_budget.py
+++ b/tests/control_budget/test_hollow_limiter_budget.py
@@ -43,7 +43,7 @@
     return one
 
 
-def test_under_a_budget_the_gossip_has_the_rate_of_its_role_and_each_subsystem_a_part() -> None:
+def test_under_a_budget_gossip_has_the_rate_of_its_role_and_each_subsystem_a_part() -> None:
     one = incarnation(FleetTerms(control_bytes_per_s=BUDGET))
     quota = settings_for(BUDGET).roles[TrafficRole.QUOTA]
     assert one.gateway.outbox is not None and one.gateway.outbox.bytes.rate == quota.rate
@@ -58,12 +58,13 @@
     assert one._peers.meter is not None, "gossip is debited as it leaves"
 
 
-def test_without_one_there_is_none() -> None:
+def test_without_a_budget_there_is_none() -> None:
     one = incarnation(FleetTerms())
     assert one.gateway.outbox is None
 
 
 def test_a_plan_with_too_small_a_budget_is_refused_with_its_place() -> None:
+    """A plan with too few bytes a second: the error names the setting."""
     text = f"[fleet]\ncontrol_bytes_per_s = {MIN_BYTES_PER_S - 1}\n"
     with pytest.raises(PlanError, match="control_bytes_per_s"):
         read(text, "plan.toml")
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""The view kept by real processes while links, clocks and processes break."""
+"""Membership of real processes while links, clocks and processes fail."""
 
 from __future__ import annotations
 
@@ -43,6 +43,9 @@
 
 
 def test_overlapping_faults_break_no_promise_and_all_agree_in_the_end(tmp_path: Path) -> None:
+    """A paused process, a link cut one way, kills, a restart and loss overlap. No promise is
+    broken and all agree at the end.
+    """
     events = (
         Event(at=1.0, what="pause", whom=("n0",), lasts=5.0),
         Event(at=1.5, what="cut", whom=("n1",), others=("n2",), lasts=5.0, one_way=True),
@@ -64,7 +67,8 @@
     assert "left" in states(folder, "n4", 1) and "dead" not in states(folder, "n4", 1)
 
 
-def test_two_parts_each_settle_and_then_agree(tmp_path: Path) -> None:
+def test_both_sides_of_a_partition_settle_and_then_agree(tmp_path: Path) -> None:
+    """The fleet is partitioned for six seconds. Each side holds the other dead, then all agree."""
     events = (Event(at=1.0, what="cut", whom=("n0", "n1"), lasts=6.0),)
     found, folder = played(
         tmp_path, plan.Plan(name="parts", instances=5, seconds=8.0, events=events)
@@ -118,7 +122,12 @@
     one.cluster.close()
 
 
-def test_one_stopped_past_its_death_says_that_it_does_not_act_before_it_does(fleet: Fleet) -> None:
+def test_a_process_stopped_past_its_death_reports_that_it_admits_nothing_before_it_does(
+    fleet: Fleet,
+) -> None:
+    """A process is stopped until the others hold it dead, then continued. It reports that it
+    admits nothing before it admits again.
+    """
     fleet.until(fleet.whole)
     fleet.cluster.processes.signal("n0", signal.SIGSTOP)
     fleet.until(lambda: fleet.view("n1")["0"][0] == fleet.view("n2")["0"][0] == "dead")
@@ -131,9 +140,12 @@
     assert acting()[0] is False and False in acting()[acting().index(True) :]
 
 
-def test_of_two_processes_with_one_name_the_later_goes_on_and_the_other_says_so_and_leaves(
+def test_of_two_processes_with_one_id_the_later_goes_on_and_the_other_logs_it_and_leaves(
     fleet: Fleet,
 ) -> None:
+    """A second process starts with the id of a running one. The first logs that and ends with
+    status 0, the second goes on.
+    """
     processes = fleet.cluster.processes
     fleet.until(fleet.whole)
     first = processes.members["n1"]
@@ -155,7 +167,10 @@
     assert processes.members["again"].running
 
 
-def test_a_forged_datagram_and_one_of_an_earlier_life_change_no_view(fleet: Fleet) -> None:
+def test_forged_and_outdated_datagrams_change_nothing(fleet: Fleet) -> None:
+    """Garbled, forged and outdated datagrams are sent from a real peer address. They are
+    counted and change nothing.
+    """
     fleet.until(fleet.whole)
     before = fleet.view("n0")
     relay, target = fleet.cluster.relay, fleet.cluster.own(1, 7946)
@@ -198,7 +213,10 @@
     return disk_file(name, home)
 
 
-def test_a_limiter_whose_disk_stands_still_serves_and_ends_and_says_so(tmp_path: Path) -> None:
+def test_a_limiter_whose_disk_stands_still_serves_and_ends_and_logs_it(tmp_path: Path) -> None:
+    """The disk stands still. The limiter serves, ends within its time and logs that the disk is
+    too slow.
+    """
     folder = tmp_path / "fleet"
     folder.mkdir()
     two = plan.Plan(name="x", instances=2, hosts=1)
@@ -230,6 +248,10 @@
 def test_members_without_a_list_of_peers_find_each_other_by_a_seed_that_may_die_later(
     tmp_path: Path,
 ) -> None:
+    """Limiters know only the address of one seed. They find each other through it and go on
+    when it dies.
+    """
+
     def seeded(name: str, home: Path) -> str:
         """Its own configuration, which stands there already, says in which net they are."""
         net = json.loads((home / "config.json").read_text())["peer_listen"].rpartition(".")[0]
