--- a/hazelhollow/membership/failure_detector.py
+++ b/hazelhollow/membership/failure_detector.py
@@ -149,7 +149,7 @@
                 now,
             )
 
-    def is_probed_since(self, target: int, now: float) -> bool:
+    def was_pinged_at(self, target: int, now: float) -> bool:
         """Whether a probe of that member was begun at this very moment."""
         return any(p.target == target and p.sent_at == now for p in self._probes.values())
 
--- a/hazelhollow/membership/period.py
+++ b/hazelhollow/membership/period.py
@@ -90,7 +90,7 @@
         state = self._state
         limit = state.suspicions.pings_per_period(state.table.present_count)
         for number in state.suspicions.next_to_ping(limit):
-            if not state.detector.is_probed_since(number, state.now):
+            if not state.detector.was_pinged_at(number, state.now):
                 state.ping(number, Purpose.SUSPECT)
 
     def _bury_never_seen(self) -> None:
--- a/hazelhollow/membership/reception.py
+++ b/hazelhollow/membership/reception.py
@@ -78,8 +78,9 @@
         """A member that is suspect or dead here in that incarnation is there."""
         state = self._state
         known = state.table.get(sender.number)
-        held_gone = known and known.state in (MemberState.SUSPECT, MemberState.DEAD)
-        if known and held_gone and known.incarnation == sender.incarnation:
+        if known is None or known.incarnation != sender.incarnation:
+            return
+        if known.state in (MemberState.SUSPECT, MemberState.DEAD):
             timeout_s = state.health.suspicion_timeout_s
             state.suspicions.heard_from(sender.number, state.now, timeout_s)
             state.confirmations.heard_from_dead()
@@ -116,6 +117,26 @@
         same_run = reported.incarnation == own.incarnation
         return same_run and reported > own and own.state != MemberState.LEFT
 
+    def _handle_ping(self, ping: Message) -> None:
+        """Answers a ping, and sends what is known of its sender here if that differs."""
+        state = self._state
+        peer, known = ping.sender.number, state.table.get(ping.sender.number)
+        reported_death = state.confirmations.record(peer)
+        report = reported_death
+        if report is None and known is not None and known > ping.sender:
+            report = known
+        same_table = ping.digest == state.table.digest()
+        ack = Outgoing(
+            peer,
+            MessageKind.ACK,
+            ping.arguments,
+            [report] if report else [],
+            Piggyback.SUSPICION if same_table else Piggyback.NEWS,
+        )
+        state.sender.send(ack, state.now)
+        if reported_death:
+            state.confirmations.pinged(peer, state.now + state.health.probe_timeout_s)
+
     def _handle_ack(self, message: Message) -> None:
         """Ends a probe's wait; one of this member's own also ends its joining."""
         if self._state.detector.acknowledged(message.arguments[0], message.sender.number):
@@ -133,9 +154,6 @@
         indirect_ack = (probe_id, prober, self._limiter_id)
         self._send(message.sender.number, MessageKind.INDIRECT_ACK, indirect_ack)
 
-    def _handle_table_message(self, message: Message) -> None:
-        self._state.exchange.receive(message, self._state.now)
-
     def _handle_indirect_ack(self, message: Message) -> None:
         """As the prober notes it; as the helper passes it on."""
         state = self._state
@@ -145,26 +163,11 @@
         elif message.sender.number == target:  # passed on once, by the helper, and by nobody else
             self._send(prober, MessageKind.INDIRECT_ACK, message.arguments)
 
+    def _handle_table_message(self, message: Message) -> None:
+        """Anti-entropy."""
+        self._state.exchange.receive(message, self._state.now)
+
     def _send(self, number: int, kind: MessageKind, arguments: tuple[int, ...]) -> None:
+        """With whatever rides along."""
         state = self._state
         state.sender.send(Outgoing(number, kind, arguments), state.now)
-
-    def _handle_ping(self, ping: Message) -> None:
-        """Answers a ping, and sends what is known of its sender here if that differs."""
-        state = self._state
-        peer, known = ping.sender.number, state.table.get(ping.sender.number)
-        reported_death = state.confirmations.record(peer)
-        report = reported_death
-        if report is None and known is not None and known > ping.sender:
-            report = known
-        same_table = ping.digest == state.table.digest()
-        ack = Outgoing(
-            peer,
-            MessageKind.ACK,
-            ping.arguments,
-            [report] if report else [],
-            Piggyback.SUSPICION if same_table else Piggyback.NEWS,
-        )
-        state.sender.send(ack, state.now)
-        if reported_death:
-            state.confirmations.pinged(peer, state.now + state.health.probe_timeout_s)
