--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -8,13 +8,15 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.membership import codec
 from hazelhollow.membership.codec import MessageKind
+from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import (
     MemberState,
     pack_address,
     unpack_address,
 )
-from hazelhollow.membership.timing import PROBE_INTERVAL_S
+from hazelhollow.membership.timing import PROBE_INTERVAL_S, STALL_S
 from tests.membership.helpers import PEER, alone, answered, from_peer
 from tests.scenario import SETTINGS
 from tests.test_gateway import ask, entry, only, servers
@@ -217,3 +219,26 @@
     assert gossip_recipients(member, 1000.3) == {1}
     member.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.4)
     assert 2 in gossip_recipients(member, 1000.5)  # with what was charged meanwhile
+
+
+def test_helpers_are_asked_for_a_silent_member_but_not_after_a_stall_or_once_superseded() -> None:
+    """A probe has no ack. Helpers are asked, unless this process stood still meanwhile: it could
+    not read the ack. A superseded process sends nothing at all.
+    """
+    now = 1000.0 + PROBE_INTERVAL_S
+
+    def waiting() -> Membership:
+        member = alone()
+        answered(member, 1000.0)
+        member.receive(2, from_peer(PEER._replace(number=2)), 1000.1)
+        member.tick(now)
+        return member
+
+    on_time = now + waiting().indirect_probe_after_s
+    asked = [codec.decode(sent.text, 3) for sent in waiting().request_indirect_probes(on_time)]
+    assert asked and all(message and message.kind is MessageKind.PING_REQUEST for message in asked)
+    assert waiting().request_indirect_probes(now + PROBE_INTERVAL_S + 1.1 * STALL_S) == []
+    superseded = waiting()
+    later = superseded.own._replace(incarnation=superseded.own.incarnation + 1)
+    superseded.receive(1, from_peer(PEER, serial=2, reported=(later,)), now)
+    assert superseded.superseded and superseded.request_indirect_probes(on_time) == []
