--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -13,7 +13,9 @@
 import click
 
 from hazelhollow import __version__, platform_config
-from hazelhollow.net import routing, service
+from hazelhollow.net import lifecycle
+from hazelhollow.net.endpoint_list import EndpointList
+from hazelhollow.net.errors import EndpointListError
 
 LATER = {
     "ask": ("hazelhollow.request_client", "ask"),
@@ -114,7 +116,7 @@
         )
     told = _load()
     try:
-        service.serve(
+        lifecycle.serve(
             told, lambda: platform_config.load(os.environ, again=True), attached, counters
         )
     except OSError as error:
@@ -172,9 +174,9 @@
     try:
         told = platform_config.load(os.environ)
         if told.known is not None:
-            routing.Table().apply(told.known)
+            EndpointList().apply(told.known)
         return told
-    except (platform_config.PlatformConfigError, routing.TableError) as error:
+    except (platform_config.PlatformConfigError, EndpointListError) as error:
         _fail(str(error))
         raise AssertionError from None
 
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -96,7 +96,7 @@
         self.rule, self.ruling, self.rollout = Rule(me), Ruling("current"), Rollout(me)
         self._acts = Acts(me, record, port, scheduler.clock)
         self._log = RateLimitedLog(log, scheduler.clock)
-        self._heard_before = peers.heard
+        self._heard_before = peers.on_message
         self._given_order = 0  # of settings that a peer gave, or that are tried
         # digest and order of the settings, and whether they are tried
         self._current = ("", 0, False)
@@ -114,7 +114,7 @@
         self._pending: _Pending | None = None
 
     def start(self) -> None:
-        self._heard_before, self._peers.heard = self._peers.heard, self.heard
+        self._heard_before, self._peers.on_message = self._peers.on_message, self.heard
         self._fleet.view.set_versions(versions.write(self.versions()))
         self._fleet.view.table.watch(self._known.note)
         self._fleet.rule = self.shut
@@ -177,7 +177,7 @@
                 if self.ruling.state in ("shut out", "contradiction")
                 else logging.INFO
             )
-            self._log.say(
+            self._log.log(
                 level,
                 "audit: %s%s",
                 self.ruling.state,
@@ -287,7 +287,7 @@
             self._documents.fetch(target, known, self._scheduler.clock())
 
     def _tell(self, number: int, text: str) -> None:
-        self._peers.tell(number, self._seal.close(text))
+        self._peers.send_to(number, self._seal.close(text))
 
     def _progressed(self, order: int) -> None:
         self.rule.progressed(order, self._scheduler.clock())
@@ -374,7 +374,7 @@
             self._acts.step(Step.REFUSED, trouble, order)
         else:
             self.rule.refused(order, trouble)
-        self._log.say(logging.ERROR, "audit: order %d cannot be taken: %s", order, trouble)
+        self._log.log(logging.ERROR, "audit: order %d cannot be taken: %s", order, trouble)
 
     # Candidates
 
--- a/hazelhollow/control_budget/limiter.py
+++ b/hazelhollow/control_budget/limiter.py
@@ -40,7 +40,7 @@
     ) -> None:
         self.budget = ControlBudget(settings_for(bytes_per_s), clock())
         self._clock, self._overhead = clock, HEADER_BYTES + seal_bytes
-        peers.meter = self._debit_gossip
+        peers.on_sent = self._debit_gossip
 
     def part(self, role: Role) -> RoleBudget:
         """What that role asks before it sends."""
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -66,14 +66,14 @@
         talks = view.members <= TALKS and not paced_gossip
         self._shares = Shares(view.me, view.members, scheduler.clock(), talks)
         view.table.watch(self._shares.note)
-        self._gossip = peers.heard
+        self._gossip = peers.on_message
         self._ended = False
         self._reported = 0
         self._log = RateLimitedLog(log, scheduler.clock)
         self._random = random.Random(view.own.incarnation)
 
     def start(self) -> None:
-        self._peers.heard, self._peers.stranger = self.heard, self._stranger
+        self._peers.on_message, self._peers.on_unknown_sender = self.heard, self._stranger
         self._scheduler.on_process_pause = self._woken
         self._beat()
         self._report()
@@ -105,7 +105,7 @@
         number = self.view.introduced(plain, source) if self._seeds else None
         if number is None:
             return False
-        self._peers.learn(number, source)
+        self._peers.set_address(number, source)
         self._pass_on(self.view.heard(number, plain, self._scheduler.clock()))
         return True
 
@@ -197,7 +197,7 @@
     def _send(self, send: views.Send) -> None:
         text = self._seal.close(send.text)
         if not self._seeds or self._peers.knows(send.number):
-            self._peers.tell(send.number, text)
+            self._peers.send_to(send.number, text)
         else:  # whoever gets it answers, with what it knows
             self._peers.send(self._random.choice(self._seeds), text)
 
@@ -205,7 +205,7 @@
         for number in moved:
             record = self.view.table.get(number)
             if record and record.address and number != self.view.me:
-                self._peers.learn(number, unpack_address(record.address))
+                self._peers.set_address(number, unpack_address(record.address))
 
     def _changed(self) -> None:
         view = self.view
@@ -216,7 +216,7 @@
         if moved or acts:
             shown = view.shown()
             for number in dict.fromkeys(moved):
-                self._log.say(logging.INFO, "view: member %d is %s", number, shown[number][0])
+                self._log.log(logging.INFO, "view: member %d is %s", number, shown[number][0])
             self._write(shown)
         if view.yielded and not self._ended:
             self._ended = True
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -1,6 +1,18 @@
-"""Between the network and the decision module: events in, actions out.
+"""Between the network and the decision engine: events in, actions out.
 
-Alone knows both, decides nothing.
+The only module that knows both. It turns what happens on sockets into the engine's events and
+performs the actions that come back; it decides nothing. It owns the open requests, and with them the
+rule that each gets exactly one final answer (see `open_request`).
+
+Why a request was answered with `-BUSY`, as far as the network code is concerned:
+
+- `-BUSY MS`: the engine rejected it (`RejectRequest`), and MS is `retry_after` of that action in
+  milliseconds, rounded up: `_reject`. The reason is counted in `refusals` of the counters; which rule
+  set it, and why that long, is said in `decisions/`.
+- `-BUSY` without a time: the engine gave no time, or never saw the request because as many as
+  `policy_limits.max_open` were open: `submit`. The latter has no entry in `refusals`.
+
+No other path of the network code leads to `-BUSY`; `session.AnswerSlot.send_busy` writes it.
 """
 
 from __future__ import annotations
@@ -13,213 +25,172 @@
 from typing import Protocol
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.net.backend import Attempt, Backend, Result
+from hazelhollow.net.attempts import AttemptResult
 from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.connection_pool import ConnectionPool
+from hazelhollow.net.open_request import Forwardable, OpenRequest, Responder
 from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.rate_limited_log import RateLimitedLog
-from hazelhollow.net.scheduler import Scheduler, Timer
+from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.stats import Stats
 from hazelhollow.simulator import wire
 
-TIMER_AGAIN = 1.0  # seconds until a timer at which the module failed comes again
-# Seconds since the sockets were looked at, past which a client is looked at anew before an attempt
-# begins for it: one that has gone must get none that begins over 0.1 s later, also from a process
-# that has been busy for longer.
-STALE = 0.03
+FAILED_TIMER_RETRY_S = 1.0  # until a timer at which the engine failed fires again
+# Since the last poll, past which a client's connection is looked at before an attempt starts for it.
+# A client that has gone must get no attempt that starts over 0.1 s later, also from a process that
+# was busy for longer than that.
+STALE_POLL_S = 0.03
 
 log = logging.getLogger(__name__)
 
 
 class Decisions(Protocol):
-    """The decision module, as the network sees it."""
+    """The decision engine, or a decorator of it, as the network code sees it."""
 
-    def handle(self, event: api.Event, now: float) -> list[api.Action]: ...
+    def handle(self, event: api.Event, now: float) -> list[api.Action]:
+        """Takes an event at the time `now`, and gives the actions that follow from it, in order."""
 
 
-class Caller(Protocol):
-    """The client side of one request, whatever protocol it came by.
+class EngineDriver:
+    """Feeds the decision engine and performs its actions.
 
-    It gets one of these calls, once.
+    Attributes:
+        peers: Sends gossip; None where the configuration allows no datagrams between limiters.
+        on_count: Gets the engine's own counts of charges, if something replicates them.
+        max_settled_units: That an answer may settle; 0 where units are not settled afterwards.
+        open_requests: By their ids.
+        attempts_by_endpoint: Attempts started by endpoint, if something counts them.
+        sampled_ids: Ids of requests that were forwarded, at most `max_samples` until they are taken.
     """
 
-    def served(self, value: bytes) -> None: ...
-    def refused(self, wait_ms: int) -> None: ...
-    def failed(self) -> None: ...
-
-    def has_left(self) -> bool:
-        """Whether the client has gone by now, asked of the system. May be called at any time."""
-
-
-class Ask(Protocol):
-    """One request, as the client side has read it."""
-
-    request: api.RequestArrived
-
-    def command(self, wait_ms: int) -> bytes:
-        """What goes to a backend host that is to answer within that time."""
-
-
-class Open:
-    """A request that is owed its answer, or whose attempts are still out."""
-
-    __slots__ = (
-        "id",
-        "ask",
-        "caller",
-        "deadline",
-        "attempts",
-        "out",
-        "answered",
-        "timer",
-        "__weakref__",
-    )
-
-    def __init__(self, key: str, ask: Ask, caller: Caller, deadline: float) -> None:
-        self.id, self.ask, self.caller, self.deadline = key, ask, caller, deadline
-        self.attempts: list[Attempt] = []
-        self.out = 0
-        self.answered = False
-        self.timer: Timer | None = None
-
-
-class Limiter:
     def __init__(
         self,
         decisions: Decisions,
         scheduler: Scheduler,
-        backend: Backend,
+        pool: ConnectionPool,
         stats: Stats,
-        most_open: int,
+        max_open: int,
     ) -> None:
+        """`max_open`: requests at once; any more are rejected without asking the engine."""
         self._decisions, self._scheduler = decisions, scheduler
-        self._backend, self._stats, self._most_open = backend, stats, most_open
+        self._pool, self._stats, self._max_open = pool, stats, max_open
         self.peers: PeerSocket | None = None
-        self.closed: Callable[[api.ReplicateCount], None] | None = (
-            None  # who wants the module's own counts
-        )
-        self.sent: Counter[str] | None = None  # attempts by host, where somebody wants to know
-        self.samples, self.most_samples = (
-            list[str](),
-            0,
-        )  # and requests among them, so many at most until somebody takes them
-        self.open: dict[str, Open] = {}
-        self._events: deque[tuple[api.Event, Open | None]] = deque()
-        self._busy = False
-        self.most_units = 0.0  # that an answer may settle; 0 where units are not settled afterwards
+        self.on_count: Callable[[api.ReplicateCount], None] | None = None
+        self.attempts_by_endpoint: Counter[str] | None = None
+        self.sampled_ids, self.max_samples = list[str](), 0
+        self.open_requests: dict[str, OpenRequest] = {}
+        self.max_settled_units = 0.0
+        self._events: deque[tuple[api.Event, OpenRequest | None]] = deque()
+        self._in_engine = False
         self._log = RateLimitedLog(log, scheduler.clock)
 
     # The client side
 
-    def ask(self, ask: Ask, caller: Caller) -> Open | None:
+    def submit(self, parsed: Forwardable, responder: Responder) -> OpenRequest | None:
         """Takes a request.
 
-        What is not answered at once gives a record, to be given to `gone` if its client leaves.
+        Returns:
+            Its record, to be given to `client_disconnected` if the client leaves; None if it was
+            answered at once.
         """
-        request = ask.request
+        request = parsed.request
         self._stats.requests += 1
-        if len(self.open) >= self._most_open:
+        if len(self.open_requests) >= self._max_open:
             self._stats.refused += 1
             self._stats.reply(request.class_name, "overload")
-            caller.refused(0)
+            responder.send_busy(0)
             return None
-        known = self.open.get(request.id)
-        if (
-            known and known.ask.request.customer != request.customer
-        ):  # two clients may pick one: each is its own request
-            request = ask.request = replace(request, id=f"{request.id}/{request.customer}")
-            known = self.open.get(request.id)
+        known = self.open_requests.get(request.id)
+        if known and known.parsed.request.customer != request.customer:
+            # Two customers may pick the same id: each is a request of its own.
+            request = parsed.request = replace(request, id=f"{request.id}/{request.customer}")
+            known = self.open_requests.get(request.id)
         if known:
-            # Every request of a customer has an id of its own, a retry too. The one that came first
-            # gets the answer, and what the host would say to a second of that name is nobody's.
+            # Every request of a customer has an id of its own, a client's retry too. The first one
+            # gets the answer; the endpoint's answer to a second of that id would be nobody's.
             self._stats.failed += 1
             self._stats.reply(request.class_name, "error")
-            caller.failed()
+            responder.send_failure()
             return None
-        one = Open(request.id, ask, caller, self._scheduler.clock() + request.time_left)
-        self.open[request.id] = one
-        self._handle(request, one)
-        if one.answered:  # most refusals come at once and need no timer
+        deadline = self._scheduler.clock() + request.time_left
+        opened = OpenRequest(request.id, parsed, responder, deadline)
+        self.open_requests[request.id] = opened
+        self._handle(request, opened)
+        if opened.answered:  # most rejections come at once and need no timer
             return None
-        one.timer = self._scheduler.at(one.deadline, self._expire, one)
-        return one
+        opened.deadline_timer = self._scheduler.at(opened.deadline, self._expire, opened)
+        return opened
 
     def concurrent(self) -> int:
         """Requests taken and not answered yet."""
-        return sum([not one.answered for one in self.open.values()])
+        return sum([not opened.answered for opened in self.open_requests.values()])
 
-    def gone(self, one: Open) -> None:
-        """The client has left: nothing is owed any more.
+    def client_disconnected(self, opened: OpenRequest) -> None:
+        """The client has left: no answer is owed any more.
 
-        What has not gone out whole can be begun by no host yet, however long its connection takes
-        to come up, and never will be.
+        A request that has not gone out completely can have been begun by no endpoint, however long
+        its connection takes to come up, and is withdrawn.
         """
-        if not one.answered:
+        if not opened.answered:
             self._stats.clients_gone += 1
-            one.answered = True
-            self._handle(api.ClientDisconnected(one.id), one)
-            for attempt in one.attempts:
-                self._backend.hold_back(attempt, CloseReason.CANCELLED)
+            opened.answered = True
+            self._handle(api.ClientDisconnected(opened.id), opened)
+            for attempt in opened.attempts:
+                self._pool.withdraw(attempt, CloseReason.CANCELLED)
 
     # Everything else that happens
 
-    def told(self, event: api.EndpointsUpdated) -> None:
-        self._handle(event)
-
-    def ban(self, server: str, down: bool) -> None:
-        self._handle(api.EndpointOverridden(server, down))
-
-    def fleet(self, event: api.MembershipChanged) -> None:
+    def notify(self, event: api.Event) -> None:
+        """Gives the engine an event that belongs to no open request."""
         self._handle(event)
 
-    def copied(self, event: api.AccountReplicated) -> None:
-        self._handle(event)
-
-    def heard(self, sender: int, text: str) -> None:
+    def gossip_received(self, sender: int, text: str) -> None:
+        """A gossip datagram has come from the limiter of that number."""
         self._handle(api.GossipReceived(sender, text))
 
-    def _timer(self, name: str) -> None:
+    def _timer_fired(self, name: str) -> None:
         self._handle(api.TimerFired(name))
 
-    def _expire(self, one: Open) -> None:
+    def _expire(self, opened: OpenRequest) -> None:
         """The client stops waiting now: so do the attempts, and the answer is due."""
-        for attempt in one.attempts:
-            self._backend.give_up(attempt, CloseReason.TIMED_OUT)
-        if not one.answered and not self._busy:
-            self._rescue(one, "no decision by its deadline")
-        self._let_go(one)
-
-    def _attempt_done(self, one: Open, number: int, result: Result) -> None:
-        attempt, now = one.attempts[number], self._scheduler.clock()
-        one.out -= 1
+        for attempt in opened.attempts:
+            self._pool.abort(attempt, CloseReason.TIMED_OUT)
+        if not opened.answered and not self._in_engine:
+            self._fail_unanswered(opened, "no decision by its deadline")
+        self._drop_if_ended(opened)
+
+    def _attempt_ended(self, opened: OpenRequest, number: int, result: AttemptResult) -> None:
+        attempt, now = opened.attempts[number], self._scheduler.clock()
+        opened.attempts_out -= 1
         self._stats.outcomes[result.status] += 1
-        if result.status == "ok" and not one.answered:
-            one.answered = True
+        if result.status == "ok" and not opened.answered:
+            opened.answered = True
             self._stats.served += 1
-            self._stats.reply(one.ask.request.class_name, "success")
-            self._stats.ok_seconds += now - attempt.started
-            one.caller.served(result.value)
+            self._stats.reply(opened.parsed.request.class_name, "success")
+            self._stats.ok_seconds += now - attempt.started_at
+            opened.responder.send_value(result.value)
         event = api.AttemptEnded(
-            one.id,
+            opened.id,
             number,
-            attempt.host.name,
+            attempt.endpoint,
             result.status,
-            now - attempt.started,
-            one.answered,
-            self._true_units(result),
+            now - attempt.started_at,
+            opened.answered,
+            self._settled_units(result),
             wire.read_report(result.report),
         )
-        self._handle(event, one)
+        self._handle(event, opened)
 
-    def _true_units(self, result: Result) -> float:
-        """Of a good answer, also where the client has left: the host did the work.
+    def _settled_units(self, result: AttemptResult) -> float:
+        """Units that the endpoint says the request used, 0 if it does not say.
 
-        Figures that cannot be true are left out; the value that came with them has been passed on
-        all the same.
+        Read from every good answer, also where the client has left: the endpoint did the work.
+        Figures that cannot be true are left out; their value has been passed on all the same.
         """
-        if result.status != "ok" or not self.most_units:
+        if result.status != "ok" or not self.max_settled_units:
             return 0.0
         try:
-            units = wire.read_cost(result.figures, self.most_units)
+            units = wire.read_cost(result.figures, self.max_settled_units)
         except wire.WireError as error:
             self._stats.figures_bad += 1
             self._log.warning("%s", error)
@@ -227,138 +198,146 @@
         self._stats.settled += units > 0
         return units
 
-    # To the module and back
+    # To the engine and back
 
-    def _handle(self, event: api.Event, one: Open | None = None) -> None:
-        """An action may bring about the next event at once.
+    def _handle(self, event: api.Event, opened: OpenRequest | None = None) -> None:
+        """Gives the engine an event and performs what follows.
 
-        The module gets it after, not within, this one.
+        An action may bring about another event at once. The engine gets it after this one, never
+        within it.
         """
-        self._events.append((event, one))
-        if self._busy:
+        self._events.append((event, opened))
+        if self._in_engine:
             return
-        self._busy = True
+        self._in_engine = True
         try:
             while self._events:
-                self._one_event(*self._events.popleft())
+                self._handle_one(*self._events.popleft())
         finally:
-            self._busy = False
+            self._in_engine = False
 
-    def _one_event(self, event: api.Event, one: Open | None) -> None:
-        now, broken = self._scheduler.clock(), False
+    def _handle_one(self, event: api.Event, opened: OpenRequest | None) -> None:
+        now, engine_failed = self._scheduler.clock(), False
         try:
             actions = self._decisions.handle(event, now)
-        except Exception:  # a fault in the module costs this event, and no other request
-            log.exception("the module failed at %s", type(event).__name__)
+        except Exception:  # a fault in the engine costs this event, and no other request
+            log.exception("the decision engine failed at %s", type(event).__name__)
             self._stats.errors += 1
-            actions, broken = [], True
-            if isinstance(
-                event, api.TimerFired
-            ):  # what it would have set again must not stop for good
-                self._scheduler.at(now + TIMER_AGAIN, self._timer, event.name)
+            actions, engine_failed = [], True
+            if isinstance(event, api.TimerFired):
+                # the engine has not set its next timer, and would do nothing periodic any more
+                self._scheduler.at(now + FAILED_TIMER_RETRY_S, self._timer_fired, event.name)
         for action in actions:
             self._perform(action, now)
-        if one:
-            if broken and not one.answered and not one.out:
-                self._rescue(one, "the module failed")
-            self._let_go(one)
+        if opened:
+            if engine_failed and not opened.answered and not opened.attempts_out:
+                self._fail_unanswered(opened, "the decision engine failed")
+            self._drop_if_ended(opened)
 
     def _perform(self, action: api.Action, now: float) -> None:
         if isinstance(action, api.StartAttempt):
-            self._send(action, now)
+            self._start_attempt(action, now)
         elif isinstance(action, api.RejectRequest):
-            one = self._answer(action.id)
-            if one:
-                self._stats.refused += 1
-                self._stats.refusals[action.why] += 1
-                self._stats.reply(one.ask.request.class_name, "overload")
-                one.caller.refused(math.ceil(action.retry_after * 1000))
+            self._reject(action)
         elif isinstance(action, api.FailRequest):
-            one = self._answer(action.id)
-            if one:
-                self._stats.failed += 1
-                self._stats.reply(one.ask.request.class_name, "error")
-                one.caller.failed()
+            self._fail(action)
         elif isinstance(action, api.SetTimer):
-            self._scheduler.at(now + action.delay, self._timer, action.name)
+            self._scheduler.at(now + action.delay, self._timer_fired, action.name)
         elif isinstance(action, api.SendGossip):
             if self.peers:
-                self.peers.tell(action.gateway, action.text)
+                self.peers.send_to(action.gateway, action.text)
         elif isinstance(action, api.CancelAttempt):
-            found = self.open.get(action.id)
+            found = self.open_requests.get(action.id)
             if found and action.attempt < len(found.attempts):
-                self._backend.give_up(found.attempts[action.attempt], CloseReason.CANCELLED)
+                self._pool.abort(found.attempts[action.attempt], CloseReason.CANCELLED)
         elif isinstance(action, api.WriteLog):
             log.info("%s", action.text)
-        elif isinstance(action, api.ReplicateCount) and self.closed:
-            self.closed(action)
-        # Subscribe: the watch on discovery always stands.
-
-    def _send(self, action: api.StartAttempt, now: float) -> None:
-        one = self.open.get(action.id)
-        if one is None or self._has_ended(one) or now >= one.deadline:
-            self._events.append(
-                (
-                    api.AttemptEnded(
-                        action.id, len(one.attempts) if one else 0, action.server, "moot", 0.0
-                    ),
-                    one,
-                )
-            )
+        elif isinstance(action, api.ReplicateCount) and self.on_count:
+            self.on_count(action)
+        # SubscribeToEndpoints needs nothing: the watch on discovery always stands.
+
+    def _reject(self, action: api.RejectRequest) -> None:
+        opened = self._take_answer(action.id)
+        if opened:
+            self._stats.refused += 1
+            self._stats.refusals[action.why] += 1
+            self._stats.reply(opened.parsed.request.class_name, "overload")
+            opened.responder.send_busy(math.ceil(action.retry_after * 1000))
+
+    def _fail(self, action: api.FailRequest) -> None:
+        opened = self._take_answer(action.id)
+        if opened:
+            self._stats.failed += 1
+            self._stats.reply(opened.parsed.request.class_name, "error")
+            opened.responder.send_failure()
+
+    def _start_attempt(self, action: api.StartAttempt, now: float) -> None:
+        opened = self.open_requests.get(action.id)
+        if opened is None or self._needs_no_answer(opened) or now >= opened.deadline:
+            number = len(opened.attempts) if opened else 0
+            event = api.AttemptEnded(action.id, number, action.server, "moot", 0.0)
+            self._events.append((event, opened))
             return
-        if self.sent is not None:
-            self.sent[action.server] += 1
-            if len(self.samples) < self.most_samples:
-                self.samples.append(action.id)
-        number, left = len(one.attempts), one.deadline - now
-        if 0 < action.timeout < left:
-            left = action.timeout
-        command = one.ask.command(max(1, round(left * 1000)))
-        one.out += 1
-        attempt = self._backend.start(
+        if self.attempts_by_endpoint is not None:
+            self.attempts_by_endpoint[action.server] += 1
+            if len(self.sampled_ids) < self.max_samples:
+                self.sampled_ids.append(action.id)
+        number, timeout = len(opened.attempts), opened.deadline - now
+        if 0 < action.timeout < timeout:
+            timeout = action.timeout
+        opened.attempts_out += 1
+        attempt = self._pool.start(
             action.server,
-            command,
-            lambda result: self._attempt_done(one, number, result),
-            lambda: self._has_ended(one),
+            opened.parsed.command(max(1, round(timeout * 1000))),
+            lambda result: self._attempt_ended(opened, number, result),
+            lambda: self._needs_no_answer(opened),
         )
-        one.attempts.append(attempt)
-        if action.begin_by < now + left:
-            attempt.begin_timer = self._scheduler.at(
-                action.begin_by, self._backend.hold_back, attempt, CloseReason.NEVER_UP
+        opened.attempts.append(attempt)
+        if action.begin_by < now + timeout:
+            attempt.send_by_timer = self._scheduler.at(
+                action.begin_by, self._pool.withdraw, attempt, CloseReason.NEVER_UP
             )
-        if now + left < one.deadline:
-            attempt.timer = self._scheduler.at(
-                now + left, self._backend.give_up, attempt, CloseReason.TIMED_OUT
+        if now + timeout < opened.deadline:
+            attempt.timeout_timer = self._scheduler.at(
+                now + timeout, self._pool.abort, attempt, CloseReason.TIMED_OUT
             )
 
-    def _has_ended(self, one: Open) -> bool:
-        """Whether nothing is owed any more.
+    def _needs_no_answer(self, opened: OpenRequest) -> bool:
+        """Whether the request is answered or its client has gone.
 
-        As the system knows it where the sockets were looked at too long ago.
+        Asks the system about the client where the sockets were polled too long ago to know.
         """
-        if not one.answered and self._scheduler.time_since_poll() > STALE and one.caller.has_left():
-            self.gone(one)
-        return one.answered
-
-    def _answer(self, request: str) -> Open | None:
-        """The record of a request that gets its final answer now."""
-        one = self.open.get(request)
-        if one is None or one.answered:
+        if (
+            not opened.answered
+            and self._scheduler.time_since_poll() > STALE_POLL_S
+            and opened.responder.has_disconnected()
+        ):
+            self.client_disconnected(opened)
+        return opened.answered
+
+    def _take_answer(self, request_id: str) -> OpenRequest | None:
+        """Marks a request as answered; None if it is unknown or was answered before."""
+        opened = self.open_requests.get(request_id)
+        if opened is None or opened.answered:
             return None
-        one.answered = True
-        return one
+        opened.answered = True
+        return opened
 
-    def _rescue(self, one: Open, why: str) -> None:
-        """What was taken is answered, whatever the module does."""
-        log.error("request %s: %s", one.id, why)
+    def _fail_unanswered(self, opened: OpenRequest, why: str) -> None:
+        """Answers with an error a request that the engine leaves without an answer."""
+        log.error("request %s: %s", opened.id, why)
         self._stats.rescued += 1
-        self._stats.reply(one.ask.request.class_name, "error")
-        one.answered = True
-        one.caller.failed()
-        self._handle(api.ClientDisconnected(one.id), one)
-
-    def _let_go(self, one: Open) -> None:
-        if one.answered and not one.out and self.open.get(one.id) is one:
-            del self.open[one.id]
-            if one.timer:
-                one.timer.cancel()
+        self._stats.reply(opened.parsed.request.class_name, "error")
+        opened.answered = True
+        opened.responder.send_failure()
+        self._handle(api.ClientDisconnected(opened.id), opened)
+
+    def _drop_if_ended(self, opened: OpenRequest) -> None:
+        if (
+            opened.answered
+            and not opened.attempts_out
+            and self.open_requests.get(opened.id) is opened
+        ):
+            del self.open_requests[opened.id]
+            if opened.deadline_timer:
+                opened.deadline_timer.cancel()
--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -1,178 +1,206 @@
-"""The client side's listening socket.
+"""The clients' side: the listening socket, the sessions on it, and the look at all of them.
 
-Who is let in, when commands are taken, and the look at all connections.
+Accepts clients as long as there is a place and a descriptor for them, holds requests back until the
+limiter is ready, and every quarter of a second ends sessions that are overdue or hold too much memory.
 """
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from hazelhollow.net import stream
 from hazelhollow.net.close_reason import CloseReason
-from hazelhollow.net.engine_driver import Limiter
-from hazelhollow.net.requests import Terms
+from hazelhollow.net.engine_driver import EngineDriver
+from hazelhollow.net.requests import RequestLimits
 from hazelhollow.net.scheduler import READABLE, Scheduler
-from hazelhollow.net.session import MOST_OUT, Session
-from hazelhollow.net.session_table import Places
+from hazelhollow.net.session import MAX_UNSENT_BYTES, Session
+from hazelhollow.net.session_table import SessionTable
 from hazelhollow.net.stats import Stats
 
-BATCH = 16  # connections that are let in before others get their turn
-BACKLOG = 1024
-ACCEPT_PAUSE = 0.05  # seconds, when there is no place or no descriptor left
-TIDY = 0.25  # seconds between looks at all connections
+MAX_ACCEPTS_PER_TURN = 16  # connections, before other tasks get their turn
+LISTEN_BACKLOG = 1024
+ACCEPT_PAUSE_S = 0.05  # when no place or no descriptor is left
+LOOK_INTERVAL_S = 0.25  # between looks at all sessions
+
+
+@dataclass(frozen=True)
+class FrontendLimits:
+    """Where clients connect, and how much they may take.
+
+    Attributes:
+        listen: The address; port 0 lets the system pick one.
+        max_sessions: Clients' connections at once.
+        max_used_sessions: Of those that have brought a command.
+        max_held_bytes: On the account of all clients together.
+    """
+
+    listen: tuple[str, int]
+    max_sessions: int
+    max_used_sessions: int
+    max_held_bytes: int
 
 
 class Frontend:
-    """The listening socket and the sessions that it has brought."""
+    """The listening socket and the sessions that it has brought.
+
+    Attributes:
+        request_limits: What the settings allow a request to say; replaced with the settings.
+        sessions: The clients' connections.
+        address: Where it listens.
+        close_idlest_endpoint_connection: Frees a descriptor, if a connection to an endpoint is idle;
+            says whether one was.
+    """
 
     def __init__(
         self,
         scheduler: Scheduler,
         stats: Stats,
-        limiter: Limiter,
-        terms: Terms,
-        listen: tuple[str, int],
-        most_sessions: int,
-        most_kept: int,
-        most_held: int,
-        spare: Callable[[], bool],
+        engine_driver: EngineDriver,
+        request_limits: RequestLimits,
+        limits: FrontendLimits,
     ) -> None:
-        """`most_held`.
+        """Listens from now on; `run` accepts.
 
-        Bytes on the account of all clients; `spare`: ends an idle connection to a backend host,
-        where there is one, and says whether it did.
+        Raises:
+            OSError: The address cannot be listened at.
         """
-        self.scheduler, self.stats, self.limiter, self.terms = scheduler, stats, limiter, terms
-        self.places = Places(most_sessions, most_kept)
-        self._most_held, self._spare = most_held, spare
+        self.scheduler, self.stats, self.engine_driver = scheduler, stats, engine_driver
+        self.request_limits = request_limits
+        self.sessions = SessionTable(limits.max_sessions, limits.max_used_sessions)
+        self._max_held_bytes = limits.max_held_bytes
+        self.close_idlest_endpoint_connection: Callable[[], bool] = lambda: False
         self._ready = False
-        self._waiting: list[Callable[[], None]] = []
-        scheduler.at(scheduler.clock() + TIDY, self._tidy)
+        self._waiting_for_ready: list[Callable[[], None]] = []
+        scheduler.at(scheduler.clock() + LOOK_INTERVAL_S, self._look_at_sessions)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # A new version starts beside the running one and listens at the same address before this
-        # one leaves.
+        # A new version is started beside this one, and listens at the same address before it leaves.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.setblocking(False)
-        self._sock.bind(listen)
-        self._sock.listen(BACKLOG)
+        self._sock.bind(limits.listen)
+        self._sock.listen(LISTEN_BACKLOG)
         self.address: tuple[str, int] = self._sock.getsockname()
 
-    @property
-    def sessions(self) -> set[Session]:
-        return self.places.sessions
+    # Readiness
 
-    @property
-    def lingering(self) -> dict[Session, None]:
-        return self.places.lingering
+    def is_ready(self) -> bool:
+        """Whether requests are served: discovery has answered, or its time for that has passed."""
+        return self._ready
 
     def when_ready(self, call: Callable[[], None]) -> None:
-        """`PING` is answered only by a limiter that can serve."""
+        """Calls now, or as soon as requests are served. `PING` is answered only then."""
         if self._ready:
             call()
         else:
-            self._waiting.append(call)
-
-    def is_ready(self) -> bool:
-        return self._ready
+            self._waiting_for_ready.append(call)
 
-    def ready(self) -> None:
+    def set_ready(self) -> None:
+        """Requests are served from now on."""
         self._ready = True
-        waiting, self._waiting = self._waiting, []
+        waiting, self._waiting_for_ready = self._waiting_for_ready, []
         for call in waiting:
             call()
 
+    # Connections
+
     def run(self) -> None:
+        """Accepts clients, for ever."""
         while True:
             self.scheduler.wait(self._sock.fileno(), READABLE)
-            for _ in range(BATCH):
+            for _ in range(MAX_ACCEPTS_PER_TURN):
                 if not self._accept():
                     break
 
     def _accept(self) -> bool:
-        in_excess = None
-        if len(self.sessions) >= self.places.most:
-            in_excess = self.places.idlest()
-            if in_excess is None:
-                self.scheduler.sleep(ACCEPT_PAUSE)
+        """Accepts one client; says whether another may be tried at once."""
+        to_close = None
+        if len(self.sessions.sessions) >= self.sessions.max_sessions:
+            to_close = self.sessions.idlest()
+            if to_close is None:
+                self.scheduler.sleep(ACCEPT_PAUSE_S)
                 return False
         try:
             sock, _ = self._sock.accept()
         except OSError as error:
-            if error.errno in stream.NO_DESCRIPTOR and not self.free_descriptor():
-                self.scheduler.sleep(ACCEPT_PAUSE)  # poll would say at once that a client waits
-            return error.errno in stream.NO_DESCRIPTOR
+            out_of_descriptors = error.errno in stream.NO_DESCRIPTOR_ERRORS
+            if out_of_descriptors and not self.free_descriptor():
+                # poll would say at once that a client waits
+                self.scheduler.sleep(ACCEPT_PAUSE_S)
+            return out_of_descriptors
         self.stats.accepted += 1
-        # Only now is it known that room is needed; the one that has come must not be the one that
-        # goes.
-        if in_excess:
-            in_excess.end(CloseReason.NO_DESCRIPTOR)
-        self._begin(sock)
+        # Only now is it known that its place is needed, and the new one must not be the one to go.
+        if to_close:
+            to_close.end(CloseReason.NO_DESCRIPTOR)
+        self._start_session(sock)
         return True
 
-    def _begin(self, sock: socket.socket) -> Session:
-        session = Session(self, stream.Stream(self.scheduler, sock, MOST_OUT))
-        self.places.add(session)
+    def _start_session(self, sock: socket.socket) -> Session:
+        session = Session(self, stream.Stream(self.scheduler, sock, MAX_UNSENT_BYTES))
+        self.sessions.add(session)
         self.scheduler.spawn(session.run, name="session")
         return session
 
-    def works(self, session: Session) -> None:
-        """A command has come."""
+    def command_came(self, session: Session) -> None:
+        """A whole command has come on a session."""
         self.stats.commands += 1
-        self.places.works(session)
+        self.sessions.set_busy(session)
 
     def free_descriptor(self) -> bool:
-        """Of a connection that nobody needs.
+        """Closes a connection that nobody needs; says whether there was one.
 
-        One ended here, an idle one to a backend host, an idle client's.
+        The first of: one that was closed here, an idle one to an endpoint, an idle client's.
         """
-        if self.places.forgo_oldest() or self._spare():
+        if self.sessions.stop_lingering_oldest() or self.close_idlest_endpoint_connection():
             return True
-        idlest = self.places.idlest()
+        idlest = self.sessions.idlest()
         if idlest:
             idlest.end(CloseReason.NO_DESCRIPTOR)
-            self.places.forgo_oldest()  # that one, unless its client has just broken it
+            self.sessions.stop_lingering_oldest()  # that one, unless its client has just broken it
         return idlest is not None
 
-    def _tidy(self) -> None:
+    def _look_at_sessions(self) -> None:
         now = self.scheduler.clock()
-        self.scheduler.at(now + TIDY, self._tidy)
-        for session in list(self.sessions):
-            ending = session.overdue(now)
-            if ending:
-                session.end(ending)
-        # Many slow clients at once may hold more than there is, each within its own bound: the
-        # largest go.
-        held = {session: session.held() for session in self.sessions}
+        self.scheduler.at(now + LOOK_INTERVAL_S, self._look_at_sessions)
+        for session in list(self.sessions.sessions):
+            reason = session.overdue(now)
+            if reason:
+                session.end(reason)
+        self._limit_memory()
+
+    def _limit_memory(self) -> None:
+        """Ends the largest sessions if all together hold too much, each within its own bounds."""
+        held = {session: session.held_bytes() for session in self.sessions.sessions}
         total = sum(held.values())
         for session in sorted(held, key=held.__getitem__, reverse=True):
-            if total <= self._most_held:
+            if total <= self._max_held_bytes:
                 break
             total -= held[session]
             self.stats.relieved += 1
             session.end(CloseReason.STALLED)
 
-    def finish(self, taking: bool = True) -> None:
-        """Sessions end between requests.
+    # Its end
+
+    def finish(self, taking_commands: bool = True) -> None:
+        """Closes every session between requests; new ones are still accepted.
 
-        New ones are still taken, and commands of those that have not ended too.
+        `taking_commands`: whether those that have not ended yet read commands until then.
         """
-        for session in list(self.sessions):
-            session.finish(taking)
+        for session in list(self.sessions.sessions):
+            session.finish(taking_commands)
 
-    def close(self) -> None:
-        """What waits in the listener's queue is taken in the same turn in which it closes.
+    def stop_listening(self) -> None:
+        """Accepts what waits in the listening socket's queue, then closes the socket.
 
-        Closed with it, each of those connections would be reset, though the client had been let in
-        by the system.
+        Closed with the queue, those connections would be reset, though the system had accepted them.
         """
-        while len(self.sessions) < self.places.most + BATCH:
+        while len(self.sessions.sessions) < self.sessions.max_sessions + MAX_ACCEPTS_PER_TURN:
             try:
                 sock, _ = self._sock.accept()
             except OSError:
                 break
             self.stats.accepted += 1
-            self._begin(sock).finish()
+            self._start_session(sock).finish()
         self.scheduler.unregister(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/net/gc_pauses.py
+++ b/hazelhollow/net/gc_pauses.py
@@ -1,23 +1,24 @@
-"""The cycle collector in passes so short that no request waits for one.
+"""Keeps the passes of Python's cycle collector so short that no request waits for one.
 
-Nearly all that a limiter lets go of is freed by its reference counts; what the collector finds are
-cycles, which are rare. But a pass goes through every object of its generation, and holds up the
-loop meanwhile. So the young generations are kept small. The oldest one, in which stands all that
-incarnations long, is collected once, before serving, and set aside.
+Nearly everything that a limiter lets go of is freed by its reference count; the collector finds the
+rare cycles. A pass holds up the event loop while it goes through every object of its generation, so
+the young generations are kept small, and what lives as long as the process is collected once before
+serving and then left out of all passes.
 """
 
 from __future__ import annotations
 
 import gc
 
-YOUNG = 500  # objects more than were let go of, after which the youngest generation is collected
-YOUNG_PASSES = 8  # of those, after which the middle generation is collected too
-# of those, after which all that came since is: after more than a limiter ever holds
-MIDDLE_PASSES = 10_000
+# More objects allocated than freed, after which the youngest generation is collected.
+YOUNG_THRESHOLD = 500
+MIDDLE_THRESHOLD = 8  # passes of the youngest, after which the middle generation is collected too
+# Passes of the middle one, after which everything since the start is: later than a limiter ever gets.
+OLD_THRESHOLD = 10_000
 
 
 def shorten_collector_pauses() -> None:
-    """To be called when all that incarnations as long as the process has been made."""
+    """To be called once, when everything that lives as long as the process has been made."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG, YOUNG_PASSES, MIDDLE_PASSES)
+    gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
--- a/hazelhollow/net/http1.py
+++ b/hazelhollow/net/http1.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hazelhollow.net.resp import ProtocolError
-from hazelhollow.net.ring_buffer import RingBuffer, RingBufferFullError
+from hazelhollow.net.errors import ProtocolError, RingBufferFullError
+from hazelhollow.net.ring_buffer import RingBuffer
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024
@@ -16,10 +16,10 @@
 class Response:
     """One whole answer."""
 
-    __slots__ = ("status", "body", "keep")
+    __slots__ = ("status", "body", "keep_alive")
 
-    def __init__(self, status: int, body: bytes, keep: bool) -> None:
-        self.status, self.body, self.keep = status, body, keep
+    def __init__(self, status: int, body: bytes, keep_alive: bool) -> None:
+        self.status, self.body, self.keep_alive = status, body, keep_alive
 
 
 class Parser:
@@ -34,7 +34,7 @@
 
     def _restart(self) -> None:
         self._status = 0  # 0: the head is yet to come
-        self._keep = True
+        self._keep_alive = True
         # bytes of the body, or of this chunk, to come; -1: a chunk's size comes next
         self._left = -1
         self._chunked = self._endless = False
@@ -71,7 +71,7 @@
         return self._whole()
 
     def _whole(self) -> Response:
-        answer = Response(self._status, bytes(self._body), self._keep)
+        answer = Response(self._status, bytes(self._body), self._keep_alive)
         self._restart()
         return answer
 
@@ -99,13 +99,13 @@
             fields[name.strip().lower()] = value.strip()
         connection = fields.get(b"connection", b"").lower()
         self._status = int(words[1])
-        self._keep = (
+        self._keep_alive = (
             connection == b"keep-alive" if words[0] == b"HTTP/1.0" else connection != b"close"
         )
         self._chunked = fields.get(b"transfer-encoding", b"").lower() == b"chunked"
         bodiless = self._status < 200 or self._status in (204, 304)
         self._endless = not (self._chunked or bodiless or b"content-length" in fields)
-        self._keep = self._keep and not self._endless
+        self._keep_alive = self._keep_alive and not self._endless
         length = fields.get(b"content-length", b"0")
         if not length.isdigit() or int(length) > MAX_BODY_BYTES:
             raise ProtocolError("a length out of range")
--- a/hazelhollow/net/operator_address.py
+++ b/hazelhollow/net/operator_address.py
@@ -1,150 +1,123 @@
-"""The operator address: one call a connection, answered at once or given up within a bound."""
+"""The operator address: one call a connection, answered at once or given up within a bound.
+
+A connection that brings no whole call, or does not take its answer, is closed within a second, so that
+it cannot keep others out. The states of a connection:
+
+| state | left by |
+| --- | --- |
+| READING | a whole call, a bad one, or 0.5 s without one: ANSWERING. The caller closes: CLOSED |
+| ANSWERING | the caller has taken the answer: DRAINING. 0.4 s pass: CLOSED |
+| DRAINING | the caller closes, 0.4 s pass, or it sends 64 KiB more: CLOSED |
+"""
 
 from __future__ import annotations
 
 import logging
 import socket
-from typing import Any, Protocol
-
-import orjson
 
 from hazelhollow.net import operator_calls, stream
 from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.errors import OperatorCallError
+from hazelhollow.net.operator_console import OperatorConsole
 from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import READABLE, TIMED_OUT, Scheduler
 from hazelhollow.net.stats import Stats
 
-WITHIN = 0.5  # seconds from a connection to its whole call; answers are due within 1 s
-OUT_WITHIN = 0.4  # seconds in which the caller is to take the answer
-MOST_CALLERS = 32  # connections at once; one more ends the oldest
-MOST_OUT = 1 << 20
-MOST_DRAINED = 1 << 16  # bytes behind the call, which nobody reads
+CALL_TIMEOUT_S = 0.5  # from a connection to its whole call; the page promises answers within 1 s
+ANSWER_TIMEOUT_S = 0.4  # in which the caller is to take the answer, and then to close
+MAX_CALLERS = 32  # connections at once; one more closes the oldest
+MAX_ANSWER_BYTES = 1 << 20
+MAX_DISCARDED_BYTES = 1 << 16  # behind the call, which nobody reads
+LISTEN_BACKLOG = 64
 
 log = logging.getLogger(__name__)
 
 
-class Desk(Protocol):
-    """What the calls ask of the limiter."""
-
-    def ready(self) -> bool: ...
-    def figures(self) -> dict[str, Any]: ...
-    def fleet(self) -> dict[str, Any] | None:
-        """The view of the fleet, where there is one."""
-
-    def audit(self) -> list[Any] | None:
-        """What this limiter has written down of its acts, where it does."""
-
-    def config(self, words: tuple[str, ...]) -> str | None:
-        """The answer to a call about settings that some members try first.
-
-        Where there is such a thing.
-        """
-
-    def set_down(self, server: str) -> str | None:
-        """None, or why it cannot be."""
-
-    def set_up(self, server: str) -> str | None: ...
-
-
-def answer(desk: Desk, call: operator_calls.Call) -> bytes:
-    """The whole answer to one call."""
-    if call.verb == "check":
-        return b"done ready\n" if desk.ready() else b"error not ready yet\n"
-    if call.verb == "vars":
-        return orjson.dumps(desk.figures()) + b"\nend\n"
-    if call.verb in ("fleet", "audit"):
-        shown = desk.fleet() if call.verb == "fleet" else desk.audit()
-        return (
-            b"error %b\n" % str(operator_calls.unknown(call.verb)).encode()
-            if shown is None
-            else orjson.dumps(shown) + b"\nend\n"
-        )
-    if call.verb == "config":
-        told = desk.config(call.words)
-        return (
-            b"%b\n"
-            % (f"error {operator_calls.unknown(call.verb)}" if told is None else told).encode()
-        )
-    why = desk.set_down(call.server) if call.verb == "set-down" else desk.set_up(call.server)
-    if why:
-        return b"error %b\n" % why.encode()
-    return b"done %b %b\n" % (call.verb.encode(), call.server.encode())
-
+class OperatorAddress:
+    """The listening socket and its callers.
 
-class Address:
-    """The listening socket and its callers."""
+    Attributes:
+        address: Where it listens.
+    """
 
     def __init__(
-        self, scheduler: Scheduler, stats: Stats, desk: Desk, listen: tuple[str, int]
+        self,
+        scheduler: Scheduler,
+        stats: Stats,
+        console: OperatorConsole,
+        listen: tuple[str, int],
     ) -> None:
-        self._scheduler, self._stats, self._desk = scheduler, stats, desk
+        self._scheduler, self._stats, self._console = scheduler, stats, console
         self._callers: dict[stream.Stream, None] = {}  # the oldest first
         self._log = RateLimitedLog(log, scheduler.clock)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._sock.setblocking(False)
         self._sock.bind(listen)
-        self._sock.listen(64)
+        self._sock.listen(LISTEN_BACKLOG)
         self.address: tuple[str, int] = self._sock.getsockname()
 
     def run(self) -> None:
+        """Accepts callers, for ever."""
         for sock in stream.accept_connections(self._scheduler, self._sock):
-            if len(self._callers) >= MOST_CALLERS:
+            if len(self._callers) >= MAX_CALLERS:
                 oldest = next(iter(self._callers))
                 self._stats.operator_endings[CloseReason.NO_DESCRIPTOR] += 1
                 oldest.close(CloseReason.NO_DESCRIPTOR)
-            driver = stream.Stream(self._scheduler, sock, MOST_OUT)
-            self._callers[driver] = None
-            self._scheduler.spawn(self._caller, driver, name="operator call")
+            caller = stream.Stream(self._scheduler, sock, MAX_ANSWER_BYTES)
+            self._callers[caller] = None
+            self._scheduler.spawn(self._run_caller, caller, name="operator call")
 
-    def _caller(self, driver: stream.Stream) -> None:
-        ending = CloseReason.BROKEN_HERE
+    def _run_caller(self, caller: stream.Stream) -> None:
+        reason = CloseReason.BROKEN_HERE
         try:
-            ending = self._serve(driver)
+            reason = self._serve(caller)
         finally:
-            self._stats.operator_endings[ending] += 1
-            if driver.ending is None and not driver.out:  # it may have said more than its call
-                driver.shutdown_send()
-                driver.drain(OUT_WITHIN, MOST_DRAINED)
-            driver.close(ending)
-            self._callers.pop(driver, None)
-
-    def _serve(self, driver: stream.Stream) -> CloseReason:
-        until, parser = self._scheduler.clock() + WITHIN, operator_calls.Parser()
+            self._stats.operator_endings[reason] += 1
+            if caller.close_reason is None and not caller.send_buffer:
+                # it may have sent more than its call: closed over that, it would lose the answer
+                caller.shutdown_send()
+                caller.discard_until_closed(ANSWER_TIMEOUT_S, MAX_DISCARDED_BYTES)
+            caller.close(reason)
+            self._callers.pop(caller, None)
+
+    def _serve(self, caller: stream.Stream) -> CloseReason:
+        until, parser = self._scheduler.clock() + CALL_TIMEOUT_S, operator_calls.Parser()
+        call = None
         try:
-            while True:
-                bits = driver.wait(until, READABLE)
-                if driver.ending:
-                    return driver.ending
+            while call is None:
+                bits = caller.wait(until, READABLE)
+                if caller.close_reason:
+                    return caller.close_reason
                 if bits == TIMED_OUT:
-                    why = "half a call" if parser.partial() else "no call"
-                    return self._refuse(driver, f"{why} within {WITHIN} s", CloseReason.TIMED_OUT)
-                data = driver.read(operator_calls.MOST_LINE)
+                    what = "half a call" if parser.partial() else "no call"
+                    why = f"{what} within {CALL_TIMEOUT_S} s"
+                    return self._send_error(caller, why, CloseReason.TIMED_OUT)
+                data = caller.read(operator_calls.MAX_LINE_BYTES)
                 if isinstance(data, CloseReason):
                     return data
                 call = parser.feed(data) if data else None
-                if call:
-                    break
-        except operator_calls.CallError as error:
-            return self._refuse(driver, str(error), CloseReason.MALFORMED)
+        except OperatorCallError as error:
+            return self._send_error(caller, str(error), CloseReason.MALFORMED)
         self._stats.operator_calls[call.verb] += 1
-        driver.write(answer(self._desk, call))
-        return self._finish(driver, CloseReason.CLOSED)
+        caller.write(self._console.answer(call))
+        return self._send_rest(caller, CloseReason.CLOSED)
 
-    def _refuse(self, driver: stream.Stream, why: str, ending: CloseReason) -> CloseReason:
+    def _send_error(self, caller: stream.Stream, why: str, reason: CloseReason) -> CloseReason:
         self._log.warning("operator address: %s", why)
-        driver.write(b"error %b\n" % why.encode())
-        return self._finish(driver, ending)
-
-    def _finish(self, driver: stream.Stream, ending: CloseReason) -> CloseReason:
-        """The answer goes out, within a bound; what the caller says meanwhile is not read."""
-        until = self._scheduler.clock() + OUT_WITHIN
-        driver.flush()
-        while driver.out and driver.ending is None:
-            if driver.wait(until, 0) == TIMED_OUT:
+        caller.write(b"error %b\n" % why.encode())
+        return self._send_rest(caller, reason)
+
+    def _send_rest(self, caller: stream.Stream, reason: CloseReason) -> CloseReason:
+        """Waits until the answer has gone out; what the caller sends meanwhile is not read."""
+        until = self._scheduler.clock() + ANSWER_TIMEOUT_S
+        caller.flush()
+        while caller.send_buffer and caller.close_reason is None:
+            if caller.wait(until, 0) == TIMED_OUT:
                 return CloseReason.STALLED
-        return ending
+        return reason
 
     def close(self) -> None:
+        """Listens no more."""
         self._scheduler.unregister(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/net/operator_calls.py
+++ b/hazelhollow/net/operator_calls.py
@@ -5,78 +5,86 @@
 import re
 from typing import NamedTuple
 
-MOST_LINE = 256  # bytes of a call with its end of line
-SERVER_VERBS = ("set-down", "set-up")  # which take a server's id
-WORDS_VERBS = ("config",)  # which take words that are another module's concern
-VERBS = ("check", "vars", "fleet", "audit", *SERVER_VERBS, *WORDS_VERBS)
-_ID = re.compile(r"[!-~]{1,128}")
+from hazelhollow.net.errors import OperatorCallError
 
+MAX_LINE_BYTES = 256  # of a call with its end of line
+ENDPOINT_VERBS = ("set-down", "set-up")  # take an endpoint's name
+WORDS_VERBS = ("config",)  # take words that `hazelhollow.configuration.config_call` reads
+VERBS = ("check", "vars", "fleet", "audit", *ENDPOINT_VERBS, *WORDS_VERBS)
+HELP = "calls: check, vars, set-down ID, set-up ID"
+_ENDPOINT_NAME = re.compile(r"[!-~]{1,128}")
+
+
+class OperatorCall(NamedTuple):
+    """One call.
+
+    Attributes:
+        verb: One of VERBS.
+        server: The endpoint's name, for ENDPOINT_VERBS.
+        words: What follows the verb, for WORDS_VERBS.
+    """
 
-class Call(NamedTuple):
     verb: str
     server: str = ""
     words: tuple[str, ...] = ()
 
 
-class CallError(Exception):
-    """What is wrong with a call, in words for the one who made it."""
-
-
 class Parser:
-    """Collects bytes until the first end of line, then says which call it was.
-
-    What comes after it is not read.
-    """
+    """Collects bytes up to the first end of line and reads the call; what follows is not read."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self._call: Call | None = None
+        self._buffer = bytearray()
+        self._call: OperatorCall | None = None
 
-    def feed(self, data: bytes) -> Call | None:
-        """The call, once its line is whole; None while it is not.
+    def feed(self, data: bytes) -> OperatorCall | None:
+        """Takes bytes as they come; gives the call once its line is complete.
 
-        Raises CallError for a call that cannot be.
+        Raises:
+            OperatorCallError: There is no such call.
         """
         if self._call is not None:
             return self._call
-        self._held += data
-        end = self._held.find(b"\n")
+        self._buffer += data
+        end = self._buffer.find(b"\n")
+        if end >= MAX_LINE_BYTES or (end < 0 and len(self._buffer) >= MAX_LINE_BYTES):
+            raise OperatorCallError(f"a line longer than {MAX_LINE_BYTES} bytes")
         if end < 0:
-            if len(self._held) >= MOST_LINE:
-                raise CallError(f"a line longer than {MOST_LINE} bytes")
             return None
-        if end >= MOST_LINE:
-            raise CallError(f"a line longer than {MOST_LINE} bytes")
-        self._call = read(bytes(self._held[:end]))
+        self._call = read(bytes(self._buffer[:end]))
         return self._call
 
     def partial(self) -> bool:
         """Whether a part of a line has come."""
-        return bool(self._held) and self._call is None
+        return bool(self._buffer) and self._call is None
 
 
-def unknown(verb: str) -> CallError:
-    return CallError(f"no call '{verb[:32]}'; calls: check, vars, set-down ID, set-up ID")
+def unknown(verb: str) -> OperatorCallError:
+    """The error for a call that does not exist, or that is switched off."""
+    return OperatorCallError(f"no call '{verb[:32]}'; {HELP}")
 
 
-def read(line: bytes) -> Call:
-    """One line without its newline; a carriage return before it is allowed."""
+def read(line: bytes) -> OperatorCall:
+    """Reads one line without its newline; a carriage return before that is allowed.
+
+    Raises:
+        OperatorCallError: There is no such call.
+    """
     try:
         text = line.removesuffix(b"\r").decode("ascii")
     except UnicodeDecodeError:
-        raise CallError("a call is plain ASCII") from None
+        raise OperatorCallError("a call is plain ASCII") from None
     words = text.split()
     if not words:
-        raise CallError("an empty line; calls: check, vars, set-down ID, set-up ID")
+        raise OperatorCallError(f"an empty line; {HELP}")
     verb, arguments = words[0].lower(), words[1:]
     if verb not in VERBS:
         raise unknown(words[0])
     if verb in WORDS_VERBS:
-        return Call(verb, words=tuple(arguments))
-    if verb in SERVER_VERBS:
-        if len(arguments) != 1 or not _ID.fullmatch(arguments[0]):
-            raise CallError(f"{verb} takes one server id")
-        return Call(verb, arguments[0])
+        return OperatorCall(verb, words=tuple(arguments))
+    if verb in ENDPOINT_VERBS:
+        if len(arguments) != 1 or not _ENDPOINT_NAME.fullmatch(arguments[0]):
+            raise OperatorCallError(f"{verb} takes one server id")
+        return OperatorCall(verb, arguments[0])
     if arguments:
-        raise CallError(f"{verb} takes nothing after it")
-    return Call(verb)
+        raise OperatorCallError(f"{verb} takes nothing after it")
+    return OperatorCall(verb)
--- a/hazelhollow/net/rate_limited_log.py
+++ b/hazelhollow/net/rate_limited_log.py
@@ -1,38 +1,42 @@
-"""A log that stays small however much goes wrong."""
+"""A log that stays small however often others cause it to be written."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-LINES_A_SECOND = 5.0
+LINES_PER_S = 5.0
 
 
 class RateLimitedLog:
-    """Troubles that others cause, by the crowd: so many lines a second, and a count of the rest."""
+    """Passes on so many lines a second, and says with the next one how many it left out.
+
+    Attributes:
+        suppressed: Lines left out since the last one that was written.
+    """
 
     def __init__(
-        self, log: logging.Logger, clock: Callable[[], float], per_second: float = LINES_A_SECOND
+        self, log: logging.Logger, clock: Callable[[], float], per_second: float = LINES_PER_S
     ) -> None:
         self._log, self._clock, self._rate = log, clock, per_second
-        self._allowed, self._at, self.untold = per_second, clock(), 0
+        self._allowed, self._refilled_at, self.suppressed = per_second, clock(), 0
 
     def warning(self, text: str, *args: object) -> bool:
-        return self.say(logging.WARNING, text, *args)
+        """As `log`, at level WARNING."""
+        return self.log(logging.WARNING, text, *args)
 
-    def say(self, level: int, text: str, *args: object) -> bool:
+    def log(self, level: int, text: str, *args: object) -> bool:
+        """Writes the line, if the rate allows it; says whether it did."""
         now = self._clock()
-        self._allowed = min(self._rate, self._allowed + (now - self._at) * self._rate)
-        self._at = now
+        refill = (now - self._refilled_at) * self._rate
+        self._allowed = min(self._rate, self._allowed + refill)
+        self._refilled_at = now
         if self._allowed < 1.0:
-            self.untold += 1
+            self.suppressed += 1
             return False
         self._allowed -= 1.0
-        untold, self.untold = self.untold, 0
-        self._log.log(
-            level,
-            text + (" (%d more not logged)" if untold else ""),
-            *args,
-            *((untold,) if untold else ()),
-        )
+        suppressed, self.suppressed = self.suppressed, 0
+        if suppressed:
+            text, args = text + " (%d more not logged)", (*args, suppressed)
+        self._log.log(level, text, *args)
         return True
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -1,6 +1,17 @@
-"""A request as a client words it.
-
-What the settings let it say, and the command that goes on to a backend host.
+"""A request as a client words it: reading it, and wording it again for an endpoint.
+
+`Q.ASK CUSTOMER ID FIELDS` for classes that are safe to repeat, `Q.DO CUSTOMER ID FIELDS BODY` for all
+others. FIELDS is a list of `name=value` with commas between them:
+
+| field | meaning | term in the code |
+| --- | --- | --- |
+| `c` | class | `class_name` |
+| `t` | plan | `plan_name` |
+| `d` | milliseconds that the client waits | `time_left`, in seconds |
+| `units` | what it draws from the quota | `units` |
+| `spread`, `first` | limiters that the customer's requests come through | `spread`, `set_start` |
+| `k` | idempotency key, for classes of effect `keyed` | passed on unread |
+| `r` | 1 for a client's retry | `repeat` |
 """
 
 from __future__ import annotations
@@ -11,42 +22,52 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.class_statistics import changed_classes
 from hazelhollow.net import resp
+from hazelhollow.net.errors import BadCommandError
 
 _CUSTOMER = re.compile(rb"0{7}[01][0-9a-f]{8}")  # 16 hex digits, a number below 2**33
 _ID = re.compile(rb"[!-~]{1,64}")
-_WHOLE = re.compile(r"[0-9]{1,9}")
+_WHOLE_NUMBER = re.compile(r"[0-9]{1,9}")
 _UNITS = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
-class BadCommandError(Exception):
-    """A command that is answered with an error, and why."""
-
+class RequestLimits:
+    """What the settings allow a request to say.
 
-class Terms:
-    """What the settings let a request say.
+    Nothing else may reach the decision engine or an endpoint: there a single `nan`, or a wait of
+    years, would spoil what is learned from all other requests.
 
-    Nothing else may reach the module or a backend host: there a single `nan`, or a wait of years,
-    would spoil what is learned from all the others.
+    Attributes:
+        classes: By name.
+        longest_deadline: Seconds that a client may wait, by class name.
     """
 
-    def __init__(self, settings: api.Settings, before: Terms | None = None) -> None:
-        """`before`.
+    def __init__(self, settings: api.Settings, previous: RequestLimits | None = None) -> None:
+        """`previous`: those in force until now, by which requests on their way were made.
 
-        Those that held until now, and by which requests that are on their way were made.
+        A class whose deadline is shortened keeps the longer one as its limit.
         """
-        self.classes = {c.name: c for c in settings.classes}
-        known = before.longest if before else dict[str, float]()
-        changed = changed_classes(before.classes if before else {}, settings.classes)
-        longest = known | {c.name: max(c.deadline, known.get(c.name, 0.0)) for c in changed}
-        gone = longest.keys() - self.classes.keys()
-        self.longest: dict[str, float] = {
-            name: seconds for name, seconds in longest.items() if name not in gone
+        self.classes = {kind.name: kind for kind in settings.classes}
+        known = previous.longest_deadline if previous else dict[str, float]()
+        changed = changed_classes(previous.classes if previous else {}, settings.classes)
+        longest = known | {
+            kind.name: max(kind.deadline, known.get(kind.name, 0.0)) for kind in changed
+        }
+        self.longest_deadline: dict[str, float] = {
+            name: seconds for name, seconds in longest.items() if name in self.classes
         }
-        self.plans = {p.name for p in settings.plans}
-        self.gateways, self.most_units = settings.limiter_count, settings.max_units
+        self._plans = {plan.name for plan in settings.plans}
+        self._limiter_count, self._max_units = settings.limiter_count, settings.max_units
+
+    def read(self, words: list[bytes], waited: float) -> api.RequestArrived:
+        """Reads a command.
+
+        Args:
+            words: Of the command, its name first.
+            waited: Seconds for which it may have waited here unread; they are taken off its time.
 
-    def read(self, words: list[bytes], late: float) -> api.RequestArrived:
-        """`late`: how long ago the command may have arrived."""
+        Raises:
+            BadCommandError: It says something that is not allowed.
+        """
         if len(words) != (5 if words[0].upper() == b"Q.DO" else 4):
             raise BadCommandError("wrong number of arguments")
         if not _CUSTOMER.fullmatch(words[1]) or not _ID.fullmatch(words[2]):
@@ -55,55 +76,66 @@
             items = [item.split("=", 1) for item in words[3].decode("ascii").split(",")]
             fields = dict(items)
             kind, plan = self.classes.get(fields["c"]), fields["t"]
-            patience, spread, first = fields["d"], fields["spread"], fields["first"]
+            wait_ms, spread, first = fields["d"], fields["spread"], fields["first"]
             units = fields["units"]
         except (KeyError, ValueError):
             raise BadCommandError("unreadable request") from None
         if len(fields) != len(items):
             raise BadCommandError("a field comes twice")
-        if kind is None or plan not in self.plans:
+        if kind is None or plan not in self._plans:
             raise BadCommandError("no such class or plan")
         if (kind.effect == "safe") != (len(words) == 4) or (
             kind.effect == "keyed" and not fields.get("k")
         ):
             raise BadCommandError("not the command for this class")
-        if not _WHOLE.fullmatch(patience) or int(patience) > math.ceil(
-            self.longest[kind.name] * 1000
-        ):
-            raise BadCommandError("d out of range")
-        if not _UNITS.fullmatch(units) or not 0 < float(units) <= self.most_units:
-            raise BadCommandError("units out of range")
-        if not (_WHOLE.fullmatch(spread) and _WHOLE.fullmatch(first)):
-            raise BadCommandError("set out of range")
-        if not (0 < int(spread) <= self.gateways and int(first) < self.gateways):
-            raise BadCommandError("set out of range")
+        self._check_numbers(kind.name, wait_ms, units)
+        self._check_set(spread, first)
         return api.RequestArrived(
             id=words[2].decode("ascii"),
             class_name=kind.name,
             plan_name=plan,
             customer=words[1].decode("ascii"),
             units=float(units),
-            time_left=int(patience) / 1000.0 - late,
+            time_left=int(wait_ms) / 1000.0 - waited,
             set_start=int(first),
             spread=int(spread),
             repeat=fields.get("r") == "1",
         )
 
+    def _check_numbers(self, class_name: str, wait_ms: str, units: str) -> None:
+        longest_ms = math.ceil(self.longest_deadline[class_name] * 1000)
+        if not _WHOLE_NUMBER.fullmatch(wait_ms) or int(wait_ms) > longest_ms:
+            raise BadCommandError("d out of range")
+        if not _UNITS.fullmatch(units) or not 0 < float(units) <= self._max_units:
+            raise BadCommandError("units out of range")
+
+    def _check_set(self, spread: str, first: str) -> None:
+        if not (_WHOLE_NUMBER.fullmatch(spread) and _WHOLE_NUMBER.fullmatch(first)):
+            raise BadCommandError("set out of range")
+        if not (0 < int(spread) <= self._limiter_count and int(first) < self._limiter_count):
+            raise BadCommandError("set out of range")
+
 
-class Ask:
-    """`Q.ASK` or `Q.DO`, read; it can be said again with another wait and nothing else changed."""
+class ParsedRequest:
+    """A command that was read, and can be worded again with another wait and nothing else changed.
 
-    __slots__ = ("request", "size", "_words", "_before", "_after")
+    Attributes:
+        request: The event for the decision engine.
+        size: Bytes of its words.
+    """
+
+    __slots__ = ("request", "size", "_words", "_before_wait", "_after_wait")
 
     def __init__(self, words: list[bytes], request: api.RequestArrived) -> None:
         self.request, self._words, self.size = request, words, sum(map(len, words))
-        text = words[3]
-        start = 0 if text.startswith(b"d=") else text.index(b",d=") + 1
-        end = text.find(b",", start)
-        self._before, self._after = text[: start + 2], text[end:] if end >= 0 else b""
+        fields = words[3]
+        start = 0 if fields.startswith(b"d=") else fields.index(b",d=") + 1
+        end = fields.find(b",", start)
+        self._before_wait = fields[: start + 2]
+        self._after_wait = fields[end:] if end >= 0 else b""
 
     def command(self, wait_ms: int) -> bytes:
+        """The command for an endpoint that is to answer within that time, encoded."""
         words = self._words
-        return resp.encode_command(
-            [*words[:3], b"%b%d%b" % (self._before, wait_ms, self._after), *words[4:]]
-        )
+        fields = b"%b%d%b" % (self._before_wait, wait_ms, self._after_wait)
+        return resp.encode_command([*words[:3], fields, *words[4:]])
--- a/hazelhollow/net/resp.py
+++ b/hazelhollow/net/resp.py
@@ -5,7 +5,8 @@
 import re
 from typing import Final, Union
 
-from hazelhollow.net.ring_buffer import RingBuffer, RingBufferFullError
+from hazelhollow.net.errors import ProtocolError, RingBufferFullError
+from hazelhollow.net.ring_buffer import RingBuffer
 
 MAX_STRING_BYTES = 64 * 1024  # of one value
 MAX_VALUE_BYTES = MAX_STRING_BYTES + 8 * 1024  # of one command or answer, arrays and all
@@ -15,10 +16,6 @@
 MAX_BUFFERED_BYTES = 2 * MAX_STRING_BYTES  # received and not parsed yet
 
 
-class ProtocolError(Exception):
-    """What arrived is not of the protocol, or too large for it."""
-
-
 class SimpleString(bytes):
     """A status line: `+OK`."""
 
--- a/hazelhollow/net/ring_buffer.py
+++ b/hazelhollow/net/ring_buffer.py
@@ -1,34 +1,36 @@
-"""A ring buffer of bytes: one a direction for each connection."""
+"""A ring buffer of bytes: one for each direction of a connection."""
 
 from __future__ import annotations
 
-START = 2048
+from hazelhollow.net.errors import RingBufferFullError
 
-
-class RingBufferFullError(Exception):
-    """More was written than the ring may ever hold."""
+INITIAL_CAPACITY = 2048  # bytes; a usual command or answer fits
 
 
 class RingBuffer:
-    """Bytes in their order.
-
-    The buffer starts small, grows up to `most` and shrinks once it is empty.
-    """
+    """A queue of bytes that starts small, grows up to `max_size` and shrinks once it is empty."""
 
-    __slots__ = ("most", "_buffer", "_head", "_size")
+    __slots__ = ("max_size", "_buffer", "_head", "_size")
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self._buffer = bytearray(min(START, most))
+    def __init__(self, max_size: int) -> None:
+        """`max_size`: bytes that it may hold at once."""
+        self.max_size = max_size
+        self._buffer = bytearray(min(INITIAL_CAPACITY, max_size))
         self._head = self._size = 0
 
     def __len__(self) -> int:
         return self._size
 
     def room(self) -> int:
-        return self.most - self._size
+        """Bytes that may still be written."""
+        return self.max_size - self._size
 
     def write(self, data: bytes) -> None:
+        """Appends bytes.
+
+        Raises:
+            RingBufferFullError: They are more than `room`; nothing was written.
+        """
         size, need = len(data), self._size + len(data)
         if need > len(self._buffer):
             self._grow(need)
@@ -41,15 +43,13 @@
         self._size = need
 
     def peek(self) -> memoryview:
-        """The bytes that lie in one piece from the head on.
-
-        All of them unless the ring has wrapped.
-        """
+        """The bytes that lie in one piece from the head on: all of them unless the ring wraps."""
         return memoryview(self._buffer)[
             self._head : min(self._head + self._size, len(self._buffer))
         ]
 
     def drop(self, count: int) -> None:
+        """Removes that many bytes from the head; there must be so many."""
         self._size -= count
         if self._size:
             self._head = (self._head + count) % len(self._buffer)
@@ -57,35 +57,37 @@
             self.clear()
 
     def take(self, count: int) -> bytes:
+        """Removes that many bytes from the head and gives them; there must be so many."""
         if self._head + count > len(self._buffer):
             self._straighten(len(self._buffer))
         data = bytes(memoryview(self._buffer)[self._head : self._head + count])
         self.drop(count)
         return data
 
-    def find(self, mark: bytes) -> int:
-        """How far behind the head `mark` begins, or -1."""
+    def find(self, pattern: bytes) -> int:
+        """How far behind the head `pattern` begins, or -1."""
         if self._head + self._size > len(self._buffer):
             self._straighten(len(self._buffer))
-        at = self._buffer.find(mark, self._head, self._head + self._size)
+        at = self._buffer.find(pattern, self._head, self._head + self._size)
         return at - self._head if at >= 0 else -1
 
     def clear(self) -> None:
+        """Drops everything."""
         self._head = self._size = 0
-        if (
-            len(self._buffer) > START
-        ):  # one large value must not cost its memory for a connection's whole lifetime
-            self._buffer = bytearray(START)
+        if len(self._buffer) > INITIAL_CAPACITY:
+            # one large value must not cost its memory for as long as the connection lasts
+            self._buffer = bytearray(INITIAL_CAPACITY)
 
     def _grow(self, need: int) -> None:
-        if need > self.most:
+        if need > self.max_size:
             raise RingBufferFullError
         capacity = len(self._buffer)
         while capacity < need:
             capacity *= 2
-        self._straighten(min(capacity, self.most))
+        self._straighten(min(capacity, self.max_size))
 
     def _straighten(self, capacity: int) -> None:
+        """Moves the bytes to the start of a new buffer."""
         buffer, first = bytearray(capacity), self.peek()
         buffer[: len(first)] = first
         buffer[len(first) : self._size] = self._buffer[: self._size - len(first)]
--- a/hazelhollow/net/scheduler.py
+++ b/hazelhollow/net/scheduler.py
@@ -1,6 +1,10 @@
-"""Greenlets over select.poll.
+"""The event loop: greenlets over `select.poll`, timers, and the one clock.
 
-Tasks that wait for sockets, for a time or to be woken, and a heap of timers.
+A task is a greenlet that waits for a descriptor, for a time or to be woken. Everything runs on one
+thread, so tasks share state without locks and yield only in `wait` and `sleep`.
+
+One turn: timers that are due, tasks that are ready, calls for the end of the turn, one poll, and the
+tasks that the poll made ready. An error in a task or timer is logged and ends that one alone.
 """
 
 from __future__ import annotations
@@ -17,12 +21,14 @@
 
 READABLE, WRITABLE = select.POLLIN, select.POLLOUT
 SOCKET_ERROR = select.POLLERR | select.POLLHUP | select.POLLNVAL
-# the other side has ended its sending, also where bytes lie before that end
+# The other side has closed its sending side, also where unread bytes lie before that end.
 PEER_CLOSED = select.POLLRDHUP
-TIMED_OUT, WOKEN = 0, -1  # what `wait` gives beside poll's bits
-LONGEST = 1.0  # seconds in poll at most
-STILL = 0.5  # seconds by which a turn must be late for the process to have stood still
-RESTART = 0.1  # seconds before a lasting task that failed begins anew
+TIMED_OUT, WOKEN = 0, -1  # what `wait` returns beside poll's bits
+
+MAX_POLL_S = 1.0
+PROCESS_PAUSE_S = 0.5  # by which a turn must be late for the process to have been paused
+RESTART_DELAY_S = 0.1  # before a supervised task that failed begins anew
+IMMEDIATE_POLL_S = 0.0005  # a poll that took less found what was ready before it
 
 log = logging.getLogger(__name__)
 
@@ -30,8 +36,8 @@
 class Clock:
     """Unix time in seconds: read once, then carried on by the monotonic clock.
 
-    Limiters share their periods and `since_ms` is Unix time, so it must be the wall's time. But a
-    wall clock can be set back, and the decision module must never see time go back.
+    Limiters share their periods, and discovery's `since_ms` is Unix time, so it has to be the wall
+    clock's. But a wall clock can be set back, and the decision engine must never see time go back.
     """
 
     def __init__(
@@ -45,12 +51,21 @@
 
 
 class Poller(Protocol):
-    def register(self, fd: int, events: int, /) -> None: ...
-    def unregister(self, fd: int, /) -> None: ...
-    def poll(self, timeout: float, /) -> list[tuple[int, int]]: ...
+    """The part of `select.poll` objects that the scheduler uses."""
+
+    def register(self, fd: int, events: int, /) -> None:
+        """Watches a descriptor, or changes what it is watched for."""
+
+    def unregister(self, fd: int, /) -> None:
+        """Watches it no more."""
+
+    def poll(self, timeout: float, /) -> list[tuple[int, int]]:
+        """Blocks for so many milliseconds at most; gives ready descriptors and their bits."""
 
 
 class Timer:
+    """A call at a time, until it is made or cancelled."""
+
     __slots__ = ("when", "call", "args")
 
     def __init__(self, when: float, call: Callable[..., object], args: tuple[Any, ...]) -> None:
@@ -58,65 +73,82 @@
         self.call: Callable[..., object] | None = call
 
     def cancel(self) -> None:
+        """The call is not made; what it would hold in memory is let go of."""
         self.call, self.args = None, ()
 
 
 class Task:
     """One greenlet, and what it waits for."""
 
-    __slots__ = ("let", "waiting", "result", "name")
+    __slots__ = ("greenlet", "waiting", "result", "name")
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.let: Any = None
+        self.greenlet: Any = None
         self.waiting = False
-        self.result = 0
+        self.result = 0  # of its wait
 
 
 class Scheduler:
+    """The loop and what waits in it.
+
+    Attributes:
+        clock: The time, in seconds.
+        arrived_since: What is read in this turn has come at this time or later.
+        on_process_pause: Called when the process was paused (SIGSTOP, a busy machine), before any
+            task reads what came meanwhile.
+    """
+
     def __init__(self, clock: Callable[[], float], poller: Poller | None = None) -> None:
         self.clock = clock
-        self.started_turn = self._polled = clock()
+        self.arrived_since = self._polled_at = clock()
         self._poll: Poller = poller or select.poll()
-        self._interest: dict[int, int] = {}  # what poll is asked, by descriptor
+        self._interest: dict[int, int] = {}  # what poll is asked for, by descriptor
         self._waiters: dict[int, Task] = {}
         self._ready: deque[Task] = deque()
         self._timers: list[tuple[float, int, Timer]] = []
-        self._serial = 0
-        self._later: list[Callable[[], object]] = []
-        self._hub = greenlet.getcurrent()
+        self._timer_serial = 0  # keeps timers of one instant in their order
+        self._end_of_turn: list[Callable[[], object]] = []
+        self._loop = greenlet.getcurrent()
         self._current: Task | None = None
         self._stopped = False
-        self._looked = self._polled  # when it was last looked whether the process had stood still
-        # Called after a time in which the process stood still, before any task reads what came
-        # meanwhile.
+        self._pause_checked_at = self._polled_at
         self.on_process_pause: Callable[[], object] | None = None
 
     # What tasks call
 
     def spawn(self, run: Callable[..., object], *args: Any, name: str = "task") -> Task:
+        """Starts a task in this turn. An error in it is logged and ends it."""
         task = Task(name)
-        task.let = greenlet.greenlet(lambda _: self._contain(name, run, args), self._hub)
+        task.greenlet = greenlet.greenlet(lambda _: self._contain(name, run, args), self._loop)
         task.waiting = True
         self.wake(task)
         return task
 
     def spawn_supervised(self, run: Callable[[], object], name: str) -> Task:
-        """A task without which the limiter is of no use: after an error it begins anew."""
-        return self.spawn(self._last, run, name, name=name)
+        """Starts a task that the limiter needs as long as it serves: after an error it runs anew."""
+        return self.spawn(self._supervise, run, name, name=name)
 
-    def _last(self, run: Callable[[], object], name: str) -> None:
+    def _supervise(self, run: Callable[[], object], name: str) -> None:
         while True:
             self._contain(name, run, ())
-            self.sleep(RESTART)
+            self.sleep(RESTART_DELAY_S)
 
     def current(self) -> Task:
+        """The task that runs. To be called from a task only."""
         assert self._current is not None
         return self._current
 
     def wait(self, fd: int = -1, events: int = 0, until: float | None = None) -> int:
-        """Until the descriptor is ready (poll's bits), the time has come (TIMEOUT) or a wake-up
-        (WOKEN).
+        """Blocks the current task.
+
+        Args:
+            fd: A descriptor to watch; one task at a time waits for one.
+            events: Poll's bits to watch it for.
+            until: A time at which the wait ends.
+
+        Returns:
+            Poll's bits, TIMED_OUT, or WOKEN if `wake` was called.
         """
         task = self.current()
         if fd >= 0:
@@ -126,7 +158,7 @@
                 self._poll.register(fd, events)
         timer = self.at(until, self._expire, task) if until is not None else None
         task.waiting = True
-        result: int = self._hub.switch()
+        result: int = self._loop.switch()
         if timer:
             timer.cancel()
         if fd >= 0 and self._waiters.get(fd) is task:
@@ -135,15 +167,16 @@
         return result
 
     def sleep(self, seconds: float) -> None:
+        """Blocks the current task for that time, unless it is woken."""
         self.wait(until=self.clock() + seconds)
 
     def wake(self, task: Task, result: int = WOKEN) -> None:
-        """A task that does not wait, or was woken already, is left alone."""
+        """Ends a task's wait; a task that does not wait, or was woken already, is left alone."""
         if task.waiting:
             task.waiting, task.result = False, result
             self._ready.append(task)
 
-    def listen_also_for(self, fd: int, events: int) -> None:
+    def watch_also_for(self, fd: int, events: int) -> None:
         """Adds to what a waiting task waits for, and takes nothing from it."""
         known = self._interest.get(fd, 0)
         if fd in self._waiters and known | events != known:
@@ -151,39 +184,42 @@
             self._poll.register(fd, known | events)
 
     def time_since_poll(self) -> float:
-        """Seconds since sockets were looked at last.
-
-        What has happened on them since is not known here.
-        """
-        return self.clock() - self._polled
+        """Seconds since the last poll. What has happened on sockets since is not known here."""
+        return self.clock() - self._polled_at
 
     def unregister(self, fd: int) -> None:
-        """To be called before a descriptor is closed: its number may come again at once."""
+        """Watches a descriptor no more.
+
+        To be called before it is closed: the system may give its number to the next one at once.
+        """
         if self._interest.pop(fd, None) is not None:
             self._poll.unregister(fd)
         self._waiters.pop(fd, None)
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
+        """Calls at that time, or in the next turn if it has passed."""
         timer = Timer(when, call, args)
-        self._serial += 1
-        heapq.heappush(self._timers, (when, self._serial, timer))
+        self._timer_serial += 1
+        heapq.heappush(self._timers, (when, self._timer_serial, timer))
         return timer
 
     def at_end_of_turn(self, call: Callable[[], object]) -> None:
-        """At the end of this turn, before poll."""
-        self._later.append(call)
+        """Calls when the tasks that are ready have run, before poll."""
+        self._end_of_turn.append(call)
 
     # The loop
 
     def stop(self) -> None:
+        """Ends `run` after this turn."""
         self._stopped = True
 
     def run(self) -> None:
+        """Runs until `stop`."""
         while not self._stopped:
             self.turn()
 
-    def turn(self, longest: float = LONGEST) -> None:
-        """What is due, then poll once."""
+    def turn(self, longest: float = MAX_POLL_S) -> None:
+        """One turn. `longest`: seconds that its poll may block."""
         now = self.clock()
         while self._timers and self._timers[0][0] <= now:
             timer = heapq.heappop(self._timers)[2]
@@ -195,33 +231,35 @@
 
     def _run(self) -> None:
         self._run_ready()
-        while self._later:
-            calls, self._later = self._later, []
+        while self._end_of_turn:
+            calls, self._end_of_turn = self._end_of_turn, []
             for call in calls:
                 self._contain("end of turn", call, ())
             self._run_ready()
 
     def _run_ready(self) -> None:
         while self._ready:
-            self._notice_standstill()
+            self._check_for_pause()
             task = self._ready.popleft()
             self._current = task
-            task.let.switch(task.result)
+            task.greenlet.switch(task.result)
             self._current = None
 
     def _collect(self, longest: float) -> None:
+        """Polls, and makes the tasks ready whose descriptors are."""
         now = self.clock()
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
         due = self._timers[0][0] - now if self._timers else longest
         pause = 0.0 if self._stopped else max(0.0, min(due, longest))
-        before = self._polled
+        before = self._polled_at
         ready = self._poll.poll(pause * 1000)
-        self._polled = self.clock()
-        self._notice_standstill(expected=pause)
-        # What is readable at once may have come any time since the last poll; else it has come just
-        # now.
-        self.started_turn = before if self._polled - now < 0.0005 else self._polled
+        self._polled_at = self.clock()
+        self._check_for_pause(expected=pause)
+        # What a poll finds at once may have come any time since the last poll; what it had to wait
+        # for has come just now.
+        found_at_once = self._polled_at - now < IMMEDIATE_POLL_S
+        self.arrived_since = before if found_at_once else self._polled_at
         for fd, bits in ready:
             task = self._waiters.get(fd)
             if task is None:
@@ -230,17 +268,17 @@
             else:
                 self.wake(task, bits)
 
-    def _notice_standstill(self, expected: float = 0.0) -> None:
-        """The process may be stopped at any point of a turn, not in poll alone.
+    def _check_for_pause(self, expected: float = 0.0) -> None:
+        """Notices that the process was paused, which may happen at any point of a turn.
 
-        Without this, what came meanwhile would be read by what was known before. `expected`:
-        seconds that it meant to pause.
+        Without this, what came meanwhile would be read as if it had come now. `expected`: seconds
+        that the process meant to block.
         """
         if self.on_process_pause is None:
             return
-        since, self._looked = self._looked, self.clock()
-        if self._looked - since - expected > STILL:
-            self._contain("stood still", self.on_process_pause, ())
+        since, self._pause_checked_at = self._pause_checked_at, self.clock()
+        if self._pause_checked_at - since - expected > PROCESS_PAUSE_S:
+            self._contain("process pause", self.on_process_pause, ())
 
     def _expire(self, task: Task) -> None:
         self.wake(task, TIMED_OUT)
--- a/hazelhollow/net/stats.py
+++ b/hazelhollow/net/stats.py
@@ -47,7 +47,7 @@
             counts = self.replies[kind] = Counter(success=0, overload=0, error=0)
         counts[what] += 1
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         values: dict[str, Any] = {}
         for name, value in vars(self).items():
             if name == "control" and not value:
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -51,19 +51,21 @@
         self._service = service
 
     def document(self) -> Mapping[str, Any]:
-        return self._service.document
+        return self._service.settings_reload.document
 
     def check(self, document: Mapping[str, Any]) -> str:
-        return self._service.check_settings(document)
+        return self._service.settings_reload.check(document)
 
     def take(self, document: Mapping[str, Any]) -> str:
-        return self._service.take_settings(document)
+        return self._service.settings_reload.apply(document)
 
     def listed(self) -> tuple[int, str]:
-        return self._service.table.version, ":".join(map(str, self._service.watch.address))
+        return self._service.endpoint_list.version, ":".join(
+            map(str, self._service.discovery_watch.address)
+        )
 
     def out(self) -> set[str]:
-        return self._service.banned
+        return self._service.overrides.disabled
 
     def figures(self) -> dict[str, int]:
         stats = self._service.stats
@@ -75,11 +77,14 @@
         }
 
     def sent(self) -> Counter[str]:
-        counts, self._service.limiter.sent = self._service.limiter.sent or Counter(), Counter()
+        counts, self._service.engine_driver.attempts_by_endpoint = (
+            self._service.engine_driver.attempts_by_endpoint or Counter(),
+            Counter(),
+        )
         return counts
 
     def samples(self) -> list[str]:
-        found, self._service.limiter.samples = self._service.limiter.samples, []
+        found, self._service.engine_driver.sampled_ids = self._service.engine_driver.sampled_ids, []
         return found
 
 
@@ -137,7 +142,7 @@
             self._begin_view(service, self.operator.fleet)
 
     def _begin_view(self, service: Service, terms: records.Fleet) -> None:
-        settings, peers = service.settings, service.limiter.peers
+        settings, peers = service.settings_reload.settings, service.engine_driver.peers
         if peers is None or not settings.peers or settings.limiter_count < 2:
             log.warning(
                 "no view of the fleet: the configuration allows no datagrams between "
@@ -166,8 +171,8 @@
             peers,
             view,
             self.seal,
-            service.limiter.fleet,
-            service.leave,
+            service.engine_driver.notify,
+            service.shutdown.begin,
             lines,
             seeds or ((peers.address,) if address else ()),
             keeps=terms.replicate is not None,
@@ -194,10 +199,12 @@
     def _begin_replica(
         self, service: Service, fleet: FleetDriver, terms: records.Replicate
     ) -> None:
-        peers = service.limiter.peers
+        peers = service.engine_driver.peers
         assert peers is not None
         file = (
-            snapshot.File(Path(terms.state_dir), service.settings.limiter_id, self._writer)
+            snapshot.File(
+                Path(terms.state_dir), service.settings_reload.settings.limiter_id, self._writer
+            )
             if terms.state_dir
             else None
         )
@@ -206,22 +213,22 @@
             peers,
             fleet,
             self.seal,
-            service.gateway,
-            service.limiter.copied,
-            service.take_calls,
+            service.engine,
+            service.engine_driver.notify,
+            service.overrides.apply,
             self._seed,
             budget(self.seal),
             file,
             self._part(Role.REPLICATION),
         )
-        service.limiter.closed = self.replica.closed
+        service.engine_driver.on_count = self.replica.closed
         service.stats.replica = self.replica.exchange.counts
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: FleetDriver, terms: records.Audit) -> None:
         peers, me, incarnation = (
-            service.limiter.peers,
-            service.settings.limiter_id,
+            service.engine_driver.peers,
+            service.settings_reload.settings.limiter_id,
             int(service.scheduler.clock() * 1000),
         )
         assert peers is not None
@@ -230,7 +237,10 @@
             if terms.state_dir
             else None
         )
-        service.limiter.sent, service.limiter.most_samples = Counter(), terms.samples
+        service.engine_driver.attempts_by_endpoint, service.engine_driver.max_samples = (
+            Counter(),
+            terms.samples,
+        )
         self.audit = AuditDriver(
             service.scheduler,
             peers,
--- a/hazelhollow/platform_config.py
+++ b/hazelhollow/platform_config.py
@@ -72,12 +72,12 @@
     policy = settings.part("policy_limits")
     return PlatformConfig(
         name=fields.text("name", ""),
-        listen=address(fields.text("listen"), least_port=0),
-        discovery=address(fields.text("discovery")),
+        listen=parse_address(fields.text("listen"), least_port=0),
+        discovery=parse_address(fields.text("discovery")),
         seed=int(fields.text("seed", "0"), 16),
         settings=wire.parse_settings(settings),
         peer_listen=_optional(fields.text("peer_listen", "")),
-        peers=tuple(address(text) for text in fields.texts("peers")),
+        peers=tuple(parse_address(text) for text in fields.texts("peers")),
         counter=_optional(fields.text("counter", "")),
         operator=_optional(fields.text("operator", "")),
         known=fields.raw("known"),
@@ -90,7 +90,7 @@
     )
 
 
-def address(text: str, least_port: int = 1) -> Address:
+def parse_address(text: str, least_port: int = 1) -> Address:
     """`host:port`; a port of 0, where it is allowed, lets the system pick one."""
     host, colon, port = text.rpartition(":")
     if not (
@@ -101,4 +101,4 @@
 
 
 def _optional(text: str) -> Address | None:
-    return address(text) if text else None
+    return parse_address(text) if text else None
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -113,7 +113,7 @@
         self._allowance = allowance
         self._waiting: Waiting[exchange.Send] | None = Waiting(allowance) if allowance else None
         self._plans = {tag_of(name): name for name in memory.plans}
-        self._heard_before = peers.heard
+        self._heard_before = peers.on_message
         self._away = set(range(members)) - {me}
         self._here: list[int] = []  # the others that are up, in order
         # What those were reckoned from.
@@ -125,7 +125,7 @@
         self._began = self._saved = 0.0
 
     def start(self) -> None:
-        self._heard_before, self._peers.heard = self._peers.heard, self.heard
+        self._heard_before, self._peers.on_message = self._peers.on_message, self.heard
         now = self._began = self._scheduler.clock()
         self._snapshot = self._file.load(now) if self._file else None
         if self._snapshot:
@@ -221,7 +221,7 @@
 
     def _pass_on(self, sends: list[exchange.Send]) -> None:
         for send in self._may_leave(sends):
-            self._peers.tell(send.number, self._seal.close(send.text))
+            self._peers.send_to(send.number, self._seal.close(send.text))
         one = self.exchange
         slices, one.slices = one.slices, []
         for piece in slices:
@@ -233,7 +233,7 @@
             self._tell_rows(rows)
         if one.calls:
             for call in one.calls:
-                self._log.say(
+                self._log.log(
                     logging.WARNING,
                     "server %s is %s by an operator at member %d",
                     call.host,
--- a/hazelhollow/request_client.py
+++ b/hazelhollow/request_client.py
@@ -13,6 +13,7 @@
 
 from hazelhollow import platform_config
 from hazelhollow.net import resp
+from hazelhollow.net.errors import ProtocolError
 
 
 @click.command("ask")
@@ -80,7 +81,7 @@
     outcomes, shown = Counter[str](), ""
     began = time.monotonic()
     try:
-        with socket.create_connection(platform_config.address(to), timeout=wait + 1) as sock:
+        with socket.create_connection(platform_config.parse_address(to), timeout=wait + 1) as sock:
             parser = resp.Parser()
             for _ in range(count):
                 fields = (
@@ -110,7 +111,7 @@
                     if isinstance(answer, bytes)
                     else str(answer)
                 )
-    except (OSError, ValueError, resp.ProtocolError) as error:
+    except (OSError, ValueError, ProtocolError) as error:
         click.echo(f"hazelhollow: {to}: {error}", err=True)
         sys.exit(2)
     took = time.monotonic() - began
--- a/hazelhollow/scale/fleet.py
+++ b/hazelhollow/scale/fleet.py
@@ -97,7 +97,7 @@
         for number, one in self.members.items():
             for other, address in everybody.items():
                 if other != number:
-                    one.peers.learn(other, address)
+                    one.peers.set_address(other, address)
             self._scheduler.spawn_supervised(one.peers.run, "peers")
 
     def _at(self, at_s: float, call: Callable[..., object], *args: Any) -> None:
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -27,9 +27,10 @@
 from hazelhollow.membership.records import Record
 from hazelhollow.membership.seal import Seal
 from hazelhollow.membership.view import View
-from hazelhollow.net.backend import Attempt, Backend, Host, Result
-from hazelhollow.net.close_reason import CloseReason, outcome
-from hazelhollow.net.engine_driver import Limiter
+from hazelhollow.net.attempts import Attempt, AttemptResult
+from hazelhollow.net.close_reason import CloseReason, attempt_status
+from hazelhollow.net.connection_pool import ConnectionPool
+from hazelhollow.net.engine_driver import EngineDriver
 from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
 from hazelhollow.replication.driver import Driver as ReplicaDriver
@@ -46,7 +47,7 @@
     (FleetDriver, Role.VIEW),
     (ReplicaDriver, Role.REPLICATION),
     (AuditDriver, Role.AUDIT),
-    (Backend, Role.REQUESTS),
+    (ConnectionPool, Role.REQUESTS),
 )
 
 
@@ -54,9 +55,9 @@
     """Whose a timer is."""
     owner = getattr(call, "__self__", None)
     if isinstance(
-        owner, Limiter
+        owner, EngineDriver
     ):  # the decision module's one timer is its gossip's; the others are requests'
-        return Role.GOSSIP if getattr(call, "__name__", "") == "_timer" else Role.REQUESTS
+        return Role.GOSSIP if getattr(call, "__name__", "") == "_timer_fired" else Role.REQUESTS
     return next((role for kind, role in DRIVERS if isinstance(owner, kind)), Role.TIMERS)
 
 
@@ -88,7 +89,7 @@
         self._shared.at_end_of_turn(lambda: self._play(Role.REQUESTS, call, ()))
 
 
-class HollowBackend(Backend):
+class HollowBackend(ConnectionPool):
     """Modelled servers: each attempt is answered after a drawn time."""
 
     def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
@@ -99,22 +100,22 @@
         self,
         name: str,
         command: bytes,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         look: Callable[[], object] = lambda: None,
     ) -> Attempt:
         now = self._scheduler.clock()
-        attempt = Attempt(Host(name, ("", 0)), command, done, look, now)
+        attempt = Attempt(name, command, done, look, now)
         self._scheduler.at(now + service_time(self._chance, self._service_s), self.answer, attempt)
         return attempt
 
     def answer(self, attempt: Attempt) -> None:
         """Its server has answered."""
-        attempt.finish(Result("ok"))
+        attempt.finish(AttemptResult("ok"))
 
-    def give_up(self, attempt: Attempt, ending: CloseReason) -> None:
-        attempt.finish(Result(outcome(ending, True)))
+    def abort(self, attempt: Attempt, reason: CloseReason) -> None:
+        attempt.finish(AttemptResult(attempt_status(reason, True)))
 
-    def hold_back(self, attempt: Attempt, ending: CloseReason) -> None:
+    def withdraw(self, attempt: Attempt, reason: CloseReason) -> None:
         """Every attempt goes out whole at once."""
 
 
@@ -133,16 +134,16 @@
         self.let_in = True
         return b""
 
-    def served(self, value: bytes) -> None:
+    def send_value(self, value: bytes) -> None:
         """An answer, which nobody reads."""
 
-    def refused(self, wait_ms: int) -> None:
+    def send_busy(self, retry_after_ms: int) -> None:
         """A refusal; modelled clients do not come again."""
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """An error."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Modelled clients wait for their answer."""
         return False
 
@@ -190,7 +191,7 @@
         if terms.control_bytes_per_s:
             self._settings = with_gossip_rate(told.settings, terms.control_bytes_per_s)
         self.gateway = DecisionEngine(self._settings, seed)
-        self.limiter = Limiter(
+        self.limiter = EngineDriver(
             self.gateway,
             self.scheduler,
             HollowBackend(self.scheduler, seed, terms.service_s),
@@ -210,7 +211,7 @@
 
         As the operator's file switches its subsystems on.
         """
-        self._peers.renew(self.stats, self.limiter.heard)
+        self._peers.renew(self.stats, self.limiter.gossip_received)
         self.list_servers(api.EndpointsUpdated("full", servers))
         seal, number = Seal([KEY] if self._terms.sealed else []), self._settings.limiter_id
         now, most = self.scheduler.clock(), budget(seal)
@@ -229,7 +230,7 @@
             self._peers,
             view,
             seal,
-            self.limiter.fleet,
+            self.limiter.notify,
             self._leave,
             keeps=self._terms.replicate,
             paced_gossip=self._terms.control_bytes_per_s > 0,
@@ -247,18 +248,18 @@
             fleet,
             seal,
             self.gateway,
-            self.limiter.copied,
+            self.limiter.notify,
             lambda calls: None,
             self._seed,
             most,
             allowance=self._part(BudgetRole.REPLICATION),
         )
-        self.limiter.closed = self.replica.closed
+        self.limiter.on_count = self.replica.closed
         self._meter.turn(Role.REPLICATION, self.replica.start)
 
     def _start_audit(self, fleet: FleetDriver, seal: Seal, incarnation: int) -> None:
         record = AuditRecord(self._settings.limiter_id, incarnation)
-        self.limiter.sent = Counter()
+        self.limiter.attempts_by_endpoint = Counter()
         self.audit = AuditDriver(
             self.scheduler,
             self._peers,
@@ -294,12 +295,12 @@
 
     def list_servers(self, event: api.EndpointsUpdated) -> None:
         """Discovery's news."""
-        self._meter.turn(Role.LIST, self.limiter.told, event)
+        self._meter.turn(Role.LIST, self.limiter.notify, event)
 
     def ask(self, drawn: Drawn, request: api.RequestArrived) -> bool:
         """A request comes; whether it is let in."""
         asked = HollowRequest(request)
-        self._meter.turn(Role.REQUESTS, self.limiter.ask, asked, asked)
+        self._meter.turn(Role.REQUESTS, self.limiter.submit, asked, asked)
         return asked.let_in
 
     def next_id(self) -> str:
@@ -338,7 +339,7 @@
     def take(self, document: Mapping[str, Any]) -> str:
         """Settings of the operator or of a peer.
 
-        As `net.service.Service.take_settings` takes them.
+        As `net.settings_reload.SettingsReload.apply` takes them.
         """
         trouble = self.check(document) if document is not self._checked[0] else ""
         if trouble:
@@ -365,7 +366,10 @@
         }
 
     def sent(self) -> Counter[str]:
-        counts, self.limiter.sent = self.limiter.sent or Counter(), Counter()
+        counts, self.limiter.attempts_by_endpoint = (
+            self.limiter.attempts_by_endpoint or Counter(),
+            Counter(),
+        )
         return counts
 
     def samples(self) -> list[str]:
--- a/hazelhollow/scale/network.py
+++ b/hazelhollow/scale/network.py
@@ -101,8 +101,8 @@
 
     def renew(self, stats: Stats, heard: Callable[[int, str], None]) -> None:
         """A new incarnation of this limiter listens here."""
-        self._stats, self.heard, self.stranger, self.dead = stats, heard, None, False
-        self.meter = None
+        self._stats, self.on_message, self.on_unknown_sender, self.dead = stats, heard, None, False
+        self.on_sent = None
 
     def send(self, address: tuple[str, int] | None, text: str) -> None:
         before = self._stats.told
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -110,7 +110,7 @@
             self.exchange.closed(self.scheduler.clock())
 
     def _read(self, driver: stream.Stream) -> str:
-        while driver.ending is None:
+        while driver.close_reason is None:
             driver.wait()
             data = driver.read(stream.READ_CHUNK_BYTES)
             if isinstance(data, CloseReason):
@@ -124,7 +124,7 @@
                     return why
                 self._flush()
                 self._arm()
-        return driver.ending.name.lower()
+        return driver.close_reason.name.lower()
 
     def _flush(self) -> None:
         data = self.exchange.take()
--- a/hazelhollow/shared_store/exchange.py
+++ b/hazelhollow/shared_store/exchange.py
@@ -64,7 +64,7 @@
 
     def retry_in(self) -> float:
         """Seconds to wait before the next attempt to connect."""
-        return self._backoff.next(self._random.random())
+        return self._backoff.next_wait(self._random.random())
 
     def take(self) -> bytes:
         """What is to be written now."""
@@ -111,7 +111,7 @@
                 self.ledger.answered(event.call, event.answer, now)
             elif isinstance(event, link_.Connected):
                 self.counts["connected"] += 1
-                self._backoff.worked()
+                self._backoff.reset()
                 log.info("store: connected", address="{}:{}".format(*self.store_settings.address))
                 self.ledger.store_connected(event.store_started_at, event.store_now, now)
                 self._ledger_due = now
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -16,6 +16,7 @@
 from typing import NamedTuple
 
 from hazelhollow.net import resp
+from hazelhollow.net.errors import ProtocolError
 from hazelhollow.shared_store.account import Call
 from hazelhollow.shared_store.scripts import SCRIPTS, SHAS, answer_text, text_of
 
@@ -178,7 +179,7 @@
                 events += self._match(self._pending.popleft(), value, now)
                 if events and isinstance(events[-1], ConnectionBroken):
                     return events
-        except resp.ProtocolError as error:
+        except ProtocolError as error:
             events.append(ConnectionBroken(f"not of the protocol: {error}"))
         return events
 
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -158,7 +158,7 @@
 
 
 def _loopback(listen: str) -> tuple[str, int]:
-    host, port = platform_config.address(listen, least_port=0)
+    host, port = platform_config.parse_address(listen, least_port=0)
     if not ipaddress.ip_address(host).is_loopback:
         raise ValueError(f"'{host}' is not a loopback address")
     return host, port
--- a/hazelhollow/standins/discovery.py
+++ b/hazelhollow/standins/discovery.py
@@ -117,7 +117,7 @@
 
     def _serve(self, driver: stream.Stream, limiter: str) -> None:
         held = bytearray()
-        while driver.ending is None:
+        while driver.close_reason is None:
             driver.wait()
             data = driver.read(MOST_HEAD)
             if isinstance(data, CloseReason):
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -16,6 +16,7 @@
 
 from hazelhollow.net import resp, stream
 from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.errors import ProtocolError
 from hazelhollow.net.scheduler import Scheduler
 
 MOST_OUT = 1024 * 1024
@@ -82,7 +83,7 @@
 
     def _tend(self, line: Line) -> None:
         driver = line.driver
-        while driver.ending is None:
+        while driver.close_reason is None:
             driver.wait()
             data = driver.read(line.parser.ring.room())
             if isinstance(data, CloseReason):
@@ -92,7 +93,7 @@
                     line.parser.feed(data)
                     while not isinstance(words := line.parser.next(), resp.NeedMoreData):
                         self._take(line, words)
-                except resp.ProtocolError:
+                except ProtocolError:
                     driver.close(CloseReason.MALFORMED)
 
     def _take(self, line: Line, words: resp.Value) -> None:
--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -54,7 +54,7 @@
             self.scheduler.spawn(self._serve, session, driver, name="stand-in connection")
 
     def _serve(self, session: Session, driver: stream.Stream) -> None:
-        while driver.ending is None:
+        while driver.close_reason is None:
             driver.wait()
             data = driver.read(stream.READ_CHUNK_BYTES)
             if isinstance(data, CloseReason):
--- a/hazelhollow/standins/relay.py
+++ b/hazelhollow/standins/relay.py
@@ -295,7 +295,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         far = self.far = stream.Stream(self.relay.scheduler, sock, MOST_HELD)
         self._raw.append(sock)
-        if far.establish(target, self.relay.scheduler.clock() + CONNECT) or self.broken:
+        if far.connect(target, self.relay.scheduler.clock() + CONNECT) or self.broken:
             self.break_off()
             far.close(CloseReason.RESET)
             return
@@ -311,7 +311,7 @@
         scheduler = self.relay.scheduler
         if scheduler.current() not in self._tasks:
             self._tasks.append(scheduler.current())
-        while not self.broken and source.ending is None:
+        while not self.broken and source.close_reason is None:
             source.wait()
             data = source.read(stream.READ_CHUNK_BYTES)
             if data is None:
@@ -330,7 +330,11 @@
     def _finish(self, source: stream.Stream, target: stream.Stream) -> None:
         """One side has ended: so does the other, once it has what was on its way."""
         until = self.relay.scheduler.clock() + CONNECT
-        while target.out and target.ending is None and self.relay.scheduler.clock() < until:
+        while (
+            target.send_buffer
+            and target.close_reason is None
+            and self.relay.scheduler.clock() < until
+        ):
             target.wait(until, 0)
         for side in (source, target):
             side.close(CloseReason.CLOSED)
@@ -342,7 +346,7 @@
             return
         self.broken = True
         for side, sock in zip((self.near, self.far), self._raw, strict=False):
-            if side is not None and side.ending is None:
+            if side is not None and side.close_reason is None:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
                 side.close(CloseReason.RESET)
         self.relay.pipes.pop(self, None)
--- a/tests/audit_fleet.py
+++ b/tests/audit_fleet.py
@@ -92,10 +92,10 @@
     def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
         self.fleet.at(when, lambda: self.alive and call(*args))
 
-    def tell(self, number: int, text: str) -> None:
+    def send_to(self, number: int, text: str) -> None:
         self.fleet.carry(self.me, number, text)
 
-    def heard(self, sender: int, text: str) -> None:
+    def on_message(self, sender: int, text: str) -> None:
         raise AssertionError(f"{text} of {sender} is none of the audit's")
 
     # The view
@@ -272,7 +272,7 @@
     @staticmethod
     def _arrive(receiver: Member, sender: int, text: str) -> None:
         if receiver.alive:
-            receiver.heard(sender, text)
+            receiver.on_message(sender, text)
 
     # What there is to see
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,9 +30,10 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import resp
+from hazelhollow.net.attachment import Attachment
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.service import Attachment, Service
+from hazelhollow.net.service import Service
 from hazelhollow.platform_config import PlatformConfig
 
 LOOK = api.RequestClass(
@@ -113,7 +114,7 @@
         self.service = Service(self.config, self.scheduler, attached)
         self.service.start()
         if heard:
-            self.service.frontend.ready()
+            self.service.frontend.set_ready()
         self.settle()
 
     def close(self) -> None:
@@ -125,13 +126,17 @@
         ):
             sock.close()
         service = self.service
-        for session in [*service.frontend.sessions, *service.frontend.lingering]:
-            session._driver.close(CloseReason.SHUTDOWN)
-        for driver in (service.watch._driver, service.watch._slow):
+        for session in [*service.frontend.sessions.sessions, *service.frontend.sessions.lingering]:
+            session._stream.close(CloseReason.SHUTDOWN)
+        for driver in (service.discovery_watch._stream, service.discovery_watch._slow_stream):
             if driver:
                 driver.close(CloseReason.SHUTDOWN)
-        service.backend.close()
-        for open_socket in (service.frontend, service.operator, service.limiter.peers):
+        service.pool.close_all()
+        for open_socket in (
+            service.frontend,
+            service.operator_address,
+            service.engine_driver.peers,
+        ):
             if open_socket:
                 open_socket._sock.close()
 
@@ -189,7 +194,7 @@
                         break
                     moment(self.listeners[name])
         elif not ends:
-            operator = self.service.operator
+            operator = self.service.operator_address
             address = (
                 operator.address
                 if name.startswith("op") and operator
@@ -214,8 +219,8 @@
 
     def _send(self, who: str, words: str) -> None:
         if who == "p1":
-            assert self.service.limiter.peers
-            self.peer.sendto(words.encode(), self.service.limiter.peers.address)
+            assert self.service.engine_driver.peers
+            self.peer.sendto(words.encode(), self.service.engine_driver.peers.address)
         else:
             self._end(who).sendall(self.bytes_of(words))
         self.settle()
@@ -246,7 +251,7 @@
             assert not over and re.fullmatch(pattern, got, re.S), got or "nothing came"
 
     def _reload(self, who: str, words: str) -> None:
-        self.service.reload(
+        self.service.settings_reload.reload(
             lambda: replace(self.config, discovery=self.listeners[who].getsockname())
         )
         self.settle()
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -11,7 +11,7 @@
 import pytest
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.net.bans import BanFile, path_for
+from hazelhollow.net.override_file import OverrideFile, path_for
 from tests.scenario import Stage
 from tests.test_gateway import ask, entry, make, only, servers
 from tests.test_operator_address import call, figures, stage
@@ -50,9 +50,9 @@
     one = stage()
     assert call(one, b"set-down s1\n") == b"done set-down s1\n"
     assert call(one, b"set-down s1\n") == b"done set-down s1\n"  # said again, nothing more changes
-    assert one.service.gateway.banned == {"s1"} and figures(one)["targets_disabled"] == 1
+    assert one.service.engine.banned == {"s1"} and figures(one)["targets_disabled"] == 1
     assert call(one, b"set-up s1\n") == b"done set-up s1\n"
-    assert not one.service.gateway.banned and figures(one)["targets_disabled"] == 0
+    assert not one.service.engine.banned and figures(one)["targets_disabled"] == 0
 
 
 def test_an_id_never_listed_is_owed_a_no() -> None:
@@ -63,11 +63,11 @@
     first = stage()
     call(first, b"set-down s1\n")
     second = Stage(hosts=1)
-    assert second.service.gateway.banned == {"s1"}
-    second.service.set_bans(set())
+    assert second.service.engine.banned == {"s1"}
+    second.service.overrides.replace(set())
     first.now += 1.0
     first.settle()
-    assert not first.service.gateway.banned  # what the other one put back, this one puts back too
+    assert not first.service.engine.banned  # what the other one put back, this one puts back too
 
 
 @pytest.mark.parametrize(
@@ -84,13 +84,13 @@
 def test_a_broken_or_foreign_file_is_not_taken(text: bytes, tmp_path: Path) -> None:
     path = path_for("n0", str(tmp_path))
     path.write_bytes(text)
-    assert BanFile(path).read() is None
-    assert not Stage(hosts=1).service.gateway.banned
+    assert OverrideFile(path).read() is None
+    assert not Stage(hosts=1).service.engine.banned
 
 
 def test_the_file_is_written_whole_and_read_back(tmp_path: Path) -> None:
-    keeper = BanFile(path_for("n0", str(tmp_path)))
+    keeper = OverrideFile(path_for("n0", str(tmp_path)))
     keeper.write({"s2", "s1"})
     assert orjson.loads(keeper.path.read_bytes())["down"] == ["s1", "s2"]
-    assert BanFile(keeper.path).read() == {"s1", "s2"}
+    assert OverrideFile(keeper.path).read() == {"s1", "s2"}
     assert not list(tmp_path.glob("*.part"))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,8 +17,9 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import resp, stream
 from hazelhollow.net.close_reason import CloseReason
-from hazelhollow.net.session import LINGER, MOST_PIPELINED
-from hazelhollow.net.session_table import MOST_LINGERING
+from hazelhollow.net.command_reader import MAX_PIPELINED
+from hazelhollow.net.session import LINGER_S
+from hazelhollow.net.session_table import MAX_LINGERING
 from tests.scenario import BUY, LOOK, SETTINGS, Stage
 from tests.test_gossip_settings import same_key
 from tests.test_scenarios import DO, GET, VALUE, WATCH, ask
@@ -46,7 +47,7 @@
 
 def say_after_the_look(monkeypatch: pytest.MonkeyPatch, end: socket.socket, words: bytes) -> None:
     """What the client sends comes between the limiter's look at the socket and its act."""
-    whole = stream.Stream.alive
+    whole = stream.Stream.is_open_and_quiet
 
     def alive(self: stream.Stream) -> bool:
         found = whole(self)
@@ -54,7 +55,7 @@
             end.sendall(words)
         return found
 
-    monkeypatch.setattr(stream.Stream, "alive", alive)
+    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", alive)
 
 
 def answered(stage: Stage, name: str = "a") -> socket.socket:
@@ -72,18 +73,18 @@
 
 
 def in_need_of_room(stage: Stage) -> None:
-    session = stage.service.frontend.places.idlest()
+    session = stage.service.frontend.sessions.idlest()
     assert session
     session.end(CloseReason.NO_DESCRIPTOR)
 
 
 def keep_none(stage: Stage) -> None:
-    stage.service.frontend.places.most_kept = 0
+    stage.service.frontend.sessions.max_used = 0
     stage.play("wait 0.2\nb send [SELECT 0]")
 
 
 def told_to_end(stage: Stage, seconds: float) -> None:
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play(f"wait {seconds}")
 
 
@@ -101,7 +102,7 @@
     )  # it is read after the end, and its client sends it again elsewhere
     end.close()
     stage.settle()
-    assert not stage.service.frontend.lingering
+    assert not stage.service.frontend.sessions.lingering
 
 
 JUNK = {
@@ -138,8 +139,8 @@
     stage = Stage(hosts=1)
     answered(stage)
     stage.play("wait 11")
-    stage.play(f"wait {LINGER + 0.1}")
-    assert stage.service.frontend.places.is_empty()
+    stage.play(f"wait {LINGER_S + 0.1}")
+    assert stage.service.frontend.sessions.is_empty()
 
 
 def test_connections_ended_here_hold_no_more_than_so_many_descriptors() -> None:
@@ -147,16 +148,18 @@
     for number in range(60):
         stage.play(f"c{number} send [SELECT 0]\nc{number} expect +OK")
         frontend = stage.service.frontend
-        assert len(frontend.sessions) + len(frontend.lingering) <= 9 + MOST_LINGERING
-    assert frontend.lingering
+        assert (
+            len(frontend.sessions.sessions) + len(frontend.sessions.lingering) <= 9 + MAX_LINGERING
+        )
+    assert frontend.sessions.lingering
 
 
 def test_who_lingers_goes_first_when_a_descriptor_is_needed() -> None:
     stage = Stage(hosts=1)
     answered(stage)
     stage.play("wait 10.2\nb send [CLIENT]\nb expect +OK")
-    assert stage.service.frontend.lingering and stage.service.frontend.free_descriptor()
-    assert not stage.service.frontend.lingering
+    assert stage.service.frontend.sessions.lingering and stage.service.frontend.free_descriptor()
+    assert not stage.service.frontend.sessions.lingering
     stage.play("b send [CLIENT]\nb expect +OK")
 
 
@@ -165,7 +168,7 @@
 ):
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}")
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play(f"wait 0.8\na send {ask(2)}\na send {ask(3)}")
     assert (
         stage.service.stats.requests == 1
@@ -178,7 +181,7 @@
 
 def test_a_connection_let_in_just_before_the_end_has_its_request_answered() -> None:
     stage = Stage(hosts=1)
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play("wait 0.45")
     stage._end("a")
     stage.settle()
@@ -192,9 +195,9 @@
     stage = Stage(hosts=1)
     end = answered(stage)
     end.sendall(stage.bytes_of(ask(1))[:30])
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play("wait 0.65")
-    assert stage.service.frontend.sessions  # the rest may come
+    assert stage.service.frontend.sessions.sessions  # the rest may come
     stage.play("wait 0.1")
     end.sendall(stage.bytes_of(ask(1))[30:])
     assert to_the_end(stage, end) == b"+OK\r\n" and not stage.service.stats.requests
@@ -202,7 +205,7 @@
 
 def held(monkeypatch: pytest.MonkeyPatch, stage: Stage) -> None:
     """The module keeps every request waiting for its first attempt."""
-    monkeypatch.setattr(stage.service.limiter._decisions, "handle", lambda event, now: [])
+    monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
@@ -215,10 +218,13 @@
     """
     stage = Stage(hosts=1)
     held(monkeypatch, stage)
-    for number in range(MOST_PIPELINED + 20):
+    for number in range(MAX_PIPELINED + 20):
         stage.play(f"a send {ask(number, 3000)}")
     leave(stage, "a", how)
-    assert stage.service.stats.clients_gone == MOST_PIPELINED and not stage.service.limiter.open
+    assert (
+        stage.service.stats.clients_gone == MAX_PIPELINED
+        and not stage.service.engine_driver.open_requests
+    )
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
@@ -228,7 +234,7 @@
         stage._end("a").sendall(stage.bytes_of(ask(number, 0)) * 10)
         stage.settle(20)
     leave(stage, "a", how)
-    assert not stage.service.frontend.sessions
+    assert not stage.service.frontend.sessions.sessions
 
 
 def leave(stage: Stage, name: str, how: str) -> None:
@@ -262,7 +268,7 @@
     stage.play(f"a send {ask(1)}")
     assert stage.service.stats.attempts == 1 and stage.service.stats.opened == 0
     leave(stage, "a", how)
-    assert not stage.service.backend._lines and not stage.service.limiter.open
+    assert not stage.service.pool._connections and not stage.service.engine_driver.open_requests
     assert stage.service.stats.dispatches == 0 and len(fillers) == 2
 
 
@@ -280,10 +286,10 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(stream, "connect", narrow)
         stage.play(f"b send {DO.format(2).replace('BODY', body)}")
-    (line,) = stage.service.backend._hosts["s1"].lines
-    assert line.touched() and not line.whole()
+    (line,) = stage.service.pool._endpoints["s1"].connections
+    assert line.has_sent_any() and not line.has_sent_all()
     leave(stage, "b", "close")
-    assert not stage.service.backend._lines and not stage.service.limiter.open
+    assert not stage.service.pool._connections and not stage.service.engine_driver.open_requests
 
 
 def test_of_many_that_leave_at_mixed_stages_nothing_is_sent_on_later() -> None:
@@ -297,7 +303,7 @@
         stage.play(f"w{number} send {ask(number, 3000)}")  # for readiness
     for number in range(0, 10, 2):
         leave(stage, f"w{number}", ("close", "half", "reset")[number % 3])
-    stage.service.frontend.ready()
+    stage.service.frontend.set_ready()
     stage.settle()
     assert stage.service.stats.requests == 5
     for number in range(10, 30):
@@ -312,7 +318,9 @@
     stage.play("wait 3.5")
     assert stage.service.stats.attempts == attempts and stage.service.stats.dispatches == 0
     assert (
-        not stage.service.limiter.open and not stage.service.frontend.sessions and len(fillers) == 4
+        not stage.service.engine_driver.open_requests
+        and not stage.service.frontend.sessions.sessions
+        and len(fillers) == 4
     )
 
 
@@ -328,18 +336,18 @@
 
 def test_an_answer_is_told_to_the_module_once_also_when_the_client_goes_in_the_same_turn() -> None:
     stage, seen = Stage(hosts=1), list[api.Event]()
-    whole = stage.service.limiter._decisions.handle
+    whole = stage.service.engine_driver._decisions.handle
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
         seen.append(event)
         return whole(event, now)
 
-    stage.service.limiter._decisions.handle = handle  # type: ignore[method-assign]
+    stage.service.engine_driver._decisions.handle = handle  # type: ignore[method-assign]
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     stage._end("s1").sendall(stage.bytes_of(VALUE))
     leave(stage, "a", "close")
     outcomes = [event for event in seen if isinstance(event, api.AttemptEnded)]
-    assert len(outcomes) == 1 and not stage.service.limiter.open
+    assert len(outcomes) == 1 and not stage.service.engine_driver.open_requests
 
 
 # Hosts
@@ -387,10 +395,10 @@
     stage.play("disco expect " + WATCH.format(1) + "\ndisco send whole 2 s2:in_service\n")
     stage.now += 0.3 - left - 0.05
     stage.play("s1 close")
-    (one,) = stage.service.limiter.open.values()
-    assert len(one.attempts) == 2 and one.out == 1
+    (one,) = stage.service.engine_driver.open_requests.values()
+    assert len(one.attempts) == 2 and one.attempts_out == 1
     stage.play(f"wait {left + 0.05}")
-    assert not one.out and not stage.service.backend._lines and len(fillers) == 2
+    assert not one.attempts_out and not stage.service.pool._connections and len(fillers) == 2
     stage.play("a expect -BUSY 250")  # all hosts know its key, so it may be tried anew
 
 
@@ -422,7 +430,7 @@
         (b"$2\r\nhi\r\n",) if first == "answer" else (b"-BUSY 250\r\n", b"-ERR failed\r\n")
     )
     stage.play("a expect nothing")
-    assert not stage.service.limiter.open
+    assert not stage.service.engine_driver.open_requests
 
 
 @pytest.mark.parametrize("order", ["cancel first", "answer first"])
@@ -431,18 +439,22 @@
 ) -> None:
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
-    backend = stage.service.backend
-    (one,) = stage.service.limiter.open.values()
+    pool = stage.service.pool
+    (one,) = stage.service.engine_driver.open_requests.values()
     (attempt,) = one.attempts
     stage._end("s1").sendall(stage.bytes_of(VALUE))
     if order == "answer first":
         stage.settle()
-    backend.give_up(attempt, CloseReason.CANCELLED)
-    backend.give_up(attempt, CloseReason.TIMED_OUT)
+    pool.abort(attempt, CloseReason.CANCELLED)
+    pool.abort(attempt, CloseReason.TIMED_OUT)
     stage.settle()
     assert sum(stage.service.stats.outcomes.values()) == 1
     if order == "answer first":
-        assert stage.service.stats.outcomes["ok"] == 1 and not one.out and len(backend._lines) == 1
+        assert (
+            stage.service.stats.outcomes["ok"] == 1
+            and not one.attempts_out
+            and len(pool._connections) == 1
+        )
     else:  # the module tries again, on another connection
         stage.play(
             f"s1.1 expect closed\ns1.2 expect {ask(1)}\ns1.2 send {VALUE}\na expect $2\\r\\nhi"
@@ -451,9 +463,9 @@
 
 def test_an_attempt_given_up_in_the_turn_in_which_its_connection_comes_up_is_not_sent() -> None:
     stage = Stage(hosts=1)
-    attempt = stage.service.backend.start("s1", b"x" * 10, lambda result: None)
+    attempt = stage.service.pool.start("s1", b"x" * 10, lambda result: None)
     stage.scheduler._run()  # its connection is begun, and up by now; that it is has not been read
-    stage.service.backend.give_up(attempt, CloseReason.CANCELLED)
+    stage.service.pool.abort(attempt, CloseReason.CANCELLED)
     stage.settle()
     end = stage._end("s1")
     assert end.recv(99) == b"" and stage.service.stats.dispatches == 0
@@ -470,7 +482,7 @@
         f"s1.2 send {VALUE.replace('hi', 'no')}\nb expect $2\\r\\nno\ns1.1 send "
         f"{VALUE}\na expect $2\\r\\nhi"
     )
-    assert not stage.service.limiter.open
+    assert not stage.service.engine_driver.open_requests
 
 
 def test_an_id_whose_first_owner_has_gone_while_its_attempt_is_out_is_anothers_too() -> None:
@@ -490,7 +502,7 @@
     stage = Stage(
         hosts=1, settings=replace(SETTINGS, limiter_count=1, plans=(*SETTINGS.plans, scarce))
     )
-    first, second = same_key(stage.service.gateway)
+    first, second = same_key(stage.service.engine)
     lean, full = (
         ask(n, 3000).replace("00000000b4d65521", who).replace("spread=2", "spread=1")
         for n, who in ((1, first), (2, second))
@@ -518,7 +530,7 @@
 
 
 def s1_is_left(stage: Stage) -> bool:
-    return "s1" not in stage.service.backend._hosts
+    return "s1" not in stage.service.pool._endpoints
 
 
 def test_an_answer_without_a_length_ends_with_its_connection() -> None:
@@ -662,18 +674,23 @@
     stage = Stage(hosts=2)
     watched(stage)
     stage.play("disco send table 3 s2:terminating")
-    assert stage.service.table.version == 5 and "s2" in stage.service.table.open_addresses()
+    assert (
+        stage.service.endpoint_list.version == 5
+        and "s2" in stage.service.endpoint_list.open_addresses()
+    )
 
 
 def test_an_attempt_that_has_not_left_for_a_host_put_out_by_hand_goes_elsewhere() -> None:
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s1")
     watched(stage)
-    stage.service.limiter.told(stage.service.table.apply(stage.table("whole", 6, "s1:in_service")))
+    stage.service.engine_driver.notify(
+        stage.service.endpoint_list.apply(stage.table("whole", 6, "s1:in_service"))
+    )
     stage.play(f"a send {ask(1)}")
-    assert len(stage.service.backend._lines) == 1 and len(fillers) == 2
-    stage.service.limiter.told(
-        stage.service.table.apply(stage.table("whole", 7, "s1:in_service", "s2:in_service"))
+    assert len(stage.service.pool._connections) == 1 and len(fillers) == 2
+    stage.service.engine_driver.notify(
+        stage.service.endpoint_list.apply(stage.table("whole", 7, "s1:in_service", "s2:in_service"))
     )
-    stage.service.set_bans({"s1"})
+    stage.service.overrides.replace({"s1"})
     stage.play(f"s2 expect {ask(1)}")
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -10,8 +10,9 @@
 import pytest
 
 from hazelhollow.net import resp
-from hazelhollow.net.session import MOST_OUT, MOST_PIPELINED
-from hazelhollow.net.session_table import MOST_LINGERING
+from hazelhollow.net.command_reader import MAX_PIPELINED
+from hazelhollow.net.session import MAX_UNSENT_BYTES
+from hazelhollow.net.session_table import MAX_LINGERING
 from tests.scenario import Stage
 from tests.test_scenarios import VALUE, ask
 
@@ -27,9 +28,9 @@
         except BlockingIOError:
             pass
         stage.settle(2)
-        assert len(stage.service.limiter.open) <= MOST_PIPELINED + 1
+        assert len(stage.service.engine_driver.open_requests) <= MAX_PIPELINED + 1
     assert (
-        stage.service.stats.requests and stage.service.stats.attempts <= MOST_PIPELINED
+        stage.service.stats.requests and stage.service.stats.attempts <= MAX_PIPELINED
     )  # of which no host answers one
     other = stage._end("b")
     other.sendall(stage.bytes_of(ask(1)))
@@ -38,7 +39,7 @@
     assert other.recv(99) == b"-BUSY 250\r\n"
     flood.close()
     stage.play("wait 1.1")
-    assert not stage.service.limiter.open and not stage.service.backend._lines
+    assert not stage.service.engine_driver.open_requests and not stage.service.pool._connections
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half a command", "junk"])
@@ -46,7 +47,7 @@
     how: str,
 ) -> None:
     stage = Stage(hosts=1, sockets=96)
-    most = stage.service.frontend.places.most + MOST_LINGERING
+    most = stage.service.frontend.sessions.max_sessions + MAX_LINGERING
     for number in range(400):
         sock = socket.create_connection(stage.service.frontend.address)
         if how == "half a command":
@@ -59,7 +60,7 @@
         stage.settle(2)
         frontend = stage.service.frontend
         # as many are let in at a time
-        assert len(frontend.sessions) + len(frontend.lingering) <= most + 16
+        assert len(frontend.sessions.sessions) + len(frontend.sessions.lingering) <= most + 16
         if number % 100 == 50:
             stage.play(
                 f"b{number} send {ask(number)}\ns1 expect {ask(number)}\ns1 send "
@@ -68,7 +69,9 @@
     for number in range(50, 400, 100):
         stage.play(f"b{number} close")
     stage.play("wait 1.2")
-    assert stage.service.frontend.places.is_empty() and not stage.service.limiter.open
+    assert (
+        stage.service.frontend.sessions.is_empty() and not stage.service.engine_driver.open_requests
+    )
     assert stage.service.stats.requests == 4 == stage.service.stats.dispatches
 
 
@@ -81,6 +84,6 @@
         except BlockingIOError:
             break
         stage.settle(2)
-    (session,) = stage.service.frontend.sessions
-    assert session.held() <= MOST_OUT + 2 * 65536 + MOST_PIPELINED * 4096
+    (session,) = stage.service.frontend.sessions.sessions
+    assert session.held_bytes() <= MAX_UNSENT_BYTES + 2 * 65536 + MAX_PIPELINED * 4096
     stage.play(f"b send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\nb expect $2\\r\\nhi")
--- a/tests/test_hosts_end.py
+++ b/tests/test_hosts_end.py
@@ -12,7 +12,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import stream
-from hazelhollow.net.backend import HALFWAY
+from hazelhollow.net.connection_pool import PARTIAL_ANSWER_TIMEOUT_S
 from tests.scenario import BUY, LOOK, SETTINGS, Stage
 from tests.test_endings import RESET, leave, unanswering
 from tests.test_scenarios import DO, GET, VALUE, ask
@@ -64,7 +64,9 @@
         stage.play(f"s1 expect {command(kind, 1, 650)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
     else:
         stage.play(f"a expect {said}")
-    assert stage.service.stats.attempts == 1 + again and not stage.service.limiter.open
+    assert (
+        stage.service.stats.attempts == 1 + again and not stage.service.engine_driver.open_requests
+    )
 
 
 @pytest.mark.parametrize("case", MAY_HAVE_RUN)
@@ -80,8 +82,8 @@
     stage.play(
         f"b send {ask(9)}\ns1 expect {ask(9)}\ns1 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.35"
     )
-    (line,) = stage.service.backend._hosts["s1"].idle
-    end, whole = stage.ends["s1"].pop(), stream.Stream.alive
+    (line,) = stage.service.pool._endpoints["s1"].idle
+    end, whole = stage.ends["s1"].pop(), stream.Stream.is_open_and_quiet
 
     def alive(self: stream.Stream) -> bool:
         found = whole(self)
@@ -90,37 +92,43 @@
             end.close()
         return found
 
-    monkeypatch.setattr(stream.Stream, "alive", alive)
+    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", alive)
     stage.play(f"a send {command(kind, 1)}")
     whole_written = stage.service.stats.dispatches > 1
     if again or not whole_written:  # a write that failed outright has left nothing with the host
         stage.play(f"s1 expect {command(kind, 1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
     else:
         stage.play(f"a expect {said}")
-    assert not stage.service.limiter.open
+    assert not stage.service.engine_driver.open_requests
 
 
 def test_an_answer_that_trickles_without_end_is_given_up_at_the_deadline_at_the_latest() -> None:
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send *3\\r\\n$9000")
     end = stage._end("s1")
-    for _ in range(9):  # never HALFWAY without a byte
+    for _ in range(9):  # never PARTIAL_ANSWER_TIMEOUT_S without a byte
         stage.play("wait 0.1\na expect nothing")
         end.sendall(b"x")
         stage.settle()
     stage.play("wait 0.2\na expect -BUSY 250")
-    assert HALFWAY > 0.1 and not stage.service.backend._lines and not stage.service.limiter.open
+    assert (
+        PARTIAL_ANSWER_TIMEOUT_S > 0.1
+        and not stage.service.pool._connections
+        and not stage.service.engine_driver.open_requests
+    )
 
 
 def test_a_connection_that_comes_up_after_it_was_given_up_carries_nothing_and_is_closed() -> None:
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)), connect_timeout=0.25)
     fillers = unanswering(stage, "s1")
-    stage.service.limiter.told(stage.service.table.apply(stage.table("whole", 2, "s1:in_service")))
+    stage.service.engine_driver.notify(
+        stage.service.endpoint_list.apply(stage.table("whole", 2, "s1:in_service"))
+    )
     stage.play(f"a send {DO.format(1)}")
-    stage.service.limiter.told(
-        stage.service.table.apply(stage.table("whole", 3, "s1:in_service", "s2:in_service"))
+    stage.service.engine_driver.notify(
+        stage.service.endpoint_list.apply(stage.table("whole", 3, "s1:in_service", "s2:in_service"))
     )
-    assert len(stage.service.backend._lines) == 1
+    assert len(stage.service.pool._connections) == 1
     stage.play("wait 0.3")
     assert (
         stage.service.stats.outcomes["connect_failed"] == 1
@@ -160,10 +168,12 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(stream, "connect", narrow)
         stage.play(f"a send {DO.format(1).replace('BODY', body)}")
-    (line,) = stage.service.backend._hosts["s1"].lines
-    assert line.touched() and not line.whole()
-    stage.service._changed(
-        stage.service.table.apply(stage.table("whole", 3, "s1:terminating", "s2:in_service"))
+    (line,) = stage.service.pool._endpoints["s1"].connections
+    assert line.has_sent_any() and not line.has_sent_all()
+    stage.service._endpoints_changed(
+        stage.service.endpoint_list.apply(
+            stage.table("whole", 3, "s1:terminating", "s2:in_service")
+        )
     )
     stage.play(
         f"s1 expect {DO.format(1).replace('BODY', body)}\ns1 send {VALUE}\na expect $2\\r\\nhi"
@@ -175,7 +185,7 @@
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
     harmless = replace(SETTINGS, classes=(LOOK, replace(BUY, effect="safe")), max_attempts=9)
-    stage.service.reload(lambda: replace(stage.config, settings=harmless))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=harmless))
     stage.play("s1 close\na expect -ERR failed")
     assert stage.service.stats.attempts == 1
 
@@ -183,7 +193,7 @@
 def test_a_window_that_grows_by_name_does_not_reach_back_to_an_order_that_may_have_run() -> None:
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, SHORT)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
-    stage.service.reload(
+    stage.service.settings_reload.reload(
         lambda: replace(stage.config, settings=replace(SETTINGS, classes=(LOOK, ANY)))
     )
     stage.play("wait 0.35\ns1 close\na expect -BUSY 250")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from hazelhollow.net.service import STAY
-from hazelhollow.net.session import LINGER
+from hazelhollow.net.graceful_shutdown import STOP_ACCEPTING_AFTER_S
+from hazelhollow.net.session import LINGER_S
 from tests.scenario import BUY, LOOK, Stage
 from tests.test_endings import to_the_end, unanswering
 from tests.test_scenarios import DO, GET, VALUE, ask
@@ -23,8 +23,8 @@
     And one has asked, in the turn in which the limiter closes its listening socket.
     """
     stage = Stage(hosts=1)
-    stage.service.leave()
-    stage.play(f"wait {STAY - 0.05}")
+    stage.service.shutdown.begin()
+    stage.play(f"wait {STOP_ACCEPTING_AFTER_S - 0.05}")
     ends = [socket.create_connection(stage.service.frontend.address) for _ in range(20)]
     for end in ends:
         end.setblocking(False)
@@ -46,7 +46,7 @@
 def test_an_order_at_a_host_that_hangs_has_its_answer_before_the_limiter_ends() -> None:
     stage = Stage(hosts=1)
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play("wait 0.9\na expect nothing")
     assert not ended(stage)
     stage.play("wait 0.2")
@@ -62,27 +62,27 @@
     end.connect(stage.service.frontend.address)
     value = VALUE.replace(r"$2\r\nhi", "$65536\\r\\n" + "v" * 65536)
     stage.settle()
-    (session,) = stage.service.frontend.sessions
+    (session,) = stage.service.frontend.sessions.sessions
     for number in range(1, 200):  # more than the system holds for it
-        if session._driver.out:
+        if session._stream.send_buffer:
             break
         end.sendall(stage.bytes_of(ask(number)))
         stage.play(f"s1 expect {ask(number)}\ns1 send {value}\nwait 0.04")
-    assert session._driver.out
-    stage.service.leave()
+    assert session._stream.send_buffer
+    stage.service.shutdown.begin()
     longest = max(c.deadline for c in (LOOK, BUY))
-    stage.play(f"wait {STAY + longest - 0.1}")
+    stage.play(f"wait {STOP_ACCEPTING_AFTER_S + longest - 0.1}")
     assert not ended(stage)  # it may take it yet
-    stage.play(f"wait {LINGER + 0.3}")
+    stage.play(f"wait {LINGER_S + 0.3}")
     assert ended(stage)
 
 
 def test_what_was_begun_before_a_second_leave_and_a_reload_goes_on() -> None:
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play("wait 0.3\ndisco2 reload")
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play(
         f"wait 0.3\ns1 send {VALUE}\na expect $2\\r\\nhi\na expect closed\na close\nwait 0.2"
     )
@@ -112,7 +112,7 @@
 def test_a_ping_behind_a_request_in_flight_is_answered_in_turn_during_shutdown() -> None:
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\na send [PING]\ns1 expect {ask(1)}")
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play(f"wait 0.8\ns1 send {VALUE}")
     assert to_the_end(stage, stage._end("a")) == b"$2\r\nhi\r\n+PONG\r\n"
 
@@ -124,8 +124,8 @@
     stage.play("a send [SELECT 0]")
     whole = stage.bytes_of(ask(1))
     stage._end("a").sendall(whole[:40])
-    stage.service.leave()
-    stage.play(f"wait {STAY + 0.1}")
+    stage.service.shutdown.begin()
+    stage.play(f"wait {STOP_ACCEPTING_AFTER_S + 0.1}")
     stage._end("a").sendall(whole[40:])
     assert to_the_end(stage, stage._end("a")) == b"+OK\r\n"
     assert not stage.service.stats.requests
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -15,9 +15,10 @@
 
 from hazelhollow import platform_config
 from hazelhollow.net import http1, resp
-from hazelhollow.net.close_reason import CloseReason, outcome
-from hazelhollow.net.gc_pauses import YOUNG, YOUNG_PASSES
-from hazelhollow.net.ring_buffer import RingBuffer, RingBufferFullError
+from hazelhollow.net.close_reason import CloseReason, attempt_status
+from hazelhollow.net.errors import ProtocolError, RingBufferFullError
+from hazelhollow.net.gc_pauses import MIDDLE_THRESHOLD, YOUNG_THRESHOLD
+from hazelhollow.net.ring_buffer import RingBuffer
 from hazelhollow.net.scheduler import Clock, Scheduler
 
 
@@ -40,7 +41,7 @@
 """
     run = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
     passes, most = map(int, run.stdout.split())
-    assert passes > 100 and most < 2 * YOUNG * (YOUNG_PASSES + 1)
+    assert passes > 100 and most < 2 * YOUNG_THRESHOLD * (MIDDLE_THRESHOLD + 1)
 
 
 class ReadablePoller:
@@ -147,7 +148,7 @@
     ],
 )
 def test_resp_that_is_malformed_or_too_large_is_an_error(junk: bytes) -> None:
-    with pytest.raises(resp.ProtocolError):
+    with pytest.raises(ProtocolError):
         values([junk])
 
 
@@ -158,7 +159,7 @@
     for read in (lambda: values([junk]), http.next):
         try:
             read()
-        except resp.ProtocolError:
+        except ProtocolError:
             continue
 
 
@@ -190,7 +191,7 @@
     for at in range(0, len(stream), step):
         parser.feed(stream[at : at + step])
         while answer := parser.next():
-            got.append((answer.status, answer.body, answer.keep))
+            got.append((answer.status, answer.body, answer.keep_alive))
     assert got == [(200, b"{}", True), (503, b"abcd", False)]
 
 
@@ -209,7 +210,7 @@
     parser = http1.Parser()
     parser.feed(head + b"{}")
     answer = parser.next()
-    assert answer and (answer.body, answer.keep) == (b"{}", keeps)
+    assert answer and (answer.body, answer.keep_alive) == (b"{}", keeps)
 
 
 def test_an_answer_without_a_length_is_whole_at_the_end_only_and_in_parts_has_none() -> None:
@@ -217,7 +218,7 @@
     parser.feed(b"HTTP/1.1 200 OK\r\n\r\n{}")
     assert parser.next() is None
     answer = parser.end()
-    assert answer and (answer.status, answer.body, answer.keep) == (200, b"{}", False)
+    assert answer and (answer.status, answer.body, answer.keep_alive) == (200, b"{}", False)
     for part in (
         b"HTTP/1.1 200",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}",
@@ -230,15 +231,15 @@
 
 def test_every_ending_has_its_outcome_and_none_after_the_last_byte_says_never_ran() -> None:
     never = {"connect_failed", "full", "moot"}
-    assert all(outcome(ending, written=True) not in never for ending in CloseReason)
+    assert all(attempt_status(ending, sent_all=True) not in never for ending in CloseReason)
     assert all(
-        outcome(e, written=False) == "connect_failed"
+        attempt_status(e, sent_all=False) == "connect_failed"
         for e in CloseReason
         if e is not CloseReason.CANCELLED
     )
     assert (
-        outcome(CloseReason.CLOSED, written=False) == "connect_failed"
-        and outcome(CloseReason.CLOSED, True) == "reset"
+        attempt_status(CloseReason.CLOSED, sent_all=False) == "connect_failed"
+        and attempt_status(CloseReason.CLOSED, True) == "reset"
     )
 
 
--- a/tests/test_operator_address.py
+++ b/tests/test_operator_address.py
@@ -15,15 +15,16 @@
 from hypothesis import strategies as st
 
 from hazelhollow.net import operator_calls
-from hazelhollow.net.operator_address import MOST_CALLERS, WITHIN
+from hazelhollow.net.errors import OperatorCallError
+from hazelhollow.net.operator_address import CALL_TIMEOUT_S, MAX_CALLERS
 from hazelhollow.net.rate_limited_log import RateLimitedLog
 from tests.scenario import Stage
 
 GOOD = [
-    (b"check\n", operator_calls.Call("check")),
-    (b"vars\r\n", operator_calls.Call("vars")),
-    (b"set-down s-1\n", operator_calls.Call("set-down", "s-1")),
-    (b"SET-UP  s-2 \n", operator_calls.Call("set-up", "s-2")),
+    (b"check\n", operator_calls.OperatorCall("check")),
+    (b"vars\r\n", operator_calls.OperatorCall("vars")),
+    (b"set-down s-1\n", operator_calls.OperatorCall("set-down", "s-1")),
+    (b"SET-UP  s-2 \n", operator_calls.OperatorCall("set-up", "s-2")),
 ]
 BAD = [
     (b"\n", "an empty line"),
@@ -32,25 +33,25 @@
     (b"set-down\n", "set-down takes one server id"),
     (b"set-down a b\n", "set-down takes one server id"),
     (b"vars \xff\n", "plain ASCII"),
-    (b"x" * operator_calls.MOST_LINE, "a line longer than"),
-    (b"check" + b" " * operator_calls.MOST_LINE + b"\n", "a line longer than"),
+    (b"x" * operator_calls.MAX_LINE_BYTES, "a line longer than"),
+    (b"check" + b" " * operator_calls.MAX_LINE_BYTES + b"\n", "a line longer than"),
 ]
 
 
 @pytest.mark.parametrize(("line", "call"), GOOD)
-def test_calls_are_read(line: bytes, call: operator_calls.Call) -> None:
+def test_calls_are_read(line: bytes, call: operator_calls.OperatorCall) -> None:
     assert operator_calls.Parser().feed(line) == call
 
 
 @pytest.mark.parametrize(("line", "why"), BAD)
 def test_what_is_no_call_is_named(line: bytes, why: str) -> None:
-    with pytest.raises(operator_calls.CallError, match=why):
+    with pytest.raises(OperatorCallError, match=why):
         operator_calls.Parser().feed(line)
 
 
 @given(st.sampled_from(GOOD), st.lists(st.integers(0, 40), max_size=6), st.binary(max_size=30))
 def test_every_cut_of_a_call_is_the_same_call(
-    good: tuple[bytes, operator_calls.Call], cuts: list[int], after: bytes
+    good: tuple[bytes, operator_calls.OperatorCall], cuts: list[int], after: bytes
 ) -> None:
     line, call = good
     parser, found, places = operator_calls.Parser(), None, sorted({min(c, len(line)) for c in cuts})
@@ -74,8 +75,8 @@
 
 def call(stage: Stage, line: bytes, advance: float = 0.0) -> bytes:
     """The whole answer, up to the end of the connection."""
-    assert stage.service.operator
-    end = socket.create_connection(stage.service.operator.address)
+    assert stage.service.operator_address
+    end = socket.create_connection(stage.service.operator_address.address)
     end.setblocking(False)
     end.sendall(line)
     return drain(stage, end, advance)
@@ -139,7 +140,7 @@
     ("line", "answer"), [(b"", b"error no call"), (b"chec", b"error half a call")]
 )
 def test_a_caller_that_does_not_finish_is_told_and_closed(line: bytes, answer: bytes) -> None:
-    assert call(stage(), line, advance=WITHIN).startswith(answer)
+    assert call(stage(), line, advance=CALL_TIMEOUT_S).startswith(answer)
 
 
 def test_a_wrong_call_is_told_at_once() -> None:
@@ -148,9 +149,10 @@
 
 def test_silent_callers_do_not_hold_back_a_check() -> None:
     one = stage()
-    assert one.service.operator
+    assert one.service.operator_address
     silent = [
-        socket.create_connection(one.service.operator.address) for _ in range(MOST_CALLERS + 8)
+        socket.create_connection(one.service.operator_address.address)
+        for _ in range(MAX_CALLERS + 8)
     ]
     one.settle()
     assert call(one, b"check\n") == b"done ready\n"
@@ -160,8 +162,8 @@
 
 def test_the_log_of_troubles_has_a_bound() -> None:
     now = [0.0]
-    sparse = RateLimitedLog(logging.getLogger("test"), lambda: now[0], per_second=5.0)
-    said = sum(sparse.warning("x") for _ in range(100))
+    limited = RateLimitedLog(logging.getLogger("test"), lambda: now[0], per_second=5.0)
+    said = sum(limited.warning("x") for _ in range(100))
     now[0] = 1.0
-    said_later = sum(sparse.warning("x") for _ in range(100))
+    said_later = sum(limited.warning("x") for _ in range(100))
     assert said == 5 and said_later == 5
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 
 from hazelhollow import platform_config as cfg
 from hazelhollow.decisions import interface as api
-from hazelhollow.net.requests import Terms
+from hazelhollow.net.requests import RequestLimits
 from hazelhollow.platform_config import PlatformConfigError
 from tests.scenario import BUY, LOOK, Stage
 from tests.test_endings import unanswering
@@ -79,11 +79,13 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_after_a_broken_file_the_old_settings_stay_whole(kind: str, tmp_path: Path) -> None:
     stage = Stage(hosts=1)
-    before = stage.service.settings
+    before = stage.service.settings_reload.settings
     path = tmp_path / "config.json"
     path.write_text(broken(kind))
-    stage.service.reload(lambda: cfg.load({"RELAY_CONFIG": str(path)}, again=True))
-    assert stage.service.settings is before and stage.service.gateway.settings is before
+    stage.service.settings_reload.reload(lambda: cfg.load({"RELAY_CONFIG": str(path)}, again=True))
+    assert (
+        stage.service.settings_reload.settings is before and stage.service.engine.settings is before
+    )
     assert stage.service.stats.reload_failure == 1 and stage.service.stats.reload_success == 0
 
 
@@ -93,7 +95,7 @@
         "peek", latency_objective=0.5, deadline=2.0, priority_weight=1.0, effect="safe"
     )
     settings = replace(stage.config.settings, classes=(LOOK, BUY, fresh))
-    stage.service.reload(lambda: replace(stage.config, settings=settings))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=settings))
     ask_peek = "[Q.ASK 00000000b4d65521 r1 c=peek,t=basic,d=1000,units=1,spread=2,first=0]"
     stage.play(f"a send {ask_peek}\ns1 expect {ask_peek}")
     assert stage.service.stats.reload_success == 1
@@ -102,7 +104,7 @@
 def test_a_dropped_class_is_refused_to_new_requests() -> None:
     stage = Stage(hosts=1)
     settings = replace(stage.config.settings, classes=(BUY,))
-    stage.service.reload(lambda: replace(stage.config, settings=settings))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=settings))
     stage.play("a send [Q.ASK 00000000b4d65521 r1 c=look,t=basic,d=1000,units=1,spread=2,first=0]")
     stage.play("a expect -ERR no such class or plan")
 
@@ -110,7 +112,7 @@
 def test_plans_do_not_change_in_a_running_limiter() -> None:
     stage = Stage(hosts=1)
     settings = replace(stage.config.settings, plans=())
-    stage.service.reload(lambda: replace(stage.config, settings=settings))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=settings))
     assert stage.service.stats.reload_failure == 1
 
 
@@ -150,7 +152,7 @@
 def test_a_new_time_for_connections_to_come_up_holds_at_once() -> None:
     stage = Stage(hosts=1, connect_timeout=2.0)
     fillers = unanswering(stage)
-    stage.service.reload(lambda: replace(stage.config, connect_timeout=0.1))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, connect_timeout=0.1))
     stage.play(
         "a send [Q.ASK 00000000b4d65521 r1 "
         "c=look,t=basic,d=1000,units=1,spread=2,first=0]\nwait 0.15"
@@ -163,7 +165,7 @@
     words = "[Q.ASK 00000000b4d65521 r{0} c=look,t=basic,d={1},units=1,spread=2,first=0]"
     settings = replace(stage.config.settings, classes=(replace(LOOK, deadline=1.2), BUY))
     stage._end("a").sendall(stage.bytes_of(words.format(1, 2900)))  # it lies unread
-    stage.service.reload(lambda: replace(stage.config, settings=settings))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=settings))
     stage.play(f"s1 expect {words.format(1, 2900)}\nwait 2.5\na expect nothing")
     stage.play(f"b send {words.format(2, 3001)}\nb expect -ERR d out of range")
 
@@ -187,9 +189,9 @@
     told: list[list[api.RequestClass]],
 ) -> None:
     """A request that was taken under a longer deadline may still be out."""
-    terms, longest = None, dict[str, float]()
+    limits, longest = None, dict[str, float]()
     for kinds in told:
-        terms = Terms(api.Settings(0, 1, tuple(kinds), ()), terms)
+        limits = RequestLimits(api.Settings(0, 1, tuple(kinds), ()), limits)
         longest = {kind.name: max(kind.deadline, longest.get(kind.name, 0.0)) for kind in kinds}
-        assert terms.longest == longest
-        assert terms.classes == {kind.name: kind for kind in kinds}
+        assert limits.longest_deadline == longest
+        assert limits.classes == {kind.name: kind for kind in kinds}
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -20,9 +20,10 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import stream
 from hazelhollow.net.close_reason import CloseReason
-from hazelhollow.net.service import _signals
-from hazelhollow.net.session import BATCH, WHOLE_WITHIN
-from hazelhollow.net.session_table import MOST_LINGERING
+from hazelhollow.net.command_reader import MAX_COMMANDS_PER_TURN
+from hazelhollow.net.lifecycle import watch_signals
+from hazelhollow.net.session import COMMAND_TIMEOUT_S
+from hazelhollow.net.session_table import MAX_LINGERING
 from hazelhollow.platform_config import PlatformConfig
 from tests.scenario import SETTINGS, STAGES, Stage
 from tests.test_endings import (
@@ -62,7 +63,7 @@
 
     def _patch_connecting(self, patch: pytest.MonkeyPatch) -> None:
         """On loopback no connection comes up late; here it does, by the stage's clock."""
-        establish, go_on = stream.Stream.establish, stream.Stream.await_connected
+        establish, go_on = stream.Stream.connect, stream.Stream.await_connected
 
         def begin(one: stream.Stream, address: tuple[str, int], until: float) -> CloseReason | None:
             if address != self.address or self.mode != "late up":
@@ -76,12 +77,12 @@
         def wait(one: stream.Stream, until: float) -> CloseReason | None:
             one._task = one.scheduler.current()
             one.scheduler.wait(until=min(until, self._late_up[one]))
-            if one.ending or self.stage.now < self._late_up[one]:
-                return one.ending or CloseReason.NEVER_UP
+            if one.close_reason or self.stage.now < self._late_up[one]:
+                return one.close_reason or CloseReason.NEVER_UP
             del self._late_up[one]
             return establish(one, self.address, until)
 
-        patch.setattr(stream.Stream, "establish", begin)
+        patch.setattr(stream.Stream, "connect", begin)
         patch.setattr(stream.Stream, "await_connected", more)
 
     def change(self) -> None:
@@ -208,19 +209,19 @@
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
         agent.run(0.5)
-        assert stage.service.watch.heard and not s1_is_left(stage)
+        assert stage.service.discovery_watch.is_following and not s1_is_left(stage)
         for number, (mode, seconds) in enumerate(mix):
             if number == changed_at:
                 agent.change()
             agent.turn_to(mode)
             agent.run(seconds)
             # nothing but a whole answer is taken for a list
-            assert "s2" in stage.service.backend._hosts
+            assert "s2" in stage.service.pool._endpoints
         agent.turn_to("well")
         if not agent.changed:
             agent.change()
         took = agent.run(7.0, until=lambda: s1_is_left(stage))
-        assert set(stage.service.backend._hosts) == {"s2"}
+        assert set(stage.service.pool._endpoints) == {"s2"}
         agent.close()
         STAGES.remove(stage)
         stage.close()
@@ -288,7 +289,7 @@
     stage = Stage(hosts=2)
     watched(stage)
     with monkeypatch.context() as patch:
-        patch.setattr(stage.service.watch, "_changed", lambda event: 1 / 0)
+        patch.setattr(stage.service.discovery_watch, "_on_change", lambda event: 1 / 0)
         stage.play("disco send table 6 s1:terminating")
     stage.play(f"wait 0.2\ndisco expect {GET}\ndisco send whole 6 s1:terminating s2:in_service")
     assert s1_is_left(stage)
@@ -342,14 +343,14 @@
     stage._end("a").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     value = VALUE.replace(r"$2\r\nhi", "$65536\\r\\n" + "v" * 65536)
     stage.settle()
-    (session,) = stage.service.frontend.sessions
+    (session,) = stage.service.frontend.sessions.sessions
     sent = 0
-    while not session._driver.out:
+    while not session._stream.send_buffer:
         sent += 1
         stage.play(f"a send {ask(sent)}\ns1 expect {ask(sent)}\ns1 send {value}\nwait 0.04")
     stage._end("a").sendall(stage.bytes_of(ask(999)))
     leave(stage, "a", "half")
-    assert stage.service.stats.requests == sent and not stage.service.frontend.sessions
+    assert stage.service.stats.requests == sent and not stage.service.frontend.sessions.sessions
 
 
 def test_an_attempt_does_not_begin_for_a_client_that_left_while_the_limiter_was_busy() -> None:
@@ -363,7 +364,7 @@
         f"b send {ask(9)}\ns2 expect {ask(9)}\ns2 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05"
     )
     fillers = unanswering(stage, "s1")
-    changed, table = stage.service._changed, stage.service.table
+    changed, table = stage.service._endpoints_changed, stage.service.endpoint_list
     changed(table.apply(stage.table("whole", 3, "s1:in_service")))
     stage.play(f"a send {ask(1)}")
     assert stage.service.stats.attempts == 2 and len(fillers) == 2
@@ -376,7 +377,7 @@
     stage.settle()
     assert stage.service.stats.attempts == attempts and stage.service.stats.dispatches == 2
     stage.play("s2 expect nothing")
-    assert not stage.service.limiter.open and stage.service.stats.clients_gone == 1
+    assert not stage.service.engine_driver.open_requests and stage.service.stats.clients_gone == 1
 
 
 def test_a_connection_that_comes_up_at_a_busy_limiter_carries_nothing_for_a_client_that_has_left(
@@ -396,14 +397,14 @@
         self._sock.setblocking(False)
         return None
 
-    monkeypatch.setattr(stream.Stream, "establish", late)
+    monkeypatch.setattr(stream.Stream, "connect", late)
     stage.play(f"a send {ask(1)}")
     assert stage.service.stats.attempts == 1 and stage.service.stats.opened == 0
     stage._end("a").close()
     stage.now += 0.35
     stage.settle()
     assert stage.service.stats.opened == 1 and stage.service.stats.dispatches == 0
-    assert stage._end("s1").recv(99) == b"" and not stage.service.limiter.open
+    assert stage._end("s1").recv(99) == b"" and not stage.service.engine_driver.open_requests
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
@@ -421,11 +422,11 @@
     for part in (words[:20], words[20:40]):
         stage._end("a").sendall(part)
         stage.play("wait 0.05")
-    assert len(stage.service.limiter.open) == whole and len(fillers) == 2
+    assert len(stage.service.engine_driver.open_requests) == whole and len(fillers) == 2
     leave(stage, "a", how)
     assert stage.service.stats.requests == whole == stage.service.stats.attempts
-    assert not stage.service.limiter.open and not stage.service.backend._lines
-    assert not stage.service.frontend.sessions
+    assert not stage.service.engine_driver.open_requests and not stage.service.pool._connections
+    assert not stage.service.frontend.sessions.sessions
 
 
 LATER: dict[str, Callable[[Stage], None]] = {
@@ -455,15 +456,15 @@
     fillers = unanswering(stage, "s2")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s2:in_service\ns1 send -ERR failed")
-    assert stage.service.stats.attempts == 2 and len(stage.service.backend._lines) == 1
+    assert stage.service.stats.attempts == 2 and len(stage.service.pool._connections) == 1
     leave(stage, "a", "close")
     assert (
-        not stage.service.backend._lines
+        not stage.service.pool._connections
         and stage.service.stats.dispatches == 1
         and len(fillers) == 2
     )
     stage.play("wait 3.1")
-    assert stage.service.stats.attempts == 2 and not stage.service.limiter.open
+    assert stage.service.stats.attempts == 2 and not stage.service.engine_driver.open_requests
 
 
 def test_of_two_attempts_out_at_once_the_one_that_has_not_left_never_does_once_the_client_has_gone(
@@ -478,13 +479,13 @@
             return [api.StartAttempt(event.id, "s1"), api.StartAttempt(event.id, "s2")]
         return []
 
-    monkeypatch.setattr(stage.service.limiter._decisions, "handle", handle)
+    monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", handle)
     stage.play(f"a send {ask(1, 3000)}\ns1 expect {ask(1, 3000)}")
-    assert stage.service.stats.attempts == len(stage.service.backend._lines) == 2
+    assert stage.service.stats.attempts == len(stage.service.pool._connections) == 2
     leave(stage, "a", "close")
-    assert len(stage.service.backend._lines) == 1 and len(fillers) == 2
+    assert len(stage.service.pool._connections) == 1 and len(fillers) == 2
     stage.play(f"s1 send {VALUE}")
-    assert not stage.service.limiter.open and stage.service.stats.dispatches == 1
+    assert not stage.service.engine_driver.open_requests and stage.service.stats.dispatches == 1
 
 
 def test_who_leaves_while_all_connections_to_hosts_are_taken_gets_no_attempt_once_one_is_free() -> (
@@ -493,7 +494,7 @@
     stage = Stage(hosts=2, sockets=0)  # room for six connections to hosts
     for number in range(9):
         stage.play(f"c{number} send {ask(number, 3000)}")
-    assert len(stage.service.backend._lines) == 6 and stage.service.stats.no_descriptor
+    assert len(stage.service.pool._connections) == 6 and stage.service.stats.no_descriptor
     for number in range(9):
         leave(stage, f"c{number}", "close")
     attempts = stage.service.stats.attempts
@@ -503,7 +504,7 @@
             stage.play(f"{name}.{number} send -ERR failed")
     stage.play("wait 3.1")
     assert stage.service.stats.attempts == attempts and stage.service.stats.dispatches == 6
-    assert not stage.service.limiter.open
+    assert not stage.service.engine_driver.open_requests
 
 
 # Descriptors that idle clients fill
@@ -548,11 +549,11 @@
     with no_descriptor_left():
         stage.play(f"a send {ask(1)}")
     stage.play(f"s1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
-    assert len(stage.service.frontend.sessions) == 10
+    assert len(stage.service.frontend.sessions.sessions) == 10
     idle_clients(stage, 10, 10)
     stage.listeners["disco"] = socket.create_server(address)  # it returns
     stage.listeners["disco"].setblocking(False)
-    while stage.service.backend.spare():  # what could be had without any client
+    while stage.service.pool.close_idlest():  # what could be had without any client
         pass
     with no_descriptor_left():
         stage.play("wait 0.2")
@@ -566,7 +567,7 @@
     """Between the look at it and its end, so that there is nothing left to linger for."""
     stage = Stage(hosts=1)
     idle_clients(stage, 0, 1)
-    whole = stream.Stream.alive
+    whole = stream.Stream.is_open_and_quiet
 
     def alive(self: stream.Stream) -> bool:
         found = whole(self)
@@ -575,9 +576,12 @@
             stage.ends["i0"].pop().close()
         return found
 
-    monkeypatch.setattr(stream.Stream, "alive", alive)
+    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", alive)
     assert stage.service.frontend.free_descriptor()
-    assert not stage.service.frontend.sessions and not stage.service.frontend.lingering
+    assert (
+        not stage.service.frontend.sessions.sessions
+        and not stage.service.frontend.sessions.lingering
+    )
 
 
 def test_clients_that_hold_half_a_command_each_take_no_more_than_the_clients_share() -> None:
@@ -590,17 +594,20 @@
     for number in range(200):
         stage._end(f"h{number}").sendall(stage.bytes_of(ask(number))[:40])
         stage.settle(2)
-        assert len(frontend.sessions) <= frontend.places.most
+        assert len(frontend.sessions.sessions) <= frontend.sessions.max_sessions
         assert (
-            len(frontend.sessions) + len(frontend.lingering)
-            <= frontend.places.most + MOST_LINGERING
+            len(frontend.sessions.sessions) + len(frontend.sessions.lingering)
+            <= frontend.sessions.max_sessions + MAX_LINGERING
         )
-    assert len(frontend.sessions) == frontend.places.most
-    stage.play(f"z send [PING]\nwait {WHOLE_WITHIN + 0.5}")
+    assert len(frontend.sessions.sessions) == frontend.sessions.max_sessions
+    stage.play(f"z send [PING]\nwait {COMMAND_TIMEOUT_S + 0.5}")
     for number in range(200):
         stage.play(f"h{number} close")
     stage.play("wait 1\nz expect +PONG")
-    assert len(frontend.sessions) <= frontend.places.most and frontend.places.most > BATCH
+    assert (
+        len(frontend.sessions.sessions) <= frontend.sessions.max_sessions
+        and frontend.sessions.max_sessions > MAX_COMMANDS_PER_TURN
+    )
 
 
 # Starts
@@ -621,7 +628,7 @@
 ) -> None:
     """10 s are allowed.
 
-    What it needs is READY_WITHIN, and the time in which a command must come to its end.
+    What it needs is READY_WITHOUT_DISCOVERY_AFTER_S, and the time in which a command must come to its end.
     """
     stage = Stage(hosts=2, heard=False, sockets=0)
     agent = Agent(stage, monkeypatch)
@@ -645,7 +652,7 @@
     front.close()
     agent.close()
     rounds = 4 if fill == "clients with half a command" else 0  # 30 clients in nine places
-    assert got == [b"+PONG\r\n"] and took <= 0.6 + rounds * (WHOLE_WITHIN + 0.3)
+    assert got == [b"+PONG\r\n"] and took <= 0.6 + rounds * (COMMAND_TIMEOUT_S + 0.3)
 
 
 @pytest.mark.parametrize("seconds", [0.0, 0.1, 0.45, 0.55])
@@ -653,7 +660,7 @@
     """SIGTERM before the first list, before it is ready, or in the very turn in which it is."""
     stage = Stage(hosts=1, heard=False)
     stage.play(f"a send {ask(1, 2000)}\nb send [PING]\nwait {seconds}")
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play("wait 0.3\nwait 0.3")
     left = 1500
     stage.play(
@@ -682,10 +689,12 @@
     inner, outer = socket.socketpair()
     with inner, outer:
         inner.setblocking(False)
-        stage.scheduler.spawn_supervised(lambda: _signals(stage.service, inner, reread), "signals")
+        stage.scheduler.spawn_supervised(
+            lambda: watch_signals(stage.service, inner, reread), "signals"
+        )
         outer.send(bytes([signal.SIGHUP, signal.SIGTERM]))
         stage.settle()
-        assert stage.service.leaving
+        assert stage.service.shutdown.has_begun
         stage.scheduler.unregister(inner.fileno())
 
 
@@ -701,7 +710,7 @@
     stage.play("s1.2 send -ERR failed")  # and its repeat goes elsewhere
     stage.play(f"s2.1 expect {ask(2)}\ns2 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05")
     stage.play(f"c send {ask(3)}\ns2.1 expect {ask(3)}")
-    assert stage.service.stats.outcomes["ok"] == 2 and set(stage.service.backend._hosts) == {"s2"}
+    assert stage.service.stats.outcomes["ok"] == 2 and set(stage.service.pool._endpoints) == {"s2"}
 
 
 def test_an_attempt_that_has_not_left_for_a_host_that_a_whole_list_leaves_out_goes_to_another() -> (
@@ -710,7 +719,7 @@
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s1")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {DO.format(1)}")
-    assert len(stage.service.backend._lines) == 1 and len(fillers) == 2
+    assert len(stage.service.pool._connections) == 1 and len(fillers) == 2
     stage.play(f"disco send whole 3 s2:in_service\ns2 expect {DO.format(1)}")
 
 
--- a/tests/test_replica_snapshot.py
+++ b/tests/test_replica_snapshot.py
@@ -57,7 +57,7 @@
             gossip_messages_per_s=1000.0,
         )
         self.gateway = DecisionEngine(told, seed=number)
-        self.heard: Callable[[int, str], None] = self.gossip  # as net.peers.Peers has it
+        self.on_message: Callable[[int, str], None] = self.gossip  # as PeerSocket has it
         self.driver = Driver(
             self,  # type: ignore[arg-type]
             self,  # type: ignore[arg-type]
@@ -83,7 +83,7 @@
     def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
         self.fleet.at(when, self._happen, call, args)
 
-    def tell(self, number: int, text: str) -> None:
+    def send_to(self, number: int, text: str) -> None:
         self.fleet.at(self.clock() + ON_THE_WAY, self.fleet.arrive, number, self.number, text)
 
     def _happen(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
@@ -104,7 +104,7 @@
                 done = api.AttemptEnded(action.id, 0, action.server, "ok", SERVED_IN, True)
                 self.at(self.clock() + SERVED_IN, self.module, done)
             elif isinstance(action, api.SendGossip):
-                self.tell(action.gateway, action.text)
+                self.send_to(action.gateway, action.text)
             elif isinstance(action, api.SetTimer):
                 self.at(self.clock() + action.delay, self.module, api.TimerFired(action.name))
             elif isinstance(action, api.ReplicateCount):
@@ -160,7 +160,7 @@
     def arrive(self, number: int, sender: int, text: str) -> None:
         one = self.all[number]
         if one and one.alive and not self.lost(text):
-            one._happen(lambda: one.heard(sender, text), ())
+            one._happen(lambda: one.on_message(sender, text), ())
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
--- a/tests/test_scale_budget.py
+++ b/tests/test_scale_budget.py
@@ -53,7 +53,7 @@
     )
     usage = one._budget.budget.usage
     assert usage[Role.VIEW].sent > 0, "its first pings ask for their bytes"
-    assert one._peers.meter is not None, "gossip is debited as it leaves"
+    assert one._peers.on_sent is not None, "gossip is debited as it leaves"
 
 
 def test_without_one_there_is_none() -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -17,15 +17,15 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import resp
-from hazelhollow.net.scheduler import Poller
-from hazelhollow.net.session import (
-    BATCH,
-    MOST_BAD,
-    MOST_OUT,
-    MOST_PIPELINED,
-    TURNED_AWAY,
-    TURNED_AWAY_AT_ONCE,
+from hazelhollow.net.command_reader import (
+    MAX_BAD_COMMANDS,
+    MAX_COMMANDS_PER_TURN,
+    MAX_PIPELINED,
 )
+from hazelhollow.net.fruitless_limit import BURST, TOKENS_PER_S
+from hazelhollow.net.lifecycle import print_counters_every
+from hazelhollow.net.scheduler import Poller
+from hazelhollow.net.session import MAX_UNSENT_BYTES
 from hazelhollow.platform_config import PlatformConfig, PlatformConfigError
 from tests.scenario import Stage
 
@@ -307,9 +307,14 @@
 def test_a_client_that_leaves_is_told_to_the_module_and_its_attempt_is_read_to_the_end() -> None:
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\na close")
-    assert stage.service.stats.clients_gone == 1 and len(stage.service.limiter.open) == 1
+    assert (
+        stage.service.stats.clients_gone == 1
+        and len(stage.service.engine_driver.open_requests) == 1
+    )
     stage.play(f"s1 send {VALUE}\nwait 0.05\nb send {ask(2)}\ns1.1 expect {ask(2)}")
-    assert stage.service.stats.served == 0 and list(stage.service.limiter.open) == ["r2"]
+    assert stage.service.stats.served == 0 and list(stage.service.engine_driver.open_requests) == [
+        "r2"
+    ]
 
 
 def test_sessions_lines_and_requests_go_without_the_cycle_collector() -> None:
@@ -319,8 +324,11 @@
     gc.disable()
     try:
         stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
-        (session,), (one,) = stage.service.frontend.sessions, stage.service.limiter.open.values()
-        (line,) = stage.service.backend._hosts["s1"].lines
+        (session,), (one,) = (
+            stage.service.frontend.sessions.sessions,
+            stage.service.engine_driver.open_requests.values(),
+        )
+        (line,) = stage.service.pool._endpoints["s1"].connections
         ended: list[Callable[[], object]] = [
             weakref.ref(session),
             weakref.ref(one),
@@ -349,14 +357,14 @@
     """A connection may come up after the host was told to drain, and 250 ms are soon over."""
     stage = Stage(hosts=2)
     stage.play("disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n")
-    stage.service.limiter.told(stage.service.table.apply(stage.table("whole", 2, "s1:in_service")))
-    stage.service.backend.update({"s1": ("127.0.0.1", 9)})
-    done: list[str] = []
-    attempt = stage.service.backend.start(
-        "s1", b"x" * 10, lambda result: done.append(result.status)
+    stage.service.engine_driver.notify(
+        stage.service.endpoint_list.apply(stage.table("whole", 2, "s1:in_service"))
     )
-    assert attempt.line and not attempt.line.touched()
-    stage.service.backend.update({})
+    stage.service.pool.set_endpoints({"s1": ("127.0.0.1", 9)})
+    done: list[str] = []
+    attempt = stage.service.pool.start("s1", b"x" * 10, lambda result: done.append(result.status))
+    assert attempt.connection and not attempt.connection.has_sent_any()
+    stage.service.pool.set_endpoints({})
     assert done == ["connect_failed"]
 
 
@@ -388,7 +396,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stage, seen = Stage(hosts=1), []
-    whole = stage.service.limiter._decisions.handle
+    whole = stage.service.engine_driver._decisions.handle
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
         seen.append(now)
@@ -396,7 +404,7 @@
             raise RuntimeError("broken")
         return whole(event, now)
 
-    monkeypatch.setattr(stage.service.limiter._decisions, "handle", handle)
+    monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", handle)
     stage.play(f"a send {ask(1)}\na expect -ERR failed\na send {ask(2)}\ns1 expect {ask(2)}")
     assert stage.service.stats.errors == 1 and seen == sorted(seen)
 
@@ -408,7 +416,7 @@
         timers.append(event)
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(stage.service.limiter._decisions, "handle", handle)
+    monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", handle)
     stage.play("wait 3.5")
     assert len(timers) >= 3 and all(isinstance(event, api.TimerFired) for event in timers)
 
@@ -423,11 +431,13 @@
         {"name": "s9", "address": "nowhere", "status": "in_service"},
         {"status": "new"},
     ]
-    event = stage.service.table.apply(table)
+    event = stage.service.endpoint_list.apply(table)
     assert (
-        [entry.server for entry in event.entries] == ["s1"] == list(stage.service.table.addresses)
+        [entry.server for entry in event.entries]
+        == ["s1"]
+        == list(stage.service.endpoint_list.addresses)
     )
-    monkeypatch.setattr(stage.service.table, "apply", lambda document: 1 / 0)
+    monkeypatch.setattr(stage.service.endpoint_list, "apply", lambda document: 1 / 0)
     stage.play(f"""
         disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
         {READY}
@@ -439,9 +449,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stage = Stage(hosts=1)
-    monkeypatch.setattr(stage.service.limiter._decisions, "handle", lambda event, now: [])
+    monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
     stage.play(f"a send {ask(1)}\na expect nothing\nwait 1.01\na expect -ERR failed")
-    assert not stage.service.limiter.open and stage.service.stats.rescued == 1
+    assert not stage.service.engine_driver.open_requests and stage.service.stats.rescued == 1
 
 
 def test_at_sigterm_it_serves_on_and_leaves_once_all_is_answered() -> None:
@@ -449,7 +459,7 @@
     stage.play(
         f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}\nb send [PING]\nwait 0.5\nb expect +PONG"
     )
-    stage.service.leave()
+    stage.service.shutdown.begin()
     stage.play(f"""
         wait 0.4
         c send {ask(2, 2500)}
@@ -465,7 +475,7 @@
         a expect $2\\r\\nhi
         a expect closed""")
     assert (
-        not stage.service.frontend.sessions and not stage.scheduler._stopped
+        not stage.service.frontend.sessions.sessions and not stage.scheduler._stopped
     )  # the clients have not ended theirs
     stage.play("a close\nb close\nc close\nwait 0.1")
     assert stage.scheduler._stopped
@@ -477,7 +487,7 @@
 
     stage = Stage(hosts=1)
     stage.play(f"disco expect {GET}\n{READY}\ndisco expect {WATCH.format(1)}")
-    stage.service.reload(unreadable)
+    stage.service.settings_reload.reload(unreadable)
     stage.play(f"disco expect nothing\na send {ask(1)}\ns1 expect {ask(1)}")
 
 
@@ -486,10 +496,10 @@
     for number in range(8):
         stage.play(f"c{number} send {ask(number)}")
     stage.settle()
-    assert stage.service.stats.no_descriptor >= 2 and len(stage.service.backend._lines) == 6
+    assert stage.service.stats.no_descriptor >= 2 and len(stage.service.pool._connections) == 6
     for number in range(20):
         stage.play(f"d{number} send [CLIENT]\nd{number} expect +OK")
-    assert len(stage.service.frontend.sessions) <= 9
+    assert len(stage.service.frontend.sessions.sessions) <= 9
 
 
 FIELDS = "c=look,t=basic,d=900,units=1,spread=2,first=0"
@@ -555,7 +565,9 @@
     stage.play("a send " + "[Q.ASK x]".join([""] * 2))
     stage._end("a").sendall(resp.encode_command([b"Q.ASK", b"x"]) * 100)
     stage.settle()
-    assert stage.service.stats.bad == MOST_BAD and not stage.service.frontend.sessions
+    assert (
+        stage.service.stats.bad == MAX_BAD_COMMANDS and not stage.service.frontend.sessions.sessions
+    )
 
 
 def test_who_is_turned_away_and_asks_again_at_once_waits_its_turn() -> None:
@@ -565,10 +577,10 @@
         stage._end("a").sendall(stage.bytes_of(ask(number, 0)) * 10)
         stage.settle(20)
     taken = stage.service.stats.requests
-    assert TURNED_AWAY_AT_ONCE <= taken <= TURNED_AWAY_AT_ONCE + 2
+    assert BURST <= taken <= BURST + 2
     stage.play(f"b send {ask(1)}\ns1 expect {ask(1)}\nwait 1")
     assert (
-        taken + 0.9 * TURNED_AWAY <= stage.service.stats.requests <= taken + 1.1 * TURNED_AWAY + 1
+        taken + 0.9 * TOKENS_PER_S <= stage.service.stats.requests <= taken + 1.1 * TOKENS_PER_S + 1
     )
 
 
@@ -576,7 +588,7 @@
     stage = Stage(hosts=1)
     stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 300)
     stage.settle(4)
-    assert 0 < stage.service.stats.commands <= 4 * BATCH
+    assert 0 < stage.service.stats.commands <= 4 * MAX_COMMANDS_PER_TURN
     stage.play("b send [SELECT 0]\nb expect +OK\nwait 1.1")
     assert stage.service.stats.commands == 301
 
@@ -585,8 +597,8 @@
     stage = Stage(hosts=1)
     stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 250 + stage.bytes_of(ask(1)))
     stage.play(f"wait 0.55\ns1 expect {ask(1, 500)}")
-    (one,) = stage.service.limiter.open.values()
-    assert one.ask.request.time_left <= 0.55
+    (one,) = stage.service.engine_driver.open_requests.values()
+    assert one.parsed.request.time_left <= 0.55
 
 
 def test_connections_of_clients_that_ask_once_and_stay_go_before_others_find_none_left() -> None:
@@ -596,7 +608,7 @@
             f"c{number} send [SELECT 0]\nc{number} expect +OK\nc0 send [SELECT 0]\nc0 "
             "expect +OK\nwait 0.1"
         )
-    assert len(stage.service.frontend.sessions) == 20
+    assert len(stage.service.frontend.sessions.sessions) == 20
     stage.play(
         "c1 expect closed\nc5 expect closed\nc6 expect nothing\nc24 expect nothing\nc0 "
         "send [PING]\nc0 expect +PONG"
@@ -612,7 +624,7 @@
         stage._end(f"silent{number}")
         stage.settle(5)
     stage.play("a expect nothing\na send [SELECT 0]\na expect +OK")
-    assert len(stage.service.frontend.sessions) == 9
+    assert len(stage.service.frontend.sessions.sessions) == 9
 
 
 def no_descriptor(*_: object, **__: object) -> socket.socket:
@@ -644,7 +656,7 @@
 def test_a_client_that_takes_nothing_is_given_up_and_holds_no_more_than_its_ring(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("hazelhollow.net.session.TURNED_AWAY_AT_ONCE", 1e6)
+    monkeypatch.setattr("hazelhollow.net.fruitless_limit.BURST", 1e6)
     stage = Stage(hosts=1)
     stage._end("a").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stage.play("wait 0.6")
@@ -654,33 +666,37 @@
         except BlockingIOError:
             break
         stage.settle(5)
-    (session,) = stage.service.frontend.sessions
-    held = len(session._driver.out) + sum(len(slot.answer or b"") for slot in session._slots)
-    assert 0 < held <= MOST_OUT + MOST_PIPELINED * 4096
+    (session,) = stage.service.frontend.sessions.sessions
+    held = len(session._stream.send_buffer) + sum(len(slot.answer or b"") for slot in session.slots)
+    assert 0 < held <= MAX_UNSENT_BYTES + MAX_PIPELINED * 4096
     stage.play("wait 11")
-    assert not stage.service.frontend.sessions
+    assert not stage.service.frontend.sessions.sessions
 
 
 def test_the_commands_of_a_greedy_client_wait_in_its_own_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stage = Stage(hosts=1)
-    monkeypatch.setattr(stage.service.limiter._decisions, "handle", lambda event, now: [])
-    for number in range(MOST_PIPELINED + 20):
+    monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
+    for number in range(MAX_PIPELINED + 20):
         stage.play(f"a send {ask(number)}")
-    assert stage.service.stats.requests == len(stage.service.limiter.open) == MOST_PIPELINED
+    assert (
+        stage.service.stats.requests
+        == len(stage.service.engine_driver.open_requests)
+        == MAX_PIPELINED
+    )
     stage.play("wait 1.1")
-    assert stage.service.stats.requests == MOST_PIPELINED + 20
+    assert stage.service.stats.requests == MAX_PIPELINED + 20
 
 
 def test_of_clients_that_hold_too_much_together_the_largest_goes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stage = Stage(hosts=1, memory_mb=1)  # a quarter of it for clients
-    monkeypatch.setattr(stage.service.limiter._decisions, "handle", lambda event, now: [])
+    monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
     for number in range(9):
         stage.play(f"c{number} send {DO.format(number).replace('BODY', 'B' * (8000 * number + 1))}")
-    assert len(stage.service.frontend.sessions) == 9
+    assert len(stage.service.frontend.sessions.sessions) == 9
     stage.play("wait 0.6\nc8 expect closed\nc0 expect nothing\nc5 expect nothing")
     assert stage.service.stats.relieved == stage.service.stats.clients_gone == 1
 
@@ -707,7 +723,7 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     stage = Stage(hosts=1)
-    stage.service.print_counters_every(1.0)  # its clock starts on a whole second
+    print_counters_every(stage.service, 1.0)  # its clock starts on a whole second
     stage.play(f"a send {ask(1).replace('units=1', 'units=400')}\nwait 1.1")
     lines = [
         orjson.loads(line) for line in capsys.readouterr().err.splitlines() if line.startswith("{")
@@ -724,7 +740,7 @@
     """
     stage = Stage(hosts=1)
     end = stage._end("a")
-    end.sendall(resp.encode_command([b"Q.ASK", b"x"]) * MOST_BAD)
+    end.sendall(resp.encode_command([b"Q.ASK", b"x"]) * MAX_BAD_COMMANDS)
     stage.play("wait 2.5")
     got = b""
     while True:
@@ -735,7 +751,7 @@
         if not data:
             break
         got += data
-    assert got.count(b"\r\n") == MOST_BAD and not stage.service.frontend.sessions
+    assert got.count(b"\r\n") == MAX_BAD_COMMANDS and not stage.service.frontend.sessions.sessions
 
 
 def test_requests_wait_for_discoverys_first_list_before_they_are_sent() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -208,10 +208,10 @@
 
 def test_waits_double_to_their_bound_and_are_drawn() -> None:
     wait = Backoff(0.05, 2.0)
-    assert [wait.next(1.0) for _ in range(8)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0]
-    assert wait.next(0.0) == 1.0
-    wait.worked()
-    assert wait.next(1.0) == 0.05
+    assert [wait.next_wait(1.0) for _ in range(8)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0]
+    assert wait.next_wait(0.0) == 1.0
+    wait.reset()
+    assert wait.next_wait(1.0) == 0.05
 
 
 # The ledger and the scripts, against the stand-in's own Lua
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -13,7 +13,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.state import Server, Window
-from hazelhollow.net import backend, resp
+from hazelhollow.net import attempts, resp
 from hazelhollow.simulator import wire
 from tests.scenario import PLAN, SETTINGS, Stage
 from tests.test_gateway import ask, entry, only, servers
@@ -39,7 +39,7 @@
 
 def room(stage: Stage) -> float:
     """Units that the customer's budget holds, as the next request finds it."""
-    (account,) = stage.service.gateway.accounts.values()
+    (account,) = stage.service.engine.accounts.values()
     return account.budget.level
 
 
@@ -91,7 +91,7 @@
 
 def test_settings_read_again_may_begin_to_settle() -> None:
     stage = Stage(hosts=1, settings=replace(SETTLED, post_paid=False))
-    stage.service.reload(lambda: replace(stage.config, settings=SETTLED))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=SETTLED))
     stage.play(cost("cost=4"))
     assert room(stage) == pytest.approx(4.0)
 
@@ -110,14 +110,14 @@
 def test_an_error_line_may_hold_figures_before_its_report(
     line: bytes, status: str, report: dict[str, float]
 ) -> None:
-    result = backend.read_answer(resp.ErrorReply(line))
+    result = attempts.read_answer(resp.ErrorReply(line))
     assert result and result.status == status and not result.figures
     assert wire.read_report(result.report) == report
 
 
 @pytest.mark.parametrize("answer", [[b"v"], [b"v", None], [b"v", None, None], [b"v", [b"x"], 7]])
 def test_an_answer_without_figures_is_an_answer(answer: list[resp.Value]) -> None:
-    assert backend.read_answer(answer) == backend.Result("ok", b"v")
+    assert attempts.read_answer(answer) == attempts.AttemptResult("ok", b"v")
 
 
 CHEAP = api.RequestClass(
