--- a/hazelhollow/net/endpoint_list.py
+++ b/hazelhollow/net/endpoint_list.py
@@ -19,7 +19,7 @@
 from hazelhollow.net.errors import EndpointListError
 from hazelhollow.platform_config import parse_address
 
-_STATES: dict[str, api.ServerState] = {
+_STATES: dict[str, api.EndpointState] = {
     "in_service": "up",
     "terminating": "draining",
     "terminated": "gone",
@@ -78,12 +78,12 @@
         if whole:
             self.entries, self.addresses = {}, {}
         for entry, address in read:
-            self.ever_listed.add(entry.server)
+            self.ever_listed.add(entry.name)
             if entry.state == "gone":
-                self.entries.pop(entry.server, None)
-                self.addresses.pop(entry.server, None)
+                self.entries.pop(entry.name, None)
+                self.addresses.pop(entry.name, None)
             else:
-                self.entries[entry.server], self.addresses[entry.server] = entry, address
+                self.entries[entry.name], self.addresses[entry.name] = entry, address
         kind: api.ListKind = "cached" if cached else "full" if whole else "change"
         return api.EndpointsUpdated(kind, tuple(entry for entry, _ in read))
 
@@ -112,7 +112,7 @@
 
 def _read_entry(raw: Any) -> api.EndpointEntry:
     return api.EndpointEntry(
-        server=str(raw["name"]),
+        name=str(raw["name"]),
         state=_STATES[raw["status"]],
         zone=str(raw.get("zone", "")),
         cell=int(raw.get("group", 0)),
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -245,7 +245,7 @@
             self._scheduler.at(now + action.delay, self._timer_fired, action.name)
         elif isinstance(action, api.SendGossip):
             if self.peers:
-                self.peers.send_to(action.gateway, action.text)
+                self.peers.send_to(action.limiter_id, action.text)
         elif isinstance(action, api.CancelAttempt):
             found = self.open_requests.get(action.id)
             if found and action.attempt < len(found.attempts):
@@ -260,7 +260,7 @@
         opened = self._take_answer(action.id)
         if opened:
             self._stats.refused += 1
-            self._stats.refusals[action.why] += 1
+            self._stats.refusals[action.reason] += 1
             self._stats.reply(opened.parsed.request.class_name, "overload")
             opened.responder.send_busy(math.ceil(action.retry_after * 1000))
 
@@ -275,11 +275,11 @@
         opened = self.open_requests.get(action.id)
         if opened is None or self._needs_no_answer(opened) or now >= opened.deadline:
             number = len(opened.attempts) if opened else 0
-            event = api.AttemptEnded(action.id, number, action.server, "moot", 0.0)
+            event = api.AttemptEnded(action.id, number, action.endpoint, "never_sent", 0.0)
             self._events.append((event, opened))
             return
         if self.attempts_by_endpoint is not None:
-            self.attempts_by_endpoint[action.server] += 1
+            self.attempts_by_endpoint[action.endpoint] += 1
             if len(self.sampled_ids) < self.max_samples:
                 self.sampled_ids.append(action.id)
         number, timeout = len(opened.attempts), opened.deadline - now
@@ -287,7 +287,7 @@
             timeout = action.timeout
         opened.attempts_out += 1
         attempt = self._pool.start(
-            action.server,
+            action.endpoint,
             opened.parsed.command(max(1, round(timeout * 1000))),
             lambda result: self._attempt_ended(opened, number, result),
             lambda: self._needs_no_answer(opened),
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -20,7 +20,7 @@
 import re
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.class_statistics import changed_classes
+from hazelhollow.decisions.state.class_statistics import changed_classes
 from hazelhollow.net import resp
 from hazelhollow.net.errors import BadCommandError
 
@@ -98,8 +98,8 @@
             units=float(units),
             time_left=int(wait_ms) / 1000.0 - waited,
             set_start=int(first),
-            spread=int(spread),
-            repeat=fields.get("r") == "1",
+            set_size=int(spread),
+            is_retry=fields.get("r") == "1",
         )
 
     def _check_numbers(self, class_name: str, wait_ms: str, units: str) -> None:
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -15,27 +15,33 @@
 from hazelhollow.configuration import config_call
 from hazelhollow.configuration.driver import Driver as AuditDriver
 from hazelhollow.configuration.record import Record, Segments
-from hazelhollow.control_budget.budget import ControlBudget, Role, RoleBudget
-from hazelhollow.control_budget.limiter import LimiterBudget, with_gossip_rate
+from hazelhollow.control_budget.budget import ControlBudget, RoleBudget, TrafficRole
+from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.membership.driver import Driver as FleetDriver
-from hazelhollow.membership.driver import budget
+from hazelhollow.decisions.gossip.codec import base36
+from hazelhollow.membership.authentication import MessageAuthenticator, parse_keys
+from hazelhollow.membership.driver import DriverOptions, MembershipDriver, max_text_bytes
+from hazelhollow.membership.membership import Membership, MembershipSettings
 from hazelhollow.membership.records import pack_address
-from hazelhollow.membership.seal import Seal, read_keys
-from hazelhollow.membership.view import View
 from hazelhollow.net.engine_driver import Decisions
 from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.service import Service
-from hazelhollow.operator import load, logs, records
+from hazelhollow.operator import live_changes, load, logs
 from hazelhollow.operator.commands import fail
-from hazelhollow.operator.syntax import CueError, Place, Trouble
+from hazelhollow.operator.errors import CueError, Place, Problem
+from hazelhollow.operator.settings import (
+    AuditSettings,
+    ControlSettings,
+    FleetSettings,
+    OperatorSettings,
+    ReplicationSettings,
+)
 from hazelhollow.replication import snapshot
-from hazelhollow.replication.driver import Driver as ReplicaDriver
-from hazelhollow.shared_store.driver import Driver
-from hazelhollow.shared_store.exchange import Exchange
+from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.shared_store.client import StoreClient
+from hazelhollow.shared_store.driver import SharedStoreDriver
+from hazelhollow.shared_store.lease_ledger import LeaseLedger
 from hazelhollow.shared_store.leased_decisions import LeasedDecisions
-from hazelhollow.shared_store.ledger import Ledger
 from hazelhollow.storage.append_file import AppendFile
 from hazelhollow.storage.writer import BackgroundWriter
 
@@ -94,18 +100,18 @@
     Every call comes from the limiter's own thread.
     """
 
-    def __init__(self, file: str, operator: records.Operator) -> None:
+    def __init__(self, file: str, operator: OperatorSettings) -> None:
         self.file, self.operator = file, operator
-        self.ledger: Ledger | None = None
-        self.driver: Driver | None = None
-        self.fleet: FleetDriver | None = None
-        self.replica: ReplicaDriver | None = None
+        self.ledger: LeaseLedger | None = None
+        self.driver: SharedStoreDriver | None = None
+        self.fleet: MembershipDriver | None = None
+        self.replica: ReplicationDriver | None = None
         self.audit: AuditDriver | None = None
         self.control: ControlBudget | None = None
         self._budget: LimiterBudget | None = None
         self._writer = BackgroundWriter()
         self.order = self._order_told()  # of the settings that are in force
-        self.seal = Seal(_keys(operator.fleet))
+        self.seal = MessageAuthenticator(_keys(operator.fleet))
         self._seed = 0
 
     def settings(self, settings: api.Settings) -> api.Settings:
@@ -123,7 +129,7 @@
         terms = self.operator.store
         if terms is None:
             return inner
-        self.ledger = Ledger(settings, terms, base36(int(now * 1000)), now)
+        self.ledger = LeaseLedger(settings, terms, base36(int(now * 1000)), now)
         return LeasedDecisions(inner, self.ledger, self._pump)
 
     def _pump(self) -> None:
@@ -134,14 +140,14 @@
         """The limiter is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
-            exchange = Exchange(self.ledger, self.operator.store, self._seed)
-            self.driver = Driver(service.scheduler, exchange)
+            exchange = StoreClient(self.ledger, self.operator.store, self._seed)
+            self.driver = SharedStoreDriver(service.scheduler, exchange)
             service.stats.store = {"books": self.ledger.counts, "link": exchange.counts}
             self.driver.start()
         if self.operator.fleet:
             self._begin_view(service, self.operator.fleet)
 
-    def _begin_view(self, service: Service, terms: records.Fleet) -> None:
+    def _begin_view(self, service: Service, terms: FleetSettings) -> None:
         settings, peers = service.settings_reload.settings, service.engine_driver.peers
         if peers is None or not settings.peers or settings.limiter_count < 2:
             log.warning(
@@ -156,27 +162,31 @@
         )  # then those addresses are the only way used
         seeds = () if listed else tuple(seed for seed in terms.seeds if seed != peers.address)
         address = pack_address(*peers.address) if terms.seeds and not listed else ""
-        view = View(
-            settings.limiter_id,
-            settings.limiter_count,
+        view = Membership(
+            MembershipSettings(
+                settings.limiter_id,
+                settings.limiter_count,
+                self._seed,
+                max_text_bytes(self.seal),
+                address=address,
+            ),
             service.scheduler.clock(),
-            self._seed,
-            budget(self.seal),
-            address=address,
-            allowance=self._part(Role.VIEW),
+            self._part(TrafficRole.MEMBERSHIP),
         )
         lines = AppendFile(Path(terms.view_file), self._writer) if terms.view_file else None
-        self.fleet = FleetDriver(
+        self.fleet = MembershipDriver(
             service.scheduler,
             peers,
             view,
             self.seal,
-            service.engine_driver.notify,
-            service.shutdown.begin,
-            lines,
-            seeds or ((peers.address,) if address else ()),
-            keeps=terms.replicate is not None,
-            paced_gossip=terms.control is not None,
+            DriverOptions(
+                service.engine_driver.notify,
+                service.shutdown.begin,
+                lines,
+                seeds or ((peers.address,) if address else ()),
+                replicates=terms.replicate is not None,
+                gossip_is_paced=terms.control is not None,
+            ),
         )
         service.stats.view = view.counts
         self.fleet.start()
@@ -185,30 +195,30 @@
         if terms.audit:
             self._begin_audit(service, self.fleet, terms.audit)
 
-    def _begin_control(self, service: Service, peers: PeerSocket, terms: records.Control) -> None:
+    def _begin_control(self, service: Service, peers: PeerSocket, terms: ControlSettings) -> None:
         self._budget = LimiterBudget(
-            terms.bytes_per_s, peers, service.scheduler.clock, self.seal.length
+            terms.bytes_per_s, peers, service.scheduler.clock, self.seal.overhead_bytes
         )
         self.control = self._budget.budget
-        service.stats.control = {role.value: self.control.usage[role] for role in Role}
+        service.stats.control = {role.value: self.control.usage[role] for role in TrafficRole}
 
-    def _part(self, role: Role) -> RoleBudget | None:
+    def _part(self, role: TrafficRole) -> RoleBudget | None:
         """What that role asks before it sends; nothing where there is no budget."""
-        return self._budget.part(role) if self._budget else None
+        return self._budget.for_role(role) if self._budget else None
 
     def _begin_replica(
-        self, service: Service, fleet: FleetDriver, terms: records.Replicate
+        self, service: Service, fleet: MembershipDriver, terms: ReplicationSettings
     ) -> None:
         peers = service.engine_driver.peers
         assert peers is not None
         file = (
-            snapshot.File(
+            snapshot.SnapshotFile(
                 Path(terms.state_dir), service.settings_reload.settings.limiter_id, self._writer
             )
             if terms.state_dir
             else None
         )
-        self.replica = ReplicaDriver(
+        self.replica = ReplicationDriver(
             service.scheduler,
             peers,
             fleet,
@@ -217,15 +227,15 @@
             service.engine_driver.notify,
             service.overrides.apply,
             self._seed,
-            budget(self.seal),
+            max_text_bytes(self.seal),
             file,
-            self._part(Role.REPLICATION),
+            self._part(TrafficRole.REPLICATION),
         )
         service.engine_driver.on_count = self.replica.closed
-        service.stats.replica = self.replica.exchange.counts
+        service.stats.replica = self.replica.replica.counts
         self.replica.start()
 
-    def _begin_audit(self, service: Service, fleet: FleetDriver, terms: records.Audit) -> None:
+    def _begin_audit(self, service: Service, fleet: MembershipDriver, terms: AuditSettings) -> None:
         peers, me, incarnation = (
             service.engine_driver.peers,
             service.settings_reload.settings.limiter_id,
@@ -250,7 +260,7 @@
             lambda: self.order,
             Record(me, incarnation, segments),
             self._seed,
-            self._part(Role.CONFIGURATION),
+            self._part(TrafficRole.CONFIGURATION),
         )
         self.audit.start()
 
@@ -263,7 +273,7 @@
 
         As a member that the others know, and on no older settings than they.
         """
-        return self.fleet is None or self.fleet.acts()
+        return self.fleet is None or self.fleet.may_admit()
 
     def view(self) -> dict[str, Any] | None:
         """What `call fleet` answers."""
@@ -303,7 +313,7 @@
         if self.replica:
             self.replica.end()
         if self.fleet:
-            self.fleet.end()
+            self.fleet.leave()
         if not self._writer.finish(END_WITHIN):
             log.warning("the disk is too slow: what was to be written last is lost")
 
@@ -316,24 +326,24 @@
         try:
             new = load.load(self.file)
         except CueError as error:
-            for trouble in error.troubles:
-                log.error("the operator file stays as it was", trouble=str(trouble))
+            for problem in error.problems:
+                log.error("the operator file stays as it was", problem=str(problem))
             return
-        live, later = load.changes(self.operator, new)
+        live, later = live_changes.changes(self.operator, new)
         if later:
             log.warning("these settings need a restart and stay as they were", settings=later)
         self._take(new, live)
         if taken:
             self.order = self._order_told()
 
-    def _take(self, new: records.Operator, live: list[str]) -> None:
+    def _take(self, new: OperatorSettings, live: list[str]) -> None:
         if any(path.startswith("log.") for path in live):
             logs.configure(new.log)
-        self.operator = load.merged(self.operator, new)
+        self.operator = live_changes.merged(self.operator, new)
         try:
             self.seal.keys = _keys(self.operator.fleet)
         except (OSError, ValueError) as error:
-            log.error("the keys stay as they were", trouble=str(error))
+            log.error("the keys stay as they were", problem=str(error))
         if self.driver and self.operator.store:
             self.driver.change(
                 self.operator.store
@@ -344,7 +354,7 @@
 def open_file(file: str) -> Attached:
     """Reads the file and sets up logs.
 
-    Ends the program, with a line for each trouble, if it cannot be used.
+    Ends the program, with a line for each problem, if it cannot be used.
     """
     try:
         operator = load.load(file)
@@ -355,9 +365,9 @@
         return Attached(file, operator)
     except (OSError, ValueError) as error:
         place = operator.fleet.keys_file if operator.fleet else file
-        fail(CueError([Trouble(Place(place, 1, 1), "fleet.keys_file", str(error))]))
+        fail(CueError([Problem(Place(place, 1, 1), "fleet.keys_file", str(error))]))
 
 
-def _keys(terms: records.Fleet | None) -> list[bytes]:
+def _keys(terms: FleetSettings | None) -> list[bytes]:
     """Raises OSError or ValueError for a file that cannot be used."""
-    return read_keys(Path(terms.keys_file).read_bytes()) if terms and terms.keys_file else []
+    return parse_keys(Path(terms.keys_file).read_bytes()) if terms and terms.keys_file else []
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -17,23 +17,21 @@
 
 from hazelhollow.configuration.driver import Driver as AuditDriver
 from hazelhollow.configuration.record import Record as AuditRecord
-from hazelhollow.control_budget.budget import Role as BudgetRole
-from hazelhollow.control_budget.budget import RoleBudget
-from hazelhollow.control_budget.limiter import LimiterBudget, with_gossip_rate
+from hazelhollow.control_budget.budget import RoleBudget, TrafficRole
+from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.membership.driver import Driver as FleetDriver
-from hazelhollow.membership.driver import budget
+from hazelhollow.membership.authentication import MessageAuthenticator
+from hazelhollow.membership.driver import DriverOptions, MembershipDriver, max_text_bytes
+from hazelhollow.membership.membership import Membership, MembershipSettings
 from hazelhollow.membership.records import Record
-from hazelhollow.membership.seal import Seal
-from hazelhollow.membership.view import View
 from hazelhollow.net.attempts import Attempt, AttemptResult
 from hazelhollow.net.close_reason import CloseReason, attempt_status
 from hazelhollow.net.connection_pool import ConnectionPool
 from hazelhollow.net.engine_driver import EngineDriver
 from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
-from hazelhollow.replication.driver import Driver as ReplicaDriver
+from hazelhollow.replication.driver import ReplicationDriver
 from hazelhollow.scale.load import Drawn, service_time
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeers
@@ -44,8 +42,8 @@
 MOST_OPEN = 20_000  # requests, as a real limiter's configuration has it
 KEY = b"the key of a scale run, which is no secret"
 DRIVERS: tuple[tuple[type, Role], ...] = (
-    (FleetDriver, Role.VIEW),
-    (ReplicaDriver, Role.REPLICATION),
+    (MembershipDriver, Role.VIEW),
+    (ReplicationDriver, Role.REPLICATION),
     (AuditDriver, Role.AUDIT),
     (ConnectionPool, Role.REQUESTS),
 )
@@ -199,8 +197,8 @@
             MOST_OPEN,
         )
         self.limiter.peers = peers
-        self.fleet: FleetDriver | None = None
-        self.replica: ReplicaDriver | None = None
+        self.fleet: MembershipDriver | None = None
+        self.replica: ReplicationDriver | None = None
         self.audit: AuditDriver | None = None
         self._serial = 0
 
@@ -213,27 +211,34 @@
         """
         self._peers.renew(self.stats, self.limiter.gossip_received)
         self.list_servers(api.EndpointsUpdated("full", servers))
-        seal, number = Seal([KEY] if self._terms.sealed else []), self._settings.limiter_id
-        now, most = self.scheduler.clock(), budget(seal)
+        seal, number = (
+            MessageAuthenticator([KEY] if self._terms.sealed else []),
+            self._settings.limiter_id,
+        )
+        now, most = self.scheduler.clock(), max_text_bytes(seal)
         if self._terms.control_bytes_per_s:
             clock = self.scheduler.clock
             self._budget = LimiterBudget(
-                self._terms.control_bytes_per_s, self._peers, clock, seal.length
+                self._terms.control_bytes_per_s, self._peers, clock, seal.overhead_bytes
             )
-        allowance = self._part(BudgetRole.VIEW)
-        view = View(
-            number, self._settings.limiter_count, now, self._seed, most, allowance=allowance
+        allowance = self._part(TrafficRole.MEMBERSHIP)
+        view = Membership(
+            MembershipSettings(number, self._settings.limiter_count, self._seed, most),
+            now,
+            allowance,
         )
-        view.table.watch(self._saw)
-        self.fleet = FleetDriver(
+        view.table.subscribe(self._saw)
+        self.fleet = MembershipDriver(
             self.scheduler,
             self._peers,
             view,
             seal,
-            self.limiter.notify,
-            self._leave,
-            keeps=self._terms.replicate,
-            paced_gossip=self._terms.control_bytes_per_s > 0,
+            DriverOptions(
+                self.limiter.notify,
+                self._leave,
+                replicates=self._terms.replicate,
+                gossip_is_paced=self._terms.control_bytes_per_s > 0,
+            ),
         )
         self._meter.turn(Role.VIEW, self.fleet.start)
         if self._terms.replicate:
@@ -241,8 +246,10 @@
         if self._terms.audit:
             self._start_audit(self.fleet, seal, int(now * 1000))
 
-    def _start_replica(self, fleet: FleetDriver, seal: Seal, most: int) -> None:
-        self.replica = ReplicaDriver(
+    def _start_replica(
+        self, fleet: MembershipDriver, seal: MessageAuthenticator, most: int
+    ) -> None:
+        self.replica = ReplicationDriver(
             self.scheduler,
             self._peers,
             fleet,
@@ -252,12 +259,14 @@
             lambda calls: None,
             self._seed,
             most,
-            allowance=self._part(BudgetRole.REPLICATION),
+            allowance=self._part(TrafficRole.REPLICATION),
         )
         self.limiter.on_count = self.replica.closed
         self._meter.turn(Role.REPLICATION, self.replica.start)
 
-    def _start_audit(self, fleet: FleetDriver, seal: Seal, incarnation: int) -> None:
+    def _start_audit(
+        self, fleet: MembershipDriver, seal: MessageAuthenticator, incarnation: int
+    ) -> None:
         record = AuditRecord(self._settings.limiter_id, incarnation)
         self.limiter.attempts_by_endpoint = Counter()
         self.audit = AuditDriver(
@@ -269,13 +278,13 @@
             lambda: self.order,
             record,
             self._seed,
-            self._part(BudgetRole.CONFIGURATION),
+            self._part(TrafficRole.CONFIGURATION),
         )
         self._meter.turn(Role.AUDIT, self.audit.start)
 
-    def _part(self, role: BudgetRole) -> RoleBudget | None:
+    def _part(self, role: TrafficRole) -> RoleBudget | None:
         """What that role asks before it sends; nothing where there is no budget."""
-        return self._budget.part(role) if self._budget else None
+        return self._budget.for_role(role) if self._budget else None
 
     def _leave(self) -> None:
         """Another process has its number, which cannot be here."""
@@ -284,7 +293,7 @@
     def leave(self) -> None:
         """It says that it goes, and goes."""
         if self.fleet:
-            self._meter.turn(Role.VIEW, self.fleet.end)
+            self._meter.turn(Role.VIEW, self.fleet.leave)
         self.crash()
 
     def crash(self) -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -433,7 +433,7 @@
     ]
     event = stage.service.endpoint_list.apply(table)
     assert (
-        [entry.server for entry in event.entries]
+        [entry.name for entry in event.entries]
         == ["s1"]
         == list(stage.service.endpoint_list.addresses)
     )
