--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -23,8 +23,9 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.membership.driver import DriverOptions, MembershipDriver, max_text_bytes
-from hazelhollow.membership.membership import Membership, MembershipSettings
+from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import Record
+from hazelhollow.membership.settings import MembershipSettings
 from hazelhollow.net.attempts import Attempt, AttemptResult
 from hazelhollow.net.close_reason import CloseReason, attempt_status
 from hazelhollow.net.connection_pool import ConnectionPool
