--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -1,6 +1,7 @@
-"""The command line.
+"""The command line: `serve` and the small commands; the others are found in their packages.
 
-What the platform's path does not need is imported only by the command that needs it.
+`serve` without an operator file is the platform's path: what it does not need is imported only by
+the command that needs it.
 """
 
 from __future__ import annotations
@@ -17,7 +18,8 @@
 from hazelhollow.net.endpoint_list import EndpointList
 from hazelhollow.net.errors import EndpointListError
 
-LATER = {
+# Commands in modules that are imported when the command is used: module and attribute.
+LAZY_COMMANDS = {
     "ask": ("hazelhollow.request_client", "ask"),
     "bench": ("hazelhollow.bench.commands", "bench"),
     "config": ("hazelhollow.operator.commands", "config"),
@@ -26,19 +28,33 @@
     "standin": ("hazelhollow.standins.commands", "standin"),
 }
 
+# The help of `call`; click keeps the lines after \b as they are.
+CALL_HELP = """\
+Make one call at a limiter's operator address and print its answer.
 
-class Commands(click.Group):
-    """A group, some of whose commands are found in modules that are not imported before they are
-    asked for.
-    """
+\b
+hazelhollow call check           done ready, once it serves
+hazelhollow call vars            the figures, as one JSON line, then `end`
+hazelhollow call fleet           who is there, where the operator file switches the view on
+hazelhollow call set-down s-7    leave server s-7 out until `set-up s-7`
+
+Exit status 0 for an answer that begins with `done` (or the figures), 1 for `error`, 2 when
+nobody answers.
+"""
+
+
+class LazyGroup(click.Group):
+    """A group that imports LAZY_COMMANDS when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *LATER])
+        """All names, for the help."""
+        return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name not in LATER:
+        """The command of that name, or one that says which library it lacks."""
+        if name not in LAZY_COMMANDS:
             return super().get_command(ctx, name)
-        module, attribute = LATER[name]
+        module, attribute = LAZY_COMMANDS[name]
         try:
             command: click.Command = getattr(importlib.import_module(module), attribute)
         except ModuleNotFoundError as error:
@@ -49,12 +65,9 @@
 
 
 def _missing(name: str, library: str) -> click.Command:
-    """Stands for a command whose libraries this installation lacks.
+    """Stands for a command whose libraries this installation lacks, so that the others work."""
 
-    So that the others go on working.
-    """
-
-    def explain(words: tuple[str, ...]) -> None:
+    def explain(**_: object) -> None:
         _fail(f"'{name}' needs {library}: pip install -r requirements-all.txt")
 
     rest = click.Argument(
@@ -71,10 +84,10 @@
 
 
 @click.group(
-    cls=Commands, help="A rate limiter that holds quotas by plan across a fleet of gateways."
+    cls=LazyGroup, help="A rate limiter that holds quotas by plan across a fleet of gateways."
 )
 def main() -> None:
-    pass
+    """The commands of hazelhollow."""
 
 
 @main.command()
@@ -103,21 +116,21 @@
     --counters, the lines of many limiters can be added up by second: that shows what one of them
     alone does not.
     """
-    attached = None
+    attachment = None
     if operator is not None:
         from hazelhollow.operator import attach
 
-        attached = attach.open_file(operator)
+        attachment = attach.open_file(operator)
     else:
         logging.basicConfig(
             level=log_level.upper(),
             stream=sys.stderr,
             format="%(asctime)s %(levelname)s %(name)s: %(message)s",
         )
-    told = _load()
+    config = _load()
     try:
         lifecycle.serve(
-            told, lambda: platform_config.load(os.environ, again=True), attached, counters
+            config, lambda: platform_config.load(os.environ, again=True), attachment, counters
         )
     except OSError as error:
         _fail(f"cannot listen: {error.strerror or error}")
@@ -126,14 +139,14 @@
 @main.command("check-config")
 def check_config() -> None:
     """Read the configuration and say what it holds, or what is wrong with it."""
-    told = _load()
+    config = _load()
     click.echo(
-        f"{told.name}: gateway {told.settings.limiter_id} of {told.settings.limiter_count}, "
-        f"listens at {told.listen}"
+        f"{config.name}: gateway {config.settings.limiter_id} of {config.settings.limiter_count}, "
+        f"listens at {config.listen}"
     )
 
 
-@main.command("call")
+@main.command("call", help=CALL_HELP)
 @click.argument("words", nargs=-1, required=True)
 @click.option(
     "--to",
@@ -143,17 +156,7 @@
     help="The operator address, host:port.",
 )
 def call(words: tuple[str, ...], address: str) -> None:
-    """Make one call at a limiter's operator address and print its answer.
-
-    \b
-    hazelhollow call check           done ready, once it serves
-    hazelhollow call vars            the figures, as one JSON line, then `end`
-    hazelhollow call fleet           who is there, where the operator file switches the view on
-    hazelhollow call set-down s-7    leave server s-7 out until `set-up s-7`
-
-    Exit status 0 for an answer that begins with `done` (or the figures), 1 for `error`, 2 when
-    nobody answers.
-    """
+    """Make one call at a limiter's operator address and print its answer."""
     from hazelhollow.net import operator_client
 
     try:
@@ -172,10 +175,10 @@
 
 def _load() -> platform_config.PlatformConfig:
     try:
-        told = platform_config.load(os.environ)
-        if told.known is not None:
-            EndpointList().apply(told.known)
-        return told
+        config = platform_config.load(os.environ)
+        if config.known is not None:
+            EndpointList().apply(config.known)
+        return config
     except (platform_config.PlatformConfigError, EndpointListError) as error:
         _fail(str(error))
         raise AssertionError from None
--- a/hazelhollow/early_signals.py
+++ b/hazelhollow/early_signals.py
@@ -1,6 +1,7 @@
-"""Signals that come before there is a limiter to act on them.
+"""Holds the signals that come before there is a limiter to act on them.
 
-Imports nothing: it is the first thing a start does.
+`__main__` calls `hold` first of all, so this module imports next to nothing; `net.lifecycle` takes
+the signals over when the limiter exists.
 """
 
 from __future__ import annotations
@@ -9,24 +10,24 @@
 from types import FrameType
 
 NUMBERS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
-_came: list[int] = []
+_received: list[int] = []
 
 
 def hold() -> None:
-    """From now on such a signal ends nothing: it is kept for `held`.
+    """From now on a signal in NUMBERS does not end the process; `held` tells that it came.
 
-    Else SIGHUP, which asks for the configuration to be read again, would end a process that has not
-    got so far as to read it.
+    SIGHUP, which asks for the configuration to be read again, would else end a process that has not
+    read it for the first time.
     """
     for number in NUMBERS:
-        signal.signal(number, _keep)
+        signal.signal(number, _remember)
 
 
 def held() -> bytes:
-    """Those that came since, once, in their order."""
-    came, _came[:] = bytes(_came), []
-    return came
+    """The numbers of the signals since `hold`, in their order; each is told once."""
+    received, _received[:] = bytes(_received), []
+    return received
 
 
-def _keep(number: int, _frame: FrameType | None) -> None:
-    _came.append(number)
+def _remember(number: int, _frame: FrameType | None) -> None:
+    _received.append(number)
--- a/hazelhollow/net/administrative_overrides.py
+++ b/hazelhollow/net/administrative_overrides.py
@@ -1,8 +1,8 @@
 """Endpoints that an operator has disabled: they get nothing new, whatever discovery says.
 
-Three sources change the set: a call at the operator address, a call at a peer (where an operator file
-replicates them), and the override file, which a second process of this limiter may have written
-during an upgrade. Every change is written to the file, except one that was read from it.
+Three sources change the set: a call at the operator address, a call at a peer (where an operator
+file replicates them), and the override file, which a second process of this limiter may have
+written during an upgrade. Every change is written to the file, except one that was read from it.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/answer_slot.py
+++ b/hazelhollow/net/answer_slot.py
@@ -1,7 +1,7 @@
 """The place of one command in the order of its connection's answers.
 
-Commands of one connection are worked on at the same time, while RESP clients match answers to commands
-by their order: an answer waits in its slot until all before it have been written.
+Commands of one connection are worked on at the same time, while RESP clients match answers to
+commands by their order: an answer waits in its slot until all before it have been written.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 
     def settle(self, answer: bytes) -> None:
         """The answer is known, and is written once its turn has come."""
-        # `open_request` is let go of: it refers back to this slot, and the cycle would keep both, the
-        # session and its buffers in memory until the cycle collector came.
+        # `open_request` is let go of: it refers back to this slot, and the cycle would keep both,
+        # the session and its buffers in memory until the cycle collector came.
         self.answer, self.size, self.open_request = answer, len(answer), None
         self.session.write_answers()
 
@@ -43,7 +43,7 @@
         self.settle(resp.encode_bulk_string(value))
 
     def send_busy(self, retry_after_ms: int) -> None:
-        """Answers `-BUSY MS`, or `-BUSY` where the wait is 0; `engine_driver` says why it may be."""
+        """Answers `-BUSY MS`, or `-BUSY` where the wait is 0; see `engine_driver` for why."""
         self.session.fruitless_limit.spend()
         self.settle(b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n")
 
--- a/hazelhollow/net/attachment.py
+++ b/hazelhollow/net/attachment.py
@@ -33,7 +33,7 @@
         """The limiter is about to serve."""
 
     def reload(self, taken: bool) -> None:
-        """SIGHUP: `taken` says whether the platform's configuration could be read and is in force."""
+        """SIGHUP came; `taken`: whether the platform's configuration could be read."""
 
     def settings_in_force(self) -> None:
         """Settings of a reload are in force, and no request was served by them yet."""
--- a/hazelhollow/net/attempts.py
+++ b/hazelhollow/net/attempts.py
@@ -1,7 +1,8 @@
 """Attempts: one forwarding of a request to an endpoint, and how it ended.
 
-An attempt is made by `connection_pool.ConnectionPool.start`, which puts it on a connection, and ends
-with one `AttemptResult`. This module owns the attempt's record and the reading of an endpoint's answer.
+An attempt is made by `connection_pool.ConnectionPool.start`, which puts it on a connection, and
+ends with one `AttemptResult`. This module owns the attempt's record and the reading of an
+endpoint's answer.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/backoff.py
+++ b/hazelhollow/net/backoff.py
@@ -1,4 +1,7 @@
-"""How long to wait before the next try of something that failed. No clock and no chance of its own."""
+"""How long to wait before the next try of something that failed.
+
+No clock and no random numbers of its own.
+"""
 
 from __future__ import annotations
 
--- a/hazelhollow/net/close_reason.py
+++ b/hazelhollow/net/close_reason.py
@@ -38,9 +38,9 @@
 
     Args:
         reason: Why the connection ended.
-        sent_all: Whether the last byte of the request had been sent. Up to then no endpoint can have
-            begun it, and unsent bytes are dropped; from then on it may have run, whatever ended the
-            connection.
+        sent_all: Whether the last byte of the request had been sent. Up to then no endpoint can
+            have begun it, and unsent bytes are dropped; from then on it may have run, whatever
+            ended the connection.
     """
     if sent_all:
         return _STATUS_IF_SENT.get(reason, "reset")
--- a/hazelhollow/net/command_reader.py
+++ b/hazelhollow/net/command_reader.py
@@ -9,8 +9,9 @@
 | PARTIAL | `awaiting_since` is the time of that part | the rest of the command: BETWEEN |
 | STOPPED | `stopped` | |
 
-In FIRST and PARTIAL the session gives up after `session.COMMAND_TIMEOUT_S`. What is not of the protocol
-leads to STOPPED in every state: the client gets one error behind the answers that it is owed.
+In FIRST and PARTIAL the session gives up after `session.COMMAND_TIMEOUT_S`. What is not of the
+protocol leads to STOPPED in every state: the client gets one error behind the answers that it is
+owed.
 """
 
 from __future__ import annotations
@@ -35,8 +36,8 @@
 class CommandReader:
     """Reads the commands of one session.
 
-    It is given the session with each call and does not keep it: the two would hold each other in memory
-    until the cycle collector came.
+    It is given the session with each call and does not keep it: the two would hold each other in
+    memory until the cycle collector came.
 
     Attributes:
         awaiting_since: Since when a whole command is awaited; None between commands.
--- a/hazelhollow/net/connection_pool.py
+++ b/hazelhollow/net/connection_pool.py
@@ -1,8 +1,8 @@
 """The pool of connections to endpoints, and the attempts that go out on them.
 
-The only owner of these connections: it opens, reuses and closes them. `engine_driver` starts, aborts
-and withdraws attempts; `service` tells which endpoints are listed. `pooled_connection` has the states
-of a connection.
+The only owner of these connections: it opens, reuses and closes them. `engine_driver` starts,
+aborts and withdraws attempts; `service` tells which endpoints are listed. `pooled_connection` has
+the states of a connection.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
 class ConnectionPool:
     """All connections to endpoints.
 
-    `free_descriptor` frees one of this process's descriptors, where one can be had, and says whether
-    it did; it is replaced by one that also looks at clients' connections.
+    `free_descriptor` frees one of this process's descriptors, where one can be had, and says
+    whether it did; it is replaced by one that also looks at clients' connections.
     """
 
     def __init__(self, scheduler: Scheduler, stats: Stats, settings: PoolSettings) -> None:
@@ -74,8 +74,8 @@
     def set_endpoints(self, addresses: Mapping[str, tuple[str, int]]) -> None:
         """Names the endpoints that may get new attempts from now on, and where they are.
 
-        An attempt whose first byte has not left must not reach an endpoint that drains or is gone: it
-        ends here as never sent, and the decision engine may choose anew. Others go on.
+        An attempt whose first byte has not left must not reach an endpoint that drains or is gone:
+        it ends here as never sent, and the decision engine may choose anew. Others go on.
         """
         for name, endpoint in list(self._endpoints.items()):
             if addresses.get(name) != endpoint.address:
@@ -103,8 +103,8 @@
             name: Of the endpoint. If it is not listed, the attempt fails as never sent.
             command: The request, encoded.
             on_result: Called once, and never before this method returns.
-            before_sending: Called once a new connection is up and before anything is written. It may
-                withdraw the attempt, if nobody waits for it any more.
+            before_sending: Called once a new connection is up and before anything is written. It
+                may withdraw the attempt, if nobody waits for it any more.
         """
         now, endpoint = self._scheduler.clock(), self._endpoints.get(name)
         attempt = Attempt(name, command, on_result, before_sending, now)
@@ -279,8 +279,8 @@
         if connection.parser.idle():
             self._make_idle(connection)
         else:
-            # The answer is whole and this attempt's own. The bytes behind it are no attempt's, and no
-            # later attempt must get them.
+            # The answer is whole and this attempt's own. The bytes behind it are no attempt's, and
+            # no later attempt must get them.
             self.close_connection(connection, CloseReason.MALFORMED)
         attempt.finish(result)
 
@@ -305,5 +305,6 @@
             and now - connection.partial_answer_at >= PARTIAL_ANSWER_TIMEOUT_S
         ]
         for connection in stopped:
-            # The endpoint had done the work and was sending: waiting for the deadline gains nothing.
+            # The endpoint had done the work and was sending: waiting for the deadline gains
+            # nothing.
             self.close_connection(connection, CloseReason.STALLED)
--- a/hazelhollow/net/discovery_watch.py
+++ b/hazelhollow/net/discovery_watch.py
@@ -1,7 +1,7 @@
 """The watch on discovery: keeps the endpoint list as discovery has it, and never gives up.
 
-Discovery's agent is on this machine. Each call asks for changes after the version that is known and is
-answered at once or after `HOLD_S` without any. States of the watch, and what it asks for:
+Discovery's agent is on this machine. Each call asks for changes after the version that is known and
+is answered at once or after `HOLD_S` without any. States of the watch, and what it asks for:
 
 | state | call | waits for the answer | left by |
 | --- | --- | --- | --- |
@@ -13,8 +13,8 @@
 
 After a failure the next call is for the whole list: which changes discovery counts as told is not
 known. The pause before it is fixed and short, because a drain that discovery counts as told must be
-kept within 0.3 s. SLOW runs beside the others, at most once: an answer of an agent that is slow, but
-not dead, still counts, unless a newer list has come meanwhile.
+kept within 0.3 s. SLOW runs beside the others, at most once: an answer of an agent that is slow,
+but not dead, still counts, unless a newer list has come meanwhile.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 PATH = "/discovery/hosts"
 HOLD_S = 1.5  # that discovery may hold a call without changes; the time in which silence shows
 SILENCE_TIMEOUT_S = 0.5  # past HOLD_S: then the call is held to be lost
-# The agent accepts and answers at once; one that takes longer is asked again, and heard all the same
-# up to SLOW_ANSWER_TIMEOUT_S.
+# The agent accepts and answers at once; one that takes longer is asked again, and heard all the
+# same up to SLOW_ANSWER_TIMEOUT_S.
 CONNECT_TIMEOUT_S = 0.15
 SNAPSHOT_TIMEOUT_S = 0.15
 SLOW_ANSWER_TIMEOUT_S = 2.0
@@ -52,10 +52,10 @@
 
     Attributes:
         address: Where discovery is.
-        is_following: Whether the list that stands is one that this watch has heard, so that the next
-            call asks for changes to it.
-        free_descriptor: Frees a descriptor for the connection, where one can be had, and says whether
-            it did.
+        is_following: Whether the list that stands is one that this watch has heard, so that the
+            next call asks for changes to it.
+        free_descriptor: Frees a descriptor for the connection, where one can be had, and says
+            whether it did.
     """
 
     def __init__(
--- a/hazelhollow/net/endpoint_list.py
+++ b/hazelhollow/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery gives it: reading a list, or a change to it, into the one that stands.
+"""The endpoint list: reading what discovery gives, whole or as a change, into the list that stands.
 
 No I/O. `discovery_watch` feeds it; `service` passes its events on to the decision engine and its
 addresses to the connection pool.
@@ -49,9 +49,9 @@
     ) -> api.EndpointsUpdated:
         """Takes in a whole list or the changes to it. All is read before any of it is applied.
 
-        An entry of a whole list that cannot be read is left out: asked again, discovery would say the
-        same, and one odd entry must not hide all others. Among changes it may be a drain that would be
-        missed, so there it is an error, after which the whole list is asked for.
+        An entry of a whole list that cannot be read is left out: asked again, discovery would say
+        the same, and one odd entry must not hide all others. Among changes it may be a drain that
+        would be missed, so there it is an error, after which the whole list is asked for.
 
         Args:
             document: Discovery's JSON, decoded.
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -1,14 +1,14 @@
 """Between the network and the decision engine: events in, actions out.
 
 The only module that knows both. It turns what happens on sockets into the engine's events and
-performs the actions that come back; it decides nothing. It owns the open requests, and with them the
-rule that each gets exactly one final answer (see `open_request`).
+performs the actions that come back; it decides nothing. It owns the open requests, and with them
+the rule that each gets exactly one final answer (see `open_request`).
 
 Why a request was answered with `-BUSY`, as far as the network code is concerned:
 
 - `-BUSY MS`: the engine rejected it (`RejectRequest`), and MS is `retry_after` of that action in
-  milliseconds, rounded up: `_reject`. The reason is counted in `refusals` of the counters; which rule
-  set it, and why that long, is said in `decisions/`.
+  milliseconds, rounded up: `_reject`. The reason is counted in `refusals` of the counters; which
+  rule set it, and why that long, is said in `decisions/`.
 - `-BUSY` without a time: the engine gave no time, or never saw the request because as many as
   `policy_limits.max_open` were open: `submit`. The latter has no entry in `refusals`.
 
@@ -36,9 +36,9 @@
 from hazelhollow.simulator import wire
 
 FAILED_TIMER_RETRY_S = 1.0  # until a timer at which the engine failed fires again
-# Since the last poll, past which a client's connection is looked at before an attempt starts for it.
-# A client that has gone must get no attempt that starts over 0.1 s later, also from a process that
-# was busy for longer than that.
+# Since the last poll, past which a client's connection is looked at before an attempt starts for
+# it. A client that has gone must get no attempt that starts over 0.1 s later, also from a process
+# that was busy for longer than that.
 STALE_POLL_S = 0.03
 
 log = logging.getLogger(__name__)
@@ -60,7 +60,8 @@
         max_settled_units: That an answer may settle; 0 where units are not settled afterwards.
         open_requests: By their ids.
         attempts_by_endpoint: Attempts started by endpoint, if something counts them.
-        sampled_ids: Ids of requests that were forwarded, at most `max_samples` until they are taken.
+        sampled_ids: Ids of requests that were forwarded, at most `max_samples` until they are
+            taken.
     """
 
     def __init__(
@@ -247,15 +248,18 @@
             if self.peers:
                 self.peers.send_to(action.limiter_id, action.text)
         elif isinstance(action, api.CancelAttempt):
-            found = self.open_requests.get(action.id)
-            if found and action.attempt < len(found.attempts):
-                self._pool.abort(found.attempts[action.attempt], CloseReason.CANCELLED)
+            self._cancel(action)
         elif isinstance(action, api.WriteLog):
             log.info("%s", action.text)
         elif isinstance(action, api.ReplicateCount) and self.on_count:
             self.on_count(action)
         # SubscribeToEndpoints needs nothing: the watch on discovery always stands.
 
+    def _cancel(self, action: api.CancelAttempt) -> None:
+        opened = self.open_requests.get(action.id)
+        if opened and action.attempt < len(opened.attempts):
+            self._pool.abort(opened.attempts[action.attempt], CloseReason.CANCELLED)
+
     def _reject(self, action: api.RejectRequest) -> None:
         opened = self._take_answer(action.id)
         if opened:
--- a/hazelhollow/net/errors.py
+++ b/hazelhollow/net/errors.py
@@ -4,12 +4,13 @@
 | --- | --- | --- | --- |
 | `ProtocolError` | the other side's | `resp.Parser`, `http1.Parser` | the connection is closed |
 | `ClientError` | a client's | see its subclasses | the client is answered with an error line |
-| `EndpointError` | an endpoint's | `attempts.read_answer` | its connection is closed, the attempt fails |
-| `DiscoveryError` | discovery's | `endpoint_list.EndpointList` | the whole list is asked for anew |
+| `EndpointError` | an endpoint's | `attempts.read_answer` | the connection is closed |
+| `DiscoveryError` | discovery's | `endpoint_list` | the whole list is asked for |
 | `RingBufferFullError` | ours | `ring_buffer.RingBuffer` | parsers turn it into a `ProtocolError` |
 
-A parser does not know whose bytes it reads, so `ProtocolError` stands above the division; the owner of
-the connection says who sent them. Ways in which a connection ends are no errors: see `close_reason`.
+A parser does not know whose bytes it reads, so `ProtocolError` stands above the division; the owner
+of the connection says who sent them. Ways in which a connection ends are no errors: see
+`close_reason`.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -1,7 +1,8 @@
 """The clients' side: the listening socket, the sessions on it, and the look at all of them.
 
 Accepts clients as long as there is a place and a descriptor for them, holds requests back until the
-limiter is ready, and every quarter of a second ends sessions that are overdue or hold too much memory.
+limiter is ready, and every quarter of a second ends sessions that are overdue or hold too much
+memory.
 """
 
 from __future__ import annotations
@@ -49,8 +50,8 @@
         request_limits: What the settings allow a request to say; replaced with the settings.
         sessions: The clients' connections.
         address: Where it listens.
-        close_idlest_endpoint_connection: Frees a descriptor, if a connection to an endpoint is idle;
-            says whether one was.
+        close_idlest_endpoint_connection: Frees a descriptor, if a connection to an endpoint is
+            idle; says whether one was.
     """
 
     def __init__(
@@ -76,7 +77,8 @@
         scheduler.at(scheduler.clock() + LOOK_INTERVAL_S, self._look_at_sessions)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # A new version is started beside this one, and listens at the same address before it leaves.
+        # A new version is started beside this one, and listens at the same address before it
+        # leaves.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.setblocking(False)
         self._sock.bind(limits.listen)
@@ -193,7 +195,8 @@
     def stop_listening(self) -> None:
         """Accepts what waits in the listening socket's queue, then closes the socket.
 
-        Closed with the queue, those connections would be reset, though the system had accepted them.
+        Closed with the queue, those connections would be reset, though the system had accepted
+        them.
         """
         while len(self.sessions.sessions) < self.sessions.max_sessions + MAX_ACCEPTS_PER_TURN:
             try:
--- a/hazelhollow/net/fruitless_limit.py
+++ b/hazelhollow/net/fruitless_limit.py
@@ -1,8 +1,8 @@
 """A token bucket for commands that come to nothing, one for each client's connection.
 
-A client that asks again at once, however often it is rejected, must not take more than its share of the
-processor. Rejections, errors and commands that ask for no work each take a token; a connection that has
-none left is not read until it has one again.
+A client that asks again at once, however often it is rejected, must not take more than its share of
+the processor. Rejections, errors and commands that ask for no work each take a token; a connection
+that has none left is not read until it has one again.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/gc_pauses.py
+++ b/hazelhollow/net/gc_pauses.py
@@ -13,7 +13,8 @@
 # More objects allocated than freed, after which the youngest generation is collected.
 YOUNG_THRESHOLD = 500
 MIDDLE_THRESHOLD = 8  # passes of the youngest, after which the middle generation is collected too
-# Passes of the middle one, after which everything since the start is: later than a limiter ever gets.
+# Passes of the middle one, after which everything since the start is: later than a limiter ever
+# gets.
 OLD_THRESHOLD = 10_000
 
 
--- a/hazelhollow/net/graceful_shutdown.py
+++ b/hazelhollow/net/graceful_shutdown.py
@@ -12,24 +12,26 @@
 
 Step by step, for a request that is in flight when SIGTERM comes:
 
-1. ANNOUNCED, from 0.0 s (`BETWEEN_REQUESTS_AFTER_S`): nothing changes for it or for its attempts, and
-   retries go on. `call check` at the operator address says `error not ready yet` from now on. Clients
-   may come for up to 0.4 s more, as the platform's balancers learn late that the limiter leaves.
-2. DRAINING, from 0.5 s (`STOP_ACCEPTING_AFTER_S` ends it): `Frontend.finish` marks every connection to
-   be closed between requests. One without an open request is closed now; one with requests in flight
-   once the last of them is answered. Its client reads its answers and then the end of the stream.
-   A client that has just connected has 0.25 s for its first command (`session.FIRST_COMMAND_GRACE_S`).
-3. CLOSING, from 0.7 s: the listening socket is closed. What waited in its queue is accepted once more
-   and gets 0.25 s for a first command; else it would be reset. Of open connections no further command
-   is read. Requests in flight go on: their attempts, retries and deadlines are as ever.
-4. Each request ends with its answer, at the latest at its own deadline, when its attempts are aborted
-   and the engine or `engine_driver` answers for it. A connection that is done has its sending side
-   closed and waits up to 1 s (`session.LINGER_S`) for the client to close too, so that the last answer
-   is not lost to a reset.
-5. STOPPED: all clients' connections are closed, or the longest deadline of any class and LINGER_S have
-   passed since 0.7 s. Only then do attached subsystems end and the connections to endpoints close;
-   attempts that are still out then were answered for, or their client did not take its answer. The
-   scheduler stops, the counters are printed, the exit status is 0.
+1. ANNOUNCED, from 0.0 s (`BETWEEN_REQUESTS_AFTER_S`): nothing changes for it or for its attempts,
+   and retries go on. `call check` at the operator address says `error not ready yet` from now on.
+   Clients may come for up to 0.4 s more, as the platform's balancers learn late that the limiter
+   leaves.
+2. DRAINING, from 0.5 s (`STOP_ACCEPTING_AFTER_S` ends it): `Frontend.finish` marks every connection
+   to be closed between requests. One without an open request is closed now; one with requests in
+   flight once the last of them is answered. Its client reads its answers and then the end of the
+   stream. A client that has just connected has 0.25 s for its first command
+   (`session.FIRST_COMMAND_GRACE_S`).
+3. CLOSING, from 0.7 s: the listening socket is closed. What waited in its queue is accepted once
+   more and gets 0.25 s for a first command; else it would be reset. Of open connections no further
+   command is read. Requests in flight go on: their attempts, retries and deadlines are as ever.
+4. Each request ends with its answer, at the latest at its own deadline, when its attempts are
+   aborted and the engine or `engine_driver` answers for it. A connection that is done has its
+   sending side closed and waits up to 1 s (`session.LINGER_S`) for the client to close too, so that
+   the last answer is not lost to a reset.
+5. STOPPED: all clients' connections are closed, or the longest deadline of any class and LINGER_S
+   have passed since 0.7 s. Only then do attached subsystems end and the connections to endpoints
+   close; attempts that are still out then were answered for, or their client did not take its
+   answer. The scheduler stops, the counters are printed, the exit status is 0.
 
 A second signal changes nothing. Requests are never cut short by the shutdown itself.
 """
--- a/hazelhollow/net/http1.py
+++ b/hazelhollow/net/http1.py
@@ -1,4 +1,4 @@
-"""The little of HTTP/1.1 that discovery needs: a request line out, whole answers in, no socket."""
+"""The little of HTTP/1.1 that discovery needs: a request out, complete responses in. No socket."""
 
 from __future__ import annotations
 
@@ -10,11 +10,18 @@
 
 
 def get(target: str, host: str) -> bytes:
+    """A GET request, encoded."""
     return f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
 
 class Response:
-    """One whole answer."""
+    """One complete response.
+
+    Attributes:
+        status: Of its first line.
+        body: Without its framing.
+        keep_alive: Whether another request may be sent on the connection.
+    """
 
     __slots__ = ("status", "body", "keep_alive")
 
@@ -23,9 +30,9 @@
 
 
 class Parser:
-    """Fed bytes as they come; gives whole answers.
+    """Fed bytes as they come; returns complete responses.
 
-    Bodies by length, in chunks, or up to the end of the connection.
+    Reads bodies with a length, in chunks, or up to the end of the connection.
     """
 
     def __init__(self) -> None:
@@ -33,55 +40,69 @@
         self._restart()
 
     def _restart(self) -> None:
-        self._status = 0  # 0: the head is yet to come
+        self._status = 0  # 0 while the head has not come
         self._keep_alive = True
-        # bytes of the body, or of this chunk, to come; -1: a chunk's size comes next
+        # Bytes of the body, or of this chunk, still to come; -1: a chunk's size comes next.
         self._left = -1
-        self._chunked = self._endless = False
-        self._trailer = False
+        self._chunked = self._until_close = False
+        self._in_trailer = False
         self._body = bytearray()
 
     def feed(self, data: bytes) -> None:
+        """Takes bytes.
+
+        Raises:
+            ProtocolError: Too much waits to be parsed.
+        """
         try:
             self.ring.write(data)
         except RingBufferFullError:
             raise ProtocolError("too much at once") from None
 
     def next(self) -> Response | None:
+        """The next response, if it is complete.
+
+        Raises:
+            ProtocolError: It is not HTTP/1.1, or too large; the parser is of no use then.
+        """
         while not self._status:
-            if not self._head():
+            if not self._read_head():
                 return None
-            if 100 <= self._status < 200:  # news of the answer, which is still to come
+            if 100 <= self._status < 200:  # informational: the response is still to come
                 self._restart()
-        if self._endless or not (self._chunks() if self._chunked else self._plain()):
+        if self._until_close or not (
+            self._read_chunks() if self._chunked else self._read_sized_body()
+        ):
             return None
-        return self._whole()
+        return self._finish()
 
     def end(self) -> Response | None:
-        """The other side has ended the connection in good order.
+        """The other side has closed the connection: the response that ends with it, if any.
+
+        Not to be called after a reset: what came before that may be incomplete.
 
-        The answer that ends with it, if there is one. A reset is no end, and what came before it is
-        no answer.
+        Raises:
+            ProtocolError: The body is too large.
         """
-        if not self._endless:
+        if not self._until_close:
             return None
         self._body += self.ring.take(len(self.ring))
         if len(self._body) > MAX_BODY_BYTES:
             raise ProtocolError("too large a body")
-        return self._whole()
+        return self._finish()
 
-    def _whole(self) -> Response:
-        answer = Response(self._status, bytes(self._body), self._keep_alive)
+    def _finish(self) -> Response:
+        response = Response(self._status, bytes(self._body), self._keep_alive)
         self._restart()
-        return answer
+        return response
 
-    def _line(self) -> bytes | None:
+    def _take_line(self) -> bytes | None:
         at = self.ring.find(b"\r\n")
         if at > MAX_HEAD_BYTES or (at < 0 and len(self.ring) > MAX_HEAD_BYTES):
             raise ProtocolError("too long a line")
         return self.ring.take(at + 2)[:-2] if at >= 0 else None
 
-    def _head(self) -> bool:
+    def _read_head(self) -> bool:
         at = self.ring.find(b"\r\n\r\n")
         if at > MAX_HEAD_BYTES or (at < 0 and len(self.ring) > MAX_HEAD_BYTES):
             raise ProtocolError("too long a head")
@@ -104,21 +125,21 @@
         )
         self._chunked = fields.get(b"transfer-encoding", b"").lower() == b"chunked"
         bodiless = self._status < 200 or self._status in (204, 304)
-        self._endless = not (self._chunked or bodiless or b"content-length" in fields)
-        self._keep_alive = self._keep_alive and not self._endless
+        self._until_close = not (self._chunked or bodiless or b"content-length" in fields)
+        self._keep_alive = self._keep_alive and not self._until_close
         length = fields.get(b"content-length", b"0")
         if not length.isdigit() or int(length) > MAX_BODY_BYTES:
             raise ProtocolError("a length out of range")
         self._left = -1 if self._chunked else int(length)
         return True
 
-    def _plain(self) -> bool:
+    def _read_sized_body(self) -> bool:
         if len(self.ring) < self._left:
             return False
         self._body += self.ring.take(self._left)
         return True
 
-    def _chunks(self) -> bool:
+    def _read_chunks(self) -> bool:
         while True:
             if self._left >= 0:
                 if len(self.ring) < self._left + 2:
@@ -128,10 +149,10 @@
                     raise ProtocolError("too large a body")
                 self._left = -1
                 continue
-            line = self._line()
+            line = self._take_line()
             if line is None:
                 return False
-            if self._trailer:
+            if self._in_trailer:
                 if not line:
                     return True
                 continue
@@ -141,4 +162,4 @@
                 raise ProtocolError("not a chunk's size") from None
             if not 0 <= size <= MAX_BODY_BYTES:
                 raise ProtocolError("a length out of range")
-            self._left, self._trailer = (size, False) if size else (-1, True)
+            self._left, self._in_trailer = (size, False) if size else (-1, True)
--- a/hazelhollow/net/lifecycle.py
+++ b/hazelhollow/net/lifecycle.py
@@ -1,8 +1,8 @@
 """The limiter's process: its start, its signals, its end.
 
-`serve` is what the command line calls. It builds the parts (`service.Service`), takes over the signals
-that `early_signals` has held since the first line of the program, runs the scheduler, and returns when
-`graceful_shutdown` has stopped it.
+`serve` is what the command line calls. It builds the parts (`service.Service`), takes over the
+signals that `early_signals` has held since the first line of the program, runs the scheduler, and
+returns when `graceful_shutdown` has stopped it.
 
 | signal | effect |
 | --- | --- |
@@ -44,8 +44,8 @@
         reread: Reads it again, for SIGHUP; raises PlatformConfigError.
         attachment: What an operator file adds.
         counters_interval: Seconds between prints of the counters, at whole multiples of that on the
-            clock, so that the lines of several limiters belong together. None prints them on SIGUSR1
-            and at the end only.
+            clock, so that the lines of several limiters belong together. None prints them on
+            SIGUSR1 and at the end only.
 
     Raises:
         OSError: An address that the configuration names cannot be listened at.
--- a/hazelhollow/net/open_request.py
+++ b/hazelhollow/net/open_request.py
@@ -4,21 +4,23 @@
 
 | state | `answered` | attempts out | left by |
 | --- | --- | --- | --- |
-| SUBMITTED | no | none | the engine rejects or fails it: ENDED. It starts an attempt: IN_FLIGHT |
+| SUBMITTED | no | none | a rejection or failure: ENDED. A started attempt: IN_FLIGHT |
 | IN_FLIGHT | no | one or more | a good answer, a rejection or a failure: ANSWERED |
-| WAITING | no | none | the engine retries: IN_FLIGHT. It rejects or fails it: ENDED |
+| WAITING | no | none | a retry: IN_FLIGHT. A rejection or failure: ENDED |
 | ANSWERED | yes | one or more | the last attempt ends or is cancelled: ENDED |
 | ENDED | yes | none | the record is dropped |
 
 An attempt that ends without a good answer takes IN_FLIGHT to WAITING if it was the last one out. In
 every state but ENDED two more events count:
 
-- the client disconnects: `answered` is set, attempts that have not gone out completely are withdrawn;
-- the deadline passes: all attempts are aborted, and a request that the engine then leaves without an
-  answer gets an error.
+- the client disconnects: `answered` is set, attempts that have not gone out completely are
+  withdrawn;
+- the deadline passes: all attempts are aborted, and a request that the engine then leaves without
+  an answer gets an error.
 
-The states are not stored, they follow from `answered` and `attempts_out`; `engine_driver.EngineDriver`
-makes every transition. `answered` is set once: that is the rule of exactly one final answer.
+The states are not stored, they follow from `answered` and `attempts_out`;
+`engine_driver.EngineDriver` makes every transition. `answered` is set once: that is the rule of
+exactly one final answer.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/operator_address.py
+++ b/hazelhollow/net/operator_address.py
@@ -1,7 +1,7 @@
 """The operator address: one call a connection, answered at once or given up within a bound.
 
-A connection that brings no whole call, or does not take its answer, is closed within a second, so that
-it cannot keep others out. The states of a connection:
+A connection that brings no whole call, or does not take its answer, is closed within a second, so
+that it cannot keep others out. The states of a connection:
 
 | state | left by |
 | --- | --- |
--- a/hazelhollow/net/override_file.py
+++ b/hazelhollow/net/override_file.py
@@ -1,9 +1,9 @@
 """The file of administrative overrides: which endpoints an operator has disabled.
 
-It lies in `$TMPDIR`, so that a restart, or a new version started beside this process, keeps them. It
-is written completely and then put in place, so that a reader meets the old or the new file, never a
-part. A file that cannot be read, or is of another format or version, changes nothing: the limiter logs
-that once and goes on with the overrides that it has.
+It lies in `$TMPDIR`, so that a restart, or a new version started beside this process, keeps them.
+It is written completely and then put in place, so that a reader meets the old or the new file,
+never a part. A file that cannot be read, or is of another format or version, changes nothing: the
+limiter logs that once and goes on with the overrides that it has.
 
 The form is `{"format": "hazelhollow-bans", "version": 1, "down": [NAME, ...]}`.
 """
--- a/hazelhollow/net/peer_socket.py
+++ b/hazelhollow/net/peer_socket.py
@@ -26,8 +26,8 @@
     Attributes:
         address: Where it listens.
         on_message: Gets each datagram of a peer: the peer's number and the text.
-        on_unknown_sender: Gets the text and the address of a datagram that no peer sent; says whether
-            it was meant for this limiter.
+        on_unknown_sender: Gets the text and the address of a datagram that no peer sent; says
+            whether it was meant for this limiter.
         on_sent: Gets the text of each datagram that has left.
     """
 
--- a/hazelhollow/net/pooled_connection.py
+++ b/hazelhollow/net/pooled_connection.py
@@ -10,12 +10,12 @@
 | IDLE | no | no | a new attempt: BUSY. Idle too long, or its place is needed: CLOSED |
 | CLOSED | no | no | |
 
-In any state it is CLOSED when its endpoint is listed no more and nothing of a request has been sent.
-The states are not stored, they follow from the fields below; `connection_pool.ConnectionPool` makes
-every transition, and `ConnectionPool.close_connection` is the only way to CLOSED.
+In any state it is CLOSED when its endpoint is listed no more and nothing of a request has been
+sent. The states are not stored, they follow from the fields below; `connection_pool.ConnectionPool`
+makes every transition, and `ConnectionPool.close_connection` is the only way to CLOSED.
 
-SETTLING exists because an endpoint's second copy of an answer may still be on its way when the first
-has been read: a request sent at once would take it for its own answer.
+SETTLING exists because an endpoint's second copy of an answer may still be on its way when the
+first has been read: a request sent at once would take it for its own answer.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -1,7 +1,7 @@
 """A request as a client words it: reading it, and wording it again for an endpoint.
 
-`Q.ASK CUSTOMER ID FIELDS` for classes that are safe to repeat, `Q.DO CUSTOMER ID FIELDS BODY` for all
-others. FIELDS is a list of `name=value` with commas between them:
+`Q.ASK CUSTOMER ID FIELDS` for classes that are safe to repeat, `Q.DO CUSTOMER ID FIELDS BODY` for
+all others. FIELDS is a list of `name=value` with commas between them:
 
 | field | meaning | term in the code |
 | --- | --- | --- |
--- a/hazelhollow/net/scheduler.py
+++ b/hazelhollow/net/scheduler.py
@@ -3,8 +3,8 @@
 A task is a greenlet that waits for a descriptor, for a time or to be woken. Everything runs on one
 thread, so tasks share state without locks and yield only in `wait` and `sleep`.
 
-One turn: timers that are due, tasks that are ready, calls for the end of the turn, one poll, and the
-tasks that the poll made ready. An error in a task or timer is logged and ends that one alone.
+One turn: timers that are due, tasks that are ready, calls for the end of the turn, one poll, and
+the tasks that the poll made ready. An error in a task or timer is logged and ends that one alone.
 """
 
 from __future__ import annotations
@@ -47,6 +47,7 @@
         self._offset = wall() - monotonic()
 
     def __call__(self) -> float:
+        """Now."""
         return self._offset + self._monotonic()
 
 
@@ -126,7 +127,7 @@
         return task
 
     def spawn_supervised(self, run: Callable[[], object], name: str) -> Task:
-        """Starts a task that the limiter needs as long as it serves: after an error it runs anew."""
+        """Starts a task that the limiter needs while it serves: after an error it runs anew."""
         return self.spawn(self._supervise, run, name, name=name)
 
     def _supervise(self, run: Callable[[], object], name: str) -> None:
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -1,12 +1,12 @@
 """One limiter, put together from its parts.
 
-`Service` creates the parts in order, connects them and starts their tasks; it has no rule of its own.
-Who does what:
+`Service` creates the parts in order, connects them and starts their tasks; it has no rule of its
+own. Who does what:
 
 | attribute | part | its task |
 | --- | --- | --- |
 | `frontend` | `frontend.Frontend` | clients' connections, on the address of the configuration |
-| `engine_driver` | `engine_driver.EngineDriver` | open requests; the decision engine's events and actions |
+| `engine_driver` | `engine_driver.EngineDriver` | open requests, the engine's events and actions |
 | `engine` | `decisions.engine.DecisionEngine` | every decision |
 | `pool` | `connection_pool.ConnectionPool` | connections to endpoints and the attempts on them |
 | `endpoint_list`, `discovery_watch` | the modules of these names | which endpoints there are |
@@ -47,8 +47,9 @@
 MIN_USABLE_DESCRIPTORS = 16
 ENDPOINTS_DESCRIPTOR_SHARE = (2, 5)  # of the usable descriptors: for connections to endpoints
 CLIENTS_DESCRIPTOR_SHARE = (3, 5)  # for clients' connections
-# Part of all descriptors for clients' connections that have brought a command. Many clients ask once
-# and keep their connection for good: past this the idlest are closed, or new clients would find none.
+# Part of all descriptors for clients' connections that have brought a command. Many clients ask
+# once and keep their connection for good: past this the idlest are closed, or new clients would
+# find none.
 USED_SESSIONS_SHARE = 0.25
 MIN_USED_SESSIONS = 4
 CLIENT_MEMORY_SHARE = 0.25  # of the memory limit: what clients' connections may hold together
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -2,18 +2,18 @@
 
 | state | fields | reads commands | left by |
 | --- | --- | --- | --- |
-| OPEN | | yes | `finish`: FINISHING. A malformed command: REJECTED. The client closes: CLOSED |
+| OPEN | | yes | `finish`: FINISHING. Malformed bytes: REJECTED. Client closes: CLOSED |
 | FINISHING | `finishing` | while `taking_commands` | nothing is open on it any more: LINGERING |
 | REJECTED | `reader.stopped` | no | the error behind the last answer was sent: LINGERING |
-| LINGERING | `_lingering_for` | no, what comes is dropped | the client closes, 1 s or 1 MiB: CLOSED |
+| LINGERING | `_lingering_for` | no: dropped | the client closes, 1 s or 1 MiB pass: CLOSED |
 | CLOSED | the stream's close reason | no | |
 
-From OPEN it also ends if it is idle or a command does not come to its end (LINGERING), or if its client
-does not take its answers (CLOSED). LINGERING exists because closing over unread bytes, or while some
-are on their way, resets the connection, and the client would lose its last answer.
+From OPEN it also ends if it is idle or a command does not come to its end (LINGERING), or if its
+client does not take its answers (CLOSED). LINGERING exists because closing over unread bytes, or
+while some are on their way, resets the connection, and the client would lose its last answer.
 
-Its task runs `run`; `frontend` looks at it every quarter of a second (`overdue`); `command_reader` reads
-its commands and `answer_slot` holds its answers.
+Its task runs `run`; `frontend` looks at it every quarter of a second (`overdue`); `command_reader`
+reads its commands and `answer_slot` holds its answers.
 """
 
 from __future__ import annotations
@@ -87,8 +87,8 @@
     def end(self, reason: CloseReason) -> None:
         """The only place in which a client's connection ends.
 
-        Where nothing more is owed only the sending side is closed, and the session's own task reads on
-        until the client closes too. Else the socket is closed, and open requests are given up.
+        Where nothing more is owed only the sending side is closed, and the session's own task reads
+        on until the client closes too. Else the socket is closed, and open requests are given up.
         """
         if self._lingering_for:
             return
@@ -132,7 +132,7 @@
         self._stream.wake()
 
     def overdue(self, now: float) -> CloseReason | None:
-        """Why it has to go, if it has: a slow or silent client must not keep others from a place."""
+        """Why it has to go, if it has: a slow or silent client must keep no place from others."""
         if self._stream.send_buffer:
             if self._progress[0] != self._stream.bytes_sent or not self._progress[1]:
                 self._progress = self._stream.bytes_sent, now
--- a/hazelhollow/net/settings_reload.py
+++ b/hazelhollow/net/settings_reload.py
@@ -2,15 +2,15 @@
 
 New settings come from two sources:
 
-- SIGHUP: `reload` reads the platform's configuration file again. It takes its settings, its timeouts
-  towards endpoints and the address of discovery. Listening addresses, limits of memory and sockets
-  and the file's list of endpoints change with a restart only.
+- SIGHUP: `reload` reads the platform's configuration file again. It takes its settings, its
+  timeouts towards endpoints and the address of discovery. Listening addresses, limits of memory and
+  sockets and the file's list of endpoints change with a restart only.
 - a peer, where an operator file distributes settings: `check` and `apply` take a settings document.
 
 Settings that cannot be read, or that a running limiter cannot take, change nothing: those in force
 stay in force as a whole. For SIGHUP this module logs `the configuration stays as it was: WHY` and
-counts `reload_failure` (the figures of the operator address); for a peer's settings the text goes back
-to the caller. Open requests keep the class and the attempts that they came with.
+counts `reload_failure` (the figures of the operator address); for a peer's settings the text goes
+back to the caller. Open requests keep the class and the attempts that they came with.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/stats.py
+++ b/hazelhollow/net/stats.py
@@ -1,6 +1,7 @@
-"""Counters: what the limiter takes in, sends and answers.
+"""The counters: what the limiter takes in, sends and answers, since the start of the process.
 
-Plain numbers, printed on request and at exit.
+They are printed on SIGUSR1, by `serve --counters`, to a client's INFO and at the end. The names of
+the attributes are the names in that output, which the operators' pages fix.
 """
 
 from __future__ import annotations
@@ -14,31 +15,55 @@
 
 
 class Stats:
+    """One limiter's counters. Their order here is their order in the output."""
+
     def __init__(self) -> None:
-        self.at = 0.0  # Unix time in seconds of a line that is printed again and again
-        self.accepted = self.commands = self.malformed = self.bad = self.relieved = 0  # client side
-        self.requests = self.served = self.refused = self.failed = self.clients_gone = 0
-        self.refusals: Counter[str] = Counter()  # by the module's reason
-        self.rescued = 0  # requests answered here because the module had not
-        self.attempts = self.reused = self.opened = self.no_descriptor = 0  # backend hosts
-        self.ok_seconds = 0.0  # that attempts which served took, together
-        # answers with true units, and with figures that cannot be true
-        self.settled = self.figures_bad = 0
+        self.at = 0.0  # Unix time in seconds, of a line of `--counters`
+        # Clients' connections
+        self.accepted = 0
+        self.commands = 0
+        self.malformed = 0  # connections that sent what is not of the protocol
+        self.bad = 0  # requests that the settings do not allow
+        self.relieved = 0  # connections closed because all together held too much memory
+        # Requests
+        self.requests = 0
+        self.served = 0
+        self.refused = 0
+        self.failed = 0
+        self.clients_gone = 0
+        self.refusals: Counter[str] = Counter()  # by the engine's reason
+        self.rescued = 0  # answered with an error because the engine had not answered
+        # Attempts
+        self.attempts = 0
+        self.reused = 0  # on a connection that was open
+        self.opened = 0  # on a new connection
+        self.no_descriptor = 0
+        self.ok_seconds = 0.0  # that successful attempts took together
+        self.settled = 0  # answers with the units that were used
+        self.figures_bad = 0  # answers with figures that cannot be true
         self.outcomes: Counter[str] = Counter()
         self.endings: Counter[CloseReason] = Counter()
-        self.tables = self.watches_lost = 0  # routing
-        self.told = self.heard = self.junk = self.untold = 0  # peers
-        self.errors = 0
+        # Discovery
+        self.tables = 0  # lists and changes heard
+        self.watches_lost = 0
+        # Datagrams between limiters
+        self.told = 0  # sent
+        self.heard = 0
+        self.junk = 0  # from no peer, or not text
+        self.untold = 0  # that could not be sent
+        self.errors = 0  # of the decision engine
+        # Figures of the operator address
         self.replies: dict[str, Counter[str]] = {}  # by class: success, overload, error
-        self.dispatches = 0  # attempts written whole to backend hosts
-        self.reload_success = self.reload_failure = 0
+        self.dispatches = 0  # attempts whose request went out completely
+        self.reload_success = 0
+        self.reload_failure = 0
         self.operator_calls: Counter[str] = Counter()
         self.operator_endings: Counter[CloseReason] = Counter()
-        self.view: Counter[str] = Counter()  # the fleet's, where an operator file switches it on
-        self.replica: Counter[str] = Counter()
-        self.control: dict[str, Any] = {}  # the budget's, by role, where an operator file sets one
-        # the shared store, where an operator file has one
-        self.store: dict[str, dict[str, Any]] = {}
+        # What an operator file switches on
+        self.view: Counter[str] = Counter()  # membership
+        self.replica: Counter[str] = Counter()  # replication
+        self.control: dict[str, Any] = {}  # the control budget, by role
+        self.store: dict[str, dict[str, Any]] = {}  # the shared store
 
     def reply(self, kind: str, what: str) -> None:
         """A final answer to a request of that class: `success`, `overload` or `error`."""
@@ -48,6 +73,7 @@
         counts[what] += 1
 
     def to_json(self) -> str:
+        """All counters as one line; close reasons in lower case."""
         values: dict[str, Any] = {}
         for name, value in vars(self).items():
             if name == "control" and not value:
--- a/hazelhollow/net/stream.py
+++ b/hazelhollow/net/stream.py
@@ -1,7 +1,7 @@
 """A TCP socket with a send buffer. It reads, it writes, and it knows no protocol.
 
-A `Stream` is used by one task at a time, which blocks in `wait`, `connect` and `discard_until_closed`.
-Failures are returned as a `CloseReason`, never raised.
+A `Stream` is used by one task at a time, which blocks in `wait`, `connect` and
+`discard_until_closed`. Failures are returned as a `CloseReason`, never raised.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     address: tuple[str, int],
     max_unsent: int,
     timeout: float,
-    on_created: Callable[[Stream], None] = lambda stream: None,
+    on_created: Callable[[Stream], None] = lambda _stream: None,
 ) -> Stream | CloseReason:
     """Opens a connection; blocks the current task until it is up or has failed.
 
@@ -68,8 +68,8 @@
 ) -> Iterator[socket.socket]:
     """Connections as they come to a listening socket; blocks the current task.
 
-    With no descriptor left it waits `pause` seconds: poll would say at once that a connection waits,
-    and the loop would take the processor from everything else.
+    With no descriptor left it waits `pause` seconds: poll would say at once that a connection
+    waits, and the loop would take the processor from everything else.
     """
     while True:
         scheduler.wait(listener.fileno(), READABLE)
@@ -163,7 +163,8 @@
         """Blocks the current task until it is woken, and takes the socket out of poll's list.
 
         Every poll costs CPU for each descriptor in its list, and most connections to endpoints are
-        idle. That the other side has closed one shows by `is_open_and_quiet` before it is used again.
+        idle. That the other side has closed one shows by `is_open_and_quiet` before it is used
+        again.
         """
         self._task = self.scheduler.current()
         self.scheduler.unregister(self._fd)
--- a/hazelhollow/net/tls.py
+++ b/hazelhollow/net/tls.py
@@ -1,19 +1,27 @@
-"""TLS as a layer that is fed bytes.
+"""TLS as a layer that is fed bytes: `ssl.MemoryBIO` in both directions, no socket.
 
-`ssl.MemoryBIO` either way, no socket (RFC 8446; the `ssl` module's documentation).
-
-Not imported where no operator file asks for it.
+Used for the shared store, if an operator file asks for it; not imported otherwise.
 """
 
 from __future__ import annotations
 
 import ssl
 
-CHUNK = 64 * 1024
+READ_CHUNK_BYTES = 64 * 1024
 
 
 def client_context(ca_file: str, cert_file: str = "", key_file: str = "") -> ssl.SSLContext:
-    """Reads the files anew each time. Raises `OSError` or `ssl.SSLError`, with the reason."""
+    """The context of a client that checks the server's certificate. Reads the files each time.
+
+    Args:
+        ca_file: Certificates of the authorities that are trusted.
+        cert_file: The client's own certificate, if it has one.
+        key_file: Its key, if that is not in `cert_file`.
+
+    Raises:
+        OSError: A file cannot be read.
+        ssl.SSLError: A file is no certificate or key.
+    """
     made = ssl.create_default_context(ssl.Purpose.SERVER_AUTH, cafile=ca_file)
     made.minimum_version = ssl.TLSVersion.TLSv1_2
     if cert_file:
@@ -22,7 +30,12 @@
 
 
 def server_context(cert_file: str, key_file: str = "") -> ssl.SSLContext:
-    """Raises `OSError` or `ssl.SSLError`, with the reason."""
+    """The context of a server with that certificate.
+
+    Raises:
+        OSError: A file cannot be read.
+        ssl.SSLError: A file is no certificate or key.
+    """
     made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     made.minimum_version = ssl.TLSVersion.TLSv1_2
     made.load_cert_chain(cert_file, key_file or None)
@@ -30,7 +43,7 @@
 
 
 class Layer:
-    """Between plain bytes and the socket's. A server's side names no server."""
+    """Stands between plain bytes and the bytes on a socket; for a server without `server_name`."""
 
     def __init__(self, made: ssl.SSLContext, server_name: str = "") -> None:
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
@@ -38,34 +51,35 @@
         self._tls = made.wrap_bio(
             self._in, self._out, server_side=side, server_hostname=server_name or None
         )
-        self._shaken = False
-        self._held = bytearray()  # plain bytes that wait for the handshake
+        self._handshake_done = False
+        self._waiting = bytearray()  # plain bytes that wait for the handshake
 
     def begin(self) -> bytes:
         """The first bytes for the other side."""
-        self._shake()
+        self._continue_handshake()
         return self._out.read()
 
     def write(self, plain: bytes) -> bytes:
         """What goes to the other side now; plain bytes wait until the handshake is done."""
-        self._held += plain
-        if self._shaken and self._held:
-            self._tls.write(bytes(self._held))
-            self._held.clear()
+        self._waiting += plain
+        if self._handshake_done and self._waiting:
+            self._tls.write(bytes(self._waiting))
+            self._waiting.clear()
         return self._out.read()
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Bytes from the other side: the plain ones they hold, and what is to be sent in turn.
+        """Takes bytes from the other side; gives the plain ones in them, and bytes to be sent.
 
-        Raises `ssl.SSLError`.
+        Raises:
+            ssl.SSLError: The handshake failed, or what came is not TLS.
         """
         self._in.write(data)
-        if not self._shaken:
-            self._shake()
+        if not self._handshake_done:
+            self._continue_handshake()
         plain = bytearray()
-        while self._shaken:
+        while self._handshake_done:
             try:
-                part = self._tls.read(CHUNK)
+                part = self._tls.read(READ_CHUNK_BYTES)
             except ssl.SSLWantReadError:
                 break
             if not part:
@@ -73,9 +87,9 @@
             plain += part
         return bytes(plain), self.write(b"")
 
-    def _shake(self) -> None:
+    def _continue_handshake(self) -> None:
         try:
             self._tls.do_handshake()
-            self._shaken = True
+            self._handshake_done = True
         except ssl.SSLWantReadError:
             pass
--- a/hazelhollow/platform_config.py
+++ b/hazelhollow/platform_config.py
@@ -1,4 +1,15 @@
-"""What a limiter is told at its start: the RELAY_ variables and the JSON file that they name."""
+"""The platform's configuration: the RELAY_ variables and the JSON file that RELAY_CONFIG names.
+
+Read at the start, and again by a running limiter on SIGHUP (`net.settings_reload`). What goes
+beyond the platform is in an operator file, see `hazelhollow.operator`; the package
+`hazelhollow.configuration` distributes settings between limiters and has nothing to do with this
+file.
+
+| variable | in its place without it |
+| --- | --- |
+| `RELAY_CONFIG` | needed: the path of the file |
+| `RELAY_NAME`, `RELAY_LISTEN`, `RELAY_DISCOVERY`, `RELAY_OPERATOR` | the file's key of that name |
+"""
 
 from __future__ import annotations
 
@@ -13,14 +24,37 @@
 from hazelhollow.simulator import wire
 
 Address = tuple[str, int]
+VARIABLES = ("name", "listen", "discovery", "operator")  # RELAY_NAME and so on
+VARIABLES_AGAIN = ("name", "listen", "operator")
 
 
 class PlatformConfigError(Exception):
-    """The configuration cannot be used; its text is one plain line that says why."""
+    """The configuration cannot be used; the text is one plain line that says why and where."""
 
 
 @dataclass(frozen=True)
 class PlatformConfig:
+    """What the platform tells one limiter.
+
+    Attributes:
+        name: Of this limiter; names the file of its administrative overrides.
+        listen: Where clients connect; port 0 lets the system pick one.
+        discovery: Where discovery's agent is.
+        seed: Of every random number that the limiter draws.
+        settings: For the decision engine.
+        peer_listen: Where datagrams from other limiters come in; None where there are none.
+        peers: The addresses of all limiters in the order of their numbers.
+        counter: An address that the platform may give and that this limiter does not use.
+        operator: The operator address; None for none.
+        known: The endpoint list as the platform knew it, in discovery's form.
+        memory_mb: Memory that the process may use, in MiB.
+        sockets: Descriptors that it may use.
+        connect_timeout: Seconds in which a connection to an endpoint has to come up.
+        conn_idle: Seconds after which an endpoint closes an idle connection.
+        max_open: Requests at once; more are rejected.
+        document: The settings as the file has them.
+    """
+
     name: str
     listen: Address
     discovery: Address
@@ -29,21 +63,26 @@
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     counter: Address | None = None
-    operator: Address | None = None  # the operator address
+    operator: Address | None = None
     known: Mapping[str, Any] | None = None
     memory_mb: int = 192
     sockets: int = 1024
     connect_timeout: float = 0.25
     conn_idle: float = 30.0
     max_open: int = 20_000
-    document: Mapping[str, Any] = field(default_factory=dict)  # the settings as they were told
+    document: Mapping[str, Any] = field(default_factory=dict)
 
 
 def load(environment: Mapping[str, str], again: bool = False) -> PlatformConfig:
-    """The file, with the variables before what it says of the same.
+    """Reads the file; a variable wins over the file's key of the same name.
+
+    Args:
+        environment: The process's variables.
+        again: Whether a running limiter reads it again. Then the file is newer than the variables,
+            and it alone says where discovery is.
 
-    Read `again` by a running limiter, the file is newer than the variables: where discovery is now,
-    it says alone.
+    Raises:
+        PlatformConfigError: The file cannot be read or used.
     """
     path = environment.get("RELAY_CONFIG")
     if not path:
@@ -56,18 +95,16 @@
         raise PlatformConfigError(f"{path}: {error}") from None
     if not isinstance(document, dict):
         raise PlatformConfigError(f"{path}: not a JSON object")
-    for key in (
-        ("name", "listen", "operator") if again else ("name", "listen", "discovery", "operator")
-    ):
+    for key in VARIABLES_AGAIN if again else VARIABLES:
         if f"RELAY_{key.upper()}" in environment:
             document[key] = environment[f"RELAY_{key.upper()}"]
     try:
-        return _config(wire.Fields("config", document))
+        return _read(wire.Fields("config", document))
     except (wire.WireError, ValueError) as error:
         raise PlatformConfigError(f"{path}: {error}") from None
 
 
-def _config(fields: wire.Fields) -> PlatformConfig:
+def _read(fields: wire.Fields) -> PlatformConfig:
     settings, limits = fields.part("settings", needed=True), fields.part("limits")
     policy = settings.part("policy_limits")
     return PlatformConfig(
@@ -76,10 +113,10 @@
         discovery=parse_address(fields.text("discovery")),
         seed=int(fields.text("seed", "0"), 16),
         settings=wire.parse_settings(settings),
-        peer_listen=_optional(fields.text("peer_listen", "")),
+        peer_listen=_parse_optional(fields.text("peer_listen", "")),
         peers=tuple(parse_address(text) for text in fields.texts("peers")),
-        counter=_optional(fields.text("counter", "")),
-        operator=_optional(fields.text("operator", "")),
+        counter=_parse_optional(fields.text("counter", "")),
+        operator=_parse_optional(fields.text("operator", "")),
         known=fields.raw("known"),
         memory_mb=fields.part("limits").integer("memory_mb", 192),
         sockets=limits.integer("sockets", 1024),
@@ -91,7 +128,15 @@
 
 
 def parse_address(text: str, least_port: int = 1) -> Address:
-    """`host:port`; a port of 0, where it is allowed, lets the system pick one."""
+    """Reads `host:port`.
+
+    Args:
+        text: What to read.
+        least_port: 0 where the system may pick a port.
+
+    Raises:
+        ValueError: It is no address.
+    """
     host, colon, port = text.rpartition(":")
     if not (
         colon and host and port.isascii() and port.isdigit() and least_port <= int(port) < 65536
@@ -100,5 +145,5 @@
     return host, int(port)
 
 
-def _optional(text: str) -> Address | None:
+def _parse_optional(text: str) -> Address | None:
     return parse_address(text) if text else None
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -626,9 +626,9 @@
 def test_a_limiter_is_ready_within_seconds_whatever_discovery_and_clients_do(
     mode: str, fill: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """10 s are allowed.
+    """The page allows 10 s to be ready, also where discovery is ill and clients hold all places.
 
-    What it needs is READY_WITHOUT_DISCOVERY_AFTER_S, and the time in which a command must come to its end.
+    Needed are READY_WITHOUT_DISCOVERY_AFTER_S and the time in which a command must come to its end.
     """
     stage = Stage(hosts=2, heard=False, sockets=0)
     agent = Agent(stage, monkeypatch)
