--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import settings
 
-from tests.scenario import STAGES
+from tests.net.scenario import STAGES
 
 settings.register_profile("steady", deadline=None, derandomize=True)
 settings.load_profile("steady")
--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -54,7 +54,7 @@
 from hazelhollow.operator.attach import Attached
 from hazelhollow.operator.errors import CueError
 from hazelhollow.operator.settings import ControlSettings, OperatorSettings
-from tests.scenario import SETTINGS
+from tests.net.scenario import SETTINGS
 
 START = 1000.0
 ROUNDING = 1e-3  # bytes
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -32,7 +32,7 @@
 from hazelhollow.membership.sender import Datagram
 from hazelhollow.membership.settings import MembershipSettings
 from hazelhollow.membership.timing import PROBE_INTERVAL_S
-from tests.scenario import SETTINGS
+from tests.net.scenario import SETTINGS
 from tests.test_gateway import ask, entry, only, servers
 
 MEMBERS = 40
--- a/tests/test_bans.py
+++ b/tests/net/test_administrative_overrides.py
@@ -1,7 +1,4 @@
-"""Servers out by hand.
-
-Never sent anything new, whatever the list says; kept over a restart; back cold.
-"""
+"""Endpoints disabled by an operator: nothing new for them, also after a restart."""
 
 from __future__ import annotations
 
@@ -12,12 +9,16 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.override_file import OverrideFile, path_for
-from tests.scenario import Stage
+from tests.net.scenario import Stage
+from tests.net.test_operator_address import call, figures, stage
 from tests.test_gateway import ask, entry, make, only, servers
-from tests.test_operator_address import call, figures, stage
 
 
 def test_a_banned_server_gets_nothing_even_when_all_others_fail() -> None:
+    """An operator disables an endpoint.
+
+    Neither a drain of the only other one nor a list that says it is up may bring it a request.
+    """
     gateway = make(0, limiter_count=1)
     gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
@@ -33,6 +34,10 @@
 
 
 def test_a_server_put_back_is_cold() -> None:
+    """An endpoint that was disabled for a while has empty caches.
+
+    It starts slowly again, and a list with an old start time does not change that.
+    """
     gateway = make(0, limiter_count=1)
     gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
@@ -60,6 +65,10 @@
 
 
 def test_bans_hold_over_a_restart_and_reach_a_process_beside() -> None:
+    """During an upgrade two processes serve under one name.
+
+    What an operator says to one of them must hold in the other, and after a restart.
+    """
     first = stage()
     call(first, b"set-down s1\n")
     second = Stage(hosts=1)
@@ -82,6 +91,10 @@
     ],
 )
 def test_a_broken_or_foreign_file_is_not_taken(text: bytes, tmp_path: Path) -> None:
+    """The override file was damaged, or is another program's.
+
+    The limiter starts all the same and disables nothing.
+    """
     path = path_for("n0", str(tmp_path))
     path.write_bytes(text)
     assert OverrideFile(path).read() is None
--- a/tests/test_floods.py
+++ b/tests/net/test_client_floods.py
@@ -1,11 +1,9 @@
-"""Clients that send more than is good for the others.
-
-Those still get their answers, and what is held stays bounded.
-"""
+"""Clients that send too much: others are still answered, and memory is bounded."""
 
 from __future__ import annotations
 
 import socket
+from contextlib import suppress
 
 import pytest
 
@@ -13,20 +11,22 @@
 from hazelhollow.net.command_reader import MAX_PIPELINED
 from hazelhollow.net.session import MAX_UNSENT_BYTES
 from hazelhollow.net.session_table import MAX_LINGERING
-from tests.scenario import Stage
-from tests.test_scenarios import VALUE, ask
+from tests.net.scenario import Stage
+from tests.net.test_scenarios import VALUE, ask
 
 
 def test_others_are_answered_beside_a_pipelined_flood_which_keeps_to_its_places() -> None:
+    """One client pipelines thousands of requests.
+
+    Others are still answered, and the flood never has more than MAX_PIPELINED requests open.
+    """
     stage = Stage(hosts=1)
     flood = stage._end("a")
     words = b"".join(stage.bytes_of(ask(1000 + number)) for number in range(2000))
     sent = 0
     for _ in range(30):
-        try:
+        with suppress(BlockingIOError):
             sent += flood.send(words[sent : sent + 65536])
-        except BlockingIOError:
-            pass
         stage.settle(2)
         assert len(stage.service.engine_driver.open_requests) <= MAX_PIPELINED + 1
     assert (
@@ -46,6 +46,10 @@
 def test_hundreds_of_short_connections_keep_nobody_from_an_answer_and_leave_nothing(
     how: str,
 ) -> None:
+    """Hundreds of clients connect, ask once and go.
+
+    Others are answered meanwhile, and no session or request is left behind.
+    """
     stage = Stage(hosts=1, sockets=96)
     most = stage.service.frontend.sessions.max_sessions + MAX_LINGERING
     for number in range(400):
@@ -76,6 +80,10 @@
 
 
 def test_a_flood_of_calls_that_ask_for_no_work_is_held_back_and_bounded() -> None:
+    """A client sends PINGs without end and reads nothing.
+
+    It is slowed down, and what is held for it stays within its bound.
+    """
     stage = Stage(hosts=1)
     flood = stage._end("a")
     for _ in range(200):
--- a/tests/test_endings.py
+++ b/tests/net/test_connection_ends.py
@@ -1,7 +1,4 @@
-"""What is still owed at the moment in which something ends.
-
-Each test forces the bad order on real connections.
-"""
+"""What is owed when a connection or a request ends at a bad moment, each forced on real sockets."""
 
 from __future__ import annotations
 
@@ -20,9 +17,9 @@
 from hazelhollow.net.command_reader import MAX_PIPELINED
 from hazelhollow.net.session import LINGER_S
 from hazelhollow.net.session_table import MAX_LINGERING
-from tests.scenario import BUY, LOOK, SETTINGS, Stage
+from tests.net.scenario import BUY, LOOK, SETTINGS, Stage
+from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 from tests.test_gossip_settings import same_key
-from tests.test_scenarios import DO, GET, VALUE, WATCH, ask
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
@@ -92,6 +89,10 @@
 def test_a_request_that_crosses_the_end_of_a_resting_connection_takes_no_answer_along(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The limiter closes an idle connection while the client's next command is on its way.
+
+    A plain close would reset the connection, and the last answer would be lost with it.
+    """
     stage = Stage(hosts=1)
     end = answered(stage)
     say_after_the_look(monkeypatch, end, stage.bytes_of(ask(1)))
@@ -114,6 +115,10 @@
 
 @pytest.mark.parametrize("junk", JUNK.values(), ids=JUNK.keys())
 def test_malformed_input_with_more_behind_it_gets_its_error_and_an_orderly_end(junk: bytes) -> None:
+    """Malformed bytes come with more behind them.
+
+    The client must still be able to read its error, not meet a reset.
+    """
     stage = Stage(hosts=1)
     end = answered(stage)
     end.setblocking(True)
@@ -127,6 +132,10 @@
 
 
 def test_junk_behind_a_request_that_takes_long_costs_it_no_answer() -> None:
+    """Malformed bytes follow a request that is in flight.
+
+    The request still gets its answer before the connection ends.
+    """
     stage = Stage(hosts=1)
     stage.play(
         f"a send {ask(1, 2900)}\ns1 expect {ask(1, 2900)}\na send junk\nwait 2.6\na "
@@ -136,6 +145,10 @@
 
 
 def test_a_client_that_never_ends_its_side_holds_a_descriptor_for_a_bound_only() -> None:
+    """A connection was closed here and its client never closes.
+
+    After LINGER_S its descriptor is free again.
+    """
     stage = Stage(hosts=1)
     answered(stage)
     stage.play("wait 11")
@@ -144,6 +157,10 @@
 
 
 def test_connections_ended_here_hold_no_more_than_so_many_descriptors() -> None:
+    """Many clients never close connections that were closed here.
+
+    Only so many of them may hold a descriptor at once.
+    """
     stage = Stage(hosts=1, sockets=0)  # room for nine clients
     for number in range(60):
         stage.play(f"c{number} send [SELECT 0]\nc{number} expect +OK")
@@ -155,6 +172,10 @@
 
 
 def test_who_lingers_goes_first_when_a_descriptor_is_needed() -> None:
+    """No descriptor is left.
+
+    A connection that only waits for its client to close goes before any that is in use.
+    """
     stage = Stage(hosts=1)
     answered(stage)
     stage.play("wait 10.2\nb send [CLIENT]\nb expect +OK")
@@ -166,6 +187,10 @@
 def test_after_sigterm_a_client_that_never_stops_asking_has_each_answer_and_the_limiter_ends() -> (
     None
 ):
+    """A client pipelines requests without end while the limiter shuts down.
+
+    Each that was taken is answered, and the limiter still ends.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}")
     stage.service.shutdown.begin()
@@ -180,6 +205,10 @@
 
 
 def test_a_connection_let_in_just_before_the_end_has_its_request_answered() -> None:
+    """A client connects just before the listening socket closes, and asks a moment later.
+
+    Its request is answered, not reset.
+    """
     stage = Stage(hosts=1)
     stage.service.shutdown.begin()
     stage.play("wait 0.45")
@@ -192,6 +221,10 @@
 
 
 def test_half_a_request_does_not_keep_a_limiter_that_leaves() -> None:
+    """A client has sent half a command and nothing more.
+
+    The shutdown does not wait for the rest.
+    """
     stage = Stage(hosts=1)
     end = answered(stage)
     end.sendall(stage.bytes_of(ask(1))[:30])
@@ -212,9 +245,9 @@
 def test_a_client_that_goes_is_seen_behind_its_own_unread_commands(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With all its places taken nothing more is read from it.
+    """A client has filled all its places, so nothing more is read from it, and disconnects.
 
-    And its end lies behind what is not read.
+    Its end lies behind unread commands and must be seen all the same.
     """
     stage = Stage(hosts=1)
     held(monkeypatch, stage)
@@ -229,6 +262,9 @@
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 def test_a_client_that_goes_while_it_waits_its_turn_is_seen(how: str) -> None:
+    """A client that was held back for fruitless commands disconnects while nothing is read from it.
+    That must be seen all the same.
+    """
     stage = Stage(hosts=1)
     for number in range(40):  # each is refused at once, so it soon has to wait
         stage._end("a").sendall(stage.bytes_of(ask(number, 0)) * 10)
@@ -263,6 +299,10 @@
 def test_a_request_whose_client_goes_while_the_connection_to_its_host_comes_up_is_never_sent(
     how: str,
 ) -> None:
+    """The client disconnects while the connection to the endpoint is being opened.
+
+    The request must not be sent once it is up.
+    """
     stage = Stage(hosts=1)
     fillers = unanswering(stage)
     stage.play(f"a send {ask(1)}")
@@ -273,6 +313,10 @@
 
 
 def test_a_request_partly_written_as_its_client_goes_is_not_finished() -> None:
+    """The client disconnects while a large request is half sent.
+
+    The endpoint cannot have begun it, so the rest is never sent.
+    """
     stage, body = Stage(hosts=1), "B" * 65536
     stage.listeners["s1"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     connect = stream.connect
@@ -293,9 +337,8 @@
 
 
 def test_of_many_that_leave_at_mixed_stages_nothing_is_sent_on_later() -> None:
-    """Waiting for a connection, behind pipelined ones, for readiness.
-
-    What had no attempt then never gets one.
+    """Clients disconnect while they wait for a connection, behind pipelined requests or for
+    readiness. What had no attempt by then never gets one.
     """
     stage = Stage(hosts=2, heard=False)
     fillers = unanswering(stage, "s1") + unanswering(stage, "s2")
@@ -325,6 +368,10 @@
 
 
 def test_a_flood_whose_client_has_gone_by_the_time_it_is_read_costs_no_attempt() -> None:
+    """A client sends many requests and closes before they are read.
+
+    None of them may cost an endpoint an attempt.
+    """
     stage = Stage(hosts=1)
     end = stage._end("a")
     stage.settle()
@@ -335,6 +382,10 @@
 
 
 def test_an_answer_is_told_to_the_module_once_also_when_the_client_goes_in_the_same_turn() -> None:
+    """An answer and the client's disconnection arrive in one turn.
+
+    The engine gets the attempt's end exactly once.
+    """
     stage, seen = Stage(hosts=1), list[api.Event]()
     whole = stage.service.engine_driver._decisions.handle
 
@@ -354,6 +405,10 @@
 
 
 def test_a_second_copy_some_milliseconds_late_is_no_other_requests_answer() -> None:
+    """An endpoint sends its answer twice.
+
+    The late copy must not be taken for the answer to the next request on that connection.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
     stage.now += 0.01
@@ -366,6 +421,10 @@
 
 
 def test_half_an_answer_of_a_host_that_is_listed_no_more_is_given_up_too() -> None:
+    """An endpoint that was dropped from the list stops in the middle of an answer.
+
+    The attempt ends after PARTIAL_ANSWER_TIMEOUT_S as on any other.
+    """
     stage = Stage(hosts=2)
     stage.play(
         f"disco expect {GET}\ndisco send whole 1 s1:in_service\na send {ask(1)}\ns1 "
@@ -383,7 +442,9 @@
 
 @pytest.mark.parametrize("left", [0.0, 0.2])
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_never_sent(left: float) -> None:
-    """The window is open as the repeat begins, and is over before its connection is there."""
+    """A retry begins within the window in which endpoints drop repeats, and its connection comes up
+    after it. Sent then, it might run twice.
+    """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, WINDOW)), connect_timeout=2.0)
     fillers = unanswering(stage, "s2")
     stage.play(
@@ -403,6 +464,10 @@
 
 
 def test_a_request_that_is_unsafe_to_repeat_is_sent_again_only_if_it_never_ran() -> None:
+    """An attempt of a request that is not idempotent ends without an answer.
+
+    It is sent again only if the first cannot have run.
+    """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE), hedging=True))
     order = DO.format(1)
     stage.play(
@@ -414,6 +479,10 @@
 
 @pytest.mark.parametrize("first", ["answer", "deadline"])
 def test_an_answer_and_the_deadline_in_one_turn_give_one_answer(first: str) -> None:
+    """The answer arrives in the turn in which the deadline passes.
+
+    The client gets exactly one answer.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     host = stage._end("s1")
@@ -437,6 +506,10 @@
 def test_a_cancelled_attempt_and_its_answer_in_one_turn_end_once_and_the_line_serves_nobody_else(
     order: str,
 ) -> None:
+    """An attempt is cancelled in the turn in which its answer arrives.
+
+    It ends once, and its connection carries no other request.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     pool = stage.service.pool
@@ -462,6 +535,10 @@
 
 
 def test_an_attempt_given_up_in_the_turn_in_which_its_connection_comes_up_is_not_sent() -> None:
+    """An attempt is aborted in the turn in which its connection comes up.
+
+    Its request is not sent.
+    """
     stage = Stage(hosts=1)
     attempt = stage.service.pool.start("s1", b"x" * 10, lambda result: None)
     stage.scheduler._run()  # its connection is begun, and up by now; that it is has not been read
@@ -475,6 +552,7 @@
 
 
 def test_equal_ids_of_two_customers_are_two_requests() -> None:
+    """Two customers pick the same request id. Each gets the answer to its own request."""
     stage = Stage(hosts=1)
     other = ask(1).replace("b4d65521", "0badcafe")
     stage.play(f"a send {ask(1)}\ns1.1 expect {ask(1)}\nb send {other}\ns1.2 expect {other}")
@@ -486,6 +564,10 @@
 
 
 def test_an_id_whose_first_owner_has_gone_while_its_attempt_is_out_is_anothers_too() -> None:
+    """A client has gone, its attempt is still out, and another customer uses the same id.
+
+    The second request is served as its own.
+    """
     stage = Stage(hosts=1)
     other = ask(1).replace("b4d65521", "0badcafe")
     stage.play(
@@ -496,6 +578,10 @@
 
 
 def test_a_customer_does_not_go_by_the_plan_of_another_that_has_its_key_in_messages() -> None:
+    """Two customers share the short key of gossip messages.
+
+    Neither may be limited by the plan of the other.
+    """
     scarce = replace(
         SETTINGS.plans[0], name="scarce", rate=0.001, burst=2.0, excess_weight=0.0, excess_cost=1.0
     )
@@ -534,6 +620,10 @@
 
 
 def test_an_answer_without_a_length_ends_with_its_connection() -> None:
+    """Discovery answers without a length and closes.
+
+    The list is taken, and the next call needs a new connection.
+    """
     stage = Stage(hosts=2)
     watched(stage)
     end = stage._end("disco")
@@ -548,7 +638,10 @@
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_reset_is_no_end_of_an_answer_without_a_length(whole: bool) -> None:
-    """What came before it may be a part that happens to read well: the list is asked for anew."""
+    """A connection is reset within a response without a length.
+
+    What came may be a part that happens to read well, so the list is asked for anew.
+    """
     stage = Stage(hosts=2)
     watched(stage)
     end = stage._end("disco")
@@ -589,7 +682,11 @@
 
 @pytest.mark.parametrize("death", DEATHS)
 def test_after_a_watch_has_died_the_whole_list_is_asked_for_and_obeyed(death: str) -> None:
-    """Within 2.6 s also where the first tries after it are met with silence; the page allows 6."""
+    """The watch on discovery breaks.
+
+    The whole list is asked for and obeyed within 2.6 s, also where the first tries are met with
+    silence; the page allows 6.
+    """
     stage = Stage(hosts=2)
     watched(stage)
     stage.play(DEATHS[death])
@@ -604,6 +701,10 @@
 def test_a_watch_moved_while_it_connects_or_rests_between_two_calls_asks_the_new_one_for_all() -> (
     None
 ):
+    """The configuration moves discovery while the watch connects or pauses.
+
+    It must ask the new one for the whole list, not go on with the old one's version.
+    """
     for seconds in (0.0, 0.05, 0.12):
         stage = Stage(hosts=2)
         watched(stage)
@@ -619,7 +720,10 @@
 
 
 def test_a_list_that_lies_unread_as_its_time_is_over_is_read() -> None:
-    """This process was the late one; a watch given up for that would be given up each time."""
+    """The limiter was the late one: the list lay in the socket when its time was over.
+
+    A watch given up for that would be given up each time.
+    """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}")
     end = stage._end("disco")
@@ -630,7 +734,10 @@
 
 
 def test_an_agent_that_is_slower_than_it_should_be_is_heard_all_the_same() -> None:
-    """Each of its answers comes after another call has been made; also to one that is moved to."""
+    """Discovery answers each call after the next one was made.
+
+    It is heard all the same, also after a move.
+    """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\nwait 0.7")
     stage.play("disco.1 send whole 5 s1:terminating s2:in_service")
@@ -644,6 +751,10 @@
 
 
 def test_a_slow_list_changes_nothing_once_a_later_call_was_answered() -> None:
+    """A call that was late is answered after a newer one.
+
+    Its list is older and must not replace the newer.
+    """
     stage = Stage(hosts=2)
     stage.play(
         f"disco expect {GET}\nwait 0.3\ndisco.2 expect {GET}\ndisco.2 send whole 5 "
@@ -655,6 +766,10 @@
 
 
 def test_a_slow_list_of_a_discovery_that_was_moved_from_is_nobodys() -> None:
+    """Discovery was moved while a slow call to the old one was out.
+
+    What that one answers is not taken.
+    """
     stage = Stage(hosts=2)
     stage.play(
         f"disco expect {GET}\nwait 0.3\ndisco2 reload\ndisco2 expect {GET}\ndisco.1 expect closed"
@@ -663,6 +778,10 @@
 
 
 def test_no_more_than_one_slow_call_is_waited_for() -> None:
+    """An agent answers every call late.
+
+    Only one late call is waited for at a time, or descriptors would run out.
+    """
     stage = Stage(hosts=2)
     stage.play(
         f"disco expect {GET}\nwait 1.0\ndisco.2 expect {GET}\ndisco.2 expect "
@@ -671,6 +790,10 @@
 
 
 def test_a_change_that_goes_back_leaves_the_list_as_it_was() -> None:
+    """Discovery sends a change with an older version than the list's.
+
+    The list stays, and the whole of it is asked for.
+    """
     stage = Stage(hosts=2)
     watched(stage)
     stage.play("disco send table 3 s2:terminating")
@@ -681,6 +804,10 @@
 
 
 def test_an_attempt_that_has_not_left_for_a_host_put_out_by_hand_goes_elsewhere() -> None:
+    """An operator disables an endpoint while an attempt to it waits for its connection.
+
+    The attempt goes to another endpoint.
+    """
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s1")
     watched(stage)
--- a/tests/test_early_signals.py
+++ b/tests/net/test_early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come before a limiter has its handlers.
+"""Signals that come before the limiter has its handlers.
 
 Each test holds the program at its configuration, a named pipe.
 """
@@ -14,13 +14,17 @@
 import orjson
 import pytest
 
-from tests.test_net_parts import GOOD
+from tests.net.test_net_parts import GOOD
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1])
 def test_a_signal_during_the_start_is_acted_on_once_there_is_something_to_act_on(
     number: int, tmp_path: Path
 ) -> None:
+    """A signal comes while the program reads its configuration.
+
+    It must neither end the process nor be lost.
+    """
     pipe, whole = tmp_path / "config.json", orjson.dumps({**GOOD, "listen": "127.0.0.1:0"})
     os.mkfifo(pipe)
     command = [sys.executable, "-m", "hazelhollow", "serve"]
@@ -45,6 +49,7 @@
 
 
 def test_a_second_sigterm_and_a_sighup_while_it_leaves_change_nothing(tmp_path: Path) -> None:
+    """More signals come during the shutdown. It goes on, and ends with status 0."""
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps({**GOOD, "listen": "127.0.0.1:0"}))
     command = [sys.executable, "-m", "hazelhollow", "serve"]
--- a/tests/test_hosts_end.py
+++ b/tests/net/test_endpoint_connections_end.py
@@ -1,11 +1,9 @@
-"""Connections to hosts that end at the wrong moment.
-
-Whether the attempt may have run, and where it goes then.
-"""
+"""Connections to endpoints that end at a bad moment: may the attempt have run, and what follows."""
 
 from __future__ import annotations
 
 import socket
+from contextlib import suppress
 from dataclasses import replace
 
 import pytest
@@ -13,9 +11,9 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net import stream
 from hazelhollow.net.connection_pool import PARTIAL_ANSWER_TIMEOUT_S
-from tests.scenario import BUY, LOOK, SETTINGS, Stage
-from tests.test_endings import RESET, leave, unanswering
-from tests.test_scenarios import DO, GET, VALUE, ask
+from tests.net.scenario import BUY, LOOK, SETTINGS, Stage
+from tests.net.test_connection_ends import RESET, leave, unanswering
+from tests.net.test_scenarios import DO, GET, VALUE, ask
 
 UNSAFE = replace(BUY, effect="unsafe")
 CELL = replace(BUY, dedup_scope="cell", dedup_window=5.0)
@@ -49,6 +47,10 @@
 @pytest.mark.parametrize("case", MAY_HAVE_RUN)
 @pytest.mark.parametrize("how", ["reset", "close", "half an answer", "no answer of the protocol"])
 def test_a_connection_that_ends_long_after_its_request_may_have_run_it(case: str, how: str) -> None:
+    """A connection breaks long after the whole request was sent.
+
+    It may have run, so only a class that allows it is sent again.
+    """
     kind, said, again = MAY_HAVE_RUN[case]
     stage = stage_of(kind)
     stage.play(f"a send {command(kind, 1)}\ns1 expect {command(kind, 1)}\nwait 0.35")
@@ -73,9 +75,9 @@
 def test_a_connection_that_its_host_resets_just_as_it_is_used_again_may_have_run(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The host closes it between the limiter's look and its write.
+    """The endpoint closes an idle connection between the limiter's look and its write.
 
-    The request was written whole, so nobody can tell.
+    The request was sent completely, so nobody can tell whether it ran.
     """
     kind, said, again = MAY_HAVE_RUN[case]
     stage = stage_of(kind)
@@ -103,6 +105,10 @@
 
 
 def test_an_answer_that_trickles_without_end_is_given_up_at_the_deadline_at_the_latest() -> None:
+    """An endpoint sends its answer byte by byte without end.
+
+    The client has its answer at its deadline.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send *3\\r\\n$9000")
     end = stage._end("s1")
@@ -119,6 +125,10 @@
 
 
 def test_a_connection_that_comes_up_after_it_was_given_up_carries_nothing_and_is_closed() -> None:
+    """A connection comes up after its attempt was given up.
+
+    Nothing is sent on it, and it is closed.
+    """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)), connect_timeout=0.25)
     fillers = unanswering(stage, "s1")
     stage.service.engine_driver.notify(
@@ -146,15 +156,17 @@
         except BlockingIOError:
             break
         end.settimeout(1)
-        try:
+        with suppress(ConnectionResetError):
             got += end.recv(99)
-        except ConnectionResetError:
-            pass
         end.close()
     assert not got and stage.service.stats.dispatches == 1
 
 
 def test_a_request_that_has_begun_to_leave_for_a_host_that_drains_goes_on_to_its_answer() -> None:
+    """An endpoint starts to drain while a request to it is half sent.
+
+    That request goes on and is answered.
+    """
     stage, body = Stage(hosts=2), "B" * 65536
     stage.listeners["s1"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     connect = stream.connect
@@ -182,6 +194,10 @@
 
 
 def test_a_class_made_safe_by_reload_does_not_reach_back_to_what_may_have_run() -> None:
+    """A reload makes a class idempotent while one of its requests is out.
+
+    That request keeps the rule that it came with.
+    """
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
     harmless = replace(SETTINGS, classes=(LOOK, replace(BUY, effect="safe")), max_attempts=9)
@@ -191,6 +207,10 @@
 
 
 def test_a_window_that_grows_by_name_does_not_reach_back_to_an_order_that_may_have_run() -> None:
+    """A reload lengthens the window in which endpoints drop repeats.
+
+    A request from before it keeps the shorter one.
+    """
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, SHORT)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
     stage.service.settings_reload.reload(
--- a/tests/test_leaving.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Starting and leaving: what a limiter owes from its first moment, and from SIGTERM to its exit."""
+"""Start and shutdown: what a limiter owes from its first moment, and from SIGTERM to its exit."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from hazelhollow.net.graceful_shutdown import STOP_ACCEPTING_AFTER_S
 from hazelhollow.net.session import LINGER_S
-from tests.scenario import BUY, LOOK, Stage
-from tests.test_endings import to_the_end, unanswering
-from tests.test_scenarios import DO, GET, VALUE, ask
+from tests.net.scenario import BUY, LOOK, Stage
+from tests.net.test_connection_ends import to_the_end, unanswering
+from tests.net.test_scenarios import DO, GET, VALUE, ask
 
 
 def ended(stage: Stage) -> bool:
@@ -18,9 +18,8 @@
 
 
 def test_who_waits_in_the_listeners_queue_as_it_closes_is_let_in_and_answered() -> None:
-    """They connect.
-
-    And one has asked, in the turn in which the limiter closes its listening socket.
+    """Clients wait in the listening socket's queue, and one has asked, in the turn in which it
+    closes. Closed with the queue they would be reset; they are accepted and answered.
     """
     stage = Stage(hosts=1)
     stage.service.shutdown.begin()
@@ -44,6 +43,10 @@
 
 
 def test_an_order_at_a_host_that_hangs_has_its_answer_before_the_limiter_ends() -> None:
+    """SIGTERM comes while an endpoint hangs.
+
+    The client still gets its answer at the deadline, before the process ends.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
     stage.service.shutdown.begin()
@@ -56,6 +59,10 @@
 
 
 def test_a_client_that_does_not_take_its_answer_keeps_no_limiter_from_its_end() -> None:
+    """A client never reads its answer.
+
+    The shutdown waits for it no longer than the longest deadline and LINGER_S.
+    """
     stage = Stage(hosts=1)
     end = socket.socket()
     end.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -78,6 +85,10 @@
 
 
 def test_what_was_begun_before_a_second_leave_and_a_reload_goes_on() -> None:
+    """A second SIGTERM and a SIGHUP come while requests are in flight.
+
+    They go on to their answers.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     stage.service.shutdown.begin()
@@ -91,6 +102,10 @@
 
 @pytest.mark.parametrize("discovery", ["silent", "down", "never up"])
 def test_a_limiter_says_that_it_is_ready_in_time_whatever_discovery_does(discovery: str) -> None:
+    """Discovery does not answer at the start.
+
+    The limiter serves from the list of its configuration within the time allowed.
+    """
     stage = Stage(hosts=2, heard=False)
     fillers = unanswering(stage, "disco") if discovery == "never up" else []
     if discovery == "down":
@@ -100,6 +115,7 @@
 
 
 def test_a_limiter_that_is_ready_leaves_a_host_at_once_that_a_late_first_list_says_drains() -> None:
+    """The first list is late and says that an endpoint drains. New requests avoid it at once."""
     stage = Stage(hosts=2, heard=False)
     stage.play(
         f"disco expect {GET}\nwait 0.6\na send [PING]\na expect +PONG\nwait 0.3\ndisco expect {GET}"
@@ -110,6 +126,10 @@
 
 
 def test_a_ping_behind_a_request_in_flight_is_answered_in_turn_during_shutdown() -> None:
+    """A PING waits behind a request while the limiter shuts down.
+
+    Both are answered, in their order.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\na send [PING]\ns1 expect {ask(1)}")
     stage.service.shutdown.begin()
@@ -120,6 +140,10 @@
 def test_a_request_of_which_half_has_come_by_the_end_is_taken_by_nobody_and_costs_no_answer() -> (
     None
 ):
+    """Half a command has come when the limiter stops taking any.
+
+    It is not acted on, and the answers before it are not lost.
+    """
     stage = Stage(hosts=1)
     stage.play("a send [SELECT 0]")
     whole = stage.bytes_of(ask(1))
--- a/tests/test_net_parts.py
+++ b/tests/net/test_net_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the network side that know no socket."""
+"""The parts of the network code that know no socket: parsers, buffers, loop, configuration."""
 
 from __future__ import annotations
 
@@ -63,6 +63,10 @@
 def test_after_a_time_in_which_the_process_stood_still_that_is_said_before_anything_is_read(
     stopped_in: str,
 ) -> None:
+    """The process was paused in the middle of a turn.
+
+    Whoever judges silence by the clock must be told before what came meanwhile is read.
+    """
     poller, seen = ReadablePoller(), list[str]()
     one = Scheduler(lambda: poller.now, poller)
     one.on_process_pause = lambda: seen.append("stood still")
@@ -126,6 +130,7 @@
 
 
 def test_a_number_that_cannot_be_read_is_none_and_ruins_nothing_beside_it() -> None:
+    """An answer holds a number that is none. The value beside it must still reach its client."""
     assert values([b"*2\r\n$1\r\nx\r\n:1.5\r\n:--1\r\n:7\r\n"]) == [[b"x", None], None, 7]
 
 
@@ -148,12 +153,17 @@
     ],
 )
 def test_resp_that_is_malformed_or_too_large_is_an_error(junk: bytes) -> None:
+    """A peer sends bytes that are not RESP, or more than the bounds allow.
+
+    The parser says so and does not guess.
+    """
     with pytest.raises(ProtocolError):
         values([junk])
 
 
 @given(st.binary(max_size=300))
 def test_no_bytes_make_the_parsers_fail_otherwise(junk: bytes) -> None:
+    """Whatever bytes come, the parsers raise ProtocolError or nothing."""
     http = http1.Parser()
     http.feed(junk)
     for read in (lambda: values([junk]), http.next):
@@ -207,6 +217,7 @@
 def test_whether_another_call_may_follow_an_answer_on_its_connection(
     head: bytes, keeps: bool
 ) -> None:
+    """A server that closes after its response must not get another request on that connection."""
     parser = http1.Parser()
     parser.feed(head + b"{}")
     answer = parser.next()
@@ -214,6 +225,10 @@
 
 
 def test_an_answer_without_a_length_is_whole_at_the_end_only_and_in_parts_has_none() -> None:
+    """A body without a length is complete when the connection ends.
+
+    A part of it must never be taken for the whole.
+    """
     parser = http1.Parser()
     parser.feed(b"HTTP/1.1 200 OK\r\n\r\n{}")
     assert parser.next() is None
@@ -230,6 +245,9 @@
 
 
 def test_every_ending_has_its_outcome_and_none_after_the_last_byte_says_never_ran() -> None:
+    """Whatever ends a connection after the whole request was sent, the request may have run, and
+    the status must not deny it.
+    """
     never = {"connect_failed", "full", "never_sent"}
     assert all(attempt_status(ending, sent_all=True) not in never for ending in CloseReason)
     assert all(
@@ -244,12 +262,14 @@
 
 
 def test_the_clock_is_unix_time_and_never_goes_back() -> None:
+    """The wall clock is set back while the limiter runs. The engine must not see time go back."""
     wall, steady = iter([5000.0, 10.0]), iter([7.0, 7.5, 8.0])
     clock = Clock(lambda: next(wall), lambda: next(steady))
     assert [clock(), clock()] == [5000.5, 5001.0]  # though the wall's clock was set back
 
 
 def test_timers_run_in_their_order_and_an_error_ends_one_task_only() -> None:
+    """One timer raises an error. Those after it still run, in the order of their times."""
     now, seen = [0.0], [""]
     scheduler = Scheduler(lambda: now[0])
     scheduler.at(2.0, seen.append, "second")
@@ -299,6 +319,10 @@
 def test_a_bad_configuration_ends_with_one_plain_line(
     tmp_path: Path, change: object, word: str
 ) -> None:
+    """The configuration cannot be used.
+
+    The program ends with status 2 and one line that says why, not a traceback.
+    """
     path = tmp_path / "config.json"
     if isinstance(change, dict):
         path.write_bytes(orjson.dumps({**GOOD, **change}))
--- a/tests/test_operator_address.py
+++ b/tests/net/test_operator_address.py
@@ -1,7 +1,4 @@
-"""The operator address.
-
-Its calls by tables and by every cut, and callers that are slow, silent or wrong.
-"""
+"""The operator address: its calls, and callers that are slow, silent or wrong."""
 
 from __future__ import annotations
 
@@ -18,7 +15,7 @@
 from hazelhollow.net.errors import OperatorCallError
 from hazelhollow.net.operator_address import CALL_TIMEOUT_S, MAX_CALLERS
 from hazelhollow.net.rate_limited_log import RateLimitedLog
-from tests.scenario import Stage
+from tests.net.scenario import Stage
 
 GOOD = [
     (b"check\n", operator_calls.OperatorCall("check")),
@@ -127,7 +124,7 @@
 
 
 def test_a_request_served_is_counted_by_class_and_its_dispatch() -> None:
-    from tests.test_scenarios import VALUE, ask
+    from tests.net.test_scenarios import VALUE, ask
 
     one = stage()
     one.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
@@ -140,14 +137,20 @@
     ("line", "answer"), [(b"", b"error no call"), (b"chec", b"error half a call")]
 )
 def test_a_caller_that_does_not_finish_is_told_and_closed(line: bytes, answer: bytes) -> None:
+    """A caller sends no call, or half of one. It is told so and closed after CALL_TIMEOUT_S."""
     assert call(stage(), line, advance=CALL_TIMEOUT_S).startswith(answer)
 
 
 def test_a_wrong_call_is_told_at_once() -> None:
+    """A caller makes a call that does not exist. It gets an error at once."""
     assert call(stage(), b"reboot\n").startswith(b"error no call 'reboot'")
 
 
 def test_silent_callers_do_not_hold_back_a_check() -> None:
+    """All places at the operator address are held by callers that say nothing.
+
+    A new caller is still answered.
+    """
     one = stage()
     assert one.service.operator_address
     silent = [
@@ -161,6 +164,10 @@
 
 
 def test_the_log_of_troubles_has_a_bound() -> None:
+    """Others cause errors by the hundred.
+
+    The log gets so many lines a second and a count of the rest.
+    """
     now = [0.0]
     limited = RateLimitedLog(logging.getLogger("test"), lambda: now[0], per_second=5.0)
     said = sum(limited.warning("x") for _ in range(100))
--- a/tests/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -1,6 +1,4 @@
-"""The renewed terms of the standing test (docs/design/standing-test.md), each with its bad order
-forced on connections.
-"""
+"""Terms of the standing test (docs/design/standing-test.md), each with its bad order forced."""
 
 from __future__ import annotations
 
@@ -9,7 +7,7 @@
 import signal
 import socket
 from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from dataclasses import replace
 
 import orjson
@@ -25,8 +23,8 @@
 from hazelhollow.net.session import COMMAND_TIMEOUT_S
 from hazelhollow.net.session_table import MAX_LINGERING
 from hazelhollow.platform_config import PlatformConfig
-from tests.scenario import SETTINGS, STAGES, Stage
-from tests.test_endings import (
+from tests.net.scenario import SETTINGS, STAGES, Stage
+from tests.net.test_connection_ends import (
     DEATHS,
     ENDLESS,
     RESET,
@@ -36,7 +34,7 @@
     unanswering,
     watched,
 )
-from tests.test_scenarios import DO, GET, VALUE, WATCH, ask
+from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
 STEP = 0.05  # seconds by which the clock goes on
 TOLD_WITHIN = 3.0  # seconds; the operators' page allows 6
@@ -231,6 +229,10 @@
 @pytest.mark.parametrize("failure", FAILURES)
 @pytest.mark.parametrize("seconds", [0.1, 1.0, 5.0])
 def test_a_change_is_told_in_time_after_any_failure(failure: str, seconds: float) -> None:
+    """A call to discovery fails in one of several ways as an endpoint starts to drain.
+
+    The change arrives in time all the same.
+    """
     assert told_after([(failure, seconds)], changed_at=9) <= TOLD_WITHIN
 
 
@@ -242,6 +244,10 @@
 def test_a_change_is_told_in_time_after_any_mix_of_failures(
     mix: list[tuple[str, float]], changed_at: int
 ) -> None:
+    """Calls to discovery fail one after another in different ways.
+
+    A change still arrives in time.
+    """
     assert told_after(mix, changed_at) <= TOLD_WITHIN
 
 
@@ -296,6 +302,10 @@
 
 
 def test_a_change_that_cannot_be_read_is_no_drain_missed() -> None:
+    """A change holds an entry that cannot be read, which may be a drain.
+
+    The whole list is asked for instead of skipping it.
+    """
     stage = Stage(hosts=2)
     watched(stage)
     table = stage.table("table", 6, "s1:terminating")
@@ -491,6 +501,10 @@
 def test_who_leaves_while_all_connections_to_hosts_are_taken_gets_no_attempt_once_one_is_free() -> (
     None
 ):
+    """All connections to endpoints are taken, and a client that waits for one disconnects.
+
+    It gets no attempt when one is free.
+    """
     stage = Stage(hosts=2, sockets=0)  # room for six connections to hosts
     for number in range(9):
         stage.play(f"c{number} send {ask(number, 3000)}")
@@ -537,6 +551,7 @@
 
 
 def test_requests_and_discovery_get_descriptors_though_idle_clients_hold_all() -> None:
+    """Idle clients hold every descriptor. Attempts and the watch on discovery still get one."""
     stage = Stage(hosts=1)
     watched_once = (
         f"disco expect {GET}\ndisco send whole 5 s1:in_service\ndisco expect {WATCH.format(5)}"
@@ -642,10 +657,8 @@
     got = list[bytes]()
 
     def is_answered() -> bool:
-        try:
+        with suppress(BlockingIOError):
             got.append(front.recv(99))
-        except BlockingIOError:
-            pass
         return bool(got)
 
     took = agent.run(30.0, until=is_answered)
@@ -671,6 +684,10 @@
 
 
 def test_a_sighup_before_the_first_list_moves_the_watch_and_delays_no_readiness() -> None:
+    """SIGHUP moves discovery before its first list has come.
+
+    The watch asks the new one, and readiness is not put off.
+    """
     stage = Stage(hosts=2, heard=False)
     stage.play(
         f"a send [PING]\nb send {ask(1)}\nwait 0.2\ndisco2 reload\na expect nothing\nwait 0.1"
@@ -682,6 +699,11 @@
 
 
 def test_a_reload_that_fails_in_an_odd_way_loses_no_sigterm_that_came_with_it() -> None:
+    """A reload raises an error that nobody foresaw, and a SIGTERM came in the same read.
+
+    The shutdown still begins.
+    """
+
     def reread() -> PlatformConfig:
         raise RuntimeError("not foreseen")
 
@@ -702,6 +724,10 @@
 
 
 def test_a_host_that_a_whole_list_leaves_out_is_gone_though_it_still_answers() -> None:
+    """A whole list does not name an endpoint any more.
+
+    It gets nothing new, while its requests in flight go on.
+    """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service")
     stage.play(f"a send {ask(1)}\ns1.1 expect {ask(1)}\nb send {ask(2)}\ns1.2 expect {ask(2)}")
@@ -716,6 +742,10 @@
 def test_an_attempt_that_has_not_left_for_a_host_that_a_whole_list_leaves_out_goes_to_another() -> (
     None
 ):
+    """A whole list leaves out an endpoint while an attempt to it waits for its connection.
+
+    The attempt goes to another.
+    """
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s1")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {DO.format(1)}")
@@ -724,6 +754,7 @@
 
 
 def test_a_host_that_was_left_out_and_is_named_again_serves_again() -> None:
+    """An endpoint vanishes from one list and is back in the next. It serves again."""
     stage = Stage(hosts=1)
     stage.play(
         f"disco expect {GET}\ndisco send whole 2 s1:in_service\ndisco expect {WATCH.format(2)}"
--- a/tests/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -1,7 +1,4 @@
-"""What happens on the sockets of a whole limiter, told as scenarios (the language.
-
-Tests/scenario.py).
-"""
+"""What a whole limiter does on its sockets, in the language of tests/net/scenario.py."""
 
 from __future__ import annotations
 
@@ -27,7 +24,7 @@
 from hazelhollow.net.scheduler import Poller
 from hazelhollow.net.session import MAX_UNSENT_BYTES
 from hazelhollow.platform_config import PlatformConfig, PlatformConfigError
-from tests.scenario import Stage
+from tests.net.scenario import Stage
 
 ASK = "[Q.ASK 00000000b4d65521 r{0} c=look,t=basic,d=1000,units=1,spread=2,first=0]"
 DO = "[Q.DO 00000000b4d65521 r{0} c=buy,t=basic,d=1000,k=5c0f,units=1,spread=2,first=0 BODY]"
@@ -305,6 +302,11 @@
 
 
 def test_a_client_that_leaves_is_told_to_the_module_and_its_attempt_is_read_to_the_end() -> None:
+    """A client disconnects while its attempt is out.
+
+    The engine is told, and the endpoint's answer is still read, so that its connection can be used
+    again.
+    """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\na close")
     assert (
@@ -318,7 +320,10 @@
 
 
 def test_sessions_lines_and_requests_go_without_the_cycle_collector() -> None:
-    """Else memory grows by all that it has not found yet: a busy limiter seldom collects."""
+    """A session, a request or a connection that ended was kept alive by a reference cycle.
+
+    Memory would grow until the collector runs, which a busy limiter seldom does.
+    """
     stage = Stage(hosts=1)
     gc.collect()
     gc.disable()
@@ -345,6 +350,10 @@
 
 
 def test_a_refused_connection_never_ran_and_another_host_is_tried() -> None:
+    """An endpoint refuses the connection.
+
+    The request cannot have run, so also one that is not idempotent goes to another endpoint.
+    """
     stage = Stage(hosts=2)
     stage.play(
         f"s1 stop\na send {DO.format(1)}\ns2 expect {DO.format(1)}\ns2 send {VALUE}\na "
@@ -354,7 +363,10 @@
 
 
 def test_an_attempt_that_has_not_left_for_a_host_that_drains_goes_to_another() -> None:
-    """A connection may come up after the host was told to drain, and 250 ms are soon over."""
+    """A connection comes up after its endpoint has started to drain.
+
+    The request goes to another endpoint, as the drain must be kept within 250 ms.
+    """
     stage = Stage(hosts=2)
     stage.play("disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n")
     stage.service.engine_driver.notify(
@@ -395,6 +407,7 @@
 def test_an_error_in_the_module_costs_one_request_its_answer_and_no_more(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The decision engine raises an error at one request. That one fails, the others are served."""
     stage, seen = Stage(hosts=1), []
     whole = stage.service.engine_driver._decisions.handle
 
@@ -410,6 +423,10 @@
 
 
 def test_a_timer_at_which_the_module_fails_comes_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decision engine raises an error at a timer, before it has set the next.
+
+    The timer fires again, or everything periodic would stop.
+    """
     stage, timers = Stage(hosts=1), []
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
@@ -424,6 +441,10 @@
 def test_an_odd_entry_hides_no_other_and_an_error_does_not_end_the_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A whole list holds one entry that cannot be read, and then taking in a list fails.
+
+    The other entries are taken, and the watch goes on.
+    """
     stage = Stage(hosts=1)
     table = stage.table("whole", 3, "s1:in_service")
     table["endpoints"] += [
@@ -448,6 +469,7 @@
 def test_a_request_that_the_module_forgets_is_answered_at_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The decision engine never answers a request. At the deadline the client gets an error."""
     stage = Stage(hosts=1)
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
     stage.play(f"a send {ask(1)}\na expect nothing\nwait 1.01\na expect -ERR failed")
@@ -455,6 +477,10 @@
 
 
 def test_at_sigterm_it_serves_on_and_leaves_once_all_is_answered() -> None:
+    """SIGTERM comes with a request in flight.
+
+    New ones are served for a while, everything taken is answered, then the process ends.
+    """
     stage = Stage(hosts=1)
     stage.play(
         f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}\nb send [PING]\nwait 0.5\nb expect +PONG"
@@ -482,6 +508,11 @@
 
 
 def test_a_new_configuration_that_cannot_be_read_changes_nothing() -> None:
+    """SIGHUP finds a configuration that cannot be read.
+
+    The old one stays in force, and requests are served.
+    """
+
     def unreadable() -> PlatformConfig:
         raise PlatformConfigError("not a JSON object")
 
@@ -492,6 +523,10 @@
 
 
 def test_a_limiter_out_of_descriptors_gives_up_idle_connections_first() -> None:
+    """Clients take all places.
+
+    A new one gets the place of the connection that is idle longest, never one in use.
+    """
     stage = Stage(hosts=2, sockets=0)  # leaves room for 6 to backend hosts and 9 from clients
     for number in range(8):
         stage.play(f"c{number} send {ask(number)}")
@@ -535,6 +570,10 @@
     ],
 )
 def test_a_request_that_the_settings_rule_out_is_an_error_and_reaches_nobody(change: str) -> None:
+    """A request says something that the settings do not allow.
+
+    It gets an error and reaches neither the engine nor an endpoint.
+    """
     stage, name = Stage(hosts=1), change.partition("=")[0]
     fields = re.sub(rf"\b{name}=[^,]*", change, FIELDS)
     stage.play(
@@ -555,12 +594,14 @@
     ],
 )
 def test_a_customer_or_an_id_that_cannot_be_is_an_error(words: str) -> None:
+    """A request names a customer or an id that the protocol does not allow. It gets an error."""
     Stage(hosts=1).play(
         f"a send [Q.ASK {words} {FIELDS}]\na expect -ERR no such customer, or no id"
     )
 
 
 def test_bad_commands_without_end_end_the_connection() -> None:
+    """A client sends one bad command after another. After MAX_BAD_COMMANDS the connection ends."""
     stage = Stage(hosts=1)
     stage.play("a send " + "[Q.ASK x]".join([""] * 2))
     stage._end("a").sendall(resp.encode_command([b"Q.ASK", b"x"]) * 100)
@@ -571,7 +612,10 @@
 
 
 def test_who_is_turned_away_and_asks_again_at_once_waits_its_turn() -> None:
-    """Else one client takes the processor from all the others."""
+    """A client that is rejected asks again at once.
+
+    It is slowed down, or it would take the processor from all others.
+    """
     stage = Stage(hosts=1)
     for number in range(40):
         stage._end("a").sendall(stage.bytes_of(ask(number, 0)) * 10)
@@ -585,6 +629,10 @@
 
 
 def test_many_commands_at_once_let_others_have_their_turn_and_are_all_answered() -> None:
+    """One client sends many commands at once.
+
+    Others get their turn in between, and all are answered.
+    """
     stage = Stage(hosts=1)
     stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 300)
     stage.settle(4)
@@ -594,6 +642,10 @@
 
 
 def test_a_command_that_waited_for_its_turn_has_so_much_less_time() -> None:
+    """A command waited in the connection for its turn.
+
+    That time is taken off what its client still waits.
+    """
     stage = Stage(hosts=1)
     stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 250 + stage.bytes_of(ask(1)))
     stage.play(f"wait 0.55\ns1 expect {ask(1, 500)}")
@@ -602,6 +654,10 @@
 
 
 def test_connections_of_clients_that_ask_once_and_stay_go_before_others_find_none_left() -> None:
+    """Many clients ask once and keep their connections for good.
+
+    The idlest are closed, or new clients would find no place.
+    """
     stage = Stage(hosts=1, sockets=80)  # room for 28 clients, of which 20 that have asked are kept
     for number in range(25):
         stage.play(
@@ -618,6 +674,7 @@
 def test_of_idle_connections_those_that_never_spoke_go_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A place is needed. Connections that never brought a command go before those that did."""
     stage = Stage(hosts=1, sockets=0)  # room for nine clients
     stage.play("a send [SELECT 0]\na expect +OK\nwait 0.1")
     for number in range(20):
@@ -634,6 +691,7 @@
 def test_an_attempt_for_which_no_descriptor_is_left_never_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """No descriptor is left for a connection to an endpoint. The attempt counts as never sent."""
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
     monkeypatch.setattr("socket.socket", no_descriptor)
@@ -644,6 +702,10 @@
 def test_accepting_without_a_descriptor_costs_an_idle_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The system has no descriptor for a client that connects.
+
+    An idle connection is closed for it.
+    """
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
     stage._end("b")
@@ -656,6 +718,10 @@
 def test_a_client_that_takes_nothing_is_given_up_and_holds_no_more_than_its_ring(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A client asks for large values and reads none.
+
+    It is closed after STALL_TIMEOUT_S and holds no more than its buffers.
+    """
     monkeypatch.setattr("hazelhollow.net.fruitless_limit.BURST", 1e6)
     stage = Stage(hosts=1)
     stage._end("a").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -676,6 +742,10 @@
 def test_the_commands_of_a_greedy_client_wait_in_its_own_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A client sends more commands than may be open at once.
+
+    The rest is not read until there is room.
+    """
     stage = Stage(hosts=1)
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
     for number in range(MAX_PIPELINED + 20):
@@ -692,6 +762,10 @@
 def test_of_clients_that_hold_too_much_together_the_largest_goes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Slow clients together hold more memory than there is, each within its bound.
+
+    The largest is closed.
+    """
     stage = Stage(hosts=1, memory_mb=1)  # a quarter of it for clients
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
     for number in range(9):
@@ -711,7 +785,10 @@
 
 
 def test_the_remaining_wait_runs_from_when_the_request_may_have_come() -> None:
-    """A loop that was busy reads late: what had come meanwhile has waited already."""
+    """The loop was busy and reads a request late.
+
+    The time that it waited unread is taken off what its client still waits.
+    """
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
     stage._end("a").sendall(stage.bytes_of(ask(1)))
@@ -734,9 +811,9 @@
 
 
 def test_bad_commands_in_a_row_get_one_answer_each_and_no_more() -> None:
-    """The connection ends after them.
+    """A client sends bad commands until its connection ends.
 
-    An answer more would be taken for that of the client's next command.
+    Each gets one answer; one more would be taken for the answer to the client's next command.
     """
     stage = Stage(hosts=1)
     end = stage._end("a")
@@ -755,7 +832,10 @@
 
 
 def test_requests_wait_for_discoverys_first_list_before_they_are_sent() -> None:
-    """The list that a limiter is started with may be old: a host in it may drain by now."""
+    """The list of the configuration may be old, and an endpoint on it may drain by now.
+
+    Requests wait for discovery's first answer.
+    """
     stage = Stage(hosts=2, heard=False)
     stage.play(f"a send {ask(1)}\nwait 0.1")
     assert stage.service.stats.requests == 0 and stage.service.stats.attempts == 0
@@ -767,6 +847,10 @@
 
 
 def test_without_discovery_the_list_it_was_given_serves_after_a_while() -> None:
+    """Discovery never answers.
+
+    After READY_WITHOUT_DISCOVERY_AFTER_S the list of the configuration serves.
+    """
     stage = Stage(hosts=1, heard=False)
     stage.play(f"a send {ask(1)}\nwait 0.2")
     assert stage.service.stats.attempts == 0
--- a/tests/test_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -1,7 +1,4 @@
-"""Settings read again at SIGHUP.
-
-What changes for new requests, what stays for open ones, and broken files.
-"""
+"""Settings read again on SIGHUP: new requests, open ones, and files that cannot be read."""
 
 from __future__ import annotations
 
@@ -18,11 +15,11 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.requests import RequestLimits
 from hazelhollow.platform_config import PlatformConfigError
-from tests.scenario import BUY, LOOK, Stage
-from tests.test_endings import unanswering
+from tests.net.scenario import BUY, LOOK, Stage
+from tests.net.test_connection_ends import unanswering
 from tests.test_gateway import answer, ask, make, only
 
-EXAMPLE = Path(__file__).parent.parent / "deploy" / "example.json"
+EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
 
 
 def document() -> dict[str, Any]:
@@ -70,6 +67,10 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_broken_file_is_refused_and_says_where(kind: str, tmp_path: Path) -> None:
+    """The configuration file is damaged in one of several ways.
+
+    Reading it fails with a line that names the file.
+    """
     path = tmp_path / "config.json"
     path.write_text(broken(kind))
     with pytest.raises(PlatformConfigError, match="config.json"):
@@ -78,6 +79,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_after_a_broken_file_the_old_settings_stay_whole(kind: str, tmp_path: Path) -> None:
+    """SIGHUP finds a damaged file. No part of it is taken, and the failure is counted."""
     stage = Stage(hosts=1)
     before = stage.service.settings_reload.settings
     path = tmp_path / "config.json"
@@ -102,6 +104,7 @@
 
 
 def test_a_dropped_class_is_refused_to_new_requests() -> None:
+    """A reload drops a class. New requests of it get an error."""
     stage = Stage(hosts=1)
     settings = replace(stage.config.settings, classes=(BUY,))
     stage.service.settings_reload.reload(lambda: replace(stage.config, settings=settings))
@@ -110,6 +113,7 @@
 
 
 def test_plans_do_not_change_in_a_running_limiter() -> None:
+    """A reload changes the plans, which budgets belong to. It is refused as a whole."""
     stage = Stage(hosts=1)
     settings = replace(stage.config.settings, plans=())
     stage.service.settings_reload.reload(lambda: replace(stage.config, settings=settings))
@@ -117,6 +121,10 @@
 
 
 def test_an_open_request_keeps_the_attempts_it_came_with() -> None:
+    """A reload lowers the number of attempts while a request is open.
+
+    The request keeps those that it came with.
+    """
     gateway = make(0, limiter_count=1, max_attempts=3)
     (first,) = only(ask(gateway, 100.0, id="r1"), api.StartAttempt)
     gateway.retune(replace(gateway.settings, max_attempts=1))
@@ -128,6 +136,7 @@
 
 
 def test_an_open_request_keeps_its_class_when_the_class_goes() -> None:
+    """A reload drops the class of an open request. The request is still served, with retries."""
     gateway = make(0, limiter_count=1, max_attempts=3)
     (first,) = only(ask(gateway, 100.0, id="r1", kind="issue"), api.StartAttempt)
     gateway.retune(replace(gateway.settings, classes=gateway.settings.classes[:1]))
@@ -138,6 +147,10 @@
 
 
 def test_how_long_clients_waited_under_another_deadline_says_nothing_of_now() -> None:
+    """A reload changes a class's deadline.
+
+    What was learned under the old one must not be used for the new.
+    """
     gateway = make(0, limiter_count=20)
     known = {name: gateway.patience[name] for name in ("lookup", "issue")}
     for patience in known.values():
@@ -150,6 +163,10 @@
 
 
 def test_a_new_time_for_connections_to_come_up_holds_at_once() -> None:
+    """A reload shortens the time in which connections have to come up.
+
+    The next connection is held to it.
+    """
     stage = Stage(hosts=1, connect_timeout=2.0)
     fillers = unanswering(stage)
     stage.service.settings_reload.reload(lambda: replace(stage.config, connect_timeout=0.1))
@@ -161,6 +178,10 @@
 
 
 def test_a_request_on_its_way_while_its_class_gets_a_shorter_deadline_keeps_its_own() -> None:
+    """A reload shortens a deadline while a request with the longer one is on its way.
+
+    That request is still accepted.
+    """
     stage = Stage(hosts=1)
     words = "[Q.ASK 00000000b4d65521 r{0} c=look,t=basic,d={1},units=1,spread=2,first=0]"
     settings = replace(stage.config.settings, classes=(replace(LOOK, deadline=1.2), BUY))
@@ -188,7 +209,9 @@
 def test_the_longest_patience_of_a_class_lasts_as_long_as_the_class_is_listed(
     told: list[list[api.RequestClass]],
 ) -> None:
-    """A request that was taken under a longer deadline may still be out."""
+    """A request that was taken under a longer deadline may still be out when the deadline is
+    shortened. The longest one stays the limit.
+    """
     limits, longest = None, dict[str, float]()
     for kinds in told:
         limits = RequestLimits(api.Settings(0, 1, tuple(kinds), ()), limits)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,7 +15,7 @@
 import orjson
 import pytest
 
-from tests.test_net_parts import GOOD
+from tests.net.test_net_parts import GOOD
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
--- a/tests/test_gossip_settings.py
+++ b/tests/test_gossip_settings.py
@@ -11,7 +11,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
-from tests.scenario import LOOK, PLAN, SETTINGS
+from tests.net.scenario import LOOK, PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
 GOLD = replace(PLAN, name="gold", rate=20.0, burst=40.0, excess_cost=1.0)
--- a/tests/test_replica_module.py
+++ b/tests/test_replica_module.py
@@ -15,7 +15,7 @@
 from hazelhollow.decisions.engine import PAY_BACK, RECKONED, DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
 from hazelhollow.decisions.memory import Account, Totals
-from tests.scenario import PLAN, SETTINGS
+from tests.net.scenario import PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
 SLOW = replace(
--- a/tests/test_replica_snapshot.py
+++ b/tests/test_replica_snapshot.py
@@ -29,7 +29,7 @@
 from hazelhollow.replication.driver import ReplicationDriver
 from hazelhollow.replication.replica import BEAT
 from hazelhollow.replication.snapshot_collector import A_SLICE, SnapshotCollector
-from tests.scenario import PLAN, SETTINGS
+from tests.net.scenario import PLAN, SETTINGS
 from tests.test_gateway import entry, servers
 
 START = 1_700_000_000.0
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -36,7 +36,7 @@
 from hazelhollow.standins.redis import faults
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.server import Server
-from tests.scenario import BUY, LOOK, START, Stage
+from tests.net.scenario import BUY, LOOK, START, Stage
 
 PLAN = api.Plan("gold", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_burst=80.0)
 BASIC = api.Plan("basic", rate=100.0, burst=100.0)
--- a/tests/test_store_tls.py
+++ b/tests/test_store_tls.py
@@ -22,7 +22,7 @@
 from hazelhollow.standins.redis.faults import Fault
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.server import Server
-from tests.scenario import BUY, LOOK, START
+from tests.net.scenario import BUY, LOOK, START
 
 PLAN = api.Plan("gold", 20.0, 40.0, ceiling_rate=40.0, ceiling_burst=80.0)
 
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -15,7 +15,7 @@
 from hazelhollow.decisions.memory import Server, Window
 from hazelhollow.net import attempts, resp
 from hazelhollow.simulator import wire
-from tests.scenario import PLAN, SETTINGS, Stage
+from tests.net.scenario import PLAN, SETTINGS, Stage
 from tests.test_gateway import ask, entry, only, servers
 
 SETTLED = replace(
