--- a/hazelhollow/__init__.py
+++ b/hazelhollow/__init__.py
@@ -1,4 +1,7 @@
-"""hazelhollow: the decisions of an admission gateway for a service sold by plan."""
+"""A rate limiter that holds quotas by plan across a fleet of limiters.
+
+The decision engine can be used by itself: `DecisionEngine` and its `Settings`.
+"""
 
 from typing import TYPE_CHECKING, Any
 
@@ -11,9 +14,10 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Found when asked for.
+    """Imports the public names when they are used.
 
-    A start sets its signals (hazelhollow/signals.py) before anything that takes time.
+    The start of a process holds its signals (`early_signals`) before any import that takes time,
+    and every import of a module of this package runs this file first.
     """
     if name == "DecisionEngine":
         from hazelhollow.decisions.engine import DecisionEngine
--- a/hazelhollow/__main__.py
+++ b/hazelhollow/__main__.py
@@ -2,11 +2,16 @@
 
 import sys
 
-if "serve" in sys.argv[1:2]:  # before all that takes time to import
-    from hazelhollow import early_signals
 
-    early_signals.hold()
+def run() -> None:
+    """Runs the command line; for `serve` it first holds the signals, as imports take time."""
+    if "serve" in sys.argv[1:2]:
+        from hazelhollow import early_signals
 
-from hazelhollow.cli import main  # noqa: E402
+        early_signals.hold()
+    from hazelhollow.cli import main
 
-main(prog_name="hazelhollow")
+    main(prog_name="hazelhollow")
+
+
+run()
--- a/hazelhollow/net/command_reader.py
+++ b/hazelhollow/net/command_reader.py
@@ -77,7 +77,7 @@
 
     def held_bytes(self) -> int:
         """Bytes that were read and make no whole command yet."""
-        return self._parser.held()
+        return self._parser.pending_bytes()
 
     def is_between_commands(self) -> bool:
         """Whether nothing of a next command has come."""
--- a/hazelhollow/net/lifecycle.py
+++ b/hazelhollow/net/lifecycle.py
@@ -59,7 +59,7 @@
     for number in early_signals.NUMBERS:
         signal.signal(number, lambda *_: None)  # the number comes through the socket pair
     # Those that came before. One that comes in between is acted on twice, which changes nothing.
-    wakeup.send(early_signals.held())
+    wakeup.send(early_signals.take_received())
     scheduler.spawn_supervised(lambda: watch_signals(service, signal_numbers, reread), "signals")
     service.start()
     if counters_interval:
--- a/hazelhollow/net/resp.py
+++ b/hazelhollow/net/resp.py
@@ -74,7 +74,7 @@
         except RingBufferFullError:
             raise ProtocolError("too much at once") from None
 
-    def held(self) -> int:
+    def pending_bytes(self) -> int:
         """Bytes received that are no part of a complete value yet."""
         return len(self.ring) + self._string_bytes
 
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -66,15 +66,12 @@
         """Binds the addresses of the configuration, and serves nothing before `start`."""
         self.scheduler, self.stats, self.attachment = scheduler, Stats(), attachment
         descriptors = max(MIN_USABLE_DESCRIPTORS, config.sockets - RESERVED_DESCRIPTORS)
-        self.pool = ConnectionPool(
-            scheduler,
-            self.stats,
-            PoolSettings(
-                config.connect_timeout,
-                config.conn_idle,
-                max_connections=_share(descriptors, ENDPOINTS_DESCRIPTOR_SHARE),
-            ),
+        pool_settings = PoolSettings(
+            config.connect_timeout,
+            config.conn_idle,
+            max_connections=_share(descriptors, ENDPOINTS_DESCRIPTOR_SHARE),
         )
+        self.pool = ConnectionPool(scheduler, self.stats, pool_settings)
         self.settings_reload = SettingsReload(
             config, self.stats, attachment, self._apply_settings, self._apply_addresses
         )
@@ -95,18 +92,7 @@
                 config.peers,
                 self.engine_driver.gossip_received,
             )
-        self.frontend = Frontend(
-            scheduler,
-            self.stats,
-            self.engine_driver,
-            RequestLimits(config.settings),
-            FrontendLimits(
-                config.listen,
-                max_sessions=_share(descriptors, CLIENTS_DESCRIPTOR_SHARE),
-                max_used_sessions=max(MIN_USED_SESSIONS, int(config.sockets * USED_SESSIONS_SHARE)),
-                max_held_bytes=int(config.memory_mb * 2**20 * CLIENT_MEMORY_SHARE),
-            ),
-        )
+        self.frontend = self._build_frontend(config, descriptors)
         self.frontend.close_idlest_endpoint_connection = self.pool.close_idlest
         # Endpoints and discovery serve all clients: for a connection to them an idle client may go.
         self.pool.free_descriptor = self.frontend.free_descriptor
@@ -149,6 +135,16 @@
         driver.max_settled_units = _max_settled_units(config.settings)
         return driver
 
+    def _build_frontend(self, config: PlatformConfig, descriptors: int) -> Frontend:
+        limits = FrontendLimits(
+            config.listen,
+            max_sessions=_share(descriptors, CLIENTS_DESCRIPTOR_SHARE),
+            max_used_sessions=max(MIN_USED_SESSIONS, int(config.sockets * USED_SESSIONS_SHARE)),
+            max_held_bytes=int(config.memory_mb * 2**20 * CLIENT_MEMORY_SHARE),
+        )
+        request_limits = RequestLimits(config.settings)
+        return Frontend(self.scheduler, self.stats, self.engine_driver, request_limits, limits)
+
     def _endpoints_changed(self, event: api.EndpointsUpdated) -> None:
         """Discovery has changed the list."""
         if not self._has_first_list:
--- a/hazelhollow/request_client.py
+++ b/hazelhollow/request_client.py
@@ -15,6 +15,8 @@
 from hazelhollow.net import resp
 from hazelhollow.net.errors import ProtocolError
 
+READ_CHUNK_BYTES = 64 * 1024
+
 
 @click.command("ask")
 @click.option(
@@ -78,39 +80,19 @@
     Exit status 0: all were served. 1: some were refused or failed. 2: the limiter could not be
     reached.
     """
+    fields = f"c={kind},t={plan},d={int(wait * 1000)},units={units},spread={spread},first=0"
     outcomes, shown = Counter[str](), ""
     began = time.monotonic()
     try:
-        with socket.create_connection(platform_config.parse_address(to), timeout=wait + 1) as sock:
+        address = platform_config.parse_address(to)
+        with socket.create_connection(address, timeout=wait + 1) as sock:
             parser = resp.Parser()
             for _ in range(count):
-                fields = (
-                    f"c={kind},t={plan},d={int(wait * 1000)},units={units},spread={spread},first=0"
-                )
-                sock.sendall(
-                    resp.encode_command(
-                        [
-                            b"Q.ASK",
-                            customer.encode(),
-                            secrets.token_hex(8).encode(),
-                            fields.encode(),
-                        ]
-                    )
-                )
-                answer = _answer(sock, parser)
-                word = (
-                    "served"
-                    if isinstance(answer, bytes) and not isinstance(answer, resp.ErrorReply)
-                    else "failed"
-                )
-                if isinstance(answer, resp.ErrorReply) and answer.startswith(b"BUSY"):
-                    word = "refused"
-                outcomes[word] += 1
-                shown = (
-                    bytes(answer).decode("utf-8", "replace")
-                    if isinstance(answer, bytes)
-                    else str(answer)
-                )
+                words = [b"Q.ASK", customer.encode(), _new_id(), fields.encode()]
+                sock.sendall(resp.encode_command(words))
+                answer = _receive(sock, parser)
+                outcomes[_outcome(answer)] += 1
+                shown = _text(answer)
     except (OSError, ValueError, ProtocolError) as error:
         click.echo(f"hazelhollow: {to}: {error}", err=True)
         sys.exit(2)
@@ -118,16 +100,30 @@
     if as_json:
         click.echo(orjson.dumps({**outcomes, "seconds": round(took, 3), "last": shown}).decode())
     else:
-        click.echo(
-            ", ".join(f"{n} {word}" for word, n in sorted(outcomes.items()))
-            + f" in {took:.2f} s; the last answer: {shown}"
-        )
+        counts = ", ".join(f"{n} {word}" for word, n in sorted(outcomes.items()))
+        click.echo(f"{counts} in {took:.2f} s; the last answer: {shown}")
     sys.exit(0 if outcomes["served"] == count else 1)
 
 
-def _answer(sock: socket.socket, parser: resp.Parser) -> resp.Value:
+def _new_id() -> bytes:
+    return secrets.token_hex(8).encode()
+
+
+def _outcome(answer: resp.Value) -> str:
+    """The word for it in this command's output."""
+    if isinstance(answer, resp.ErrorReply):
+        return "refused" if answer.startswith(b"BUSY") else "failed"
+    return "served" if isinstance(answer, bytes) else "failed"
+
+
+def _text(answer: resp.Value) -> str:
+    return bytes(answer).decode("utf-8", "replace") if isinstance(answer, bytes) else str(answer)
+
+
+def _receive(sock: socket.socket, parser: resp.Parser) -> resp.Value:
+    """The next answer; raises OSError if there is none."""
     while isinstance(answer := parser.next(), resp.NeedMoreData):
-        data = sock.recv(64 * 1024)
+        data = sock.recv(READ_CHUNK_BYTES)
         if not data:
             raise OSError("the limiter closed the connection")
         parser.feed(data)
