--- a/hazelhollow/configuration/adoption.py
+++ b/hazelhollow/configuration/adoption.py
@@ -183,6 +183,6 @@
             self._state.activity.rollout(RolloutEvent.REFUSED, reason, settings.revision)
         else:
             self._state.admission.settings_refused(settings.revision, reason)
-        self._state.log.say(
+        self._state.log.log(
             logging.ERROR, "audit: order %d cannot be taken: %s", settings.revision, reason
         )
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -106,13 +106,13 @@
         self.rollouts = RolloutControl(
             self._state, self._keeper, self._adoption, lambda: self.verdict, self._reevaluate
         )
-        self._receive_other = connections.peers.heard
+        self._receive_other = connections.peers.on_message
         self._woke_at = clock()
         self._ended = self._slice_is_due = False
 
     def start(self) -> None:
         """The limiter is about to serve."""
-        self._receive_other, self._peers.heard = self._peers.heard, self.receive
+        self._receive_other, self._peers.on_message = self._peers.on_message, self.receive
         self._keeper.announce()
         self._membership.membership.table.subscribe(self._state.peers.update_from)
         self._membership.shut_out_rule = self.rejects_new_work
@@ -212,7 +212,7 @@
         warns = verdict.state in (SettingsState.SHUT_OUT, SettingsState.CONTRADICTION)
         level = logging.WARNING if warns else logging.INFO
         reason = f": {verdict.reason}" if verdict.reason else ""
-        self._state.log.say(level, "audit: %s%s", verdict.state, reason)
+        self._state.log.log(level, "audit: %s%s", verdict.state, reason)
 
     # Documents
 
@@ -249,7 +249,7 @@
         self._schedule_slice()
 
     def _send(self, number: int, text: str) -> None:
-        self._peers.tell(number, self._authenticator.sign(text))
+        self._peers.send_to(number, self._authenticator.sign(text))
 
     def _piece_arrived(self, revision: int) -> None:
         self._state.admission.piece_arrived(revision, self._scheduler.clock())
--- a/hazelhollow/control_budget/limiter_budget.py
+++ b/hazelhollow/control_budget/limiter_budget.py
@@ -46,7 +46,7 @@
     ) -> None:
         self.budget = ControlBudget(settings_for(bytes_per_s), clock())
         self._clock, self._overhead_bytes = clock, HEADER_BYTES + signature_bytes
-        peers.meter = self._debit_gossip
+        peers.on_sent = self._debit_gossip
 
     def for_role(self, role: TrafficRole) -> RoleBudget:
         """What that role's subsystem asks before it sends."""
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -63,19 +63,21 @@
         self._service = service
 
     def settings_document(self) -> Mapping[str, Any]:
-        return self._service.document
+        return self._service.settings_reload.document
 
     def check_settings(self, document: Mapping[str, Any]) -> str:
-        return self._service.check_settings(document)
+        return self._service.settings_reload.check(document)
 
     def apply_settings(self, document: Mapping[str, Any]) -> str:
-        return self._service.take_settings(document)
+        return self._service.settings_reload.apply(document)
 
     def endpoint_list(self) -> tuple[int, str]:
-        return self._service.table.version, ":".join(map(str, self._service.watch.address))
+        return self._service.endpoint_list.version, ":".join(
+            map(str, self._service.discovery_watch.address)
+        )
 
     def disabled_hosts(self) -> set[str]:
-        return self._service.banned
+        return self._service.overrides.disabled
 
     def request_counts(self) -> dict[str, int]:
         stats = self._service.stats
@@ -87,11 +89,14 @@
         }
 
     def take_attempts(self) -> Counter[str]:
-        counts, self._service.limiter.sent = self._service.limiter.sent or Counter(), Counter()
+        counts, self._service.engine_driver.attempts_by_endpoint = (
+            self._service.engine_driver.attempts_by_endpoint or Counter(),
+            Counter(),
+        )
         return counts
 
     def take_samples(self) -> list[str]:
-        found, self._service.limiter.samples = self._service.limiter.samples, []
+        found, self._service.engine_driver.sampled_ids = self._service.engine_driver.sampled_ids, []
         return found
 
 
@@ -149,7 +154,7 @@
             self._begin_view(service, self.operator.fleet)
 
     def _begin_view(self, service: Service, terms: FleetSettings) -> None:
-        settings, peers = service.settings, service.limiter.peers
+        settings, peers = service.settings_reload.settings, service.engine_driver.peers
         if peers is None or not settings.peers or settings.limiter_count < 2:
             log.warning(
                 "no view of the fleet: the configuration allows no datagrams between "
@@ -181,8 +186,8 @@
             view,
             self.seal,
             DriverOptions(
-                service.limiter.fleet,
-                service.leave,
+                service.engine_driver.notify,
+                service.shutdown.begin,
                 lines,
                 seeds or ((peers.address,) if address else ()),
                 replicates=terms.replicate is not None,
@@ -210,10 +215,12 @@
     def _begin_replica(
         self, service: Service, fleet: MembershipDriver, terms: ReplicationSettings
     ) -> None:
-        peers = service.limiter.peers
+        peers = service.engine_driver.peers
         assert peers is not None
         file = (
-            snapshot.SnapshotFile(Path(terms.state_dir), service.settings.limiter_id, self._writer)
+            snapshot.SnapshotFile(
+                Path(terms.state_dir), service.settings_reload.settings.limiter_id, self._writer
+            )
             if terms.state_dir
             else None
         )
@@ -222,22 +229,22 @@
             peers,
             fleet,
             self.seal,
-            service.gateway,
-            service.limiter.copied,
-            service.take_calls,
+            service.engine,
+            service.engine_driver.notify,
+            service.overrides.apply,
             self._seed,
             max_text_bytes(self.seal),
             file,
             self._part(TrafficRole.REPLICATION),
         )
-        service.limiter.closed = self.replica.closed
+        service.engine_driver.on_count = self.replica.closed
         service.stats.replica = self.replica.replica.counts
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: MembershipDriver, terms: AuditSettings) -> None:
         peers, me, incarnation = (
-            service.limiter.peers,
-            service.settings.limiter_id,
+            service.engine_driver.peers,
+            service.settings_reload.settings.limiter_id,
             int(service.scheduler.clock() * 1000),
         )
         assert peers is not None
@@ -246,7 +253,10 @@
             if terms.state_dir
             else None
         )
-        service.limiter.sent, service.limiter.most_samples = Counter(), terms.samples
+        service.engine_driver.attempts_by_endpoint, service.engine_driver.max_samples = (
+            Counter(),
+            terms.samples,
+        )
         self.audit = ConfigurationDriver(
             Connections(service.scheduler, peers, fleet, self.seal, Port(service)),
             ConfigurationOptions(
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -115,7 +115,7 @@
             SendQueue(allowance) if allowance else None
         )
         self._plans = {tag_of(name): name for name in memory.plans}
-        self._heard_before = peers.heard
+        self._heard_before = peers.on_message
         self._away = set(range(members)) - {me}
         self._here: list[int] = []  # the others that are up, in order
         # What those were reckoned from.
@@ -127,7 +127,7 @@
         self._began = self._saved = 0.0
 
     def start(self) -> None:
-        self._heard_before, self._peers.heard = self._peers.heard, self.heard
+        self._heard_before, self._peers.on_message = self._peers.on_message, self.heard
         now = self._began = self._scheduler.clock()
         self._snapshot = self._file.load(now) if self._file else None
         if self._snapshot:
@@ -234,7 +234,7 @@
 
     def _pass_on(self, sends: list[replica.Datagram]) -> None:
         for send in self._may_leave(sends):
-            self._peers.tell(send.number, self._seal.sign(send.text))
+            self._peers.send_to(send.number, self._seal.sign(send.text))
         one = self.replica
         slices, one.slices = one.slices, []
         for piece in slices:
@@ -246,7 +246,7 @@
             self._tell_rows(rows)
         if one.calls:
             for call in one.calls:
-                self._log.say(
+                self._log.log(
                     logging.WARNING,
                     "server %s is %s by an operator at member %d",
                     call.host,
--- a/hazelhollow/standins/relayed_connection.py
+++ b/hazelhollow/standins/relayed_connection.py
@@ -70,7 +70,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         far = self._far = stream.Stream(self._scheduler, sock, MAX_WAITING_BYTES)
         self._sockets.append(sock)
-        if far.establish(target, self._scheduler.clock() + TIMEOUT_S) or self._is_reset:
+        if far.connect(target, self._scheduler.clock() + TIMEOUT_S) or self._is_reset:
             self.reset()
             far.close(CloseReason.RESET)
             return
@@ -81,7 +81,7 @@
         scheduler = self._scheduler
         if scheduler.current() not in self._tasks:
             self._tasks.append(scheduler.current())
-        while not self._is_reset and source.ending is None:
+        while not self._is_reset and source.close_reason is None:
             source.wait()
             data = source.read(stream.READ_CHUNK_BYTES)
             if data is None:
@@ -100,7 +100,9 @@
     def _finish(self, source: stream.Stream, target: stream.Stream) -> None:
         """Ends the other side too, once it has received what is on its way."""
         until = self._scheduler.clock() + TIMEOUT_S
-        while target.out and target.ending is None and self._scheduler.clock() < until:
+        while (
+            target.send_buffer and target.close_reason is None and self._scheduler.clock() < until
+        ):
             target.wait(until, 0)
         for side in (source, target):
             side.close(CloseReason.CLOSED)
@@ -112,7 +114,7 @@
             return
         self._is_reset = True
         for side, sock in zip((self._near, self._far), self._sockets, strict=False):
-            if side is not None and side.ending is None:
+            if side is not None and side.close_reason is None:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 side.close(CloseReason.RESET)
         self._on_end(self)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -18,7 +18,7 @@
 )
 from hazelhollow.membership.timing import PROBE_INTERVAL_S, STALL_S
 from tests.membership.helpers import PEER, alone, answered, from_peer
-from tests.scenario import SETTINGS
+from tests.net.scenario import SETTINGS
 from tests.test_gateway import ask, entry, only, servers
 
 
--- a/tests/test_net_parts.py
+++ b/tests/net/test_net_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the network side that know no socket."""
+"""The parts of the network code that know no socket: parsers, buffers, loop, configuration."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 from hazelhollow import platform_config
 from hazelhollow.net import http1, resp
-from hazelhollow.net.close_reason import CloseReason, outcome
-from hazelhollow.net.gc_pauses import YOUNG, YOUNG_PASSES
-from hazelhollow.net.ring_buffer import RingBuffer, RingBufferFullError
+from hazelhollow.net.close_reason import CloseReason, attempt_status
+from hazelhollow.net.errors import ProtocolError, RingBufferFullError
+from hazelhollow.net.gc_pauses import MIDDLE_THRESHOLD, YOUNG_THRESHOLD
+from hazelhollow.net.ring_buffer import RingBuffer
 from hazelhollow.net.scheduler import Clock, Scheduler
 
 
@@ -40,7 +41,7 @@
 """
     run = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
     passes, most = map(int, run.stdout.split())
-    assert passes > 100 and most < 2 * YOUNG * (YOUNG_PASSES + 1)
+    assert passes > 100 and most < 2 * YOUNG_THRESHOLD * (MIDDLE_THRESHOLD + 1)
 
 
 class ReadablePoller:
@@ -62,6 +63,10 @@
 def test_after_a_time_in_which_the_process_stood_still_that_is_said_before_anything_is_read(
     stopped_in: str,
 ) -> None:
+    """The process was paused in the middle of a turn.
+
+    Whoever judges silence by the clock must be told before what came meanwhile is read.
+    """
     poller, seen = ReadablePoller(), list[str]()
     one = Scheduler(lambda: poller.now, poller)
     one.on_process_pause = lambda: seen.append("stood still")
@@ -125,6 +130,7 @@
 
 
 def test_a_number_that_cannot_be_read_is_none_and_ruins_nothing_beside_it() -> None:
+    """An answer holds a number that is none. The value beside it must still reach its client."""
     assert values([b"*2\r\n$1\r\nx\r\n:1.5\r\n:--1\r\n:7\r\n"]) == [[b"x", None], None, 7]
 
 
@@ -147,18 +153,23 @@
     ],
 )
 def test_resp_that_is_malformed_or_too_large_is_an_error(junk: bytes) -> None:
-    with pytest.raises(resp.ProtocolError):
+    """A peer sends bytes that are not RESP, or more than the bounds allow.
+
+    The parser says so and does not guess.
+    """
+    with pytest.raises(ProtocolError):
         values([junk])
 
 
 @given(st.binary(max_size=300))
 def test_no_bytes_make_the_parsers_fail_otherwise(junk: bytes) -> None:
+    """Whatever bytes come, the parsers raise ProtocolError or nothing."""
     http = http1.Parser()
     http.feed(junk)
     for read in (lambda: values([junk]), http.next):
         try:
             read()
-        except resp.ProtocolError:
+        except ProtocolError:
             continue
 
 
@@ -190,7 +201,7 @@
     for at in range(0, len(stream), step):
         parser.feed(stream[at : at + step])
         while answer := parser.next():
-            got.append((answer.status, answer.body, answer.keep))
+            got.append((answer.status, answer.body, answer.keep_alive))
     assert got == [(200, b"{}", True), (503, b"abcd", False)]
 
 
@@ -206,18 +217,23 @@
 def test_whether_another_call_may_follow_an_answer_on_its_connection(
     head: bytes, keeps: bool
 ) -> None:
+    """A server that closes after its response must not get another request on that connection."""
     parser = http1.Parser()
     parser.feed(head + b"{}")
     answer = parser.next()
-    assert answer and (answer.body, answer.keep) == (b"{}", keeps)
+    assert answer and (answer.body, answer.keep_alive) == (b"{}", keeps)
 
 
 def test_an_answer_without_a_length_is_whole_at_the_end_only_and_in_parts_has_none() -> None:
+    """A body without a length is complete when the connection ends.
+
+    A part of it must never be taken for the whole.
+    """
     parser = http1.Parser()
     parser.feed(b"HTTP/1.1 200 OK\r\n\r\n{}")
     assert parser.next() is None
     answer = parser.end()
-    assert answer and (answer.status, answer.body, answer.keep) == (200, b"{}", False)
+    assert answer and (answer.status, answer.body, answer.keep_alive) == (200, b"{}", False)
     for part in (
         b"HTTP/1.1 200",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}",
@@ -229,26 +245,31 @@
 
 
 def test_every_ending_has_its_outcome_and_none_after_the_last_byte_says_never_ran() -> None:
+    """Whatever ends a connection after the whole request was sent, the request may have run, and
+    the status must not deny it.
+    """
     never = {"connect_failed", "full", "never_sent"}
-    assert all(outcome(ending, written=True) not in never for ending in CloseReason)
+    assert all(attempt_status(ending, sent_all=True) not in never for ending in CloseReason)
     assert all(
-        outcome(e, written=False) == "connect_failed"
+        attempt_status(e, sent_all=False) == "connect_failed"
         for e in CloseReason
         if e is not CloseReason.CANCELLED
     )
     assert (
-        outcome(CloseReason.CLOSED, written=False) == "connect_failed"
-        and outcome(CloseReason.CLOSED, True) == "reset"
+        attempt_status(CloseReason.CLOSED, sent_all=False) == "connect_failed"
+        and attempt_status(CloseReason.CLOSED, True) == "reset"
     )
 
 
 def test_the_clock_is_unix_time_and_never_goes_back() -> None:
+    """The wall clock is set back while the limiter runs. The engine must not see time go back."""
     wall, steady = iter([5000.0, 10.0]), iter([7.0, 7.5, 8.0])
     clock = Clock(lambda: next(wall), lambda: next(steady))
     assert [clock(), clock()] == [5000.5, 5001.0]  # though the wall's clock was set back
 
 
 def test_timers_run_in_their_order_and_an_error_ends_one_task_only() -> None:
+    """One timer raises an error. Those after it still run, in the order of their times."""
     now, seen = [0.0], [""]
     scheduler = Scheduler(lambda: now[0])
     scheduler.at(2.0, seen.append, "second")
@@ -298,6 +319,10 @@
 def test_a_bad_configuration_ends_with_one_plain_line(
     tmp_path: Path, change: object, word: str
 ) -> None:
+    """The configuration cannot be used.
+
+    The program ends with status 2 and one line that says why, not a traceback.
+    """
     path = tmp_path / "config.json"
     if isinstance(change, dict):
         path.write_bytes(orjson.dumps({**GOOD, **change}))
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -21,7 +21,7 @@
 from hazelhollow.configuration.audit.segments import SegmentWriter
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
 from hazelhollow.fault_injection.run_files import rows
-from hazelhollow.net.bans import BanFile, path_for
+from hazelhollow.net.override_file import OverrideFile, path_for
 from hazelhollow.replication import snapshot
 from hazelhollow.replication.codec import Override
 from hazelhollow.replication.snapshot import SavedAccount, Snapshot
@@ -127,10 +127,10 @@
 
 
 def test_a_file_of_servers_that_are_out(tmp_path: Path) -> None:
-    found = BanFile(path_for("espoo main/0", str(FOLDER))).read()
+    found = OverrideFile(path_for("espoo main/0", str(FOLDER))).read()
     assert found == {"10.0.0.7:9000", "s-0001", "s-0009"}
     path = path_for("espoo main/0", str(tmp_path))
-    BanFile(path).write(found)
+    OverrideFile(path).write(found)
     assert path.read_bytes() == (FOLDER / path.name).read_bytes()
 
 
