--- a/hazelhollow/bench/model.py
+++ b/hazelhollow/bench/model.py
@@ -62,12 +62,12 @@
 
     def at(self, now: int) -> None:
         self.memory.now, self.memory.period = float(now), now
-        self.book.turn(now)
+        self.book.advance(now)
         for action in self.memory.closed(MOST_COUNTS):
             if isinstance(action, api.ReplicateCount):
                 c, me = action.told, self.memory.settings.limiter_id
                 own = (c.member, c.incarnation) == (me, self.memory.incarnation)
-                self.book.put(
+                self.book.merge_in(
                     CountRow(
                         KEY,
                         "p",
@@ -109,7 +109,7 @@
                 (row.member, row.incarnation),
             )
             self.best[who] = max(self.best.get(who, 0.0), row.value.total / 10)
-            if not mine and self.book.put(row) and self.whole:
+            if not mine and self.book.merge_in(row) and self.whole:
                 self.count(row)
 
     def count(self, row: CountRow) -> None:
@@ -117,7 +117,7 @@
         count = api.ReplicatedCount(
             row.member, row.incarnation, value.since, value.through, value.total / 10
         )
-        self.copied(api.AccountReplicated(KEY, "p", 0, row.spread, (count,)))
+        self.copied(api.AccountReplicated(KEY, "p", 0, row.set_size, (count,)))
 
     def used(self) -> float:
         one = self.account()
@@ -297,7 +297,7 @@
                     f"in the end member {number} holds {one.used():g} for used; {least} "
                     f"to {most} were charged"
                 )
-        sums = {tuple(one.book.sums()) for one in self.members}
+        sums = {tuple(one.book.digests()) for one in self.members}
         if len(sums) != 1:
             raise Broken("all have told each other all, and their books differ")
 
--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -15,9 +15,10 @@
 from typing import Any
 
 from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.replication import replica
-from hazelhollow.replication.codec import AccountCopy, RecentCount
 from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
+from hazelhollow.replication.messages import AccountCopy, RecentCount
+from hazelhollow.replication.outbox import Datagram, LocalMember
+from hazelhollow.replication.replica import ROUND_INTERVAL_S, Replica
 
 START = 1_700_000_000.0
 DELAY = (0.001, 0.02)  # seconds on the way
@@ -36,10 +37,10 @@
     def __init__(self, customers: int, incarnations: int = LIVES) -> None:
         self.keys, self.incarnations = [key_of(n) for n in range(customers)], incarnations
 
-    def short(self) -> list[str]:
+    def customers_below_full(self) -> list[str]:
         return self.keys
 
-    def slice(self, key: str) -> AccountCopy | None:
+    def account(self, key: str) -> AccountCopy | None:
         through = int(START) - 2
         recents = tuple(
             RecentCount(n, f"7p{n}", CountValue(through - 50, through, 1234 + n), 20, 10)
@@ -54,7 +55,7 @@
     def __init__(self, sources: list[Known], seed: int, lose: float = 0.0) -> None:
         self.random, self.lose, self.now = random.Random(seed), lose, START
         self.all = [
-            replica.Replica(n, len(sources), f"7p{n}", seed * 1000 + n, source)
+            Replica(LocalMember(n, len(sources), f"7p{n}"), seed * 1000 + n, source)
             for n, source in enumerate(sources)
         ]
         self.sent = self.bytes = self._serial = 0
@@ -62,36 +63,32 @@
         self.cut: Callable[[int, int], bool] = lambda a, b: False
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         for one in self.all:
-            self._at(self.now + self.random.random() * replica.BEAT, partial(self._beat, one))
+            self._at(self.now + self.random.random() * ROUND_INTERVAL_S, partial(self._beat, one))
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
         self._serial += 1
         heapq.heappush(self._heap, (when, self._serial, call))
 
-    def _beat(self, one: replica.Replica) -> None:
-        self._at(self.now + replica.BEAT, lambda: self._beat(one))
-        self._pass(
-            one,
-            one.beat(
-                self.now,
-                [n for n in range(len(self.all)) if n != one.me and not self.cut(n, one.me)],
-            ),
-        )
+    def _beat(self, one: Replica) -> None:
+        self._at(self.now + ROUND_INTERVAL_S, lambda: self._beat(one))
+        me = one.local.number
+        present = [n for n in range(len(self.all)) if n != me and not self.cut(n, me)]
+        self._pass(one, one.run_round(self.now, present))
 
-    def _pass(self, one: replica.Replica, sends: list[replica.Datagram]) -> None:
-        self.got[one.me] += len(one.slices)
-        one.slices, one.rows = [], []
+    def _pass(self, one: Replica, sends: list[Datagram]) -> None:
+        self.got[one.local.number] += len(one.catch_up.new_accounts)
+        one.catch_up.new_accounts, one.anti_entropy.new_rows = [], []
         for send in sends:
             self.sent, self.bytes = self.sent + 1, self.bytes + len(send.text)
-            if self.random.random() >= self.lose and not self.cut(one.me, send.number):
+            if self.random.random() >= self.lose and not self.cut(one.local.number, send.member):
                 self._at(
                     self.now + self.random.uniform(*DELAY),
-                    partial(self._take, send.number, one.me, send.text),
+                    partial(self._take, send.member, one.local.number, send.text),
                 )
 
     def _take(self, number: int, source: int, text: str) -> None:
         one = self.all[number]
-        self._pass(one, one.heard(source, text, self.now))
+        self._pass(one, one.receive(source, text, self.now))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         began, end = self.now, self.now + seconds
@@ -110,11 +107,13 @@
         [Known(customers), Known(customers), *(Known(0) for _ in range(LIVES - 2))], seed, lose
     )
     for other in sim.all[:-1]:
-        other.whole, other.told_by = True, None if other.me > 1 else other.me
+        number = other.local.number
+        other.catch_up.is_complete = True
+        other.catch_up.completed_by = None if number > 1 else number
     new = sim.all[-1]
-    seconds = sim.run(LONGEST, lambda: new.whole)
+    seconds = sim.run(LONGEST, lambda: new.catch_up.is_complete)
     return {
-        "seconds": seconds if new.whole else float("inf"),
+        "seconds": seconds if new.catch_up.is_complete else float("inf"),
         "bytes": float(sim.bytes),
         "told": float(sim.got[-1]),
         "customers": float(customers),
@@ -127,14 +126,14 @@
         for number in range(customers):
             if sim.random.random() < share:
                 total = 10 * (period - int(START) + 1)
-                one.charged(
+                one.record_charge(
                     CountRow(
                         key_of(number),
                         "7kq",
                         0,
                         len(sim.all),
-                        one.me,
-                        one.incarnation,
+                        one.local.number,
+                        one.local.incarnation,
                         CountValue(int(START) - 9, period, total),
                     )
                 )
@@ -146,7 +145,7 @@
     """
     sim = Sim([Known(0) for _ in range(members)], seed)
     for one in sim.all:
-        one.whole = True
+        one.catch_up.is_complete = True
     for period in range(int(START), int(START) + seconds):
         charged(sim, customers, period, 0.1)
         sim.run(1.0)
@@ -162,26 +161,28 @@
     """
     sim = Sim([Known(0) for _ in range(members)], seed, lose)
     for one in sim.all:
-        one.whole = True
+        one.catch_up.is_complete = True
     sim.cut = lambda a, b: (a < members // 2) != (b < members // 2)
     charged(sim, customers, int(START), 1.0)
     sim.run(5.0)
     sim.cut = lambda a, b: False
     for one in sim.all:
         for number in range(members):
-            if (number < members // 2) != (one.me < members // 2):
-                one.returned(number)
-    return sim.run(50.0, lambda: len({tuple(one.book.sums()) for one in sim.all}) == 1)
+            if (number < members // 2) != (one.local.number < members // 2):
+                one.anti_entropy.member_returned(number)
+    return sim.run(
+        50.0, lambda: len({tuple(one.anti_entropy.counts.digests()) for one in sim.all}) == 1
+    )
 
 
 def memory(customers: int = 2000, members: int = LIVES) -> float:
     """Bytes for a customer and member that used it."""
     tracemalloc.start()
     before, book = tracemalloc.get_traced_memory()[0], CountTable()
-    book.turn(int(START))
+    book.advance(int(START))
     for number in range(customers):
         for member in range(members):
-            book.put(
+            book.merge_in(
                 CountRow(
                     key_of(number),
                     "7kq",
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -37,8 +37,8 @@
     OperatorSettings,
     ReplicationSettings,
 )
-from hazelhollow.replication import snapshot
-from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
+from hazelhollow.replication.snapshot_file import SnapshotFile
 from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.driver import SharedStoreDriver
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
@@ -204,25 +204,19 @@
         peers = service.limiter.peers
         assert peers is not None
         file = (
-            snapshot.SnapshotFile(Path(terms.state_dir), service.settings.limiter_id, self._writer)
+            SnapshotFile(Path(terms.state_dir), service.settings.limiter_id, self._writer)
             if terms.state_dir
             else None
         )
         self.replica = ReplicationDriver(
             service.scheduler,
-            peers,
-            fleet,
-            self.seal,
-            service.gateway,
-            service.limiter.copied,
-            service.take_calls,
+            Network(peers, fleet, self.seal, budget(self.seal), self._part(Role.REPLICATION)),
+            EngineLink(service.gateway, service.limiter.copied, service.take_calls),
             self._seed,
-            budget(self.seal),
             file,
-            self._part(Role.REPLICATION),
         )
-        service.limiter.closed = self.replica.closed
-        service.stats.replica = self.replica.replica.counts
+        service.limiter.closed = self.replica.record_charge
+        service.stats.replica = self.replica.replica.counters
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: FleetDriver, terms: AuditSettings) -> None:
@@ -284,7 +278,7 @@
     def called(self, server: str, down: bool) -> None:
         """An operator has put a server out or back at this limiter."""
         if self.replica:
-            self.replica.call(server, down)
+            self.replica.set_override(server, down)
         if self.audit:
             self.audit.write_changes("operator call")
 
@@ -298,7 +292,7 @@
         if self.audit:
             self.audit.end()
         if self.replica:
-            self.replica.end()
+            self.replica.stop()
         if self.fleet:
             self.fleet.end()
         if not self._writer.finish(END_WITHIN):
--- a/hazelhollow/replication/codec.py
+++ b/hazelhollow/replication/codec.py
@@ -1,113 +1,84 @@
-"""The replica's datagrams: values to at most 256 bytes of text and back.
+"""Text of the replication datagrams: messages to at most 256 bytes of ASCII and back.
 
-Translation only; knows no rule and no socket.
+Translation only: knows no rule and no socket. The field names of `messages` are not in the text.
 
     c1r 9k2/7 4f3k0 8tl2m:7kq:1:5:3.9k2.4.2.1c-1.8aa.4.2.7
 
-Dialect and kind; the sender's incarnation and the message's period; what the kind needs; words.
-Periods are told as so many before the message's. A message that any part of is not so is none; so
-is one of another dialect.
+is dialect and kind; the sender's incarnation and the message's period; the numbers that the kind
+needs, joined by `-`; then items, each after a space. Numbers are in base 36, periods are told as
+so many before the message's. A text of which any part is wrong, or of another dialect, is no
+message at all.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import NamedTuple
 
 from hazelhollow.decisions.gossip_codec import base36, number36
-from hazelhollow.replication.count_table import BUCKETS, SUM_RANGE, CountRow, CountValue
-
-DIALECT = "c1"
-MOST_BYTES = 256
-SUMS, ROWS = "s", "r"  # the digests of a book's buckets; counts
-# for a catch-up; a piece of it; one that has not caught up itself
-ASK, GIVE, NOT_WHOLE = "q", "g", "n"
-HEARD = ".h"  # behind a count that the member did not say itself
-NOBODY = "-"  # in place of a slice
-HANDS = "h"  # hosts put out or back by hand
-# numbers that a kind needs
-_PARTS = {SUMS: BUCKETS + 2, ROWS: 0, ASK: 3, GIVE: 3, NOT_WHOLE: 1, HANDS: 0}
-_MOST = 36**7
-_MOST_NAME = 64  # of a host's name
-
-
-class RecentCount(NamedTuple):
-    """A count with what is known of the two periods after `through`, in tenths of a unit."""
-
-    member: int
-    incarnation: str
-    value: CountValue
-    first: int = 0
-    second: int = 0
-
-
-class AccountCopy(NamedTuple):
-    """One customer as the giver knows it.
-
-    `spent` of its burst, in tenths, and all that is part of that.
-    """
-
-    key: str
-    plan: str
-    first: int
-    spread: int
-    spent: int
-    recents: tuple[RecentCount, ...]
-
-
-class Override(NamedTuple):
-    """A host put out (`down`) or back. The order of the fields from `order` on is the rule's."""
-
-    host: str
-    order: int
-    down: int
-    at: int  # Unix milliseconds
-    member: int
-
-
-class Message(NamedTuple):
-    """`parts`.
-
-    SUMS: one a bucket, that of the hosts put out by hand, and whether it answers another's. ASK:
-    the catch-up's number, the first piece wanted, how many. GIVE: that number, the piece's and how
-    many there are. NOT_WHOLE: that number.
-    """
-
-    kind: str
-    incarnation: str
-    period: int
-    parts: tuple[int, ...] = ()
-    rows: tuple[CountRow, ...] = ()
-    slices: tuple[AccountCopy | None, ...] = ()  # nothing: the giver has let that customer go
-    hands: tuple[Override, ...] = ()
-
-
-def head(kind: str, incarnation: str, period: int, parts: Sequence[int] = ()) -> str:
-    return f"{DIALECT}{kind} {incarnation}/{base36(period)} " + "-".join(
-        base36(part) for part in parts
+from hazelhollow.replication.count_table import BUCKET_COUNT, DIGEST_RANGE, CountRow, CountValue
+from hazelhollow.replication.messages import (
+    AccountCopy,
+    Body,
+    Counts,
+    Digests,
+    Kind,
+    Message,
+    NotComplete,
+    Overrides,
+    RecentCount,
+    TransferPiece,
+    TransferRequest,
+)
+from hazelhollow.replication.overrides import Override
+
+DIALECT = "c1"  # replication's letter among the datagrams, and the version of the format
+MAX_MESSAGE_BYTES = 256
+HEARSAY_SUFFIX = ".h"  # after a counter that is not first-hand
+FORGOTTEN = "-"  # in place of an account
+PIECE_NUMBERS_LIMIT = (36**4, 36**5, 36**5)  # the longest numbers of a transfer's piece
+NUMBER_COUNTS = {
+    Kind.DIGESTS: BUCKET_COUNT + 2,
+    Kind.COUNTS: 0,
+    Kind.OVERRIDES: 0,
+    Kind.TRANSFER_REQUEST: 3,
+    Kind.TRANSFER_PIECE: 3,
+    Kind.NOT_COMPLETE: 1,
+}
+_NUMBER_LIMIT = 36**7
+_TIME_LIMIT_MS = 36**9
+_MAX_NAME_LENGTH = 5
+_MAX_ENDPOINT_LENGTH = 64
+
+# Encoding
+
+
+def encode_header(kind: Kind, incarnation: str, period: int, numbers: Sequence[int] = ()) -> str:
+    """The text before the items."""
+    return f"{DIALECT}{kind.value} {incarnation}/{base36(period)} " + "-".join(
+        base36(number) for number in numbers
     )
 
 
-def row_words(rows: Sequence[CountRow], period: int) -> str:
-    """Counts of one customer, with the space before them."""
+def encode_counts(rows: Sequence[CountRow], period: int) -> str:
+    """The item for counters of one customer, with the space before it; nothing for no rows."""
     if not rows:
         return ""
-    one = rows[0]
-    return f" {one.key}:{one.plan}:{base36(one.first)}:{base36(one.spread)}:" + "-".join(
-        f"{base36(r.member)}.{r.incarnation}.{_value(r.value, period)}"
-        f"{'' if r.value.sure else HEARD}"
-        for r in rows
+    first = rows[0]
+    return f"{_customer_text(first)}:" + "-".join(
+        f"{base36(row.member)}.{row.incarnation}.{_value_text(row.value, period)}"
+        f"{'' if row.value.first_hand else HEARSAY_SUFFIX}"
+        for row in rows
     )
 
 
-def slice_word(one: AccountCopy, period: int, room: int) -> str:
-    """With as many of its counts, in their order, as fit into so many bytes."""
-    text = f" {one.key}:{one.plan}:{base36(one.first)}:{base36(one.spread)}:{base36(one.spent)}:"
+def encode_account(account: AccountCopy, period: int, room: int) -> str:
+    """The item for an account, with as many of its counts, in their order, as fit `room` bytes."""
+    text = f"{_customer_text(account)}:{base36(account.spent)}:"
     parts = list[str]()
-    for r in one.recents:
+    for count in account.counts:
         part = (
-            f"{base36(r.member)}.{r.incarnation}.{_value(r.value, period)}"
-            f".{base36(r.first)}.{base36(r.second)}"
+            f"{base36(count.member)}.{count.incarnation}.{_value_text(count.value, period)}"
+            f".{base36(count.in_next_period)}.{base36(count.in_second_period)}"
         )
         room -= len(part) + 1
         if room < len(text):
@@ -116,121 +87,159 @@
     return text + "-".join(parts)
 
 
-def hand_word(one: Override) -> str:
-    return f" {one.host}:{base36(one.order)}:{one.down}:{base36(one.at)}:{base36(one.member)}"
+def encode_forgotten() -> str:
+    """The item in place of an account that the sender has forgotten."""
+    return f" {FORGOTTEN}"
+
 
+def encode_override(override: Override) -> str:
+    """The item for an override."""
+    return (
+        f" {override.endpoint}:{base36(override.lamport_time)}:{override.disabled}"
+        f":{base36(override.made_at_ms)}:{base36(override.member)}"
+    )
+
+
+def append_items(header: str, items: Sequence[str], max_bytes: int) -> tuple[str, int]:
+    """The header with as many of the items, in their order, as fit; and how many those are."""
+    text = header
+    for number, item in enumerate(items):
+        if len(text) + len(item) > max_bytes:
+            return text, number
+        text += item
+    return text, len(items)
 
-def pack(line: str, words: Sequence[str], most: int) -> tuple[str, int]:
-    """The line with as many of the words, in their order.
 
-    As fit into so many bytes, and their number.
-    """
-    for number, word in enumerate(words):
-        if len(line) + len(word) > most:
-            return line, number
-        line += word
-    return line, len(words)
+def _customer_text(about: CountRow | AccountCopy) -> str:
+    return f" {about.customer}:{about.plan_tag}:{base36(about.set_start)}:{base36(about.set_size)}"
 
 
-def read(text: str, members: int) -> Message | None:
-    """The message.
+def _value_text(value: CountValue, period: int) -> str:
+    since, through = max(0, period - value.since), max(0, period - value.through)
+    return f"{base36(since)}.{base36(through)}.{base36(value.total)}"
 
-    Nothing where any part of it cannot be: too long, of another dialect, garbled, out of range.
-    """
+
+# Decoding
+
+
+def decode(text: str, member_count: int) -> Message | None:
+    """The message; None where any part is wrong: too long, of another dialect, out of range."""
     try:
-        first, own, parts, *rest = text.split(" ")
-        incarnation, told = own.split("/")
-        kind, period = first[len(DIALECT) :], number36(told, _MOST)
-        if len(text) > MOST_BYTES or not first.startswith(DIALECT) or kind not in _PARTS:
-            return None
-        numbers = tuple(number36(part, _MOST) for part in parts.split("-")) if parts else ()
-        if len(numbers) != _PARTS[kind] or (kind == SUMS and any(n >= SUM_RANGE for n in numbers)):
-            return None
-        message = Message(kind, _name(incarnation), period, numbers)
-        if kind == ROWS:
-            return message._replace(
-                rows=tuple(row for word in rest for row in _rows(word, period, members))
-            )
-        if kind == GIVE:
-            return message._replace(
-                slices=tuple(
-                    None if word == NOBODY else _slice(word, period, members) for word in rest
-                )
-            )
-        if kind == HANDS:
-            return message._replace(hands=tuple(_hand(word, members) for word in rest))
-        return message if not rest else None
+        return _decode(text, member_count)
     except ValueError:
         return None
 
 
-def _value(value: CountValue, period: int) -> str:
-    since, through = max(0, period - value.since), max(0, period - value.through)
-    return f"{base36(since)}.{base36(through)}.{base36(value.total)}"
+def _decode(text: str, member_count: int) -> Message:
+    head, origin, number_texts, *items = text.split(" ")
+    incarnation, period_text = origin.split("/")
+    period = number36(period_text, _NUMBER_LIMIT)
+    if len(text) > MAX_MESSAGE_BYTES or not head.startswith(DIALECT):
+        raise ValueError(text)
+    kind = Kind(head[len(DIALECT) :])
+    numbers = (
+        tuple(number36(number, _NUMBER_LIMIT) for number in number_texts.split("-"))
+        if number_texts
+        else ()
+    )
+    if len(numbers) != NUMBER_COUNTS[kind]:
+        raise ValueError(number_texts)
+    body = _decode_body(kind, numbers, items, period, member_count)
+    return Message(_name(incarnation), period, body)
+
+
+def _decode_body(
+    kind: Kind, numbers: tuple[int, ...], items: list[str], period: int, member_count: int
+) -> Body:
+    if kind is Kind.COUNTS:
+        return Counts(
+            tuple(row for item in items for row in _decode_counts(item, period, member_count))
+        )
+    if kind is Kind.TRANSFER_PIECE:
+        accounts = tuple(
+            None if item == FORGOTTEN else _decode_account(item, period, member_count)
+            for item in items
+        )
+        transfer, first, total = numbers
+        return TransferPiece(transfer, first, total, accounts)
+    if kind is Kind.OVERRIDES:
+        return Overrides(tuple(_decode_override(item, member_count) for item in items))
+    if items:
+        raise ValueError(items)
+    if kind is Kind.DIGESTS:
+        if any(number >= DIGEST_RANGE for number in numbers):
+            raise ValueError(numbers)
+        *buckets, overrides, is_answer = numbers
+        return Digests(tuple(buckets), overrides, bool(is_answer))
+    return TransferRequest(*numbers) if kind is Kind.TRANSFER_REQUEST else NotComplete(*numbers)
 
 
 def _name(text: str) -> str:
-    if not 0 < len(text) <= 5 or not (text.isascii() and text.isalnum() and text == text.lower()):
+    is_plain = text.isascii() and text.isalnum() and text == text.lower()
+    if not 0 < len(text) <= _MAX_NAME_LENGTH or not is_plain:
         raise ValueError(text)
     return text
 
 
-def _read_value(since: str, through: str, total: str, period: int) -> CountValue:
+def _decode_value(
+    since: str, through: str, total: str, period: int, first_hand: int = 1
+) -> CountValue:
     return CountValue(
-        period - number36(since, _MOST), period - number36(through, _MOST), number36(total, _MOST)
+        period - number36(since, _NUMBER_LIMIT),
+        period - number36(through, _NUMBER_LIMIT),
+        number36(total, _NUMBER_LIMIT),
+        first_hand,
     )
 
 
-def _customer(
-    key: str, plan: str, first: str, spread: str, members: int
-) -> tuple[str, str, int, int]:
-    width = number36(spread, members + 1)
-    if width == 0:
-        raise ValueError(spread)
-    return _name(key), _name(plan), number36(first, members), width
+def _decode_customer(fields: Sequence[str], member_count: int) -> tuple[str, str, int, int]:
+    customer, plan_tag, set_start, set_size = fields
+    size = number36(set_size, member_count + 1)
+    if size == 0:
+        raise ValueError(set_size)
+    return _name(customer), _name(plan_tag), number36(set_start, member_count), size
 
 
-def _rows(word: str, period: int, members: int) -> list[CountRow]:
-    key, plan, first, spread, counts = word.split(":")
-    customer = _customer(key, plan, first, spread, members)
-    found = []
+def _decode_counts(item: str, period: int, member_count: int) -> list[CountRow]:
+    *customer_fields, counts = item.split(":")
+    customer = _decode_customer(customer_fields, member_count)
+    rows = []
     for count in counts.split("-"):
-        member, incarnation, *value = count.split(".")
-        sure = 0 if value[3:] == [HEARD[1:]] else 1
-        since, through, total = value if sure else value[:3]
-        told = _read_value(since, through, total, period)._replace(sure=sure)
-        found.append(CountRow(*customer, number36(member, members), _name(incarnation), told))
-    return found
+        member, incarnation, *value_fields = count.split(".")
+        first_hand = 0 if value_fields[3:] == [HEARSAY_SUFFIX[1:]] else 1
+        since, through, total = value_fields if first_hand else value_fields[:3]
+        value = _decode_value(since, through, total, period, first_hand)
+        rows.append(CountRow(*customer, number36(member, member_count), _name(incarnation), value))
+    return rows
 
 
-def _slice(word: str, period: int, members: int) -> AccountCopy:
-    key, plan, first, spread, spent, counts = word.split(":")
+def _decode_account(item: str, period: int, member_count: int) -> AccountCopy:
+    *customer_fields, spent, counts = item.split(":")
     found = []
     for count in counts.split("-") if counts else ():
-        member, incarnation, since, through, total, one, two = count.split(".")
-        value = _read_value(since, through, total, period)
+        member, incarnation, since, through, total, in_next, in_second = count.split(".")
         found.append(
             RecentCount(
-                number36(member, members),
+                number36(member, member_count),
                 _name(incarnation),
-                value,
-                number36(one, _MOST),
-                number36(two, _MOST),
+                _decode_value(since, through, total, period),
+                number36(in_next, _NUMBER_LIMIT),
+                number36(in_second, _NUMBER_LIMIT),
             )
         )
-    return AccountCopy(
-        *_customer(key, plan, first, spread, members), number36(spent, _MOST), tuple(found)
-    )
+    customer = _decode_customer(customer_fields, member_count)
+    return AccountCopy(*customer, number36(spent, _NUMBER_LIMIT), tuple(found))
 
 
-def _hand(word: str, members: int) -> Override:
-    host, order, down, at, member = word.split(":")
-    if not 0 < len(host) <= _MOST_NAME or not host.isascii() or not host.isprintable():
-        raise ValueError(host)
+def _decode_override(item: str, member_count: int) -> Override:
+    endpoint, lamport_time, disabled, made_at_ms, member = item.split(":")
+    is_name = 0 < len(endpoint) <= _MAX_ENDPOINT_LENGTH
+    if not is_name or not endpoint.isascii() or not endpoint.isprintable():
+        raise ValueError(endpoint)
     return Override(
-        host,
-        number36(order, _MOST),
-        number36(down, 2),
-        number36(at, 36**9),
-        number36(member, members),
+        endpoint,
+        number36(lamport_time, _NUMBER_LIMIT),
+        number36(disabled, 2),
+        number36(made_at_ms, _TIME_LIMIT_MS),
+        number36(member, member_count),
     )
--- a/hazelhollow/replication/count_table.py
+++ b/hazelhollow/replication/count_table.py
@@ -1,11 +1,15 @@
-"""Who charged whom how much.
+"""The replicated counts of charges: a state-based CRDT of counters that only grow.
 
-Counts that only grow, and the one rule by which two copies become one. No I/O, no clock.
+No I/O, no clock. `Replica` owns the table of a member, `AntiEntropy` reads and merges it.
 
-A count belongs to one customer, one member and one incarnation of it. Its value is what was charged
-in all periods from `since` on, `through` being the last that had charges; it is closed, so a value
-is never taken back. Two values become the greater (since, total) with the later `through`: in any
-order, doubled or late, all end with the same. `docs/design/replication.md` says why.
+One counter belongs to one customer, one member and one incarnation of that member. Only this member
+adds to it, once a period of one second is closed, so what was counted is never taken back.
+
+Merge law (`merge`): of two values of one counter the greater (`since`, `total`) holds, together
+with the later `through`. This is the least upper bound of both, and therefore associative,
+commutative and idempotent: copies may arrive late, twice or in any order, and all members end with
+the same value. A counter to which nothing was added for RETENTION_PERIODS is dropped by all members
+at the same second and refused from then on. `docs/design/replication.md` gives the reasons.
 """
 
 from __future__ import annotations
@@ -16,200 +20,225 @@
 from typing import NamedTuple
 from zlib import crc32
 
-BUCKETS = 32
-# periods: a count that nothing was added to for so long is let go by all at the same moment
-KEPT_FOR = 60
-AHEAD = 2  # periods by which a member's clock may run ahead
-SUM_RANGE = 36**4  # of a bucket's digest as it is sent
+BUCKET_COUNT = 32
+RETENTION_PERIODS = 60
+MAX_CLOCK_LEAD_PERIODS = 2  # by which a member's clock may be ahead of ours
+DIGEST_RANGE = 36**4  # a digest is sent as a number below this
+
+# Names under which operators see copies that contradict each other.
+TWO_HISTORIES = "two histories"
+TOTAL_FELL = "fell"
+FROM_THE_FUTURE = "from the future"
+
+Owner = tuple[int, str]  # a member and its incarnation
 
 
 class CountValue(NamedTuple):
-    """Periods as whole seconds; `total` in tenths of a unit.
+    """What was charged in all periods from `since` on; `through` is the last that had charges.
 
-    `sure`: 1 if the member itself said so, 0 if others heard it by gossip, of which some may have
-    been lost; nothing in a value's digest.
+    Periods are whole Unix seconds, `total` is in tenths of a unit. `first_hand` is 1 if the member
+    itself reported the value and 0 if others added it up from its gossip, some of which may have
+    been lost; it is no part of a digest.
     """
 
     since: int
     through: int
     total: int
-    sure: int = 1
+    first_hand: int = 1
 
 
 class CountRow(NamedTuple):
-    """One count as it is passed on.
+    """One counter as members send it to each other.
 
-    `plan`: the tag of its name, the same under any settings; the customer's set beside.
+    `plan_tag` is the hash of the plan's name, the same under any settings. The customer's requests
+    come through `set_size` limiters from number `set_start` on.
     """
 
-    key: str
-    plan: str
-    first: int
-    spread: int
+    customer: str
+    plan_tag: str
+    set_start: int
+    set_size: int
     member: int
     incarnation: str
     value: CountValue
 
 
-def merge(one: CountValue, other: CountValue) -> CountValue:
-    """The least value that covers both: associative, commutative and idempotent.
+def merge(first: CountValue, second: CountValue) -> CountValue:
+    """The least value that covers both.
 
-    Of a member that has died others tell what they heard, some of it less: a later `through` may
-    come with a smaller `total`, and neither is given up for the other. As `through` never falls, a
-    count expires only when every copy of it has. The result is sure only if the member itself said
-    just that.
+    Others' sums of a dead member's gossip may have a later `through` with a smaller `total`, so
+    neither is given up for the other: as `through` never falls, a counter expires only when every
+    copy of it has. The result is first-hand only if the member itself reported exactly that value.
     """
-    since, total = max((one.since, one.total), (other.since, other.total))
-    through = max(one.through, other.through)
-    said = [value.sure for value in (one, other) if value[:3] == (since, through, total)]
-    return CountValue(since, through, total, max(said, default=0))
+    since, total = max((first.since, first.total), (second.since, second.total))
+    through = max(first.through, second.through)
+    same = [value.first_hand for value in (first, second) if value[:3] == (since, through, total)]
+    return CountValue(since, through, total, max(same, default=0))
+
 
+def contradiction(first: CountValue, second: CountValue) -> str:
+    """Why two values cannot both be true, or an empty text where they can.
 
-def contradiction(one: CountValue, other: CountValue) -> str:
-    """Why two values cannot both be true: nothing where they can."""
-    if one.since != other.since or not (one.sure and other.sure):
-        # the member had let the customer go and began anew; or what was heard may be less than what
-        # was
+    Values with different `since` agree: the member dropped the customer and began anew. So does a
+    value that is not first-hand, which may be less than what was charged.
+    """
+    if first.since != second.since or not (first.first_hand and second.first_hand):
         return ""
-    if one.through == other.through:
-        return "two histories" if one.total != other.total else ""
-    older, newer = sorted((one, other), key=lambda value: value.through)
-    return "fell" if newer.total < older.total else ""
+    if first.through == second.through:
+        return TWO_HISTORIES if first.total != second.total else ""
+    older, newer = sorted((first, second), key=lambda value: value.through)
+    return TOTAL_FELL if newer.total < older.total else ""
 
 
 class CustomerCounts:
-    """The counts of one customer, by member and incarnation."""
+    """The counters of one customer, by member and incarnation."""
 
-    __slots__ = ("plan", "first", "spread", "counts")
+    __slots__ = ("plan_tag", "set_start", "set_size", "values")
 
-    def __init__(self, plan: str, first: int, spread: int) -> None:
-        self.plan, self.first, self.spread = plan, first, spread
-        self.counts: dict[tuple[int, str], CountValue] = {}
+    def __init__(self, plan_tag: str, set_start: int, set_size: int) -> None:
+        self.plan_tag, self.set_start, self.set_size = plan_tag, set_start, set_size
+        self.values: dict[Owner, CountValue] = {}
 
 
-def bucket_of(key: str) -> int:
-    return crc32(key.encode()) % BUCKETS
+def bucket_of(customer: str) -> int:
+    """The bucket whose digest covers this customer."""
+    return crc32(customer.encode()) % BUCKET_COUNT
 
 
-def _fingerprint(key: str, who: tuple[int, str], value: CountValue) -> int:
-    text = f"{key}.{who[0]}.{who[1]}.{value.since}.{value.through}.{value.total}"
+def _fingerprint(customer: str, owner: Owner, value: CountValue) -> int:
+    text = f"{customer}.{owner[0]}.{owner[1]}.{value.since}.{value.through}.{value.total}"
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 class CountTable:
-    """All counts that one member knows, its own and others'.
+    """All counters that one member knows, its own and others'.
 
-    `troubles` counts copies that could not both be true.
+    `contradictions` counts merged copies that could not both be true, by the names above.
     """
 
     def __init__(self) -> None:
         self.customers: dict[str, CustomerCounts] = {}
         self.period = 0
-        self.troubles: Counter[str] = Counter()
-        self._sums = [0] * BUCKETS
-        self._buckets: list[dict[str, None]] = [
-            {} for _ in range(BUCKETS)
-        ]  # keys; those changed last come last
-        self._expiry: dict[
-            int, set[str]
-        ] = {}  # customers of which something may be let go, by the period it was last added to
-        self._whos: dict[
-            tuple[int, str], tuple[int, str]
-        ] = {}  # one object for each incarnation and each period, not one for each count
-        self._periods: dict[int, int] = {}
+        self.contradictions: Counter[str] = Counter()
+        self._digests = [0] * BUCKET_COUNT  # the exclusive or of the fingerprints
+        # Customers by bucket, those that changed last at the end.
+        self._buckets: list[dict[str, None]] = [{} for _ in range(BUCKET_COUNT)]
+        # By `through`, customers with a counter that may expire that long after it.
+        self._expiry: dict[int, set[str]] = {}
+        # One shared object for each owner and period, since thousands of counters name the same.
+        self._shared_owners: dict[Owner, Owner] = {}
+        self._shared_periods: dict[int, int] = {}
 
     def __len__(self) -> int:
+        """How many customers have counters."""
         return len(self.customers)
 
-    def put(self, row: CountRow) -> bool:
-        """Whether it changed anything.
+    def merge_in(self, row: CountRow) -> bool:
+        """Merges a copy of a counter; gives whether that is news.
 
-        What is too old changes nothing, and what is from the future is said and left.
+        A copy that has expired changes nothing. One from the future is counted and refused. A
+        first-hand copy of what was known by hearsay is stored and is no news.
         """
         value = row.value
-        if value.through <= self.period - KEPT_FOR:
+        if value.through <= self.period - RETENTION_PERIODS:
             return False
-        if value.through > self.period + AHEAD or value.since > value.through + 1:
-            self.troubles["from the future"] += 1
+        latest = self.period + MAX_CLOCK_LEAD_PERIODS
+        if value.through > latest or value.since > value.through + 1:
+            self.contradictions[FROM_THE_FUTURE] += 1
             return False
-        customer = self.customers.get(row.key)
-        if customer is None:
-            customer = self.customers[row.key] = CustomerCounts(row.plan, row.first, row.spread)
-        who = self._whos.setdefault((row.member, row.incarnation), (row.member, row.incarnation))
-        since, through = (
-            self._periods.setdefault(period, period) for period in (value.since, value.through)
+        counts = self.customers.get(row.customer)
+        if counts is None:
+            counts = CustomerCounts(row.plan_tag, row.set_start, row.set_size)
+            self.customers[row.customer] = counts
+        owner = self._shared_owners.setdefault(
+            (row.member, row.incarnation), (row.member, row.incarnation)
         )
-        value = CountValue(since, through, value.total, value.sure)
-        old = customer.counts.get(who)
-        if old is not None:
-            why = contradiction(old, value)
-            if why:
-                self.troubles[why] += 1
-            value = merge(old, value)
-            if value == old:
+        value = self._with_shared_periods(value)
+        known = counts.values.get(owner)
+        if known is not None:
+            reason = contradiction(known, value)
+            if reason:
+                self.contradictions[reason] += 1
+            value = merge(known, value)
+            if value == known:
                 return False
-            if old[:3] == value[:3]:  # the member itself confirms what was heard
-                customer.counts[who] = value
+            if known[:3] == value[:3]:
+                counts.values[owner] = value
                 return False
-            self._sums[bucket_of(row.key)] ^= _fingerprint(row.key, who, old)
-        customer.plan, customer.first, customer.spread = row.plan, row.first, row.spread
-        customer.counts[who] = value
-        bucket = bucket_of(row.key)
-        self._sums[bucket] ^= _fingerprint(row.key, who, value)
-        self._buckets[bucket].pop(row.key, None)
-        self._buckets[bucket][row.key] = None
-        self._expiry.setdefault(value.through, set()).add(row.key)
+            self._digests[bucket_of(row.customer)] ^= _fingerprint(row.customer, owner, known)
+        counts.plan_tag, counts.set_start, counts.set_size = (
+            row.plan_tag,
+            row.set_start,
+            row.set_size,
+        )
+        counts.values[owner] = value
+        self._note_change(row.customer, owner, value)
         return True
 
-    def turn(self, period: int) -> None:
-        """Time goes on: folds in what nothing was added to for KEPT_FOR periods."""
+    def _with_shared_periods(self, value: CountValue) -> CountValue:
+        since, through = (
+            self._shared_periods.setdefault(period, period)
+            for period in (value.since, value.through)
+        )
+        return CountValue(since, through, value.total, value.first_hand)
+
+    def _note_change(self, customer: str, owner: Owner, value: CountValue) -> None:
+        bucket = bucket_of(customer)
+        self._digests[bucket] ^= _fingerprint(customer, owner, value)
+        self._buckets[bucket].pop(customer, None)
+        self._buckets[bucket][customer] = None
+        self._expiry.setdefault(value.through, set()).add(customer)
+
+    def advance(self, period: int) -> None:
+        """Time goes on to `period`, or stays: drops the counters that have expired."""
         self.period = max(self.period, period)
-        for through in [p for p in self._expiry if p <= self.period - KEPT_FOR]:
-            for key in self._expiry.pop(through):
-                customer = self.customers.get(key)
-                if customer is not None:
-                    self._fold(key, customer)
-        if len(self._periods) > 4 * KEPT_FOR:
-            self._whos, self._periods = {}, {}
-
-    def _fold(self, key: str, customer: CustomerCounts) -> None:
-        for who, value in list(customer.counts.items()):
-            if value.through <= self.period - KEPT_FOR:
-                self._sums[bucket_of(key)] ^= _fingerprint(key, who, value)
-                del customer.counts[who]
-        if not customer.counts:
-            del self.customers[key]
-            self._buckets[bucket_of(key)].pop(key, None)
-
-    def rows(self, key: str) -> list[CountRow]:
-        customer = self.customers.get(key)
-        if customer is None:
+        for through in [p for p in self._expiry if p <= self.period - RETENTION_PERIODS]:
+            for customer in self._expiry.pop(through):
+                counts = self.customers.get(customer)
+                if counts is not None:
+                    self._drop_expired(customer, counts)
+        if len(self._shared_periods) > 4 * RETENTION_PERIODS:
+            self._shared_owners, self._shared_periods = {}, {}
+
+    def _drop_expired(self, customer: str, counts: CustomerCounts) -> None:
+        for owner, value in list(counts.values.items()):
+            if value.through <= self.period - RETENTION_PERIODS:
+                self._digests[bucket_of(customer)] ^= _fingerprint(customer, owner, value)
+                del counts.values[owner]
+        if not counts.values:
+            del self.customers[customer]
+            self._buckets[bucket_of(customer)].pop(customer, None)
+
+    def rows(self, customer: str) -> list[CountRow]:
+        """The counters of one customer."""
+        counts = self.customers.get(customer)
+        if counts is None:
             return []
         return [
-            CountRow(key, customer.plan, customer.first, customer.spread, *who, value)
-            for who, value in customer.counts.items()
+            CountRow(customer, counts.plan_tag, counts.set_start, counts.set_size, *owner, value)
+            for owner, value in counts.values.items()
         ]
 
-    def sums(self) -> list[int]:
-        """A number below SUM_RANGE a bucket."""
-        return [one % SUM_RANGE for one in self._sums]
+    def digests(self) -> list[int]:
+        """A number below DIGEST_RANGE for each bucket."""
+        return [digest % DIGEST_RANGE for digest in self._digests]
 
-    def differ(self, sums: Sequence[int]) -> list[int]:
-        """Buckets in which another's sums are not as these."""
+    def differing_buckets(self, digests: Sequence[int]) -> list[int]:
+        """Buckets in which another member's digests are not as these."""
         return [
             bucket
-            for bucket, (one, other) in enumerate(zip(self.sums(), sums, strict=True))
-            if one != other
+            for bucket, (own, other) in enumerate(zip(self.digests(), digests, strict=True))
+            if own != other
         ]
 
-    def newest(self, buckets: Sequence[int]) -> Iterator[str]:
-        """Keys of those buckets, in each the one changed last first, the buckets in turn."""
-        turns = [reversed(self._buckets[bucket]) for bucket in buckets]
-        while turns:
-            left = []
-            for one in turns:
-                key = next(one, None)
-                if key is not None:
-                    yield key
-                    left.append(one)
-            turns = left
+    def newest_customers(self, buckets: Sequence[int]) -> Iterator[str]:
+        """Customers of the buckets in turn, in each bucket those that changed last first."""
+        iterators = [reversed(self._buckets[bucket]) for bucket in buckets]
+        while iterators:
+            remaining = []
+            for iterator in iterators:
+                customer = next(iterator, None)
+                if customer is not None:
+                    yield customer
+                    remaining.append(iterator)
+            iterators = remaining
--- a/hazelhollow/replication/snapshot.py
+++ b/hazelhollow/replication/snapshot.py
@@ -1,139 +1,77 @@
-"""What a limiter knew, on disk, so that all killed at once is not a new burst for everybody.
+"""The format of a snapshot: what a limiter knew, for the case that all limiters end at once.
 
-A file is a checksum and a document of a format and version. It is written whole beside the old one
-and put in its place; what is spoilt, of another version or too old is set aside under another name
-and said, never trusted, never fatal.
+A file is a checksum and a document with a format and version. Fields are stored by position, not by
+name: they may be renamed, and new ones with a default may be added at the end, but none may move.
+`snapshot_file` reads and writes the file, `restore` says what its figures are worth.
 """
 
 from __future__ import annotations
 
-import logging
-import os
-from pathlib import Path
 from zlib import crc32
 
 import msgspec
 
-from hazelhollow.replication.codec import Override
-from hazelhollow.storage.writer import DirectWriter, WriteJob, Writer
+from hazelhollow.replication.errors import (
+    DamagedSnapshotError,
+    ForeignSnapshotError,
+    StaleSnapshotError,
+)
+from hazelhollow.replication.overrides import Override
 
-FORMAT, VERSION = "hazelhollow-replica", 1
-OLDEST = 3600.0  # seconds: older than that nothing in it says anything
-MOST = 5000  # customers, those with the least left
-CHECK = 4  # bytes of the checksum
-
-log = logging.getLogger(__name__)
+FORMAT = "hazelhollow-replica"
+VERSION = 1
+MAX_AGE_S = 3600.0  # an older one says nothing of what is left now
+MAX_CUSTOMERS = 5000  # those with the least left
+CHECKSUM_BYTES = 4
 
 
 class SavedAccount(msgspec.Struct, frozen=True, array_like=True):
-    """A customer.
-
-    Units left of the burst when the snapshot was made; below nothing, so many are to be paid back.
-    """
+    """A customer, and the units left of its burst; below 0, so many are a debt."""
 
-    key: str
-    plan: str
-    first: int
-    spread: int
+    customer: str
+    plan_name: str
+    set_start: int
+    set_size: int
     level: float
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """`at`: Unix seconds.
+    """What one member knew at `taken_at`, in Unix seconds.
 
-    `final`: written at an orderly end, after which this member has let nothing in.
+    `is_final`: written at an orderly end, after which this member admitted nothing.
     """
 
     format: str
     version: int
-    at: float
+    taken_at: float
     member: int
-    customers: list[SavedAccount]
-    hands: list[tuple[str, int, int, int, int]]
-    final: bool = False
-
-    def calls(self) -> list[Override]:
-        return [Override(*one) for one in self.hands]
-
-
-def least_left(level: float, rate: float, burst: float, kept: Snapshot, now: float) -> float:
-    """Units that are left at `now` for certain, of a customer that `kept` says had `level`.
-
-    When the member died is not known, nor how long it had waited for its processor before, while
-    others let in. So after a kill all that was left, and all that has come in since, may have been
-    used; what was owed is paid back by what came in.
-    """
-    came_in = rate * max(0.0, now - kept.at)
-    return min(level + came_in, burst if kept.final else 0.0)
+    accounts: list[SavedAccount]
+    overrides: list[Override]
+    is_final: bool = False
 
 
-class SnapshotError(Exception):
-    """Why a file cannot be used."""
-
-
-def write(snapshot: Snapshot) -> bytes:
+def encode(snapshot: Snapshot) -> bytes:
+    """The bytes of the file."""
     body = msgspec.msgpack.encode(snapshot)
-    return crc32(body).to_bytes(CHECK, "big") + body
+    return crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body
 
 
-def read(data: bytes, member: int, now: float) -> Snapshot:
-    """Raises SnapshotError for what cannot be used."""
-    check, body = data[:CHECK], data[CHECK:]
-    if len(check) < CHECK or crc32(body).to_bytes(CHECK, "big") != check:
-        raise SnapshotError("is spoilt: its checksum does not match")
+def decode(data: bytes, member: int, now: float) -> Snapshot:
+    """The snapshot that `member` may use at `now`. Raises SnapshotError where it must not."""
+    checksum, body = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
+    if len(checksum) < CHECKSUM_BYTES or crc32(body).to_bytes(CHECKSUM_BYTES, "big") != checksum:
+        raise DamagedSnapshotError("is spoilt: its checksum does not match")
     try:
-        one: Snapshot = msgspec.msgpack.decode(body, type=Snapshot)
+        snapshot: Snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.DecodeError as error:
-        raise SnapshotError(f"is of another form: {error}") from None
-    if (one.format, one.version) != (FORMAT, VERSION):
-        raise SnapshotError(
-            f"is {one.format} version {one.version}; this one reads {FORMAT} version {VERSION}"
+        raise DamagedSnapshotError(f"is of another form: {error}") from None
+    if (snapshot.format, snapshot.version) != (FORMAT, VERSION):
+        raise ForeignSnapshotError(
+            f"is {snapshot.format} version {snapshot.version}; this one reads {FORMAT} version"
+            f" {VERSION}"
         )
-    if one.member != member:
-        raise SnapshotError(f"is member {one.member}'s")
-    if now - one.at > OLDEST:
-        raise SnapshotError(f"is {now - one.at:.0f} s old")
-    return one
-
-
-class SnapshotFile:
-    """One limiter's snapshot in a folder that outlives it.
-
-    It is written by `writer`; on a slow disk the newest alone waits.
-    """
-
-    def __init__(self, folder: Path, member: int, writer: Writer | None = None) -> None:
-        self.path, self.member = folder / f"replica-{member}", member
-        self._writer = writer or DirectWriter()
-        self._said = False
-
-    def load(self, now: float) -> Snapshot | None:
-        """Nothing where there is none, or where it was set aside."""
-        try:
-            return read(self.path.read_bytes(), self.member, now)
-        except FileNotFoundError:
-            return None
-        except (OSError, SnapshotError) as error:
-            aside = self.path.with_name(self.path.name + ".bad")
-            log.warning("snapshot %s %s; it is set aside as %s", self.path, error, aside.name)
-            try:
-                os.replace(self.path, aside)
-            except OSError as trouble:
-                log.warning("snapshot %s cannot be set aside: %s", self.path, trouble)
-            return None
-
-    def save(self, snapshot: Snapshot) -> None:
-        """A disk that is full costs the snapshot and nothing else: the old one stays."""
-        data = write(snapshot)
-        self._writer.submit(WriteJob(lambda: self._put(data), len(data), self.path.name))
-
-    def _put(self, data: bytes) -> None:
-        part = self.path.with_name(f"{self.path.name}.{os.getpid()}.part")
-        try:
-            part.write_bytes(data)
-            os.replace(part, self.path)
-            self._said = False
-        except OSError as error:
-            if not self._said:
-                log.error("snapshot %s cannot be written: %s", self.path, error)
-            self._said = True
+    if snapshot.member != member:
+        raise ForeignSnapshotError(f"is member {snapshot.member}'s")
+    if now - snapshot.taken_at > MAX_AGE_S:
+        raise StaleSnapshotError(f"is {now - snapshot.taken_at:.0f} s old")
+    return snapshot
--- a/hazelhollow/replication/snapshot_collector.py
+++ b/hazelhollow/replication/snapshot_collector.py
@@ -1,7 +1,7 @@
-"""What a snapshot says of the customers, gathered in slices. No I/O, no clock.
+"""Collects the accounts of a snapshot in slices, so that no turn of the event loop is long.
 
-A slice is as old as the turn that it was gathered in, and the snapshot as the last one: what came
-in meanwhile is not counted.
+No I/O, no clock. A slice is as old as the turn in which it was collected, while the snapshot is
+dated when the last one was: what comes in meanwhile is not counted.
 """
 
 from __future__ import annotations
@@ -9,51 +9,35 @@
 from heapq import nsmallest
 from itertools import islice
 
-from hazelhollow.decisions.accounts import Account, key_of
-from hazelhollow.decisions.state import Memory
-from hazelhollow.replication.snapshot import MOST, SavedAccount
+from hazelhollow.replication.account_adapter import EngineAccounts, RankedAccount
+from hazelhollow.replication.snapshot import MAX_CUSTOMERS, SavedAccount
 
-A_SLICE = 100  # customers
+SLICE_CUSTOMERS = 100
 
 
 class SnapshotCollector:
-    """Of the customers of `memory` whose budget is not full, those with the least left."""
+    """Of the accounts whose budget is not full, those with the least left."""
 
-    def __init__(self, memory: Memory) -> None:
-        self._memory = memory
-        self._names = iter(list(memory.accounts))
-        # the part of the burst that is left, and the customer
-        self._found = list[tuple[float, SavedAccount]]()
+    def __init__(self, accounts: EngineAccounts) -> None:
+        self._accounts = accounts
+        self._names = iter(accounts.names())
+        self._found = list[RankedAccount]()
 
     def step(self) -> bool:
-        """Goes through one slice; whether all have been gone through."""
-        slice_ = list(islice(self._names, A_SLICE))
-        for name in slice_:
-            account = self._memory.accounts.get(name)
-            if account is not None:  # else it was forgotten meanwhile
-                self._look_at(name, account)
-        return len(slice_) < A_SLICE
+        """Goes through one slice; gives whether all have been gone through."""
+        names = list(islice(self._names, SLICE_CUSTOMERS))
+        for name in names:
+            ranked = self._accounts.ranked(name)
+            if ranked is not None:
+                self._found.append(ranked)
+        return len(names) < SLICE_CUSTOMERS
 
     def finish(self) -> None:
-        """Goes through all that are left at once."""
+        """Goes through the rest at once."""
         while not self.step():
             pass
 
-    def left(self) -> list[SavedAccount]:
-        """Those with the least left first."""
-        return [left for _, left in nsmallest(MOST, self._found, key=lambda one: one[0])]
-
-    def _look_at(self, name: str, account: Account) -> None:
-        if not account.plan.burst or not account.spread:
-            return
-        part = account.budget.fill(self._memory.now) / account.plan.burst
-        if part < 1.0:
-            level = account.budget.level - account.owed
-            self._found.append(
-                (
-                    part,
-                    SavedAccount(
-                        key_of(name), account.plan.name, account.first, account.spread, level
-                    ),
-                )
-            )
+    def saved_accounts(self) -> list[SavedAccount]:
+        """MAX_CUSTOMERS at most, those with the smallest part of their burst left first."""
+        lowest = nsmallest(MAX_CUSTOMERS, self._found, key=lambda ranked: ranked.share_left)
+        return [ranked.account for ranked in lowest]
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -32,7 +32,7 @@
 from hazelhollow.net.ending import Ending, outcome
 from hazelhollow.net.limiter import Limiter
 from hazelhollow.net.stats import Stats
-from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
 from hazelhollow.scale.load import Drawn, service_time
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeers
@@ -243,17 +243,11 @@
     def _start_replica(self, fleet: FleetDriver, seal: Seal, most: int) -> None:
         self.replica = ReplicationDriver(
             self.scheduler,
-            self._peers,
-            fleet,
-            seal,
-            self.gateway,
-            self.limiter.copied,
-            lambda calls: None,
+            Network(self._peers, fleet, seal, most, self._part(BudgetRole.REPLICATION)),
+            EngineLink(self.gateway, self.limiter.copied, lambda calls: None),
             self._seed,
-            most,
-            allowance=self._part(BudgetRole.REPLICATION),
         )
-        self.limiter.closed = self.replica.closed
+        self.limiter.closed = self.replica.record_charge
         self._meter.turn(Role.REPLICATION, self.replica.start)
 
     def _start_audit(self, fleet: FleetDriver, seal: Seal, incarnation: int) -> None:
--- /dev/null
+++ b/tests/replication/test_codec.py
@@ -0,0 +1,109 @@
+"""The text of datagrams, and what is done with texts that are none."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from hazelhollow.replication import codec
+from hazelhollow.replication.count_table import CountRow, CountValue
+from hazelhollow.replication.messages import (
+    AccountCopy,
+    Counts,
+    Kind,
+    Overrides,
+    RecentCount,
+    TransferPiece,
+)
+from hazelhollow.replication.overrides import Override
+from tests.replication.network import NOW, KnownAccounts, Network, overrides, rows, values
+
+accounts = st.builds(
+    AccountCopy,
+    st.sampled_from(["a1", "zz9"]),
+    st.just("pl"),
+    st.integers(0, 4),
+    st.integers(1, 5),
+    st.integers(0, 9999),
+    st.lists(
+        st.builds(
+            RecentCount,
+            st.integers(0, 4),
+            st.just("l1"),
+            values.map(lambda value: value._replace(first_hand=1)),
+            st.integers(0, 99),
+            st.integers(0, 99),
+        ),
+        max_size=3,
+    ).map(tuple),
+)
+
+
+@given(accounts, st.lists(rows, min_size=1, max_size=3), overrides)
+def test_messages_are_decoded_as_they_were_encoded(
+    one: AccountCopy, some: list[CountRow], call: Override
+) -> None:
+    line = (
+        codec.encode_header(Kind.TRANSFER_PIECE, "l1", NOW, (1, 2, 3))
+        + codec.encode_account(one, NOW, 200)
+        + codec.encode_forgotten()
+    )
+    message = codec.decode(line, 5)
+    assert message is not None and message.body == TransferPiece(1, 2, 3, (one, None))
+    alike = [row._replace(customer="a") for row in some]
+    message = codec.decode(
+        codec.encode_header(Kind.COUNTS, "l1", NOW) + codec.encode_counts(alike, NOW), 5
+    )
+    assert message is not None and message.body == Counts(tuple(alike))
+    message = codec.decode(
+        codec.encode_header(Kind.OVERRIDES, "l1", NOW) + codec.encode_override(call), 5
+    )
+    assert message is not None and message.body == Overrides((call,))
+
+
+@given(st.text(max_size=60))
+def test_any_text_is_no_message_or_of_a_known_kind(text: str) -> None:
+    """Whatever arrives at the port must not raise."""
+    assert codec.decode("c1" + text, 5) is None or text[0] in "rgnhqs"
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        "c1r l1/1",
+        "c2r l1/1 ",
+        "c1x l1/1 ",
+        "c1r l1/1  a:pl:0:0:1.l1.1.1.1",
+        "c1r l1/1  a:pl:9:1:1.l1.1.1.1",
+        "c1r l1/1  a:pl:0:1:9.l1.1.1.1",
+        "c1r l1/1  a:pl:0:1:1.l1.1.1",
+        "c1r l1/1  a:pl:0:1:1.l1.-1.1.1",
+        "c1q l1/1 1-2",
+        "c1q l1/1 1-2-3 a",
+        "c1h l1/1  h:1:2:1:1",
+        "c1h l1/1  :1:1:1:1",
+        "c1r " + "l" * 9 + "/1 ",
+        "c1r l1/1 " + " " * 300,
+        "c1g l1/1 1-2-3 a:pl:0:1:1:1.l1.1.1.1.1",
+        "c1r L1/1 ",
+    ],
+)
+def test_a_message_with_any_wrong_part_is_refused_whole(text: str) -> None:
+    """Garbled or forged datagrams: nothing of them is taken, not even their sound parts."""
+    assert codec.decode(text, 5) is None
+
+
+def test_a_message_that_is_too_long_is_refused() -> None:
+    many = [
+        CountRow("a", "pl", 0, 3, 1, f"l{n}", CountValue(NOW - 9, NOW - 4, 1000)) for n in range(20)
+    ]
+    text = codec.encode_header(Kind.COUNTS, "l1", NOW) + codec.encode_counts(many, NOW)
+    assert len(text) > codec.MAX_MESSAGE_BYTES and codec.decode(text, 5) is None
+
+
+@pytest.mark.parametrize("text", ["c1r nonsense", "v1p 1", "c1q l1/1 1-2"])
+def test_a_datagram_that_cannot_be_decoded_is_dropped_and_counted(text: str) -> None:
+    """A peer of another version, or garbage: the replica answers nothing and counts it."""
+    net = Network([KnownAccounts(3), KnownAccounts()])
+    assert net.all[0].receive(1, text, NOW) == [] and net.all[0].counters["garbled"] == 1
--- a/tests/test_replica_snapshot.py
+++ b/tests/replication/test_restore.py
@@ -26,9 +26,12 @@
 from hazelhollow.decisions.state import Account
 from hazelhollow.membership.seal import Seal
 from hazelhollow.replication import codec, snapshot
-from hazelhollow.replication.driver import ReplicationDriver
-from hazelhollow.replication.replica import BEAT
-from hazelhollow.replication.snapshot_collector import A_SLICE, SnapshotCollector
+from hazelhollow.replication.account_adapter import EngineAccounts
+from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
+from hazelhollow.replication.replica import ROUND_INTERVAL_S
+from hazelhollow.replication.restore import guaranteed_level
+from hazelhollow.replication.snapshot_collector import SLICE_CUSTOMERS, SnapshotCollector
+from hazelhollow.replication.snapshot_file import SnapshotFile
 from tests.scenario import PLAN, SETTINGS
 from tests.test_gateway import entry, servers
 
@@ -60,15 +63,15 @@
         self.heard: Callable[[int, str], None] = self.gossip  # as net.peers.Peers has it
         self.driver = ReplicationDriver(
             self,  # type: ignore[arg-type]
-            self,  # type: ignore[arg-type]
-            View(fleet, number, fleet.now),  # type: ignore[arg-type]
-            Seal(),
-            self.gateway,
-            self.module,
-            lambda hosts: None,
+            Network(
+                self,  # type: ignore[arg-type]
+                View(fleet, number, fleet.now),  # type: ignore[arg-type]
+                Seal(),
+                codec.MAX_MESSAGE_BYTES,
+            ),
+            EngineLink(self.gateway, self.module, lambda overrides: None),
             number,
-            codec.MOST_BYTES,
-            snapshot.SnapshotFile(fleet.folder, number),
+            SnapshotFile(fleet.folder, number),
         )
         self.module(servers("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
@@ -108,7 +111,7 @@
             elif isinstance(action, api.SetTimer):
                 self.at(self.clock() + action.delay, self.module, api.TimerFired(action.name))
             elif isinstance(action, api.ReplicateCount):
-                self.driver.closed(action)
+                self.driver.record_charge(action)
 
     def asks(self) -> None:
         if self.fleet.asking:
@@ -184,7 +187,7 @@
         """All end in good order."""
         for one in self.all:
             if one:
-                one.driver.end()
+                one.driver.stop()
         self.kill()
 
     def wait_for_processor(self, number: int, seconds: float) -> None:
@@ -197,7 +200,7 @@
         return self.let_in - RATE * (self.now - START) - BURST
 
     def whole(self) -> bool:
-        return all(one and one.driver.replica.whole for one in self.all)
+        return all(one and one.driver.replica.catch_up.is_complete for one in self.all)
 
     def account(self, number: int) -> Account:
         one = self.all[number]
@@ -205,7 +208,7 @@
         return next(iter(one.gateway.accounts.values()))
 
     def snapshot_of(self, number: int) -> snapshot.Snapshot:
-        found = snapshot.SnapshotFile(self.folder, number).load(self.now)
+        found = SnapshotFile(self.folder, number).load(self.now)
         assert found
         return found
 
@@ -322,14 +325,14 @@
     assert all(0.0 < level < 10.0 for level in left)
     fleet.end()
     ended = fleet.now
-    assert all(fleet.snapshot_of(number).final for number in range(MEMBERS))
+    assert all(fleet.snapshot_of(number).is_final for number in range(MEMBERS))
     fleet.start(APART)
     while not fleet.whole():
-        fleet.run(BEAT)
+        fleet.run(ROUND_INTERVAL_S)
     for number, level in enumerate(left):
         expected = min(BURST, level + RATE * (fleet.now - ended))
         assert fleet.account(number).budget.fill(fleet.now) == pytest.approx(expected, abs=0.1)
-    assert not any(fleet.snapshot_of(number).final for number in range(MEMBERS))
+    assert not any(fleet.snapshot_of(number).is_final for number in range(MEMBERS))
 
 
 @pytest.mark.parametrize(
@@ -346,8 +349,8 @@
     ],
 )
 def test_what_is_left_for_certain(level: float, age: float, final: bool, left: float) -> None:
-    kept = snapshot.Snapshot(snapshot.FORMAT, snapshot.VERSION, START, 0, [], [], final)
-    assert snapshot.least_left(level, RATE, BURST, kept, START + age) == left
+    saved = snapshot.Snapshot(snapshot.FORMAT, snapshot.VERSION, START, 0, [], [], final)
+    assert guaranteed_level(level, GOLD, saved, START + age) == left
 
 
 # The customers of a snapshot, gathered in slices
@@ -372,35 +375,38 @@
     return gateway
 
 
-@pytest.mark.parametrize("count", [0, 1, A_SLICE, 5 * A_SLICE + 7])
+@pytest.mark.parametrize("count", [0, 1, SLICE_CUSTOMERS, 5 * SLICE_CUSTOMERS + 7])
 def test_gathered_in_slices_are_those_that_are_short_with_the_least_left_first(count: int) -> None:
     gateway = known_customers(count)
-    gathering, steps = SnapshotCollector(gateway), 1
-    while not gathering.step():
+    collector, steps = SnapshotCollector(EngineAccounts(gateway)), 1
+    while not collector.step():
         steps += 1
-    assert steps == count // A_SLICE + 1
-    assert [one.key for one in gathering.left()] == gateway.short()
-    assert all(one.level == gateway.accounts[one.key].budget.level for one in gathering.left())
+    assert steps == count // SLICE_CUSTOMERS + 1
+    assert [one.customer for one in collector.saved_accounts()] == gateway.short()
+    assert all(
+        one.level == gateway.accounts[one.customer].budget.level
+        for one in collector.saved_accounts()
+    )
 
 
 def test_of_more_than_a_snapshot_holds_those_with_the_least_left_are_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("hazelhollow.replication.snapshot_collector.MOST", 10)
+    monkeypatch.setattr("hazelhollow.replication.snapshot_collector.MAX_CUSTOMERS", 10)
     gateway = known_customers(100)
-    gathering = SnapshotCollector(gateway)
-    gathering.finish()
-    assert [one.key for one in gathering.left()] == gateway.short()[:10]
+    collector = SnapshotCollector(EngineAccounts(gateway))
+    collector.finish()
+    assert [one.customer for one in collector.saved_accounts()] == gateway.short()[:10]
 
 
 def test_one_that_is_forgotten_meanwhile_is_left_out() -> None:
-    gateway = known_customers(3 * A_SLICE)
-    gathering = SnapshotCollector(gateway)
-    gathering.step()
-    last = gossip.base36(3 * A_SLICE - 2)
+    gateway = known_customers(3 * SLICE_CUSTOMERS)
+    collector = SnapshotCollector(EngineAccounts(gateway))
+    collector.step()
+    last = gossip.base36(3 * SLICE_CUSTOMERS - 2)
     del gateway.accounts[last]
-    gathering.finish()
-    assert last not in {one.key for one in gathering.left()}
+    collector.finish()
+    assert last not in {one.customer for one in collector.saved_accounts()}
 
 
 def test_a_snapshot_of_many_customers_is_written_after_some_turns_and_the_last_at_once(
@@ -411,18 +417,22 @@
     fleet.start(APART)
     fleet.run(6.0)
     one = fleet.all[0]
-    assert one and one.driver.replica.whole
-    file = snapshot.SnapshotFile(tmp_path, 0)
-    for number in range(3 * A_SLICE):
+    assert one and one.driver.snapshots and one.driver.replica.catch_up.is_complete
+    file = SnapshotFile(tmp_path, 0)
+    for number in range(3 * SLICE_CUSTOMERS):
         one.gateway._account(gossip.base36(number), GOLD, 0, 3).budget.level = 1.0
     before = file.load(fleet.now)
-    one.driver._save()
+    one.driver.snapshots.save()
     assert file.load(fleet.now) == before
     fleet.run(0.1)
     written = file.load(fleet.now)
-    assert written and len(written.customers) == 3 * A_SLICE and not written.final
-    one.driver._save()
-    one.driver.end()
-    assert (last := file.load(fleet.now)) and last.final and len(last.customers) == 3 * A_SLICE
+    assert written and len(written.accounts) == 3 * SLICE_CUSTOMERS and not written.is_final
+    one.driver.snapshots.save()
+    one.driver.stop()
+    assert (
+        (last := file.load(fleet.now))
+        and last.is_final
+        and len(last.accounts) == 3 * SLICE_CUSTOMERS
+    )
     fleet.run(0.1)
     assert file.load(fleet.now) == last  # the slices that were under way are not
--- a/tests/test_audit_processes.py
+++ b/tests/test_audit_processes.py
@@ -21,7 +21,7 @@
 from hazelhollow.fault_injection.probes import Prober
 from hazelhollow.fault_injection.world import CLIENT, World
 from hazelhollow.net import scheduler as sch
-from tests.test_replica_processes import Kept
+from tests.replication.test_processes import Kept
 
 ASK_EVERY = 0.005  # seconds
 
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -12,9 +12,9 @@
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
 from hazelhollow.fault_injection import checker
 from hazelhollow.net.bans import BanFile, path_for
-from hazelhollow.replication import snapshot
-from hazelhollow.replication.codec import Override
+from hazelhollow.replication.overrides import Override
 from hazelhollow.replication.snapshot import SavedAccount, Snapshot
+from hazelhollow.replication.snapshot_file import SnapshotFile
 
 FOLDER = Path(__file__).parent / "kept_files"
 INCARNATION = 1_700_000_000_123
@@ -23,38 +23,43 @@
 def load_snapshot(member: int, now: float, tmp_path: Path) -> Snapshot | None:
     """Of a copy, since what can't be read is moved out of the way."""
     copy(FOLDER / f"replica-{member}", tmp_path)
-    return snapshot.SnapshotFile(tmp_path, member).load(now)
+    return SnapshotFile(tmp_path, member).load(now)
 
 
 def test_a_snapshot_with_customers_debts_and_overrides(tmp_path: Path) -> None:
     found = load_snapshot(3, 1_700_000_010.0, tmp_path)
     assert found is not None
     assert (found.format, found.version) == ("hazelhollow-replica", 1)
-    assert (found.at, found.member, found.final) == (1_700_000_005.75, 3, False)
-    assert found.customers == [
+    assert (found.taken_at, found.member, found.is_final) == (1_700_000_005.75, 3, False)
+    assert found.accounts == [
         SavedAccount("8tl2m", "7kq", 1, 5, 12.5),
         SavedAccount("0", "a1", 0, 1, -3.25),
         SavedAccount("zz9", "7kq", 4, 3, 0.0),
         *[SavedAccount(f"c{n}", "b22", n % 5, 1 + n % 5, n / 8 - 2) for n in range(40)],
     ]
-    first = found.customers[0]
-    assert (first.key, first.plan, first.first, first.spread) == ("8tl2m", "7kq", 1, 5)
+    first = found.accounts[0]
+    assert (first.customer, first.plan_name, first.set_start, first.set_size) == (
+        "8tl2m",
+        "7kq",
+        1,
+        5,
+    )
     assert first.level == 12.5
-    calls = found.calls()
-    assert calls == [
+    overrides = found.overrides
+    assert overrides == [
         Override("s-0001", 2, 0, 1_700_000_002_000, 4),
         Override("s-0002", 3, 1, 1_700_000_003_250, 3),
         Override("10.0.0.7:9000", 9, 1, 1_700_000_004_500, 1),
     ]
-    last = calls[-1]
-    assert (last.host, last.order, last.down) == ("10.0.0.7:9000", 9, 1)
-    assert (last.at, last.member) == (1_700_000_004_500, 1)
+    last = overrides[-1]
+    assert (last.endpoint, last.lamport_time, last.disabled) == ("10.0.0.7:9000", 9, 1)
+    assert (last.made_at_ms, last.member) == (1_700_000_004_500, 1)
 
 
 def test_a_snapshot_of_an_orderly_end(tmp_path: Path) -> None:
     found = load_snapshot(12, 1_700_000_101.0, tmp_path)
     assert found == Snapshot("hazelhollow-replica", 1, 1_700_000_100.0, 12, [], [], True)
-    assert found is not None and found.final
+    assert found is not None and found.is_final
 
 
 def test_snapshots_are_written_as_the_same_bytes(tmp_path: Path) -> None:
@@ -62,7 +67,7 @@
         found = load_snapshot(member, now, tmp_path)
         assert found is not None
         (tmp_path / f"replica-{member}").unlink()
-        snapshot.SnapshotFile(tmp_path, member).save(found)
+        SnapshotFile(tmp_path, member).save(found)
         written = (tmp_path / f"replica-{member}").read_bytes()
         assert written == (FOLDER / f"replica-{member}").read_bytes()
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -14,6 +14,7 @@
 
 from hazelhollow.configuration.record import Entry, Record, Segments, unpack
 from hazelhollow.replication import snapshot
+from hazelhollow.replication.snapshot_file import SnapshotFile
 from hazelhollow.storage.append_file import AppendFile
 from hazelhollow.storage.writer import BackgroundWriter, WriteJob
 
@@ -102,7 +103,7 @@
 
 
 def test_of_snapshots_that_wait_the_newest_is_written(disk: Disk, tmp_path: Path) -> None:
-    file = snapshot.SnapshotFile(tmp_path, 2, disk.writer)
+    file = SnapshotFile(tmp_path, 2, disk.writer)
     for at in (NOW, NOW + 1.0, NOW + 2.0):
         file.save(saved(at))
     assert file.load(NOW) is None
