--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Any
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
 from hazelhollow.replication.messages import AccountCopy, RecentCount
 from hazelhollow.replication.outbox import Datagram, LocalMember
--- a/hazelhollow/replication/account_adapter.py
+++ b/hazelhollow/replication/account_adapter.py
@@ -12,8 +12,8 @@
 from zlib import crc32
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip_codec import base36
-from hazelhollow.decisions.state import Memory, key_of
+from hazelhollow.decisions.gossip.codec import base36
+from hazelhollow.decisions.memory import Memory, key_of
 from hazelhollow.replication.catch_up import ReceivedAccount
 from hazelhollow.replication.count_table import CountRow, CountValue
 from hazelhollow.replication.messages import AccountCopy, RecentCount
@@ -91,27 +91,27 @@
                 count.member,
                 count.incarnation,
                 CountValue(count.since, count.through, _tenths(count.total)),
-                _tenths(count.first),
-                _tenths(count.second),
+                _tenths(count.previous_units),
+                _tenths(count.current_units),
             )
             for count in copy.counts
         )
         spent = max(0, _tenths(plan.burst - copy.level))
         tag = plan_tag(copy.plan_name)
-        return AccountCopy(customer, tag, copy.set_start, copy.spread, spent, counts)
+        return AccountCopy(customer, tag, copy.set_start, copy.set_size, spent, counts)
 
     # Counts
 
     def row_of(self, action: api.ReplicateCount, local: LocalMember) -> CountRow:
         """The counter that the engine reports: of `local`, or another's as it was heard."""
-        count = action.told
+        count = action.replicated_count
         is_own = (count.member, count.incarnation) == (local.number, local.incarnation)
         value = CountValue(count.since, count.through, _tenths(count.total), int(is_own))
         return CountRow(
             action.key,
             plan_tag(action.plan_name),
             action.set_start,
-            action.spread,
+            action.set_size,
             count.member,
             count.incarnation,
             value,
--- a/hazelhollow/replication/codec.py
+++ b/hazelhollow/replication/codec.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Sequence
 
-from hazelhollow.decisions.gossip_codec import base36, number36
+from hazelhollow.decisions.gossip.codec import base36, number36
 from hazelhollow.replication.count_table import BUCKET_COUNT, DIGEST_RANGE, CountRow, CountValue
 from hazelhollow.replication.messages import (
     AccountCopy,
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -13,12 +13,12 @@
 
 from hazelhollow.control_budget.budget import RoleBudget
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.state import Memory
-from hazelhollow.membership.driver import Driver as MembershipDriver
-from hazelhollow.membership.seal import Seal
-from hazelhollow.net.peers import Peers
+from hazelhollow.decisions.memory import Memory
+from hazelhollow.membership.authentication import MessageAuthenticator
+from hazelhollow.membership.driver import MembershipDriver
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.sparse import Sparse
 from hazelhollow.replication.account_adapter import EngineAccounts
 from hazelhollow.replication.catch_up import SILENCE_S, SILENCE_UNDER_BUDGET_S
 from hazelhollow.replication.codec import DIALECT
@@ -27,7 +27,7 @@
 from hazelhollow.replication.outbox import Datagram, LocalMember
 from hazelhollow.replication.replica import ROUND_INTERVAL_S, Replica
 from hazelhollow.replication.restore import RestorePoint
-from hazelhollow.replication.send_queue import SendQueue
+from hazelhollow.replication.send_priority import PrioritySender
 from hazelhollow.replication.snapshot_file import SnapshotFile
 from hazelhollow.replication.snapshot_saver import SnapshotSaver
 
@@ -38,12 +38,12 @@
 class Network:
     """How datagrams reach the other members, and who those are.
 
-    `max_bytes`: of a message's text before it is sealed. `budget`: what may be sent; None: all.
+    `max_bytes`: of a message's text before it is signed. `budget`: what may be sent; None: all.
     """
 
-    peers: Peers
+    peers: PeerSocket
     membership: MembershipDriver
-    seal: Seal
+    authenticator: MessageAuthenticator
     max_bytes: int
     budget: RoleBudget | None = None
 
@@ -82,7 +82,7 @@
         silence = SILENCE_UNDER_BUDGET_S if network.budget else SILENCE_S
         self.replica = Replica(local, seed, accounts, network.max_bytes, silence)
         self._members = OtherMembers(network.membership, local.number, local.member_count)
-        self._send_queue = SendQueue(network.budget) if network.budget else None
+        self._sender = PrioritySender(network.budget) if network.budget else None
         self._restore_point = RestorePoint()
         self._updates = EngineUpdates(
             self.replica, accounts, self._restore_point, engine.on_account
@@ -94,7 +94,7 @@
         )
         self._receive_other = network.peers.heard  # takes datagrams that are not replication's
         self._stopped = False
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
 
     def start(self) -> None:
         """Begins with what the last incarnation left on disk, and with the rounds."""
@@ -114,7 +114,7 @@
         if not text.startswith(DIALECT[0]):
             self._receive_other(sender, text)
             return
-        plain = self._network.seal.open(text)
+        plain = self._network.authenticator.verify(text)
         if plain is None:
             self.replica.counters["unsealed"] += 1
             return
@@ -167,10 +167,12 @@
             self.snapshots.run_round(now)
 
     def _pass_on(self, datagrams: list[Datagram], now: float) -> None:
-        if self._send_queue:
-            datagrams = self._send_queue.due(datagrams, now)
+        if self._sender:
+            datagrams = self._sender.due(datagrams, now)
         for datagram in datagrams:
-            self._network.peers.tell(datagram.member, self._network.seal.close(datagram.text))
+            self._network.peers.tell(
+                datagram.member, self._network.authenticator.sign(datagram.text)
+            )
         self._updates.pass_on(now)
         anti_entropy = self.replica.anti_entropy
         if anti_entropy.new_overrides:
--- a/hazelhollow/replication/send_queue.py
+++ b/hazelhollow/replication/send_priority.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hazelhollow.control_budget.budget import RoleBudget
-from hazelhollow.control_budget.waiting import Waiting
+from hazelhollow.control_budget.send_queue import SendQueue
 from hazelhollow.replication.messages import Kind
 from hazelhollow.replication.outbox import Datagram
 
@@ -19,12 +19,12 @@
 RANKS = {kind: rank for rank, kind in enumerate(SEND_ORDER)}
 
 
-class SendQueue:
+class PrioritySender:
     """Datagrams that wait for room in the budget."""
 
     def __init__(self, budget: RoleBudget) -> None:
         self._budget = budget
-        self._waiting: Waiting[Datagram] = Waiting(budget)
+        self._waiting: SendQueue[Datagram] = SendQueue(budget)
 
     def due(self, datagrams: list[Datagram], now: float) -> list[Datagram]:
         """What of these and of those that wait may leave now, the most useful first.
@@ -34,7 +34,7 @@
         for datagram in datagrams:
             if datagram.kind is not Kind.DIGESTS:
                 self._waiting.add(RANKS[datagram.kind], len(datagram.text), datagram, now)
-        due = self._waiting.due(now)
+        due = self._waiting.take_sendable(now)
         if not self._waiting:
             due += [
                 datagram
--- a/hazelhollow/shared_store/leased_decisions.py
+++ b/hazelhollow/shared_store/leased_decisions.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.net.limiter import Decisions
+from hazelhollow.net.engine_driver import Decisions
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
 
 
@@ -35,7 +35,7 @@
         ceiling = account.ceiling.available() if account.ceiling else None
         self._inner.handle(
             api.AllowanceGranted(
-                event.customer, event.plan_name, event.set_start, event.spread, quota, ceiling
+                event.customer, event.plan_name, event.set_start, event.set_size, quota, ceiling
             ),
             now,
         )
--- a/tests/test_fleet_shares.py
+++ b/tests/membership/test_partition_quota.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.membership.records import ALIVE, DEAD, LEFT, NAMES, PRESENT, SUSPECT, Record, Table
-from hazelhollow.membership.shares import PATIENCE, QUIET, Shares
-from hazelhollow.membership.standing import Standing
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.membership.partition_quota import SILENCE_S, TAKE_OVER_AFTER_S, PartitionQuota
+from hazelhollow.membership.presence_index import PresenceIndex
+from hazelhollow.membership.records import PRESENT_STATES, MemberState, MemberTable, Record
 from tests.scenario import PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
@@ -22,29 +22,29 @@
 
 
 def look(
-    one: Shares, gone: dict[int, int], present: dict[int, int], now: float
+    one: PartitionQuota, gone: dict[int, int], present: dict[int, int], now: float
 ) -> list[tuple[int, float]]:
     """Tells it of the incarnations of those that are gone and present now.
 
     Who is in neither has left.
     """
     for number in one.peers.keys() - gone.keys() - present.keys():
-        one.note(Record(number, one.peers[number].told_life, 9, LEFT))
-    for incarnations, state in ((gone, DEAD), (present, ALIVE)):
+        one.note(Record(number, one.peers[number].known_incarnation, 9, MemberState.LEFT))
+    for incarnations, state in ((gone, MemberState.DEAD), (present, MemberState.ALIVE)):
         for number, incarnation in incarnations.items():
             one.note(Record(number, incarnation, 0, state))
-    return one.look(now)
+    return one.update(now)
 
 
-def told(talks: bool = True) -> Shares:
-    one = Shares(0, 5, 100.0, talks)
+def told(talks: bool = True) -> PartitionQuota:
+    one = PartitionQuota(0, 5, 100.0, talks)
     look(one, {}, LIVES, 100.0)
     return one
 
 
-def hears(one: Shares, now: float, *numbers: int) -> None:
+def hears(one: PartitionQuota, now: float, *numbers: int) -> None:
     for number in numbers:
-        one.gossip(number, now)
+        one.gossip_received(number, now)
 
 
 def test_silence_takes_a_part_out_of_reach_where_gossip_comes_at_every_beat_and_only_there() -> (
@@ -52,8 +52,8 @@
 ):
     for talks, lost in ((True, {2, 3, 4}), (False, set())):
         one = told(talks)
-        hears(one, 100.0 + QUIET, 1)
-        assert look(one, {}, LIVES, 100.0 + QUIET + 0.1) == [] and one.lost == lost
+        hears(one, 100.0 + SILENCE_S, 1)
+        assert look(one, {}, LIVES, 100.0 + SILENCE_S + 0.1) == [] and one.lost == lost
 
 
 def test_a_suspect_keeps_its_part_and_one_that_left_does_not() -> None:
@@ -85,21 +85,21 @@
             {n: incarnation for n, incarnation in LIVES.items() if n not in gone},
         )
         look(one, away, others, 101.0)
-        look(one, away, others, 101.0 + PATIENCE - 0.1)
+        look(one, away, others, 101.0 + TAKE_OVER_AFTER_S - 0.1)
         assert one.lost == gone
-        look(one, away, others, 101.0 + PATIENCE)
+        look(one, away, others, 101.0 + TAKE_OVER_AFTER_S)
         assert one.lost == (set() if taken else gone)
 
 
 def test_a_part_that_was_taken_over_is_not_credited_too() -> None:
     one, others = told(talks=False), {n: born for n, born in LIVES.items() if n != 3}
-    for now in (101.0, 101.0 + PATIENCE):
+    for now in (101.0, 101.0 + TAKE_OVER_AFTER_S):
         look(one, {3: 13}, others, now)
     assert look(one, {}, others | {3: 99}, 120.0) == [] and one.lost == set()
 
 
 def test_a_member_that_starts_in_a_part_leaves_the_others_theirs() -> None:
-    one = Shares(0, 5, 100.0, talks=False)
+    one = PartitionQuota(0, 5, 100.0, talks=False)
     # 4 has never been seen: nobody keeps a part for it
     look(one, {2: 12, 3: 13, 4: 0}, {1: 11}, 100.0)
     assert one.lost == {2, 3}
@@ -122,9 +122,15 @@
     def look(
         self, table: dict[int, Record], now: float
     ) -> tuple[list[tuple[int, float]], set[int]]:
-        gone = {n: r.incarnation for n, r in table.items() if r.state in (SUSPECT, DEAD)}
+        gone = {
+            n: r.incarnation
+            for n, r in table.items()
+            if r.state in (MemberState.SUSPECT, MemberState.DEAD)
+        }
         present = {
-            n: r.incarnation for n, r in table.items() if r.state not in (SUSPECT, DEAD, LEFT)
+            n: r.incarnation
+            for n, r in table.items()
+            if r.state not in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
         }
         for number, incarnation in (gone | present).items():
             if number not in self.incarnation and incarnation:
@@ -138,14 +144,16 @@
         ]
         everybody = len(self.incarnation) + 1
         if 2 * (everybody - len(self.lost_since)) > everybody:
-            self.taken |= {n for n, since in self.lost_since.items() if now - since >= PATIENCE}
+            self.taken |= {
+                n for n, since in self.lost_since.items() if now - since >= TAKE_OVER_AFTER_S
+            }
         return unused, self.lost_since.keys() - self.taken
 
     def _judge(
         self, number: int, gone: dict[int, int], present: dict[int, int], now: float
     ) -> list[tuple[int, float]]:
         unused = list[tuple[int, float]]()
-        if number in gone or (self.talks and now - self.heard[number] > QUIET):
+        if number in gone or (self.talks and now - self.heard[number] > SILENCE_S):
             self.lost_since.setdefault(number, now)
             return unused
         if number in self.lost_since:
@@ -158,9 +166,9 @@
 
 
 step = st.tuples(
-    st.floats(0.05, PATIENCE),
+    st.floats(0.05, TAKE_OVER_AFTER_S),
     st.lists(
-        st.tuples(st.integers(1, 5), st.integers(0, 3), st.sampled_from(range(len(NAMES)))),
+        st.tuples(st.integers(1, 5), st.integers(0, 3), st.sampled_from(MemberState)),
         max_size=4,
     ),
     st.lists(st.integers(1, 5), max_size=3),
@@ -173,7 +181,7 @@
     talks: bool, steps: list[Any]
 ) -> None:
     one, whole, table, now = (
-        Shares(0, 6, 100.0, talks),
+        PartitionQuota(0, 6, 100.0, talks),
         WholeTableShares(talks),
         dict[int, Record](),
         100.0,
@@ -181,31 +189,27 @@
     for passed, changes, heard in steps:
         now += passed
         for number in heard:
-            one.gossip(number, now)
+            one.gossip_received(number, now)
             if number in whole.heard:
                 whole.heard[number] = now
         for number, incarnation, state in changes:
             table[number] = Record(number, incarnation, 0, state)
             one.note(table[number])
         unused, lost = whole.look(table, now)
-        assert sorted(one.look(now)) == sorted(unused) and one.lost == lost
+        assert sorted(one.update(now)) == sorted(unused) and one.lost == lost
 
 
-@given(
-    changes=st.lists(
-        st.tuples(st.integers(0, 5), st.sampled_from(range(len(NAMES))), st.booleans())
-    )
-)
+@given(changes=st.lists(st.tuples(st.integers(0, 5), st.sampled_from(MemberState), st.booleans())))
 def test_who_is_present_and_who_is_deaf_is_kept_up_record_by_record(
-    changes: list[tuple[int, int, bool]],
+    changes: list[tuple[int, MemberState, bool]],
 ) -> None:
-    table, standing = Table(), Standing(2)
-    table.watch(standing.note)
+    table, standing = MemberTable(), PresenceIndex(2)
+    table.subscribe(standing.note)
     for turn, (number, state, deaf) in enumerate(changes):
         table.put(Record(number, 1, turn, state, (2,) if deaf else ()))
         assert standing.present() == tuple(sorted(table.present()))
-        assert standing.deaf() == tuple(
-            sorted(r.number for r in table if r.state in PRESENT and r.unheard)
+        assert standing.cannot_hear_us() == tuple(
+            sorted(r.number for r in table if r.state in PRESENT_STATES and r.unreachable)
         )
         assert table.present_count == len(table.present())
 
@@ -231,22 +235,25 @@
     lost: tuple[int, ...] = (), unused: tuple[tuple[int, float], ...] = (), gateways: int = 5
 ) -> api.MembershipChanged:
     return api.MembershipChanged(
-        True, tuple(n for n in range(gateways) if n not in lost), lost=lost, unused=unused
+        True,
+        tuple(n for n in range(gateways) if n not in lost),
+        unreachable_but_serving=lost,
+        unused=unused,
     )
 
 
 def let_in(
-    one: DecisionEngine, begin: float, seconds: float, plan: str = "keeps", spread: int = 5
+    one: DecisionEngine, begin: float, seconds: float, plan: str = "keeps", set_size: int = 5
 ) -> int:
     """Of 40 tries a second, each answered at once."""
     served = 0
     for turn in range(int(seconds * 40)):
         now = begin + turn / 40
-        for action in ask(one, now, "look", plan_name=plan, spread=spread):
+        for action in ask(one, now, "look", plan_name=plan, set_size=set_size):
             if isinstance(action, api.StartAttempt):
                 served += 1
                 one.handle(
-                    api.AttemptEnded(action.id, 0, action.server, "ok", 0.01, True), now + 0.01
+                    api.AttemptEnded(action.id, 0, action.endpoint, "ok", 0.01, True), now + 0.01
                 )
     return served
 
@@ -285,10 +292,10 @@
         if viewed:
             one.handle(view(), 1000.01)
         if before:
-            ask(one, 1000.02, "look", plan_name="keeps", spread=5, units=1e-6)
+            ask(one, 1000.02, "look", plan_name="keeps", set_size=5, units=1e-6)
         for peer in (1, 2, 3, 4):
             one.handle(api.GossipReceived(peer, gossip.head(1000, 0.0, one.incarnation)), 1000.03)
-        ask(one, 1000.04, "look", plan_name="keeps", spread=5, units=1e-6)
+        ask(one, 1000.04, "look", plan_name="keeps", set_size=5, units=1e-6)
         assert one.whole and next(iter(one.accounts.values())).budget.level == pytest.approx(
             level, abs=1.0
         )
@@ -308,7 +315,7 @@
 
 def test_a_large_set_whose_hubs_cannot_be_heard_has_others() -> None:
     one = gateway(gateways=12)
-    ask(one, 1000.1, "look", plan_name="keeps", spread=12)
+    ask(one, 1000.1, "look", plan_name="keeps", set_size=12)
     account = next(iter(one.accounts.values()))
     before = list(account.hubs)
     one.handle(view(lost=tuple(before), gateways=12), 1000.2)
@@ -320,14 +327,14 @@
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_hub_that_is_gone_is_not_told_of_a_charge_at_once_and_the_other_is(gone: bool) -> None:
     one = gateway(gateways=12)
-    ask(one, 1000.1, "look", plan_name="keeps", spread=12)
+    ask(one, 1000.1, "look", plan_name="keeps", set_size=12)
     first, second = next(iter(one.accounts.values())).hubs
     one.handle(
         api.MembershipChanged(True, tuple(n for n in range(12) if not gone or n != first)), 1000.2
     )
     told = {
-        action.gateway
-        for action in ask(one, 1000.3, "look", plan_name="keeps", spread=12)
+        action.limiter_id
+        for action in ask(one, 1000.3, "look", plan_name="keeps", set_size=12)
         if isinstance(action, api.SendGossip)
     }
     assert one.settings.limiter_id not in (first, second) and told == (
@@ -348,7 +355,7 @@
         one.handle(
             view(tuple(n for n in range(members) if n not in inside), gateways=members), 1000.05
         )
-        let_in(one, 1000.1, 3.0, spread=members)  # the burst is gone
-        total += let_in(one, 1003.1, 5.0, spread=members)
+        let_in(one, 1000.1, 3.0, set_size=members)  # the burst is gone
+        total += let_in(one, 1003.1, 5.0, set_size=members)
     # a unit a part for where the five seconds begin
     assert 0.9 * 100 - members <= total <= 100 + members
--- a/tests/replication/test_anti_entropy.py
+++ b/tests/replication/test_anti_entropy.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelhollow.decisions.gossip_codec import base36
+from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.replication import codec
 from hazelhollow.replication.anti_entropy import MAX_DATAGRAMS_PER_REPAIR, ROUNDS_PER_DIGEST
 from hazelhollow.replication.count_table import CountRow, CountValue
--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -20,11 +20,11 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from hazelhollow.decisions import gossip_codec as gossip
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.state import Account
-from hazelhollow.membership.seal import Seal
+from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.memory import Account
+from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.replication import codec, snapshot
 from hazelhollow.replication.account_adapter import EngineAccounts
 from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
@@ -66,7 +66,7 @@
             Network(
                 self,  # type: ignore[arg-type]
                 View(fleet, number, fleet.now),  # type: ignore[arg-type]
-                Seal(),
+                MessageAuthenticator(),
                 codec.MAX_MESSAGE_BYTES,
             ),
             EngineLink(self.gateway, self.module, lambda overrides: None),
@@ -75,7 +75,7 @@
         )
         self.module(servers("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
-        self.module(api.MembershipChanged(True, tuple(range(MEMBERS)), keeps=True))
+        self.module(api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True))
         self.asks()
 
     # What the driver is given for the scheduler and the datagrams
@@ -104,10 +104,10 @@
         for action in self.gateway.handle(event, self.clock()):
             if isinstance(action, api.StartAttempt):
                 self.fleet.let_in += 1.0
-                done = api.AttemptEnded(action.id, 0, action.server, "ok", SERVED_IN, True)
+                done = api.AttemptEnded(action.id, 0, action.endpoint, "ok", SERVED_IN, True)
                 self.at(self.clock() + SERVED_IN, self.module, done)
             elif isinstance(action, api.SendGossip):
-                self.tell(action.gateway, action.text)
+                self.tell(action.limiter_id, action.text)
             elif isinstance(action, api.SetTimer):
                 self.at(self.clock() + action.delay, self.module, api.TimerFired(action.name))
             elif isinstance(action, api.ReplicateCount):
@@ -122,30 +122,30 @@
 
 @dataclass
 class View:
-    """Of the fleet, as the replica's driver asks for it: `view` of it too."""
+    """Of the fleet, as the replica's driver asks for it: `membership` of it too."""
 
     fleet: Fleet
-    me: int
+    limiter_id: int
     began: float
-    acting: bool = True
-    members: int = MEMBERS
+    may_admit: bool = True
+    member_count: int = MEMBERS
 
     @property
-    def view(self) -> View:
+    def membership(self) -> View:
         return self
 
     def present(self) -> list[int]:
         return [number for number, one in enumerate(self.fleet.all) if one and one.alive]
 
-    def older(self, seconds: float) -> set[int]:
+    def started_before(self, seconds: float) -> set[int]:
         return {
             n for n, one in enumerate(self.fleet.all) if one and one.began <= self.began - seconds
         }
 
-    def lost(self) -> set[int]:
+    def unreachable_but_serving(self) -> set[int]:
         return set()
 
-    def unheard(self) -> list[int]:
+    def unreachable(self) -> list[int]:
         return []
 
 
@@ -367,7 +367,9 @@
         gossip_messages_per_s=1000.0,
     )
     gateway = DecisionEngine(told, seed=1)
-    gateway.handle(api.MembershipChanged(True, tuple(range(MEMBERS)), keeps=True), START)
+    gateway.handle(
+        api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True), START
+    )
     chance = random.Random(1)
     for number in range(count):
         account = gateway._account(gossip.base36(number), GOLD, number % MEMBERS, 3)
