--- a/hazelhollow/replication/anti_entropy.py
+++ b/hazelhollow/replication/anti_entropy.py
@@ -94,11 +94,11 @@
             elif self.counts.merge_in(row):
                 self.new_rows.append(row)
 
-    def _own_total(self, told: CountRow) -> int:
-        for row in self.counts.rows(told.customer):
-            if (row.member, row.incarnation) == (told.member, told.incarnation):
+    def _own_total(self, claimed: CountRow) -> int:
+        for row in self.counts.rows(claimed.customer):
+            if (row.member, row.incarnation) == (claimed.member, claimed.incarnation):
                 return row.value.total
-        return told.value.total
+        return claimed.value.total
 
     def receive_overrides(self, message: Overrides) -> None:
         """Merges overrides."""
--- a/hazelhollow/replication/engine_updates.py
+++ b/hazelhollow/replication/engine_updates.py
@@ -1,9 +1,9 @@
 """Tells the decision engine what is new in the replica. No I/O, no timers.
 
 Before catch-up is complete, accounts are passed on as they arrive, and counters wait. When it is
-complete, the engine is told so by an event without a customer: one that it has not been told of has
-its whole burst. Counters that came before a customer was told of have changed nothing then, so all
-are told again, and later ones as they come.
+complete, an event without a customer says so: a customer that the engine has no account of has its
+full burst from then on. Counters that arrived before their account changed nothing in the engine,
+so all are passed on again at that moment, and later ones as they come.
 """
 
 from __future__ import annotations
--- a/hazelhollow/replication/snapshot_file.py
+++ b/hazelhollow/replication/snapshot_file.py
@@ -42,10 +42,10 @@
             return None
 
     def _set_aside(self, reason: Exception) -> None:
-        aside = self.path.with_name(self.path.name + ".bad")
-        log.warning("snapshot %s %s; it is set aside as %s", self.path, reason, aside.name)
+        bad_path = self.path.with_name(self.path.name + ".bad")
+        log.warning("snapshot %s %s; it is set aside as %s", self.path, reason, bad_path.name)
         try:
-            os.replace(self.path, aside)
+            os.replace(self.path, bad_path)
         except OSError as error:
             log.warning("snapshot %s cannot be set aside: %s", self.path, error)
 
