--- a/hazelhollow/storage/append_file.py
+++ b/hazelhollow/storage/append_file.py
@@ -1,4 +1,4 @@
-"""A file that grows by whole records."""
+"""A file to which whole records are appended."""
 
 from __future__ import annotations
 
@@ -12,27 +12,30 @@
 
 
 class AppendFile:
-    """Opened with the first record.
+    """The file `path`, opened with the first record; `writer` does the writing, by default at once.
 
-    If it can't be opened or written, that is logged once and tried again with the next.
+    A failure to open or write it is logged once; the next record is tried again, those that failed
+    are lost.
     """
 
     def __init__(self, path: Path, writer: Writer | None = None) -> None:
         self.path = path
         self._writer = writer or DirectWriter()
-        self._file = -1
-        self._failed = False
+        self._descriptor = -1
+        self._failure_logged = False
 
     def append(self, record: bytes) -> None:
+        """Has the record written after those before it."""
         self._writer.submit(WriteJob(lambda: self._append(record), len(record)))
 
     def _append(self, record: bytes) -> None:
         try:
-            if self._file < 0:
-                self._file = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-            os.write(self._file, record)
-            self._failed = False
+            if self._descriptor < 0:
+                flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
+                self._descriptor = os.open(self.path, flags, 0o644)
+            os.write(self._descriptor, record)
+            self._failure_logged = False
         except OSError as error:
-            if not self._failed:
+            if not self._failure_logged:
                 log.error("%s cannot be written: %s", self.path, error)
-            self._failed = True
+            self._failure_logged = True
--- a/hazelhollow/storage/writer.py
+++ b/hazelhollow/storage/writer.py
@@ -1,9 +1,9 @@
 """Writes to disk beside the event loop.
 
-A write to a file system blocks its thread while the file system commits its journal, up to seconds
-on a busy disk, and a limiter answers nobody meanwhile. So jobs that write are queued and done in
-order by a thread of their own; the event loop never waits for one, but where it says for how long
-at most.
+A write blocks its thread while the file system commits its journal, up to seconds on a busy disk,
+and a limiter whose event loop waits for that answers nobody. So write jobs are queued and done in
+order by a thread of their own. The event loop never waits for one, except in `finish`, which has a
+timeout. What waits is bounded in bytes; what does not fit is dropped and logged.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MOST_WAITING = 4 << 20  # bytes of jobs that wait
+MAX_PENDING_BYTES = 4 << 20
 
 log = logging.getLogger(__name__)
 
@@ -23,8 +23,8 @@
 class WriteJob:
     """`write` opens, writes or closes files and handles their OSErrors.
 
-    `size`: the bytes that it holds. A job with the name `replaces` takes the place of one of that
-    name that still waits.
+    `size`: the bytes that it holds. `replaces`: a name; of pending jobs with one name only the
+    newest is done, at the place of the first. Without a name a job replaces none.
     """
 
     write: Callable[[], None]
@@ -33,53 +33,53 @@
 
 
 class Writer(Protocol):
-    def submit(self, job: WriteJob) -> bool:
-        """Takes a job, to be done after those before it.
+    """Does write jobs in the order in which they were submitted."""
 
-        False: too much waits, and it was thrown away.
-        """
+    def submit(self, job: WriteJob) -> bool:
+        """Takes a job; False if too much is pending, and the job was dropped."""
 
-    def finish(self, within: float) -> bool:
-        """Waits until all that was submitted is done, `within` seconds at most; whether it is."""
+    def finish(self, timeout: float) -> bool:
+        """Waits for `timeout` seconds at most; gives whether all submitted jobs are done."""
 
 
 class DirectWriter:
-    """Does each job at once, in the caller's thread.
-
-    For tools, and for models that have no disk to wait for.
-    """
+    """Does each job at once, in the caller's thread: for tools, and models without a slow disk."""
 
     def submit(self, job: WriteJob) -> bool:
+        """Does the job."""
         job.write()
         return True
 
-    def finish(self, within: float) -> bool:
+    def finish(self, timeout: float) -> bool:
+        """Nothing is ever pending."""
+        del timeout
         return True
 
 
 class BackgroundWriter:
-    """Does the jobs in a thread, which begins with the first.
+    """Does the jobs in a thread, which begins with the first and does not outlive the process.
 
-    The thread does not hold up the end of the process.
+    `dropped` counts jobs for which there was no room.
     """
 
-    def __init__(self, most_waiting: int = MOST_WAITING) -> None:
-        self._most_waiting = most_waiting
-        self._jobs: dict[str, WriteJob] = {}  # those that wait, in order, by name or number
-        self._size = 0  # bytes of those
+    def __init__(self, max_pending_bytes: int = MAX_PENDING_BYTES) -> None:
+        self._max_pending_bytes = max_pending_bytes
+        self._pending: dict[str, WriteJob] = {}  # in order, by name or number
+        self._pending_bytes = 0
         self._submitted = 0
-        self._busy = self._said = False
+        self._is_writing = self._drop_logged = False
         self._changed = threading.Condition()
         self._thread: threading.Thread | None = None
-        self.dropped = 0  # jobs that were thrown away
+        self.dropped = 0
 
     def submit(self, job: WriteJob) -> bool:
+        """Queues the job; False if it was dropped. The first of several drops is logged."""
         with self._changed:
             taken = self._add(job)
             self._changed.notify_all()
-        if not taken and not self._said:
+        if not taken and not self._drop_logged:
             log.error("storage: the disk is too slow, and what is to be written is thrown away")
-        self._said = not taken
+        self._drop_logged = not taken
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="disk writer", daemon=True)
             self._thread.start()
@@ -88,18 +88,21 @@
     def _add(self, job: WriteJob) -> bool:
         self._submitted += 1
         name = job.replaces or f"#{self._submitted}"
-        before = self._jobs.get(name)
-        size = self._size + job.size - (before.size if before else 0)
-        if size > self._most_waiting:
+        replaced = self._pending.get(name)
+        size = self._pending_bytes + job.size - (replaced.size if replaced else 0)
+        if size > self._max_pending_bytes:
             self.dropped += 1
             return False
-        self._jobs[name] = job  # at the place of the one that it replaces
-        self._size = size
+        self._pending[name] = job
+        self._pending_bytes = size
         return True
 
-    def finish(self, within: float) -> bool:
+    def finish(self, timeout: float) -> bool:
+        """Waits for `timeout` seconds at most; gives whether all submitted jobs are done."""
         with self._changed:
-            return self._changed.wait_for(lambda: not self._jobs and not self._busy, within)
+            return self._changed.wait_for(
+                lambda: not self._pending and not self._is_writing, timeout
+            )
 
     def _run(self) -> None:
         while True:
@@ -109,13 +112,13 @@
             except Exception:
                 log.exception("storage: a file could not be written")
             with self._changed:
-                self._busy = False
+                self._is_writing = False
                 self._changed.notify_all()
 
     def _next(self) -> WriteJob:
         with self._changed:
-            self._changed.wait_for(lambda: bool(self._jobs))
-            job = self._jobs.pop(next(iter(self._jobs)))
-            self._size -= job.size
-            self._busy = True
+            self._changed.wait_for(lambda: bool(self._pending))
+            job = self._pending.pop(next(iter(self._pending)))
+            self._pending_bytes -= job.size
+            self._is_writing = True
             return job
--- a/tests/test_storage.py
+++ b/tests/storage/test_writer.py
@@ -1,7 +1,4 @@
-"""Writes to disk beside the event loop.
-
-In order, bounded, and never waited for longer than was said.
-"""
+"""Writes to disk beside the event loop: in order, bounded, and waited for within a timeout."""
 
 from __future__ import annotations
 
@@ -18,47 +15,45 @@
 from hazelhollow.storage.append_file import AppendFile
 from hazelhollow.storage.writer import BackgroundWriter, WriteJob
 
-LONG = 30.0  # seconds: never reached but by a fault
+TIMEOUT_S = 30.0  # never reached but by a fault
 NOW = 1000.0
 
 
 class Disk:
-    """A writer whose first job waits until the test lets it go on.
-
-    As on a disk that stands still.
-    """
+    """A writer whose first job blocks until the test lets it go on, as on a disk that hangs."""
 
-    def __init__(self, most_waiting: int = 1000) -> None:
-        self.writer = BackgroundWriter(most_waiting)
+    def __init__(self, max_pending_bytes: int = 1000) -> None:
+        self.writer = BackgroundWriter(max_pending_bytes)
         self.done: list[str] = []
-        self._goes_on, reached = threading.Event(), threading.Event()
+        self._unblocked, reached = threading.Event(), threading.Event()
 
-        def stand_still() -> None:
+        def block() -> None:
             reached.set()
-            self._goes_on.wait(LONG)
+            self._unblocked.wait(TIMEOUT_S)
 
-        self.writer.submit(WriteJob(stand_still))
-        assert reached.wait(LONG)
+        self.writer.submit(WriteJob(block))
+        assert reached.wait(TIMEOUT_S)
 
     def job(self, name: str, size: int = 1, replaces: str = "") -> WriteJob:
         return WriteJob(lambda: self.done.append(name), size, replaces)
 
-    def go_on(self) -> None:
-        self._goes_on.set()
-        assert self.writer.finish(LONG)
+    def unblock(self) -> None:
+        self._unblocked.set()
+        assert self.writer.finish(TIMEOUT_S)
 
 
 @pytest.fixture
 def disk() -> Any:
     one = Disk()
     yield one
-    one.go_on()
+    one.unblock()
 
 
 def test_jobs_are_done_in_order_and_nobody_waits_for_them(disk: Disk) -> None:
+    """The disk hangs: submitting returns at once."""
     assert all(disk.writer.submit(disk.job(name)) for name in "abc")
     assert not disk.done and not disk.writer.finish(0.0)
-    disk.go_on()
+    disk.unblock()
     assert disk.done == ["a", "b", "c"]
 
 
@@ -67,21 +62,22 @@
 ) -> None:
     for name, replaces in (("a1", "a"), ("b", ""), ("a2", "a"), ("c1", "c"), ("a3", "a")):
         disk.writer.submit(disk.job(name, replaces=replaces))
-    disk.go_on()
+    disk.unblock()
     assert disk.done == ["a3", "b", "c1"]
 
 
-def test_what_waits_is_bounded_and_what_is_thrown_away_is_counted_and_said_once(
+def test_what_waits_is_bounded_and_what_is_dropped_is_counted_and_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    disk = Disk(most_waiting=10)
+    """The disk hangs for longer than there is room for what is to be written."""
+    disk = Disk(max_pending_bytes=10)
     taken = [disk.writer.submit(disk.job(name, 4)) for name in "abcd"]
     assert taken == [True, True, False, False] and disk.writer.dropped == 2
     assert caplog.text.count("thrown away") == 1
     assert disk.writer.submit(disk.job("r", 2, "r"))
     # in place of the one before: no more than that waits
     assert disk.writer.submit(disk.job("s", 2, "r"))
-    disk.go_on()
+    disk.unblock()
     assert disk.done == ["a", "b", "s"]
     assert disk.writer.submit(disk.job("e", 10))
 
@@ -89,12 +85,14 @@
 def test_a_job_that_raises_does_not_end_the_writer(
     disk: Disk, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """A job that has a fault itself ended the thread, and nothing was written any more."""
+
     def fails() -> None:
         raise RuntimeError("of the test")
 
     disk.writer.submit(WriteJob(fails))
     disk.writer.submit(disk.job("after"))
-    disk.go_on()
+    disk.unblock()
     assert disk.done == ["after"] and "of the test" in caplog.text
 
 
@@ -107,7 +105,7 @@
     for at in (NOW, NOW + 1.0, NOW + 2.0):
         file.save(saved(at))
     assert file.load(NOW) is None
-    disk.go_on()
+    disk.unblock()
     assert file.load(NOW + 3.0) == saved(NOW + 2.0)
 
 
@@ -116,9 +114,10 @@
 
 
 @pytest.mark.parametrize("within", [0.0, 0.001])
-def test_the_record_is_written_when_the_disk_goes_on(
+def test_the_audit_record_is_written_when_the_disk_goes_on(
     disk: Disk, tmp_path: Path, within: float
 ) -> None:
+    """The disk hangs while the record is written and closed: nothing is lost."""
     record = Record(4, 1, Segments(tmp_path, 4, 1, disk.writer))
     record.add(NOW, "settings", "aaaa")
     record.flush()
@@ -126,28 +125,30 @@
     record.add(NOW + 1.0, "settings", "bbbb")
     record.close()
     assert entries(tmp_path) == []
-    disk.go_on()
+    disk.unblock()
     assert entries(tmp_path) == list(record.kept)
 
 
-def test_what_must_be_on_record_is_waited_for_within_a_bound(tmp_path: Path) -> None:
+def test_what_must_be_on_record_is_waited_for_within_a_timeout(tmp_path: Path) -> None:
+    """Who waits for a record on a disk that hangs goes on after its timeout."""
     segments = Segments(tmp_path, 4, 1, BackgroundWriter())
     record = Record(4, 1, segments)
     record.add(NOW, "settings", "aaaa")
     record.flush()
-    assert record.written(LONG) and entries(tmp_path) == list(record.kept)
+    assert record.written(TIMEOUT_S) and entries(tmp_path) == list(record.kept)
     disk = Disk()
     behind = Record(4, 2, Segments(tmp_path, 4, 2, disk.writer))
     behind.add(NOW, "settings", "aaaa")
     behind.flush()
     assert not behind.written(0.001)
-    disk.go_on()
+    disk.unblock()
     assert behind.written() and Record(4, 3).written()
 
 
-def test_records_are_appended_and_a_file_that_cannot_be_opened_is_said_once(
+def test_records_are_appended_and_a_file_that_cannot_be_opened_is_logged_once(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
+    """The directory is missing at first: records of that time are lost, later ones are written."""
     later = tmp_path / "later"
     file = AppendFile(later / "lines")
     append: Callable[[bytes], None] = file.append
