--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -136,9 +136,9 @@
         """The limiter is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
-            exchange = StoreClient(self.ledger, self.operator.store, self._seed)
-            self.driver = SharedStoreDriver(service.scheduler, exchange)
-            service.stats.store = {"books": self.ledger.counts, "link": exchange.counts}
+            client = StoreClient(self.ledger, self.operator.store, self._seed)
+            self.driver = SharedStoreDriver(service.scheduler, client)
+            service.stats.store = {"books": self.ledger.counts, "link": client.counts}
             self.driver.start()
         if self.operator.fleet:
             self._begin_view(service, self.operator.fleet)
--- a/hazelhollow/shared_store/client.py
+++ b/hazelhollow/shared_store/client.py
@@ -1,10 +1,19 @@
-"""The ledger and the link to the store put together, without I/O.
-
-Bytes in and out, times given, one instant to be called at.
-
-A driver connects, and then: `opened`, `receive` with what comes, `take` for what goes out, `closed`
-at the end, after which it waits `retry_in` seconds. `advance` whenever `next_at` has come. A text
-that is given back is why the connection must end.
+"""One limiter's client of the store: ledger and link put together. No I/O; times are given.
+
+The driver opens a connection and calls `opened`, then `receive` with what arrives and `take` for
+what is to be written, `closed` at the end, and `advance` at `next_at`. An error that is returned
+says why the connection must be closed.
+
+| state | how it shows | ends when | then |
+| --- | --- | --- | --- |
+| disconnected | `link` is None, the driver opens a socket | it is open: `opened` | connecting |
+| | | it cannot be opened | backing off |
+| connecting | `link.ready` is False: TLS and handshake | the store has told its time | ready |
+| | | an error, the timeout, or the end of the connection | backing off |
+| ready | `link.ready` is True: calls are written | silence, an error, or its end | backing off |
+| backing off | `link` is None, the driver sleeps `retry_in` | the time is over | disconnected |
+
+Outside of ready no call is written: each fails at once, since nothing queues for a dead store.
 """
 
 from __future__ import annotations
@@ -16,15 +25,19 @@
 from hazelhollow.net.backoff import Backoff
 from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store import link as link_
+from hazelhollow.shared_store.errors import StoreError, StoreUnavailableError
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
 
-LEAST_PAUSE = 0.001  # seconds between two looks at the ledger
+MIN_PAUSE_S = 0.001  # between two looks at the ledger
 
 log = structlog.get_logger(__name__)
 
 
 class StoreClient:
-    """One limiter's dealings with its store, through all its connections."""
+    """The ledger's calls to the store, through all its connections.
+
+    `seed`: of the random draws of the waits. `counts` are shown to operators under these names.
+    """
 
     def __init__(self, ledger: LeaseLedger, store_settings: StoreSettings, seed: int) -> None:
         self.ledger, self.store_settings = ledger, store_settings
@@ -40,15 +53,17 @@
     # The connection
 
     def opened(self, credentials: link_.Credentials, now: float) -> None:
-        """A connection is open: begins its handshake."""
+        """A connection is open: begins the handshake."""
         self.link = link_.Link(
             credentials, self.store_settings.call_timeout, self.store_settings.calls_waiting
         )
         self.link.begin(now)
 
-    def receive(self, data: bytes, now: float) -> str:
-        """Bytes from the store; gives why the connection must end, if it must."""
-        return self._handle(self.link.receive(data, now), now) if self.link else "no connection"
+    def receive(self, data: bytes, now: float) -> StoreError | None:
+        """Bytes from the store."""
+        if self.link is None:
+            return StoreUnavailableError("no connection")
+        return self._handle(self.link.receive(data, now), now)
 
     def closed(self, now: float) -> None:
         """The connection has ended, whoever ended it."""
@@ -60,7 +75,7 @@
             assert isinstance(event, link_.CallFailed)
             self.counts["failed"] += 1
             self.ledger.call_failed(event.call, now)
-        self.ledger.store_disconnected(now)
+        self.ledger.store_disconnected()
 
     def retry_in(self) -> float:
         """Seconds to wait before the next attempt to connect."""
@@ -77,33 +92,30 @@
     # Calls and time
 
     def pump(self, now: float) -> None:
-        """Writes what the ledger asks.
-
-        A call that cannot be written now is not asked: nothing queues for a dead store.
-        """
+        """Writes the ledger's calls; one that cannot be written now fails."""
         calls, self.ledger.outbox = self.ledger.outbox, []
         for call in calls:
             if not self.link or not self.link.call(call, now):
                 self.counts["not_asked"] += 1
                 self.ledger.call_failed(call, now)
 
-    def advance(self, now: float) -> str:
-        """Does what is due; gives why the connection must end, if it must."""
-        why = self._handle(self.link.tick(now), now) if self.link else ""
+    def advance(self, now: float) -> StoreError | None:
+        """Does what is due."""
+        error = self._handle(self.link.tick(now), now) if self.link else None
         if now >= self._ledger_due:
-            self._ledger_due = max(self.ledger.tick(now), now + LEAST_PAUSE)
+            self._ledger_due = max(self.ledger.tick(now), now + MIN_PAUSE_S)
         self.pump(now)
-        return why
+        return error
 
     def next_at(self, now: float) -> float:
         """When `advance` has something to do."""
         due = self.link.next_due() if self.link else None
         return max(
-            min(self._ledger_due, due if due is not None else self._ledger_due), now + LEAST_PAUSE
+            min(self._ledger_due, due if due is not None else self._ledger_due), now + MIN_PAUSE_S
         )
 
-    def _handle(self, events: list[link_.LinkEvent], now: float) -> str:
-        """Tells the ledger; gives why the connection must end, if it must."""
+    def _handle(self, events: list[link_.LinkEvent], now: float) -> StoreError | None:
+        """Tells the ledger; gives the error if the connection must be closed."""
         for event in events:
             if isinstance(event, link_.Answered):
                 self.counts["answered"] += 1
@@ -117,10 +129,10 @@
                 self._ledger_due = now
             elif isinstance(event, link_.LateAnswer):
                 self.counts["late"] += 1
-                self.ledger.answered_late(event.call, event.answer)
+                self.ledger.answered_late()
             elif isinstance(event, link_.CallFailed):
                 self.counts["failed"] += 1
                 self.ledger.call_failed(event.call, now)
             else:
-                return event.why
-        return ""
+                return event.error
+        return None
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -1,7 +1,4 @@
-"""The thin driver between the exchange with the store and a socket.
-
-It connects, reads, writes and keeps one timer.
-"""
+"""The socket between the store's client and the store: connects, reads, writes, sets one timer."""
 
 from __future__ import annotations
 
@@ -17,21 +14,24 @@
 from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.link import Credentials
 
-MOST_OUT = 1024 * 1024
+MAX_UNWRITTEN_BYTES = 1024 * 1024
 
 log = structlog.get_logger(__name__)
 
 
 def credentials(store_settings: StoreSettings) -> Credentials:
-    """The password is the first line of its file. Raises `OSError` or `UnicodeDecodeError`."""
+    """By the settings; the password is the first line of its file.
+
+    Raises OSError or UnicodeDecodeError.
+    """
     password = ""
     if store_settings.password_file:
         password = Path(store_settings.password_file).read_text().partition("\n")[0].strip()
     return Credentials(store_settings.username, password, store_settings.database)
 
 
-def secured(store_settings: StoreSettings) -> tls.Layer | None:
-    """TLS as the settings say, or none. Raises `OSError` or `ssl.SSLError`."""
+def tls_layer(store_settings: StoreSettings) -> tls.Layer | None:
+    """TLS by the settings; None where they have none. Raises OSError or ssl.SSLError."""
     if store_settings.tls is None:
         return None
     made = tls.client_context(
@@ -43,96 +43,96 @@
 class SharedStoreDriver:
     """One limiter's connection to its store, opened again whenever it ends."""
 
-    def __init__(self, scheduler: Scheduler, exchange: StoreClient) -> None:
-        self.scheduler, self.exchange = scheduler, exchange
+    def __init__(self, scheduler: Scheduler, client: StoreClient) -> None:
+        self.scheduler, self.client = scheduler, client
         self._stream: stream.Stream | None = None
         self._layer: tls.Layer | None = None
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Begins to connect, and goes on until the process ends."""
+        """Begins to connect, and goes on doing so until the process ends."""
         self.scheduler.spawn_supervised(self._run, "store")
         self._advance()
 
     def change(self, store_settings: StoreSettings) -> None:
-        """The connection is opened anew by these settings.
-
-        And the files that they name are read again.
-        """
-        self.exchange.store_settings = store_settings
+        """Opens the connection anew by these settings; the files that they name are read again."""
+        self.client.store_settings = store_settings
         if self._stream:
             self._stream.close(CloseReason.MOVED)
 
     def pump(self) -> None:
-        """The ledger may have something to ask."""
-        self.exchange.pump(self.scheduler.clock())
+        """Writes the ledger's calls, if it has any."""
+        self.client.pump(self.scheduler.clock())
         self._flush()
         self._arm()
 
     def _run(self) -> None:
         while True:
-            why = self._connection()
-            wait = self.exchange.retry_in()
+            why = self._run_connection()
+            wait = self.client.retry_in()
             log.warning(
                 "store: no connection",
                 why=why,
-                address="{}:{}".format(*self.exchange.store_settings.address),
+                address="{}:{}".format(*self.client.store_settings.address),
                 again_in=round(wait, 3),
             )
             self.scheduler.sleep(wait)
 
-    def _connection(self) -> str:
-        """From the attempt to open it to its end; gives why it ended."""
-        store_settings = self.exchange.store_settings
+    def _run_connection(self) -> str:
+        """One connection, from the attempt to open it to its end; gives why it ended."""
+        store_settings = self.client.store_settings
         try:
             who = credentials(store_settings)
-            layer = secured(store_settings)
+            layer = tls_layer(store_settings)
         except (OSError, ssl.SSLError, UnicodeDecodeError) as error:
             return str(error)
-        driver = stream.connect(
-            self.scheduler, store_settings.address, MOST_OUT, store_settings.connect_timeout
+        connection = stream.connect(
+            self.scheduler,
+            store_settings.address,
+            MAX_UNWRITTEN_BYTES,
+            store_settings.connect_timeout,
         )
-        if isinstance(driver, CloseReason):
-            return driver.name.lower()
-        self._stream, self._layer = driver, layer
+        if isinstance(connection, CloseReason):
+            return connection.name.lower()
+        self._stream, self._layer = connection, layer
         try:
             if layer:
-                driver.write(layer.begin())
-            self.exchange.opened(who, self.scheduler.clock())
+                connection.write(layer.begin())
+            self.client.opened(who, self.scheduler.clock())
             self._flush()
             self._arm()
-            return self._read(driver)
+            return self._read(connection)
         except ssl.SSLError as error:
             return f"TLS: {error.reason or error}"
         finally:
-            driver.close(CloseReason.CLOSED)
+            connection.close(CloseReason.CLOSED)
             self._stream = self._layer = None
-            self.exchange.closed(self.scheduler.clock())
+            self.client.closed(self.scheduler.clock())
 
-    def _read(self, driver: stream.Stream) -> str:
-        while driver.ending is None:
-            driver.wait()
-            data = driver.read(stream.READ_CHUNK_BYTES)
+    def _read(self, connection: stream.Stream) -> str:
+        while connection.ending is None:
+            connection.wait()
+            data = connection.read(stream.READ_CHUNK_BYTES)
             if isinstance(data, CloseReason):
                 return data.name.lower()
             if data:
                 if self._layer:
                     data, back = self._layer.feed(data)
-                    driver.write(back)
-                why = self.exchange.receive(data, self.scheduler.clock())
-                if why:
-                    return why
+                    connection.write(back)
+                error = self.client.receive(data, self.scheduler.clock())
+                if error:
+                    return str(error)
                 self._flush()
                 self._arm()
-        return driver.ending.name.lower()
+        return connection.ending.name.lower()
 
     def _flush(self) -> None:
-        data = self.exchange.take()
+        data = self.client.take()
         if self._stream and data:
             self._stream.write(self._layer.write(data) if self._layer else data)
 
     def _arm(self) -> None:
-        due = self.exchange.next_at(self.scheduler.clock())
+        due = self.client.next_at(self.scheduler.clock())
         if self._timer is None or due < self._timer.when:
             if self._timer:
                 self._timer.cancel()
@@ -140,9 +140,9 @@
 
     def _advance(self) -> None:
         self._timer = None
-        why = self.exchange.advance(self.scheduler.clock())
-        if why and self._stream:
-            log.warning("store: given up", why=why)
+        error = self.client.advance(self.scheduler.clock())
+        if error and self._stream:
+            log.warning("store: given up", why=str(error))
             self._stream.close(CloseReason.STALLED)
         self._flush()
         self._arm()
--- a/hazelhollow/shared_store/lease_ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -1,18 +1,18 @@
-"""The accounting of customers' limits that a shared store keeps.
+"""The accounting, at one limiter, of the customers' limits that the shared store holds.
 
-No I/O, no clock: times are given, calls are returned.
+No I/O, no clock: times are given, calls for the store are put into `outbox`. `LeasedDecisions` asks
+it about each request, `StoreClient` writes its calls and hands it the answers.
 
-Each limit (a rate and a burst) of a customer whose requests come through `spread` limiters has two
+Each limit (a rate and a burst) of a customer whose requests come through several limiters has two
 parts:
 
 - the base, `base_share` of it, divided evenly: each limiter refills its own and asks nobody;
-- the pool, the rest, in the store: limiters take units on lease ahead of need and spend them
-  without asking.
+- the pool, the rest, in the store: limiters lease units ahead of need and spend them unasked.
 
-While a limiter cannot reach the store it has its even share of the pool instead, and only once it
-is sure that the others and the store have counted it out and that all leases from before have
-ended. docs/design/redis-store.md has the proof that no order of these events lets more through than
-the limit, and the scripts `lease.lua` and `presence.lua` are the store's part.
+While a limiter cannot reach the store it has its even share of the pool instead, but only once it
+is certain that the others and the store count it as absent and that all leases from before have
+ended (`Presence`). docs/design/redis-store.md proves that no order of these events admits more than
+the limit; `lease.lua` and `presence.lua` are the store's part.
 """
 
 from __future__ import annotations
@@ -21,8 +21,13 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.operator.settings import StoreSettings
-from hazelhollow.shared_store.lease_pool import LeasePool
-from hazelhollow.shared_store.leased_account import LeasedAccount, ScriptCall, open_leased_account
+from hazelhollow.shared_store.lease_demand import is_low, units_wanted
+from hazelhollow.shared_store.leased_account import (
+    AccountTerms,
+    LeasedAccount,
+    ScriptCall,
+    open_leased_account,
+)
 from hazelhollow.shared_store.presence import Presence
 from hazelhollow.shared_store.scripts import (
     LeaseAnswer,
@@ -33,18 +38,15 @@
     lease_arguments,
 )
 
-GROWTH = 1.6  # times a customer's rate is asked for, so that a lease can follow one that speeds up
-ASK_AHEAD = 0.03  # seconds of use beside the largest request, below which more is asked for
-# Of the time a lease is asked for: who got little asks no sooner. What waits in the pool is not
-# lost.
+# Of the time that is leased ahead for: who got little of a low pool asks again no sooner. What
+# waits in the pool is not lost.
 SCARCE_PAUSE_SHARE = 0.25
-IDLE_SHARE = 0.4  # of a lease's term: who has not asked for so long does not need it
-RENEW_SHARE = 0.3  # of the term: what is left of it when a lease in use is renewed
-RETURN_BEFORE_END = 0.1  # seconds before a lease's end at which what is left of it goes back
-WORTH_RETURNING = 0.1  # of the pool's burst: less than that on lease is let lapse
-FORGET_AFTER = 30.0  # seconds without a request, after which a customer's account is closed
-MOST_ACCOUNTS = 50_000  # past it the longest idle is closed
-# These names are shown to operators: docs/operators/redis-store.md says what they mean.
+IDLE_SHARE = 0.4  # of a lease's term: a customer without a request for so long does not need it
+RETURN_BEFORE_END_S = 0.1  # before a lease's end, when what is left of it goes back
+RETURN_SHARE = 0.1  # of the pool's burst: less than that on lease is not worth a call
+FORGET_AFTER_S = 30.0  # without a request, after which a customer's account is closed
+MAX_ACCOUNTS = 50_000  # past it the longest idle is closed
+# Shown to operators under these names: docs/operators/redis-store.md says what they mean.
 COUNTERS = (
     "calls",
     "granted",
@@ -62,33 +64,34 @@
 class LeaseLedger:
     """All customers' accounts at one limiter.
 
-    `incarnation` differs from that of every earlier process of this limiter.
+    `incarnation` differs from that of every earlier process of this limiter; `now` is its start.
     """
 
     def __init__(
         self, settings: api.Settings, store_settings: StoreSettings, incarnation: str, now: float
     ) -> None:
         self.settings, self.store_settings = settings, store_settings
-        self.slot = f"{settings.limiter_id}.{incarnation}"  # who holds a lease, to the store
-        self.plans = {plan.name: plan for plan in settings.plans if self._keeps(plan)}
-        self.accounts: dict[str, LeasedAccount] = {}  # the one that asked latest is last
+        self.slot = f"{settings.limiter_id}.{incarnation}"  # names the holder of a lease
+        self.plans = {plan.name: plan for plan in settings.plans if self._is_leased(plan)}
+        self.accounts: dict[str, LeasedAccount] = {}  # the longest idle first
         self._with_leases: dict[str, LeasedAccount] = {}  # those that may hold something on lease
-        self.outbox: list[ScriptCall] = []  # calls to be written; the exchange empties it
-        self.started_at = now
+        self.outbox: list[ScriptCall] = []  # calls to be written; the client empties it
+        self._terms = AccountTerms(settings, store_settings, now)
         self.presence = Presence(settings.limiter_id, store_settings, now)
         self.sequence = 0
         self.counts = dict.fromkeys(COUNTERS, 0.0)
 
-    def _keeps(self, plan: api.Plan) -> bool:
+    def _is_leased(self, plan: api.Plan) -> bool:
+        """Whether limits of that plan are held in the store: the chosen, or those with ceilings."""
         chosen = self.store_settings.plans
         return plan.name in chosen or (plan.ceiling_rate > 0 and not chosen)
 
     # Requests
 
     def account_for(self, request: api.RequestArrived, now: float) -> LeasedAccount | None:
-        """The customer's account, whose pools say what may be let in now.
+        """The customer's account, whose pools say what may be admitted now.
 
-        Nothing where the store keeps none of its limits. `record` must follow.
+        None where the store holds none of its limits; otherwise `record` must follow.
         """
         plan = self.plans.get(request.plan_name)
         if plan is None:
@@ -96,24 +99,22 @@
         key = f"{request.customer}/{request.plan_name}"
         account = self.accounts.pop(key, None)
         if account is None:
-            account = open_leased_account(
-                key, plan, request, self.settings, self.store_settings, self.started_at, now
-            )
+            account = open_leased_account(key, plan, request, self._terms, now)
             if account is None:
                 return None
-            if len(self.accounts) >= MOST_ACCOUNTS:
+            if len(self.accounts) >= MAX_ACCOUNTS:
                 del self.accounts[next(iter(self.accounts))]
         self.accounts[key] = account
         self._refresh(account, now)
         return account
 
     def record(self, account: LeasedAccount, units: float, sent: bool, now: float) -> None:
-        """The request that `account_for` was asked for was sent on, and its units are spent.
+        """What became of the request that `account_for` was asked for.
 
-        Or it was not.
+        `sent`: it was admitted, and its `units` are spent.
         """
         short = not sent and min([pool.available() for pool in account.pools]) < units
-        if sent or short:  # what was refused for another reason is no use that a lease could serve
+        if sent or short:  # rejected for another reason, it is no demand that a lease could serve
             account.learn(units, sent, now)
         if sent:
             for pool in account.pools:
@@ -132,35 +133,24 @@
                 restart = account.isolation != presence.isolations
                 pool.refill_fallback(len(account.limiters), presence.isolated_at(), now, restart)
             else:
-                pool.fallback = None  # of an isolation that is over
+                pool.fallback = None
         account.isolation = presence.isolations
 
-    # What is asked of the store
+    # Calls of the store
 
     def _lease_if_low(self, account: LeasedAccount, refused: float, now: float) -> None:
-        """Asks for more where what is here will soon not do, and for what is on lease to last.
+        """Leases more where what is here will soon not do, and renews what is in use.
 
-        `refused`: the units of a request that was refused for want of them; a grant that would not
-        let it in is of no use.
+        `refused`: the units of a request that was rejected for lack of them; a grant that would not
+        admit it is of no use.
         """
         if len(account.limiters) == 1 or not self.presence.may_lease(now):
             return
-        wanted = [self._units_wanted(account, pool) for pool in account.pools]
-        if any(wanted) and any([self._is_low(account, pool, now) for pool in account.pools]):
+        lease = self.store_settings.lease
+        wanted = [units_wanted(account, pool, lease.ahead) for pool in account.pools]
+        if any(wanted) and any([is_low(account, pool, lease.term, now) for pool in account.pools]):
             self._lease(account, wanted, account.held(), refused, now)
 
-    def _units_wanted(self, account: LeasedAccount, pool: LeasePool) -> float:
-        target = _rate_beyond_base(account, pool) * self.store_settings.lease.ahead
-        if pool.base.level < account.largest_request:
-            target = max(target, account.largest_request)
-        return min(max(target - pool.leased, 0.0), pool.burst)
-
-    def _is_low(self, account: LeasedAccount, pool: LeasePool, now: float) -> bool:
-        if pool.available() < account.largest_request + account.send_rate * ASK_AHEAD:
-            return True
-        ends_soon = account.lease_ends_at - now < RENEW_SHARE * self.store_settings.lease.term
-        return pool.leased > 0 and ends_soon and _rate_beyond_base(account, pool) > 0
-
     def _lease(
         self,
         account: LeasedAccount,
@@ -169,10 +159,10 @@
         refused: float,
         now: float,
     ) -> None:
-        """A call that tells what was spent and is held, and asks for more.
+        """Calls `lease.lua`: tells what was spent and is `held`, and asks for `wanted` more.
 
-        What the store holds to be on lease here and is not named goes back, so an answer that was
-        lost or came late costs nothing that lasts.
+        What the store has on lease here beyond `held` goes back to the pool, so an answer that was
+        lost or came late does no lasting harm.
         """
         self.sequence += 1
         presence = self.presence
@@ -197,7 +187,7 @@
     # Time
 
     def tick(self, now: float) -> float:
-        """Does what is due; gives the instant at which it must be called again."""
+        """Does what is due; gives the time at which it must be called again."""
         if self.presence.heartbeat_due(now):
             self._send_heartbeat(now)
         if self.presence.becomes_isolated(now):
@@ -207,14 +197,14 @@
         return min(self.presence.next_due(now), next_return)
 
     def _send_heartbeat(self, now: float) -> None:
-        """The even share is let go of before the heartbeat is written: no moment has both."""
+        """Drops the even shares before the heartbeat is written: at no moment are there both."""
         for account in self.accounts.values():
             for pool in account.pools:
                 pool.fallback = None
         self._post(self.presence.heartbeat(now))
 
     def _return_leases(self, now: float) -> float:
-        """Hands back what is idle or about to end; gives when to look again."""
+        """Returns leases that are idle or about to end; gives when to look again."""
         look_again_at = math.inf
         for account in list(self._with_leases.values()):
             account.expire_lease(now)
@@ -223,14 +213,14 @@
                 continue
             return_at = min(
                 account.last_used_at + IDLE_SHARE * self.store_settings.lease.term,
-                account.lease_ends_at - RETURN_BEFORE_END,
+                account.lease_ends_at - RETURN_BEFORE_END_S,
             )
             if now >= return_at and any(
-                p.leased > WORTH_RETURNING * p.burst for p in account.pools
+                pool.leased > RETURN_SHARE * pool.burst for pool in account.pools
             ):
                 self._return_lease(account, now)
             else:
-                look_again_at = min(look_again_at, max(return_at, now + RETURN_BEFORE_END))
+                look_again_at = min(look_again_at, max(return_at, now + RETURN_BEFORE_END_S))
         return look_again_at
 
     def _return_lease(self, account: LeasedAccount, now: float) -> None:
@@ -245,27 +235,24 @@
     def _close_idle_accounts(self, now: float) -> None:
         while self.accounts:
             oldest = next(iter(self.accounts.values()))
-            if now - oldest.last_used_at <= FORGET_AFTER or oldest.call:
+            if now - oldest.last_used_at <= FORGET_AFTER_S or oldest.call:
                 break
             del self.accounts[oldest.key]
 
     # The connection to the store
 
     def store_connected(self, store_started_at: float, store_now: float, now: float) -> None:
-        """The store answers.
-
-        The first two are of its clock: when its process began, and what it is now.
-        """
+        """The store answers. By its clock, its process began at the first and it is the second."""
         self.presence.store_connected(store_started_at, store_now, now)
 
-    def store_disconnected(self, now: float) -> None:
-        """The connection is gone. What is on lease lasts to its end."""
+    def store_disconnected(self) -> None:
+        """The connection is gone. What is on lease lasts until its end."""
         self.presence.connected = False
         for account in self.accounts.values():
             account.call = None
 
     def answered(self, call: ScriptCall, answer: list[str], now: float) -> None:
-        """The store's answer in time. `answer`: what the script gives, as text."""
+        """The store's answer in time. `answer`: what the script gave, as text."""
         if call.kind == "presence":
             if not self.presence.answered(call, decode_presence(answer), now):
                 self.counts["stale"] += 1
@@ -309,23 +296,15 @@
             self._with_leases[account.key] = account
 
     def call_failed(self, call: ScriptCall, now: float) -> None:
-        """No answer in time, or an error in its place: it may have run.
+        """No answer in time, or an error: the call may have run all the same.
 
-        The next call says what is held, which mends it.
+        The next call tells what is held, by which the store corrects its record.
         """
         self.counts["given_up"] += 1
         if call.account and call.account.call is call:
             call.account.call = None
             call.account.next_ask_at = now + self.store_settings.call_timeout
 
-    def answered_late(self, call: ScriptCall, answer: list[str]) -> None:
-        """An answer to a call that was given up.
-
-        Its units are not taken, and the next call hands them back.
-        """
+    def answered_late(self) -> None:
+        """A call that had been given up was answered: its units are left for the next to return."""
         self.counts["late"] += 1
-
-
-def _rate_beyond_base(account: LeasedAccount, pool: LeasePool) -> float:
-    """Units a second that the customer may need beside what the base refills."""
-    return max(GROWTH * account.send_rate - pool.base.rate, 0.0)
--- a/hazelhollow/shared_store/lease_pool.py
+++ b/hazelhollow/shared_store/lease_pool.py
@@ -1,6 +1,7 @@
-"""The units of one limit of one customer that this limiter may spend.
+"""The units of one limit of one customer that this limiter may spend. No I/O, no clock.
 
-Its own bucket, leases, and a fallback. No I/O.
+They come from its part of the base (a bucket of its own), from leases, and from a fallback while it
+is isolated from the store.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 
 from hazelhollow.decisions.memory import Store as TokenBucket
 
-SPENDING_STEP = 0.1  # seconds of spending that are reported to the store as one step
-MOST_SPENDING_STEPS = 6
-ROUNDING = 1e-5  # units; the store's numbers are texts with six decimals
+SPENDING_STEP_S = 0.1  # spending within this time is reported to the store as one step
+MAX_SPENDING_STEPS = 6
+ROUNDING_UNITS = 1e-5  # the store's numbers are texts with six decimals
 
 
 class SpendingStep(NamedTuple):
@@ -26,7 +27,7 @@
 class LeasePool:
     """One limit of one customer at this limiter.
 
-    `rate` (units a second) and `burst` (units) are the shared pool's.
+    `rate` (units a second) and `burst` (units) are those of the pool that all limiters share.
     """
 
     base: TokenBucket
@@ -44,9 +45,9 @@
         return self.base.level + self.leased + (self.fallback.level if self.fallback else 0.0)
 
     def take(self, units: float, now: float) -> None:
-        """Spends units.
+        """Spends units: from leases first, since those end, then from the fallback.
 
-        From leases first, since those end, then from the fallback; the base owes the rest.
+        The rest is charged to the base, which may go below 0 by it.
         """
         from_lease = min(units, self.leased)
         self.leased -= from_lease
@@ -63,7 +64,7 @@
     def refill_fallback(
         self, limiters: int, isolated_since: float, now: float, restart: bool
     ) -> None:
-        """Adds to the fallback.
+        """Refills the fallback, this limiter's even share of the pool among `limiters`.
 
         With `restart`, or where there is none, begins one that was empty at `isolated_since`.
         """
@@ -74,14 +75,14 @@
         self.fallback.fill(now)
 
     def add_grant(self, held: float, kept: float, granted: float, expired: bool) -> float:
-        """Applies the store's answer to a call that reported `held` units.
+        """Applies the store's answer to a call that reported `held` units on lease.
 
-        Gives the units that the store had lost. `expired`: what was held when the call was written
-        has ended since.
+        Of these the store knows `kept`, and it leases `granted` more. Gives the units that it had
+        lost. `expired`: the lease that was reported has ended since the call was written.
         """
         lost = 0.0
-        if not expired and kept < held - ROUNDING:
-            lost = held - kept  # what was spent of it meanwhile is owed
+        if not expired and kept < held - ROUNDING_UNITS:
+            lost = held - kept  # what was spent of it meanwhile is charged to the base
             self.leased -= lost
             if self.leased < 0:
                 self.base.level += self.leased
@@ -90,18 +91,18 @@
         return lost
 
     def forget_spending(self, until: float) -> None:
-        """The store has heard of what was spent by then."""
+        """Drops the steps up to `until`, which the store has been told of."""
         self.recent_spending = [step for step in self.recent_spending if step.until > until]
 
     def _record_spending(self, units: float, now: float) -> None:
-        """Merges into few steps, each dated by its last part.
+        """Notes spending in few steps, each dated by its last part.
 
-        The store may refill for what it knows to be spent.
+        The store refills the pool from the time that a step gives: later is safe, earlier is not.
         """
         steps = self.recent_spending
-        if steps and now - steps[-1].until < SPENDING_STEP:
+        if steps and now - steps[-1].until < SPENDING_STEP_S:
             units += steps.pop().units
         steps.append(SpendingStep(now, units))
-        if len(steps) > MOST_SPENDING_STEPS:
+        if len(steps) > MAX_SPENDING_STEPS:
             oldest, second = steps[0], steps[1]
             steps[:2] = [SpendingStep(second.until, oldest.units + second.units)]
--- a/hazelhollow/shared_store/leased_account.py
+++ b/hazelhollow/shared_store/leased_account.py
@@ -1,7 +1,4 @@
-"""One customer's limits at this limiter, the rate at which it uses them.
-
-And the call to the store that is under way.
-"""
+"""One customer's limits at this limiter, its use of them, and its call to the store. No I/O."""
 
 from __future__ import annotations
 
@@ -14,8 +11,8 @@
 from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.lease_pool import LeasePool
 
-RATE_WINDOW = 1.5  # seconds over which a customer's rate is averaged
-LARGEST_REQUEST_DECAY = 0.98  # a request: how the largest one seen lately is forgotten
+RATE_WINDOW_S = 1.5  # over which a customer's rate is averaged
+LARGEST_REQUEST_DECAY = 0.98  # with each request, of the largest one seen lately
 # Where one of the largest requests for each limiter takes no more than this part of a burst, the
 # base has room for it.
 BASE_ROOM = 0.5
@@ -25,9 +22,9 @@
 
 @dataclass(eq=False)
 class ScriptCall:
-    """One call to the store, from when it is written to its one end.
+    """One call of a script, from when it is written until it is answered, fails or is given up.
 
-    Answered, failed or given up.
+    `account` is the customer's for a lease call; the lists have a number for each of its pools.
     """
 
     kind: ScriptName
@@ -35,33 +32,36 @@
     args: list[str]
     sent_at: float
     account: LeasedAccount | None = None
-    held: list[float] = field(default_factory=list)  # units on lease when it was written, by pool
-    wanted: list[float] = field(default_factory=list)  # units asked for, by pool
-    lease_expired: bool = False  # what was held when it was written has ended since
+    held: list[float] = field(default_factory=list)  # units on lease when it was written
+    wanted: list[float] = field(default_factory=list)  # units asked for
+    lease_expired: bool = False  # what was on lease when it was written has ended since
 
 
 @dataclass(eq=False)
 class LeasedAccount:
-    """One customer's pools (quota, ceiling or both, in this order) and what is known of its use."""
+    """One customer's pools (quota, ceiling or both, in this order) and what is known of its use.
+
+    `limiters` are the numbers of those that its requests come through.
+    """
 
     key: str
-    limiters: frozenset[int]  # the numbers of those its requests come through
+    limiters: frozenset[int]
     pools: list[LeasePool]
     last_used_at: float
     quota: LeasePool | None = None
     ceiling: LeasePool | None = None
-    send_rate: float = 0.0  # units a second that are sent on here
+    send_rate: float = 0.0  # units a second that are admitted here
     largest_request: float = 1.0  # units, of those seen lately
     lease_ends_at: float = 0.0
-    highest_total: float = 0.0  # the highest total of leased units that the store has told
-    next_ask_at: float = 0.0  # the store has nothing before then, or does not answer
+    highest_total: float = 0.0  # of units ever leased, as the store told it
+    next_ask_at: float = 0.0  # the store has nothing before then, or did not answer
     call: ScriptCall | None = None
     isolation: int = 0  # the number of the isolation that the pools' fallbacks belong to
 
     def learn(self, units: float, sent: bool, now: float) -> None:
-        """Updates the averaged rate and the largest request."""
-        decay = math.exp((self.last_used_at - now) / RATE_WINDOW)
-        self.send_rate = self.send_rate * decay + (units / RATE_WINDOW if sent else 0.0)
+        """Updates the average rate and the largest request. `sent`: the units were admitted."""
+        decay = math.exp((self.last_used_at - now) / RATE_WINDOW_S)
+        self.send_rate = self.send_rate * decay + (units / RATE_WINDOW_S if sent else 0.0)
         self.largest_request = max(units, self.largest_request * LARGEST_REQUEST_DECAY)
         self.last_used_at = now
 
@@ -78,21 +78,24 @@
         return [pool.leased for pool in self.pools]
 
 
+@dataclass(frozen=True)
+class AccountTerms:
+    """What all accounts of one limiter depend on. `started_at`: when this process began."""
+
+    settings: api.Settings
+    store_settings: StoreSettings
+    started_at: float
+
+
 def open_leased_account(
-    key: str,
-    plan: api.Plan,
-    request: api.RequestArrived,
-    settings: api.Settings,
-    store_settings: StoreSettings,
-    started_at: float,
-    now: float,
+    key: str, plan: api.Plan, request: api.RequestArrived, terms: AccountTerms, now: float
 ) -> LeasedAccount | None:
-    """A customer's account; nothing where the store keeps none of the plan's limits.
+    """A customer's account; None where the store keeps none of the plan's limits.
 
-    A ceiling's base starts as if it had been empty when this process began (`started_at`): the
-    process before may have spent it. A quota's starts full, as the design's does: each restart may
-    cost its base once more.
+    A ceiling's base starts as if it had been empty when this process began: the process before may
+    have spent it. A quota's starts full: each restart may cost its base once more.
     """
+    settings, store_settings, started_at = terms.settings, terms.store_settings, terms.started_at
     spread = max(1, min(request.set_size, settings.limiter_count))
     base_share = store_settings.lease.base_share if spread > 1 else 1.0
 
--- a/hazelhollow/shared_store/leased_decisions.py
+++ b/hazelhollow/shared_store/leased_decisions.py
@@ -1,6 +1,6 @@
-"""The decision module with leases.
+"""The decision engine with leases: a decorator of it, on the path of every request. No I/O.
 
-It is told what the ledger may let in, and the ledger what the module let in.
+The engine is told what a customer's leases allow, and the ledger what the engine admitted.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class LeasedDecisions:
-    """A decorator of the decision module.
+    """`inner` with the leases of `ledger`.
 
     `on_calls` is called when the ledger has calls for the store.
     """
@@ -22,9 +22,9 @@
         self._inner, self._ledger, self._on_calls = inner, ledger, on_calls
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """The inner module's actions.
+        """The inner engine's actions.
 
-        Before a request of a customer whose limits are kept, it gets an `Allowance`.
+        Before a request of a customer whose limits are leased, it gets an `AllowanceGranted`.
         """
         if not isinstance(event, api.RequestArrived):
             return self._inner.handle(event, now)
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -1,12 +1,12 @@
-"""The connection to the store as a state machine.
+"""One connection to the store as a state machine: bytes in, bytes out, events for each call.
 
-Bytes in, bytes out, and what became of each call. Knows no socket.
+Knows no socket; `StoreClient` makes a link for each connection. It speaks RESP2 with the commands
+AUTH, SELECT, INFO, TIME, SCRIPT LOAD and EVALSHA. Answers come in the order of the commands, so
+each is matched with the oldest pending command, even one given up long before: a late answer is
+reported as one and is never taken for another call's.
 
-Source: the public RESP2 page and the commands AUTH, SELECT, INFO, TIME, SCRIPT LOAD, EVALSHA.
-Answers come in the order of the commands, so each is matched with the oldest command that waits,
-also when that was given up long before: a late answer is told as one and is never taken for another
-call's. Bounds: so many calls at once; a store that is silent for SILENCE_FACTOR times a call's
-timeout is broken off, since all behind the first would wait in vain.
+Bounds: `max_pending` commands at once; a store that is silent for SILENCE_FACTOR times a call's
+timeout is given up, since all calls behind the first would wait in vain.
 """
 
 from __future__ import annotations
@@ -16,19 +16,25 @@
 from typing import NamedTuple
 
 from hazelhollow.net import resp
+from hazelhollow.shared_store.errors import (
+    StoreError,
+    StoreProtocolError,
+    StoreRefusedError,
+    StoreTimeoutError,
+    StoreUnavailableError,
+)
 from hazelhollow.shared_store.leased_account import ScriptCall
 from hazelhollow.shared_store.scripts import SCRIPTS, SHAS, answer_text, text_of
 
 SILENCE_FACTOR = 8.0  # times the timeout of a call
-HANDSHAKE_TIMEOUT = 2.0  # seconds
-NO_ANSWER = "no answer in time"
-MOST_ERROR = 80  # bytes of the store's error that are told
-# Errors after which this connection will never do; a new one may.
+HANDSHAKE_TIMEOUT_S = 2.0
+MAX_ERROR_BYTES = 80  # of the store's error, that are logged
+# Errors after which this connection is of no use; a new one may be.
 FATAL_ERRORS = frozenset({"NOAUTH", "NOPERM", "MOVED", "READONLY"})
 
 
 class Credentials(NamedTuple):
-    """Who we are to the store, and which of its databases we use."""
+    """Who this limiter is to the store, and which of its databases it uses."""
 
     username: str = ""
     password: str = ""
@@ -37,7 +43,7 @@
 
 @dataclass
 class Connected:
-    """The store can be asked. Seconds of its clock: when its process began and what it is."""
+    """The handshake is done. By the store's clock, in seconds: its process's start, and now."""
 
     store_started_at: float
     store_now: float
@@ -62,17 +68,17 @@
 
 @dataclass
 class CallFailed:
-    """An error, or no answer within the timeout."""
+    """An error, or no answer within the timeout: the call may have run all the same."""
 
     call: ScriptCall
-    why: str
+    error: StoreError
 
 
 @dataclass
 class ConnectionBroken:
     """The connection is of no more use and must be closed."""
 
-    why: str
+    error: StoreError
 
 
 LinkEvent = Connected | Answered | LateAnswer | CallFailed | ConnectionBroken
@@ -80,7 +86,7 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """One command whose answer has not come. Without a call it is a step of the handshake."""
+    """A command that is not answered yet. Without a call it is a `step` of the handshake."""
 
     sent_at: float
     call: ScriptCall | None = None
@@ -92,12 +98,13 @@
 class Link:
     """One connection's lifetime.
 
-    `call_timeout` is in seconds. The driver writes `out` and empties it.
+    `call_timeout` is in seconds. `out` is what is to be written; who writes it empties it. `ready`:
+    the handshake is done, and calls are taken.
     """
 
     credentials: Credentials
     call_timeout: float
-    most_pending: int
+    max_pending: int
     out: bytearray = field(default_factory=bytearray)
     ready: bool = False
 
@@ -108,8 +115,8 @@
         self._store_uptime = 0.0  # seconds
 
     def begin(self, now: float) -> None:
-        """The connection is up: says who we are and asks what the store is."""
-        self._handshake_deadline = now + HANDSHAKE_TIMEOUT
+        """The connection is open: authenticates, loads the scripts, asks for role and time."""
+        self._handshake_deadline = now + HANDSHAKE_TIMEOUT_S
         who = self.credentials
         if who.password:
             self._step(now, "auth", "AUTH", *([who.username] if who.username else []), who.password)
@@ -128,15 +135,15 @@
         self.out += resp.encode_command([w if isinstance(w, bytes) else w.encode() for w in words])
 
     def call(self, call: ScriptCall, now: float) -> bool:
-        """Whether it was taken: a full line takes no more, and nothing waits for room."""
-        if not self.ready or len(self._pending) >= self.most_pending:
+        """Writes a call; False where there is no room for it, which nothing waits for."""
+        if not self.ready or len(self._pending) >= self.max_pending:
             return False
         self._write(("EVALSHA", SHAS[call.kind], "1", call.key, *call.args))
         self._pending.append(PendingCommand(now, call))
         return True
 
     def next_due(self) -> float | None:
-        """When `tick` has something to do."""
+        """When `tick` has something to do; None where it has nothing to wait for."""
         if not self.ready:
             return self._handshake_deadline
         waiting = next((pending for pending in self._pending if not pending.given_up), None)
@@ -146,40 +153,39 @@
         return min(times, default=None)
 
     def _silent_at(self) -> float:
-        """When the oldest command has waited for so long that the store counts as silent."""
+        """When the oldest command has been pending for so long that the store counts as silent."""
         return self._pending[0].sent_at + SILENCE_FACTOR * self.call_timeout
 
     def tick(self, now: float) -> list[LinkEvent]:
-        """Gives up the calls whose time is over.
-
-        And the connection where the store has been silent for too long.
-        """
+        """Gives up calls whose time is over, and the connection if the store is silent."""
         if not self.ready:
             is_late = now >= self._handshake_deadline
-            return [ConnectionBroken("the handshake took too long")] if is_late else []
+            error = StoreTimeoutError("the handshake took too long")
+            return [ConnectionBroken(error)] if is_late else []
         events = list[LinkEvent]()
         for pending in self._pending:
             if now < pending.sent_at + self.call_timeout:
                 break
-            events += _fail(pending, NO_ANSWER)
+            events += _fail(pending, _no_answer())
             pending.given_up = pending.call is not None
         if self._pending and now >= self._silent_at():
-            events.append(ConnectionBroken("silent"))
+            events.append(ConnectionBroken(StoreTimeoutError("silent")))
         return events
 
     def receive(self, data: bytes, now: float) -> list[LinkEvent]:
-        """Bytes as they come. After `ConnectionBroken` nothing more may be given."""
+        """Bytes as they arrive. After `ConnectionBroken` nothing more may be passed in."""
         events = list[LinkEvent]()
         try:
             self._parser.feed(data)
             while not isinstance(value := self._parser.next(), resp.NeedMoreData):
                 if not self._pending:
-                    return [*events, ConnectionBroken("an answer that nobody asked for")]
+                    error = StoreProtocolError("an answer that nobody asked for")
+                    return [*events, ConnectionBroken(error)]
                 events += self._match(self._pending.popleft(), value, now)
                 if events and isinstance(events[-1], ConnectionBroken):
                     return events
-        except resp.ProtocolError as error:
-            events.append(ConnectionBroken(f"not of the protocol: {error}"))
+        except resp.ProtocolError as cause:
+            events.append(ConnectionBroken(StoreProtocolError(f"not of the protocol: {cause}")))
         return events
 
     def _match(self, pending: PendingCommand, value: resp.Value, now: float) -> list[LinkEvent]:
@@ -189,10 +195,10 @@
             return self._error(pending, value, now)
         answer = answer_text(pending.call.kind, value)
         if answer is None:
-            why = "not an answer of the script's"
-            return [*_fail(pending, why), ConnectionBroken(why)]
+            error = StoreProtocolError("not an answer of the script's")
+            return [*_fail(pending, error), ConnectionBroken(error)]
         if now >= pending.sent_at + self.call_timeout:
-            return [*_fail(pending, NO_ANSWER), LateAnswer(pending.call, answer)]
+            return [*_fail(pending, _no_answer()), LateAnswer(pending.call, answer)]
         return [Answered(pending.call, answer, now - pending.sent_at)]
 
     def _error(
@@ -202,14 +208,15 @@
         if code == "NOSCRIPT":
             for text in SCRIPTS.values():
                 self._step(now, "load", "SCRIPT", "LOAD", text)
-        events = _fail(pending, code)
+        events = _fail(pending, StoreRefusedError(code))
         if code in FATAL_ERRORS:
-            events.append(ConnectionBroken(_error_text(value)))
+            events.append(ConnectionBroken(StoreRefusedError(_error_text(value))))
         return events
 
     def _handshake(self, pending: PendingCommand, value: resp.Value) -> list[LinkEvent]:
         if isinstance(value, resp.ErrorReply):
-            return [ConnectionBroken(f"{pending.step}: {_error_text(value)}")]
+            error = StoreRefusedError(f"{pending.step}: {_error_text(value)}")
+            return [ConnectionBroken(error)]
         if pending.step == "info":
             return self._read_info(text_of(value))
         if pending.step == "time":
@@ -219,37 +226,42 @@
     def _read_info(self, text: str) -> list[LinkEvent]:
         rows = dict(line.split(":", 1) for line in text.split("\r\n") if ":" in line)
         if rows.get("loading") == "1":
-            return [ConnectionBroken("the store is loading")]
+            return [ConnectionBroken(StoreUnavailableError("the store is loading"))]
         if rows.get("role") == "slave":
-            return [ConnectionBroken("a replica")]
+            return [ConnectionBroken(StoreUnavailableError("a replica"))]
         self._store_uptime = float(rows.get("uptime_in_seconds", "0"))
         return []
 
     def _read_time(self, value: resp.Value) -> list[LinkEvent]:
         if not isinstance(value, list) or len(value) != 2:
-            return [ConnectionBroken("TIME gave no time")]
+            return [ConnectionBroken(StoreProtocolError("TIME gave no time"))]
         try:
             store_now = float(text_of(value[0])) + float(text_of(value[1])) / 1e6
         except ValueError:
-            return [ConnectionBroken("TIME gave no time")]
+            return [ConnectionBroken(StoreProtocolError("TIME gave no time"))]
         self.ready = True
-        # The uptime is cut to whole seconds, so this is the latest instant at which the process can
-        # have begun. Too late a one closes some customers' pools for a moment; too early a one
-        # would trust what an older process wrote.
+        # The uptime is cut to whole seconds, so this is the latest time at which the process can
+        # have started. One too late closes some customers' pools for a moment; one too early would
+        # trust what an older process wrote.
         return [Connected(store_now - self._store_uptime, store_now)]
 
     def close(self) -> list[LinkEvent]:
-        """The connection has ended: all that waits has failed. The link is not used again."""
+        """The connection has ended: all pending calls have failed. The link is not used again."""
         calls = [pending.call for pending in self._pending if pending.call and not pending.given_up]
         self._pending.clear()
         self.ready = False
-        return [CallFailed(call, "the connection ended") for call in calls]
+        error = StoreUnavailableError("the connection ended")
+        return [CallFailed(call, error) for call in calls]
+
+
+def _fail(pending: PendingCommand, error: StoreError) -> list[LinkEvent]:
+    """The failure of a call, unless it has been reported already."""
+    return [CallFailed(pending.call, error)] if pending.call and not pending.given_up else []
 
 
-def _fail(pending: PendingCommand, why: str) -> list[LinkEvent]:
-    """The failure of a call, unless it has been told already."""
-    return [CallFailed(pending.call, why)] if pending.call and not pending.given_up else []
+def _no_answer() -> StoreError:
+    return StoreTimeoutError("no answer in time")
 
 
 def _error_text(value: resp.ErrorReply) -> str:
-    return bytes(value[:MOST_ERROR]).decode("ascii", "replace")
+    return bytes(value[:MAX_ERROR_BYTES]).decode("ascii", "replace")
--- a/hazelhollow/shared_store/scripts.py
+++ b/hazelhollow/shared_store/scripts.py
@@ -1,6 +1,7 @@
-"""The store's two scripts.
+"""The store's two scripts: their source, arguments as text, and answers as typed values. No I/O.
 
-Their source, their arguments as text, and their answers as typed values. No I/O.
+`lease.lua` grants, renews and returns leases of one customer; `presence.lua` is a limiter's
+heartbeat and tells which others are present. Their texts name the arguments.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 SCRIPTS = {name: (Path(__file__).parent / f"{name}.lua").read_bytes() for name in NAMES}
 SHAS = {name: hashlib.sha1(text).hexdigest() for name, text in SCRIPTS.items()}
 
-MOST_NUMBER = 1e18  # a larger number in an answer is not the scripts'
-MOST_KEY = 200  # characters of a customer's key
-LEASE_HEAD = 3  # an answer's status, total and wait; then PARTS_A_LIMIT parts for each limit
-PARTS_A_LIMIT = 3
+MAX_NUMBER = 1e18  # a greater number in an answer is not the scripts'
+MAX_KEY_LENGTH = 200  # characters of a customer's key
+LEASE_HEAD_PARTS = 3  # an answer's status, total and wait
+PARTS_PER_LIMIT = 3  # after those, for each limit
 
 
 @dataclass(frozen=True)
 class Grant:
     """The store's answer for one limit, in units.
 
-    Still on lease of what was held, newly granted, left in the pool.
+    `kept`: still on lease of what was held; `granted`: newly leased; `level`: left in the pool.
     """
 
     kept: float
@@ -38,9 +39,10 @@
 
 @dataclass(frozen=True)
 class LeaseAnswer:
-    """`status` is `ok`, `late` or `stale`; `wait` is in seconds.
+    """The answer of `lease.lua`.
 
-    Without `ok` there are no grants.
+    `status` is `ok`, `late` (its turn came after its deadline) or `stale` (a newer call ran before
+    it); without `ok` there are no grants. `wait`: seconds until asking again is of use.
     """
 
     status: str
@@ -51,9 +53,9 @@
 
 @dataclass(frozen=True)
 class PresenceAnswer:
-    """The store's clock in seconds, and the numbers of the limiters present.
+    """The answer of `presence.lua`: the store's clock in seconds, and the limiters present.
 
-    Nothing where the call came too late.
+    `present` is None where the call's turn came after its deadline.
     """
 
     store_now: float
@@ -68,7 +70,7 @@
 def customer_key(prefix: str, customer: str) -> str:
     """The store's key of a customer, whose hash tag keeps it on one shard."""
     plain = "".join(c if c.isalnum() or c in "-_./" else f"%{ord(c):x}" for c in customer)
-    return f"{prefix}:{{{plain[:MOST_KEY]}}}"
+    return f"{prefix}:{{{plain[:MAX_KEY_LENGTH]}}}"
 
 
 def presence_key(prefix: str) -> str:
@@ -78,9 +80,9 @@
 
 @dataclass(frozen=True)
 class LeaseCaller:
-    """Who calls and when: what the arguments of `lease.lua` begin with.
+    """Who calls and when: the first arguments of `lease.lua`.
 
-    `deadline` is of the store's clock, as text.
+    `deadline` is by the store's clock, as text; `present`: limiters of the customer's set that are.
     """
 
     slot: str  # the limiter's number and incarnation
@@ -89,7 +91,7 @@
     deadline: str
     store_started_at: float
     term: float
-    present: int  # limiters of the customer's set that are present
+    present: int
 
 
 def lease_arguments(
@@ -99,9 +101,9 @@
     wanted: Sequence[float],
     refused: float,
 ) -> list[str]:
-    """`lease.lua` names the arguments.
+    """The arguments of `lease.lua`.
 
-    `refused`: units of a request that could not be served, or 0.
+    `held` and `wanted`: units by pool. `refused`: units of a request that could not be admitted.
     """
     args = [
         caller.slot,
@@ -134,23 +136,17 @@
 
 
 def decode_lease(answer: Sequence[str]) -> LeaseAnswer:
-    """The answer of `lease.lua`.
-
-    Raises `ValueError` where it is not one; `answer_text` has let no such through.
-    """
+    """The answer of `lease.lua`, which `answer_text` has checked, or raises ValueError."""
     status = answer[0]
-    numbers = [float(part) for part in answer[LEASE_HEAD:]] if status == "ok" else []
+    numbers = [float(part) for part in answer[LEASE_HEAD_PARTS:]] if status == "ok" else []
     grants = [
-        Grant(*numbers[at : at + PARTS_A_LIMIT]) for at in range(0, len(numbers), PARTS_A_LIMIT)
+        Grant(*numbers[at : at + PARTS_PER_LIMIT]) for at in range(0, len(numbers), PARTS_PER_LIMIT)
     ]
     return LeaseAnswer(status, float(answer[1]), float(answer[2]) / 1000, grants)
 
 
 def decode_presence(answer: Sequence[str]) -> PresenceAnswer:
-    """The answer of `presence.lua`.
-
-    Raises `ValueError` where it is not one; `answer_text` has let no such through.
-    """
+    """The answer of `presence.lua`, which `answer_text` has checked, or raises ValueError."""
     store_now = float(answer[0]) / 1000
     if answer[1] == "late":
         return PresenceAnswer(store_now, None)
@@ -163,7 +159,7 @@
 
 
 def answer_text(kind: ScriptName, value: resp.Value) -> list[str] | None:
-    """A script's answer as text; nothing where it does not have the form of one."""
+    """A script's answer as text; None where it does not have the form of one."""
     if (
         not isinstance(value, list)
         or not value
@@ -183,14 +179,14 @@
 
 
 def _is_lease_answer(answer: list[str]) -> bool:
-    if len(answer) < LEASE_HEAD or not _are_numbers(answer[1:]):
+    if len(answer) < LEASE_HEAD_PARTS or not _are_numbers(answer[1:]):
         return False
-    limits = (len(answer) - LEASE_HEAD) / PARTS_A_LIMIT
+    limits = (len(answer) - LEASE_HEAD_PARTS) / PARTS_PER_LIMIT
     return answer[0] != "ok" or (limits >= 1 and limits.is_integer())
 
 
 def _are_numbers(parts: list[str]) -> bool:
     try:
-        return all(abs(float(part)) < MOST_NUMBER for part in parts)
+        return all(abs(float(part)) < MAX_NUMBER for part in parts)
     except ValueError:
         return False
--- /dev/null
+++ b/tests/shared_store/test_limiter.py
@@ -0,0 +1,82 @@
+"""A whole limiter with the stand-in on sockets, and the bench with its checker."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from hazelhollow.bench import store as bench
+from hazelhollow.bench.checker import Bucket
+from hazelhollow.decisions import interface as api
+from hazelhollow.operator import attach, load
+from hazelhollow.standins.redis.node import Node
+from hazelhollow.standins.redis.server import Server
+from tests.scenario import BUY, LOOK, START, Stage
+
+
+def test_a_limiter_on_sockets_leases_from_the_stand_in(tmp_path: Path) -> None:
+    stage_now = [START]
+    plan = api.Plan("basic", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_burst=80.0)
+    told = api.Settings(0, 2, (LOOK, BUY), (plan,), zone="a", max_attempts=3, max_units=4.0)
+    file = tmp_path / "o.cue"
+    (tmp_path / "password").write_text("open sesame\nnot this\n")
+    # The stage's clock goes on in steps of 50 ms, so a call may take some of them.
+    file.write_text(
+        "store: "
+        '{address: "127.0.0.1:1", call_timeout: "300ms", '
+        f'password_file: "{tmp_path}/password"}}'
+    )
+    attached = attach.Attached(str(file), load.load(str(file)))
+
+    class Together(Stage):
+        """The stand-in in the same loop and on the same clock as the limiter."""
+
+        def settle(self, turns: int = 60) -> None:
+            stage_now[0] = self.now
+            super().settle(turns)
+
+    stage = Together(attached=attached, settings=told)
+    server = Server(stage.scheduler, Node(lambda: stage.now, 1, "open sesame"), ("127.0.0.1", 0))
+    server.start()
+    file.write_text(file.read_text().replace("127.0.0.1:1", f"127.0.0.1:{server.address[1]}"))
+    attached.reload(taken=True)
+    stage.play("wait 4")
+    assert (
+        attached.ledger
+        and attached.ledger.presence.connected
+        and attached.ledger.presence.view == {0}
+    )
+    # the pool of a customer that the store does not know opens after a lease's term
+    for n in range(80):
+        stage.play(f"""
+            a send [Q.ASK 00000000b4d65521 {n:016x} c=look,t=basic,d=900,units=1,spread=2,first=0]
+            wait 0.05""")
+    stage.play("wait 1")
+    assert server.node.state.calls["EVALSHA"] > 3 and attached.ledger.counts["granted"] > 0
+    assert b"hh:{00000000b4d65521/basic}" in server.node.state.engine.databases[0].entries
+    server.close()
+
+
+def test_the_bench_gives_the_same_figures_for_the_same_seed_and_no_run_is_broken() -> None:
+    jobs = [
+        bench.Job(seed, kind, 3, 14.0)
+        for kind, seed in [("mixed", 1), ("mixed", 2), ("restart_old", 1), ("down", 1), ("kill", 3)]
+    ]
+    results = [bench.play(job) for job in jobs]
+    assert not any(result.broken or result.over > 0 for result in results)
+    assert bench.play(jobs[0]) == results[0] != results[1]
+    figures = bench.summary(results)
+    assert (
+        figures["runs"] == 5
+        and figures["broken"] == 0
+        and set(figures["by_fault"]) == {"mixed", "restart_old", "down", "kill"}
+    )
+
+
+def test_the_checker_finds_a_limit_that_is_passed() -> None:
+    bucket = Bucket(10.0, 20.0, 0.0)
+    for _ in range(28):
+        bucket.take(1.0, 0.0)
+    assert (
+        bucket.over_share() == 0.4 and bucket.broken(largest=6.0) and not bucket.broken(largest=7.0)
+    )
+    assert bucket.fill(10.0) == 20.0
--- a/tests/test_store_tls.py
+++ b/tests/shared_store/test_tls.py
@@ -1,7 +1,4 @@
-"""TLS and the password to the store.
-
-Whole limiters' drivers against the stand-in on sockets, and files that change.
-"""
+"""The driver against the stand-in on sockets: TLS, the password, files that change, lost stores."""
 
 from __future__ import annotations
 
@@ -46,8 +43,8 @@
         settings = api.Settings(0, 2, (LOOK, BUY), (PLAN,))
         self.text = text
         self.ledger = LeaseLedger(settings, self.terms(), "l", self.now)
-        self.exchange = StoreClient(self.ledger, self.terms(), 1)
-        self.driver = SharedStoreDriver(self.scheduler, self.exchange)
+        self.client = StoreClient(self.ledger, self.terms(), 1)
+        self.driver = SharedStoreDriver(self.scheduler, self.client)
         self.driver.start()
 
     def terms(self) -> StoreSettings:
@@ -76,32 +73,30 @@
     assert pair.ledger.presence.connected and pair.ledger.presence.view == {0}
 
 
-@pytest.mark.parametrize(
-    "trouble", ["another authority", "another name", "no TLS there", "no file"]
-)
-def test_a_store_that_cannot_be_trusted_is_not_spoken_to(tmp_path: Path, trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["another authority", "another name", "no TLS there", "no file"])
+def test_a_store_that_cannot_be_trusted_is_not_spoken_to(tmp_path: Path, fault: str) -> None:
+    """Another authority or name, no TLS, no file: no password may reach such a store."""
     authority, other = trustme.CA(), trustme.CA()
-    (other if trouble == "another authority" else authority).cert_pem.write_to_path(
+    (other if fault == "another authority" else authority).cert_pem.write_to_path(
         str(tmp_path / "ca")
     )
-    cert = certificate(
-        authority, tmp_path, "10.0.0.9" if trouble == "another name" else "127.0.0.1"
-    )
-    secure = None if trouble == "no TLS there" else tls.server_context(cert)
-    if trouble == "no file":
+    cert = certificate(authority, tmp_path, "10.0.0.9" if fault == "another name" else "127.0.0.1")
+    secure = None if fault == "no TLS there" else tls.server_context(cert)
+    if fault == "no file":
         (tmp_path / "ca").unlink()
     pair = Pair(f'tls: ca_file: "{tmp_path}/ca"', secure, password="secret")
     pair.settle(0.5)
     assert (
         not pair.ledger.presence.connected and pair.server.node.state.calls.get("EVALSHA", 0) == 0
     )
-    (authority.cert_pem if trouble == "another authority" else other.cert_pem).write_to_path(
+    (authority.cert_pem if fault == "another authority" else other.cert_pem).write_to_path(
         str(tmp_path / "ca")
     )
     pair.settle(0.5)  # still asked for a password
 
 
 def test_files_are_read_again_when_the_connection_is_opened_anew(tmp_path: Path) -> None:
+    """The files of the authority and the password are wrong at first and then mended."""
     authority, other = trustme.CA(), trustme.CA()
     other.cert_pem.write_to_path(str(tmp_path / "ca"))
     (tmp_path / "password").write_text("wrong\n")
@@ -117,24 +112,26 @@
     assert pair.ledger.presence.connected
 
 
-def test_a_store_that_goes_and_comes_back_is_found_again(tmp_path: Path) -> None:
+def test_a_store_that_goes_and_comes_back_is_found_again() -> None:
+    """The store restarts empty and is away for a second."""
     pair = Pair("")
     pair.settle(0.2)
     assert pair.ledger.presence.connected
     pair.server.node.state.faults.add(Fault("restart_empty", lasts=1.0), pair.now)
     pair.server.advance()
     pair.settle(0.3)
-    assert not pair.ledger.presence.connected and pair.exchange.counts["broken"] == 1
+    assert not pair.ledger.presence.connected and pair.client.counts["broken"] == 1
     pair.settle(4.0)
     assert pair.ledger.presence.connected and pair.ledger.presence.view == {0}
 
 
-def test_a_store_that_falls_silent_costs_a_call_its_limit_and_then_the_connection() -> None:
+def test_a_silent_store_costs_a_call_its_timeout_and_then_the_connection() -> None:
+    """The store accepts everything and answers nothing for two seconds."""
     pair = Pair("")
     pair.settle(0.2)
     pair.server.node.state.faults.add(Fault("lost", lasts=2.0), pair.now)
     pair.settle(1.0)
-    assert pair.exchange.counts["failed"] >= 1 and pair.exchange.counts["broken"] >= 1
+    assert pair.client.counts["failed"] >= 1 and pair.client.counts["broken"] >= 1
     pair.settle(5.0)
     assert pair.ledger.presence.connected
 
