--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -37,6 +37,7 @@
     OperatorSettings,
     ReplicationSettings,
 )
+from hazelhollow.replication.account_adapter import EngineAccounts
 from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
 from hazelhollow.replication.snapshot_file import SnapshotFile
 from hazelhollow.shared_store.client import StoreClient
@@ -221,12 +222,12 @@
                 max_text_bytes(self.seal),
                 self._part(TrafficRole.REPLICATION),
             ),
-            EngineLink(service.gateway, service.limiter.copied, service.take_calls),
+            EngineLink(EngineAccounts(service.gateway), service.limiter.copied, service.take_calls),
             self._seed,
             file,
         )
         service.limiter.closed = self.replica.record_charge
-        service.stats.replica = self.replica.replica.counters
+        service.stats.replica = self.replica.counters
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: MembershipDriver, terms: AuditSettings) -> None:
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 import logging
+from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
 from hazelhollow.control_budget.budget import RoleBudget
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.memory import Memory
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.membership.driver import MembershipDriver
 from hazelhollow.net.peer_socket import PeerSocket
@@ -56,7 +56,7 @@
     ever had an override, and whether each is disabled, when another member has changed that.
     """
 
-    memory: Memory
+    accounts: EngineAccounts
     on_account: Callable[[api.AccountReplicated], None]
     on_overrides: Callable[[dict[str, bool]], None]
 
@@ -77,7 +77,7 @@
     ) -> None:
         self._scheduler, self._network = scheduler, network
         self._on_overrides, self._file = engine.on_overrides, file
-        self._accounts = accounts = EngineAccounts(engine.memory)
+        self._accounts = accounts = engine.accounts
         local = LocalMember(accounts.limiter_id, accounts.limiter_count)
         silence = SILENCE_UNDER_BUDGET_S if network.budget else SILENCE_S
         self.replica = Replica(local, seed, accounts, network.max_bytes, silence)
@@ -121,6 +121,11 @@
         now = self._scheduler.clock()
         self._pass_on(self.replica.receive(sender, plain, now), now)
 
+    @property
+    def counters(self) -> Counter[str]:
+        """What was sent and refused so far, under the names that operators' pages give."""
+        return self.replica.counters
+
     def record_charge(self, action: api.ReplicateCount) -> None:
         """What the engine says of its own counters, and of others' as it heard them."""
         self.replica.record_charge(self._accounts.row_of(action, self.replica.local))
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -31,6 +31,7 @@
 from hazelhollow.net.engine_driver import Limiter
 from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
+from hazelhollow.replication.account_adapter import EngineAccounts
 from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
 from hazelhollow.scale.load import Drawn, service_time
 from hazelhollow.scale.measure import Meter
@@ -252,7 +253,7 @@
         self.replica = ReplicationDriver(
             self.scheduler,
             Network(self._peers, fleet, seal, most, self._part(TrafficRole.REPLICATION)),
-            EngineLink(self.gateway, self.limiter.copied, lambda calls: None),
+            EngineLink(EngineAccounts(self.gateway), self.limiter.copied, lambda calls: None),
             self._seed,
         )
         self.limiter.closed = self.replica.record_charge
--- a/tests/replication/test_bench.py
+++ b/tests/replication/test_bench.py
@@ -1,7 +1,4 @@
-"""The model of all that can happen to counts finds what is planted and nothing else.
-
-Catch-up, measured, tells all once.
-"""
+"""The bench's model of all that can happen to counts, and its measurements of catch-up and cost."""
 
 from __future__ import annotations
 
@@ -47,6 +44,7 @@
 def test_planted_mistakes_are_found_and_become_plans(
     name: str, bounds: model.Bounds, first: tuple[model.Step, ...], tmp_path: Path
 ) -> None:
+    """A mistake in merge, gossip or catch-up: the model must find it and make a plan of it."""
     with model.planted(name):
         found = model.explore(bounds, first=first)
     assert found.why and len(found.steps) <= bounds.depth
@@ -94,11 +92,11 @@
     assert many < 2.5 * few
 
 
-def test_a_count_is_kept_in_few_bytes() -> None:
+def test_a_count_takes_few_bytes() -> None:
     assert replica.memory(300) <= 300
 
 
-def test_the_commands_figures_are_json_and_bad_words_are_said() -> None:
+def test_the_commands_figures_are_json_and_bad_arguments_are_refused() -> None:
     result = CliRunner().invoke(
         bench, ["replica", "--customers", "50", "--lose", "0", "--fleets", "3", "--seeds", "1"]
     )
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -1,7 +1,4 @@
-"""What real processes keep alike while they are killed, cut off and started again.
-
-And what quotas make of it.
-"""
+"""Replication between real processes that are killed, cut off and started again."""
 
 from __future__ import annotations
 
@@ -23,7 +20,7 @@
 Event = plan.Event
 
 
-class Kept(Fleet):
+class ReplicatedFleet(Fleet):
     """With calls at the operator addresses, from tasks of the harness's own scheduler."""
 
     def __init__(self, cluster: LoopbackCluster) -> None:
@@ -60,10 +57,12 @@
 
 
 @pytest.fixture
-def kept(tmp_path: Path) -> Any:
+def fleet(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     four = plan.Plan(name="x", instances=4, hosts=2)
-    one = Kept(LoopbackCluster(Scheduler(Clock()), four, tmp_path / "fleet", operator=disk_file))
+    one = ReplicatedFleet(
+        LoopbackCluster(Scheduler(Clock()), four, tmp_path / "fleet", operator=disk_file)
+    )
     one.until(
         lambda: one.whole() and all(one.replica(name).get("whole") for name in one.cluster.names)
     )
@@ -71,64 +70,73 @@
     one.cluster.close()
 
 
-def test_a_host_put_out_at_one_limiter_is_out_at_all_also_at_those_that_were_dead_or_cut_off(
-    kept: Kept,
+def test_an_endpoint_disabled_at_one_limiter_is_disabled_at_all(
+    fleet: ReplicatedFleet,
 ) -> None:
-    kept.cluster.processes.kill("n3")
-    number = kept.apart(("n2",))
-    assert kept.call("n0", "set-down h1").startswith(b"done")
-    kept.until(lambda: kept.replica("n1").get("hosts_out") == ["h1"])
-    assert kept.replica("n2").get("hosts_out") == []
-    kept.cluster.processes.start("n3")
-    kept.until(lambda: kept.replica("n3").get("hosts_out") == ["h1"])
-    kept.cluster.relay.end(number)
-    kept.until(lambda: kept.out() == [["h1"]] * 4)
+    """One limiter is dead and one cut off at the time; later all are killed at once."""
+    fleet.cluster.processes.kill("n3")
+    number = fleet.apart(("n2",))
+    assert fleet.call("n0", "set-down h1").startswith(b"done")
+    fleet.until(lambda: fleet.replica("n1").get("hosts_out") == ["h1"])
+    assert fleet.replica("n2").get("hosts_out") == []
+    fleet.cluster.processes.start("n3")
+    fleet.until(lambda: fleet.replica("n3").get("hosts_out") == ["h1"])
+    fleet.cluster.relay.end(number)
+    fleet.until(lambda: fleet.out() == [["h1"]] * 4)
     # What is called after having seen the other call holds, wherever it is made.
-    assert kept.call("n2", "set-up h1").startswith(b"done")
-    kept.until(lambda: kept.out() == [[]] * 4)
+    assert fleet.call("n2", "set-up h1").startswith(b"done")
+    fleet.until(lambda: fleet.out() == [[]] * 4)
     # All killed at once: the snapshots hold it.
-    assert kept.call("n2", "set-down h0").startswith(b"done")
-    kept.until(lambda: kept.out() == [["h0"]] * 4)
-    snapshots = [kept.folder / name / f"replica-{n}" for n, name in enumerate(kept.cluster.names)]
-    kept.until(lambda: all(path.exists() and b"h0" in path.read_bytes() for path in snapshots))
-    for name in kept.cluster.names:
-        kept.cluster.processes.kill(name)
-    for name in kept.cluster.names:
-        kept.cluster.processes.start(name)
-    kept.until(lambda: kept.out() == [["h0"]] * 4)
-
-
-def test_operators_at_both_sides_of_a_split_end_with_the_host_out(kept: Kept) -> None:
-    kept.call("n0", "set-down h1")
-    kept.until(lambda: kept.out() == [["h1"]] * 4)
-    number = kept.apart(("n0", "n1"))
-    kept.call("n0", "set-up h1")
-    kept.call("n2", "set-up h1")
-    kept.call("n2", "set-down h1")  # that side goes one call further
-    kept.call("n0", "set-up h0")  # changes nothing
-    kept.call("n1", "set-down h0")
-    kept.cluster.relay.end(number)
-    kept.until(lambda: kept.out() == [["h0", "h1"]] * 4)
-
-
-def test_one_that_was_killed_is_told_by_a_peer_and_says_so(kept: Kept) -> None:
-    kept.until(lambda: all(kept.replica(name).get("gives") for name in kept.cluster.names))
-    first = kept.cluster.processes.members["n1"].log.read_text().count("told by member")
-    kept.cluster.processes.kill("n1")
-    kept.cluster.processes.start("n1")
-    kept.until(
-        lambda: kept.cluster.processes.members["n1"].log.read_text().count("told by member") > first
+    assert fleet.call("n2", "set-down h0").startswith(b"done")
+    fleet.until(lambda: fleet.out() == [["h0"]] * 4)
+    snapshots = [fleet.folder / name / f"replica-{n}" for n, name in enumerate(fleet.cluster.names)]
+    fleet.until(lambda: all(path.exists() and b"h0" in path.read_bytes() for path in snapshots))
+    for name in fleet.cluster.names:
+        fleet.cluster.processes.kill(name)
+    for name in fleet.cluster.names:
+        fleet.cluster.processes.start(name)
+    fleet.until(lambda: fleet.out() == [["h0"]] * 4)
+
+
+def test_operators_on_both_sides_of_a_partition_end_with_the_endpoint_disabled(
+    fleet: ReplicatedFleet,
+) -> None:
+    """Two operators enable and disable the same endpoints on two sides of a partition."""
+    fleet.call("n0", "set-down h1")
+    fleet.until(lambda: fleet.out() == [["h1"]] * 4)
+    number = fleet.apart(("n0", "n1"))
+    fleet.call("n0", "set-up h1")
+    fleet.call("n2", "set-up h1")
+    fleet.call("n2", "set-down h1")  # that side goes one call further
+    fleet.call("n0", "set-up h0")  # changes nothing
+    fleet.call("n1", "set-down h0")
+    fleet.cluster.relay.end(number)
+    fleet.until(lambda: fleet.out() == [["h0", "h1"]] * 4)
+
+
+def test_a_limiter_that_was_killed_catches_up_from_a_peer_and_logs_it(
+    fleet: ReplicatedFleet,
+) -> None:
+    """One of four limiters is killed and started again."""
+    fleet.until(lambda: all(fleet.replica(name).get("gives") for name in fleet.cluster.names))
+    first = fleet.cluster.processes.members["n1"].log.read_text().count("told by member")
+    fleet.cluster.processes.kill("n1")
+    fleet.cluster.processes.start("n1")
+    fleet.until(
+        lambda: fleet.cluster.processes.members["n1"].log.read_text().count("told by member")
+        > first
     )
-    kept.until(lambda: bool(kept.replica("n1").get("whole")))
+    fleet.until(lambda: bool(fleet.replica("n1").get("whole")))
 
 
-def test_a_spoilt_snapshot_is_set_aside_and_the_limiter_serves(kept: Kept) -> None:
-    kept.cluster.processes.kill("n1")
-    (kept.folder / "n1" / "replica-1").write_bytes(b"spoilt")
-    kept.cluster.processes.start("n1")
-    kept.until(lambda: kept.call("n1", "check").startswith(b"done"))
-    assert (kept.folder / "n1" / "replica-1.bad").read_bytes() == b"spoilt"
-    assert "set aside" in kept.cluster.processes.members["n1"].log.read_text()
+def test_a_damaged_snapshot_is_set_aside_and_the_limiter_serves(fleet: ReplicatedFleet) -> None:
+    """The snapshot is overwritten while its limiter is dead."""
+    fleet.cluster.processes.kill("n1")
+    (fleet.folder / "n1" / "replica-1").write_bytes(b"spoilt")
+    fleet.cluster.processes.start("n1")
+    fleet.until(lambda: fleet.call("n1", "check").startswith(b"done"))
+    assert (fleet.folder / "n1" / "replica-1.bad").read_bytes() == b"spoilt"
+    assert "set aside" in fleet.cluster.processes.members["n1"].log.read_text()
 
 
 def played(
@@ -168,7 +176,8 @@
     return served
 
 
-def test_quotas_hold_through_two_parts_and_a_member_that_dies_meanwhile(tmp_path: Path) -> None:
+def test_quotas_hold_through_a_partition_and_the_death_of_a_member(tmp_path: Path) -> None:
+    """Two of five limiters are cut off for 4 s, and one of the others dies meanwhile."""
     events = (
         Event(at=3.0, what="cut", whom=("n0", "n1"), lasts=4.0),
         Event(at=4.0, what="kill", whom=("n3",), lasts=1.0),
@@ -177,9 +186,10 @@
     assert found["over_quota_units"] <= 12 and found["service_share"] >= 0.85
 
 
-def test_quotas_hold_though_all_are_killed_at_once_and_their_snapshots_say_what_there_was(
+def test_quotas_hold_though_all_are_killed_at_once(
     tmp_path: Path,
 ) -> None:
+    """All limiters are killed at once, again and again; their snapshots say what was left."""
     events = (Event(at=4.0, what="kill", whom=("*",), lasts=0.3, repeat=3.0, until=8.0),)
     found = played(tmp_path, events, disk_file)
     assert found["over_quota_units"] <= 4
--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -1,9 +1,7 @@
-"""What a fleet lets in after all of it was killed at once.
+"""Quotas through the death of a whole fleet: what its snapshots say, and what they are worth.
 
-Real decision modules and replica drivers on a clock set by hand.
-
-Time that the machine takes is an event here: a process that waits for its processor does nothing
-until its time has come.
+Real decision engines and replication drivers on a clock set by hand. Time that the machine takes is
+an event here: a process that waits for its processor does nothing until its time has come.
 """
 
 from __future__ import annotations
@@ -39,17 +37,18 @@
 MEMBERS = 5
 RATE, BURST = 20.0, 40.0
 GOLD = replace(PLAN, name="gold", rate=RATE, burst=BURST, excess_cost=1.0)
-ASKED = 20.0  # requests a second at each member
-ON_THE_WAY, SERVED_IN = 0.002, 0.01  # seconds
-APART = 0.01  # seconds between the starts of two members
-NEAR = 4.0  # units by which two runs of the same events differ that are not at the same moment
+REQUESTS_PER_S = 20.0  # at each member
+NETWORK_DELAY_S = 0.002
+SERVICE_TIME_S = 0.01
+START_INTERVAL_S = 0.01  # between the starts of two members
+MAX_DIFFERENCE = 4.0  # units, between runs of the same events at other moments
 
 
 class Process:
     """One incarnation of one member: its timers, and the one queue of all that happens to it."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
-        self.fleet, self.number, self.alive, self.waits_until = fleet, number, True, 0.0
+        self.fleet, self.number, self.alive, self.paused_until = fleet, number, True, 0.0
         self.began = fleet.now
         told = replace(
             SETTINGS,
@@ -65,18 +64,18 @@
             self,  # type: ignore[arg-type]
             Network(
                 self,  # type: ignore[arg-type]
-                View(fleet, number, fleet.now),  # type: ignore[arg-type]
+                KnownMembers(fleet, number, fleet.now),  # type: ignore[arg-type]
                 MessageAuthenticator(),
                 codec.MAX_MESSAGE_BYTES,
             ),
-            EngineLink(self.gateway, self.module, lambda overrides: None),
+            EngineLink(EngineAccounts(self.gateway), self.handle, lambda overrides: None),
             number,
             SnapshotFile(fleet.folder, number),
         )
-        self.module(servers("full", *(entry(f"s{n}") for n in range(4))))
+        self.handle(servers("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
-        self.module(api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True))
-        self.asks()
+        self.handle(api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True))
+        self.ask()
 
     # What the driver is given for the scheduler and the datagrams
 
@@ -87,42 +86,42 @@
         self.fleet.at(when, self._happen, call, args)
 
     def tell(self, number: int, text: str) -> None:
-        self.fleet.at(self.clock() + ON_THE_WAY, self.fleet.arrive, number, self.number, text)
+        self.fleet.at(self.clock() + NETWORK_DELAY_S, self.fleet.arrive, number, self.number, text)
 
     def _happen(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
-        if self.alive and self.clock() < self.waits_until:
-            self.at(self.waits_until, call, *args)
+        if self.alive and self.clock() < self.paused_until:
+            self.at(self.paused_until, call, *args)
         elif self.alive:
             call(*args)
 
     # What a limiter does
 
     def gossip(self, sender: int, text: str) -> None:
-        self.module(api.GossipReceived(sender, text))
+        self.handle(api.GossipReceived(sender, text))
 
-    def module(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
         for action in self.gateway.handle(event, self.clock()):
             if isinstance(action, api.StartAttempt):
-                self.fleet.let_in += 1.0
-                done = api.AttemptEnded(action.id, 0, action.endpoint, "ok", SERVED_IN, True)
-                self.at(self.clock() + SERVED_IN, self.module, done)
+                self.fleet.admitted += 1.0
+                done = api.AttemptEnded(action.id, 0, action.endpoint, "ok", SERVICE_TIME_S, True)
+                self.at(self.clock() + SERVICE_TIME_S, self.handle, done)
             elif isinstance(action, api.SendGossip):
                 self.tell(action.limiter_id, action.text)
             elif isinstance(action, api.SetTimer):
-                self.at(self.clock() + action.delay, self.module, api.TimerFired(action.name))
+                self.at(self.clock() + action.delay, self.handle, api.TimerFired(action.name))
             elif isinstance(action, api.ReplicateCount):
                 self.driver.record_charge(action)
 
-    def asks(self) -> None:
+    def ask(self) -> None:
         if self.fleet.asking:
             request = f"r{next(self.fleet.ids)}"
-            self.module(api.RequestArrived(request, "look", "gold", "c", 1.0, 1.5, 0, MEMBERS))
-        self.at(self.clock() + 1.0 / ASKED, self.asks)
+            self.handle(api.RequestArrived(request, "look", "gold", "c", 1.0, 1.5, 0, MEMBERS))
+        self.at(self.clock() + 1.0 / REQUESTS_PER_S, self.ask)
 
 
 @dataclass
-class View:
-    """Of the fleet, as the replica's driver asks for it: `membership` of it too."""
+class KnownMembers:
+    """Who is up, as replication's driver asks for it: its own `membership` too."""
 
     fleet: Fleet
     limiter_id: int
@@ -131,7 +130,7 @@
     member_count: int = MEMBERS
 
     @property
-    def membership(self) -> View:
+    def membership(self) -> KnownMembers:
         return self
 
     def present(self) -> list[int]:
@@ -151,7 +150,7 @@
 
 class Fleet:
     def __init__(self, folder: Path) -> None:
-        self.folder, self.now, self.let_in, self.asking = folder, START, 0.0, True
+        self.folder, self.now, self.admitted, self.asking = folder, START, 0.0, True
         self.ids = itertools.count()
         self.lost: Callable[[str], bool] = lambda text: False  # datagrams that never arrive
         self._heap: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
@@ -190,16 +189,16 @@
                 one.driver.stop()
         self.kill()
 
-    def wait_for_processor(self, number: int, seconds: float) -> None:
+    def pause(self, number: int, seconds: float) -> None:
         one = self.all[number]
         assert one
-        one.waits_until = self.now + seconds
+        one.paused_until = self.now + seconds
 
-    def over(self) -> float:
-        """Units beyond the quota and one burst, as the drill's checker has it."""
-        return self.let_in - RATE * (self.now - START) - BURST
+    def excess(self) -> float:
+        """Units beyond the quota and one burst, as the fault-injection checker has it."""
+        return self.admitted - RATE * (self.now - START) - BURST
 
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         return all(one and one.driver.replica.catch_up.is_complete for one in self.all)
 
     def account(self, number: int) -> Account:
@@ -215,77 +214,81 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Fleet:
-    """Of which all have let in what there was for four seconds."""
+    """All of whose members have admitted what there was for four seconds."""
     return busy_fleet(tmp_path)
 
 
 def busy_fleet(folder: Path) -> Fleet:
     one = Fleet(folder)
-    one.start(APART)
+    one.start(START_INTERVAL_S)
     one.run(4.0)
     return one
 
 
 def test_a_fleet_that_nothing_happens_to_keeps_to_its_quota(fleet: Fleet) -> None:
     fleet.run(9.0)
-    assert -BURST <= fleet.over() <= 0.0
+    assert -BURST <= fleet.excess() <= 0.0
 
 
-@pytest.mark.parametrize("second_life", [0.1, 0.2, 0.4, 0.6, 0.8, 1.0])
-def test_what_a_life_let_in_that_was_killed_before_it_was_whole_is_not_forgotten(
-    fleet: Fleet, second_life: float
+@pytest.mark.parametrize("second_incarnation", [0.1, 0.2, 0.4, 0.6, 0.8, 1.0])
+def test_what_an_incarnation_admitted_that_was_killed_before_it_was_complete_is_not_forgotten(
+    fleet: Fleet, second_incarnation: float
 ) -> None:
-    for lasts in (second_life, 8.0):
+    """All are killed, start, and are killed again before catch-up: the second start must not admit
+    what the first has used."""
+    for lasts in (second_incarnation, 8.0):
         fleet.kill()
         fleet.run(0.3)
-        fleet.start(APART)
+        fleet.start(START_INTERVAL_S)
         fleet.run(lasts)
-    assert fleet.over() <= 0.0
+    assert fleet.excess() <= 0.0
 
 
-def test_one_short_life_after_another_brings_no_new_bursts(fleet: Fleet) -> None:
+def test_one_short_incarnation_after_another_brings_no_new_bursts(fleet: Fleet) -> None:
+    """Four times all are killed 0.6 s after their start."""
     for lasts in (0.6, 0.6, 0.6, 0.6, 12.0):
         fleet.kill()
         fleet.run(0.1)
-        fleet.start(APART)
+        fleet.start(START_INTERVAL_S)
         fleet.run(lasts)
-    assert fleet.over() <= 0.0
+    assert fleet.excess() <= 0.0
 
 
 @pytest.mark.parametrize("waiting", [(1,), (0, 2, 4), (0, 1, 2, 3, 4)])
-def test_how_long_processes_waited_before_they_died_brings_in_nothing(
+def test_how_long_processes_waited_before_they_died_admits_nothing(
     waiting: tuple[int, ...], tmp_path: Path
 ) -> None:
-    over = []
+    """Some processes got no processor time before the kill, while others admitted requests."""
+    excess = []
     for seconds in (0.0, 1.0, 2.5):
         folder = tmp_path / f"{seconds}"
         folder.mkdir()
         fleet = busy_fleet(folder)
         for number in waiting:
-            fleet.wait_for_processor(number, 60.0)
+            fleet.pause(number, 60.0)
         fleet.run(seconds)
         fleet.kill()
         fleet.run(0.3)
-        fleet.start(APART)
+        fleet.start(START_INTERVAL_S)
         fleet.run(6.0)
-        over.append(fleet.over())
-    assert max(over) <= min(0.0, over[0] + NEAR)
+        excess.append(fleet.excess())
+    assert max(excess) <= min(0.0, excess[0] + MAX_DIFFERENCE)
 
 
-def test_what_was_charged_in_a_long_beginning_is_taken_off_what_the_snapshot_says(
+def test_what_was_charged_before_catch_up_is_taken_off_what_the_snapshot_says(
     fleet: Fleet,
 ) -> None:
     """Until the others answer a member acts by its cautious share; periods close meanwhile."""
     fleet.kill()
     fleet.run(0.3)
     fleet.lost = lambda text: text.startswith(codec.DIALECT[0])
-    fleet.start(APART)
+    fleet.start(START_INTERVAL_S)
     fleet.run(4.0)
-    assert not fleet.whole()
+    assert not fleet.is_complete()
     fleet.lost = lambda text: False
     fleet.run(8.0)
-    assert fleet.whole()
-    assert fleet.over() <= 0.0
+    assert fleet.is_complete()
+    assert fleet.excess() <= 0.0
 
 
 moments = st.tuples(
@@ -301,21 +304,22 @@
 @settings(max_examples=8, deadline=None)
 @given(st.lists(moments, min_size=1, max_size=3))
 @example([([], 0.0, 0.1, 0.01, 0.05)] * 4)  # killed again and again before the first look
-def test_whatever_the_machine_has_time_for_no_kill_of_all_brings_units_beyond_the_quota(
+def test_no_kill_of_all_admits_units_beyond_the_quota(
     tmp_path_factory: pytest.TempPathFactory,
     plan: list[tuple[list[int], float, float, float, float]],
 ) -> None:
+    """Random pauses, kills and starts of the whole fleet."""
     fleet = busy_fleet(tmp_path_factory.mktemp("fleet"))
     for waiting, waits, down, apart, lasts in plan:
         for number in waiting:
-            fleet.wait_for_processor(number, 60.0)
+            fleet.pause(number, 60.0)
         fleet.run(waits)
         fleet.kill()
         fleet.run(down)
         fleet.start(apart)
         fleet.run(lasts)
     fleet.run(10.0)
-    assert fleet.over() <= 0.0
+    assert fleet.excess() <= 0.0
 
 
 def test_after_an_orderly_end_of_all_what_was_left_is_there_again(fleet: Fleet) -> None:
@@ -326,8 +330,8 @@
     fleet.end()
     ended = fleet.now
     assert all(fleet.snapshot_of(number).is_final for number in range(MEMBERS))
-    fleet.start(APART)
-    while not fleet.whole():
+    fleet.start(START_INTERVAL_S)
+    while not fleet.is_complete():
         fleet.run(ROUND_INTERVAL_S)
     for number, level in enumerate(left):
         expected = min(BURST, level + RATE * (fleet.now - ended))
@@ -348,7 +352,7 @@
         (-30.0, -5.0, False, -30.0),  # the clock was set back
     ],
 )
-def test_what_is_left_for_certain(level: float, age: float, final: bool, left: float) -> None:
+def test_the_guaranteed_level(level: float, age: float, final: bool, left: float) -> None:
     saved = snapshot.Snapshot(snapshot.FORMAT, snapshot.VERSION, START, 0, [], [], final)
     assert guaranteed_level(level, GOLD, saved, START + age) == left
 
@@ -378,7 +382,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, SLICE_CUSTOMERS, 5 * SLICE_CUSTOMERS + 7])
-def test_gathered_in_slices_are_those_that_are_short_with_the_least_left_first(count: int) -> None:
+def test_accounts_below_full_are_collected_in_slices_with_the_least_left_first(count: int) -> None:
     gateway = known_customers(count)
     collector, steps = SnapshotCollector(EngineAccounts(gateway)), 1
     while not collector.step():
@@ -391,7 +395,7 @@
     )
 
 
-def test_of_more_than_a_snapshot_holds_those_with_the_least_left_are_kept(
+def test_of_more_accounts_than_a_snapshot_holds_those_with_the_least_left_are_saved(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("hazelhollow.replication.snapshot_collector.MAX_CUSTOMERS", 10)
@@ -401,7 +405,8 @@
     assert [one.customer for one in collector.saved_accounts()] == gateway.short()[:10]
 
 
-def test_one_that_is_forgotten_meanwhile_is_left_out() -> None:
+def test_an_account_that_is_forgotten_meanwhile_is_left_out() -> None:
+    """The engine forgets a customer between two slices."""
     gateway = known_customers(3 * SLICE_CUSTOMERS)
     collector = SnapshotCollector(EngineAccounts(gateway))
     collector.step()
@@ -411,12 +416,12 @@
     assert last not in {one.customer for one in collector.saved_accounts()}
 
 
-def test_a_snapshot_of_many_customers_is_written_after_some_turns_and_the_last_at_once(
+def test_a_snapshot_of_many_accounts_is_written_after_some_turns_and_the_last_at_once(
     tmp_path: Path,
 ) -> None:
     fleet = Fleet(tmp_path)
     fleet.asking = False
-    fleet.start(APART)
+    fleet.start(START_INTERVAL_S)
     fleet.run(6.0)
     one = fleet.all[0]
     assert one and one.driver.snapshots and one.driver.replica.catch_up.is_complete
--- a/tests/test_audit_processes.py
+++ b/tests/test_audit_processes.py
@@ -21,12 +21,12 @@
 from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.fault_injection.settings_probes import SettingsProber
 from hazelhollow.net.scheduler import Clock, Scheduler
-from tests.replication.test_processes import Kept
+from tests.replication.test_processes import ReplicatedFleet
 
 ASK_EVERY = 0.005  # seconds
 
 
-class Audited(Kept):
+class Audited(ReplicatedFleet):
     def audit(self, name: str) -> dict[str, Any]:
         first = self.call(name, "fleet").splitlines()
         found: dict[str, Any] = json.loads(first[0])["audit"] if len(first) == 2 else {}
