--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -42,8 +42,9 @@
     OperatorSettings,
     ReplicationSettings,
 )
-from hazelhollow.replication import snapshot
-from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.replication.account_adapter import EngineAccounts
+from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
+from hazelhollow.replication.snapshot_file import SnapshotFile
 from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.driver import SharedStoreDriver
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
@@ -146,9 +147,9 @@
         """The limiter is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
-            exchange = StoreClient(self.ledger, self.operator.store, self._seed)
-            self.driver = SharedStoreDriver(service.scheduler, exchange)
-            service.stats.store = {"books": self.ledger.counts, "link": exchange.counts}
+            client = StoreClient(self.ledger, self.operator.store, self._seed)
+            self.driver = SharedStoreDriver(service.scheduler, client)
+            service.stats.store = {"books": self.ledger.counts, "link": client.counts}
             self.driver.start()
         if self.operator.fleet:
             self._begin_view(service, self.operator.fleet)
@@ -218,7 +219,7 @@
         peers = service.engine_driver.peers
         assert peers is not None
         file = (
-            snapshot.SnapshotFile(
+            SnapshotFile(
                 Path(terms.state_dir), service.settings_reload.settings.limiter_id, self._writer
             )
             if terms.state_dir
@@ -226,19 +227,23 @@
         )
         self.replica = ReplicationDriver(
             service.scheduler,
-            peers,
-            fleet,
-            self.seal,
-            service.engine,
-            service.engine_driver.notify,
-            service.overrides.apply,
+            Network(
+                peers,
+                fleet,
+                self.seal,
+                max_text_bytes(self.seal),
+                self._part(TrafficRole.REPLICATION),
+            ),
+            EngineLink(
+                EngineAccounts(service.engine),
+                service.engine_driver.notify,
+                service.overrides.apply,
+            ),
             self._seed,
-            max_text_bytes(self.seal),
             file,
-            self._part(TrafficRole.REPLICATION),
         )
-        service.engine_driver.on_count = self.replica.closed
-        service.stats.replica = self.replica.replica.counts
+        service.engine_driver.on_count = self.replica.record_charge
+        service.stats.replica = self.replica.counters
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: MembershipDriver, terms: AuditSettings) -> None:
@@ -303,7 +308,7 @@
     def called(self, server: str, down: bool) -> None:
         """An operator has put a server out or back at this limiter."""
         if self.replica:
-            self.replica.call(server, down)
+            self.replica.set_override(server, down)
         if self.audit:
             self.audit.publish("operator call")
 
@@ -317,7 +322,7 @@
         if self.audit:
             self.audit.end()
         if self.replica:
-            self.replica.end()
+            self.replica.stop()
         if self.fleet:
             self.fleet.leave()
         if not self._writer.finish(END_WITHIN):
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -36,7 +36,8 @@
 from hazelhollow.net.engine_driver import EngineDriver
 from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
-from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.replication.account_adapter import EngineAccounts
+from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
 from hazelhollow.scale.load import Drawn, service_time
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeers
@@ -256,17 +257,11 @@
     ) -> None:
         self.replica = ReplicationDriver(
             self.scheduler,
-            self._peers,
-            fleet,
-            seal,
-            self.gateway,
-            self.limiter.notify,
-            lambda calls: None,
+            Network(self._peers, fleet, seal, most, self._part(TrafficRole.REPLICATION)),
+            EngineLink(EngineAccounts(self.gateway), self.limiter.notify, lambda calls: None),
             self._seed,
-            most,
-            allowance=self._part(TrafficRole.REPLICATION),
         )
-        self.limiter.on_count = self.replica.closed
+        self.limiter.on_count = self.replica.record_charge
         self._meter.turn(Role.REPLICATION, self.replica.start)
 
     def _start_audit(
