--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -9,40 +9,46 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from functools import partial
 from typing import NamedTuple
 
 import click
 
 from hazelhollow.bench.modules import Fleet
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.gossip.outbox import HEADER, News
+from hazelhollow.decisions.gossip.outbox import HEADER_BYTES, PendingUpdate
+from hazelhollow.decisions.gossip.scheduler import GossipScheduler
 
 LOAD_PER_GATEWAY = 40.0  # units a second inside quotas
 # of the burst: what `HoldBack` keeps back, of customers with so much left
 HELD_BACK, FAR = 0.1, 0.5
 
 
-class FirstCome(DecisionEngine):
-    """Tells all news in the order in which they came."""
+class FirstCome(GossipScheduler):
+    """Tells all updates in the order in which they came."""
 
-    def _worth(self, peer: int, news: News) -> float:
-        return 1.0 if super()._worth(peer, news) > 0 else 0.0
+    def usefulness(self, peer: int, update: PendingUpdate) -> float:
+        """The same for all that are of use."""
+        return 1.0 if super().usefulness(peer, update) > 0 else 0.0
 
 
-class UntoldOnly(DecisionEngine):
+class UntoldOnly(GossipScheduler):
     """Tells what is most units behind, whatever the customer has left."""
 
-    def _worth(self, peer: int, news: News) -> float:
-        account = self.accounts.get(news[0])
-        return self.untold(account, peer, news) if account else 0.0
+    def usefulness(self, peer: int, update: PendingUpdate) -> float:
+        """The untold share of the burst."""
+        account = self._accounts.by_name.get(update[0])
+        return self.untold(account, peer, update) if account else 0.0
 
 
-class UntoldByNearness(DecisionEngine):
+class UntoldByNearness(GossipScheduler):
     """Tells most units behind, against what the customer has left."""
 
-    def _worth(self, peer: int, news: News) -> float:
-        account = self.accounts.get(news[0])
-        return super()._worth(peer, news) * self.untold(account, peer, news) if account else 0.0
+    def usefulness(self, peer: int, update: PendingUpdate) -> float:
+        """The untold share of the burst against what is left."""
+        account = self._accounts.by_name.get(update[0])
+        untold = self.untold(account, peer, update) if account else 0.0
+        return super().usefulness(peer, update) * untold
 
 
 class HoldBack(UntoldByNearness):
@@ -51,16 +57,19 @@
     But small charges of customers with much left wait until they add up or the period closes.
     """
 
-    def _worth(self, peer: int, news: News) -> float:
-        account, worth = self.accounts.get(news[0]), super()._worth(peer, news)
-        if account is None or self.outbox is None or self.outbox.plenty() or news[1] != self.period:
-            return worth
-        far = account.budget.level > FAR * account.plan.burst
-        return 0.0 if far and self.untold(account, peer, news) < HELD_BACK else worth
+    def usefulness(self, peer: int, update: PendingUpdate) -> float:
+        """0 for a small charge of a customer with much left."""
+        account, useful = self._accounts.by_name.get(update[0]), super().usefulness(peer, update)
+        if account is None or self.outbox is None or self.outbox.has_plenty():
+            return useful
+        if update[1] != self._context.period:
+            return useful
+        far = account.quota.level > FAR * account.plan.burst
+        return 0.0 if far and self.untold(account, peer, update) < HELD_BACK else useful
 
 
-ORDERS: dict[str, type[DecisionEngine]] = {
-    "nearest": DecisionEngine,  # the product's own
+ORDERS: dict[str, type[GossipScheduler]] = {
+    "nearest": GossipScheduler,  # the product's own
     "first-come": FirstCome,
     "untold": UntoldOnly,
     "untold-by-nearness": UntoldByNearness,
@@ -88,9 +97,10 @@
 def measure(seed: int, gateways: int, seconds: float, rate: float, order: str) -> Figures:
     """One run. `rate`: bytes a second for each gateway, 0: no budget."""
     load = LOAD_PER_GATEWAY * gateways
-    fleet = Fleet(seed, gateways, load, make=ORDERS[order], gossip_bytes_per_s=rate)
+    make = partial(DecisionEngine, scheduler_class=ORDERS[order])
+    fleet = Fleet(seed, gateways, load, make=make, gossip_bytes_per_s=rate)
     count, span = fleet.play(seconds), seconds * gateways
-    sent = (count.message_bytes + HEADER * count.messages) / span
+    sent = (count.message_bytes + HEADER_BYTES * count.messages) / span
     return Figures(
         count.served / count.offered, count.over / count.offered, sent, count.messages / span
     )
--- a/hazelhollow/bench/losses.py
+++ b/hazelhollow/bench/losses.py
@@ -15,7 +15,7 @@
 from hazelhollow.bench.modules import Fleet
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.memory import Health
+from hazelhollow.decisions.outlier_detection import OutlierRecord
 
 EVERY = 3.0  # seconds between kills, of one gateway after another
 SLOW, FAILING = 3, 11  # one host in so many is so
@@ -52,21 +52,28 @@
     """All that the old incarnation knew, but one state."""
     for name, (attributes, take_away) in STATES.items():
         if name != but:
-            for attribute in attributes:
-                setattr(new, attribute, getattr(old, attribute))
+            _hand_on(old, new, attributes)
         elif take_away:
             take_away(old)
-            for attribute in attributes:
-                setattr(new, attribute, getattr(old, attribute))
+            _hand_on(old, new, attributes)
+
+
+def _hand_on(old: DecisionEngine, new: DecisionEngine, attributes: tuple[str, ...]) -> None:
+    """Each attribute is a part of the engine and what that holds: `part.attribute`, or `part.*`."""
+    for attribute in attributes:
+        part, _, name = attribute.partition(".")
+        before, after = getattr(old, part), getattr(new, part)
+        for one in vars(before) if name == "*" else (name,):
+            setattr(after, one, getattr(before, one))
 
 
 def _no_budgets(old: DecisionEngine) -> None:
     """What a new incarnation would begin with."""
-    old.born = old.now
+    old.context.started_at = old.context.now
     for account in old.accounts.values():
-        account.budget.level = account.plan.burst / max(account.spread, 1)
-        account.told.level, account.telling = account.plan.burst, False
-        account.totals.charged, account.totals.heard = {}, {}
+        account.quota.level = account.plan.burst / max(account.set_size, 1)
+        account.announced.level, account.has_announcement = account.plan.burst, False
+        account.charges.own, account.charges.reported = {}, {}
 
 
 def _no_ceilings(old: DecisionEngine) -> None:
@@ -76,39 +83,64 @@
 
 def _no_open(old: DecisionEngine) -> None:
     for account in old.accounts.values():
-        account.open, account.theirs = 0, {}
-    old.held = {}
+        account.open_requests, account.peers_open = 0, {}
+    old.pending.by_id = {}
 
 
 def _no_failures(old: DecisionEngine) -> None:
-    old.failed = {}
-    for server in old.servers.values():
-        server.health = dict[str, Health]()
+    old.outliers.recent_failures = {}
+    for endpoint in old.endpoints.values():
+        endpoint.outlier_records = dict[str, OutlierRecord]()
 
 
 def _no_paces(old: DecisionEngine) -> None:
     fresh = DecisionEngine(old.settings, seed=1)
-    old.learned, old.wait, old.stay = fresh.learned, 0.0, fresh.stay
-    old.patience, old.asked = fresh.patience, fresh.asked
-    for server in old.servers.values():
-        server.pace = 1.0
+    old.load.classes, old.load.queue_wait = fresh.load.classes, 0.0
+    old.load.mean_attempt_time = fresh.load.mean_attempt_time
+    old.load_shedding.time_left = fresh.load_shedding.time_left
+    old.load_shedding.demand = fresh.load_shedding.demand
+    for endpoint in old.endpoints.values():
+        endpoint.work_factor = 1.0
 
 
 Take = Callable[[DecisionEngine], None]
 STATES: dict[str, tuple[tuple[str, ...], Take | None]] = {
-    "budgets and what was settled": (("born", "whole"), _no_budgets),
-    "ceilings' shares": (("accounts", "due", "unclosed"), _no_ceilings),
-    "requests open, keys not answered": (("held",), _no_open),
-    "hosts that failed": (("servers", "banned", "table"), _no_failures),
+    "budgets and what was settled": (
+        ("context.started_at", "startup.all_started_together"),
+        _no_budgets,
+    ),
+    "ceilings' shares": (
+        ("customer_accounts.by_name", "customer_accounts.checks", "replicated_accounts.unclosed"),
+        _no_ceilings,
+    ),
+    "requests open, keys not answered": (("pending.by_id",), _no_open),
+    "hosts that failed": (("table.*",), _no_failures),
     # Together: what is asked for is reckoned in learned work, and one without the other refuses
     # nearly all.
     "work, paces and clients' ways learned": (
-        ("learned", "wait", "stay", "patience", "asked"),
+        (
+            "load.classes",
+            "load.queue_wait",
+            "load.mean_attempt_time",
+            "load_shedding.time_left",
+            "load_shedding.demand",
+        ),
         _no_paces,
     ),
-    "retry budget": (("retries", "leftover"), None),
-    "peers' loads and lives": (("loads", "incarnations", "incarnation"), None),
-    "news not told yet": (("dirty", "booked", "closing", "late"), None),
+    "retry budget": (("retry_budget.available", "quota.excess_units"), None),
+    "peers' loads and lives": (
+        ("peer_loads.by_peer", "startup.incarnations", "context.incarnation"),
+        None,
+    ),
+    "news not told yet": (
+        (
+            "gossip.unsent",
+            "gossip.charged_this_period",
+            "gossip.final_due",
+            "gossip.overdue",
+        ),
+        None,
+    ),
 }
 
 
--- a/hazelhollow/bench/model.py
+++ b/hazelhollow/bench/model.py
@@ -2,10 +2,10 @@
 
 Charges, datagrams late, lost, doubled or out of order, crashes, catch-up.
 
-Breadth first over sequences of steps that drive the real functions (`state.Memory`, `state.Totals`,
-`replication.count_table.CountTable`); each sequence is played anew from the start, so nothing of
-the product has to be copied. In every state nobody may hold more for used than was charged; and
-after all have heard all counts, each holds what was charged, once.
+Breadth first over sequences of steps that drive the real functions (`ReplicatedAccounts`,
+`PeriodCharges`, `replication.count_table.CountTable`); each sequence is played anew from the start,
+so nothing of the product has to be copied. In every state nobody may hold more for used than was
+charged; and after all have heard all counts, each holds what was charged, once.
 """
 
 from __future__ import annotations
@@ -15,10 +15,16 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
+from random import Random
 from typing import Any
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions import memory as state
+from hazelhollow.decisions.context import DecisionContext
+from hazelhollow.decisions.startup_quota import StartupQuota
+from hazelhollow.decisions.state.accounts import Account, Opening
+from hazelhollow.decisions.state.customer_accounts import CustomerAccounts
+from hazelhollow.decisions.state.period_charges import ClosedCount, PeriodCharges
+from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 from hazelhollow.fault_injection.plan import Event, Plan
 from hazelhollow.replication import count_table
 from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
@@ -46,27 +52,52 @@
     """A state that must not be."""
 
 
+class Accounts(CustomerAccounts):
+    """Accounts that begin full where the member is whole, and that nothing refills."""
+
+    def __init__(self, context: DecisionContext, startup: StartupQuota, whole: bool) -> None:
+        super().__init__(context, startup)
+        self.whole = whole
+
+    def get(self, key: str, plan: api.Plan, set_start: int, set_size: int) -> Account:
+        """The only account."""
+        context = self._context
+        known = self.by_name.get(key)
+        if known is None:
+            level = plan.burst if self.whole else plan.burst / set_size
+            opening = Opening(level, context.now, context.now, False, True)
+            known = self.by_name[key] = Account(plan, KEY, opening)
+            known.place_set(set_start, set_size, context.settings)
+        known.charges.advance(context.period)
+        return known
+
+
 class Member:
     def __init__(self, number: int, members: int, now: int, incarnation: str, whole: bool) -> None:
         plan = api.Plan("p", rate=1e-9, burst=BURST, excess_cost=1.0)
         kind = api.RequestClass("c", 1.0, 3.0, 1.0, "safe")
-        self.memory = state.Memory(api.Settings(number, members, (kind,), (plan,), peers=True))
-        self.memory.keeps, self.memory.incarnation, self.memory.born = True, incarnation, float(now)
+        settings = api.Settings(number, members, (kind,), (plan,), peers=True)
+        self.context = DecisionContext(settings, Random(0))
+        self.context.counts_replicated, self.context.incarnation = True, incarnation
+        self.context.started_at = float(now)
+        startup = StartupQuota(self.context)
+        self.accounts = Accounts(self.context, startup, whole)
+        self.replicated = ReplicatedAccounts(self.context, self.accounts, startup)
         self.book, self.whole = CountTable(), whole
         # the most that it was ever told of an incarnation
         self.best: dict[tuple[int, str], float] = {}
         self.at(now)
         if whole:
-            self.memory.known_from = -math.inf
+            startup.complete_since = -math.inf
             self.account()
 
     def at(self, now: int) -> None:
-        self.memory.now, self.memory.period = float(now), now
+        self.context.now, self.context.period = float(now), now
         self.book.turn(now)
-        for action in self.memory.closed(MOST_COUNTS):
+        for action in self.replicated.take_closed(MOST_COUNTS):
             if isinstance(action, api.ReplicateCount):
-                c, me = action.replicated_count, self.memory.settings.limiter_id
-                own = (c.member, c.incarnation) == (me, self.memory.incarnation)
+                c, me = action.replicated_count, self.context.settings.limiter_id
+                own = (c.member, c.incarnation) == (me, self.context.incarnation)
                 self.book.put(
                     CountRow(
                         KEY,
@@ -79,33 +110,23 @@
                     )
                 )
 
-    def account(self) -> state.Account:
-        one = self.memory.accounts.get(KEY)
+    def account(self) -> Account:
+        one = self.accounts.by_name.get(KEY)
         if one is None:
-            one = self._make(KEY, self.memory.plans["p"], 0, self.memory.settings.limiter_count)
-        one.totals.turn(self.memory.period)
-        self.memory.mark_unclosed(one)
+            size = self.context.settings.limiter_count
+            one = self.accounts.get(KEY, self.context.plans["p"], 0, size)
+        one.charges.advance(self.context.period)
+        self.replicated.mark_charged(one)
         return one
 
-    def _make(self, key: str, plan: api.Plan, first: int, spread: int) -> state.Account:
-        known = self.memory.accounts.get(key)
-        if known is None:
-            level = plan.burst if self.whole else plan.burst / spread
-            known = self.memory.accounts[key] = state.Account(
-                plan, level, self.memory.now, self.memory.now, False, True, KEY
-            )
-            known.place(first, spread, self.memory.settings, 0, 0)
-        known.totals.turn(self.memory.period)
-        return known
-
     def copied(self, event: api.AccountReplicated) -> None:
-        self.memory.copied(event, self._make, 0.5)
+        self.replicated.merge(event)
 
     def tell_rows(self, rows: list[CountRow]) -> None:
         for row in rows:
             mine, who = (
                 (row.member, row.incarnation)
-                == (self.memory.settings.limiter_id, self.memory.incarnation),
+                == (self.context.settings.limiter_id, self.context.incarnation),
                 (row.member, row.incarnation),
             )
             self.best[who] = max(self.best.get(who, 0.0), row.value.total / 10)
@@ -121,20 +142,20 @@
 
     def used(self) -> float:
         one = self.account()
-        return BURST - (one.budget.level - one.owed)
+        return BURST - (one.quota.level - one.debt)
 
     def shown(self) -> tuple[Any, ...]:
         a = self.account()
-        t = a.totals
+        t = a.charges
         return (
-            round(a.budget.level - a.owed, 3),
+            round(a.quota.level - a.debt, 3),
             self.whole,
-            a.copied,
-            t.closed,
-            t.knows,
-            tuple(sorted(t.charged.items())),
-            tuple(sorted(t.heard.items())),
-            tuple(sorted((t.bases or {}).items())),
+            a.caught_up,
+            t.own_closed,
+            t.complete_since,
+            tuple(sorted(t.own.items())),
+            tuple(sorted(t.reported.items())),
+            tuple(sorted((t.closed_counts or {}).items())),
             tuple(sorted((r.member, r.incarnation, r.value) for r in self.book.rows(KEY))),
         )
 
@@ -169,9 +190,7 @@
                 yield from (("turn", n) for n in numbers)
         if self.left["send"]:
             pairs = [(a, b) for a in numbers for b in numbers if a != b]
-            yield from (
-                ("gossip", a, b) for a, b in pairs if self.members[a].account().totals.charged
-            )
+            yield from (("gossip", a, b) for a, b in pairs if self.members[a].account().charges.own)
             yield from (("counts", a, b) for a, b in pairs if self.members[a].book.customers)
         yield from (
             ("ask", n, g)
@@ -193,8 +212,8 @@
         if what == "charge":
             one = self.members[step[1]]
             account = one.account()
-            account.budget.level -= account.totals.charge(1.0, one.memory.period)
-            who = step[1], one.memory.incarnation
+            account.quota.level -= account.charges.charge(1.0, one.context.period)
+            who = step[1], one.context.incarnation
             self.charged[who] = self.charged.get(who, 0) + 1
         elif what == "turn":
             self.period += 1
@@ -206,9 +225,9 @@
             self.left["send"] -= 1
             self.flying.append((step[1], step[2], what, self._said(self.members[step[1]], what)))
         elif what == "ask":
-            piece = self.members[step[2]].memory.copy_of(KEY)
+            piece = self.members[step[2]].replicated.copy_of(KEY)
             self.flying.append(
-                (step[2], step[1], "piece", (self.members[step[1]].memory.incarnation, piece))
+                (step[2], step[1], "piece", (self.members[step[1]].context.incarnation, piece))
             )
         elif what in ("deliver", "again"):
             a, b, kind, said = self.flying[step[1]]
@@ -224,7 +243,7 @@
     @staticmethod
     def _said(one: Member, kind: str) -> Any:
         if kind == "gossip":
-            return one.memory.incarnation, dict(one.account().totals.charged)
+            return one.context.incarnation, dict(one.account().charges.own)
         return one.book.rows(KEY)
 
     def _take(self, source: int, one: Member, kind: str, said: Any) -> None:
@@ -232,12 +251,12 @@
             incarnation, periods = said
             account = one.account()
             for period, total in periods.items():
-                account.budget.level -= account.totals.hear(
+                account.quota.level -= account.charges.merge_report(
                     f"{source}.{incarnation}", period, total
                 )
         elif kind == "counts":
             one.tell_rows(said)
-        elif said[0] == one.memory.incarnation and said[1] is not None and not one.whole:
+        elif said[0] == one.context.incarnation and said[1] is not None and not one.whole:
             one.copied(said[1])
             self._whole(one)
 
@@ -247,8 +266,8 @@
         one.copied(api.AccountReplicated(""))
         for row in one.book.rows(KEY):
             if (row.member, row.incarnation) != (
-                one.memory.settings.limiter_id,
-                one.memory.incarnation,
+                one.context.settings.limiter_id,
+                one.context.incarnation,
             ):
                 one.count(row)
 
@@ -268,11 +287,13 @@
 
         What the dead charged and no row told may be known to some alone.
         """
-        live = {(n, one.memory.incarnation) for n, one in enumerate(self.members)}
+        live = {(n, one.context.incarnation) for n, one in enumerate(self.members)}
         for one in self.members:
             giver = next((g for g in self.members if g.whole), None)
             if not one.whole and giver is not None:
-                self._take(0, one, "piece", (one.memory.incarnation, giver.memory.copy_of(KEY)))
+                self._take(
+                    0, one, "piece", (one.context.incarnation, giver.replicated.copy_of(KEY))
+                )
             elif not one.whole:
                 return  # nobody is left who knows anything
         for _ in range(SETTLE):
@@ -371,23 +392,23 @@
 
 
 def _late_gossip(right: Callable[..., float]) -> Callable[..., float]:
-    def hear(totals: state.Totals, incarnation: str, period: int, total: float) -> float:
-        bases, totals.bases = totals.bases, {}
+    def hear(charges: PeriodCharges, incarnation: str, period: int, total: float) -> float:
+        counts, charges.closed_counts = charges.closed_counts, {}
         try:
-            return right(totals, incarnation, period, total)
+            return right(charges, incarnation, period, total)
         finally:
-            totals.bases = bases
+            charges.closed_counts = counts
 
     return hear
 
 
 def _forgets_gossip(right: Callable[..., float]) -> Callable[..., float]:
-    def told(totals: state.Totals, who: str, since: int, through: int, total: float) -> float:
-        heard, totals.heard = totals.heard, {}
+    def told(charges: PeriodCharges, incarnation: str, count: ClosedCount) -> float:
+        reported, charges.reported = charges.reported, {}
         try:
-            return right(totals, who, since, through, total)
+            return right(charges, incarnation, count)
         finally:
-            totals.heard = heard
+            charges.reported = reported
 
     return told
 
@@ -398,25 +419,21 @@
 
 def _forgets_own(right: Callable[..., None]) -> Callable[..., None]:
     def adopt(
-        memory: state.Memory,
-        account: state.Account,
-        told: tuple[api.ReplicatedCount, ...],
-        level: float,
-        period: int,
+        replicated: ReplicatedAccounts, account: Account, event: api.AccountReplicated
     ) -> None:
-        before, closed = account.totals.charged, account.totals.closed
-        account.totals.charged, account.totals.closed = {}, 0.0
-        right(memory, account, told, level, period)
-        account.totals.charged, account.totals.closed = before, closed
+        before, closed = account.charges.own, account.charges.own_closed
+        account.charges.own, account.charges.own_closed = {}, 0.0
+        right(replicated, account, event)
+        account.charges.own, account.charges.own_closed = before, closed
 
     return adopt
 
 
 MISTAKES: dict[str, tuple[Any, str, Callable[..., Any]]] = {
-    "late gossip counts beside its count": (state.Totals, "hear", _late_gossip),
-    "a count forgets what gossip told": (state.Totals, "told", _forgets_gossip),
+    "late gossip counts beside its count": (PeriodCharges, "merge_report", _late_gossip),
+    "a count forgets what gossip told": (PeriodCharges, "merge_count", _forgets_gossip),
     "who spoke last is right": (count_table, "merge", _last_speaker),
-    "catch-up forgets what was charged meanwhile": (state.Memory, "_adopt", _forgets_own),
+    "catch-up forgets what was charged meanwhile": (ReplicatedAccounts, "_catch_up", _forgets_own),
 }
 
 
--- a/hazelhollow/bench/modules.py
+++ b/hazelhollow/bench/modules.py
@@ -19,7 +19,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.memory import Store
+from hazelhollow.decisions.state.token_bucket import TokenBucket
 
 CLASSES = (
     api.RequestClass(
@@ -126,15 +126,19 @@
         self.heard: list[list[float]] = [[] for _ in range(limiter_count)]
         self.customers = list(self._customers(load))
         self.truth = {
-            c.name: Store(PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start)
+            c.name: TokenBucket(
+                PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start
+            )
             for c in self.customers
         }
         self.ideal = {
-            c.name: Store(PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start)
+            c.name: TokenBucket(
+                PLANS[c.plan].rate, PLANS[c.plan].burst, PLANS[c.plan].burst, self.start
+            )
             for c in self.customers
         }
         self.ceilings = {
-            c.name: Store(
+            c.name: TokenBucket(
                 PLANS[c.plan].ceiling_rate,
                 PLANS[c.plan].ceiling_burst,
                 PLANS[c.plan].ceiling_burst,
@@ -234,7 +238,7 @@
             if self.random.random() * top < customer.rate(self.now - self.start):
                 units = self.random.choice(UNITS)
                 store = self.ideal[customer.name]
-                if store.fill(self.now) >= units:
+                if store.refill(self.now) >= units:
                     store.level -= units
                     self.count.offered += units * PRICES[customer.plan]
                     self.count.seconds["offered", int(self.now - self.start)] += (
@@ -312,7 +316,7 @@
         customer, units, left, inside = self.owners[action.id]
         plan, store = PLANS[customer.plan], self.truth[customer.name]
         self.count.sent += 1
-        inside = store.fill(self.now) >= units and not (
+        inside = store.refill(self.now) >= units and not (
             plan.open_limit and self.out[customer.name] >= plan.open_limit
         )
         if inside:
@@ -322,7 +326,7 @@
             self.count.by_plan[plan.name, "over" if store.level < units else "over open"] += units
         if plan.ceiling_rate:
             ceiling = self.ceilings[customer.name]
-            ceiling.fill(self.now)
+            ceiling.refill(self.now)
             ceiling.level -= units
             self.count.lowest_ceiling = min(self.count.lowest_ceiling, ceiling.level)
         self.out[customer.name] += 1
@@ -358,7 +362,7 @@
         customer, units, left, _ = self.owners.pop(action.id)
         self.count.refused[action.reason] += 1
         store, plan = self.truth[customer.name], PLANS[customer.plan]
-        room = store.fill(self.now) >= units and not (
+        room = store.refill(self.now) >= units and not (
             plan.open_limit and self.out[customer.name] >= plan.open_limit
         )
         if room:
--- a/hazelhollow/control_budget/limiter.py
+++ b/hazelhollow/control_budget/limiter.py
@@ -16,7 +16,7 @@
     settings_for,
 )
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip.codec import BEFORE, DIALECT
+from hazelhollow.decisions.gossip.codec import DIALECT, PREVIOUS_DIALECT
 from hazelhollow.net.peers import Peers
 
 
@@ -48,5 +48,5 @@
 
     def _debit_gossip(self, text: str) -> None:
         """The decision module paces its gossip by itself and does not ask."""
-        if text[0] in (DIALECT, BEFORE):
+        if text[0] in (DIALECT, PREVIOUS_DIALECT):
             self.budget.debit(Role.QUOTA, len(text) + HEADER_BYTES, self._clock())
--- /dev/null
+++ b/hazelhollow/decisions/admission.py
@@ -0,0 +1,85 @@
+"""Admission: a request's way from its arrival to its first attempt, or to its rejection.
+
+The checks, in their order; the first that fails rejects the request:
+
+1. Its class and plan are known, it asks for units, and has time left.
+2. Membership lets this limiter take new work.
+3. `quota.py`: the ceiling, then the quota, or the room for requests beyond quotas.
+4. `load_shedding.py`: an endpoint may get it, and its wait is short enough.
+
+Then it is charged, and its first attempt starts.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from hazelhollow.decisions.attempts import Attempts
+from hazelhollow.decisions.context import PERIOD_S, DecisionContext
+from hazelhollow.decisions.endpoint_selection import EndpointSelection
+from hazelhollow.decisions.events import RequestArrived
+from hazelhollow.decisions.load_estimate import LEARNING_RATE, LoadEstimate
+from hazelhollow.decisions.load_shedding import LoadShedding
+from hazelhollow.decisions.quota import Quota
+from hazelhollow.decisions.rejections import reject
+from hazelhollow.decisions.retry import RetryBudget
+from hazelhollow.decisions.state.customer_accounts import CustomerAccounts
+from hazelhollow.decisions.state.pending_requests import PendingRequest, PendingRequests
+
+
+class AdmissionRules(NamedTuple):
+    """The rules that a request goes through."""
+
+    quota: Quota
+    load_shedding: LoadShedding
+    selection: EndpointSelection
+    retry_budget: RetryBudget
+    attempts: Attempts
+
+
+class Admission:
+    """Admits or rejects requests."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        accounts: CustomerAccounts,
+        pending: PendingRequests,
+        load: LoadEstimate,
+        rules: AdmissionRules,
+    ) -> None:
+        self._context, self._accounts, self._pending = context, accounts, pending
+        self._load = load
+        self._quota, self._shedding, self._selection, self._budget, self._attempts = rules
+
+    def arrive(self, event: RequestArrived) -> None:
+        """A request has arrived."""
+        context, settings = self._context, self._context.settings
+        request_class = context.classes.get(event.class_name)
+        plan = context.plans.get(event.plan_name)
+        if request_class is None or plan is None or event.units <= 0 or event.time_left <= 0:
+            reject(context, event.id, 0.0, "unknown")
+            return
+        if not context.may_admit:
+            # It stood still, and may be dead to the others: what it knows is old.
+            reject(context, event.id, PERIOD_S, "away")
+            return
+        set_size = max(1, min(event.set_size, settings.limiter_count))
+        key = self._accounts.key_of_customer(event.customer)
+        account = self._accounts.get(key, plan, event.set_start, set_size)
+        account.last_used_at = context.now
+        request = PendingRequest(event, request_class, account, context.now, settings.max_attempts)
+        self._load.classes.learn_units(request_class, event.units, LEARNING_RATE)
+        request.within_quota = self._quota.is_within(request)
+        work = self._load.work_of(request)
+        if request.within_quota:
+            self._shedding.record_demand(request, work)
+        if self._quota.rejects(request):
+            return
+        choice = self._selection.choose(request, work)
+        if self._shedding.rejects(request, choice, work) or choice.endpoint is None:
+            return
+        self._pending.by_id[event.id] = request
+        self._budget.request_admitted()
+        self._quota.charge(request)
+        self._attempts.start(request, choice.endpoint, work)
--- /dev/null
+++ b/hazelhollow/decisions/context.py
@@ -0,0 +1,75 @@
+"""What all rules of one engine share: the settings, the event's instant, who is up, the actions."""
+
+from __future__ import annotations
+
+from random import Random
+
+from hazelhollow.decisions.actions import Action
+from hazelhollow.decisions.events import MembershipChanged
+from hazelhollow.decisions.settings import RequestClass, Settings
+from hazelhollow.decisions.state.accounts import MAX_DIRECT_SET
+
+PERIOD_S = 1.0  # charges are summed up, and reported, by periods of this length
+
+
+class DecisionContext:
+    """One engine's settings and the event that it handles.
+
+    The engine sets `now`, `period` and `actions` before it calls a handler; rules read them and
+    append to `actions`. Nothing here is shared with another engine.
+
+    Attributes:
+        settings: Those in force.
+        random: The only source of chance.
+        classes: The request classes in force, by name.
+        plans: The plans, by name; they don't change while the limiter runs.
+        small_fleet: Limiters are so few that they tell each other their loads.
+        now: The event's instant.
+        period: The number of the period that it lies in.
+        actions: What the event has led to so far.
+        started_at: The instant of the first event.
+        incarnation: The name of this run; "" before the first event.
+        may_admit: Whether this limiter may take new work.
+        away: Members that are not told anything: not up, or unable to hear this one.
+        unreachable: Members that can't be heard and may go on admitting.
+        counts_replicated: Whether charges of closed periods are replicated as counts.
+    """
+
+    __slots__ = (
+        "settings",
+        "random",
+        "classes",
+        "plans",
+        "small_fleet",
+        "now",
+        "period",
+        "actions",
+        "started_at",
+        "incarnation",
+        "may_admit",
+        "away",
+        "unreachable",
+        "counts_replicated",
+    )
+
+    def __init__(self, settings: Settings, random: Random) -> None:
+        self.settings, self.random = settings, random
+        self.classes: dict[str, RequestClass] = {c.name: c for c in settings.classes}
+        self.plans = {p.name: p for p in settings.plans}
+        self.small_fleet = settings.limiter_count <= MAX_DIRECT_SET
+        self.now, self.period = 0.0, 0
+        self.actions: list[Action] = []
+        self.started_at, self.incarnation = 0.0, ""
+        self.may_admit, self.counts_replicated = True, False
+        self.away = self.unreachable = frozenset[int]()
+
+    def retune(self, settings: Settings) -> None:
+        """Takes over other settings; requests in flight keep their class."""
+        self.settings, self.classes = settings, {c.name: c for c in settings.classes}
+
+    def apply_membership(self, event: MembershipChanged) -> None:
+        """Takes over who is up."""
+        everybody = frozenset(range(self.settings.limiter_count))
+        self.may_admit, self.counts_replicated = event.may_admit, event.counts_replicated
+        self.away = everybody.difference(event.present).union(event.cannot_hear_us)
+        self.unreachable = frozenset(event.unreachable_but_serving)
--- a/hazelhollow/decisions/gossip/codec.py
+++ b/hazelhollow/decisions/gossip/codec.py
@@ -1,77 +1,109 @@
-"""Messages between gateways: values to few bytes of text and back. Translation only.
-
-Plans and classes go by tags of their names, so that a message means the same under settings that
-list others beside them. The dialect is the first letter; the one before this one told places in the
-sender's settings, and is still read.
+"""The format of gossip datagrams: values to a few bytes of text and back.
+
+A datagram is a header and items, each with a space before it:
+
+| part            | text                                              |
+| --------------- | ------------------------------------------------- |
+| header          | dialect, period modulo 36, queue wait, incarnation |
+| `ChargeReport`  | `key:plan:set_start:set_size:age:total[:open]`    |
+| `SpentReport`   | `key/plan/units`                                  |
+| `LoadReport`    | `endpoint=work`                                   |
+| `FailureReport` | `endpoint!class`                                  |
+
+Numbers are in base 36, amounts in tenths of a unit, work in hundredths of a second. Plans, classes
+and endpoints go by tags of their names, so that a datagram means the same under settings that list
+others beside them. The dialect before this one told places in the sender's settings in place of
+tags, and is still read.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection
+from collections.abc import Collection, Sequence
 from typing import NamedTuple, Union
 from zlib import crc32
 
-MOST_BYTES = 256
-DIALECT, BEFORE = "i", "h"
-EVERY = "0"  # in place of a class's tag: all of them
-_TAGS = 36**3
-_LIVES = 36**3  # tenths of a second after which the names of incarnations come again
-_TENTHS = 10
+MAX_DATAGRAM_BYTES = 256
+DIALECT, PREVIOUS_DIALECT = "i", "h"
+PERIODS = 36  # a datagram tells its period modulo this
+EVERY_CLASS = "0"  # in place of a class's tag
+TENTHS = 10
+_TAG_COUNT = 36**3
+_INCARNATION_TENTHS = 36**3  # tenths of a second after which the names of incarnations come again
+_MAX_WAIT_DIGIT = 35
 _DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
 
 
-class Charge(NamedTuple):
-    """What the sender charged a customer, in all, in the period that lies `age` before the
-    message's; and the requests it has open for it, where the plan limits them.
+class ChargeReport(NamedTuple):
+    """What the sender charged a customer in one period.
+
+    Attributes:
+        key: The customer's key.
+        plan: The plan's tag.
+        set_start: The first limiter of the customer's set.
+        set_size: How many limiters there are in it.
+        age: Periods that the charged one lies before the datagram's.
+        total: Units, of the whole period so far.
+        open_requests: Requests in flight for the customer, where the plan limits them.
     """
 
-    customer: str
+    key: str
     plan: str
-    first: int
-    spread: int
+    set_start: int
+    set_size: int
     age: int
     total: float
-    open: int = 0
+    open_requests: int = 0
 
 
-class Spent(NamedTuple):
-    """How much of a customer's burst is spent, by all gateways."""
+class SpentReport(NamedTuple):
+    """How many units of a customer's burst are spent, by all limiters together."""
 
-    customer: str
+    key: str
     plan: str
     units: float
 
 
-class Load(NamedTuple):
-    """Seconds of work that the sender has out at a server."""
+class LoadReport(NamedTuple):
+    """Seconds of work that the sender has in flight at an endpoint."""
 
-    server: str
+    endpoint: str
     work: float
 
 
-class Failed(NamedTuple):
-    """A server failed the sender lately, for one class or for all (EVERY)."""
+class FailureReport(NamedTuple):
+    """An endpoint failed the sender lately, for one class or for `EVERY_CLASS`."""
+
+    endpoint: str
+    request_class: str
+
 
-    server: str
-    kind: str
+Report = Union[ChargeReport, SpentReport, LoadReport, FailureReport]
 
 
-Word = Union[Charge, Spent, Load, Failed]
+class GossipMessage(NamedTuple):
+    """A datagram that was read.
 
+    Attributes:
+        period: The sender's, modulo 36.
+        queue_wait: How long answers have waited at the sender lately, in tightest objectives.
+        incarnation: The sender's.
+        reports: In their order.
+        unknown: How many were about plans and classes that these settings don't have.
+    """
 
-class Message(NamedTuple):
-    period: int  # of the sender, modulo 36
-    wait: float  # that the sender's answers have shown lately
+    period: int
+    queue_wait: float
     incarnation: str
-    words: tuple[Word, ...]
-    unknown: int = 0  # words about plans and classes that these settings do not have
+    reports: tuple[Report, ...]
+    unknown: int = 0
 
 
-class UnknownTag(Exception):
-    """A word is sound, and of no use here."""
+class _UnknownTagError(Exception):
+    """A report is sound and of no use here: these settings don't have its plan or class."""
 
 
 def base36(number: int) -> str:
+    """A number of 0 or more in base 36."""
     if number < 36:
         return _DIGITS[number]
     text = ""
@@ -82,9 +114,11 @@
 
 
 def number36(text: str, most: int) -> int:
-    """A number below `most`.
+    """The number that `base36` wrote.
 
-    Raises ValueError for anything else: int() would read signs, spaces and underscores too.
+    Raises:
+        ValueError: It is not one, or not below `most`; int() would read signs, spaces and
+            underscores too.
     """
     if not (text.isascii() and text.isalnum() and text == text.lower()):
         raise ValueError(text)
@@ -94,115 +128,130 @@
     return number
 
 
-def _tenths(value: float) -> str:
-    return base36(round(_TENTHS * value))
+def name_tag(name: str) -> str:
+    """The tag of a plan or a class; never `EVERY_CLASS`."""
+    return base36(crc32(name.encode()) % (_TAG_COUNT - 1) + 1)
 
 
-def tag(name: str) -> str:
-    """Of a plan or a class."""
-    return base36(crc32(name.encode()) % (_TAGS - 1) + 1)
+def incarnation_name(started_at: float) -> str:
+    """The name of an incarnation that started at that instant."""
+    return base36(int(started_at * TENTHS) % _INCARNATION_TENTHS)
 
 
-def incarnation(start: float) -> str:
-    """The name of an incarnation that began then."""
-    return base36(int(start * _TENTHS) % _LIVES)
+def seconds_between(incarnation: str, other: str) -> float:
+    """Seconds between the starts of two incarnations."""
+    behind = (int(incarnation, 36) - int(other, 36)) % _INCARNATION_TENTHS
+    return min(behind, _INCARNATION_TENTHS - behind) / TENTHS
 
 
-def apart(incarnation: str, other: str) -> float:
-    """Seconds between the starts of two."""
-    behind = (int(incarnation, 36) - int(other, 36)) % _LIVES
-    return min(behind, _LIVES - behind) / _TENTHS
+def encode_header(period: int, queue_wait: float, incarnation: str) -> str:
+    """The beginning of a datagram; `queue_wait` in tightest objectives, up to 3.5."""
+    wait = min(_MAX_WAIT_DIGIT, round(TENTHS * queue_wait))
+    return f"{DIALECT}{base36(period % PERIODS)}{base36(wait)}{incarnation}"
 
 
-def head(period: int, wait: float, incarnation: str) -> str:
-    return f"{DIALECT}{base36(period % 36)}{base36(min(35, round(_TENTHS * wait)))}{incarnation}"
+def encode(report: Report) -> str:
+    """One report, with the space before it."""
+    if isinstance(report, ChargeReport):
+        numbers = [base36(n) for n in (report.set_start, report.set_size, report.age)]
+        open_requests = f":{base36(report.open_requests)}" if report.open_requests else ""
+        total = _tenths(report.total)
+        return f" {report.key}:{report.plan}:{':'.join(numbers)}:{total}{open_requests}"
+    if isinstance(report, SpentReport):
+        return f" {report.key}/{report.plan}/{_tenths(report.units)}"
+    if isinstance(report, LoadReport):
+        return f" {report.endpoint}={_tenths(TENTHS * report.work)}"
+    return f" {report.endpoint}!{report.request_class}"
 
 
-def write(word: Word) -> str:
-    """One word of a message, with the space before it."""
-    if isinstance(word, Charge):
-        numbers = [base36(n) for n in (word.first, word.spread, word.age)]
-        open_now = f":{base36(word.open)}" if word.open else ""
-        return f" {word.customer}:{word.plan}:{':'.join(numbers)}:{_tenths(word.total)}{open_now}"
-    if isinstance(word, Spent):
-        return f" {word.customer}/{word.plan}/{_tenths(word.units)}"
-    if isinstance(word, Load):
-        return f" {word.server}={_tenths(_TENTHS * word.work)}"
-    return f" {word.server}!{word.kind}"
+def append_that_fit(datagram: str, items: Sequence[str]) -> tuple[str, int]:
+    """The datagram with as many of the items, in their order, as it holds, and their number."""
+    for number, item in enumerate(items):
+        if len(datagram) + len(item) > MAX_DATAGRAM_BYTES:
+            return datagram, number
+        datagram += item
+    return datagram, len(items)
 
 
-def read(
-    text: str, plans: Collection[str], gateways: int, kinds: Collection[str]
-) -> Message | None:
-    """The message, or nothing where any part of it cannot be.
+class GossipDecoder:
+    """Reads datagrams under one limiter's settings.
 
-    Too long, foreign, garbled, out of range. `plans`, `kinds`: the reader's own tags, in the order
-    of its settings.
+    Attributes:
+        plan_tags: The tags of its plans, in the order of the settings.
+        limiter_count: The number of limiters.
+        class_tags: The tags of its classes, in the order of the settings.
     """
-    try:
-        first, *words = text.split(" ")
-        if len(text) > MOST_BYTES or first[0] not in (DIALECT, BEFORE) or not first.isalnum():
+
+    __slots__ = ("plan_tags", "limiter_count", "class_tags")
+
+    def __init__(
+        self, plan_tags: Collection[str], limiter_count: int, class_tags: Collection[str]
+    ) -> None:
+        self.plan_tags, self.limiter_count, self.class_tags = plan_tags, limiter_count, class_tags
+
+    def decode(self, text: str) -> GossipMessage | None:
+        """The datagram, or None where any part of it can't be.
+
+        That is too long, of an unknown dialect, garbled or out of range. A report of a plan or a
+        class that these settings don't have is counted and left out.
+        """
+        try:
+            header, *items = text.split(" ")
+            if (
+                len(text) > MAX_DATAGRAM_BYTES
+                or header[0] not in (DIALECT, PREVIOUS_DIALECT)
+                or not header.isalnum()
+            ):
+                return None
+            by_place = header[0] == PREVIOUS_DIALECT
+            period, wait, _ = [int(part, 36) for part in (header[1], header[2], header[3:] or "0")]
+            reports, unknown = list[Report](), 0
+            for item in items:
+                try:
+                    reports.append(self._report(item, by_place))
+                except _UnknownTagError:
+                    unknown += 1
+            return GossipMessage(period, wait / TENTHS, header[3:], tuple(reports), unknown)
+        except (ValueError, IndexError):
             return None
-        numbers, found, unknown = (
-            [int(part, 36) for part in (first[1], first[2], first[3:] or "0")],
-            list[Word](),
-            0,
-        )
-        for word in words:
-            try:
-                found.append(_word(word, plans, gateways, kinds, first[0] == BEFORE))
-            except UnknownTag:
-                unknown += 1
-        return Message(numbers[0], numbers[1] / _TENTHS, first[3:], tuple(found), unknown)
-    except (ValueError, IndexError):
-        return None
-
-
-def _known(part: str, tags: Collection[str], places: bool) -> str:
-    """A tag that these settings have."""
-    if places:
-        return list(tags)[int(part, 36)]
-    if part not in tags:
-        raise UnknownTag(part)
-    return part
-
-
-def _word(
-    text: str, plans: Collection[str], gateways: int, kinds: Collection[str], places: bool
-) -> Word:
-    mark = ":" if ":" in text else "/" if "/" in text else "!" if "!" in text else "="
-    name, *rest = text.split(mark)
-    if not text.replace(mark, "").isalnum():  # int() would read signs and spaces too
+
+    def _report(self, text: str, by_place: bool) -> Report:
+        separator = ":" if ":" in text else "/" if "/" in text else "!" if "!" in text else "="
+        name, *rest = text.split(separator)
+        if not text.replace(separator, "").isalnum():  # int() would read signs and spaces too
+            raise ValueError(text)
+        int(name, 36)
+        numbers = [int(part, 36) for part in rest]
+        if separator == ":" and len(numbers) in (5, 6):
+            _, set_start, set_size, age, total, *open_requests = numbers
+            if set_start < self.limiter_count and 0 < set_size <= self.limiter_count:
+                plan = _known_tag(rest[0], self.plan_tags, by_place)
+                return ChargeReport(
+                    name, plan, set_start, set_size, age, total / TENTHS, sum(open_requests)
+                )
+        elif separator == "/" and len(numbers) == 2:
+            plan = _known_tag(rest[0], self.plan_tags, by_place)
+            return SpentReport(name, plan, numbers[1] / TENTHS)
+        elif separator == "=" and len(numbers) == 1:
+            return LoadReport(name, numbers[0] / TENTHS**2)
+        elif separator == "!" and len(numbers) == 1:
+            return FailureReport(name, self._class_tag(rest[0], by_place))
         raise ValueError(text)
-    int(name, 36)
-    numbers = [int(part, 36) for part in rest]
-    if mark == ":" and len(numbers) in (5, 6):
-        _, first, spread, age, total, *open_now = numbers
-        if first < gateways and 0 < spread <= gateways:
-            return Charge(
-                name,
-                _known(rest[0], plans, places),
-                first,
-                spread,
-                age,
-                total / _TENTHS,
-                sum(open_now),
-            )
-    elif mark == "/" and len(numbers) == 2:
-        return Spent(name, _known(rest[0], plans, places), numbers[1] / _TENTHS)
-    elif mark == "=" and len(numbers) == 1:
-        return Load(name, numbers[0] / _TENTHS**2)
-    elif mark == "!" and len(numbers) == 1:
-        if places:
-            return Failed(name, _known(rest[0], [*kinds, EVERY], places))
-        return Failed(name, EVERY if rest[0] == EVERY else _known(rest[0], kinds, places))
-    raise ValueError(text)
-
-
-def pack(line: str, words: list[str]) -> tuple[str, int]:
-    """The line with as many of the words, in their order, as a message holds, and their number."""
-    for number, word in enumerate(words):
-        if len(line) + len(word) > MOST_BYTES:
-            return line, number
-        line += word
-    return line, len(words)
+
+    def _class_tag(self, text: str, by_place: bool) -> str:
+        if by_place:
+            return _known_tag(text, [*self.class_tags, EVERY_CLASS], by_place)
+        return EVERY_CLASS if text == EVERY_CLASS else _known_tag(text, self.class_tags, by_place)
+
+
+def _tenths(value: float) -> str:
+    return base36(round(TENTHS * value))
+
+
+def _known_tag(text: str, tags: Collection[str], by_place: bool) -> str:
+    """A tag of these settings, which the previous dialect told by its place in the sender's."""
+    if by_place:
+        return list(tags)[int(text, 36)]
+    if text not in tags:
+        raise _UnknownTagError(text)
+    return text
--- a/hazelhollow/decisions/state/accounts.py
+++ b/hazelhollow/decisions/state/accounts.py
@@ -1,6 +1,12 @@
-"""One customer's budget as a gateway knows it.
+"""One customer's account as this limiter knows it: quota, ceiling, charges, and who else charges.
 
-Stores, charges by period and what was left to others. No decision.
+The limiters that a customer's requests come through are its set: `set_size` limiters from number
+`set_start` on, in the circle of all. In a small set every member hears every charge. In a larger
+one a few hubs do, and announce the level to the rest.
+
+Units may be in four places besides the quota's level: `debt` (charged unheard, still to be paid),
+`reserved_for_unreachable` (left to members that can't be heard), `returning` (who of these is back)
+and the open periods of `charges`.
 """
 
 from __future__ import annotations
@@ -8,389 +14,332 @@
 import math
 from collections.abc import Iterable
 from random import Random
-
-from hazelhollow.decisions import interface as api
-
-SOON, LOOK_AGAIN, LOOK_LATEST = 0.1, 1.0, 60.0  # seconds until an account is looked at again
-
-
-class Store:
-    """Units that come in evenly at a rate, up to the most it holds; it may go below nothing."""
-
-    __slots__ = ("rate", "most", "level", "at")
-
-    def __init__(self, rate: float, most: float, level: float, now: float) -> None:
-        self.rate, self.most, self.level, self.at = rate, most, level, now
-
-    def fill(self, now: float) -> float:
-        self.level = min(self.most, self.level + self.rate * max(0.0, now - self.at))
-        self.at = now
-        return self.level
-
-
-class Totals:
-    """Charges by period, this one and the last: this gateway's own and those heard of others'.
-
-    Where counts are kept, also what the periods before those come to.
+from typing import NamedTuple
+
+from hazelhollow.decisions.settings import Plan, Settings
+from hazelhollow.decisions.state.period_charges import PeriodCharges
+from hazelhollow.decisions.state.token_bucket import TokenBucket
+
+# The largest set whose members all tell each other what they charge, and the largest fleet whose
+# limiters tell each other their loads.
+MAX_DIRECT_SET = 8
+HUBS_PER_SET = 2  # members of a larger set that hear every charge and announce the level
+DEBT_REPAYMENT_SHARE = 0.5  # of the rate, with which units that were charged unheard are paid
+MIN_FORGET_CHECK_S = 0.1  # seconds between two looks at whether an account may be forgotten
+BUSY_FORGET_CHECK_S = 1.0  # the same of an account with requests in flight
+MAX_FORGET_CHECK_S = 60.0  # the same at most, however much is missing
+
+
+class Opening(NamedTuple):
+    """What an account begins with.
+
+    Attributes:
+        level: Units of the quota.
+        now: The instant.
+        limiter_started_at: When this incarnation of the limiter started.
+        unused_before: Whether it is known that nobody charged before the limiter started.
+        counts_replicated: Whether closed periods are counted.
     """
 
-    __slots__ = ("period", "since", "knows", "charged", "closed", "last", "fresh", "heard", "bases")
-
-    def __init__(self, period: int) -> None:
-        self.period, self.since, self.closed, self.last = (
-            period,
-            0,
-            0.0,
-            0,
-        )  # the last period in which it charged
-        self.knows = 0  # since when it hears of all charges, or was told of them
-        self.fresh: set[str] = (
-            set()
-        )  # incarnations, or nothing for the own, of which a period has closed that had charges
-        self.charged: dict[int, float] = {}
-        self.heard: dict[tuple[str, int], float] = {}  # by peer's incarnation and period
-        self.bases: dict[str, tuple[int, int, float]] | None = (
-            None  # by peer's incarnation: since, through, what came to be known
-        )
-
-    def turn(self, period: int) -> None:
-        if period > self.period:
-            self.period, self.since, self.knows = period, self.since or period, self.knows or period
-            if self.bases is not None:
-                self._close(period - 1, self.bases)
-            self.charged = {k: v for k, v in self.charged.items() if k >= period - 1}
-            self.heard = {k: v for k, v in self.heard.items() if k[1] >= period - 1}
-
-    def _close(self, least: int, bases: dict[str, tuple[int, int, float]]) -> None:
-        """The periods before that one get no more charges."""
-        for period, total in self.charged.items():
-            if period < least and total:
-                self.closed, self.last = self.closed + total, max(self.last, period)
-                self.fresh.add("")
-        for (who, period), total in self.heard.items():
-            if period < least and total:
-                since, through, known = bases.get(who, (0, 0, 0.0))
-                bases[who] = since, max(through, period), known + total
-                self.fresh.add(who)
-
-    def told(self, who: str, since: int, through: int, total: float) -> float:
-        """A peer's count of closed periods, whatever way it came; what it adds.
-
-        What gossip told is part of it; of one that began before this gateway knew the customer the
-        first word adds nothing.
-        """
-        assert self.bases is not None
-        base = self.bases.get(who)
-        if base and since < base[0]:
-            return 0.0  # old word
-        begun, before, known = base or (0, 0, 0.0)
-        heard = sum(
-            v for (peer, period), v in self.heard.items() if peer == who and period <= through
-        )
-        if begun and since > begun:
-            known, before = 0.0, 0  # the peer had let the customer go and counts anew
-        more = total - known - heard
-        self.heard = {k: v for k, v in self.heard.items() if k[0] != who or k[1] > through}
-        self.bases[who] = since, max(through, before), max(total, known + heard)
-        return max(more, 0.0) if begun or since >= self.knows else 0.0
-
-    def charge(self, units: float, period: int) -> float:
-        """What it changes.
-
-        What is given back belongs to its charge's period: no total falls below nothing.
-        """
-        before = self.charged.get(period, 0.0)
-        self.charged[period] = max(before + units, 0.0)
-        return self.charged[period] - before
-
-    def hear(self, incarnation: str, period: int, total: float) -> float:
-        """What it changes. A repeated total changes nothing, and the next one heals a lost one."""
-        if period < self.period - 1 or (
-            self.bases and period <= self.bases.get(incarnation, (0, 0, 0.0))[1]
-        ):
-            return 0.0
-        before, self.heard[incarnation, period] = self.heard.get((incarnation, period), 0.0), total
-        return total - before
-
-    def heard_rate(self, span: float) -> float:
-        """Units a second that peers charged.
-
-        `span`: since the start of the period before this one.
-        """
-        return sum(self.heard.values()) / span if self.heard else 0.0
-
-    def sum(self) -> float:
-        return sum(self.charged.values()) + sum(self.heard.values())
-
-
-def at_least(count: int, mean: float) -> float:
-    """How likely a Poisson number of that mean is to reach the count."""
-    return 1.0 - sum(math.exp(-mean) * mean**k / math.factorial(k) for k in range(max(count, 0)))
+    level: float
+    now: float
+    limiter_started_at: float
+    unused_before: bool
+    counts_replicated: bool = False
 
 
 class Account:
-    """One customer: its budget as this gateway knows it, and what its set was told of it last.
+    """One customer under one plan.
 
     There is one for each customer seen lately, and many come only once: small objects keep memory
     flat.
+
+    Attributes:
+        plan: The customer's plan.
+        name: Its key in messages, with the plan's tag behind it where two share a key.
+        last_used_at: The instant of its last request or report.
+        open_requests: Requests in flight here.
+        quota: What may be used; its rate and capacity are less than the plan's while members can't
+            be heard.
+        ceiling: This limiter's part of the hard limit.
+        announced: The level that a hub announced last.
+        has_announcement: Whether a hub has announced one.
+        charges: Charges by period.
+        peers_open: Requests in flight at each peer, as it said, and when.
+        set_start: The first limiter of the set.
+        set_size: How many there are; 0 until a request or a report has named the set.
+        hubs: Those of the set that hear every charge.
+        set_mask: A bit for each member of the set.
+        leased: The quota is kept in the shared store, which counts what peers charge.
+        debt: Units charged unheard, paid from what comes in.
+        reserved_for_unreachable: Units left to each member that can't be heard.
+        unreachable: Who these are.
+        unreachable_since: When their units were last reckoned up.
+        returning: Members that can be heard again, and since when.
+        caught_up: A peer told everything that it knows of this customer.
+        next_check_at: When it is looked at next, whether it may be forgotten.
     """
 
     __slots__ = (
         "plan",
-        "used",
-        "open",
-        "budget",
-        "told",
-        "telling",
+        "name",
+        "last_used_at",
+        "open_requests",
+        "quota",
         "ceiling",
-        "totals",
-        "theirs",
-        "first",
-        "spread",
+        "announced",
+        "has_announcement",
+        "charges",
+        "peers_open",
+        "set_start",
+        "set_size",
         "hubs",
-        "kept",
-        "owed",
-        "aside",
-        "apart",
-        "apart_at",
-        "back",
-        "copied",
-        "name",
-        "due",
         "set_mask",
+        "leased",
+        "debt",
+        "reserved_for_unreachable",
+        "unreachable",
+        "unreachable_since",
+        "returning",
+        "caught_up",
+        "next_check_at",
     )
 
-    def __init__(
-        self,
-        plan: api.Plan,
-        level: float,
-        born: float,
-        now: float,
-        whole: bool,
-        keeps: bool = False,
-        name: str = "",
-    ) -> None:
-        self.plan, self.used, self.open, self.name = (
-            plan,
-            now,
-            0,
-            name,
-        )  # the name that this gateway has it under
-        self.budget = Store(plan.rate, plan.burst, level, now)
-        self.told, self.telling = Store(plan.rate, plan.burst, plan.burst, now), False
-        # Empty at the start, unless it is known that nobody was there before: an earlier
-        # incarnation of this gateway may have spent it.
-        self.ceiling, self.totals = (
-            Store(0.0, 0.0, plan.ceiling_burst if whole else 0.0, born),
-            Totals(0),
-        )
-        self.totals.bases = {} if keeps else None
-        self.due = 0.0  # when it is looked at next, whether it may be forgotten
-        # when peers told how many requests they had open
-        self.theirs: dict[int, tuple[float, int]] = {}
-        # Where counts are kept: units to be paid back; what was left to each member that could not
-        # be heard; who those are, since when that was reckoned up, and when one that is back was
-        # heard again; whether a peer told it all.
-        self.owed, self.aside, self.apart, self.apart_at = (
-            0.0,
-            dict[int, float](),
-            frozenset[int](),
-            born,
-        )
-        self.back, self.copied = dict[int, float](), False
-        self.kept = False  # its quota is kept elsewhere: what peers charge is counted there
-        self.first, self.spread = 0, 0  # the set, once a request or a charge has named it
-        self.hubs: list[int] = []  # those of the set that hear every charge
-        self.set_mask = 0  # a bit for each member of the set
-
-    def hear_open(self, number: int, now: float, count: int) -> None:
-        """A peer told how many requests it has open, which is of use where the plan limits them."""
+    def __init__(self, plan: Plan, name: str, opening: Opening) -> None:
+        now, started_at = opening.now, opening.limiter_started_at
+        self.plan, self.name = plan, name
+        self.last_used_at, self.open_requests = now, 0
+        self.quota = TokenBucket(plan.rate, plan.burst, opening.level, now)
+        self.announced = TokenBucket(plan.rate, plan.burst, plan.burst, now)
+        self.has_announcement = False
+        # Empty at the start, unless it is known that nobody used it before: an earlier incarnation
+        # of this limiter may have spent it.
+        ceiling_level = plan.ceiling_burst if opening.unused_before else 0.0
+        self.ceiling = TokenBucket(0.0, 0.0, ceiling_level, started_at)
+        self.charges = PeriodCharges(0)
+        self.charges.closed_counts = {} if opening.counts_replicated else None
+        self.peers_open: dict[int, tuple[float, int]] = {}
+        self.set_start = self.set_size = self.set_mask = 0
+        self.hubs: list[int] = []
+        self.leased = self.caught_up = False
+        self.debt = self.next_check_at = 0.0
+        self.reserved_for_unreachable: dict[int, float] = {}
+        self.unreachable, self.unreachable_since = frozenset[int](), started_at
+        self.returning: dict[int, float] = {}
+
+    # Requests in flight
+
+    def record_peer_open(self, member: int, now: float, count: int) -> None:
+        """A peer said how many requests it has in flight, where the plan limits them."""
         if self.plan.open_limit:
-            self.theirs[number] = now, count
+            self.peers_open[member] = now, count
+
+    def expected_peer_open(self, now: float, mean_attempt_time: float) -> float:
+        """How many of the requests that peers said they had in flight will not have ended since."""
+        return sum(
+            [
+                count * math.exp((at - now) / mean_attempt_time)
+                for at, count in self.peers_open.values()
+            ]
+        )
 
-    def told_open(self, now: float, stay: float) -> float:
-        """What of the requests that peers said they had open will not have ended since."""
-        return sum([count * math.exp((at - now) / stay) for at, count in self.theirs.values()])
+    # The set
 
-    def place(
+    def place_set(
         self,
-        first: int,
-        spread: int,
-        told: api.Settings,
-        number: int,
-        hubs: int,
-        lost: frozenset[int] = frozenset(),
+        set_start: int,
+        set_size: int,
+        settings: Settings,
+        unreachable: frozenset[int] = frozenset(),
     ) -> None:
-        """The set, and those of it that hear every charge.
+        """Names the set, and in a large one its hubs, of the members that can be heard.
 
-        All, or in a large one so many hubs that can be heard.
+        In a small set, all members hear every charge. Where hubs stand follows from the key, so
+        that the customers of one set have different ones.
         """
-        self.first, self.spread = first, spread
-        self.set_mask = _mask_of_set(first, spread, told.limiter_count)
-        start, step = (number % spread, spread // hubs) if hubs else (0, 1)
-        places = range(start, start + step * (hubs or spread), step)
+        limiter_count = settings.limiter_count
+        hub_count = HUBS_PER_SET if set_size > MAX_DIRECT_SET else 0
+        self.set_start, self.set_size = set_start, set_size
+        self.set_mask = _set_mask(set_start, set_size, limiter_count)
+        key = int(key_of(self.name), 36) if hub_count else 0
+        start, step = (key % set_size, set_size // hub_count) if hub_count else (0, 1)
+        places = range(start, start + step * (hub_count or set_size), step)
         self.hubs = (
-            [(first + place % spread) % told.limiter_count for place in places]
-            if told.peers
+            [(set_start + place % set_size) % limiter_count for place in places]
+            if settings.peers
             else []
         )
-        if hubs and lost.intersection(self.hubs):
-            heard = [n for n in self.members(told.limiter_count) if n not in lost]
-            self.hubs = [
-                heard[(number + place) % len(heard)] for place in range(min(hubs, len(heard)))
-            ]
-
-    def hubs_hear(self, me: int) -> bool:
-        """Whether that member hears every charge: else it is told the level."""
-        return len(self.hubs) == self.spread or me in self.hubs
-
-    def has(self, number: int, gateways: int) -> bool:
-        """Whether it is a member of the set."""
-        return (number - self.first) % gateways < self.spread
-
-    def members(self, gateways: int) -> list[int]:
-        return [(self.first + place) % gateways for place in range(self.spread)]
-
-    def busiest(self, gateways: int, most: int, chance: Random) -> list[int]:
-        """The set, or so many of it.
-
-        Those of which most charges were heard lately, those alike by chance.
-        """
-        if self.spread <= most:
-            return self.members(gateways)
+        if hub_count and unreachable.intersection(self.hubs):
+            heard = [n for n in self.members(limiter_count) if n not in unreachable]
+            count = min(hub_count, len(heard))
+            self.hubs = [heard[(key + place) % len(heard)] for place in range(count)]
+
+    def hears_all_charges(self, member: int) -> bool:
+        """Whether that member hears every charge; else it goes by announced levels."""
+        return len(self.hubs) == self.set_size or member in self.hubs
+
+    def includes(self, member: int, limiter_count: int) -> bool:
+        """Whether that limiter is a member of the set."""
+        return (member - self.set_start) % limiter_count < self.set_size
+
+    def members(self, limiter_count: int) -> list[int]:
+        """The numbers of all members."""
+        return [(self.set_start + place) % limiter_count for place in range(self.set_size)]
+
+    def busiest_members(self, limiter_count: int, limit: int, random: Random) -> list[int]:
+        """The set, or `limit` of it: those that charged most lately, ties by chance."""
+        if self.set_size <= limit:
+            return self.members(limiter_count)
         units = dict[int, float]()
-        for (incarnation, _), total in self.totals.heard.items():
-            number = int(incarnation.partition(".")[0])
-            if total > 0 and self.has(number, gateways):
-                units[number] = units.get(number, 0.0) + total
+        for (incarnation, _), total in self.charges.reported.items():
+            member = int(incarnation.partition(".")[0])
+            if total > 0 and self.includes(member, limiter_count):
+                units[member] = units.get(member, 0.0) + total
         busy = list(units)
-        chance.shuffle(busy)
-        busy = sorted(busy, key=lambda n: -units[n])[:most]
-        return busy + self._others(units, most - len(busy), gateways, chance)
+        random.shuffle(busy)
+        busy = sorted(busy, key=lambda n: -units[n])[:limit]
+        return busy + self._other_members(units, limit - len(busy), limiter_count, random)
 
-    def _others(
-        self, known: dict[int, float], count: int, gateways: int, chance: Random
+    def _other_members(
+        self, known: Iterable[int], count: int, limiter_count: int, random: Random
     ) -> list[int]:
-        """So many members that are not among those, by chance."""
-        places = {(number - self.first) % gateways for number in known}
-        drawn = chance.sample(range(self.spread), min(self.spread, count + len(places)))
-        return [(self.first + place) % gateways for place in drawn if place not in places][:count]
+        """`count` members that are not among the known ones, by chance."""
+        places = {(member - self.set_start) % limiter_count for member in known}
+        drawn = random.sample(range(self.set_size), min(self.set_size, count + len(places)))
+        others = [place for place in drawn if place not in places]
+        return [(self.set_start + place) % limiter_count for place in others][:count]
 
-    def may_be_forgotten_at(self, now: float, least: float) -> float:
-        """When it is worth while to look again, at latest in a minute.
+    def share_ceiling(self) -> None:
+        """An even part of the ceiling for each member of the set.
 
-        By now, if it may be forgotten: it was not used for so long, and a new account would have as
-        much.
+        The parts sum to the ceiling, so that it holds without a word between the members.
+        """
+        self.ceiling.rate = self.plan.ceiling_rate / self.set_size
+        self.ceiling.capacity = self.plan.ceiling_burst / self.set_size
+
+    # The quota
+
+    def refill(self, now: float, period: int) -> float:
+        """Units left; a debt is paid out of what comes in."""
+        self.charges.advance(period)
+        elapsed = max(0.0, now - self.quota.updated_at)
+        self.quota.refill(now)
+        if self.debt > 0:
+            paid = min(self.debt, DEBT_REPAYMENT_SHARE * self.plan.rate * elapsed)
+            self.debt, self.quota.level = self.debt - paid, self.quota.level - paid
+        return self.quota.level
+
+    def next_forget_check(self, now: float, min_idle: float) -> float:
+        """When it is worth while to ask again whether this account may be forgotten.
+
+        `now` or earlier: it may be forgotten, since it was idle for at least `min_idle` seconds and
+        a new account would have as much. At most a minute later.
         """
-        unused = self.used + least + self.plan.ceiling_burst / (self.plan.ceiling_rate or 1.0)
-        if now < unused:
-            return unused
-        if self.open or self.aside or self.back:
-            return now + LOOK_AGAIN
-        missing = self.plan.burst - (self.budget.fill(now) - self.owed)
+        idle_at = self.last_used_at + min_idle
+        idle_at += self.plan.ceiling_burst / (self.plan.ceiling_rate or 1.0)
+        if now < idle_at:
+            return idle_at
+        if self.open_requests or self.reserved_for_unreachable or self.returning:
+            return now + BUSY_FORGET_CHECK_S
+        missing = self.plan.burst - (self.quota.refill(now) - self.debt)
         if missing <= 0:
             return now
-        return now + min(
-            max(missing / self.budget.rate if self.budget.rate else LOOK_LATEST, SOON), LOOK_LATEST
-        )
+        wait = missing / self.quota.rate if self.quota.rate else MAX_FORGET_CHECK_S
+        return now + min(max(wait, MIN_FORGET_CHECK_S), MAX_FORGET_CHECK_S)
 
-    def fill(self, now: float, pay_back: float, period: int) -> float:
-        """Units left; what is owed is paid with so much of the rate."""
-        self.totals.turn(period)
-        passed = max(0.0, now - self.budget.at)
-        self.budget.fill(now)
-        if self.owed > 0:
-            paid = min(self.owed, pay_back * self.plan.rate * passed)
-            self.owed, self.budget.level = self.owed - paid, self.budget.level - paid
-        return self.budget.level
+    # Members that can't be heard
 
-    def _set_aside(self, apart: frozenset[int], scaled: float, now: float) -> None:
-        """What is left to those that cannot be heard.
+    def reserve_for(self, unreachable: frozenset[int], limiter_count: int, now: float) -> None:
+        """Leaves the even part of members that can't be heard to them.
 
-        Their part of what comes in, and, of those that have only just gone, of what there was.
-        """
-        for number in self.apart:
-            self.aside[number] += self.plan.rate / self.spread * (now - self.apart_at)
-        new = apart - self.apart
-        for number in new:
-            self.aside[number] = self.aside.get(number, 0.0) + scaled / len(new)
-            self.back.pop(number, None)
-        for number in self.apart - apart:
-            self.back[number] = now
-        self.apart, self.apart_at = apart, now
-
-    def missed(self, number: int, units: float) -> None:
-        """What a member charged without its being heard.
-
-        First of what was left to it; the rest is paid back.
+        Their part is taken off the rate, the capacity and the level, so that the two sides of a
+        partition together admit no more than the quota. Not where a request beyond the quota earns
+        more than it costs.
         """
-        left = min(max(units, 0.0), self.aside.get(number, 0.0))
-        if left:
-            self.aside[number] -= left
-        self.owed += max(units - left, 0.0)
-        self.budget.level -= min(units, 0.0)  # it charged less than was said
-
-    def give_back(self, now: float, settled: float, away: frozenset[int]) -> None:
-        """What was left to members that are back, and which their counts do not show to be used."""
-        for number, at in list(self.back.items()):
-            if number not in away and now - at >= settled:
-                del self.back[number]
-                self.budget.level = min(
-                    self.budget.most, self.budget.level + self.aside.pop(number, 0.0)
-                )
-
-    def leave_to(self, lost: frozenset[int], gateways: int, now: float) -> None:
-        """The even part of those that cannot be heard is theirs, of the rate and of what has come
-        in; what comes back with them is not more than what has been kept here. Not where going
-        over earns more than it costs.
+        if self.plan.excess_cost <= self.plan.excess_weight:
+            unreachable = frozenset()
+        part = 1.0
+        if unreachable:
+            count = len(unreachable.intersection(self.members(limiter_count)))
+            part -= count / max(self.set_size, 1)
+        rate, before = self.plan.rate * part, self.quota.level
+        if rate < self.quota.rate and self.quota.level > 0:
+            self.quota.level *= rate / self.quota.rate
+        if self.charges.closed_counts is not None and self.set_size:
+            members = unreachable.intersection(self.members(limiter_count))
+            self._reserve(members, before - self.quota.level, now)
+        self.quota.rate, self.quota.capacity = rate, self.plan.burst * part
+
+    def _reserve(self, unreachable: frozenset[int], units: float, now: float) -> None:
+        """Reckons up what is left to those members.
+
+        Their part of what has come in, and of those that have only just gone, of what there was
+        (`units` together).
         """
-        lost = lost if self.plan.excess_cost > self.plan.excess_weight else frozenset()
-        part = (
-            1.0 - len(lost.intersection(self.members(gateways))) / max(self.spread, 1)
-            if lost
-            else 1.0
-        )
-        rate, before = self.plan.rate * part, self.budget.level
-        if rate < self.budget.rate and self.budget.level > 0:
-            self.budget.level *= rate / self.budget.rate
-        if self.totals.bases is not None and self.spread:
-            self._set_aside(
-                lost.intersection(self.members(gateways)), before - self.budget.level, now
+        for member in self.unreachable:
+            self.reserved_for_unreachable[member] += (
+                self.plan.rate / self.set_size * (now - self.unreachable_since)
             )
-        self.budget.rate, self.budget.most = rate, self.plan.burst * part
+        gone = unreachable - self.unreachable
+        for member in gone:
+            self.reserved_for_unreachable[member] = self.reserved_for_unreachable.get(
+                member, 0.0
+            ) + units / len(gone)
+            self.returning.pop(member, None)
+        for member in self.unreachable - unreachable:
+            self.returning[member] = now
+        self.unreachable, self.unreachable_since = unreachable, now
+
+    def charge_unheard(self, member: int, units: float) -> None:
+        """Charges what a member charged without its being heard.
+
+        First of what was reserved for it; the rest becomes a debt. Below zero it charged less than
+        was heard, which is refunded.
+        """
+        reserved = min(max(units, 0.0), self.reserved_for_unreachable.get(member, 0.0))
+        if reserved:
+            self.reserved_for_unreachable[member] -= reserved
+        self.debt += max(units - reserved, 0.0)
+        self.quota.level -= min(units, 0.0)
 
-    def reclaim(self, unused: tuple[tuple[int, float], ...], gateways: int) -> float:
-        """Units of this customer in those seconds of members' parts.
+    def release_returned(self, now: float, settle_time: float, away: frozenset[int]) -> None:
+        """Gives back what was reserved for members that are back and didn't use it.
 
-        Where counts are kept, of what was left to them.
+        `settle_time`: seconds after which their counts have come.
         """
-        members, found = self.members(gateways) if unused else [], 0.0
-        for number, seconds in unused:
-            share = self.plan.rate * seconds / self.spread if number in members else 0.0
-            if share and self.totals.bases is not None:
-                share = min(share, self.aside.get(number, 0.0))
-                self.aside[number] = self.aside.get(number, 0.0) - share
-            found += share
-        return found
+        for member, since in list(self.returning.items()):
+            if member not in away and now - since >= settle_time:
+                del self.returning[member]
+                unused = self.reserved_for_unreachable.pop(member, 0.0)
+                self.quota.level = min(self.quota.capacity, self.quota.level + unused)
 
-    def share_ceiling(self, spread: int) -> None:
-        self.ceiling.rate, self.ceiling.most = (
-            self.plan.ceiling_rate / spread,
-            self.plan.ceiling_burst / spread,
-        )
+    def reclaim(self, unused: tuple[tuple[int, float], ...], limiter_count: int) -> float:
+        """Units of this customer in those seconds of members' parts that nobody used.
+
+        Where counts are replicated, of what was reserved for them.
+        """
+        members, found = self.members(limiter_count) if unused else [], 0.0
+        for member, seconds in unused:
+            units = self.plan.rate * seconds / self.set_size if member in members else 0.0
+            if units and self.charges.closed_counts is not None:
+                reserved = self.reserved_for_unreachable.get(member, 0.0)
+                units = min(units, reserved)
+                self.reserved_for_unreachable[member] = reserved - units
+            found += units
+        return found
 
 
-def _mask_of_set(first: int, spread: int, gateways: int) -> int:
-    """A bit for each of so many members from the first on, in the circle of all."""
-    straight = ((1 << spread) - 1) << first
-    return straight & ((1 << gateways) - 1) | straight >> gateways
+def _set_mask(set_start: int, set_size: int, limiter_count: int) -> int:
+    """A bit for each of `set_size` members from the first on, in the circle of all."""
+    straight = ((1 << set_size) - 1) << set_start
+    return straight & ((1 << limiter_count) - 1) | straight >> limiter_count
 
 
-def mask_of(numbers: Iterable[int]) -> int:
+def members_mask(members: Iterable[int]) -> int:
     """A bit for each of these members."""
     mask = 0
-    for number in numbers:
-        mask |= 1 << number
+    for member in members:
+        mask |= 1 << member
     return mask
 
 
--- a/hazelhollow/decisions/state/class_statistics.py
+++ b/hazelhollow/decisions/state/class_statistics.py
@@ -1,260 +1,230 @@
-"""What a gateway learns of request classes: units, work, worth, how long clients wait.
+"""What is learned of request classes: units, work, value, demand, how long clients wait.
 
-No decision.
+Work is measured in seconds that an endpoint takes for a request. A class's value is its priority
+weight for a second of work. No request costs a pass over all classes.
 """
 
 from __future__ import annotations
 
-import math
 from bisect import bisect_left
 from collections.abc import Iterable, Mapping, Sequence
 
-from hazelhollow.decisions import interface as api
+from hazelhollow.decisions.settings import RequestClass
+from hazelhollow.decisions.state.max_tree import MaxTree
+
+INITIAL_WORK_DIVISOR = 6  # work of a class not learned of yet: its objective divided by this
 
 
 def changed_classes(
-    before: Mapping[str, api.RequestClass], now: Iterable[api.RequestClass]
-) -> list[api.RequestClass]:
+    before: Mapping[str, RequestClass], after: Iterable[RequestClass]
+) -> list[RequestClass]:
     """Classes that are new, or not as they were under that name.
 
     One that is the same object needs no comparison.
     """
-    return [kind for kind in now if (known := before.get(kind.name)) is not kind and known != kind]
+    return [c for c in after if (known := before.get(c.name)) is not c and known != c]
 
 
-class Asked:
-    """What was asked for lately, by class: worth, and seconds of work.
+class RecentDemand:
+    """What was asked for lately, by class: weighted units and seconds of work.
 
     Each request makes all before it count less.
     """
 
     def __init__(self, span: float) -> None:
-        """`span`: requests after which one counts for some third."""
-        self._kept, self._number = 1.0 - 1.0 / span, 0
-        self._by_class: dict[
-            str, tuple[float, int]
-        ] = {}  # worth, and the number of the request it is reckoned at
-        self._worth = self._work = 0.0
-
-    def add(self, kind: str, worth: float, work: float) -> None:
+        """`span`: requests after which one counts for about a third."""
+        self._decay, self._number = 1.0 - 1.0 / span, 0
+        # Weight, and the number of the request as of which it is reckoned.
+        self._by_class: dict[str, tuple[float, int]] = {}
+        self._weight = self._work = 0.0
+
+    def add(self, class_name: str, weight: float, work: float) -> None:
+        """One more request of that class."""
         self._number += 1
-        self._by_class[kind] = self._of(kind) + worth, self._number
-        self._worth = self._worth * self._kept + worth
-        self._work = self._work * self._kept + work
+        self._by_class[class_name] = self._weight_of(class_name) + weight, self._number
+        self._weight = self._weight * self._decay + weight
+        self._work = self._work * self._decay + work
 
-    def mean(self) -> float:
-        """Worth for a second of work."""
-        return self._worth / self._work if self._work else 0.0
+    def mean_value(self) -> float:
+        """Weight for a second of work; 0 before any request."""
+        return self._weight / self._work if self._work else 0.0
 
-    def part(self, kind: str) -> float:
-        """Of all worth."""
-        return self._of(kind) / self._worth if self._worth else 0.0
+    def share_of(self, class_name: str) -> float:
+        """The class's share of all weight, from 0 to 1."""
+        return self._weight_of(class_name) / self._weight if self._weight else 0.0
 
-    def _of(self, kind: str) -> float:
-        worth, at = self._by_class.get(kind, (0.0, self._number))
-        return worth * self._kept ** (self._number - at)
+    def _weight_of(self, class_name: str) -> float:
+        weight, number = self._by_class.get(class_name, (0.0, self._number))
+        return weight * self._decay ** (self._number - number)
 
 
-class Patience:
-    """How long clients of a class wait.
+class TimeLeftStatistics:
+    """How much time clients of a class leave for an answer when they ask.
 
-    The few values that most tries come with, by votes that cancel out.
+    The few values that most requests come with are found by votes that cancel out (the algorithm
+    of Misra and Gries).
     """
 
-    __slots__ = ("votes", "most")
-    MOST, COMMON, ENOUGH, SAME = 3, 5, 1000, 0.001  # the last in seconds
+    __slots__ = ("votes", "longest")
+    MAX_VALUES = 3
+    COMMON_VOTES = 5  # from so many votes on a value is common
+    MAX_VOTES = 1000
+    SAME_TIME_S = 0.001  # times that differ by less are the same
 
     def __init__(self) -> None:
         self.votes: dict[float, int] = {}
-        self.most = 0.0
+        self.longest = 0.0
 
-    def forget(self) -> None:
-        self.votes, self.most = {}, 0.0
+    def reset(self) -> None:
+        """Forgets everything: the deadline of the class has changed."""
+        self.votes, self.longest = {}, 0.0
 
-    def common(self, patience: float, near: float) -> bool:
-        """Counts one more try; whether many come with that patience."""
+    def is_common(self, time_left: float, tolerance: float) -> bool:
+        """Counts one more request; whether many come with that much time, within `tolerance`."""
         for value in self.votes:
-            if abs(value - patience) <= near:
-                self.votes[value] = min(self.votes[value] + 1, self.ENOUGH)
-                return self.votes[value] >= self.COMMON
-        if len(self.votes) < self.MOST:
-            self.votes[patience] = 1
+            if abs(value - time_left) <= tolerance:
+                self.votes[value] = min(self.votes[value] + 1, self.MAX_VOTES)
+                return self.votes[value] >= self.COMMON_VOTES
+        if len(self.votes) < self.MAX_VALUES:
+            self.votes[time_left] = 1
         else:
             self.votes = {value: count - 1 for value, count in self.votes.items() if count > 1}
         return False
 
-    def longest(self, patience: float) -> bool:
-        """Whether nobody has been seen to wait longer."""
-        self.most = max(self.most, patience)
-        return patience >= self.most - self.SAME
-
-
-class Highest:
-    """Numbers at places.
-
-    The highest of all, and the first place that holds at least so much, in time that grows with the
-    logarithm of their number (a segment tree).
-    """
-
-    def __init__(self, values: Sequence[float]) -> None:
-        self._leaves = 1 << max(0, len(values) - 1).bit_length()
-        self._nodes = [-math.inf] * (2 * self._leaves)
-        self.put_all(0, values)
-
-    def put_all(self, first: int, values: Sequence[float]) -> None:
-        """At the places from `first` on."""
-        nodes, low = self._nodes, first + self._leaves
-        high = low + len(values)  # behind the last node of a level that has changed
-        nodes[low:high] = values
-        while low > 1:
-            low, high = low >> 1, (high + 1) >> 1
-            nodes[low:high] = map(
-                max, nodes[2 * low : 2 * high : 2], nodes[2 * low + 1 : 2 * high : 2]
-            )
-
-    def put(self, place: int, value: float) -> None:
-        nodes, node = self._nodes, place + self._leaves
-        nodes[node] = value
-        while node > 1:
-            node >>= 1
-            left, right = nodes[2 * node], nodes[2 * node + 1]
-            higher = left if left >= right else right
-            if nodes[node] == higher:
-                return
-            nodes[node] = higher
-
-    def value(self, place: int) -> float:
-        return self._nodes[place + self._leaves]
-
-    def highest(self) -> float:
-        return self._nodes[1]
-
-    def first(self, least: float) -> int:
-        """The first place that holds at least so much; there is one."""
-        node = 1
-        while node < self._leaves:
-            node = 2 * node if self._nodes[2 * node] >= least else 2 * node + 1
-        return node - self._leaves
+    def is_longest(self, time_left: float) -> bool:
+        """Whether no request has come with more time."""
+        self.longest = max(self.longest, time_left)
+        return time_left >= self.longest - self.SAME_TIME_S
 
 
-class ClassStats:
-    """What is learned of each class.
+class ClassStatistics:
+    """What is learned of each class: mean units, mean work, and its value.
 
-    The units that its requests ask for, the seconds of work that one is, and what it is worth for a
-    second of work. No pass over all classes for a request.
+    Attributes:
+        units: Units of a mean request, by class.
+        work: Seconds of work of a mean request, by class.
+        size_factors: Times that work that a request of a class and size turned out to be.
     """
 
-    def __init__(self, classes: Sequence[api.RequestClass]) -> None:
-        self.units: dict[str, float] = {}  # of a mean request
-        self.work: dict[str, float] = {}  # seconds of one
-        # by class and size: times what the class alone says
-        self.sized: dict[tuple[str, int], float] = {}
-        self._all_units = 0.0
-        self._by_name = dict[str, api.RequestClass]()
+    def __init__(self, classes: Sequence[RequestClass]) -> None:
+        self.units: dict[str, float] = {}
+        self.work: dict[str, float] = {}
+        self.size_factors: dict[tuple[str, int], float] = {}
+        self._sum_of_units = 0.0
+        self._by_name = dict[str, RequestClass]()
         self._place = dict[str, int]()
         self.retune(classes)
 
-    def retune(self, classes: Sequence[api.RequestClass]) -> None:
-        """Classes come, go or change.
-
-        What was learned of one that stays, or comes back, is kept.
-        """
+    def retune(self, classes: Sequence[RequestClass]) -> None:
+        """Takes over other classes. What was learned of one that stays, or comes back, is kept."""
         changed = changed_classes(self._by_name, classes)
-        self._by_name = {kind.name: kind for kind in classes}
+        self._by_name = {request_class.name: request_class for request_class in classes}
         if list(self._by_name) == list(self._place):
-            for kind in changed:
-                self._replace(kind)
+            for request_class in changed:
+                self._replace(request_class)
         else:
             self._place_all(classes)
 
-    def _place_all(self, classes: Sequence[api.RequestClass]) -> None:
-        for kind in classes:
-            self.units.setdefault(kind.name, 1.0)
-            self.work.setdefault(kind.name, kind.latency_objective / 6)
-        self._all_units = sum(self.units.values())
-        self._classes, self._by_aim = (
+    def _place_all(self, classes: Sequence[RequestClass]) -> None:
+        for request_class in classes:
+            self.units.setdefault(request_class.name, 1.0)
+            self.work.setdefault(
+                request_class.name, request_class.latency_objective / INITIAL_WORK_DIVISOR
+            )
+        self._sum_of_units = sum(self.units.values())
+        self._classes, self._by_objective = (
             list(classes),
             sorted(classes, key=lambda c: c.latency_objective),
         )
         self._place = {c.name: number for number, c in enumerate(self._classes)}
-        self._place_by_aim = {c.name: number for number, c in enumerate(self._by_aim)}
+        self._place_by_objective = {c.name: number for number, c in enumerate(self._by_objective)}
         values = {c.name: self._value(c) for c in classes}
-        self._values = Highest([values[c.name] for c in self._by_aim])
-        self._negative = Highest([-value for value in values.values()])
-
-    def _replace(self, kind: api.RequestClass) -> None:
-        """One class is not as it was; its name, and all others, are."""
-        place, place_by_aim = self._place[kind.name], self._place_by_aim[kind.name]
-        before, self._classes[place] = self._classes[place], kind
-        if kind.latency_objective == before.latency_objective:
-            self._by_aim[place_by_aim] = kind
-            self._changed(kind.name)
+        self._values = MaxTree([values[c.name] for c in self._by_objective])
+        self._negative = MaxTree([-value for value in values.values()])
+
+    def _replace(self, request_class: RequestClass) -> None:
+        """Takes over one changed class; its name, and all others, are as they were."""
+        place, place_by_objective = (
+            self._place[request_class.name],
+            self._place_by_objective[request_class.name],
+        )
+        before, self._classes[place] = self._classes[place], request_class
+        if request_class.latency_objective == before.latency_objective:
+            self._by_objective[place_by_objective] = request_class
+            self._update_value(request_class.name)
             return
-        del self._by_aim[place_by_aim]
-        now = bisect_left(self._by_aim, self._rank(kind), key=self._rank)
-        self._by_aim.insert(now, kind)
-        first, behind = min(now, place_by_aim), max(now, place_by_aim) + 1
-        moved = self._by_aim[first:behind]
-        self._place_by_aim.update({c.name: first + number for number, c in enumerate(moved)})
+        del self._by_objective[place_by_objective]
+        now = bisect_left(self._by_objective, self._rank(request_class), key=self._rank)
+        self._by_objective.insert(now, request_class)
+        first, behind = min(now, place_by_objective), max(now, place_by_objective) + 1
+        moved = self._by_objective[first:behind]
+        self._place_by_objective.update({c.name: first + number for number, c in enumerate(moved)})
         self._values.put_all(first, [self._value(c) for c in moved])
-        self._negative.put(place, -self._value(kind))
+        self._negative.put(place, -self._value(request_class))
 
-    def _rank(self, kind: api.RequestClass) -> tuple[float, int]:
-        """By aim, and of one aim as they are listed."""
-        return kind.latency_objective, self._place[kind.name]
+    def _rank(self, request_class: RequestClass) -> tuple[float, int]:
+        """By objective; classes of one objective stay in the order of the settings."""
+        return request_class.latency_objective, self._place[request_class.name]
 
-    def learn_units(self, kind: api.RequestClass, units: float, gain: float) -> None:
-        """`gain`: the part of the newest request in the mean."""
-        more = gain * (units - self.units[kind.name])
-        self.units[kind.name] += more
-        self._all_units += more
-        self._changed(kind.name)
+    def learn_units(self, request_class: RequestClass, units: float, gain: float) -> None:
+        """Takes a request's units into the mean; `gain`: the weight of the newest."""
+        more = gain * (units - self.units[request_class.name])
+        self.units[request_class.name] += more
+        self._sum_of_units += more
+        self._update_value(request_class.name)
 
     def learn_work(
-        self, kind: api.RequestClass, size: int, by_class: float, by_size: float
+        self, request_class: RequestClass, size: int, by_class: float, by_size: float
     ) -> None:
-        """Factors by which a request of that size and class turned out to be more work."""
-        self.work[kind.name] *= by_class
-        self.sized[kind.name, size] = self.sized.get((kind.name, size), 1.0) * by_size
-        self._changed(kind.name)
+        """Takes the factors by which a request turned out to be more work than was expected."""
+        self.work[request_class.name] *= by_class
+        self.size_factors[request_class.name, size] = (
+            self.size_factors.get((request_class.name, size), 1.0) * by_size
+        )
+        self._update_value(request_class.name)
 
-    def work_of(self, kind: str, units: float, size: int) -> float:
-        """Seconds of work that a request is taken to be.
+    def work_of(self, class_name: str, units: float, size: int) -> float:
+        """Seconds of work that a request is expected to be.
 
-        Its class's, at first by half its units, and what its size showed.
+        Half of the class's mean, half in proportion to its units, times what its size showed.
         """
-        usual = self.work[kind] * 0.5 * (1.0 + units / self.units[kind])
-        return usual * self.sized.get((kind, size), 1.0)
+        usual = self.work[class_name] * 0.5 * (1.0 + units / self.units[class_name])
+        return usual * self.size_factors.get((class_name, size), 1.0)
 
     def mean_units(self) -> float:
-        """Over the classes, whether they are asked for or not."""
-        return self._all_units / len(self.units)
+        """The mean over all classes of their mean units, whether they are asked for or not."""
+        return self._sum_of_units / len(self.units)
 
-    def value(self, kind: str) -> float:
-        """Worth for a second of work."""
-        return self._values.value(self._place_by_aim[kind])
+    def value(self, class_name: str) -> float:
+        """Priority weight for a second of work."""
+        return self._values.value(self._place_by_objective[class_name])
 
     def highest_value(self) -> float:
-        return self._values.highest()
-
-    def tightest(self) -> float:
-        """The shortest aim of all."""
-        return self._by_aim[0].latency_objective
-
-    def cheapest(self) -> str:
-        """The class of the least value; of several the one listed first."""
-        return self._classes[self._negative.first(self._negative.highest())].name
-
-    def tightest_aim(self, value: float) -> float:
-        """The shortest aim among the classes of at least that value, of which there is one."""
-        return self._by_aim[self._values.first(value)].latency_objective
-
-    def _value(self, kind: api.RequestClass) -> float:
-        return kind.priority_weight * self.units[kind.name] / self.work[kind.name]
+        """The value of the most valuable class."""
+        return self._values.max()
+
+    def tightest_objective(self) -> float:
+        """The shortest latency objective of all classes."""
+        return self._by_objective[0].latency_objective
+
+    def least_valuable(self) -> str:
+        """The class of the least value; of several the first in the settings."""
+        return self._classes[self._negative.first_at_least(self._negative.max())].name
+
+    def tightest_objective_from(self, value: float) -> float:
+        """The shortest objective among the classes of at least that value. There must be one."""
+        return self._by_objective[self._values.first_at_least(value)].latency_objective
+
+    def _value(self, request_class: RequestClass) -> float:
+        return (
+            request_class.priority_weight
+            * self.units[request_class.name]
+            / self.work[request_class.name]
+        )
 
-    def _changed(self, name: str) -> None:
+    def _update_value(self, name: str) -> None:
         place = self._place.get(name)
-        if place is not None:  # else it is listed no more, and requests of it are still out
+        if place is not None:  # else the class has gone while requests of it are in flight
             value = self._value(self._classes[place])
-            self._values.put(self._place_by_aim[name], value)
+            self._values.put(self._place_by_objective[name], value)
             self._negative.put(place, -value)
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -156,7 +156,7 @@
             "dispatches": stats.dispatches,
             "concurrent": self.limiter.concurrent(),
             "targets": len(targets),
-            "targets_disabled": len(targets & self.gateway.avoided()),
+            "targets_disabled": len(targets & self.gateway.unavailable_endpoints()),
             "reload_success": stats.reload_success,
             "reload_failure": stats.reload_failure,
         }
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -213,7 +213,7 @@
             peers,
             fleet,
             self.seal,
-            service.gateway,
+            service.gateway.replicated_accounts,
             service.limiter.copied,
             service.take_calls,
             self._seed,
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -14,7 +14,8 @@
 from hazelhollow.control_budget.waiting import Waiting
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.gossip.codec import base36
-from hazelhollow.decisions.memory import Memory, key_of
+from hazelhollow.decisions.state.accounts import key_of
+from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 from hazelhollow.membership.driver import Driver as FleetDriver
 from hazelhollow.membership.seal import Seal
 from hazelhollow.net.peers import Peers
@@ -41,11 +42,11 @@
 class AccountReader:
     """The decision module's knowledge, as the exchange asks for it."""
 
-    def __init__(self, memory: Memory) -> None:
+    def __init__(self, memory: ReplicatedAccounts) -> None:
         self._memory = memory
 
     def short(self) -> list[str]:
-        return self._memory.short()
+        return self._memory.names_below_full()
 
     def slice(self, key: str) -> AccountCopy | None:
         one = self._memory.copy_of(key)
@@ -90,7 +91,7 @@
         peers: Peers,
         fleet: FleetDriver,
         seal: Seal,
-        memory: Memory,
+        memory: ReplicatedAccounts,
         told: Callable[[api.AccountReplicated], None],
         banned: Callable[[dict[str, bool]], None],
         seed: int,
@@ -177,7 +178,7 @@
             "whole": one.whole,
             "gives": one.gives(),
             "customers": len(one.book),
-            "owed": round(sum(account.owed for account in self._memory.accounts.values()), 1),
+            "owed": round(sum(account.debt for account in self._memory.accounts.values()), 1),
             "troubles": dict(one.book.troubles),
             "counts": dict(one.counts),
             "hosts_out": sorted(host for host, out in one.hands.out().items() if out),
@@ -413,11 +414,11 @@
                 left.append(snapshot.SavedAccount(one.key, one.plan, one.first, one.spread, level))
         for name, account in memory.accounts.items():
             charged = self._charged(name)
-            if name not in seen and charged and account.spread:
+            if name not in seen and charged and account.set_size:
                 level = account.plan.burst + account.plan.rate * since - charged
                 left.append(
                     snapshot.SavedAccount(
-                        key_of(name), account.plan.name, account.first, account.spread, level
+                        key_of(name), account.plan.name, account.set_start, account.set_size, level
                     )
                 )
         return left[: snapshot.MOST]
@@ -427,6 +428,8 @@
         account = self._memory.accounts.get(name)
         if account is None:
             return 0.0
-        totals = account.totals
-        closed = totals.closed + sum(total for _, _, total in (totals.bases or {}).values())
-        return closed + totals.sum()
+        totals = account.charges
+        closed = totals.own_closed + sum(
+            total for _, _, total in (totals.closed_counts or {}).values()
+        )
+        return closed + totals.open_total()
--- a/hazelhollow/replication/snapshot_collector.py
+++ b/hazelhollow/replication/snapshot_collector.py
@@ -9,8 +9,8 @@
 from heapq import nsmallest
 from itertools import islice
 
-from hazelhollow.decisions.memory import Memory
 from hazelhollow.decisions.state.accounts import Account, key_of
+from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 from hazelhollow.replication.snapshot import MOST, SavedAccount
 
 A_SLICE = 100  # customers
@@ -19,7 +19,7 @@
 class SnapshotCollector:
     """Of the customers of `memory` whose budget is not full, those with the least left."""
 
-    def __init__(self, memory: Memory) -> None:
+    def __init__(self, memory: ReplicatedAccounts) -> None:
         self._memory = memory
         self._names = iter(list(memory.accounts))
         # the part of the burst that is left, and the customer
@@ -44,16 +44,16 @@
         return [left for _, left in nsmallest(MOST, self._found, key=lambda one: one[0])]
 
     def _look_at(self, name: str, account: Account) -> None:
-        if not account.plan.burst or not account.spread:
+        if not account.plan.burst or not account.set_size:
             return
-        part = account.budget.fill(self._memory.now) / account.plan.burst
+        part = account.quota.refill(self._memory.now) / account.plan.burst
         if part < 1.0:
-            level = account.budget.level - account.owed
+            level = account.quota.level - account.debt
             self._found.append(
                 (
                     part,
                     SavedAccount(
-                        key_of(name), account.plan.name, account.first, account.spread, level
+                        key_of(name), account.plan.name, account.set_start, account.set_size, level
                     ),
                 )
             )
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -246,7 +246,7 @@
             self._peers,
             fleet,
             seal,
-            self.gateway,
+            self.gateway.replicated_accounts,
             self.limiter.copied,
             lambda calls: None,
             self._seed,
--- a/hazelhollow/scale/truth.py
+++ b/hazelhollow/scale/truth.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from hazelhollow.decisions.memory import Store
+from hazelhollow.decisions.state.token_bucket import TokenBucket
 from hazelhollow.scale.load import Population
 from hazelhollow.scale.results import Quotas
 
@@ -46,14 +46,14 @@
 
 def judge(rows: Sequence[Row], population: Population, windows: Sequence[Window]) -> list[Quotas]:
     """For each of the windows. The stores see what comes outside of them too."""
-    stores = dict[int, Store]()
+    stores = dict[int, TokenBucket]()
     sums = [[0.0, 0.0, 0.0, 0.0] for _ in windows]
     for row in rows:
         store = stores.get(row.tenant)
         if store is None:
             quota = population.quotas[population.tenants[row.tenant].quota]
-            store = stores[row.tenant] = Store(quota.rate, quota.burst, quota.burst, row.at)
-        room = store.fill(row.at) >= row.units
+            store = stores[row.tenant] = TokenBucket(quota.rate, quota.burst, quota.burst, row.at)
+        room = store.refill(row.at) >= row.units
         if row.let_in and room:
             store.level -= row.units
         for window, found in zip(windows, sums, strict=True):
--- a/hazelhollow/shared_store/lease_ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -127,7 +127,7 @@
         account.expire_lease(now)
         presence = self.presence
         for pool in account.pools:
-            pool.base.fill(now)
+            pool.base.refill(now)
             if presence.isolated:
                 restart = account.isolation != presence.isolations
                 pool.refill_fallback(len(account.limiters), presence.isolated_at(), now, restart)
--- a/hazelhollow/shared_store/lease_pool.py
+++ b/hazelhollow/shared_store/lease_pool.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from hazelhollow.decisions.memory import Store as TokenBucket
+from hazelhollow.decisions.state.token_bucket import TokenBucket
 
 SPENDING_STEP = 0.1  # seconds of spending that are reported to the store as one step
 MOST_SPENDING_STEPS = 6
@@ -71,7 +71,7 @@
             self.fallback = TokenBucket(
                 self.rate / limiters, self.burst / limiters, 0.0, isolated_since
             )
-        self.fallback.fill(now)
+        self.fallback.refill(now)
 
     def add_grant(self, held: float, kept: float, granted: float, expired: bool) -> float:
         """Applies the store's answer to a call that reported `held` units.
--- a/hazelhollow/shared_store/leased_account.py
+++ b/hazelhollow/shared_store/leased_account.py
@@ -10,7 +10,7 @@
 from typing import Literal
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.memory import Store as TokenBucket
+from hazelhollow.decisions.state.token_bucket import TokenBucket
 from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.lease_pool import LeasePool
 
@@ -104,7 +104,7 @@
         base = TokenBucket(
             base_share * rate / spread, base_burst, base_burst if starts_full else 0.0, started_at
         )
-        base.fill(now)
+        base.refill(now)
         return LeasePool(base, (1 - base_share) * rate, burst - spread * base_burst)
 
     quota = ceiling = None
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -37,22 +37,22 @@
     gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
     gateway.handle(api.EndpointOverridden("s1", False), 105.0)
-    assert gateway.servers["s1"].cold(105.5, gateway.settings)
+    assert gateway.endpoints["s1"].is_warming_up(105.5, gateway.settings)
     gateway.handle(
         servers("full", entry("s1"), entry("s2")), 106.0
     )  # a list that says it is old does not warm it
-    assert gateway.servers["s1"].cold(106.0, gateway.settings) and not gateway.servers["s2"].cold(
-        106.0, gateway.settings
-    )
+    assert gateway.endpoints["s1"].is_warming_up(106.0, gateway.settings) and not gateway.endpoints[
+        "s2"
+    ].is_warming_up(106.0, gateway.settings)
 
 
 def test_set_down_and_up_by_the_operator_address() -> None:
     one = stage()
     assert call(one, b"set-down s1\n") == b"done set-down s1\n"
     assert call(one, b"set-down s1\n") == b"done set-down s1\n"  # said again, nothing more changes
-    assert one.service.gateway.banned == {"s1"} and figures(one)["targets_disabled"] == 1
+    assert one.service.gateway.table.disabled == {"s1"} and figures(one)["targets_disabled"] == 1
     assert call(one, b"set-up s1\n") == b"done set-up s1\n"
-    assert not one.service.gateway.banned and figures(one)["targets_disabled"] == 0
+    assert not one.service.gateway.table.disabled and figures(one)["targets_disabled"] == 0
 
 
 def test_an_id_never_listed_is_owed_a_no() -> None:
@@ -63,11 +63,13 @@
     first = stage()
     call(first, b"set-down s1\n")
     second = Stage(hosts=1)
-    assert second.service.gateway.banned == {"s1"}
+    assert second.service.gateway.table.disabled == {"s1"}
     second.service.set_bans(set())
     first.now += 1.0
     first.settle()
-    assert not first.service.gateway.banned  # what the other one put back, this one puts back too
+    assert (
+        not first.service.gateway.table.disabled
+    )  # what the other one put back, this one puts back too
 
 
 @pytest.mark.parametrize(
@@ -85,7 +87,7 @@
     path = path_for("n0", str(tmp_path))
     path.write_bytes(text)
     assert BanFile(path).read() is None
-    assert not Stage(hosts=1).service.gateway.banned
+    assert not Stage(hosts=1).service.gateway.table.disabled
 
 
 def test_the_file_is_written_whole_and_read_back(tmp_path: Path) -> None:
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -20,6 +20,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.decisions.slow_start import SlowStart
 from tests.test_gateway import entry, servers
 
 CLASS = api.RequestClass(
@@ -215,6 +216,6 @@
 def test_the_model_of_a_cold_server_falls_where_it_is_sent_as_much_as_a_warm_one() -> None:
     """The check above can fail."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(DecisionEngine, "_warm", lambda gateway, server, work: True)
+        patch.setattr(SlowStart, "may_send", lambda slow_start, endpoint, work: True)
         fleets = [played(30, 4, load, seed) for load in (0.9, 1.5) for seed in (1, 101)]
     assert any(most_of_allowed(host) > 1.0 for fleet in fleets for host in cold_hosts(fleet))
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -15,6 +15,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import replace
+from functools import partial
 from types import FrameType
 from typing import Any
 
@@ -24,22 +25,21 @@
 from hypothesis import strategies as st
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import (
-    AWAY_A_BEAT,
-    CLOSED_A_BEAT,
-    COUNTS_A_BEAT,
-    FORGOTTEN_A_BEAT,
-    GAIN,
-    MIX,
-    SURVEYED,
-    WIDTH,
-    YIELD,
-    DecisionEngine,
-)
+from hazelhollow.decisions.endpoint_selection import MAX_COMPARED
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
-from hazelhollow.decisions.memory import Account
-from hazelhollow.decisions.state.class_statistics import Asked, ClassStats, Highest
-from hazelhollow.decisions.state.endpoint_table import HEALTHS, Server, ServerTable
+from hazelhollow.decisions.gossip.scheduler import MAX_AWAY_PEERS, MAX_FINAL_CHARGES
+from hazelhollow.decisions.load_estimate import LEARNING_RATE
+from hazelhollow.decisions.load_shedding import DEMAND_SPAN, YIELD_POWER
+from hazelhollow.decisions.outlier_detection import MAX_RECORDS
+from hazelhollow.decisions.state.accounts import Account, Opening
+from hazelhollow.decisions.state.class_statistics import ClassStatistics, RecentDemand
+from hazelhollow.decisions.state.customer_accounts import MAX_FORGET_CHECKS
+from hazelhollow.decisions.state.endpoint import MEAN_CONCURRENCY, Endpoint
+from hazelhollow.decisions.state.endpoint_table import EndpointTable
+from hazelhollow.decisions.state.max_tree import MaxTree
+from hazelhollow.decisions.state.period_charges import ClosedCount
+from hazelhollow.decisions.state.replicated_accounts import MAX_COUNTS_A_ROUND
 from hazelhollow.simulator import wire
 from tests.test_gateway import answer, ask, entry, make, only, servers
 
@@ -85,7 +85,9 @@
     gateway = make(1, limiter_count=gateways, classes=kinds(classes), gossip_messages_per_s=60.0)
     gateway.handle(servers("full", *listed(hosts)), 100.0)
     for number in range(customers):
-        gateway._account(gossip.base36(number), gateway.plans["basic"], number % gateways, 3)
+        gateway.customer_accounts.get(
+            gossip.base36(number), gateway.context.plans["basic"], number % gateways, 3
+        )
     return gateway
 
 
@@ -93,11 +95,11 @@
     gateway: DecisionEngine, now: float, count: int, cost: Callable[[Callable[[], object]], float]
 ) -> list[float]:
     """The cost of each of so many requests, whose answers come at once and are not counted."""
-    costs, classes = [], list(gateway.classes)
+    costs, classes = [], list(gateway.context.classes)
     for number in range(count):
         now += 1 / 204
         customer, kind = (
-            str(gateway.random.randrange(CUSTOMERS)),
+            str(gateway.context.random.randrange(CUSTOMERS)),
             classes[number * 7919 % len(classes)],
         )
         actions: list[api.Action] = []
@@ -154,21 +156,23 @@
 def test_a_whole_list_that_says_what_is_known_costs_little() -> None:
     table, known = table_of(*listed(SERVERS)), listed(SERVERS)
     same = bytecodes(lambda: table.apply(servers("full", *known), 100.0))
-    first = dict(table.servers)
+    first = dict(table.endpoints)
     new = bytecodes(lambda: table.apply(servers("full", *listed(SERVERS, "t")), 100.0))
-    assert same <= new / 4 and not first.keys() & table.servers.keys()
+    assert same <= new / 4 and not first.keys() & table.endpoints.keys()
 
 
 def charged(customers: int, gateways: int = 3) -> DecisionEngine:
     """A second and a half after the first of so many customers, each of whom was charged once."""
     gateway = make(0, limiter_count=gateways, gossip_messages_per_s=60.0)
     gateway.handle(api.TimerFired("beat"), 100.0)
-    gateway.messages.level = 0.0
+    gateway.gossip.messages.level = 0.0
     for number in range(customers):
         now = 100.0 + 1.5 * number / customers
-        account = gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 3)
-        gateway.now, gateway.period = now, int(now)
-        gateway._book(account.name, account, 1.0, int(now))
+        account = gateway.customer_accounts.get(
+            gossip.base36(number), gateway.context.plans["basic"], 0, 3
+        )
+        gateway.context.now, gateway.context.period = now, int(now)
+        gateway.quota.record_charge(account, 1.0, int(now))
     return gateway
 
 
@@ -185,24 +189,29 @@
 
 
 def test_final_figures_of_many_customers_are_told_by_and_by() -> None:
-    gateway = charged(3 * CLOSED_A_BEAT)
-    for peer in gateway.dirty:
-        gateway.dirty[peer].clear()
-    gateway.messages.rate = gateway.messages.level = 0.0
-    gateway.booked = dict.fromkeys(gateway.accounts)
+    gateway = charged(3 * MAX_FINAL_CHARGES)
+    for peer in gateway.gossip.unsent:
+        gateway.gossip.unsent[peer].clear()
+    gateway.gossip.messages.rate = gateway.gossip.messages.level = 0.0
+    gateway.gossip.charged_this_period = dict.fromkeys(gateway.accounts)
     counts = []
     for turn in range(4):
         gateway.handle(api.TimerFired("beat"), 101.6 + turn / 15)
-        counts.append(len(gateway.dirty[1]))
-    assert counts == [CLOSED_A_BEAT, 2 * CLOSED_A_BEAT, 3 * CLOSED_A_BEAT, 3 * CLOSED_A_BEAT]
+        counts.append(len(gateway.gossip.unsent[1]))
+    assert counts == [
+        MAX_FINAL_CHARGES,
+        2 * MAX_FINAL_CHARGES,
+        3 * MAX_FINAL_CHARGES,
+        3 * MAX_FINAL_CHARGES,
+    ]
 
 
 def test_forgetting_many_customers_takes_no_long_turn_and_forgets_all() -> None:
     worst = []
-    for customers in (2 * FORGOTTEN_A_BEAT, 100 * FORGOTTEN_A_BEAT):
+    for customers in (2 * MAX_FORGET_CHECKS, 100 * MAX_FORGET_CHECKS):
         gateway = gateway_of(4, 1, customers)
         worst.append(max(beats(gateway, 120, 110.0)))
-        assert not gateway.accounts and not gateway.due
+        assert not gateway.accounts and not gateway.customer_accounts.checks
     assert worst[1] <= MARGIN * worst[0]
 
 
@@ -211,28 +220,30 @@
     for customers in (10, 20_000):
         gateway = gateway_of(4, 1, customers)
         for account in gateway.accounts.values():
-            account.used = 1000.0  # as if told of
-        gateway.due.sort()
-        beats(gateway, 20_000 // FORGOTTEN_A_BEAT + 30, 103.0)
+            account.last_used_at = 1000.0  # as if told of
+        gateway.customer_accounts.checks.sort()
+        beats(gateway, 20_000 // MAX_FORGET_CHECKS + 30, 103.0)
         costs.append(sum(beats(gateway, 30, 120.0)))
     assert costs[1] <= MARGIN * costs[0]
 
 
 def test_old_news_for_peers_that_are_away_go_in_beats_of_a_bounded_number() -> None:
-    peers = 4 * AWAY_A_BEAT + 3
+    peers = 4 * MAX_AWAY_PEERS + 3
     gateway = make(0, limiter_count=peers + 2)
     gateway.handle(api.MembershipChanged(True, (0, peers + 1)), 100.0)  # one other is there
     for peer in range(1, peers + 2):
-        gateway.dirty[peer] = {("a", 100): "", ("b", 102): "", ("c", 103): ""}
-    gateway.period = 103
-    gateway.renew()
+        gateway.gossip.unsent[peer] = {("a", 100): "", ("b", 102): "", ("c", 103): ""}
+    gateway.context.period = 103
+    gateway.gossip.begin_period()
     for beat in range(1, 6):
-        gateway.forget_old_news(AWAY_A_BEAT)
+        gateway.gossip.drop_old_updates()
         short = [
-            peer for peer, news in gateway.dirty.items() if set(news) == {("b", 102), ("c", 103)}
+            peer
+            for peer, news in gateway.gossip.unsent.items()
+            if set(news) == {("b", 102), ("c", 103)}
         ]
-        assert len(short) == min(beat * AWAY_A_BEAT, peers)
-    assert len(gateway.dirty[peers + 1]) == 3  # its news are told, or found too old then
+        assert len(short) == min(beat * MAX_AWAY_PEERS, peers)
+    assert len(gateway.gossip.unsent[peers + 1]) == 3  # its news are told, or found too old then
 
 
 LIVES = ("1.a", "2.b")  # of the peers
@@ -246,48 +257,64 @@
     gateway = make(0, limiter_count=3)
     gateway.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
     for number in range(customers):
-        account = gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 3)
-        account.totals.turn(100)
-        account.totals.charge(1.0, 100)
+        account = gateway.customer_accounts.get(
+            gossip.base36(number), gateway.context.plans["basic"], 0, 3
+        )
+        account.charges.advance(100)
+        account.charges.charge(1.0, 100)
         for incarnation in LIVES:
-            account.totals.told(incarnation, 99, 99, 0.0)  # it began then
-            account.totals.hear(incarnation, 100, 1.0)
-        gateway.mark_unclosed(account)
+            account.charges.merge_count(incarnation, ClosedCount(99, 99, 0.0))  # it began then
+            account.charges.merge_report(incarnation, 100, 1.0)
+        gateway.replicated_accounts.mark_charged(account)
     return gateway
 
 
 def test_a_beat_hands_on_a_bounded_number_of_closed_counts_and_each_is_told_once() -> None:
-    customers, told = 3 * COUNTS_A_BEAT + 5, list[str]()
+    customers, told = 3 * MAX_COUNTS_A_ROUND + 5, list[str]()
     gateway = charged_by_many(customers)
-    gateway.now, gateway.period = 102.0, 102
-    while counts := only(gateway.closed(COUNTS_A_BEAT), api.ReplicateCount):
-        assert len(counts) <= COUNTS_A_BEAT + len(LIVES)  # those of one customer together
+    gateway.context.now, gateway.context.period = 102.0, 102
+    while counts := only(
+        gateway.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
+    ):
+        assert len(counts) <= MAX_COUNTS_A_ROUND + len(LIVES)  # those of one customer together
         told += [count.key for count in counts]
     names = sorted(gossip.base36(number) for number in range(customers))
     assert sorted(told) == sorted(names * (1 + len(LIVES)))
 
 
 def test_customers_whose_period_is_still_open_are_looked_at_once_a_period() -> None:
-    gateway = charged_by_many(3 * COUNTS_A_BEAT)
-    gateway.now, gateway.period = 101.0, 101
+    gateway = charged_by_many(3 * MAX_COUNTS_A_ROUND)
+    gateway.context.now, gateway.context.period = 101.0, 101
     for _ in range(3):
-        assert gateway.closed(COUNTS_A_BEAT) == []
-    before = list(gateway.unclosed)
-    assert len(before) == 3 * COUNTS_A_BEAT
-    assert gateway.closed(COUNTS_A_BEAT) == [] and list(gateway.unclosed) == before
+        assert gateway.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND) == []
+    before = list(gateway.replicated_accounts.unclosed)
+    assert len(before) == 3 * MAX_COUNTS_A_ROUND
+    assert (
+        gateway.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND) == []
+        and list(gateway.replicated_accounts.unclosed) == before
+    )
 
 
 def test_customers_that_are_charged_all_the_time_do_not_keep_others_counts_from_closing() -> None:
-    gateway, told = charged_by_many(2 * COUNTS_A_BEAT), set[str]()
+    gateway, told = charged_by_many(2 * MAX_COUNTS_A_ROUND), set[str]()
     for period in range(102, 125):  # one beat a period: fewer than there are counts
-        gateway.now, gateway.period = float(period), period
-        for number in range(COUNTS_A_BEAT):
+        gateway.context.now, gateway.context.period = float(period), period
+        for number in range(MAX_COUNTS_A_ROUND):
             account = gateway.accounts[gossip.base36(number)]
-            account.totals.turn(period)
-            account.totals.charge(1.0, period)
-            gateway.mark_unclosed(account)
-        told |= {count.key for count in only(gateway.closed(COUNTS_A_BEAT), api.ReplicateCount)}
-    assert len(told) == 2 * COUNTS_A_BEAT
+            account.charges.advance(period)
+            account.charges.charge(1.0, period)
+            gateway.replicated_accounts.mark_charged(account)
+        told |= {
+            count.key
+            for count in only(
+                gateway.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
+            )
+        }
+    assert len(told) == 2 * MAX_COUNTS_A_ROUND
+
+
+def _take_all(take: Callable[[int], list[api.Action]], found: list[api.Action]) -> None:
+    found += take(MAX_COUNTS_A_ROUND)
 
 
 def test_counts_that_are_kept_close_without_a_look_at_customers_that_were_not_charged() -> None:
@@ -296,15 +323,18 @@
         gateway = make(0, limiter_count=3)
         gateway.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
         for number in range(idle):
-            gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 3)
+            gateway.customer_accounts.get(
+                gossip.base36(number), gateway.context.plans["basic"], 0, 3
+            )
         only(ask(gateway, 100.0), api.StartAttempt)
         closed: list[api.Action] = []
         for now in (101.0, 102.0, 103.0, 104.0):
-            gateway.now, gateway.period = now, int(now)
-            costs.append(bytecodes(lambda: closed.extend(gateway.closed(COUNTS_A_BEAT))))  # noqa: B023
+            gateway.context.now, gateway.context.period = now, int(now)
+            take = gateway.replicated_accounts.take_closed
+            costs.append(bytecodes(partial(_take_all, take, closed)))
         assert [c.replicated_count.total for c in only(closed, api.ReplicateCount)] == [
             1.0
-        ] and not gateway.unclosed
+        ] and not gateway.replicated_accounts.unclosed
     assert sum(costs[4:]) <= MARGIN * sum(costs[:4])
 
 
@@ -318,13 +348,13 @@
 
     `worth`, `work`: what was asked for lately.
     """
-    learned = gateway.learned
+    learned = gateway.load.classes
     value = {
         c.name: c.priority_weight * learned.units[c.name] / learned.work[c.name]
         for c in gateway.settings.classes
     }
-    if not gateway.small:
-        return gateway.tight * value[kind.name] / max(value.values())
+    if not gateway.context.small_fleet:
+        return gateway.load.tightest_objective * value[kind.name] / max(value.values())
     longest = min(
         c.latency_objective for c in gateway.settings.classes if value[c.name] >= value[kind.name]
     )
@@ -332,7 +362,7 @@
     part = worth.get(cheapest, 0.0) / sum(worth.values()) if worth else 0.0
     value[cheapest] *= 1.0 + gateway.settings.class_weight / max(part, 0.01)
     mean = (sum(worth.values()) / work if work else 0.0) or value[kind.name]
-    return float(longest * min(1.0, value[kind.name] / mean) ** YIELD)
+    return float(longest * min(1.0, value[kind.name] / mean) ** YIELD_POWER)
 
 
 class_lists = st.lists(
@@ -367,18 +397,20 @@
         if turn == 20:
             gateway.retune(replace(gateway.settings, classes=later))
         kind = gateway.settings.classes[number % len(gateway.settings.classes)]
-        gateway.learned.learn_units(kind, units, GAIN)
-        gateway.learned.learn_work(kind, 1, factor, 1.0)
-        gateway.asked.add(kind.name, kind.priority_weight * units, gateway.learned.work[kind.name])
-        worth = {name: amount * (1.0 - 1.0 / MIX) for name, amount in worth.items()}
+        gateway.load.classes.learn_units(kind, units, LEARNING_RATE)
+        gateway.load.classes.learn_work(kind, 1, factor, 1.0)
+        gateway.load_shedding.demand.add(
+            kind.name, kind.priority_weight * units, gateway.load.classes.work[kind.name]
+        )
+        worth = {name: amount * (1.0 - 1.0 / DEMAND_SPAN) for name, amount in worth.items()}
         worth[kind.name] = worth.get(kind.name, 0.0) + kind.priority_weight * units
-        work = work * (1.0 - 1.0 / MIX) + gateway.learned.work[kind.name]
+        work = work * (1.0 - 1.0 / DEMAND_SPAN) + gateway.load.classes.work[kind.name]
         for one in gateway.settings.classes:
-            assert gateway._limit(one) == pytest.approx(
+            assert gateway.load_shedding.wait_limit(one) == pytest.approx(
                 plain_limit(gateway, one, worth, work), rel=1e-9
             )
-    means = gateway.learned.units
-    assert gateway.learned.mean_units() == pytest.approx(sum(means.values()) / len(means))
+    means = gateway.load.classes.units
+    assert gateway.load.classes.mean_units() == pytest.approx(sum(means.values()) / len(means))
 
 
 @given(
@@ -388,13 +420,13 @@
 def test_the_highest_of_many_and_the_first_that_is_as_high(
     start: list[float], puts: list[tuple[int, float]]
 ) -> None:
-    tree, plain = Highest(start), list(start)
+    tree, plain = MaxTree(start), list(start)
     for place, value in puts:
         plain[place % len(plain)] = value
         tree.put(place % len(plain), value)
-        assert tree.highest() == max(plain)
+        assert tree.max() == max(plain)
         for least in plain:
-            assert tree.first(least) == next(n for n, v in enumerate(plain) if v >= least)
+            assert tree.first_at_least(least) == next(n for n, v in enumerate(plain) if v >= least)
 
 
 @given(
@@ -407,7 +439,7 @@
 ) -> None:
     first %= len(start)
     values = values[: len(start) - first]
-    at_once, one_by_one = Highest(start), Highest(start)
+    at_once, one_by_one = MaxTree(start), MaxTree(start)
     at_once.put_all(first, values)
     for place, value in enumerate(values, first):
         one_by_one.put(place, value)
@@ -428,10 +460,10 @@
 )
 
 
-def shown(stats: ClassStats, kinds: Sequence[api.RequestClass]) -> list[Any]:
+def shown(stats: ClassStatistics, kinds: Sequence[api.RequestClass]) -> list[Any]:
     values = [stats.value(kind.name) for kind in kinds]
-    aims = [stats.tightest_aim(value) for value in values]
-    return [values, aims, stats.highest_value(), stats.cheapest(), stats.tightest()]
+    aims = [stats.tightest_objective_from(value) for value in values]
+    return [values, aims, stats.highest_value(), stats.least_valuable(), stats.tightest_objective()]
 
 
 changes_of_a_class = st.tuples(
@@ -455,10 +487,10 @@
             kinds[number % len(kinds)], latency_objective=aim, priority_weight=worth
         )
         told.append((kinds, factor))
-    stats = ClassStats(first)
+    stats = ClassStatistics(first)
     for kinds, factor in [*told, (last, 1.0), (first, 1.0)]:
         stats.retune(kinds)
-        plain = ClassStats(kinds)
+        plain = ClassStatistics(kinds)
         plain.units, plain.work = dict(stats.units), dict(stats.work)
         plain._place_all(kinds)
         assert shown(stats, kinds) == shown(plain, kinds)
@@ -481,16 +513,18 @@
     after = wire.parse_settings(wire.Fields("settings", changed), before)
     assert after == wire.parse_settings(wire.Fields("settings", changed))
     assert [n for n in range(50) if after.classes[n] is not before.settings.classes[n]] == [7]
-    monkeypatch.setattr(ClassStats, "_place_all", None)  # what costs as much as all classes
+    monkeypatch.setattr(ClassStatistics, "_place_all", None)  # what costs as much as all classes
     gateway.retune(after)
-    assert gateway.learned.tightest() == gateway.tight == 0.4
+    assert gateway.load.classes.tightest_objective() == gateway.load.tightest_objective == 0.4
 
 
 def test_messages_name_classes_that_came_with_a_change() -> None:
     one, two, three = kinds(3)
     gateway = make(1, classes=(one, two))
     gateway.retune(replace(gateway.settings, classes=(two, three)))
-    assert gateway.class_of == {gossip.tag(kind.name): kind.name for kind in (two, three)}
+    assert gateway.receiver.class_of == {
+        gossip.name_tag(kind.name): kind.name for kind in (two, three)
+    }
 
 
 def test_an_entry_that_only_looks_the_same_is_parsed_again() -> None:
@@ -504,21 +538,21 @@
 
 def test_a_class_that_is_listed_no_more_is_learned_of_and_counts_no_more() -> None:
     one, two = kinds(2)
-    stats = ClassStats((one, two))
+    stats = ClassStatistics((one, two))
     stats.retune((two,))
     stats.learn_work(one, 1, 0.001, 1.0)  # a request of it was still out
-    assert stats.highest_value() == stats.value("c1") and stats.cheapest() == "c1"
+    assert stats.highest_value() == stats.value("c1") and stats.least_valuable() == "c1"
     stats.retune((one, two))
     assert stats.highest_value() == stats.value("c0")
 
 
 def test_what_was_asked_for_lately_fades() -> None:
-    asked = Asked(10.0)
+    asked = RecentDemand(10.0)
     asked.add("a", 4.0, 2.0)
-    assert asked.mean() == 2.0 and asked.part("a") == 1.0 and asked.part("b") == 0.0
+    assert asked.mean_value() == 2.0 and asked.share_of("a") == 1.0 and asked.share_of("b") == 0.0
     for _ in range(200):
         asked.add("b", 1.0, 1.0)
-    assert asked.part("a") < 1e-6 and asked.mean() == pytest.approx(1.0)
+    assert asked.share_of("a") < 1e-6 and asked.mean_value() == pytest.approx(1.0)
 
 
 class PlainTable:
@@ -550,7 +584,7 @@
 
     def width(self, one: api.EndpointEntry) -> float:
         mean = sum(e.weight for e in self.entries.values()) / len(self.entries) or 1.0
-        return max(WIDTH * one.weight / mean, WIDTH / 4)
+        return max(MEAN_CONCURRENCY * one.weight / mean, MEAN_CONCURRENCY / 4)
 
     def up(self) -> list[api.EndpointEntry]:
         return [e for e in self.entries.values() if e.state == "up" and e.name not in self.banned]
@@ -559,8 +593,8 @@
 TOLD = make().settings
 
 
-def table_of(*entries: api.EndpointEntry) -> ServerTable:
-    table = ServerTable(WIDTH, TOLD)
+def table_of(*entries: api.EndpointEntry) -> EndpointTable:
+    table = EndpointTable(TOLD)
     table.apply(servers("full", *entries), 100.0)
     return table
 
@@ -591,26 +625,27 @@
     bulk: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """`bulk` 0: each list is taken as one that changes much."""
-    monkeypatch.setattr("hazelhollow.decisions.state.endpoint_table.BULK", bulk)
+    for module in ("endpoint_table", "endpoint_ring"):
+        monkeypatch.setattr(f"hazelhollow.decisions.state.{module}.MAX_CHANGES_IN_PLACE", bulk)
     # so that names in messages collide
-    monkeypatch.setattr("hazelhollow.decisions.state.endpoint_table.TAGS", 5)
+    monkeypatch.setattr("hazelhollow.decisions.state.endpoint.TAG_COUNT", 5)
 
     @hyp(max_examples=60, deadline=None)
     @given(steps)
     def check(some: list[tuple[str, Any]]) -> None:
-        table, plain, now = ServerTable(WIDTH, TOLD), PlainTable(TOLD), 100.0
-        incarnations: dict[str, tuple[int, Server]] = {}
+        table, plain, now = EndpointTable(TOLD), PlainTable(TOLD), 100.0
+        incarnations: dict[str, tuple[int, Endpoint]] = {}
         for what, words in some:
             if what == "wait":
                 now += 3.0
             elif what in ("ban", "unban"):
-                table.ban(words, what == "ban", now)
+                table.override(words, what == "ban", now)
                 plain.banned = plain.banned | {words} if what == "ban" else plain.banned - {words}
             else:
                 table.apply(servers(what, *words), now)
                 plain.apply(servers(what, *words))
             same_as(table, plain, now)
-            for name, server in table.servers.items():  # the same one until it has started anew
+            for name, server in table.endpoints.items():  # the same one until it has started anew
                 incarnation, before = incarnations.get(name, (0, server))
                 assert (server is before) == (
                     incarnation == plain.incarnations[name]
@@ -620,24 +655,24 @@
     check()
 
 
-def same_as(table: ServerTable, plain: PlainTable, now: float) -> None:
+def same_as(table: EndpointTable, plain: PlainTable, now: float) -> None:
     known = list(plain.entries.values())
-    assert [s.entry for s in table.servers.values()] == known == [s.entry for s in table.all()]
-    assert [s.width for s in table.all()] == pytest.approx([plain.width(e) for e in known])
+    assert [s.entry for s in table.endpoints.values()] == known == [s.entry for s in table.all()]
+    assert [s.concurrency for s in table.all()] == pytest.approx([plain.width(e) for e in known])
     assert {s.entry.name for s in table.all_up()} == {e.name for e in plain.up()}
     warm = [plain.width(e) for e in known if not plain.cold(e, now)]
-    assert table.warm_width(now) == pytest.approx(sum(warm))
+    assert table.warm_concurrency(now) == pytest.approx(sum(warm))
     for cold in (False, True):
         ring = sorted(
-            (table.servers[e.name].tag, e.name) for e in plain.up() if plain.cold(e, now) == cold
+            (table.endpoints[e.name].tag, e.name) for e in plain.up() if plain.cold(e, now) == cold
         )
         assert table.ring(cold, now) == ring
     for zone in "ab":
         in_zone = {e.name for e in plain.up() if e.zone == zone}
         assert {s.entry.name for s in table.all_of(("zone", zone))} == in_zone
-    tagged = {server.tag: server for server in table.servers.values()}
-    assert all(table.tagged(tag) is server for tag, server in tagged.items())
-    assert not [tag for tag in gossip._DIGITS if tag not in tagged and table.tagged(tag)]
+    tagged = {server.tag: server for server in table.endpoints.values()}
+    assert all(table.by_tag(tag) is server for tag, server in tagged.items())
+    assert not [tag for tag in gossip._DIGITS if tag not in tagged and table.by_tag(tag)]
 
 
 def test_lists_of_servers_are_kept_until_a_change_and_the_order_of_tags_beyond_it() -> None:
@@ -652,12 +687,12 @@
 
 
 def test_up_to_so_many_servers_all_are_compared_where_loads_are_known_and_no_more_beyond() -> None:
-    for count in (SURVEYED, SURVEYED + 1, 500):
+    for count in (MAX_COMPARED, MAX_COMPARED + 1, 500):
         gateway = make(0, limiter_count=3)
         gateway.handle(servers("full", *listed(count)), 100.0)
-        drawn = [some for _, some in gateway._candidates()]
-        assert all(len(some) == SURVEYED for some in drawn)
-        assert count > SURVEYED or drawn[0] == list(gateway.servers.values())
+        drawn = [some for _, some in gateway.selection.rounds()]
+        assert all(len(some) == MAX_COMPARED for some in drawn)
+        assert count > MAX_COMPARED or drawn[0] == list(gateway.endpoints.values())
 
 
 @pytest.mark.parametrize("gateways", [3, LIMITERS])
@@ -667,7 +702,7 @@
         servers("full", *(replace(e, state="draining") for e in listed(500)), entry("last")), 100.0
     )
     assert [send.endpoint for send in only(ask(gateway, 100.1), api.StartAttempt)] == ["last"]
-    assert gateway.avoided() == {f"s{n}" for n in range(500)}
+    assert gateway.unavailable_endpoints() == {f"s{n}" for n in range(500)}
 
 
 @pytest.mark.parametrize("gateways", [3, LIMITERS])
@@ -687,7 +722,8 @@
         (send,) = only(ask(gateway, 100.0, "order"), api.StartAttempt)
         (again,) = only(answer(gateway, send, 100.1, "reset"), api.StartAttempt)
         assert (
-            gateway.servers[again.endpoint].entry.cell == gateway.servers[send.endpoint].entry.cell
+            gateway.endpoints[again.endpoint].entry.cell
+            == gateway.endpoints[send.endpoint].entry.cell
         )
 
 
@@ -695,9 +731,9 @@
 
 
 def test_of_a_large_set_those_heard_of_come_first_and_the_rest_by_chance() -> None:
-    account = Account(make().plans["basic"], 1.0, 0.0, 0.0, False)
-    account.place(7, 500, replace(TOLD, limiter_count=600), 3, 2)
-    account.totals.heard = {
+    account = Account(make().context.plans["basic"], "3", Opening(1.0, 0.0, 0.0, False))
+    account.place_set(7, 500, replace(TOLD, limiter_count=600))
+    account.charges.reported = {
         ("9.aa", 5): 2.0,
         ("300.bb", 5): 7.0,
         ("9.aa", 4): 1.0,
@@ -706,40 +742,44 @@
     }
     seen = Counter[int]()
     for turn in range(60):
-        told = account.busiest(600, 40, random.Random(turn))
+        told = account.busiest_members(600, 40, random.Random(turn))
         assert told[:2] == [300, 9] and len(set(told)) == len(told) == 40  # 3 is no member
-        assert all(account.has(number, 600) for number in told)
+        assert all(account.includes(number, 600) for number in told)
         seen.update(told[2:])
     assert len(seen) > 400
-    assert account.busiest(600, 1, random.Random(1)) == [300]
-    assert sorted(account.busiest(600, 500, random.Random(1))) == sorted(account.members(600))
+    assert account.busiest_members(600, 1, random.Random(1)) == [300]
+    assert sorted(account.busiest_members(600, 500, random.Random(1))) == sorted(
+        account.members(600)
+    )
 
 
 def test_a_server_that_has_failed_many_classes_long_ago_keeps_few_of_them() -> None:
     gateway = make(0, limiter_count=LIMITERS, classes=kinds(300))
-    server = gateway.servers["s0"]
+    server = gateway.endpoints["s0"]
     for number in range(300):
-        gateway.now = 100.0 + number
-        gateway._failure(server, f"c{number}")
-    assert len(server.health) <= HEALTHS and "c299" in server.health
+        gateway.context.now = 100.0 + number
+        gateway.outliers.record_failure(server, f"c{number}")
+    assert len(server.outlier_records) <= MAX_RECORDS and "c299" in server.outlier_records
 
 
 def test_failures_are_told_latest_first_and_forgotten() -> None:
     gateway = make(0, limiter_count=LIMITERS)
     for number, tag in enumerate("abcab"):
-        gateway.now = 100.0 + number
-        gateway.note_failed(tag, "k")
-    assert gateway.latest_failed(2, 10.0) == [("a", "k"), ("b", "k")]
-    assert gateway.latest_failed(3, 3.0) == [("c", "k"), ("a", "k"), ("b", "k")][-2 - 1 :]
-    gateway.now = 200.0
-    assert gateway.latest_failed(3, 3.0) == [] and not gateway.failed
+        gateway.context.now = 100.0 + number
+        gateway.outliers.note_for_peers(tag, "k")
+    assert gateway.outliers.latest_failures(2, 10.0) == [("a", "k"), ("b", "k")]
+    assert (
+        gateway.outliers.latest_failures(3, 3.0) == [("c", "k"), ("a", "k"), ("b", "k")][-2 - 1 :]
+    )
+    gateway.context.now = 200.0
+    assert gateway.outliers.latest_failures(3, 3.0) == [] and not gateway.outliers.recent_failures
 
 
 def test_news_that_are_too_old_cost_their_words_only_once() -> None:
     gateway = charged(50)
     waiting = {(f"gone{n}", 50): "" for n in range(3000)}
     for _ in range(7):
-        assert gateway.take_news("head", waiting) == "head"
+        assert gateway.composer.fill_datagram("head", waiting) == "head"
     assert not waiting
 
 
@@ -771,7 +811,7 @@
     everybody, now = tuple(range(RING)), 100.0
     gateway.handle(api.MembershipChanged(True, everybody, counts_replicated=True), now)
     for number, (first, spread) in enumerate(sets):
-        gateway._account(gossip.base36(number), plan, first, spread)
+        gateway.customer_accounts.get(gossip.base36(number), plan, first, spread)
     for passed, lost, unused in told:
         now += passed
         present = tuple(n for n in everybody if n not in lost)
@@ -785,19 +825,24 @@
             ),
             now,
         )
-    gateway.now = now + 0.5
+    gateway.context.now = now + 0.5
     found = []
     for account in gateway.accounts.values():
-        account.budget.fill(gateway.now)
-        gateway.leave_to_lost(account)  # what is left to others is reckoned up to now
-        aside = {number: pytest.approx(units) for number, units in account.aside.items()}
+        account.quota.refill(gateway.context.now)
+        gateway.customer_accounts.reserve_for_unreachable(
+            account
+        )  # what is left to others is reckoned up to now
+        aside = {
+            number: pytest.approx(units)
+            for number, units in account.reserved_for_unreachable.items()
+        }
         found.append(
             (
-                pytest.approx(account.budget.level),
-                account.budget.rate,
+                pytest.approx(account.quota.level),
+                account.quota.rate,
                 account.hubs,
                 aside,
-                account.apart,
+                account.unreachable,
             )
         )
     return found
@@ -810,7 +855,7 @@
     quick = kept_apart(sets, told)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
-            "hazelhollow.decisions.state.accounts._mask_of_set",
+            "hazelhollow.decisions.state.accounts._set_mask",
             lambda first, spread, gateways: (1 << gateways) - 1,
         )
         assert quick == kept_apart(sets, told)
@@ -820,12 +865,15 @@
     gateway = make(1, limiter_count=LIMITERS, gossip_messages_per_s=60.0)
     gateway.handle(api.MembershipChanged(True, tuple(range(LIMITERS))), 100.0)
     for number in range(LIMITERS):
-        gateway._account(gossip.base36(number), gateway.plans["basic"], number, 40)
+        gateway.customer_accounts.get(
+            gossip.base36(number), gateway.context.plans["basic"], number, 40
+        )
     looked_at = list[Any]()
-    gateway.leave_to_lost = looked_at.append  # type: ignore[method-assign, assignment]
+    gateway.customer_accounts.reserve_for_unreachable = looked_at.append  # type: ignore[method-assign, assignment]
     gateway.handle(
         api.MembershipChanged(True, tuple(range(1, LIMITERS)), unreachable_but_serving=(0,)), 101.0
     )
-    assert {account.first for account in looked_at} == {0, *range(LIMITERS - 39, LIMITERS)} and len(
-        looked_at
-    ) == 40
+    assert {account.set_start for account in looked_at} == {
+        0,
+        *range(LIMITERS - 39, LIMITERS),
+    } and len(looked_at) == 40
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -271,11 +271,11 @@
     one = gateway()
     let_in(one, 1000.1, 0.05)
     account = next(iter(one.accounts.values()))
-    account.budget.level = 40.0
+    account.quota.level = 40.0
     one.handle(view(lost=(1, 2)), 1001.0)
-    assert account.budget.level == pytest.approx(24.0) and account.budget.most == 24.0
+    assert account.quota.level == pytest.approx(24.0) and account.quota.capacity == 24.0
     one.handle(view(), 1001.0)
-    assert account.budget.level == pytest.approx(24.0) and account.budget.most == 40.0
+    assert account.quota.level == pytest.approx(24.0) and account.quota.capacity == 40.0
 
 
 @pytest.mark.parametrize(("viewed", "level"), [(False, 40.0), (True, 8.0 + 0.5 * 32.0)])
@@ -290,23 +290,26 @@
         if before:
             ask(one, 1000.02, "look", plan_name="keeps", set_size=5, units=1e-6)
         for peer in (1, 2, 3, 4):
-            one.handle(api.GossipReceived(peer, gossip.head(1000, 0.0, one.incarnation)), 1000.03)
+            one.handle(
+                api.GossipReceived(peer, gossip.encode_header(1000, 0.0, one.context.incarnation)),
+                1000.03,
+            )
         ask(one, 1000.04, "look", plan_name="keeps", set_size=5, units=1e-6)
-        assert one.whole and next(iter(one.accounts.values())).budget.level == pytest.approx(
-            level, abs=1.0
-        )
+        assert one.startup.all_started_together and next(
+            iter(one.accounts.values())
+        ).quota.level == pytest.approx(level, abs=1.0)
 
 
 def test_what_nobody_used_is_credited_to_those_that_the_customer_comes_through() -> None:
     one = gateway()
     let_in(one, 1000.1, 4.0)
     account = next(iter(one.accounts.values()))
-    account.budget.level = 0.0
-    one.handle(view(unused=((1, 2.0),)), account.budget.at)
-    assert account.budget.level == pytest.approx(20.0 / 5 * 2.0)
-    account.first, account.spread = 0, 1
-    one.handle(view(unused=((1, 2.0),)), account.budget.at)
-    assert account.budget.level == pytest.approx(8.0)
+    account.quota.level = 0.0
+    one.handle(view(unused=((1, 2.0),)), account.quota.updated_at)
+    assert account.quota.level == pytest.approx(20.0 / 5 * 2.0)
+    account.set_start, account.set_size = 0, 1
+    one.handle(view(unused=((1, 2.0),)), account.quota.updated_at)
+    assert account.quota.level == pytest.approx(8.0)
 
 
 def test_a_large_set_whose_hubs_cannot_be_heard_has_others() -> None:
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -566,7 +566,7 @@
     one = gateway()
     one.handle(api.MembershipChanged(False, (0, 1, 2)), 1000.1)
     refused = only(ask(one, 1000.2, "look"), api.RejectRequest)[0]
-    assert refused.reason == "away" and one.held == {}
+    assert refused.reason == "away" and one.pending_requests == {}
     one.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.3)
     assert only(ask(one, 1000.4, "look"), api.StartAttempt)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,8 +14,9 @@
 from hypothesis import strategies as st
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import NEVER_RAN, DecisionEngine
-from hazelhollow.decisions.gossip.codec import MOST_BYTES, base36, incarnation
+from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.decisions.gossip.codec import MAX_DATAGRAM_BYTES, base36, incarnation_name
+from hazelhollow.decisions.retry import NEVER_RAN
 
 LOOKUP = api.RequestClass(
     "lookup", latency_objective=1.0, deadline=4.0, priority_weight=1.0, effect="safe"
@@ -153,7 +154,7 @@
     (send,) = only(ask(gateway, 100.0, units=2.0), api.StartAttempt)
     (again,) = only(answer(gateway, send, 100.1, "error", true_units=4.0), api.StartAttempt)
     gateway.handle(api.AttemptEnded(again.id, 1, again.endpoint, "ok", 0.1, True, 4.0), 100.2)
-    assert next(iter(gateway.accounts.values())).budget.level == pytest.approx(12.0 - 4.0, abs=1.0)
+    assert next(iter(gateway.accounts.values())).quota.level == pytest.approx(12.0 - 4.0, abs=1.0)
 
 
 def test_excess_is_refused_with_the_time_until_it_fits() -> None:
@@ -228,7 +229,7 @@
     told: set[str] = set()
     for flush in range(8):
         for message in tell(one, 100.1 + flush / 100, to=1):
-            assert len(message.text) <= MOST_BYTES
+            assert len(message.text) <= MAX_DATAGRAM_BYTES
             told |= {word.split(":")[0] for word in message.text.split() if ":" in word}
     assert len(told) == 60
 
@@ -264,7 +265,7 @@
     gateway = make(0)
     fields = {"k": _key_of("c"), "p": base36(100 % 36), "old": base36(97 % 36)}
     gateway.handle(api.GossipReceived(1, text.format(**fields)), 100.0)
-    assert spend(gateway, 100.0, 30) == 12 and not gateway.servers["s0"].health
+    assert spend(gateway, 100.0, 30) == 12 and not gateway.endpoints["s0"].outlier_records
 
 
 @pytest.mark.parametrize("sender", [7, -1, 0])
@@ -312,7 +313,7 @@
     answer(gateway, send, 100.1)
     assert answer(gateway, send, 100.2, "timeout") == []
     assert gateway.handle(api.ClientDisconnected(send.id), 100.3) == []
-    assert gateway.held == {}
+    assert gateway.pending_requests == {}
 
 
 STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "never_sent")
@@ -330,7 +331,7 @@
 ) -> None:
     gateway, now = make(), 100.0
     actions = ask(gateway, now, kind)
-    zones = {s.entry.name: s.entry.zone for s in gateway.servers.values()}
+    zones = {s.entry.name: s.entry.zone for s in gateway.endpoints.values()}
     ran: list[tuple[str, float]] = []
     for number, status in enumerate([*statuses, "timeout", "timeout", "timeout"]):
         sends = only(actions, api.StartAttempt)
@@ -343,7 +344,7 @@
             for send in sends:
                 assert zones[send.endpoint] == ran[0][0] and now < ran[0][1] + HOLD.dedup_window
         if finals:
-            assert gateway.held == {}
+            assert gateway.pending_requests == {}
             return
         sent_at, now = now, now + waits[number % 4]
         if status not in NEVER_RAN:
@@ -352,7 +353,7 @@
         event = api.AttemptEnded(sends[0].id, number, sends[0].endpoint, status, 0.1, final=final)  # type: ignore[arg-type]
         actions = gateway.handle(event, now)
         if final:
-            assert not only(actions, api.StartAttempt) and gateway.held == {}
+            assert not only(actions, api.StartAttempt) and gateway.pending_requests == {}
             return
     raise AssertionError("never ended")
 
@@ -396,7 +397,7 @@
         number = chance.choice((0, 0, 0, 1, 2))
         if chance.random() < 0.002:
             fleet[number] = make(number)
-            fleet[number].born = now
+            fleet[number].context.started_at = now
         units = float(chance.randint(1, 4))
         for send in only(ask(fleet[number], now, plan_name="hard", units=units), api.StartAttempt):
             level -= units
@@ -414,19 +415,23 @@
             answer(gateway, send, 100.0 + i * 0.01)
     for i in range(200):
         gateway.handle(api.TimerFired("beat"), 130.0 + i / 10)
-    assert not gateway.accounts and not gateway.held and not any(gateway.dirty.values())
+    assert (
+        not gateway.accounts
+        and not gateway.pending_requests
+        and not any(gateway.gossip.unsent.values())
+    )
 
 
 def test_costly_requests_do_not_pass_for_a_slow_server() -> None:
     gateway = make()
-    server = gateway.servers["s0"]
+    server = gateway.endpoints["s0"]
     for i in range(40):
         (send,) = only(ask(gateway, 100.0 + i, customer=f"{i}"), api.StartAttempt)
         cost = 20.0 if i % 20 == 0 else 0.1
         gateway.handle(
             api.AttemptEnded(send.id, 0, send.endpoint, "ok", cost, final=True), 100.5 + i
         )
-    assert all(s.pace < 2.0 for s in gateway.servers.values()) and server.pace > 0
+    assert all(s.work_factor < 2.0 for s in gateway.endpoints.values()) and server.work_factor > 0
 
 
 def test_a_long_aim_does_not_let_a_cheap_class_shut_out_a_dear_one() -> None:
@@ -437,14 +442,17 @@
         "cheap", latency_objective=9.0, deadline=20.0, priority_weight=1.0, effect="safe"
     )
     gateway = make(classes=(dear, cheap))
-    assert gateway._limit(cheap) == 1.0 and gateway._limit(dear) == 1.0
+    assert (
+        gateway.load_shedding.wait_limit(cheap) == 1.0
+        and gateway.load_shedding.wait_limit(dear) == 1.0
+    )
 
 
 def test_under_pressure_a_retry_past_its_aim_yields_to_one_that_can_be_in_time() -> None:
     gateway = make()
-    for server in gateway.servers.values():
+    for server in gateway.endpoints.values():
         # seconds of work: a wait between the two limits
-        server.out["other", 0], server.since = 0.4, 100.0
+        server.in_flight["other", 0], server.last_progress_at = 0.4, 100.0
     assert only(ask(gateway, 100.1, customer="a", time_left=2.5), api.RejectRequest)
     assert only(ask(gateway, 100.1, customer="b", time_left=4.0), api.StartAttempt)
     assert only(ask(gateway, 100.1, customer="c", time_left=3.5), api.StartAttempt)
@@ -461,8 +469,8 @@
     for turn in range(6 if not marks else 0):
         spend(gateway, 100.0, 1, customer=f"{turn}", time_left=2.4 + turn / 1000)
         spend(gateway, 100.0, 1, customer=f"r{turn}", time_left=3.9)
-    for server in gateway.servers.values():
-        server.out["other", 0], server.since = 0.4, 100.0
+    for server in gateway.endpoints.values():
+        server.in_flight["other", 0], server.last_progress_at = 0.4, 100.0
     assert only(ask(gateway, 100.1, customer="a", time_left=2.4), api.StartAttempt)
     assert only(ask(gateway, 100.1, customer="b", time_left=2.0, is_retry=marks), api.RejectRequest)
 
@@ -477,8 +485,8 @@
     spend(gateway, 100.0, 1, customer="first", time_left=4.0)
     for turn in range(6):
         spend(gateway, 100.0, 1, customer=f"{turn}", time_left=2.4)
-    for server in gateway.servers.values():
-        server.out["other", 0], server.since = 0.7 if gateways > 8 else 0.4, 100.0
+    for server in gateway.endpoints.values():
+        server.in_flight["other", 0], server.last_progress_at = 0.7 if gateways > 8 else 0.4, 100.0
     late = [
         action.reason
         for action in only(ask(gateway, 100.1, customer="a", time_left=2.4), api.RejectRequest)
@@ -488,8 +496,8 @@
 
 def test_advice_under_pressure_lets_an_obedient_retry_be_in_time() -> None:
     gateway = make()
-    for server in gateway.servers.values():
-        server.out["other", 0] = 9.0
+    for server in gateway.endpoints.values():
+        server.in_flight["other", 0] = 9.0
     (refusal,) = only(ask(gateway, 100.0), api.RejectRequest)
     assert 0 < refusal.retry_after < LOOKUP.latency_objective / 2
 
@@ -533,7 +541,12 @@
             servers("change", entry(f"s{second % 4}", started=float(second))), second + 0.5
         )
         most = max(most, len(gateway.accounts))
-    assert most <= 20 * 5 and not gateway.held and not gateway.failed and len(gateway.servers) == 4
+    assert (
+        most <= 20 * 5
+        and not gateway.pending_requests
+        and not gateway.outliers.recent_failures
+        and len(gateway.endpoints) == 4
+    )
 
 
 def test_an_account_whose_charges_are_still_told_is_not_forgotten_in_between() -> None:
@@ -588,11 +601,13 @@
     """
     for plan, most in (("basic", basic), ("hard", hard)):
         gateway = make()
-        gateway.born, gateway.incarnation = 1000.0, incarnation(1000.0)
+        gateway.context.started_at, gateway.context.incarnation = 1000.0, incarnation_name(1000.0)
         let_in = [ask(gateway, 1000.0, plan_name=plan)]
         for peer, start in enumerate(incarnations, 1):
             gateway.handle(
-                api.GossipReceived(peer, f"h{base36(1000 % 36)}0{incarnation(1000.0 + start)}"),
+                api.GossipReceived(
+                    peer, f"h{base36(1000 % 36)}0{incarnation_name(1000.0 + start)}"
+                ),
                 1000.0,
             )
         let_in += [ask(gateway, 1000.0, plan_name=plan) for _ in range(30)]
@@ -635,7 +650,7 @@
         gateway = make(plans=(quick,))
         ask(gateway, 1.9, plan_name="quick", units=0.001)
         gateway.handle(api.GossipReceived(1, f"h10x {key}:0:0:3:0:{base36(10 * heard)}"), 1.9)
-        gateway.accounts[key].budget.level = 10.0
+        gateway.accounts[key].quota.level = 10.0
         assert (
             sum(
                 bool(only(ask(gateway, 1.9, plan_name="quick"), api.StartAttempt))
@@ -656,9 +671,9 @@
                 api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.02, True), 1.02 + number / 10
             )
     (send,) = only(ask(gateway, 5.0, kind), api.StartAttempt)
-    gateway.wait = wait
+    gateway.load.queue_wait = wait
     if answers:
-        gateway.servers[send.endpoint].since = 5.7
+        gateway.endpoints[send.endpoint].last_progress_at = 5.7
     cancels = only(gateway.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
     actions = [
         gateway.handle(api.AttemptEnded(c.id, c.attempt, send.endpoint, "cancelled", 0.75), 5.75)
@@ -673,7 +688,7 @@
     (other,), first = hung(gateway, "lookup", 0.0, answers)
     assert other != first
     # one answer that is lost is no failing server
-    assert bool(gateway.servers[first].health) is not answers
+    assert bool(gateway.endpoints[first].outlier_records) is not answers
 
 
 def test_what_hangs_stays_in_an_overload_and_where_it_may_not_be_repeated() -> None:
@@ -685,8 +700,8 @@
 def test_a_server_that_answers_nothing_gets_nothing_new() -> None:
     gateway = make()
     (hangs,) = only(ask(gateway, 1.0), api.StartAttempt)
-    for name, server in gateway.servers.items():
-        server.pace = 1.0 if name == hangs.endpoint else 5.0  # else it would be the best
+    for name, server in gateway.endpoints.items():
+        server.work_factor = 1.0 if name == hangs.endpoint else 5.0  # else it would be the best
     later = set()
     for number in range(40):
         (send,) = only(ask(gateway, 1.9, customer=str(number)), api.StartAttempt)
--- a/tests/test_gossip_budget.py
+++ b/tests/test_gossip_budget.py
@@ -16,7 +16,13 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
-from hazelhollow.decisions.gossip.outbox import HEADER, MOST_WAITING, News, Outbox
+from hazelhollow.decisions.gossip.outbox import (
+    HEADER_BYTES,
+    MAX_WAITING,
+    GossipOutbox,
+    PendingUpdate,
+)
+from hazelhollow.decisions.gossip.scheduler import GossipScheduler
 from tests.test_gateway import answer, ask, make, only, spend
 
 BUDGET = 600.0  # bytes a second
@@ -44,7 +50,7 @@
 
 
 def key(gateway: DecisionEngine, customer: str) -> str:
-    return gateway._key(customer)
+    return gateway.customer_accounts.key_of_customer(customer)
 
 
 @hyp(max_examples=30, deadline=None)
@@ -65,7 +71,7 @@
                 if event
                 else ask(gateway, now, customer=f"{customer}", units=float(units), set_size=spread)
             )
-            sent += [(now, len(t.text) + HEADER) for t in told(actions)]
+            sent += [(now, len(t.text) + HEADER_BYTES) for t in told(actions)]
             for send in only(actions, api.StartAttempt):
                 answer(gateway, send, now)
     for first in range(len(sent)):
@@ -99,7 +105,7 @@
 
 def test_small_charges_of_a_calm_customer_are_told_at_each_beat_and_only_what_is_new() -> None:
     gateway = budgeted()
-    gateway.outbox.bytes.most = 100 * BUDGET  # type: ignore[union-attr]  # so that there is not plenty
+    gateway.gossip.outbox.bytes.capacity = 100 * BUDGET  # type: ignore[union-attr]  # so that there is not plenty
     for now in (101.1, 101.4, 101.7):
         ask(gateway, now, units=1.0)
         assert words(told(gateway.handle(api.TimerFired("beat"), now + 0.1)), 1) == [
@@ -113,19 +119,19 @@
 
 def test_news_that_nobody_can_use_any_more_are_dropped_and_not_rendered() -> None:
     gateway = budgeted()
-    gateway.outbox.bytes.rate = 0.0  # type: ignore[union-attr]
-    gateway.outbox.bytes.level = 0.0  # type: ignore[union-attr]
+    gateway.gossip.outbox.bytes.rate = 0.0  # type: ignore[union-attr]
+    gateway.gossip.outbox.bytes.level = 0.0  # type: ignore[union-attr]
     ask(gateway, 101.1, units=4.0)
-    gateway.outbox.bytes.rate = BUDGET  # type: ignore[union-attr]
+    gateway.gossip.outbox.bytes.rate = BUDGET  # type: ignore[union-attr]
     rendered: list[str] = []
-    gateway.charge_word = lambda name, period: rendered.append(name) or ""  # type: ignore[assignment, method-assign, func-returns-value]
+    gateway.composer.charge_report = lambda name, period: rendered.append(name) or ""  # type: ignore[method-assign, func-returns-value]
     gateway.handle(api.TimerFired("beat"), 110.0)
-    assert not rendered and not gateway.outbox.waiting  # type: ignore[union-attr]
+    assert not rendered and not gateway.gossip.outbox.waiting  # type: ignore[union-attr]
 
 
 def test_news_that_became_useless_while_they_waited_are_neither_rendered_nor_told() -> None:
     worth = {"kept": 1.0, "gone": 1.0}
-    outbox, rendered = Outbox(BUDGET, lambda peer, news: worth[news[0]]), list[str]()
+    outbox, rendered = GossipOutbox(BUDGET, lambda peer, news: worth[news[0]]), list[str]()
     for name in worth:
         assert outbox.put(1, (name, 5), "")
     worth["gone"] = 0.0
@@ -134,38 +140,38 @@
         rendered.append(name)
         return f" {name}"
 
-    line = outbox.take(1, "head", render, lambda news: 1.0)
+    line = outbox.fill_datagram(1, "head", render, lambda news: 1.0)
     assert line == "head kept" and rendered == ["kept"]
-    assert list(outbox.told) == [(1, "kept", 5)] and not outbox.waiting
+    assert list(outbox.sent_units) == [(1, "kept", 5)] and not outbox.waiting
 
 
 def test_what_was_told_and_what_waits_of_old_periods_is_forgotten() -> None:
     gateway = budgeted()
-    assert gateway.outbox
+    assert gateway.gossip.outbox
     ask(gateway, 101.1, units=2.0)
     assert told(gateway.handle(api.TimerFired("beat"), 101.2))
-    assert gateway.outbox.told
-    gateway.outbox.bytes.rate = gateway.outbox.bytes.level = 0.0
+    assert gateway.gossip.outbox.sent_units
+    gateway.gossip.outbox.bytes.rate = gateway.gossip.outbox.bytes.level = 0.0
     ask(gateway, 101.3, units=2.0)
-    assert gateway.outbox.waiting
+    assert gateway.gossip.outbox.waiting
     gateway.handle(api.TimerFired("beat"), 110.0)
-    assert not gateway.outbox.told and not gateway.outbox.waiting
+    assert not gateway.gossip.outbox.sent_units and not gateway.gossip.outbox.waiting
 
 
 def test_what_waits_is_bounded_and_the_most_useful_stays() -> None:
-    outbox = Outbox(BUDGET, lambda peer, news: 1.0 + news[1])
-    for number in range(10 * MOST_WAITING):
+    outbox = GossipOutbox(BUDGET, lambda peer, news: 1.0 + news[1])
+    for number in range(10 * MAX_WAITING):
         outbox.put(1, (f"k{number}", number % 977), "")
-    assert len(outbox.waiting[1]) <= MOST_WAITING
+    assert len(outbox.waiting[1]) <= MAX_WAITING
     assert max(period for _, period in outbox.waiting[1]) == 976
 
 
 def test_without_a_budget_nothing_is_held_back_and_a_large_fleet_is_told_at_once() -> None:
-    assert make(0).outbox is None
+    assert make(0).gossip.outbox is None
     assert told(ask(make(0, limiter_count=40), 100.0, set_size=30))
     scarce = budgeted(40)
     assert told(ask(scarce, 100.1, set_size=30, units=4.0))  # there is plenty
-    scarce.outbox.bytes.level = scarce.outbox.bytes.most / 2 - 1.0  # type: ignore[union-attr]
+    scarce.gossip.outbox.bytes.level = scarce.gossip.outbox.bytes.capacity / 2 - 1.0  # type: ignore[union-attr]
     assert not told(ask(scarce, 100.1, set_size=30, units=4.0, customer="d"))
     # by then there is room for a whole datagram
     assert told(scarce.handle(api.TimerFired("beat"), 100.4))
@@ -195,9 +201,9 @@
         actions += asked
         for send in only(asked, api.StartAttempt):
             actions += answer(gateway, send, now + 0.01)
-        text = gossip.head(int(now) % 36, 0.1, "abc") + gossip.write(
-            gossip.Charge(
-                key(gateway, f"{customer}"), gossip.tag("basic"), 0, spread, 0, float(units)
+        text = gossip.encode_header(int(now) % 36, 0.1, "abc") + gossip.encode(
+            gossip.ChargeReport(
+                key(gateway, f"{customer}"), gossip.name_tag("basic"), 0, spread, 0, float(units)
             )
         )
         actions += gateway.handle(api.GossipReceived(sender, text), now + 0.01)
@@ -220,21 +226,23 @@
     """Against a gateway whose code for the budget is not there at all."""
     gateways, spread = size
 
-    class WithoutBudget(DecisionEngine):
-        def put_in_outbox(self, peer: int, news: News, word: str) -> None:
+    class WithoutBudget(GossipScheduler):
+        def _enqueue_under_budget(
+            self, outbox: GossipOutbox, peer: int, update: PendingUpdate, text: str
+        ) -> None:
             raise AssertionError("there is no budget")
 
-        def tell_most_useful(self, at_once: bool = False) -> None:
+        def _tell_most_useful(self, at_once: bool = False) -> None:
             return
 
-        def _worth(self, peer: int, news: News) -> float:
+        def usefulness(self, peer: int, update: PendingUpdate) -> float:
             raise AssertionError("there is no budget")
 
     without, with_field = (
         make(0, limiter_count=gateways),
         make(0, limiter_count=gateways, gossip_bytes_per_s=0.0),
     )
-    without.__class__ = WithoutBudget
+    without.gossip.__class__ = WithoutBudget
     expected = drawn_run(without, events, spread)
     assert drawn_run(with_field, events, spread) == expected
     if events:
@@ -246,23 +254,29 @@
     looked_at = {}
     for customers in (100, 10_000):
         gateway = budgeted(40)
-        assert gateway.outbox
-        gateway.outbox.bytes.rate = gateway.outbox.bytes.level = 0.0  # all of it waits
+        assert gateway.gossip.outbox
+        gateway.gossip.outbox.bytes.rate = gateway.gossip.outbox.bytes.level = (
+            0.0  # all of it waits
+        )
         gateway.handle(api.TimerFired("beat"), 100.5)
         for number in range(customers):
-            gateway._mark([1, 2, 3, 4], account_of(gateway, number), gateway.period)
-        gateway.outbox.bytes.rate, gateway.outbox.bytes.level = BUDGET, BUDGET
-        worth = Mock(side_effect=gateway.outbox._worth)
-        gateway.outbox._worth = worth
+            gateway.gossip.enqueue(
+                [1, 2, 3, 4], account_of(gateway, number), gateway.context.period
+            )
+        gateway.gossip.outbox.bytes.rate, gateway.gossip.outbox.bytes.level = BUDGET, BUDGET
+        worth = Mock(side_effect=gateway.gossip.outbox._usefulness)
+        gateway.gossip.outbox._usefulness = worth
         datagrams = len(told(gateway.handle(api.TimerFired("beat"), 100.6)))
         assert datagrams >= 1
         looked_at[customers] = worth.call_count / datagrams
-    assert looked_at[10_000] <= MOST_WAITING and looked_at[100] <= 100
+    assert looked_at[10_000] <= MAX_WAITING and looked_at[100] <= 100
 
 
 def account_of(gateway: DecisionEngine, number: int) -> str:
     """Of a customer that was charged something in this period."""
-    account = gateway._account(gossip.base36(number), gateway.plans["basic"], 0, 30)
-    account.totals.turn(gateway.period)
-    account.totals.charge(4.0, gateway.period)
+    account = gateway.customer_accounts.get(
+        gossip.base36(number), gateway.context.plans["basic"], 0, 30
+    )
+    account.charges.advance(gateway.context.period)
+    account.charges.charge(4.0, gateway.context.period)
     return account.name
--- a/tests/test_gossip_settings.py
+++ b/tests/test_gossip_settings.py
@@ -51,12 +51,12 @@
     ask(old, 1000.1, "look", plan_name="gold", set_size=2, units=5.0)
     told(old, new, 1000.2)
     (account,) = new.accounts.values()
-    assert account.plan == GOLD and sum(account.totals.heard.values()) == 5.0
+    assert account.plan == GOLD and sum(account.charges.reported.values()) == 5.0
     # And the other way, where its place is beyond the end of the list.
     ask(new, 1000.3, "look", plan_name="gold", set_size=2, units=7.0, customer="d")
     told(new, old, 1000.4)
     assert [a.plan.name for a in old.accounts.values()] == ["gold", "gold"]
-    assert sum(list(old.accounts.values())[1].totals.heard.values()) == 7.0
+    assert sum(list(old.accounts.values())[1].charges.reported.values()) == 7.0
 
 
 def same_key(gateway: DecisionEngine) -> tuple[str, str]:
@@ -64,7 +64,7 @@
     seen: dict[str, str] = {}
     for number in range(200_000):
         customer = f"{number:016x}"
-        other = seen.setdefault(gateway._key(customer), customer)
+        other = seen.setdefault(gateway.customer_accounts.key_of_customer(customer), customer)
         if other != customer:
             return other, customer
     raise AssertionError("none found")
@@ -77,11 +77,11 @@
     ask(one, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
     ask(one, 1000.3, "look", plan_name="bronze", set_size=2, customer=bronze)
     told(one, peer, 1000.4)
-    assert {(a.plan.name, a.totals.sum()) for a in one.accounts.values()} == {
+    assert {(a.plan.name, a.charges.open_total()) for a in one.accounts.values()} == {
         ("bronze", 2.0),
         ("gold", 5.0),
     }
-    assert {(a.plan.name, sum(a.totals.heard.values())) for a in peer.accounts.values()} == {
+    assert {(a.plan.name, sum(a.charges.reported.values())) for a in peer.accounts.values()} == {
         ("bronze", 2.0),
         ("gold", 5.0),
     }
@@ -94,7 +94,7 @@
     del one.accounts[next(iter(one.accounts))]
     ask(one, 1000.3, "look", plan_name="gold", set_size=2)
     (account,) = one.accounts.values()
-    assert account.plan == GOLD and account.totals.sum() == 2.0
+    assert account.plan == GOLD and account.charges.open_total() == 2.0
 
 
 def test_a_plan_that_these_settings_do_not_have_costs_its_word_alone_and_is_said_once() -> None:
@@ -110,19 +110,23 @@
     ]
     assert [a.plan.name for a in old.accounts.values()] == ["gold"]
     assert len(said) == 1 and "do not have" in said[0]
-    assert sum(old.unread.values()) >= 3
+    assert sum(old.receiver.unusable.values()) >= 3
 
 
 def test_the_dialect_before_this_one_is_understood() -> None:
     """Words kept on file: a program of the release before wrote them."""
     one = gateway(0, BRONZE, GOLD)
-    incarnation = gossip.incarnation(1000.0)
+    incarnation = gossip.incarnation_name(1000.0)
     one.handle(
         api.GossipReceived(1, f"h{gossip.base36(1000 % 36)}0{incarnation} 1abcd:1:0:2:0:1e 0zz=5"),
         1000.1,
     )
     (account,) = one.accounts.values()
-    assert account.plan == GOLD and sum(account.totals.heard.values()) == 5.0 and not one.unread
+    assert (
+        account.plan == GOLD
+        and sum(account.charges.reported.values()) == 5.0
+        and not one.receiver.unusable
+    )
 
 
 @pytest.mark.parametrize(
@@ -130,14 +134,14 @@
 )
 def test_a_dialect_that_is_newer_is_refused_whole_counted_and_said_once(text: str) -> None:
     one = gateway(0, GOLD)
-    text = text.format(period=gossip.base36(1000 % 36), life=gossip.incarnation(1000.0))
+    text = text.format(period=gossip.base36(1000 % 36), life=gossip.incarnation_name(1000.0))
     said = [
         a
         for _ in range(3)
         for a in one.handle(api.GossipReceived(1, text), 1000.1)
         if isinstance(a, api.WriteLog)
     ]
-    assert not one.accounts and sum(one.unread.values()) == 3 and len(said) == 1
+    assert not one.accounts and sum(one.receiver.unusable.values()) == 3 and len(said) == 1
 
 
 def test_a_failure_of_one_class_is_not_taken_for_another_at_its_place() -> None:
@@ -145,28 +149,31 @@
         gateway(0, GOLD, classes=(SLOW,), gateways=12),
         gateway(1, GOLD, classes=(LOOK, SLOW), gateways=12),
     )
-    tag = new.servers["s1"].tag
-    for kind, name in ((gossip.tag("slow"), "slow"), (gossip.EVERY, "")):
-        text = gossip.head(1000, 0.0, gossip.incarnation(1000.0)) + gossip.write(
-            gossip.Failed(tag, kind)
+    tag = new.endpoints["s1"].tag
+    for kind, name in ((gossip.name_tag("slow"), "slow"), (gossip.EVERY_CLASS, "")):
+        text = gossip.encode_header(1000, 0.0, gossip.incarnation_name(1000.0)) + gossip.encode(
+            gossip.FailureReport(tag, kind)
         )
         new.handle(api.GossipReceived(old.settings.limiter_id, text), 1000.1)
-        assert name in new.servers["s1"].health and "look" not in new.servers["s1"].health
+        assert (
+            name in new.endpoints["s1"].outlier_records
+            and "look" not in new.endpoints["s1"].outlier_records
+        )
 
 
 def test_classes_read_again_are_told_by_their_new_names() -> None:
     one = gateway(0, GOLD, gateways=12)
     one.retune(replace(one.settings, classes=(LOOK, SLOW)))
-    text = gossip.head(1000, 0.0, gossip.incarnation(1000.0)) + gossip.write(
-        gossip.Failed(one.servers["s1"].tag, gossip.tag("slow"))
+    text = gossip.encode_header(1000, 0.0, gossip.incarnation_name(1000.0)) + gossip.encode(
+        gossip.FailureReport(one.endpoints["s1"].tag, gossip.name_tag("slow"))
     )
     one.handle(api.GossipReceived(1, text), 1000.1)
-    assert "slow" in one.servers["s1"].health and not one.unread
+    assert "slow" in one.endpoints["s1"].outlier_records and not one.receiver.unusable
 
 
 words = st.one_of(
     st.builds(
-        gossip.Charge,
+        gossip.ChargeReport,
         st.just("1abcd"),
         st.sampled_from(["p1", "p2"]),
         st.integers(0, 2),
@@ -176,19 +183,22 @@
         st.integers(0, 9),
     ),
     st.builds(
-        gossip.Spent, st.just("1abcd"), st.sampled_from(["p1", "p2"]), st.integers(0, 99).map(float)
+        gossip.SpentReport,
+        st.just("1abcd"),
+        st.sampled_from(["p1", "p2"]),
+        st.integers(0, 99).map(float),
     ),
-    st.builds(gossip.Failed, st.just("0zz"), st.sampled_from(["c1", gossip.EVERY])),
+    st.builds(gossip.FailureReport, st.just("0zz"), st.sampled_from(["c1", gossip.EVERY_CLASS])),
 )
 
 
 @given(st.lists(words, max_size=6))
 def test_whatever_is_written_is_read_by_its_names_under_any_order_of_settings(
-    said: list[gossip.Word],
+    said: list[gossip.Report],
 ) -> None:
-    text = gossip.head(5, 0.0, "abc") + "".join(gossip.write(word) for word in said)
+    text = gossip.encode_header(5, 0.0, "abc") + "".join(gossip.encode(word) for word in said)
     for plans in (["p1", "p2"], ["p2", "x", "p1"]):
-        message = gossip.read(text, plans, 3, ["c0", "c1"])
-        assert message is not None and list(message.words) == said and message.unknown == 0
-    fewer = gossip.read(text, ["p1"], 3, ["c1"])
-    assert fewer is not None and len(fewer.words) + fewer.unknown == len(said)
+        message = gossip.GossipDecoder(plans, 3, ["c0", "c1"]).decode(text)
+        assert message is not None and list(message.reports) == said and message.unknown == 0
+    fewer = gossip.GossipDecoder(["p1"], 3, ["c1"]).decode(text)
+    assert fewer is not None and len(fewer.reports) + fewer.unknown == len(said)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -9,8 +9,9 @@
 import pytest
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import PASS_ON, DecisionEngine
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.gossip.composer import RELAY_AGE_S
 from tests.test_gateway import BASIC, LOOKUP, answer, ask, entry, make, only, servers
 from tests.test_gossip_settings import same_key
 
@@ -57,9 +58,9 @@
         sent += len(only(actions, api.StartAttempt))
         deliver(gateways, me, actions, 100.0 + turn / 100)
         if turn == 0:
-            assert not any(a.telling for g in gateways for a in g.accounts.values())
+            assert not any(a.has_announcement for g in gateways for a in g.accounts.values())
     assert 4 <= sent <= 8  # 12 of burst and 4 a second, 2 a request
-    assert sum(a.telling for g in gateways for a in g.accounts.values()) >= SPREAD - 1
+    assert sum(a.has_announcement for g in gateways for a in g.accounts.values()) >= SPREAD - 1
 
 
 def test_a_large_set_tells_two_customers_of_one_key_apart_by_their_plans() -> None:
@@ -79,9 +80,9 @@
         sent += len(only(actions, api.StartAttempt))
         deliver(gateways, me, actions, now)
     assert 4 <= sent <= 8
-    telling = [a.plan.name for g in gateways for a in g.accounts.values() if a.telling]
+    telling = [a.plan.name for g in gateways for a in g.accounts.values() if a.has_announcement]
     assert len(telling) >= SPREAD - 1 and set(telling) == {"basic"}
-    assert not any(g.unread for g in gateways)
+    assert not any(g.receiver.unusable for g in gateways)
 
 
 @pytest.mark.parametrize("run", range(4))
@@ -111,7 +112,7 @@
         if chance.random() < 0.002:
             me = chance.randrange(FLEET)
             gateways[me] = make(me, limiter_count=FLEET)
-            gateways[me].incarnation = ""
+            gateways[me].context.incarnation = ""
     quota = BASIC.burst + BASIC.rate * (end - 100.0)
     assert 0.6 * quota <= 2.0 * admitted <= 1.25 * quota
 
@@ -153,7 +154,7 @@
 
 
 def told_of(gateway: DecisionEngine) -> bool:
-    return any(a.telling for a in gateway.accounts.values())
+    return any(a.has_announcement for a in gateway.accounts.values())
 
 
 def spend_in_vast(
@@ -210,17 +211,17 @@
     for gateway in (one, two):
         ask(gateway, 100.0, set_size=WIDE, customer="c")  # it knows the set now, and so the hubs
     (name,) = one.accounts
-    word = gossip.write(gossip.Spent(name, gossip.tag("basic"), 12.0))
-    one.handle(api.GossipReceived(first, gossip.head(100, 0.0, "aa") + word), 100.1)
+    word = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 12.0))
+    one.handle(api.GossipReceived(first, gossip.encode_header(100, 0.0, "aa") + word), 100.1)
     soon = only(ask(one, 100.2, set_size=WIDE, customer="d"), api.SendGossip)
     assert soon and all(word in t.text for t in soon)
     elsewhere = only(
         ask(one, 100.3, set_size=9, set_start=WIDE + 5, customer="f"), api.SendGossip
     )  # not of the set
     assert elsewhere and not any(word in t.text for t in elsewhere)
-    late = only(ask(one, 100.1 + PASS_ON, set_size=WIDE, customer="e"), api.SendGossip)
+    late = only(ask(one, 100.1 + RELAY_AGE_S, set_size=WIDE, customer="e"), api.SendGossip)
     assert late and not any(word in t.text for t in late)
-    two.handle(api.GossipReceived(me, gossip.head(100, 0.0, "aa") + word), 100.2)
+    two.handle(api.GossipReceived(me, gossip.encode_header(100, 0.0, "aa") + word), 100.2)
     assert told_of(two)
     onward = only(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
     assert onward and not any(word in t.text for t in onward)
@@ -232,8 +233,8 @@
     (send,) = only(ask(one, 100.0, set_size=WIDE, customer="c"), api.StartAttempt)
     answer(one, send, 100.1)
     (name,) = one.accounts
-    word = gossip.write(gossip.Spent(name, gossip.tag("basic"), 0.0))
-    one.handle(api.GossipReceived(first, gossip.head(110, 0.0, "aa") + word), 110.8)
+    word = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 0.0))
+    one.handle(api.GossipReceived(first, gossip.encode_header(110, 0.0, "aa") + word), 110.8)
     one.handle(api.TimerFired("beat"), 111.0)
     assert not one.accounts
     told = only(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
@@ -247,8 +248,8 @@
         one = make(3, limiter_count=VAST, gossip_messages_per_s=60.0)
         ask(one, 100.0, set_size=spread)
         (name,) = one.accounts
-        text = gossip.head(100, 0.0, "aa") + gossip.write(
-            gossip.Spent(name, gossip.tag("basic"), 3.0)
+        text = gossip.encode_header(100, 0.0, "aa") + gossip.encode(
+            gossip.SpentReport(name, gossip.name_tag("basic"), 3.0)
         )
         let_in[spread] = 0
         for _ in range(100):
@@ -264,9 +265,9 @@
     gateways = fleet(gossip_messages_per_s=60.0)
     ask(gateways[5], 100.0, set_size=SPREAD)
     (account,) = gateways[5].accounts.values()
-    word = gossip.write(gossip.Spent(account.name, gossip.tag("basic"), 12.0))
+    word = gossip.encode(gossip.SpentReport(account.name, gossip.name_tag("basic"), 12.0))
     gateways[5].handle(
-        api.GossipReceived(account.hubs[0], gossip.head(100, 0.0, "aa") + word), 100.1
+        api.GossipReceived(account.hubs[0], gossip.encode_header(100, 0.0, "aa") + word), 100.1
     )
     assert not any(
         word in t.text
@@ -276,13 +277,15 @@
 
 def test_a_restarted_hub_takes_the_level_from_the_other() -> None:
     hub = make(hubs_of(make(39, limiter_count=FLEET), 100.0)[0], limiter_count=FLEET)
-    hub.born = 100.0
+    hub.context.started_at = 100.0
     ask(hub, 100.0, set_size=SPREAD)
     (account,) = hub.accounts.values()
     (key,) = hub.accounts
-    text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Spent(key, gossip.tag("basic"), 12.0))
+    text = gossip.encode_header(100, 0.0, "aa") + gossip.encode(
+        gossip.SpentReport(key, gossip.name_tag("basic"), 12.0)
+    )
     hub.handle(api.GossipReceived(5, text), 100.1)
-    assert account.budget.level == pytest.approx(0.0)
+    assert account.quota.level == pytest.approx(0.0)
 
 
 def test_gossip_stays_within_what_a_gateway_may_take_in() -> None:
@@ -301,7 +304,7 @@
             servers("full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)),
             100.0,
         )
-        gateway.random.seed(me)
+        gateway.context.random.seed(me)
     chance, counts = random.Random(1), dict.fromkeys([*(f"s{i}" for i in range(12)), "cold"], 0)
     for i in range(2400):  # 8 a second at each of 100 gateways, for three seconds
         gateway, now = chance.choice(many), 100.0 + i / 800
@@ -326,7 +329,7 @@
     gateway = make()
     gateway.handle(api.TimerFired("beat"), 100.3)
     for _ in range(3):
-        gateway._failure(gateway.servers["s0"], "lookup")
+        gateway.outliers.record_failure(gateway.endpoints["s0"], "lookup")
     used = {"lookup": set[str](), "issue": set[str]()}
     for i in range(20):
         for kind, names in used.items():
@@ -339,9 +342,11 @@
 
 def test_failures_told_by_others_keep_a_class_from_a_server() -> None:
     gateway = make(0, limiter_count=FLEET)
-    tag = gateway.servers["s1"].tag
+    tag = gateway.endpoints["s1"].tag
     for sender in (4, 5, 6):
-        text = gossip.head(100, 0.0, "aa") + gossip.write(gossip.Failed(tag, gossip.tag("lookup")))
+        text = gossip.encode_header(100, 0.0, "aa") + gossip.encode(
+            gossip.FailureReport(tag, gossip.name_tag("lookup"))
+        )
         gateway.handle(api.GossipReceived(sender, text), 100.1)
     used = {
         s.endpoint
@@ -376,14 +381,14 @@
         ask(gateway, 100.0, customer=f"{i}")
     for beat in range(10):
         gateway.handle(api.TimerFired("beat"), 100.0 + beat / 10)
-    assert gateway.wait > 0.3 * LOOKUP.latency_objective
+    assert gateway.load.queue_wait > 0.3 * LOOKUP.latency_objective
 
 
 def test_an_answer_past_its_aim_while_others_hardly_wait_is_a_failure_of_its_server() -> None:
     gateway = make(0, limiter_count=FLEET)
     (send,) = only(ask(gateway, 100.0), api.StartAttempt)
     gateway.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 1.5, final=True), 101.5)
-    assert gateway.servers[send.endpoint].health["lookup"].failures == 1.0
+    assert gateway.endpoints[send.endpoint].outlier_records["lookup"].failures == 1.0
 
 
 def test_nothing_grows_with_one_request_customers_of_a_large_fleet() -> None:
@@ -395,7 +400,12 @@
             answer(gateway, send, 100.0 + i / 100)
     for i in range(900):
         gateway.handle(api.TimerFired("beat"), 140.0 + i / 10)
-    assert not gateway.accounts and not gateway.held and not gateway.dirty and not gateway.late
+    assert (
+        not gateway.accounts
+        and not gateway.pending_requests
+        and not gateway.gossip.unsent
+        and not gateway.gossip.overdue
+    )
 
 
 def fail(gateway: DecisionEngine, status: api.Status, count: int) -> None:
@@ -415,7 +425,7 @@
     gateway = make(0, limiter_count=FLEET)
     gateway.handle(servers("full", *(entry(f"s{i}") for i in range(60))), 100.0)
     fail(gateway, status, 30)
-    assert (gateway.wait > 0.35 * gateway.tight) == pressed
+    assert (gateway.load.queue_wait > 0.35 * gateway.load.tightest_objective) == pressed
 
 
 def test_a_host_that_refuses_a_connection_is_left_at_once_in_a_large_fleet_alone() -> None:
@@ -423,4 +433,4 @@
         gateway = make(0, limiter_count=gateways)
         (send,) = only(ask(gateway, 100.0), api.StartAttempt)
         gateway.handle(api.AttemptEnded(send.id, 0, send.endpoint, "connect_failed", 0.003), 100.01)
-        assert gateway.servers[send.endpoint].health[""].ejections == ejected
+        assert gateway.endpoints[send.endpoint].outlier_records[""].ejections == ejected
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -130,21 +130,21 @@
     (first,) = only(ask(gateway, 100.0, id="r1", kind="issue"), api.StartAttempt)
     gateway.retune(replace(gateway.settings, classes=gateway.settings.classes[:1]))
     answer(gateway, first, 100.1, "ok")  # its class is gone: it ends all the same
-    assert "r1" not in gateway.held or gateway.held["r1"].ended
+    assert "r1" not in gateway.pending_requests or gateway.pending_requests["r1"].ended
     # a class that is gone is sent nowhere
     assert not only(ask(gateway, 100.2, kind="issue"), api.StartAttempt)
 
 
 def test_how_long_clients_waited_under_another_deadline_says_nothing_of_now() -> None:
     gateway = make(0, limiter_count=20)
-    known = {name: gateway.patience[name] for name in ("lookup", "issue")}
+    known = {name: gateway.load_shedding.time_left[name] for name in ("lookup", "issue")}
     for patience in known.values():
-        assert patience.longest(3.0)
+        assert patience.is_longest(3.0)
     lookup, *rest = gateway.settings.classes
     gateway.retune(
         replace(gateway.settings, classes=(replace(lookup, deadline=lookup.deadline / 2), *rest))
     )
-    assert known["lookup"].longest(1.5) and not known["issue"].longest(1.5)
+    assert known["lookup"].is_longest(1.5) and not known["issue"].is_longest(1.5)
 
 
 def test_a_new_time_for_connections_to_come_up_holds_at_once() -> None:
