--- a/tests/test_replica_module.py
+++ b/tests/test_replica_module.py
@@ -12,9 +12,11 @@
 from hypothesis import strategies as st
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import PAY_BACK, RECKONED, DecisionEngine
+from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
-from hazelhollow.decisions.memory import Account, Totals
+from hazelhollow.decisions.state.accounts import DEBT_REPAYMENT_SHARE, Account
+from hazelhollow.decisions.state.customer_accounts import COUNT_SETTLE_S
+from hazelhollow.decisions.state.period_charges import ClosedCount, PeriodCharges
 from tests.scenario import PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
@@ -113,7 +115,7 @@
     def tell(self, number: int) -> None:
         """All that others have closed."""
         for (_, member, incarnation), action in list(self.closed.items()):
-            if (member, incarnation) != (number, self.all[number].incarnation):
+            if (member, incarnation) != (number, self.all[number].context.incarnation):
                 event = api.AccountReplicated(
                     action.key,
                     action.plan_name,
@@ -125,7 +127,7 @@
 
     def left(self, number: int) -> float:
         account = next(iter(self.all[number].accounts.values()))
-        return account.budget.level - account.owed
+        return account.quota.level - account.debt
 
 
 steps = st.lists(
@@ -209,7 +211,7 @@
     for _ in range(between):
         one.ask(0)
     one.beat()
-    whole = one.all[1].copy_of(next(iter(one.all[1].accounts)))
+    whole = one.all[1].replicated_accounts.copy_of(next(iter(one.all[1].accounts)))
     for _ in range(after):
         one.ask(0)
     one.beat()  # gossip goes on while the piece is on its way
@@ -235,7 +237,7 @@
     one.ask(1)
     one.beat()
     one.all[1] = one._gateway(1, 3)  # its own count dies with it
-    one.all[1].incarnation = "zzz"
+    one.all[1].context.incarnation = "zzz"
     one.beat(4.0)
     assert one.left(2) == pytest.approx(997.0, abs=0.1)
     one.tell(2)
@@ -247,10 +249,10 @@
     new = newcomer(one, 2)
     assert one.ask(2, "early")
     account = next(iter(new.accounts.values()))
-    assert account.budget.level < 40.0 / 3
+    assert account.quota.level < 40.0 / 3
     new.handle(api.AccountReplicated(""), one.now)
     one.ask(2, "late")
-    assert list(new.accounts.values())[1].budget.level == 39.0
+    assert list(new.accounts.values())[1].quota.level == 39.0
 
 
 def test_what_a_member_used_of_what_was_left_to_it_is_not_taken_again_and_the_rest_comes_back() -> (
@@ -262,30 +264,30 @@
     one.beat()
     key = next(iter(one.all[0].accounts))
     account = one.all[0].accounts[key]
-    level = account.budget.level
+    level = account.quota.level
     one.heard = set()
     one.all[0].handle(one.view(3, lost=(2,)), one.now)
-    assert account.aside == {2: pytest.approx(level / 3, abs=0.1)}
+    assert account.reserved_for_unreachable == {2: pytest.approx(level / 3, abs=0.1)}
     one.beat(3.0)
     one.all[0].handle(one.view(3), one.now)
-    kept = account.aside[2]
+    kept = account.reserved_for_unreachable[2]
     assert kept == pytest.approx(level / 3 + 20.0 / 3 * 3.0, abs=1.0)
-    incarnation, through = one.all[2].incarnation, one.all[0].period - 2
-    heard = sum(v for (who, _), v in account.totals.heard.items() if who == f"2.{incarnation}")
-    known = heard + account.totals.bases[f"2.{incarnation}"][2]  # type: ignore[index]
+    incarnation, through = one.all[2].context.incarnation, one.all[0].context.period - 2
+    heard = sum(v for (who, _), v in account.charges.reported.items() if who == f"2.{incarnation}")
+    known = heard + account.charges.closed_counts[f"2.{incarnation}"][2]  # type: ignore[index]
     one.all[0].handle(
         api.AccountReplicated(
             key, "fast", 0, 3, (api.ReplicatedCount(2, incarnation, 1000, through, known + 10.0),)
         ),
         one.now,
     )
-    assert account.aside[2] == pytest.approx(kept - 10.0) and account.owed == 0.0
+    assert account.reserved_for_unreachable[2] == pytest.approx(kept - 10.0) and account.debt == 0.0
     one.beat(1.0)
-    assert account.aside  # more counts may be on their way
-    account.budget.level = 0.0
-    one.beat(RECKONED + 1.0)
-    assert not account.aside and not account.back
-    assert account.budget.level == pytest.approx(
+    assert account.reserved_for_unreachable  # more counts may be on their way
+    account.quota.level = 0.0
+    one.beat(COUNT_SETTLE_S + 1.0)
+    assert not account.reserved_for_unreachable and not account.returning
+    assert account.quota.level == pytest.approx(
         40.0, abs=0.1
     )  # what came in, and what was left aside, to the burst
 
@@ -296,27 +298,27 @@
         one.ask(number)
     one.beat(1.0)
     account = next(iter(one.all[0].accounts.values()))
-    account.missed(1, 30.0)
-    account.budget.level, account.budget.at = 0.0, one.now
+    account.charge_unheard(1, 30.0)
+    account.quota.level, account.quota.updated_at = 0.0, one.now
     served = 0
     for _ in range(40):  # four seconds in which all that can be had is asked for
         one.now += BEAT
         served += sum(one.ask(0) for _ in range(5))
-    assert account.owed == 0.0
+    assert account.debt == 0.0
     assert served == pytest.approx(4.0 * 20.0 - 30.0, abs=2.0)
-    assert PAY_BACK < 1.0
+    assert DEBT_REPAYMENT_SHARE < 1.0
 
 
 def test_what_is_credited_of_a_dead_members_part_is_no_more_than_was_left_to_it() -> None:
     one = Cluster(plan="fast")
     one.ask(0)
     account = next(iter(one.all[0].accounts.values()))
-    account.aside, account.budget.level = {2: 3.0}, 0.0
-    account.budget.at = one.now
+    account.reserved_for_unreachable, account.quota.level = {2: 3.0}, 0.0
+    account.quota.updated_at = one.now
     one.all[0].handle(
         api.MembershipChanged(True, (0, 1, 2), unused=((2, 5.0),), counts_replicated=True), one.now
     )
-    assert account.budget.level == 3.0 and account.aside[2] == 0.0
+    assert account.quota.level == 3.0 and account.reserved_for_unreachable[2] == 0.0
 
 
 def test_a_member_that_dies_for_good_takes_no_more_than_its_part_with_it() -> None:
@@ -328,11 +330,13 @@
         api.MembershipChanged(True, (0, 1), counts_replicated=True), one.now + 5.0
     )  # taken over: it is not there, and not lost
     one.now += 5.0
-    one.beat(RECKONED + 1.0)
-    assert account.aside and account.back  # not given back while nobody has heard what it used
+    one.beat(COUNT_SETTLE_S + 1.0)
+    assert (
+        account.reserved_for_unreachable and account.returning
+    )  # not given back while nobody has heard what it used
     one.all[0].handle(one.view(3), one.now)
     one.beat(1.0)
-    assert not account.aside
+    assert not account.reserved_for_unreachable
 
 
 def test_counts_of_an_unknown_customer_matter_only_until_its_burst_is_full() -> None:
@@ -348,7 +352,7 @@
         account = one.all[0].accounts.get(key)
         assert (account is None) == (left is None)
         if account and left is not None:
-            assert account.budget.level - account.owed == pytest.approx(left, abs=0.1)
+            assert account.quota.level - account.debt == pytest.approx(left, abs=0.1)
 
 
 @pytest.mark.parametrize("change", [{"plan_name": "gone"}, {"set_size": 0}, {"set_size": 9}])
@@ -378,12 +382,12 @@
         )
         account = one.all[number].accounts[key]
         if number == hub:
-            assert account.budget.level - account.owed == pytest.approx(before - 9.0)
+            assert account.quota.level - account.debt == pytest.approx(before - 9.0)
         else:
-            assert account.owed == 0.0
+            assert account.debt == 0.0
     new = newcomer(one, other)
     new.handle(api.AccountReplicated(key, "fast", 0, 12, (), 5.0), one.now)
-    assert new.accounts[key].budget.level == 5.0 and new.accounts[key].telling
+    assert new.accounts[key].quota.level == 5.0 and new.accounts[key].has_announcement
 
 
 def test_the_platforms_own_path_keeps_no_counts() -> None:
@@ -398,37 +402,43 @@
         ]
     account = next(iter(one.accounts.values()))
     assert (
-        account.totals.bases is None
-        and not account.aside
-        and one.copy_of(next(iter(one.accounts))) is None
+        account.charges.closed_counts is None
+        and not account.reserved_for_unreachable
+        and one.replicated_accounts.copy_of(next(iter(one.accounts))) is None
     )
 
 
 def test_a_word_that_is_older_than_what_is_known_changes_nothing() -> None:
-    totals = Totals(0)
-    totals.bases = {}
-    totals.turn(100)
-    assert totals.told("1.x", 100, 104, 9.0) == 9.0
-    assert totals.told("1.x", 100, 103, 7.0) == 0.0 and totals.told("1.x", 99, 110, 50.0) == 0.0
-    assert totals.told("1.x", 100, 105, 11.0) == 2.0
-    assert totals.told("1.x", 108, 108, 1.0) == 1.0  # counted anew
+    totals = PeriodCharges(0)
+    totals.closed_counts = {}
+    totals.advance(100)
+    assert totals.merge_count("1.x", ClosedCount(100, 104, 9.0)) == 9.0
+    assert (
+        totals.merge_count("1.x", ClosedCount(100, 103, 7.0)) == 0.0
+        and totals.merge_count("1.x", ClosedCount(99, 110, 50.0)) == 0.0
+    )
+    assert totals.merge_count("1.x", ClosedCount(100, 105, 11.0)) == 2.0
+    assert totals.merge_count("1.x", ClosedCount(108, 108, 1.0)) == 1.0  # counted anew
     # Of one that began before this gateway knew the customer the first word adds nothing: it is
     # part of the beginning.
-    assert totals.told("2.y", 50, 101, 30.0) == 0.0 and totals.told("2.y", 50, 105, 33.0) == 3.0
-    totals.turn(109)
+    assert (
+        totals.merge_count("2.y", ClosedCount(50, 101, 30.0)) == 0.0
+        and totals.merge_count("2.y", ClosedCount(50, 105, 33.0)) == 3.0
+    )
+    totals.advance(109)
     # gossip that comes after the count that it is part of
-    assert totals.hear("1.x", 108, 1.0) == 0.0
-    assert totals.hear("1.x", 109, 1.0) == 1.0
+    assert totals.merge_report("1.x", 108, 1.0) == 0.0
+    assert totals.merge_report("1.x", 109, 1.0) == 1.0
 
 
 def test_an_account_that_owes_or_has_something_aside_is_not_let_go() -> None:
     one = Cluster(plan="fast")
     one.ask(0)
     account: Account = next(iter(one.all[0].accounts.values()))
-    account.aside[1] = 3.0
+    account.reserved_for_unreachable[1] = 3.0
     one.now += 30.0
     one.beat(2.0)
     assert one.all[0].accounts
-    account.aside = {}
+    account.reserved_for_unreachable = {}
     one.beat(2.0)
     assert not one.all[0].accounts
--- a/tests/test_replica_snapshot.py
+++ b/tests/test_replica_snapshot.py
@@ -23,7 +23,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
-from hazelhollow.decisions.memory import Account
+from hazelhollow.decisions.state.accounts import Account
 from hazelhollow.membership.seal import Seal
 from hazelhollow.replication import codec, snapshot
 from hazelhollow.replication.driver import ReplicationDriver
@@ -63,7 +63,7 @@
             self,  # type: ignore[arg-type]
             View(fleet, number, fleet.now),  # type: ignore[arg-type]
             Seal(),
-            self.gateway,
+            self.gateway.replicated_accounts,
             self.module,
             lambda hosts: None,
             number,
@@ -318,7 +318,7 @@
 def test_after_an_orderly_end_of_all_what_was_left_is_there_again(fleet: Fleet) -> None:
     fleet.asking = False
     fleet.run(0.2)
-    left = [fleet.account(number).budget.fill(fleet.now) for number in range(MEMBERS)]
+    left = [fleet.account(number).quota.refill(fleet.now) for number in range(MEMBERS)]
     assert all(0.0 < level < 10.0 for level in left)
     fleet.end()
     ended = fleet.now
@@ -328,7 +328,7 @@
         fleet.run(BEAT)
     for number, level in enumerate(left):
         expected = min(BURST, level + RATE * (fleet.now - ended))
-        assert fleet.account(number).budget.fill(fleet.now) == pytest.approx(expected, abs=0.1)
+        assert fleet.account(number).quota.refill(fleet.now) == pytest.approx(expected, abs=0.1)
     assert not any(fleet.snapshot_of(number).final for number in range(MEMBERS))
 
 
@@ -369,20 +369,20 @@
     )
     chance = random.Random(1)
     for number in range(count):
-        account = gateway._account(gossip.base36(number), GOLD, number % MEMBERS, 3)
-        account.budget.level = BURST if number % 2 else chance.uniform(-5.0, BURST - 0.1)
+        account = gateway.customer_accounts.get(gossip.base36(number), GOLD, number % MEMBERS, 3)
+        account.quota.level = BURST if number % 2 else chance.uniform(-5.0, BURST - 0.1)
     return gateway
 
 
 @pytest.mark.parametrize("count", [0, 1, A_SLICE, 5 * A_SLICE + 7])
 def test_gathered_in_slices_are_those_that_are_short_with_the_least_left_first(count: int) -> None:
     gateway = known_customers(count)
-    gathering, steps = SnapshotCollector(gateway), 1
+    gathering, steps = SnapshotCollector(gateway.replicated_accounts), 1
     while not gathering.step():
         steps += 1
     assert steps == count // A_SLICE + 1
-    assert [one.key for one in gathering.left()] == gateway.short()
-    assert all(one.level == gateway.accounts[one.key].budget.level for one in gathering.left())
+    assert [one.key for one in gathering.left()] == gateway.replicated_accounts.names_below_full()
+    assert all(one.level == gateway.accounts[one.key].quota.level for one in gathering.left())
 
 
 def test_of_more_than_a_snapshot_holds_those_with_the_least_left_are_kept(
@@ -390,14 +390,16 @@
 ) -> None:
     monkeypatch.setattr("hazelhollow.replication.snapshot_collector.MOST", 10)
     gateway = known_customers(100)
-    gathering = SnapshotCollector(gateway)
+    gathering = SnapshotCollector(gateway.replicated_accounts)
     gathering.finish()
-    assert [one.key for one in gathering.left()] == gateway.short()[:10]
+    assert [one.key for one in gathering.left()] == gateway.replicated_accounts.names_below_full()[
+        :10
+    ]
 
 
 def test_one_that_is_forgotten_meanwhile_is_left_out() -> None:
     gateway = known_customers(3 * A_SLICE)
-    gathering = SnapshotCollector(gateway)
+    gathering = SnapshotCollector(gateway.replicated_accounts)
     gathering.step()
     last = gossip.base36(3 * A_SLICE - 2)
     del gateway.accounts[last]
@@ -416,7 +418,7 @@
     assert one and one.driver.replica.whole
     file = snapshot.SnapshotFile(tmp_path, 0)
     for number in range(3 * A_SLICE):
-        one.gateway._account(gossip.base36(number), GOLD, 0, 3).budget.level = 1.0
+        one.gateway.customer_accounts.get(gossip.base36(number), GOLD, 0, 3).quota.level = 1.0
     before = file.load(fleet.now)
     one.driver._save()
     assert file.load(fleet.now) == before
--- a/tests/test_scale_budget.py
+++ b/tests/test_scale_budget.py
@@ -46,8 +46,10 @@
 def test_under_a_budget_the_gossip_has_the_rate_of_its_role_and_each_subsystem_a_part() -> None:
     one = incarnation(FleetTerms(control_bytes_per_s=BUDGET))
     quota = settings_for(BUDGET).roles[Role.QUOTA]
-    assert one.gateway.outbox is not None and one.gateway.outbox.bytes.rate == quota.rate
-    assert one.gateway.outbox.bytes.most <= quota.burst
+    assert (
+        one.gateway.gossip.outbox is not None and one.gateway.gossip.outbox.bytes.rate == quota.rate
+    )
+    assert one.gateway.gossip.outbox.bytes.capacity <= quota.burst
     assert (
         one._budget is not None and one.fleet is not None and one.fleet.view.allowance is not None
     )
@@ -58,7 +60,7 @@
 
 def test_without_one_there_is_none() -> None:
     one = incarnation(FleetTerms())
-    assert one.gateway.outbox is None
+    assert one.gateway.gossip.outbox is None
 
 
 def test_a_plan_with_too_small_a_budget_is_refused_with_its_place() -> None:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.memory import Health
-from hazelhollow.decisions.subsetting import LEAST, SEEN_BY, stretch
+from hazelhollow.decisions.outlier_detection import OutlierRecord
+from hazelhollow.decisions.subsetting import MIN_LIMITERS_PER_ENDPOINT, MIN_SUBSET_SIZE, subset
 from tests.test_gateway import answer, ask, entry, make, only, servers
 
 HOSTS = [f"s{i:02}" for i in range(60)]
@@ -24,22 +24,22 @@
     "gateways, count", [(9, 30), (9, 500), (20, 60), (40, 60), (40, 5000), (100, 60), (300, 1000)]
 )
 def test_each_host_is_used_by_about_as_many_gateways_and_by_some(gateways: int, count: int) -> None:
-    held = Counter(host for me in range(gateways) for host in stretch(range(count), me, gateways))
+    held = Counter(host for me in range(gateways) for host in subset(range(count), me, gateways))
     even = sum(held.values()) / count
-    assert len(held) == count and even >= SEEN_BY
+    assert len(held) == count and even >= MIN_LIMITERS_PER_ENDPOINT
     assert max(held.values()) <= even + 4 and min(held.values()) >= even - 4
 
 
 @hyp(max_examples=60, deadline=None)
 @given(st.integers(0, 59), st.integers(0, 99))
 def test_a_host_that_goes_moves_a_stretch_by_one_place_at_most(gone: int, me: int) -> None:
-    before = stretch(HOSTS, me, 100)
-    after = stretch([h for i, h in enumerate(HOSTS) if i != gone], me, 100)
+    before = subset(HOSTS, me, 100)
+    after = subset([h for i, h in enumerate(HOSTS) if i != gone], me, 100)
     assert len(set(before) - set(after) - {HOSTS[gone]}) <= 1 and len(set(after) - set(before)) <= 2
 
 
 def test_few_hosts_are_kept_to_by_all() -> None:
-    assert stretch(HOSTS[:12], 7, 40) == HOSTS[:12] and stretch([], 7, 40) == []
+    assert subset(HOSTS[:12], 7, 40) == HOSTS[:12] and subset([], 7, 40) == []
 
 
 def used(
@@ -52,9 +52,9 @@
     gateway, names = make(2, limiter_count=gateways), set[str]()
     gateway.handle(servers("full", *(changes.get(name, entry(name)) for name in HOSTS)), 0.0)
     for name in ejected:
-        gateway.servers[name].health[""] = Health()
-        gateway.servers[name].health[""].eject(100.0, 1000.0, 1000.0)
-        gateway.servers[name].health[""].count(100.0, 1000.0, 9.0)
+        record = gateway.endpoints[name].outlier_records[""] = OutlierRecord()
+        record.failures, record.updated_at = 9.0, 100.0
+        record.ejections, record.ejected_until = 1, 1100.0
     for i in range(count):
         now = 100.0 + i / 10
         for send in only(ask(gateway, now, customer=f"{i}"), api.StartAttempt):
@@ -64,20 +64,20 @@
 
 
 def test_a_gateway_of_a_large_fleet_keeps_to_few_hosts_and_one_of_a_small_fleet_to_all() -> None:
-    assert len(used(40, {})) == LEAST
+    assert len(used(40, {})) == MIN_SUBSET_SIZE
     small = make(2, limiter_count=3)
     small.handle(servers("full", *(entry(name) for name in HOSTS)), 0.0)
-    assert len(next(small._candidates())[1]) == len(HOSTS)
+    assert len(next(small.selection.rounds())[1]) == len(HOSTS)
 
 
 def test_hosts_that_drain_or_fail_are_replaced_by_others() -> None:
     mine = used(40, {})
     drained = used(40, {name: entry(name, state="draining") for name in mine})
-    assert not drained & mine and len(drained) == LEAST
-    assert len(used(40, {}, ejected=frozenset(mine)) - mine) > LEAST  # any of the others
+    assert not drained & mine and len(drained) == MIN_SUBSET_SIZE
+    assert len(used(40, {}, ejected=frozenset(mine)) - mine) > MIN_SUBSET_SIZE  # any of the others
 
 
 def test_the_cold_have_a_stretch_of_their_own_so_that_all_are_warmed_by_some() -> None:
     cold = {name: entry(name, started=95.0) for name in HOSTS[:30]}
     found = used(40, cold, count=40)
-    assert found & set(HOSTS[30:]) and len(found & set(HOSTS[30:])) <= LEAST
+    assert found & set(HOSTS[30:]) and len(found & set(HOSTS[30:])) <= MIN_SUBSET_SIZE
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -12,7 +12,8 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.memory import Server, Window
+from hazelhollow.decisions.state.endpoint import Endpoint
+from hazelhollow.decisions.state.sliding_window import SlidingWindow
 from hazelhollow.net import backend, resp
 from hazelhollow.simulator import wire
 from tests.scenario import PLAN, SETTINGS, Stage
@@ -40,7 +41,7 @@
 def room(stage: Stage) -> float:
     """Units that the customer's budget holds, as the next request finds it."""
     (account,) = stage.service.gateway.accounts.values()
-    return account.budget.level
+    return account.quota.level
 
 
 @pytest.mark.parametrize(
@@ -188,7 +189,7 @@
     by_units = []
     for units in (1.0, 4.0):
         (send,) = only(ask(gateway, 310.0, "cheap", set_size=1, units=units), api.StartAttempt)
-        by_units.append(gateway.held[send.id].attempts[0].work)
+        by_units.append(gateway.pending_requests[send.id].attempts[0].work)
         gateway.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.1, True), 310.0)
     assert by_units[1] > 6 * by_units[0]
 
@@ -205,17 +206,17 @@
         overload_multiple=4.0,
         overload_window=2.0,
     )
-    gateway, looks, cold = DecisionEngine(told, seed=1), 0, Server.cold
+    gateway, looks, cold = DecisionEngine(told, seed=1), 0, Endpoint.is_warming_up
     gateway.handle(
         servers("full", *(entry(f"s{n}", started=99.0 * (n % 2)) for n in range(80))), 100.0
     )
 
-    def counted(server: Server, now: float, settings: api.Settings) -> bool:
+    def counted(server: Endpoint, now: float, settings: api.Settings) -> bool:
         nonlocal looks
         looks += 1
         return cold(server, now, settings)
 
-    monkeypatch.setattr(Server, "cold", counted)
+    monkeypatch.setattr(Endpoint, "is_warming_up", counted)
     assert only(ask(gateway, 100.1, "look", set_size=1, time_left=3.0), api.StartAttempt)
     assert looks <= 3 * 80
 
@@ -232,14 +233,14 @@
     gateway = DecisionEngine(told, seed=1)
     gateway.handle(servers("full", entry("old"), entry("new", started=99.0)), 100.0)
     ask(gateway, 100.1, "look", set_size=1, time_left=3.0)
-    widths = gateway.table.warm_width(100.1)
+    widths = gateway.table.warm_concurrency(100.1)
     gateway.handle(servers("change", entry("third")), 100.1)  # in the same moment
     ask(gateway, 100.1, "look", set_size=1, time_left=3.0)
-    assert gateway.table.warm_width(100.1) == 2 * widths > 0
+    assert gateway.table.warm_concurrency(100.1) == 2 * widths > 0
 
 
 def test_a_window_is_the_sum_of_its_span() -> None:
-    window, chance, items = Window(2.0), random.Random(3), list[tuple[float, float]]()
+    window, chance, items = SlidingWindow(2.0), random.Random(3), list[tuple[float, float]]()
     for turn in range(400):
         now, amount = turn * 0.07 + (5.0 if turn > 300 else 0.0), chance.random()
         window.add(now, amount)
