--- /dev/null
+++ b/hazelhollow/membership/membership.py
@@ -0,0 +1,217 @@
+"""One member's membership: who is up, in which incarnation, and who hears whom. No I/O, no clock.
+
+The driver feeds it received datagrams and the time, in Unix seconds, and sends what it returns:
+
+| call | when |
+| --- | --- |
+| `tick` | every `timing.PROBE_INTERVAL_S`; first of all after this process stood still |
+| `request_indirect_probes` | `indirect_probe_after_s` after each tick |
+| `receive` | for each datagram from a member's address |
+| `leave` | once, at a graceful shutdown |
+
+After each call `take_changes` tells whether there is news for the decision engine.
+
+Behind it, by composition:
+
+| module | concern |
+| --- | --- |
+| `period`, `reception` | what is done in each protocol period, and with a received datagram |
+| `state` | the parts, and how a changed record reaches all that it concerns |
+| `timing` | all times of suspicion and death, and local health |
+| `failure_detector` | probes and indirect probes |
+| `suspicion`, `death_confirmation` | from suspect to dead; deaths that others report |
+| `records`, `member_table` | states of a member, the merge rule, the table |
+| `dissemination`, `table_exchange` | piggybacked records; anti-entropy |
+| `join`, `stall`, `incarnation_conflict` | joining; an own stall; two processes with one id |
+| `codec`, `authentication`, `replay_window` | what a datagram holds, and whether it is read |
+| `sender`, `allowance` | what goes out, within membership's part of the control budget |
+
+`docs/design/fleet-view.md` says why it is built so, `docs/operators/fleet-view.md` what operators
+see of it.
+"""
+
+from __future__ import annotations
+
+from hazelhollow.membership import codec
+from hazelhollow.membership.allowance import Allowance
+from hazelhollow.membership.codec import Message, MessageKind
+from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
+from hazelhollow.membership.period import ProtocolPeriod
+from hazelhollow.membership.reception import Reception
+from hazelhollow.membership.records import MemberState, Record, unpack_address
+from hazelhollow.membership.sender import Datagram, Outgoing
+from hazelhollow.membership.settings import MembershipSettings
+from hazelhollow.membership.stall import StallDetector
+from hazelhollow.membership.state import MembershipState
+from hazelhollow.membership.timing import INDIRECT_PROBE_HELPERS
+
+LEAVE_FANOUT = 2 * INDIRECT_PROBE_HELPERS  # members that are notified of the own leaving
+
+
+class Membership:
+    """The state of one member.
+
+    `allowance`: what it may send; everything by default. `started_at`: the wall clock's time from
+    which its incarnation is derived; `now` by default.
+    """
+
+    def __init__(
+        self,
+        settings: MembershipSettings,
+        now: float,
+        allowance: Allowance | None = None,
+        started_at: float | None = None,
+    ) -> None:
+        self.limiter_id, self.member_count = settings.limiter_id, settings.member_count
+        self.settings, self.allowance = settings, allowance
+        self._state = MembershipState(settings, now, allowance, started_at)
+        self.table, self.counts = self._state.table, self._state.counts
+        self._stall = StallDetector(now)
+        self._period, self._reception = ProtocolPeriod(self._state), Reception(self._state)
+
+    # What the driver calls
+
+    def tick(self, now: float) -> list[Datagram]:
+        """One protocol period: probes, expired timers, joining and anti-entropy."""
+        state, lateness = self._state, self._stall.tick(now)
+        state.now = now
+        if state.superseded or state.own.state == MemberState.LEFT:
+            return []
+        self._period.run(lateness)
+        return state.sender.take()
+
+    def request_indirect_probes(self, now: float) -> list[Datagram]:
+        """Passes probes that have had no ack to others."""
+        state = self._state
+        state.now = now
+        if not state.superseded and not self.is_stalled(now):
+            for probe_id, probe in state.detector.overdue(now):
+                is_suspected = state.suspicions.record(probe.target) is not None
+                if not is_suspected and not state.suspicions.is_mass_failure():
+                    state.detector.ask_helpers(probe_id, probe, now)
+        return state.sender.take()
+
+    def receive(self, sender_id: int, text: str, now: float) -> list[Datagram]:
+        """A datagram from that member's address. What cannot be is dropped and counted."""
+        self._state.now = now
+        self._reception.receive(sender_id, text)
+        return self._state.sender.take()
+
+    def leave(self, now: float) -> list[Datagram]:
+        """It goes for good: several are notified at once, since it cannot repeat it later."""
+        self._state.now = now
+        if not self._state.superseded and self.own.state != MemberState.LEFT:
+            self._state.apply(self._state.own_record.restate(MemberState.LEFT))
+            others = [n for n in self.table.present() if n != self.limiter_id]
+            for number in self._state.random.sample(others, min(len(others), LEAVE_FANOUT)):
+                ping_id = (self._state.detector.next_probe_id(),)
+                self._state.sender.send(Outgoing(number, MessageKind.PING, ping_id), now)
+        return self._state.sender.take()
+
+    def detect_duplicate(self, text: str) -> bool:
+        """A datagram from this machine: whether it is of a process with this member's id.
+
+        It may be of this process itself. One that started later supersedes this process.
+        """
+        message = codec.decode(text, self.member_count)
+        if message is None or message.sender.number != self.limiter_id:
+            return False
+        if message.sender.incarnation > self.own.incarnation:
+            self._state.supersede()
+        return True
+
+    def identify_sender(self, text: str, address: tuple[str, int]) -> int | None:
+        """The id of a sender that says itself that this is its address."""
+        message = codec.decode(text, self.member_count)
+        if message is None or not message.sender.address:
+            return None
+        if unpack_address(message.sender.address) != address:
+            return None
+        return message.sender.number if message.sender.number != self.limiter_id else None
+
+    def own_announcement(self) -> str:
+        """A text that says that this process is there."""
+        message = Message(MessageKind.RECORDS, self.own, 0, 0)
+        return codec.encode(message, (), self.settings.max_text_bytes)[0]
+
+    def set_versions(self, versions: str) -> None:
+        """The versions that this member acts on from now on."""
+        if versions != self.own.versions:
+            self._state.apply(self._state.own_record.restate(self.own.state, versions))
+
+    def set_shut_out(self, shut_out: bool) -> None:
+        """Whether it admits nothing new because its settings are too old."""
+        state = MemberState.SHUT_OUT if shut_out else MemberState.ALIVE
+        joined = self.own.state in (MemberState.ALIVE, MemberState.SHUT_OUT)
+        if joined and self.own.state != state:
+            self._state.apply(self._state.own_record.restate(state))
+
+    # What it knows
+
+    @property
+    def own(self) -> Record:
+        """This member's record of itself."""
+        return self._state.own
+
+    @property
+    def began(self) -> float:
+        """When it started, in Unix seconds."""
+        return self._state.began
+
+    @property
+    def superseded(self) -> bool:
+        """Whether another process has its id and goes on in its place."""
+        return self._state.superseded
+
+    @property
+    def may_admit(self) -> bool:
+        """Whether it may admit work: a peer has answered since it started or stood still."""
+        return self._state.may_admit
+
+    @property
+    def indirect_probe_after_s(self) -> float:
+        """Seconds after a tick at which `request_indirect_probes` is to be called."""
+        return self._state.health.indirect_probe_after_s
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether this process stood still, so that `tick` must come before anything else."""
+        return self._stall.is_stalled(now)
+
+    def take_changes(self) -> bool:
+        """Whether anything has changed since the last call."""
+        return self._state.changes.take()
+
+    def take_changed_members(self) -> list[int]:
+        """Members whose state or incarnation has changed since the last call, in order."""
+        return self._state.changes.take_members()
+
+    def state_since(self, number: int, default: float) -> float:
+        """When this member first saw that one's present state, in Unix seconds."""
+        return self._state.changes.since(number, default)
+
+    def member_states(self) -> dict[int, tuple[str, int]]:
+        """State and incarnation of each member, for people and for those who check."""
+        return {
+            record.number: (record.state.label, record.incarnation) for record in sorted(self.table)
+        }
+
+    def started_before(self, seconds: float) -> set[int]:
+        """Members whose incarnation began so many seconds or more before this one's."""
+        latest = self.own.incarnation - int(seconds * INCARNATIONS_PER_S)
+        return {
+            record.number
+            for record in self.table
+            if record.incarnation and record.incarnation <= latest
+        }
+
+    def present(self) -> tuple[int, ...]:
+        """Members that may answer, this member among them, in order."""
+        return self._state.presence.present()
+
+    def cannot_hear_us(self) -> tuple[int, ...]:
+        """Members that say that they cannot hear this member, in order."""
+        return self._state.presence.cannot_hear_us()
+
+    def unreachable(self) -> list[int]:
+        """Members that this member cannot hear though others can, in order."""
+        return sorted(self._state.own_record.unreachable)
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -11,16 +11,16 @@
 from zlib import crc32
 
 from hazelhollow.control_budget.budget import RoleBudget
-from hazelhollow.control_budget.waiting import Waiting
+from hazelhollow.control_budget.send_queue import SendQueue
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.decisions.state.accounts import key_of
 from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
-from hazelhollow.membership.driver import Driver as FleetDriver
-from hazelhollow.membership.seal import Seal
-from hazelhollow.net.peers import Peers
+from hazelhollow.membership.authentication import MessageAuthenticator
+from hazelhollow.membership.driver import MembershipDriver
+from hazelhollow.net.peer_socket import PeerSocket
+from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
-from hazelhollow.net.sparse import Sparse
 from hazelhollow.replication import replica, snapshot
 from hazelhollow.replication.codec import DIALECT, SUMS, AccountCopy, RecentCount
 from hazelhollow.replication.count_table import CountRow, CountValue
@@ -88,9 +88,9 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        peers: Peers,
-        fleet: FleetDriver,
-        seal: Seal,
+        peers: PeerSocket,
+        fleet: MembershipDriver,
+        seal: MessageAuthenticator,
         memory: ReplicatedAccounts,
         told: Callable[[api.AccountReplicated], None],
         banned: Callable[[dict[str, bool]], None],
@@ -112,7 +112,9 @@
             replica.QUIET_WITHIN if allowance else replica.QUIET,
         )
         self._allowance = allowance
-        self._waiting: Waiting[replica.Datagram] | None = Waiting(allowance) if allowance else None
+        self._waiting: SendQueue[replica.Datagram] | None = (
+            SendQueue(allowance) if allowance else None
+        )
         self._plans = {tag_of(name): name for name in memory.plans}
         self._heard_before = peers.heard
         self._away = set(range(members)) - {me}
@@ -120,7 +122,7 @@
         # What those were reckoned from.
         self._seen: tuple[Sequence[int], bool, Set[int], Sequence[int]] | None = None
         self._ended = self._was_whole = False
-        self._log = Sparse(log, scheduler.clock)
+        self._log = RateLimitedLog(log, scheduler.clock)
         self._snapshot: snapshot.Snapshot | None = None
         self._gathering: SnapshotCollector | None = None  # for the next snapshot
         self._began = self._saved = 0.0
@@ -139,7 +141,7 @@
         if not text.startswith(DIALECT[0]):
             self._heard_before(sender, text)
             return
-        plain = self._seal.open(text)
+        plain = self._seal.verify(text)
         if plain is None:
             self.replica.counts["unsealed"] += 1
             return
@@ -189,14 +191,14 @@
             return
         now = self._scheduler.clock()
         self._scheduler.at(now + replica.BEAT, self._beat)
-        view = self._fleet.view
+        view = self._fleet.membership
         self._look_who_is_there()
         if self._memory.incarnation:  # which the first event gives it
             self.replica.incarnation = self._memory.incarnation
             older = (
                 set[int]()
                 if self.replica.whole
-                else view.older(replica.GIVES_AFTER).intersection(self._here)
+                else view.started_before(replica.GIVES_AFTER).intersection(self._here)
             )
             # Also those whose gossip is silent: a catch-up goes on.
             self._pass_on(self.replica.beat(now, self._here, older))
@@ -206,23 +208,34 @@
 
     def _look_who_is_there(self) -> None:
         """Who is up, and who can be heard again, if the view has changed."""
-        view = self._fleet.view
-        seen = view.present(), view.acting, self._fleet.lost(), view.unheard()
+        view = self._fleet.membership
+        seen = (
+            view.present(),
+            view.may_admit,
+            self._fleet.unreachable_but_serving(),
+            view.unreachable(),
+        )
         if seen == self._seen:
             return
         self._seen = seen
         self._here = (
-            [number for number in view.present() if number != view.me] if view.acting else []
+            [number for number in view.present() if number != view.limiter_id]
+            if view.may_admit
+            else []
+        )
+        others = set(range(view.member_count)) - {view.limiter_id}
+        away = (
+            others.difference(self._here)
+            | self._fleet.unreachable_but_serving()
+            | set(view.unreachable())
         )
-        others = set(range(view.members)) - {view.me}
-        away = others.difference(self._here) | self._fleet.lost() | set(view.unheard())
         for number in sorted(self._away - away):
             self.replica.returned(number)
         self._away = away
 
     def _pass_on(self, sends: list[replica.Datagram]) -> None:
         for send in self._may_leave(sends):
-            self._peers.tell(send.number, self._seal.close(send.text))
+            self._peers.tell(send.number, self._seal.sign(send.text))
         one = self.replica
         slices, one.slices = one.slices, []
         for piece in slices:
@@ -253,7 +266,7 @@
             rank = replica.RANKS[send.text[len(DIALECT)]]
             if rank != replica.RANKS[SUMS]:
                 self._waiting.add(rank, len(send.text), send, now)
-        found = self._waiting.due(now)
+        found = self._waiting.take_sendable(now)
         if not self._waiting:
             digests = [send for send in sends if send.text[len(DIALECT)] == SUMS]
             found += [send for send in digests if self._allowance.take(len(send.text), now)]
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -15,8 +15,8 @@
 import orjson
 
 from hazelhollow.net import resp, stream
-from hazelhollow.net import scheduler as sch
-from hazelhollow.net.ending import Ending
+from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.scheduler import Scheduler
 
 MAX_OUT = 1024 * 1024  # bytes of replies that wait for one connection
 MAX_WAITING = 1000  # requests
@@ -79,7 +79,7 @@
 
     def __init__(
         self,
-        scheduler: sch.Scheduler,
+        scheduler: Scheduler,
         listen: tuple[str, int],
         options: NodeOptions,
     ) -> None:
@@ -94,10 +94,10 @@
 
     def start(self) -> None:
         """Begins to accept connections."""
-        self.scheduler.spawn_lasting(self._accept, "node")
+        self.scheduler.spawn_supervised(self._accept, "node")
 
     def _accept(self) -> None:
-        for sock in stream.accepted(self.scheduler, self._sock):
+        for sock in stream.accept_connections(self.scheduler, self._sock):
             connection = Connection(stream.Stream(self.scheduler, sock, MAX_OUT))
             self.scheduler.spawn(self._serve, connection, name="node connection")
 
@@ -106,15 +106,15 @@
         while driver.ending is None:
             driver.wait()
             data = driver.read(connection.parser.ring.room())
-            if isinstance(data, Ending):
+            if isinstance(data, CloseReason):
                 driver.close(data)
             elif data:
                 try:
                     connection.parser.feed(data)
-                    while not isinstance(command := connection.parser.next(), resp.More):
+                    while not isinstance(command := connection.parser.next(), resp.NeedMoreData):
                         self._handle(connection, command)
                 except resp.ProtocolError:
-                    driver.close(Ending.MALFORMED)
+                    driver.close(CloseReason.MALFORMED)
 
     def _handle(self, connection: Connection, command: resp.Value) -> None:
         slot: list[bytes] = []
@@ -130,7 +130,7 @@
                 self._queue.append(QueuedRequest(connection, slot, request_id, arguments))
                 self._begin_queued()
         elif name == b"INFO":
-            self._reply(connection, slot, resp.bulk(self._load_report()))
+            self._reply(connection, slot, resp.encode_bulk_string(self._load_report()))
         else:
             self._reply(connection, slot, FIXED_REPLIES.get(name, b"-ERR unknown\r\n"))
 
@@ -161,8 +161,8 @@
     def _finish(self, request: QueuedRequest) -> None:
         self.busy -= 1
         self.served += 1
-        body = resp.bulk(b"served " + request.id)
-        report = resp.bulk(self._load_report())
+        body = resp.encode_bulk_string(b"served " + request.id)
+        report = resp.encode_bulk_string(self._load_report())
         self._reply(request.connection, request.slot, b"*3\r\n" + body + b"$-1\r\n" + report)
         self._begin_queued()
 
@@ -174,5 +174,5 @@
 
     def close(self) -> None:
         """Closes the listening socket; open connections are left to end by themselves."""
-        self.scheduler.forget(self._sock.fileno())
+        self.scheduler.unregister(self._sock.fileno())
         self._sock.close()
