--- a/hazelhollow/control_budget/limiter_budget.py
+++ b/hazelhollow/control_budget/limiter_budget.py
@@ -17,7 +17,7 @@
     settings_for,
 )
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip.codec import BEFORE, DIALECT
+from hazelhollow.decisions.gossip.codec import DIALECT, PREVIOUS_DIALECT
 from hazelhollow.net.peer_socket import PeerSocket
 
 
@@ -54,5 +54,5 @@
 
     def _debit_gossip(self, text: str) -> None:
         """A datagram has left. Gossip is known by its first letter."""
-        if text[0] in (DIALECT, BEFORE):
+        if text[0] in (DIALECT, PREVIOUS_DIALECT):
             self.budget.debit(TrafficRole.QUOTA, len(text) + HEADER_BYTES, self._clock())
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -235,7 +235,7 @@
                 self._part(TrafficRole.REPLICATION),
             ),
             EngineLink(
-                EngineAccounts(service.engine),
+                EngineAccounts(service.engine.replicated_accounts),
                 service.engine_driver.notify,
                 service.overrides.apply,
             ),
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -258,7 +258,11 @@
         self.replica = ReplicationDriver(
             self.scheduler,
             Network(self._peers, fleet, seal, most, self._part(TrafficRole.REPLICATION)),
-            EngineLink(EngineAccounts(self.gateway), self.limiter.notify, lambda calls: None),
+            EngineLink(
+                EngineAccounts(self.gateway.replicated_accounts),
+                self.limiter.notify,
+                lambda calls: None,
+            ),
             self._seed,
         )
         self.limiter.on_count = self.replica.record_charge
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -187,7 +187,7 @@
     member = engine_of()
     member.handle(api.MembershipChanged(False, (0, 1, 2)), 1000.1)
     refused = only(ask(member, 1000.2, "look"), api.RejectRequest)[0]
-    assert refused.reason == "away" and member.held == {}
+    assert refused.reason == "away" and member.pending_requests == {}
     member.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.3)
     assert only(ask(member, 1000.4, "look"), api.StartAttempt)
 
--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -21,7 +21,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
-from hazelhollow.decisions.memory import Account
+from hazelhollow.decisions.state.accounts import Account
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.replication import codec, snapshot
 from hazelhollow.replication.account_adapter import EngineAccounts
@@ -68,7 +68,11 @@
                 MessageAuthenticator(),
                 codec.MAX_MESSAGE_BYTES,
             ),
-            EngineLink(EngineAccounts(self.gateway), self.handle, lambda overrides: None),
+            EngineLink(
+                EngineAccounts(self.gateway.replicated_accounts),
+                self.handle,
+                lambda overrides: None,
+            ),
             number,
             SnapshotFile(fleet.folder, number),
         )
@@ -325,7 +329,7 @@
 def test_after_an_orderly_end_of_all_what_was_left_is_there_again(fleet: Fleet) -> None:
     fleet.asking = False
     fleet.run(0.2)
-    left = [fleet.account(number).budget.fill(fleet.now) for number in range(MEMBERS)]
+    left = [fleet.account(number).quota.refill(fleet.now) for number in range(MEMBERS)]
     assert all(0.0 < level < 10.0 for level in left)
     fleet.end()
     ended = fleet.now
@@ -335,7 +339,7 @@
         fleet.run(ROUND_INTERVAL_S)
     for number, level in enumerate(left):
         expected = min(BURST, level + RATE * (fleet.now - ended))
-        assert fleet.account(number).budget.fill(fleet.now) == pytest.approx(expected, abs=0.1)
+        assert fleet.account(number).quota.refill(fleet.now) == pytest.approx(expected, abs=0.1)
     assert not any(fleet.snapshot_of(number).is_final for number in range(MEMBERS))
 
 
@@ -376,21 +380,23 @@
     )
     chance = random.Random(1)
     for number in range(count):
-        account = gateway._account(gossip.base36(number), GOLD, number % MEMBERS, 3)
-        account.budget.level = BURST if number % 2 else chance.uniform(-5.0, BURST - 0.1)
+        account = gateway.customer_accounts.get(gossip.base36(number), GOLD, number % MEMBERS, 3)
+        account.quota.level = BURST if number % 2 else chance.uniform(-5.0, BURST - 0.1)
     return gateway
 
 
 @pytest.mark.parametrize("count", [0, 1, SLICE_CUSTOMERS, 5 * SLICE_CUSTOMERS + 7])
 def test_accounts_below_full_are_collected_in_slices_with_the_least_left_first(count: int) -> None:
     gateway = known_customers(count)
-    collector, steps = SnapshotCollector(EngineAccounts(gateway)), 1
+    collector, steps = SnapshotCollector(EngineAccounts(gateway.replicated_accounts)), 1
     while not collector.step():
         steps += 1
     assert steps == count // SLICE_CUSTOMERS + 1
-    assert [one.customer for one in collector.saved_accounts()] == gateway.short()
+    assert [
+        one.customer for one in collector.saved_accounts()
+    ] == gateway.replicated_accounts.names_below_full()
     assert all(
-        one.level == gateway.accounts[one.customer].budget.level
+        one.level == gateway.accounts[one.customer].quota.level
         for one in collector.saved_accounts()
     )
 
@@ -400,15 +406,17 @@
 ) -> None:
     monkeypatch.setattr("hazelhollow.replication.snapshot_collector.MAX_CUSTOMERS", 10)
     gateway = known_customers(100)
-    collector = SnapshotCollector(EngineAccounts(gateway))
+    collector = SnapshotCollector(EngineAccounts(gateway.replicated_accounts))
     collector.finish()
-    assert [one.customer for one in collector.saved_accounts()] == gateway.short()[:10]
+    assert [
+        one.customer for one in collector.saved_accounts()
+    ] == gateway.replicated_accounts.names_below_full()[:10]
 
 
 def test_an_account_that_is_forgotten_meanwhile_is_left_out() -> None:
     """The engine forgets a customer between two slices."""
     gateway = known_customers(3 * SLICE_CUSTOMERS)
-    collector = SnapshotCollector(EngineAccounts(gateway))
+    collector = SnapshotCollector(EngineAccounts(gateway.replicated_accounts))
     collector.step()
     last = gossip.base36(3 * SLICE_CUSTOMERS - 2)
     del gateway.accounts[last]
@@ -427,7 +435,7 @@
     assert one and one.driver.snapshots and one.driver.replica.catch_up.is_complete
     file = SnapshotFile(tmp_path, 0)
     for number in range(3 * SLICE_CUSTOMERS):
-        one.gateway._account(gossip.base36(number), GOLD, 0, 3).budget.level = 1.0
+        one.gateway.customer_accounts.get(gossip.base36(number), GOLD, 0, 3).quota.level = 1.0
     before = file.load(fleet.now)
     one.driver.snapshots.save()
     assert file.load(fleet.now) == before
