--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -15,8 +15,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hazelhollow.configuration.driver import Driver as AuditDriver
-from hazelhollow.configuration.record import Record as AuditRecord
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
 from hazelhollow.control_budget.budget import RoleBudget, TrafficRole
 from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
@@ -45,7 +49,7 @@
 DRIVERS: tuple[tuple[type, Role], ...] = (
     (MembershipDriver, Role.VIEW),
     (ReplicationDriver, Role.REPLICATION),
-    (AuditDriver, Role.AUDIT),
+    (ConfigurationDriver, Role.AUDIT),
     (ConnectionPool, Role.REQUESTS),
 )
 
@@ -166,7 +170,7 @@
 class Life:
     """One limiter from its start to its end.
 
-    Implements what the audit asks of a limiter (`audit.driver.Port`).
+    Implements what the audit asks of a limiter (`configuration.state.ConfigurableLimiter`).
     """
 
     def __init__(
@@ -200,7 +204,7 @@
         self.limiter.peers = peers
         self.fleet: MembershipDriver | None = None
         self.replica: ReplicationDriver | None = None
-        self.audit: AuditDriver | None = None
+        self.audit: ConfigurationDriver | None = None
         self._serial = 0
 
     # Its start and its end
@@ -270,16 +274,11 @@
     ) -> None:
         record = AuditRecord(self._settings.limiter_id, incarnation)
         self.limiter.attempts_by_endpoint = Counter()
-        self.audit = AuditDriver(
-            self.scheduler,
-            self._peers,
-            fleet,
-            seal,
-            self,
-            lambda: self.order,
-            record,
-            self._seed,
-            self._part(TrafficRole.CONFIGURATION),
+        self.audit = ConfigurationDriver(
+            Connections(self.scheduler, self._peers, fleet, seal, self),
+            ConfigurationOptions(
+                lambda: self.order, record, self._seed, self._part(TrafficRole.CONFIGURATION)
+            ),
         )
         self._meter.turn(Role.AUDIT, self.audit.start)
 
@@ -324,15 +323,15 @@
 
     def _take_order(self, document: Mapping[str, Any], order: int) -> None:
         self.order = order
-        trouble = self.take(document)
+        trouble = self.apply_settings(document)
         assert not trouble, trouble
 
-    # What the audit asks (audit.driver.Port)
+    # What the audit asks (configuration.state.ConfigurableLimiter)
 
-    def document(self) -> Mapping[str, Any]:
+    def settings_document(self) -> Mapping[str, Any]:
         return self._document
 
-    def check(self, document: Mapping[str, Any]) -> str:
+    def check_settings(self, document: Mapping[str, Any]) -> str:
         try:
             self._checked = document, self._read(self._with_own(document))
         except (settings_wire.WireError, ValueError) as error:
@@ -346,12 +345,12 @@
         known = settings_wire.KnownSettings(self._document, self._settings)
         return settings_wire.parse_settings(settings_wire.Fields("settings", whole), known)
 
-    def take(self, document: Mapping[str, Any]) -> str:
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
         """Settings of the operator or of a peer.
 
         As `net.settings_reload.SettingsReload.apply` takes them.
         """
-        trouble = self.check(document) if document is not self._checked[0] else ""
+        trouble = self.check_settings(document) if document is not self._checked[0] else ""
         if trouble:
             return trouble
         whole, settings = self._with_own(document), self._checked[1]
@@ -360,13 +359,13 @@
         self._acts_on(settings.limiter_id)
         return ""
 
-    def listed(self) -> tuple[int, str]:
+    def endpoint_list(self) -> tuple[int, str]:
         return 1, "127.0.0.1:0"
 
-    def out(self) -> set[str]:
+    def disabled_hosts(self) -> set[str]:
         return set()
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         stats = self.stats
         return {
             "requests": stats.requests,
@@ -375,12 +374,12 @@
             "failed": stats.failed,
         }
 
-    def sent(self) -> Counter[str]:
+    def take_attempts(self) -> Counter[str]:
         counts, self.limiter.attempts_by_endpoint = (
             self.limiter.attempts_by_endpoint or Counter(),
             Counter(),
         )
         return counts
 
-    def samples(self) -> list[str]:
+    def take_samples(self) -> list[str]:
         return []
--- a/tests/test_audit_processes.py
+++ b/tests/configuration/test_audit_processes.py
@@ -12,14 +12,16 @@
 
 import pytest
 
-from hazelhollow.configuration import files, merge
+from hazelhollow.configuration.audit import merge, reader
 from hazelhollow.fault_injection import plan
+from hazelhollow.fault_injection.addresses import CLIENT_PORT
 from hazelhollow.fault_injection.clients import ClientTarget
-from hazelhollow.fault_injection.commands import BROKEN_PROMISES, audit_file
-from hazelhollow.fault_injection.loopback_cluster import CLIENT_PORT, LoopbackCluster
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.operator_files import audit_file
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.settings_probes import SettingsProber
+from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.settings_probes import ProbeOptions, SettingsProber
 from hazelhollow.net.scheduler import Clock, Scheduler
 from tests.test_replica_processes import Kept
 
@@ -43,8 +45,8 @@
         self.cluster.write_files(name, order)
         self.cluster.processes.signal(name, signal.SIGHUP)
 
-    def records(self) -> merge.Fleet:
-        return merge.merged(files.entries(self.folder, lambda text: None))
+    def records(self) -> merge.AuditMerge:
+        return merge.merge_entries(reader.read_entries(self.folder, lambda text: None))
 
 
 @pytest.fixture
@@ -59,9 +61,10 @@
     one.cluster.close()
 
 
-def test_settings_given_to_one_reach_all_also_one_that_was_dead_and_the_record_says_who_gave_them(
+def test_settings_reach_all_members_and_one_that_was_dead(
     audited: Audited,
 ) -> None:
+    """One of three is dead while settings change, and comes back on its old files."""
     audited.cluster.processes.kill("n2")
     audited.change("n0", 1)
     audited.until(lambda: audited.orders("n0", "n1") == [1, 1])
@@ -74,9 +77,9 @@
     home.write_text(home.read_text().replace("order: 0", "order: 2"))
     audited.cluster.processes.signal("n2", signal.SIGHUP)
 
-    def why_of(found: merge.Fleet) -> dict[tuple[int, int], str]:
+    def why_of(found: merge.AuditMerge) -> dict[tuple[int, int], str]:
         return {
-            (span.member, span.order): span.why
+            (span.member, span.revision): span.reason
             for one in found.members.values()
             for span in one.spans
         }
@@ -108,7 +111,7 @@
     def ask_until_served() -> None:
         with (audited.folder / "asked.jsonl").open("wb") as out:
             target = ClientTarget(killed, number, cluster.own(number + 1, CLIENT_PORT))
-            prober = SettingsProber(cluster.scheduler, target, 1, out, spread=3)
+            prober = SettingsProber(cluster.scheduler, target, ProbeOptions(1, set_size=3), out)
             while prober.ask("o1") != "served":
                 cluster.scheduler.sleep(ASK_EVERY)
         cluster.processes.kill(killed)
@@ -117,31 +120,33 @@
     cluster.scheduler.spawn(ask_until_served)
     audited.change("n0", 1)
     audited.until(lambda: bool(answers))
-    assert [span.order for span in audited.records().members[number].spans] == [0, 1]
+    assert [span.revision for span in audited.records().members[number].spans] == [0, 1]
 
 
-def test_running_limiters_tell_what_they_have_written_down(audited: Audited) -> None:
+def test_running_limiters_tell_their_records(audited: Audited) -> None:
     audited.change("n0", 1)
     audited.until(lambda: audited.orders() == [1, 1, 1])
 
-    def live() -> merge.Fleet:
-        return merge.merged(
+    def live() -> merge.AuditMerge:
+        return merge.merge_entries(
             [
                 entry
                 for name in audited.cluster.names
-                for entry in files.told(audited.call(name, "audit"))
+                for entry in reader.decode_answer(audited.call(name, "audit"))
             ]
         )
 
     audited.until(
-        lambda: [span.order for one in live().members.values() for span in one.spans] == [0, 1] * 3
+        lambda: [span.revision for one in live().members.values() for span in one.spans]
+        == [0, 1] * 3
     )
     assert not live().findings
 
 
-def test_one_that_cannot_take_the_newer_settings_takes_nothing_new_until_it_is_started_again(
+def test_a_member_that_needs_a_restart_for_newer_settings_is_shut_out(
     audited: Audited,
 ) -> None:
+    """The newer settings change a plan, which no running limiter takes; it needs a restart."""
     audited.change("n0", FIRST_PLAN_REVISION)
     audited.until(lambda: b'"reload_failure":1' in audited.call("n0", "vars"))
     assert audited.orders() == [0, 0, 0]  # what it cannot take live it does not claim to act on
@@ -166,7 +171,8 @@
     audited.until(lambda: audited.state("n0", 2) == "alive")
 
 
-def test_where_most_are_behind_half_of_them_serve_on(audited: Audited) -> None:
+def test_half_of_the_processes_serve_on_when_most_are_behind(audited: Audited) -> None:
+    """Two of three cannot use the newer settings; one of these goes on serving."""
     audited.cluster.processes.kill("n0")
     audited.cluster.write_files("n0", FIRST_PLAN_REVISION)
     audited.cluster.processes.start("n0")
@@ -177,7 +183,8 @@
     assert audited.call("n1", "check").startswith(b"done")
 
 
-def test_two_meanings_of_one_order_shut_nobody_out_and_are_said_and_found(audited: Audited) -> None:
+def test_two_settings_under_one_revision_on_two_sides_of_a_partition(audited: Audited) -> None:
+    """Each side of a partition gets other settings under one revision; all serve on."""
     number = audited.apart(("n0",))
     audited.change("n0", 1)
     audited.cluster.write_files("n1", 2)  # other settings, under the same number
@@ -192,7 +199,7 @@
     )
     assert all(audited.call(name, "check").startswith(b"done") for name in audited.cluster.names)
     audited.until(
-        lambda: "contradiction" in {finding.what for finding in audited.records().findings}
+        lambda: "contradiction" in {finding.kind for finding in audited.records().findings}
     )
     audited.change("n2", 3)  # the operator raises the order: that settles it
     audited.until(
@@ -201,9 +208,10 @@
     )
 
 
-def test_a_drill_of_a_change_through_loss_a_pause_and_a_kill_finds_the_audit_right(
+def test_the_audit_is_right_through_loss_a_pause_and_a_kill(
     tmp_path: Path,
 ) -> None:
+    """Settings change while datagrams are lost and members stand still or are killed."""
     events = (
         plan.Event(at=2.0, what="lose", whom=("*",), others=("*",), lasts=6.0, amount=0.2),
         plan.Event(at=2.5, what="pause", whom=("n3",), lasts=3.0),
@@ -229,7 +237,7 @@
     assert not found["audit_findings"] and found["requests"] > 300
 
 
-def test_settings_are_tried_by_some_and_go_on_without_the_member_that_was_given_them(
+def test_a_rollout_goes_on_without_its_leader(
     audited: Audited,
 ) -> None:
     """The one that was given them is killed, and comes back on its old files.
@@ -259,9 +267,11 @@
     assert audited.call(idle, "config rollback") == b"done config rollback\n"
     audited.until(lambda: audited.orders() == [2, 2, 2])
     assert len({audited.audit(name)["settings"] for name in names}) == 1
-    audited.until(lambda: "rolled back" in {step.step for step in audited.records().rollout})
+    audited.until(
+        lambda: "rolled back" in {event.event for event in audited.records().rollout_events}
+    )
     found = audited.records()
-    assert [step.step for step in found.rollout] == [
+    assert [event.event for event in found.rollout_events] == [
         "pushed",
         "taken",
         "taken",
