--- a/hazelhollow/net/operator_console.py
+++ b/hazelhollow/net/operator_console.py
@@ -54,7 +54,7 @@
             "dispatches": stats.dispatches,
             "concurrent": service.engine_driver.concurrent(),
             "targets": len(targets),
-            "targets_disabled": len(targets & service.engine.avoided()),
+            "targets_disabled": len(targets & service.engine.unavailable_endpoints()),
             "reload_success": stats.reload_success,
             "reload_failure": stats.reload_failure,
         }
