--- a/hazelhollow/shared_store/lease_ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -149,20 +149,20 @@
         lease = self.store_settings.lease
         wanted = [units_wanted(account, pool, lease.ahead) for pool in account.pools]
         if any(wanted) and any([is_low(account, pool, lease.term, now) for pool in account.pools]):
-            self._lease(account, wanted, account.held(), refused, now)
+            self._lease(account, wanted, account.leased(), refused, now)
 
     def _lease(
         self,
         account: LeasedAccount,
         wanted: list[float],
-        held: list[float],
+        leased: list[float],
         refused: float,
         now: float,
     ) -> None:
-        """Calls `lease.lua`: tells what was spent and is `held`, and asks for `wanted` more.
+        """Calls `lease.lua`: tells what was spent and is `leased`, and asks for `wanted` more.
 
-        What the store has on lease here beyond `held` goes back to the pool, so an answer that was
-        lost or came late does no lasting harm.
+        What the store has on lease here beyond `leased` goes back to the pool, so an answer that
+        was lost or came late does no lasting harm.
         """
         self.sequence += 1
         presence = self.presence
@@ -175,9 +175,9 @@
             term=self.store_settings.lease.term,
             present=len(presence.view & account.limiters),
         )
-        args = lease_arguments(caller, account, held, wanted, refused)
+        args = lease_arguments(caller, account, leased, wanted, refused)
         key = customer_key(self.store_settings.prefix, account.key)
-        account.call = ScriptCall("lease", key, args, now, account, held, wanted)
+        account.call = ScriptCall("lease", key, args, now, account, leased, wanted)
         self._post(account.call)
 
     def _post(self, call: ScriptCall) -> None:
@@ -226,7 +226,7 @@
     def _return_lease(self, account: LeasedAccount, now: float) -> None:
         if account.call or not self.presence.may_lease(now):
             return
-        self.counts["returned"] += sum(account.held())
+        self.counts["returned"] += sum(account.leased())
         for pool in account.pools:
             pool.leased = 0.0
         nothing = [0.0] * len(account.pools)
@@ -286,11 +286,11 @@
         account.lease_ends_at = call.sent_at + lease.term
         if now >= account.lease_ends_at:
             return
-        for pool, held, grant in zip(account.pools, call.held, grants, strict=True):
+        for pool, leased, grant in zip(account.pools, call.leased, grants, strict=True):
             pool.forget_spending(call.sent_at)
             self.counts["granted"] += grant.granted
             self.counts["lost"] += pool.add_grant(
-                held, grant.kept, grant.granted, call.lease_expired
+                leased, grant.confirmed, grant.granted, call.lease_expired
             )
         if any(pool.leased > 0 for pool in account.pools):
             self._with_leases[account.key] = account
@@ -298,7 +298,7 @@
     def call_failed(self, call: ScriptCall, now: float) -> None:
         """No answer in time, or an error: the call may have run all the same.
 
-        The next call tells what is held, by which the store corrects its record.
+        The next call tells what is on lease, by which the store corrects its record.
         """
         self.counts["given_up"] += 1
         if call.account and call.account.call is call:
--- a/hazelhollow/shared_store/lease_pool.py
+++ b/hazelhollow/shared_store/lease_pool.py
@@ -74,15 +74,15 @@
             )
         self.fallback.fill(now)
 
-    def add_grant(self, held: float, kept: float, granted: float, expired: bool) -> float:
-        """Applies the store's answer to a call that reported `held` units on lease.
+    def add_grant(self, leased: float, confirmed: float, granted: float, expired: bool) -> float:
+        """Applies the store's answer to a call that reported `leased` units on lease.
 
-        Of these the store knows `kept`, and it leases `granted` more. Gives the units that it had
-        lost. `expired`: the lease that was reported has ended since the call was written.
+        Of these the store confirmed some, and it leased `granted` more. Gives the units that it
+        had lost. `expired`: the lease that was reported has ended since the call was written.
         """
         lost = 0.0
-        if not expired and kept < held - ROUNDING_UNITS:
-            lost = held - kept  # what was spent of it meanwhile is charged to the base
+        if not expired and confirmed < leased - ROUNDING_UNITS:
+            lost = leased - confirmed  # what was spent of it meanwhile is charged to the base
             self.leased -= lost
             if self.leased < 0:
                 self.base.level += self.leased
--- a/hazelhollow/shared_store/leased_account.py
+++ b/hazelhollow/shared_store/leased_account.py
@@ -32,7 +32,7 @@
     args: list[str]
     sent_at: float
     account: LeasedAccount | None = None
-    held: list[float] = field(default_factory=list)  # units on lease when it was written
+    leased: list[float] = field(default_factory=list)  # units on lease when it was written
     wanted: list[float] = field(default_factory=list)  # units asked for
     lease_expired: bool = False  # what was on lease when it was written has ended since
 
@@ -73,7 +73,7 @@
             if self.call:
                 self.call.lease_expired = True
 
-    def held(self) -> list[float]:
+    def leased(self) -> list[float]:
         """Units on lease, by pool."""
         return [pool.leased for pool in self.pools]
 
--- a/hazelhollow/shared_store/scripts.py
+++ b/hazelhollow/shared_store/scripts.py
@@ -29,10 +29,11 @@
 class Grant:
     """The store's answer for one limit, in units.
 
-    `kept`: still on lease of what was held; `granted`: newly leased; `level`: left in the pool.
+    `confirmed`: still on lease, of what was reported; `granted`: newly leased; `level`: left in
+    the pool.
     """
 
-    kept: float
+    confirmed: float
     granted: float
     level: float
 
@@ -97,13 +98,13 @@
 def lease_arguments(
     caller: LeaseCaller,
     account: LeasedAccount,
-    held: Sequence[float],
+    leased: Sequence[float],
     wanted: Sequence[float],
     refused: float,
 ) -> list[str]:
     """The arguments of `lease.lua`.
 
-    `held` and `wanted`: units by pool. `refused`: units of a request that could not be admitted.
+    `leased` and `wanted`: units by pool. `refused`: units of a request that could not be admitted.
     """
     args = [
         caller.slot,
@@ -117,17 +118,17 @@
         f"{account.highest_total:.3f}",
         str(len(account.pools)),
     ]
-    for pool, units_held, units_wanted in zip(account.pools, held, wanted, strict=True):
-        args += _limit_arguments(pool, units_held, units_wanted, refused, caller.now)
+    for pool, units_leased, units_wanted in zip(account.pools, leased, wanted, strict=True):
+        args += _limit_arguments(pool, units_leased, units_wanted, refused, caller.now)
     return args
 
 
 def _limit_arguments(
-    pool: LeasePool, held: float, wanted: float, refused: float, now: float
+    pool: LeasePool, leased: float, wanted: float, refused: float, now: float
 ) -> list[str]:
-    needed = min(max(refused - max(pool.base.level, 0.0) - held, 0.0), wanted)
+    needed = min(max(refused - max(pool.base.level, 0.0) - leased, 0.0), wanted)
     spending = ",".join(_spending_text(step, now) for step in pool.recent_spending)
-    amounts = (pool.burst, pool.spent_from_leases, held, wanted, needed)
+    amounts = (pool.burst, pool.spent_from_leases, leased, wanted, needed)
     return [f"{pool.rate / 1000:.9f}", *[f"{amount:.6f}" for amount in amounts], spending]
 
 
