--- a/hazelhollow/control_budget/limiter_budget.py
+++ b/hazelhollow/control_budget/limiter_budget.py
@@ -17,7 +17,7 @@
     settings_for,
 )
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.gossip.codec import BEFORE, DIALECT
+from hazelhollow.decisions.gossip.codec import DIALECT, PREVIOUS_DIALECT
 from hazelhollow.net.peer_socket import PeerSocket
 
 
@@ -46,7 +46,7 @@
     ) -> None:
         self.budget = ControlBudget(settings_for(bytes_per_s), clock())
         self._clock, self._overhead_bytes = clock, HEADER_BYTES + signature_bytes
-        peers.meter = self._debit_gossip
+        peers.on_sent = self._debit_gossip
 
     def for_role(self, role: TrafficRole) -> RoleBudget:
         """What that role's subsystem asks before it sends."""
@@ -54,5 +54,5 @@
 
     def _debit_gossip(self, text: str) -> None:
         """A datagram has left. Gossip is known by its first letter."""
-        if text[0] in (DIALECT, BEFORE):
+        if text[0] in (DIALECT, PREVIOUS_DIALECT):
             self.budget.debit(TrafficRole.QUOTA, len(text) + HEADER_BYTES, self._clock())
--- a/hazelhollow/replication/account_adapter.py
+++ b/hazelhollow/replication/account_adapter.py
@@ -13,7 +13,8 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.gossip.codec import base36
-from hazelhollow.decisions.memory import Memory, key_of
+from hazelhollow.decisions.state.accounts import key_of
+from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 from hazelhollow.replication.catch_up import ReceivedAccount
 from hazelhollow.replication.count_table import CountRow, CountValue
 from hazelhollow.replication.messages import AccountCopy, RecentCount
@@ -47,45 +48,45 @@
     two customers have one key.
     """
 
-    def __init__(self, memory: Memory) -> None:
-        self._memory = memory
-        self.limiter_id = memory.settings.limiter_id
-        self.limiter_count = memory.settings.limiter_count
-        self._plan_names = {plan_tag(name): name for name in memory.plans}
+    def __init__(self, engine: ReplicatedAccounts) -> None:
+        self._engine = engine
+        self.limiter_id = engine.settings.limiter_id
+        self.limiter_count = engine.settings.limiter_count
+        self._plan_names = {plan_tag(name): name for name in engine.plans}
 
     def __len__(self) -> int:
         """How many accounts there are."""
-        return len(self._memory.accounts)
+        return len(self._engine.accounts)
 
     @property
     def incarnation(self) -> str:
         """The incarnation that gossip tells; empty before the engine's first event."""
-        return self._memory.incarnation
+        return self._engine.incarnation
 
     def names(self) -> list[str]:
         """The accounts' names, which change with every event."""
-        return list(self._memory.accounts)
+        return list(self._engine.accounts)
 
     def plan(self, name: str) -> api.Plan | None:
         """The plan of that name; None where these settings have none."""
-        return self._memory.plans.get(name)
+        return self._engine.plans.get(name)
 
     def total_debt(self) -> float:
         """Units of all customers that went beyond their quotas and are to be paid back."""
-        return sum(account.owed for account in self._memory.accounts.values())
+        return sum(account.debt for account in self._engine.accounts.values())
 
     # For members that catch up
 
     def customers_below_full(self) -> list[str]:
         """Customers whose budget is not full, those with the least left first."""
-        return self._memory.short()
+        return self._engine.names_below_full()
 
     def account(self, customer: str) -> AccountCopy | None:
         """All that is known of a customer; None where it was forgotten."""
-        copy = self._memory.copy_of(customer)
+        copy = self._engine.copy_of(customer)
         if copy is None or copy.level is None:
             return None
-        plan = self._memory.plans[copy.plan_name]
+        plan = self._engine.plans[copy.plan_name]
         counts = tuple(
             RecentCount(
                 count.member,
@@ -150,7 +151,7 @@
             )
             for count in account.counts
         )
-        level = self._memory.plans[name].burst - account.spent / TENTHS_PER_UNIT
+        level = self._engine.plans[name].burst - account.spent / TENTHS_PER_UNIT
         return api.AccountReplicated(
             account.customer,
             name,
@@ -171,7 +172,7 @@
         The incarnations that have charged it since are named without amounts: the snapshot knows
         nothing of what they charged.
         """
-        known = self._memory.copy_of(saved.customer)
+        known = self._engine.copy_of(saved.customer)
         counts = (
             tuple(
                 api.ReplicatedCount(count.member, count.incarnation, 0, 0, 0.0)
@@ -192,33 +193,36 @@
 
     def ranked(self, name: str) -> RankedAccount | None:
         """An account whose budget is not full; None for others and where it was forgotten."""
-        account = self._memory.accounts.get(name)
-        if account is None or not account.plan.burst or not account.spread:
+        account = self._engine.accounts.get(name)
+        if account is None or not account.plan.burst or not account.set_size:
             return None
-        share_left = account.budget.fill(self._memory.now) / account.plan.burst
+        share_left = account.quota.refill(self._engine.now) / account.plan.burst
         if share_left >= 1.0:
             return None
-        return RankedAccount(share_left, self.saved(name, account.budget.level - account.owed))
+        return RankedAccount(share_left, self.saved(name, account.quota.level - account.debt))
 
     def saved(self, name: str, level: float) -> SavedAccount:
         """A known account as snapshots have it, with `level` units left."""
-        account = self._memory.accounts[name]
-        return SavedAccount(key_of(name), account.plan.name, account.first, account.spread, level)
+        account = self._engine.accounts[name]
+        return SavedAccount(
+            key_of(name), account.plan.name, account.set_start, account.set_size, level
+        )
 
     def name_of(self, saved: SavedAccount, plan: api.Plan) -> str:
         """What an account of a snapshot is, or would be, called in the engine."""
-        return self._memory.name_of(saved.customer, plan)
+        return self._engine.name_of(saved.customer, plan)
 
     def charged_plan(self, name: str) -> api.Plan | None:
         """The plan of a known account whose set of limiters is known."""
-        account = self._memory.accounts.get(name)
-        return account.plan if account and account.spread else None
+        account = self._engine.accounts.get(name)
+        return account.plan if account and account.set_size else None
 
     def charged(self, name: str) -> float:
         """Units that this incarnation has charged a customer, and heard of others' charges."""
-        account = self._memory.accounts.get(name)
+        account = self._engine.accounts.get(name)
         if account is None:
             return 0.0
-        totals = account.totals
-        closed = totals.closed + sum(total for _, _, total in (totals.bases or {}).values())
-        return closed + totals.sum()
+        charges = account.charges
+        counts = (charges.closed_counts or {}).values()
+        closed = charges.own_closed + sum(count.total for count in counts)
+        return closed + charges.open_total()
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -92,14 +92,14 @@
             if file
             else None
         )
-        self._receive_other = network.peers.heard  # takes datagrams that are not replication's
+        self._receive_other = network.peers.on_message  # takes datagrams that are not replication's
         self._stopped = False
         self._log = RateLimitedLog(log, scheduler.clock)
 
     def start(self) -> None:
         """Begins with what the last incarnation left on disk, and with the rounds."""
         peers = self._network.peers
-        self._receive_other, peers.heard = peers.heard, self.receive
+        self._receive_other, peers.on_message = peers.on_message, self.receive
         now = self._restore_point.began_at = self._scheduler.clock()
         snapshot = self._restore_point.snapshot = self._file.load(now) if self._file else None
         if snapshot:
@@ -175,14 +175,14 @@
         if self._sender:
             datagrams = self._sender.due(datagrams, now)
         for datagram in datagrams:
-            self._network.peers.tell(
+            self._network.peers.send_to(
                 datagram.member, self._network.authenticator.sign(datagram.text)
             )
         self._updates.pass_on(now)
         anti_entropy = self.replica.anti_entropy
         if anti_entropy.new_overrides:
             for override in anti_entropy.new_overrides:
-                self._log.say(
+                self._log.log(
                     logging.WARNING,
                     "server %s is %s by an operator at member %d",
                     override.endpoint,
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -110,7 +110,7 @@
             self.client.closed(self.scheduler.clock())
 
     def _read(self, connection: stream.Stream) -> str:
-        while connection.ending is None:
+        while connection.close_reason is None:
             connection.wait()
             data = connection.read(stream.READ_CHUNK_BYTES)
             if isinstance(data, CloseReason):
@@ -124,7 +124,7 @@
                     return str(error)
                 self._flush()
                 self._arm()
-        return connection.ending.name.lower()
+        return connection.close_reason.name.lower()
 
     def _flush(self) -> None:
         data = self.client.take()
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -16,6 +16,7 @@
 from typing import NamedTuple
 
 from hazelhollow.net import resp
+from hazelhollow.net.errors import ProtocolError
 from hazelhollow.shared_store.errors import (
     StoreError,
     StoreProtocolError,
@@ -184,7 +185,7 @@
                 events += self._match(self._pending.popleft(), value, now)
                 if events and isinstance(events[-1], ConnectionBroken):
                     return events
-        except resp.ProtocolError as cause:
+        except ProtocolError as cause:
             events.append(ConnectionBroken(StoreProtocolError(f"not of the protocol: {cause}")))
         return events
 
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -16,6 +16,7 @@
 
 from hazelhollow.net import resp, stream
 from hazelhollow.net.close_reason import CloseReason
+from hazelhollow.net.errors import ProtocolError
 from hazelhollow.net.scheduler import Scheduler
 
 MAX_OUT = 1024 * 1024  # bytes of replies that wait for one connection
@@ -103,7 +104,7 @@
 
     def _serve(self, connection: Connection) -> None:
         driver = connection.driver
-        while driver.ending is None:
+        while driver.close_reason is None:
             driver.wait()
             data = driver.read(connection.parser.ring.room())
             if isinstance(data, CloseReason):
@@ -113,7 +114,7 @@
                     connection.parser.feed(data)
                     while not isinstance(command := connection.parser.next(), resp.NeedMoreData):
                         self._handle(connection, command)
-                except resp.ProtocolError:
+                except ProtocolError:
                     driver.close(CloseReason.MALFORMED)
 
     def _handle(self, connection: Connection, command: resp.Value) -> None:
--- a/tests/audit_fleet.py
+++ b/tests/configuration/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of the audit's drivers in memory.
+"""A fleet of configuration drivers in memory.
 
 One virtual clock, a network that delays, loses and cuts, a view that tells in time.
 """
@@ -12,20 +12,24 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hazelhollow.configuration import transfer
-from hazelhollow.configuration.driver import Driver
-from hazelhollow.configuration.merge import Fleet as MergedFleet
-from hazelhollow.configuration.merge import merged
-from hazelhollow.configuration.record import Record
-from hazelhollow.configuration.versions import LENGTH
+from hazelhollow.configuration.audit.entries import EntryKind
+from hazelhollow.configuration.audit.merge import AuditMerge, merge_entries
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.distribution import codec
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
+from hazelhollow.configuration.versions import ENCODED_LENGTH
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.membership.records import MemberState
 from hazelhollow.membership.records import Record as FleetRecord
 
-BEGAN = 1000.0
-ON_THE_WAY = 0.01  # seconds of a datagram
-TOLD_WITHIN = 0.3  # seconds until all know of a change in a member's record
-DEAD_AFTER = 2.0  # seconds until all hold a dead one for dead
+START_S = 1000.0
+DATAGRAM_DELAY_S = 0.01  # seconds of a datagram
+MAX_NEWS_DELAY_S = 0.3  # seconds until all know of a change in a member's record
+DEATH_NOTICED_AFTER_S = 2.0  # seconds until all hold a dead one for dead
 
 
 def settings(routes: int = 6, changed: int | None = None, deadline: float = 1.0) -> dict[str, Any]:
@@ -59,7 +63,7 @@
     """
 
     def __init__(
-        self, fleet: AuditFleet, number: int, document: Mapping[str, Any], order: int
+        self, fleet: ConfigurationFleet, number: int, document: Mapping[str, Any], order: int
     ) -> None:
         self.fleet, self.limiter_id, self.alive, self.may_admit = fleet, number, True, True
         self.file: tuple[Mapping[str, Any], int] = (document, order)
@@ -71,16 +75,11 @@
         self.shut_out_rule: Callable[[float], bool] = lambda now: False
         self._watchers = list[Callable[[FleetRecord], None]]()
         self.membership = self.table = self
-        self.record = Record(number, self.incarnation, fleet.segments(number))  # type: ignore[arg-type]
-        self.driver = Driver(
-            self,  # type: ignore[arg-type]
-            self,  # type: ignore[arg-type]
-            self,  # type: ignore[arg-type]
-            MessageAuthenticator(),
-            self,
-            lambda: self.file[1],
-            self.record,
-            number,
+        segments = fleet.segments(number)
+        self.record = AuditRecord(number, self.incarnation, segments)  # type: ignore[arg-type]
+        self.driver = ConfigurationDriver(
+            Connections(self, self, self, MessageAuthenticator(), self),  # type: ignore[arg-type]
+            ConfigurationOptions(lambda: self.file[1], self.record, number),
         )
         self.driver.start()
 
@@ -92,10 +91,10 @@
     def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
         self.fleet.at(when, lambda: self.alive and call(*args))
 
-    def tell(self, number: int, text: str) -> None:
+    def send_to(self, number: int, text: str) -> None:
         self.fleet.carry(self.limiter_id, number, text)
 
-    def heard(self, sender: int, text: str) -> None:
+    def on_message(self, sender: int, text: str) -> None:
         raise AssertionError(f"{text} of {sender} is none of the audit's")
 
     # The view
@@ -112,7 +111,7 @@
             )
 
     def note(self, record: FleetRecord) -> None:
-        if self.earlier_release and len(record.versions) > LENGTH:
+        if self.earlier_release and len(record.versions) > ENCODED_LENGTH:
             record = record._replace(versions="")
         for watcher in self._watchers:
             watcher(record)
@@ -122,31 +121,31 @@
 
     # The limiter
 
-    def document(self) -> Mapping[str, Any]:
+    def settings_document(self) -> Mapping[str, Any]:
         return self.acts_on
 
-    def check(self, document: Mapping[str, Any]) -> str:
+    def check_settings(self, document: Mapping[str, Any]) -> str:
         return self.cannot_take(document)
 
-    def take(self, document: Mapping[str, Any]) -> str:
-        trouble = self.cannot_take(document)
-        if not trouble:
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
+        reason = self.cannot_take(document)
+        if not reason:
             self.acts_on = dict(document)
-        return trouble
+        return reason
 
-    def listed(self) -> tuple[int, str]:
+    def endpoint_list(self) -> tuple[int, str]:
         return 1, ""
 
-    def out(self) -> set[str]:
+    def disabled_hosts(self) -> set[str]:
         return set()
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         return dict(self.counts)
 
-    def sent(self) -> Counter[str]:
+    def take_attempts(self) -> Counter[str]:
         return Counter()
 
-    def samples(self) -> list[str]:
+    def take_samples(self) -> list[str]:
         return []
 
     # What happens to it
@@ -158,19 +157,19 @@
 
     def hang_up(self) -> None:
         self.acts_on = dict(self.file[0])
-        self.driver.settings_in_force()
+        self.driver.settings_reloaded()
 
     def steps(self) -> list[str]:
-        return [entry.version for entry in self.record.kept if entry.what == "rollout"]
+        return [entry.version for entry in self.record.entries if entry.kind is EntryKind.ROLLOUT]
 
 
-class AuditFleet:
+class ConfigurationFleet:
     """`lose`: the part of the datagrams that is lost."""
 
     def __init__(
         self, members: int, document: Mapping[str, Any], lose: float = 0.0, seed: int = 1
     ) -> None:
-        self.now, self.lose, self.random = BEGAN, lose, random.Random(seed)
+        self.now, self.lose, self.random = START_S, lose, random.Random(seed)
         self.incarnations = itertools.count(1)
         self._due: list[tuple[float, int, Callable[[], object]]] = []
         self._serials = itertools.count()
@@ -211,10 +210,10 @@
         before = self.members.get(number)
         if before is not None:
             self.ended.append(before)
-        one = self.members[number] = Member(self, number, document, order)
+        member = self.members[number] = Member(self, number, document, order)
         for other in self.members.values():
-            if other is not one and other.alive:
-                one.note(
+            if other is not member and other.alive:
+                member.note(
                     FleetRecord(
                         other.limiter_id,
                         other.incarnation,
@@ -224,26 +223,26 @@
                         other.versions,
                     )
                 )
-        return one
+        return member
 
     def kill(self, number: int) -> None:
-        one = self.members[number]
-        one.alive = False
+        member = self.members[number]
+        member.alive = False
         self.at(
-            self.now + DEAD_AFTER,
-            lambda: self._spread(FleetRecord(number, one.incarnation, 1, MemberState.DEAD)),
+            self.now + DEATH_NOTICED_AFTER_S,
+            lambda: self._spread(FleetRecord(number, member.incarnation, 1, MemberState.DEAD)),
         )
 
     def tell_all(self, number: int, record: FleetRecord) -> None:
-        delay = self.random.uniform(0.0, TOLD_WITHIN)
+        delay = self.random.uniform(0.0, MAX_NEWS_DELAY_S)
         self.at(self.now + delay, lambda: self._spread(record, number))
 
     def _spread(self, record: FleetRecord, sender: int = -1) -> None:
-        one = self.members.get(record.number)
+        member = self.members.get(record.number)
         if (
-            one is None
-            or record.incarnation != one.incarnation
-            or (one.alive and record.versions != one.versions)
+            member is None
+            or record.incarnation != member.incarnation
+            or (member.alive and record.versions != member.versions)
         ):
             return  # an older word
         for other in self.members.values():
@@ -261,14 +260,14 @@
         """
         sides = some, set(self.members) - some
         self._cut = {pair for a, b in itertools.product(*sides) for pair in ((a, b), (b, a))}
-        self.at(self.now + DEAD_AFTER, lambda: self._note_across(MemberState.DEAD))
+        self.at(self.now + DEATH_NOTICED_AFTER_S, lambda: self._note_across(MemberState.DEAD))
 
     def heal(self) -> None:
         crossing, self._cut = self._cut, set()
         for a, b in crossing:
-            one = self.members[a]
+            member = self.members[a]
             self.members[b].note(
-                FleetRecord(a, one.incarnation, 2, MemberState.ALIVE, (), one.versions)
+                FleetRecord(a, member.incarnation, 2, MemberState.ALIVE, (), member.versions)
             )
 
     def _note_across(self, state: MemberState) -> None:
@@ -278,31 +277,39 @@
     # Datagrams
 
     def carry(self, sender: int, number: int, text: str) -> None:
-        self.carried[text[len(transfer.DIALECT)]] += 1
+        self.carried[text[len(codec.DATAGRAM_PREFIX)]] += 1
         self.bytes_to[number] += len(text)
         if self.random.random() < self.lose or (sender, number) in self._cut:
             return
         receiver = self.members[number]
-        self.at(self.now + ON_THE_WAY, lambda: self._arrive(receiver, sender, text))
+        self.at(self.now + DATAGRAM_DELAY_S, lambda: self._arrive(receiver, sender, text))
 
     @staticmethod
     def _arrive(receiver: Member, sender: int, text: str) -> None:
         if receiver.alive:
-            receiver.heard(sender, text)
+            receiver.on_message(sender, text)
 
     # What there is to see
 
     def orders(self) -> list[int]:
-        return [one.driver.order() for one in self.members.values() if one.alive]
+        return [member.driver.revision() for member in self.members.values() if member.alive]
 
     def trying(self) -> set[int]:
-        return {n for n, one in self.members.items() if one.alive and one.driver.rollout.candidate}
+        return {
+            n
+            for n, member in self.members.items()
+            if member.alive and member.driver.rollouts.candidate
+        }
 
     def same(self, document: Mapping[str, Any]) -> set[int]:
         """Members that act on these settings."""
-        return {n for n, one in self.members.items() if one.alive and one.acts_on == document}
-
-    def merged(self) -> MergedFleet:
-        return merged(
-            entry for one in (*self.ended, *self.members.values()) for entry in one.record.kept
+        return {
+            n for n, member in self.members.items() if member.alive and member.acts_on == document
+        }
+
+    def merged(self) -> AuditMerge:
+        return merge_entries(
+            entry
+            for member in (*self.ended, *self.members.values())
+            for entry in member.record.entries
         )
--- a/tests/test_bans.py
+++ b/tests/net/test_administrative_overrides.py
@@ -1,7 +1,4 @@
-"""Servers out by hand.
-
-Never sent anything new, whatever the list says; kept over a restart; back cold.
-"""
+"""Endpoints disabled by an operator: nothing new for them, also after a restart."""
 
 from __future__ import annotations
 
@@ -11,13 +8,17 @@
 import pytest
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.net.bans import BanFile, path_for
-from tests.scenario import Stage
+from hazelhollow.net.override_file import OverrideFile, path_for
+from tests.net.scenario import Stage
+from tests.net.test_operator_address import call, figures, stage
 from tests.test_gateway import ask, entry, make, only, servers
-from tests.test_operator_address import call, figures, stage
 
 
 def test_a_banned_server_gets_nothing_even_when_all_others_fail() -> None:
+    """An operator disables an endpoint.
+
+    Neither a drain of the only other one nor a list that says it is up may bring it a request.
+    """
     gateway = make(0, limiter_count=1)
     gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
@@ -33,26 +34,30 @@
 
 
 def test_a_server_put_back_is_cold() -> None:
+    """An endpoint that was disabled for a while has empty caches.
+
+    It starts slowly again, and a list with an old start time does not change that.
+    """
     gateway = make(0, limiter_count=1)
     gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
     gateway.handle(api.EndpointOverridden("s1", False), 105.0)
-    assert gateway.servers["s1"].cold(105.5, gateway.settings)
+    assert gateway.endpoints["s1"].is_warming_up(105.5, gateway.settings)
     gateway.handle(
         servers("full", entry("s1"), entry("s2")), 106.0
     )  # a list that says it is old does not warm it
-    assert gateway.servers["s1"].cold(106.0, gateway.settings) and not gateway.servers["s2"].cold(
-        106.0, gateway.settings
-    )
+    assert gateway.endpoints["s1"].is_warming_up(106.0, gateway.settings) and not gateway.endpoints[
+        "s2"
+    ].is_warming_up(106.0, gateway.settings)
 
 
 def test_set_down_and_up_by_the_operator_address() -> None:
     one = stage()
     assert call(one, b"set-down s1\n") == b"done set-down s1\n"
     assert call(one, b"set-down s1\n") == b"done set-down s1\n"  # said again, nothing more changes
-    assert one.service.gateway.banned == {"s1"} and figures(one)["targets_disabled"] == 1
+    assert one.service.engine.table.disabled == {"s1"} and figures(one)["targets_disabled"] == 1
     assert call(one, b"set-up s1\n") == b"done set-up s1\n"
-    assert not one.service.gateway.banned and figures(one)["targets_disabled"] == 0
+    assert not one.service.engine.table.disabled and figures(one)["targets_disabled"] == 0
 
 
 def test_an_id_never_listed_is_owed_a_no() -> None:
@@ -60,14 +65,20 @@
 
 
 def test_bans_hold_over_a_restart_and_reach_a_process_beside() -> None:
+    """During an upgrade two processes serve under one name.
+
+    What an operator says to one of them must hold in the other, and after a restart.
+    """
     first = stage()
     call(first, b"set-down s1\n")
     second = Stage(hosts=1)
-    assert second.service.gateway.banned == {"s1"}
-    second.service.set_bans(set())
+    assert second.service.engine.table.disabled == {"s1"}
+    second.service.overrides.replace(set())
     first.now += 1.0
     first.settle()
-    assert not first.service.gateway.banned  # what the other one put back, this one puts back too
+    assert (
+        not first.service.engine.table.disabled
+    )  # what the other one put back, this one puts back too
 
 
 @pytest.mark.parametrize(
@@ -82,15 +93,19 @@
     ],
 )
 def test_a_broken_or_foreign_file_is_not_taken(text: bytes, tmp_path: Path) -> None:
+    """The override file was damaged, or is another program's.
+
+    The limiter starts all the same and disables nothing.
+    """
     path = path_for("n0", str(tmp_path))
     path.write_bytes(text)
-    assert BanFile(path).read() is None
-    assert not Stage(hosts=1).service.gateway.banned
+    assert OverrideFile(path).read() is None
+    assert not Stage(hosts=1).service.engine.table.disabled
 
 
 def test_the_file_is_written_whole_and_read_back(tmp_path: Path) -> None:
-    keeper = BanFile(path_for("n0", str(tmp_path)))
+    keeper = OverrideFile(path_for("n0", str(tmp_path)))
     keeper.write({"s2", "s1"})
     assert orjson.loads(keeper.path.read_bytes())["down"] == ["s1", "s2"]
-    assert BanFile(keeper.path).read() == {"s1", "s2"}
+    assert OverrideFile(keeper.path).read() == {"s1", "s2"}
     assert not list(tmp_path.glob("*.part"))
--- a/tests/shared_store/ledger_fleet.py
+++ b/tests/shared_store/ledger_fleet.py
@@ -14,7 +14,7 @@
 from hazelhollow.shared_store.link import ConnectionBroken, Credentials, Link, LinkEvent
 from hazelhollow.standins.redis import faults
 from hazelhollow.standins.redis.node import Node
-from tests.scenario import BUY, LOOK, START
+from tests.net.scenario import BUY, LOOK, START
 
 PLAN = api.Plan("gold", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_burst=80.0)
 
--- a/tests/shared_store/test_limiter.py
+++ b/tests/shared_store/test_limiter.py
@@ -10,7 +10,7 @@
 from hazelhollow.operator import attach, load
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.server import Server
-from tests.scenario import BUY, LOOK, START, Stage
+from tests.net.scenario import BUY, LOOK, START, Stage
 
 
 def test_a_limiter_on_sockets_leases_from_the_stand_in(tmp_path: Path) -> None:
--- a/tests/shared_store/test_presence.py
+++ b/tests/shared_store/test_presence.py
@@ -8,7 +8,7 @@
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
 from hazelhollow.shared_store.leased_account import ScriptCall
 from hazelhollow.shared_store.link import Answered
-from tests.scenario import BUY, LOOK, START
+from tests.net.scenario import BUY, LOOK, START
 from tests.shared_store.ledger_fleet import (
     PLAN,
     TERMS,
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -9,11 +9,19 @@
 from pathlib import Path
 from shutil import copy
 
-from hazelhollow.configuration import files, record, versions
-from hazelhollow.configuration.record import Entry
+import msgspec
+
+from hazelhollow.configuration import versions
+from hazelhollow.configuration.audit.entries import (
+    AuditEntry,
+    decode_entries,
+    encode_entry,
+)
+from hazelhollow.configuration.audit.reader import read_entries, segment_paths
+from hazelhollow.configuration.audit.segments import SegmentWriter
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
-from hazelhollow.fault_injection import checker
-from hazelhollow.net.bans import BanFile, path_for
+from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.net.override_file import OverrideFile, path_for
 from hazelhollow.replication.overrides import Override
 from hazelhollow.replication.snapshot import SavedAccount, Snapshot
 from hazelhollow.replication.snapshot_file import SnapshotFile
@@ -76,10 +84,10 @@
 
 def test_a_record_with_every_kind_of_entry() -> None:
     troubles: list[str] = []
-    entries = list(files.entries(FOLDER, troubles.append))
+    entries = list(read_entries(FOLDER, troubles.append))
     assert not troubles
     other = Versions("c", "abc", 7, "5d3a", 42, "def", "9c10", Candidate(2, Phase("b")))
-    assert versions.read(versions.write(other)) == other
+    assert versions.decode(versions.encode(other)) == other
     began, again = "began", "an older index: discovery began anew or is another"
     behind = "order 8 is out, 7 acts here; it goes on, or too few would serve"
     given = "given by member 2"
@@ -87,50 +95,52 @@
     out, hosts = {"s-0001": 1, "s-0002": 1}, {"s-0003": 60, "s-0004": 41}
     samples = ["r-1 s-0003", "r-2 s-0004"]
     t, by = 1_700_000_000.0, (4, INCARNATION)
-    assert entries == [
-        Entry(t + 0.125, *by, 1, "program", "0.1", began, 7, -1, {}, {}, [], False),
-        Entry(t + 0.25, *by, 2, "settings", "5d3a", began, 7, -1, {}, {}, [], False),
-        Entry(t + 0.5, *by, 3, "list", "42", "", 7, -1, {}, {}, [], False),
-        Entry(t + 1, *by, 4, "list", "3", again, 7, -1, {}, {}, [], False),
-        Entry(t + 1.5, *by, 5, "hands", "9c10", "", 7, -1, {}, out, [], False),
-        Entry(t + 2, *by, 6, "ruling", "behind", behind, 7, -1, {}, {}, [], False),
-        Entry(t + 2.5, *by, 7, "heard", versions.write(other), "", 7, 2, {}, {}, [], False),
-        Entry(t + 3, *by, 8, "rollout", "taken", "candidate 9", 7, -1, {}, {}, [], False),
-        Entry(t + 3.5, *by, 9, "settings", "77be", given, 9, -1, {}, {}, [], True),
-        Entry(t + 4, *by, 10, "second", "77be", "", 9, -1, counts, hosts, samples, False),
-        Entry(t + 9, 4, 1_700_000_009_000, 1, "program", "0.2", began, 9, -1, {}, {}, [], False),
+    stored = [
+        (t + 0.125, *by, 1, "program", "0.1", began, 7, -1, {}, {}, [], False),
+        (t + 0.25, *by, 2, "settings", "5d3a", began, 7, -1, {}, {}, [], False),
+        (t + 0.5, *by, 3, "list", "42", "", 7, -1, {}, {}, [], False),
+        (t + 1, *by, 4, "list", "3", again, 7, -1, {}, {}, [], False),
+        (t + 1.5, *by, 5, "hands", "9c10", "", 7, -1, {}, out, [], False),
+        (t + 2, *by, 6, "ruling", "behind", behind, 7, -1, {}, {}, [], False),
+        (t + 2.5, *by, 7, "heard", versions.encode(other), "", 7, 2, {}, {}, [], False),
+        (t + 3, *by, 8, "rollout", "taken", "candidate 9", 7, -1, {}, {}, [], False),
+        (t + 3.5, *by, 9, "settings", "77be", given, 9, -1, {}, {}, [], True),
+        (t + 4, *by, 10, "second", "77be", "", 9, -1, counts, hosts, samples, False),
+        (t + 9, 4, 1_700_000_009_000, 1, "program", "0.2", began, 9, -1, {}, {}, [], False),
     ]
+    assert entries == msgspec.convert(stored, list[AuditEntry])
     last = entries[-2]
-    assert (last.t, last.member, last.incarnation, last.serial) == (t + 4, 4, INCARNATION, 10)
-    assert (last.what, last.version, last.order, last.other) == ("second", "77be", 9, -1)
+    assert (last.time, last.member, last.incarnation, last.serial) == (t + 4, 4, INCARNATION, 10)
+    assert (last.kind, last.version, last.revision, last.peer) == ("second", "77be", 9, -1)
     assert (last.counts, last.hosts, last.samples) == (counts, hosts, samples)
     assert [entry.serial for entry in entries if entry.candidate] == [9]
 
 
 def test_a_record_is_written_as_the_same_bytes(tmp_path: Path) -> None:
-    paths = files.segments(FOLDER)
+    paths = segment_paths(FOLDER)
     assert len(paths) == 2
     for path in paths:
-        entries = list(record.unpack(path.read_bytes()))
+        entries = list(decode_entries(path.read_bytes()))
         assert (
-            b"".join(record.pack(e) for e in entries if isinstance(e, Entry)) == path.read_bytes()
+            b"".join(encode_entry(e) for e in entries if isinstance(e, AuditEntry))
+            == path.read_bytes()
         )
-    record.Segments(tmp_path, 4, INCARNATION).write(
-        [e for e in record.unpack(paths[0].read_bytes()) if isinstance(e, Entry)]
+    SegmentWriter(tmp_path, 4, INCARNATION).write(
+        [e for e in decode_entries(paths[0].read_bytes()) if isinstance(e, AuditEntry)]
     )
     assert (tmp_path / paths[0].name).read_bytes() == paths[0].read_bytes()
 
 
 def test_a_file_of_servers_that_are_out(tmp_path: Path) -> None:
-    found = BanFile(path_for("espoo main/0", str(FOLDER))).read()
+    found = OverrideFile(path_for("espoo main/0", str(FOLDER))).read()
     assert found == {"10.0.0.7:9000", "s-0001", "s-0009"}
     path = path_for("espoo main/0", str(tmp_path))
-    BanFile(path).write(found)
+    OverrideFile(path).write(found)
     assert path.read_bytes() == (FOLDER / path.name).read_bytes()
 
 
 def test_the_lines_of_the_membership() -> None:
-    first, second = checker.rows(FOLDER / "n0.view.jsonl")
+    first, second = rows(FOLDER / "n0.view.jsonl")
     assert first == {
         "t": 1_700_000_000.5,
         "me": 0,
