--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -89,7 +89,7 @@
     def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
         self.fleet.at(when, self._happen, call, args)
 
-    def tell(self, number: int, text: str) -> None:
+    def send_to(self, number: int, text: str) -> None:
         self.fleet.at(self.clock() + NETWORK_DELAY_S, self.fleet.arrive, number, self.number, text)
 
     def _happen(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
@@ -110,7 +110,7 @@
                 done = api.AttemptEnded(action.id, 0, action.endpoint, "ok", SERVICE_TIME_S, True)
                 self.at(self.clock() + SERVICE_TIME_S, self.handle, done)
             elif isinstance(action, api.SendGossip):
-                self.tell(action.limiter_id, action.text)
+                self.send_to(action.limiter_id, action.text)
             elif isinstance(action, api.SetTimer):
                 self.at(self.clock() + action.delay, self.handle, api.TimerFired(action.name))
             elif isinstance(action, api.ReplicateCount):
