--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -42,7 +42,7 @@
     database: int = 0
 
 
-@dataclass
+@dataclass(frozen=True)
 class Connected:
     """The handshake is done. By the store's clock, in seconds: its process's start, and now."""
 
@@ -50,7 +50,7 @@
     store_now: float
 
 
-@dataclass
+@dataclass(frozen=True)
 class Answered:
     """An answer in time; `took` is in seconds."""
 
@@ -59,7 +59,7 @@
     took: float
 
 
-@dataclass
+@dataclass(frozen=True)
 class LateAnswer:
     """An answer to a call that had been given up."""
 
@@ -67,7 +67,7 @@
     answer: list[str]
 
 
-@dataclass
+@dataclass(frozen=True)
 class CallFailed:
     """An error, or no answer within the timeout: the call may have run all the same."""
 
@@ -75,7 +75,7 @@
     error: StoreError
 
 
-@dataclass
+@dataclass(frozen=True)
 class ConnectionBroken:
     """The connection is of no more use and must be closed."""
 
@@ -160,9 +160,9 @@
     def tick(self, now: float) -> list[LinkEvent]:
         """Gives up calls whose time is over, and the connection if the store is silent."""
         if not self.ready:
-            is_late = now >= self._handshake_deadline
-            error = StoreTimeoutError("the handshake took too long")
-            return [ConnectionBroken(error)] if is_late else []
+            if now < self._handshake_deadline:
+                return []
+            return [ConnectionBroken(StoreTimeoutError("the handshake took too long"))]
         events = list[LinkEvent]()
         for pending in self._pending:
             if now < pending.sent_at + self.call_timeout:
--- a/tests/replication/test_codec.py
+++ b/tests/replication/test_codec.py
@@ -10,11 +10,16 @@
 from hazelhollow.replication.count_table import CountRow, CountValue
 from hazelhollow.replication.messages import (
     AccountCopy,
+    Body,
     Counts,
+    Digests,
     Kind,
+    Message,
+    NotComplete,
     Overrides,
     RecentCount,
     TransferPiece,
+    TransferRequest,
 )
 from hazelhollow.replication.overrides import Override
 from tests.replication.network import NOW, KnownAccounts, Network, overrides, rows, values
@@ -62,6 +67,76 @@
     assert message is not None and message.body == Overrides((call,))
 
 
+ROWS = (
+    CountRow("8tl2m", "7kq", 1, 5, 3, "9k2", CountValue(NOW - 4, NOW - 2, 48)),
+    CountRow("8tl2m", "7kq", 1, 5, 1, "8aa", CountValue(NOW - 9, NOW - 2, 7, 0)),
+)
+ACCOUNT = AccountCopy(
+    "8tl2m",
+    "7kq",
+    1,
+    5,
+    217,
+    (
+        RecentCount(3, "9k2", CountValue(NOW - 4, NOW - 2, 48), 20, 10),
+        RecentCount(1, "8aa", CountValue(NOW - 50, NOW - 3, 1234)),
+    ),
+)
+OVERRIDES = (
+    Override("s-0001", 2, 0, 1_700_000_002_000, 4),
+    Override("10.0.0.7", 9, 1, 1_700_000_004_500, 1),
+)
+TEXTS: list[tuple[Kind, tuple[int, ...], str, Body]] = [
+    (
+        Kind.COUNTS,
+        (),
+        "c1r l1/s44we8  8tl2m:7kq:1:5:3.9k2.4.2.1c-1.8aa.9.2.7.h",
+        Counts(ROWS),
+    ),
+    (
+        Kind.TRANSFER_PIECE,
+        (7, 40, 300),
+        "c1g l1/s44we8 7-14-8c 8tl2m:7kq:1:5:61:3.9k2.4.2.1c.k.a-1.8aa.1e.3.ya.0.0 -",
+        TransferPiece(7, 40, 300, (ACCOUNT, None)),
+    ),
+    (Kind.TRANSFER_REQUEST, (7, 40, 40), "c1q l1/s44we8 7-14-14", TransferRequest(7, 40, 40)),
+    (Kind.NOT_COMPLETE, (7,), "c1n l1/s44we8 7", NotComplete(7)),
+    (
+        Kind.OVERRIDES,
+        (),
+        "c1h l1/s44we8  s-0001:2:0:loyw3wls:4 10.0.0.7:9:1:loyw3yj8:1",
+        Overrides(OVERRIDES),
+    ),
+    (
+        Kind.DIGESTS,
+        (*range(32), 577735, 1),
+        "c1s l1/s44we8 0-1-2-3-4-5-6-7-8-9-a-b-c-d-e-f-g-h-i-j-k-l-m-n-o-p-q-r-s-t-u-v-cds7-1",
+        Digests(tuple(range(32)), 577735, True),
+    ),
+]
+
+
+def items_of(body: Body) -> list[str]:
+    if isinstance(body, Counts):
+        return [codec.encode_counts(body.rows, NOW)]
+    if isinstance(body, TransferPiece):
+        return [codec.encode_account(ACCOUNT, NOW, 200), codec.encode_forgotten()]
+    if isinstance(body, Overrides):
+        return [codec.encode_override(override) for override in body.overrides]
+    return []
+
+
+@pytest.mark.parametrize(("kind", "numbers", "text", "body"), TEXTS)
+def test_texts_are_those_of_earlier_versions(
+    kind: Kind, numbers: tuple[int, ...], text: str, body: Body
+) -> None:
+    """Members of two versions talk to each other while one is rolled out; c5118d0 wrote these."""
+    assert {row[0] for row in TEXTS} == set(Kind)
+    header = codec.encode_header(kind, "l1", NOW, numbers)
+    assert codec.append_items(header, items_of(body), 256) == (text, len(items_of(body)))
+    assert codec.decode(text, 5) == Message("l1", NOW, body)
+
+
 @given(st.text(max_size=60))
 def test_any_text_is_no_message_or_of_a_known_kind(text: str) -> None:
     """Whatever arrives at the port must not raise."""
