--- a/hazelhollow/decisions/startup_quota.py
+++ b/hazelhollow/decisions/startup_quota.py
@@ -61,8 +61,10 @@
         return min(plan.burst, part + plan.rate * (context.now - since))
 
     def hear_from(self, peer: int, incarnation: str, accounts: Iterable[Account]) -> None:
-        """A peer's incarnation. Once all have been heard from and started together, nothing was
-        charged before: accounts get the rest of the burst and the ceiling.
+        """Takes note of a peer's incarnation.
+
+        Once all peers have been heard from and started together, nothing was charged before:
+        accounts get the rest of the burst and of the ceiling.
         """
         context = self._context
         if self.all_started_together or context.now - context.started_at > MEETING_TIME_S:
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -19,7 +19,8 @@
 from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.endpoint_reports import read_cost, read_report
+from hazelhollow.simulator.errors import WireError
 
 TIMER_AGAIN = 1.0  # seconds until a timer at which the module failed comes again
 # Seconds since the sockets were looked at, past which a client is looked at anew before an attempt
@@ -206,7 +207,7 @@
             now - attempt.started,
             one.answered,
             self._true_units(result),
-            wire.read_report(result.report),
+            read_report(result.report),
         )
         self._handle(event, one)
 
@@ -219,8 +220,8 @@
         if result.status != "ok" or not self.most_units:
             return 0.0
         try:
-            units = wire.read_cost(result.figures, self.most_units)
-        except wire.WireError as error:
+            units = read_cost(result.figures, self.most_units)
+        except WireError as error:
             self._stats.figures_bad += 1
             self._log.warning("%s", error)
             return 0.0
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -26,7 +26,9 @@
 from hazelhollow.net.session_table import KEPT_SHARE, MEMORY_SHARE
 from hazelhollow.net.stats import Stats
 from hazelhollow.platform_config import PlatformConfig, PlatformConfigError
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.errors import WireError
+from hazelhollow.simulator.fields import Fields
+from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 
 # seconds: then it serves with the list it knows, though discovery has not answered
 READY_WITHIN = 0.5
@@ -254,7 +256,7 @@
         """What is wrong with settings that a peer has given, or nothing."""
         try:
             self._checked = document, self._read_settings(self._with_own(document))
-        except (wire.WireError, PlatformConfigError, ValueError) as error:
+        except (WireError, PlatformConfigError, ValueError) as error:
             return str(error)
         return ""
 
@@ -275,8 +277,8 @@
 
     def _read_settings(self, whole: Mapping[str, Any]) -> api.Settings:
         """Raises WireError, ConfigError or ValueError for what a running limiter cannot take."""
-        known = wire.KnownSettings(self.document, self.settings)
-        settings = wire.parse_settings(wire.Fields("settings", whole), known)
+        known = KnownSettings(self.document, self.settings)
+        settings = parse_settings(Fields("settings", whole), known)
         _changeable(self.settings, settings)
         return settings
 
--- a/hazelhollow/platform_config.py
+++ b/hazelhollow/platform_config.py
@@ -10,7 +10,9 @@
 import orjson
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.errors import WireError
+from hazelhollow.simulator.fields import Fields
+from hazelhollow.simulator.settings_document import parse_settings
 
 Address = tuple[str, int]
 
@@ -62,12 +64,12 @@
         if f"RELAY_{key.upper()}" in environment:
             document[key] = environment[f"RELAY_{key.upper()}"]
     try:
-        return _config(wire.Fields("config", document))
-    except (wire.WireError, ValueError) as error:
+        return _config(Fields("config", document))
+    except (WireError, ValueError) as error:
         raise PlatformConfigError(f"{path}: {error}") from None
 
 
-def _config(fields: wire.Fields) -> PlatformConfig:
+def _config(fields: Fields) -> PlatformConfig:
     settings, limits = fields.part("settings", needed=True), fields.part("limits")
     policy = settings.part("policy_limits")
     return PlatformConfig(
@@ -75,7 +77,7 @@
         listen=address(fields.text("listen"), least_port=0),
         discovery=address(fields.text("discovery")),
         seed=int(fields.text("seed", "0"), 16),
-        settings=wire.parse_settings(settings),
+        settings=parse_settings(settings),
         peer_listen=_optional(fields.text("peer_listen", "")),
         peers=tuple(address(text) for text in fields.texts("peers")),
         counter=_optional(fields.text("counter", "")),
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -37,7 +37,9 @@
 from hazelhollow.scale.network import HollowPeers
 from hazelhollow.scale.plan import FleetTerms
 from hazelhollow.scale.results import Role
-from hazelhollow.simulator import wire as settings_wire
+from hazelhollow.simulator.errors import WireError
+from hazelhollow.simulator.fields import Fields
+from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 
 MOST_OPEN = 20_000  # requests, as a real limiter's configuration has it
 KEY = b"the key of a scale run, which is no secret"
@@ -157,9 +159,7 @@
         self, document: Mapping[str, Any], order: int, settings: api.Settings | None = None
     ) -> None:
         self.document, self.order = document, order
-        self.settings = settings or settings_wire.parse_settings(
-            settings_wire.Fields("settings", dict(document))
-        )
+        self.settings = settings or parse_settings(Fields("settings", dict(document)))
 
 
 class Life:
@@ -334,7 +334,7 @@
     def check(self, document: Mapping[str, Any]) -> str:
         try:
             self._checked = document, self._read(self._with_own(document))
-        except (settings_wire.WireError, ValueError) as error:
+        except (WireError, ValueError) as error:
             return str(error)
         return ""
 
@@ -342,8 +342,8 @@
         return {**document, **{name: self._document[name] for name in ("position", "zone")}}
 
     def _read(self, whole: dict[str, Any]) -> api.Settings:
-        known = settings_wire.KnownSettings(self._document, self._settings)
-        return settings_wire.parse_settings(settings_wire.Fields("settings", whole), known)
+        known = KnownSettings(self._document, self._settings)
+        return parse_settings(Fields("settings", whole), known)
 
     def take(self, document: Mapping[str, Any]) -> str:
         """Settings of the operator or of a peer.
--- a/hazelhollow/simulator/adapter.py
+++ b/hazelhollow/simulator/adapter.py
@@ -1,4 +1,9 @@
-"""Hosts instances of the decision module on the simulator's wire: lines in, lines out."""
+"""Hosts decision engines on the simulator's wire: lines in, lines out.
+
+The simulator sends messages in batches, each of which begins with the clock (`frame`) and ends with
+`eof_batch`, and waits for the whole reply. An engine that breaks says so on the wire; a line that
+is not of the wire ends the program with exit status 2.
+"""
 
 from __future__ import annotations
 
@@ -7,47 +12,57 @@
 
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.simulator import wire
+from hazelhollow.simulator.errors import WireError
+from hazelhollow.simulator.fields import Fields
+
+Message = tuple[str, Fields]  # its name and its fields
 
 
 class Host:
-    """The instances, and one batch of messages at a time."""
+    """The engines, by the simulator's number for each."""
 
     def __init__(self) -> None:
-        self._gateways: dict[int, DecisionEngine] = {}
+        self._engines: dict[int, DecisionEngine] = {}
+
+    def answer(self, batch: list[Message]) -> str:
+        """The whole reply to one batch.
 
-    def answer(self, batch: list[tuple[str, wire.Fields]]) -> str:
-        """The whole reply to one batch, the clock's message first."""
+        Raises:
+            WireError: A message is not of the wire, or the clock doesn't come first.
+        """
         if not batch or batch[0][0] != "frame":
-            raise wire.WireError("batch does not begin with 'frame'")
+            raise WireError("batch does not begin with 'frame'")
         now = batch[0][1].number("t")
         lines: list[str] = []
         for name, fields in batch[1:]:
-            lines += self._event(name, fields, now)
+            lines += self._handle(name, fields, now)
         return "".join(lines) + wire.end_line()
 
-    def _event(self, name: str, fields: wire.Fields, now: float) -> list[str]:
+    def _handle(self, name: str, fields: Fields, now: float) -> list[str]:
+        """The lines that answer one message."""
         instance = fields.integer("who")
         if name == "halt":
-            self._gateways.pop(instance, None)
+            self._engines.pop(instance, None)
             return []
         event = wire.parse_event(name, fields) if name != "hello" else None
         try:
             if name == "hello":
-                self._gateways[instance] = DecisionEngine(*wire.parse_hello(fields))
+                self._engines[instance] = DecisionEngine(*wire.parse_hello(fields))
                 return []
-            if instance not in self._gateways or event is None:
+            if instance not in self._engines or event is None:
                 return []
-            actions = self._gateways[instance].handle(event, now)
+            actions = self._engines[instance].handle(event, now)
             return [wire.action_line(instance, action) for action in actions]
-        except wire.WireError:
+        except WireError:
             raise
-        except Exception as error:  # the module is broken: the wire has an action for that
+        except Exception as error:  # a broken engine must not end the others
             return [wire.fault_line(instance, f"{type(error).__name__}: {error}")]
 
 
 def run(source: TextIO, sink: TextIO) -> None:
+    """Answers batches until the source ends; empty lines are ignored."""
     host = Host()
-    batch: list[tuple[str, wire.Fields]] = []
+    batch: list[Message] = []
     for line in source:
         if not line.strip():
             continue
@@ -61,9 +76,10 @@
 
 
 def main() -> int:
+    """Runs on the standard streams; the exit status."""
     try:
         run(sys.stdin, sys.stdout)
-    except (wire.WireError, UnicodeDecodeError) as error:
+    except (WireError, UnicodeDecodeError) as error:
         print(f"hazelhollow: {error}", file=sys.stderr)
         return 2
     return 0
--- /dev/null
+++ b/hazelhollow/simulator/settings_document.py
@@ -0,0 +1,120 @@
+"""The settings as the platform words them: the simulator's start, and a limiter's settings file.
+
+This is the only place where their names are mapped to ours:
+
+| theirs                                        | ours                                        |
+| --------------------------------------------- | ------------------------------------------- |
+| `position`, `balancers`, `step`               | `limiter_id`, `limiter_count`, `tick`       |
+| `grades`                                      | `classes`                                   |
+| grade: `credit`, `late_share`                 | `priority_weight`, `late_weight`            |
+| grade: `window`                               | `dedup_window`                              |
+| `tariffs`                                     | `plans`                                     |
+| tariff: `per_second`, `most_at_once`          | `rate`, `burst`                             |
+| tariff: `max_out`, `over_worth`, `hard_burst` | `open_limit`, `excess_weight`, `ceiling_burst` |
+| `policy_limits`: `parallel_tries`, `cancelling` | `hedging`, `cancellation`                 |
+| `family_info`: `inbox_per_s`                  | `gossip_messages_per_s`                     |
+| `safety`: `cold`, `cold_from`                 | `warm_up_time`, `warm_up_initial_share`     |
+| `safety`: `tip_multiple`, `tip_after`         | `overload_multiple`, `overload_window`      |
+| `goal`: `whole`, `worst_window`, `worst_class` | `class_weight`                             |
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import Any, NamedTuple
+
+from hazelhollow.decisions.settings import Plan, RequestClass, Settings
+from hazelhollow.simulator.fields import Fields
+
+_EFFECTS = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
+_MIN_GOAL = 1e-6  # the weight of all classes together counts as at least this
+
+
+class KnownSettings(NamedTuple):
+    """A document that was parsed before, and its settings."""
+
+    document: Mapping[str, Any]
+    settings: Settings
+
+
+def parse_settings(params: Fields, before: KnownSettings | None = None) -> Settings:
+    """The settings of a document.
+
+    Classes that are the same objects as in the document `before` are not parsed again.
+
+    Raises:
+        WireError: The document is not of this form.
+        ValueError: The settings can't be acted on.
+    """
+    info, limits = params.part("family_info"), params.part("policy_limits")
+    safety, costs, goal = params.part("safety"), params.part("costs"), params.part("goal")
+    return Settings(
+        limiter_id=params.integer("position"),
+        limiter_count=params.integer("balancers"),
+        classes=_request_classes(params, before),
+        plans=tuple(_plan(item) for item in params.parts("tariffs")),
+        zone=params.text("zone", ""),
+        tick=params.number("step", 0.001),
+        max_units=info.number("max_units", 1.0),
+        post_paid=info.flag("post_paid"),
+        max_attempts=limits.integer("max_attempts", 1),
+        hedging=limits.flag("parallel_tries"),
+        cancellation=limits.flag("cancelling"),
+        peers=limits.flag("peers"),
+        gossip_messages_per_s=info.number("inbox_per_s", 60.0),
+        # Also where `retry_after` is false: the simulator drops the advice then, but `-BUSY MS`
+        # costs nothing and a client that reads it need not guess when to come back.
+        max_retry_after=limits.number("max_retry_after", 0.0),
+        clients_mark_retries=params.part("clients").flag("marks_retry"),
+        warm_up_time=safety.number("cold", 0.0),
+        warm_up_initial_share=safety.number("cold_from", 1.0),
+        overload_multiple=safety.number("tip_multiple", 1.0),
+        overload_window=safety.number("tip_after", 1.0),
+        poll_endpoints=params.text("registry_mode", "push") == "ask",
+        cross_zone_price=costs.number("cross_zone", 0.0),
+        class_weight=_class_weight(goal),
+    )
+
+
+def _class_weight(goal: Fields) -> float:
+    """The goal's weight of the worst-served class against that of all classes together."""
+    all_classes = goal.number("whole", 1.0) + goal.number("worst_window", 0.0)
+    return goal.number("worst_class", 0.0) / max(all_classes, _MIN_GOAL)
+
+
+def _request_classes(params: Fields, before: KnownSettings | None) -> tuple[RequestClass, ...]:
+    if before is None:
+        return tuple(_request_class(item) for item in params.parts("grades"))
+    known_items: Sequence[Any] = before.document.get("grades") or ()
+    known = dict(zip(map(id, known_items), before.settings.classes, strict=True))
+    items = params.items("grades")
+    return tuple(
+        known.get(id(item)) or _request_class(params.entry("grades", item)) for item in items
+    )
+
+
+def _request_class(item: Fields) -> RequestClass:
+    return RequestClass(
+        name=item.text("name"),
+        latency_objective=item.number("objective"),
+        deadline=item.number("deadline"),
+        priority_weight=item.number("credit", 1.0),
+        effect=item.one_of("effect", _EFFECTS),
+        dedup_scope=item.text("dedup_scope", "all"),  # type: ignore[arg-type]
+        dedup_window=item.number("window", 0.0),
+        late_weight=item.number("late_share", 0.0),
+    )
+
+
+def _plan(item: Fields) -> Plan:
+    return Plan(
+        name=item.text("name"),
+        rate=item.number("per_second", 0.0),
+        burst=item.number("most_at_once", 0.0),
+        open_limit=item.integer("max_out", 0),
+        price=item.number("price", 1.0),
+        excess_weight=item.number("over_worth", 0.0),
+        excess_cost=item.number("excess_cost", 0.0),
+        ceiling_rate=item.number("ceiling_rate", 0.0),
+        ceiling_burst=item.number("hard_burst", 0.0),
+    )
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -40,7 +40,9 @@
 from hazelhollow.decisions.state.max_tree import MaxTree
 from hazelhollow.decisions.state.period_charges import ClosedCount
 from hazelhollow.decisions.state.replicated_accounts import MAX_COUNTS_A_ROUND
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.errors import WireError
+from hazelhollow.simulator.fields import Fields
+from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 from tests.test_gateway import answer, ask, entry, make, only, servers
 
 SERVERS, CLASSES, CUSTOMERS, LIMITERS = 14_000, 11_000, 73_000, 930
@@ -504,14 +506,14 @@
         {"name": f"c{n}", "objective": 0.5, "deadline": 1.0, "effect": "pure"} for n in range(50)
     ]
     document = {"position": 0, "balancers": 1, "grades": grades}
-    before = wire.KnownSettings(document, wire.parse_settings(wire.Fields("settings", document)))
+    before = KnownSettings(document, parse_settings(Fields("settings", document)))
     gateway = DecisionEngine(before.settings, 1)
     changed = {
         **document,
         "grades": [{**one, "objective": 0.4} if n == 7 else one for n, one in enumerate(grades)],
     }
-    after = wire.parse_settings(wire.Fields("settings", changed), before)
-    assert after == wire.parse_settings(wire.Fields("settings", changed))
+    after = parse_settings(Fields("settings", changed), before)
+    assert after == parse_settings(Fields("settings", changed))
     assert [n for n in range(50) if after.classes[n] is not before.settings.classes[n]] == [7]
     monkeypatch.setattr(ClassStatistics, "_place_all", None)  # what costs as much as all classes
     gateway.retune(after)
@@ -530,10 +532,10 @@
 def test_an_entry_that_only_looks_the_same_is_parsed_again() -> None:
     grade = {"name": "c", "objective": 1, "deadline": 1.0, "effect": "pure"}
     document = {"position": 0, "balancers": 1, "grades": [grade]}
-    before = wire.KnownSettings(document, wire.parse_settings(wire.Fields("settings", document)))
+    before = KnownSettings(document, parse_settings(Fields("settings", document)))
     wrong = {**document, "grades": [{**grade, "objective": True}]}  # which is equal to 1
-    with pytest.raises(wire.WireError, match="objective"):
-        wire.parse_settings(wire.Fields("settings", wrong), before)
+    with pytest.raises(WireError, match="objective"):
+        parse_settings(Fields("settings", wrong), before)
 
 
 def test_a_class_that_is_listed_no_more_is_learned_of_and_counts_no_more() -> None:
--- a/tests/test_two_sites.py
+++ b/tests/test_two_sites.py
@@ -15,7 +15,9 @@
 from hazelhollow.decisions.state.endpoint import Endpoint
 from hazelhollow.decisions.state.sliding_window import SlidingWindow
 from hazelhollow.net import backend, resp
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.endpoint_reports import read_report
+from hazelhollow.simulator.fields import Fields
+from hazelhollow.simulator.settings_document import parse_settings
 from tests.scenario import PLAN, SETTINGS, Stage
 from tests.test_gateway import ask, entry, only, servers
 
@@ -113,7 +115,7 @@
 ) -> None:
     result = backend.read_answer(resp.ErrorReply(line))
     assert result and result.status == status and not result.figures
-    assert wire.read_report(result.report) == report
+    assert read_report(result.report) == report
 
 
 @pytest.mark.parametrize("answer", [[b"v"], [b"v", None], [b"v", None, None], [b"v", [b"x"], 7]])
@@ -163,8 +165,8 @@
 )
 def test_the_goal_tells_what_the_worst_class_weighs(goal: dict[str, float], weight: float) -> None:
     grades = [{"name": "a", "objective": 1.0, "deadline": 2.0, "effect": "pure"}]
-    told = wire.parse_settings(
-        wire.Fields("s", {"position": 0, "balancers": 1, "grades": grades, "goal": goal})
+    told = parse_settings(
+        Fields("s", {"position": 0, "balancers": 1, "grades": grades, "goal": goal})
     )
     assert told.class_weight == pytest.approx(weight)
 
