--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -83,7 +83,7 @@
         )
         membership.table.subscribe(self._quota.record_changed)
         self._last_event: api.MembershipChanged | None = None
-        self._pass_to_others = peers.heard
+        self._pass_to_others = peers.on_message
         self._has_ended = False
         self._dropped_logged = 0
         self._log = RateLimitedLog(log, scheduler.clock)
@@ -93,7 +93,10 @@
 
     def start(self) -> None:
         """Takes the socket's datagrams from now on and begins to probe."""
-        self._peers.heard, self._peers.stranger = self.received, self._received_from_stranger
+        self._peers.on_message, self._peers.on_unknown_sender = (
+            self.received,
+            self._received_from_stranger,
+        )
         self._scheduler.on_process_pause = self._resumed_after_stall
         self._tick()
         self._log_dropped()
@@ -156,7 +159,7 @@
             sender_id = self.membership.identify_sender(plain, source)
         if sender_id is None:
             return False
-        self._peers.learn(sender_id, source)
+        self._peers.set_address(sender_id, source)
         self._send_all(self.membership.receive(sender_id, plain, self._scheduler.clock()))
         return True
 
@@ -169,7 +172,7 @@
     def _send(self, datagram: Datagram) -> None:
         text = self._authenticator.sign(datagram.text)
         if not self._options.seeds or self._peers.knows(datagram.recipient):
-            self._peers.tell(datagram.recipient, text)
+            self._peers.send_to(datagram.recipient, text)
         else:  # whichever seed gets it answers with the members that it knows
             self._peers.send(self._random.choice(self._options.seeds), text)
 
@@ -248,7 +251,7 @@
             states = membership.member_states()
             for number in dict.fromkeys(changed_members):
                 state, _ = states[number]
-                self._log.say(logging.INFO, "membership: member %d is %s", number, state)
+                self._log.log(logging.INFO, "membership: member %d is %s", number, state)
             self._write_history()
         if membership.superseded and not self._has_ended:
             self._has_ended = True
@@ -262,7 +265,7 @@
         for number in numbers:
             record = self.membership.table.get(number)
             if record and record.address and number != self.membership.limiter_id:
-                self._peers.learn(number, unpack_address(record.address))
+                self._peers.set_address(number, unpack_address(record.address))
 
     def _tell_engine(self) -> bool:
         """Tells the decision engine what is new to it.
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -12,9 +12,14 @@
 
 import structlog
 
-from hazelhollow.configuration import config_call
-from hazelhollow.configuration.driver import Driver as AuditDriver
-from hazelhollow.configuration.record import Record, Segments
+from hazelhollow.configuration import operator_calls
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.audit.segments import SegmentWriter
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
 from hazelhollow.control_budget.budget import ControlBudget, RoleBudget, TrafficRole
 from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
@@ -37,8 +42,9 @@
     OperatorSettings,
     ReplicationSettings,
 )
-from hazelhollow.replication import snapshot
-from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.replication.account_adapter import EngineAccounts
+from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
+from hazelhollow.replication.snapshot_file import SnapshotFile
 from hazelhollow.shared_store.client import StoreClient
 from hazelhollow.shared_store.driver import SharedStoreDriver
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
@@ -57,22 +63,24 @@
     def __init__(self, service: Service) -> None:
         self._service = service
 
-    def document(self) -> Mapping[str, Any]:
-        return self._service.document
+    def settings_document(self) -> Mapping[str, Any]:
+        return self._service.settings_reload.document
 
-    def check(self, document: Mapping[str, Any]) -> str:
-        return self._service.check_settings(document)
+    def check_settings(self, document: Mapping[str, Any]) -> str:
+        return self._service.settings_reload.check(document)
 
-    def take(self, document: Mapping[str, Any]) -> str:
-        return self._service.take_settings(document)
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
+        return self._service.settings_reload.apply(document)
 
-    def listed(self) -> tuple[int, str]:
-        return self._service.table.version, ":".join(map(str, self._service.watch.address))
+    def endpoint_list(self) -> tuple[int, str]:
+        return self._service.endpoint_list.version, ":".join(
+            map(str, self._service.discovery_watch.address)
+        )
 
-    def out(self) -> set[str]:
-        return self._service.banned
+    def disabled_hosts(self) -> set[str]:
+        return self._service.overrides.disabled
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         stats = self._service.stats
         return {
             "requests": stats.requests,
@@ -81,12 +89,15 @@
             "failed": stats.failed,
         }
 
-    def sent(self) -> Counter[str]:
-        counts, self._service.limiter.sent = self._service.limiter.sent or Counter(), Counter()
+    def take_attempts(self) -> Counter[str]:
+        counts, self._service.engine_driver.attempts_by_endpoint = (
+            self._service.engine_driver.attempts_by_endpoint or Counter(),
+            Counter(),
+        )
         return counts
 
-    def samples(self) -> list[str]:
-        found, self._service.limiter.samples = self._service.limiter.samples, []
+    def take_samples(self) -> list[str]:
+        found, self._service.engine_driver.sampled_ids = self._service.engine_driver.sampled_ids, []
         return found
 
 
@@ -102,7 +113,7 @@
         self.driver: SharedStoreDriver | None = None
         self.fleet: MembershipDriver | None = None
         self.replica: ReplicationDriver | None = None
-        self.audit: AuditDriver | None = None
+        self.audit: ConfigurationDriver | None = None
         self.control: ControlBudget | None = None
         self._budget: LimiterBudget | None = None
         self._writer = BackgroundWriter()
@@ -136,15 +147,15 @@
         """The limiter is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
-            exchange = StoreClient(self.ledger, self.operator.store, self._seed)
-            self.driver = SharedStoreDriver(service.scheduler, exchange)
-            service.stats.store = {"books": self.ledger.counts, "link": exchange.counts}
+            client = StoreClient(self.ledger, self.operator.store, self._seed)
+            self.driver = SharedStoreDriver(service.scheduler, client)
+            service.stats.store = {"books": self.ledger.counts, "link": client.counts}
             self.driver.start()
         if self.operator.fleet:
             self._begin_view(service, self.operator.fleet)
 
     def _begin_view(self, service: Service, terms: FleetSettings) -> None:
-        settings, peers = service.settings, service.limiter.peers
+        settings, peers = service.settings_reload.settings, service.engine_driver.peers
         if peers is None or not settings.peers or settings.limiter_count < 2:
             log.warning(
                 "no view of the fleet: the configuration allows no datagrams between "
@@ -176,8 +187,8 @@
             view,
             self.seal,
             DriverOptions(
-                service.limiter.fleet,
-                service.leave,
+                service.engine_driver.notify,
+                service.shutdown.begin,
                 lines,
                 seeds or ((peers.address,) if address else ()),
                 replicates=terms.replicate is not None,
@@ -205,53 +216,60 @@
     def _begin_replica(
         self, service: Service, fleet: MembershipDriver, terms: ReplicationSettings
     ) -> None:
-        peers = service.limiter.peers
+        peers = service.engine_driver.peers
         assert peers is not None
         file = (
-            snapshot.SnapshotFile(Path(terms.state_dir), service.settings.limiter_id, self._writer)
+            SnapshotFile(
+                Path(terms.state_dir), service.settings_reload.settings.limiter_id, self._writer
+            )
             if terms.state_dir
             else None
         )
         self.replica = ReplicationDriver(
             service.scheduler,
-            peers,
-            fleet,
-            self.seal,
-            service.gateway.replicated_accounts,
-            service.limiter.copied,
-            service.take_calls,
+            Network(
+                peers,
+                fleet,
+                self.seal,
+                max_text_bytes(self.seal),
+                self._part(TrafficRole.REPLICATION),
+            ),
+            EngineLink(
+                EngineAccounts(service.engine.replicated_accounts),
+                service.engine_driver.notify,
+                service.overrides.apply,
+            ),
             self._seed,
-            max_text_bytes(self.seal),
             file,
-            self._part(TrafficRole.REPLICATION),
         )
-        service.limiter.closed = self.replica.closed
-        service.stats.replica = self.replica.replica.counts
+        service.engine_driver.on_count = self.replica.record_charge
+        service.stats.replica = self.replica.counters
         self.replica.start()
 
     def _begin_audit(self, service: Service, fleet: MembershipDriver, terms: AuditSettings) -> None:
         peers, me, incarnation = (
-            service.limiter.peers,
-            service.settings.limiter_id,
+            service.engine_driver.peers,
+            service.settings_reload.settings.limiter_id,
             int(service.scheduler.clock() * 1000),
         )
         assert peers is not None
         segments = (
-            Segments(Path(terms.state_dir), me, incarnation, self._writer)
+            SegmentWriter(Path(terms.state_dir), me, incarnation, self._writer)
             if terms.state_dir
             else None
         )
-        service.limiter.sent, service.limiter.most_samples = Counter(), terms.samples
-        self.audit = AuditDriver(
-            service.scheduler,
-            peers,
-            fleet,
-            self.seal,
-            Port(service),
-            lambda: self.order,
-            Record(me, incarnation, segments),
-            self._seed,
-            self._part(TrafficRole.CONFIGURATION),
+        service.engine_driver.attempts_by_endpoint, service.engine_driver.max_samples = (
+            Counter(),
+            terms.samples,
+        )
+        self.audit = ConfigurationDriver(
+            Connections(service.scheduler, peers, fleet, self.seal, Port(service)),
+            ConfigurationOptions(
+                lambda: self.order,
+                AuditRecord(me, incarnation, segments),
+                self._seed,
+                self._part(TrafficRole.CONFIGURATION),
+            ),
         )
         self.audit.start()
 
@@ -279,30 +297,32 @@
 
     def written(self) -> list[Any] | None:
         """What `call audit` answers."""
-        return self.audit.record.last() if self.audit else None
+        return self.audit.record.newest() if self.audit else None
 
     def config_call(self, words: tuple[str, ...]) -> str | None:
         """What `call config ...` answers."""
-        return config_call.answer(self.audit, Path(self.file).parent, words) if self.audit else None
+        if self.audit is None:
+            return None
+        return operator_calls.answer(self.audit.rollouts, Path(self.file).parent, words)
 
     def called(self, server: str, down: bool) -> None:
         """An operator has put a server out or back at this limiter."""
         if self.replica:
-            self.replica.call(server, down)
+            self.replica.set_override(server, down)
         if self.audit:
-            self.audit.write_changes("operator call")
+            self.audit.publish("operator call")
 
     def settings_in_force(self) -> None:
         """The limiter has taken the settings of its file, and no request was served by them yet."""
         if self.audit:
-            self.audit.settings_in_force()
+            self.audit.settings_reloaded()
 
     def end(self) -> None:
         """The limiter has answered all and ends."""
         if self.audit:
             self.audit.end()
         if self.replica:
-            self.replica.end()
+            self.replica.stop()
         if self.fleet:
             self.fleet.leave()
         if not self._writer.finish(END_WITHIN):
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -15,8 +15,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hazelhollow.configuration.driver import Driver as AuditDriver
-from hazelhollow.configuration.record import Record as AuditRecord
+from hazelhollow.configuration.audit.record import AuditRecord
+from hazelhollow.configuration.driver import (
+    ConfigurationDriver,
+    ConfigurationOptions,
+    Connections,
+)
 from hazelhollow.control_budget.budget import RoleBudget, TrafficRole
 from hazelhollow.control_budget.limiter_budget import LimiterBudget, with_gossip_rate
 from hazelhollow.decisions import interface as api
@@ -26,12 +30,14 @@
 from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import Record
 from hazelhollow.membership.settings import MembershipSettings
-from hazelhollow.net.backend import Attempt, Backend, Host, Result
-from hazelhollow.net.close_reason import CloseReason, outcome
-from hazelhollow.net.engine_driver import Limiter
+from hazelhollow.net.attempts import Attempt, AttemptResult
+from hazelhollow.net.close_reason import CloseReason, attempt_status
+from hazelhollow.net.connection_pool import ConnectionPool
+from hazelhollow.net.engine_driver import EngineDriver
 from hazelhollow.net.scheduler import Scheduler, Timer
 from hazelhollow.net.stats import Stats
-from hazelhollow.replication.driver import ReplicationDriver
+from hazelhollow.replication.account_adapter import EngineAccounts
+from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
 from hazelhollow.scale.load import Drawn, service_time
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeers
@@ -46,8 +52,8 @@
 DRIVERS: tuple[tuple[type, Role], ...] = (
     (MembershipDriver, Role.VIEW),
     (ReplicationDriver, Role.REPLICATION),
-    (AuditDriver, Role.AUDIT),
-    (Backend, Role.REQUESTS),
+    (ConfigurationDriver, Role.AUDIT),
+    (ConnectionPool, Role.REQUESTS),
 )
 
 
@@ -55,9 +61,9 @@
     """Whose a timer is."""
     owner = getattr(call, "__self__", None)
     if isinstance(
-        owner, Limiter
+        owner, EngineDriver
     ):  # the decision module's one timer is its gossip's; the others are requests'
-        return Role.GOSSIP if getattr(call, "__name__", "") == "_timer" else Role.REQUESTS
+        return Role.GOSSIP if getattr(call, "__name__", "") == "_timer_fired" else Role.REQUESTS
     return next((role for kind, role in DRIVERS if isinstance(owner, kind)), Role.TIMERS)
 
 
@@ -89,7 +95,7 @@
         self._shared.at_end_of_turn(lambda: self._play(Role.REQUESTS, call, ()))
 
 
-class HollowBackend(Backend):
+class HollowBackend(ConnectionPool):
     """Modelled servers: each attempt is answered after a drawn time."""
 
     def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
@@ -100,22 +106,22 @@
         self,
         name: str,
         command: bytes,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         look: Callable[[], object] = lambda: None,
     ) -> Attempt:
         now = self._scheduler.clock()
-        attempt = Attempt(Host(name, ("", 0)), command, done, look, now)
+        attempt = Attempt(name, command, done, look, now)
         self._scheduler.at(now + service_time(self._chance, self._service_s), self.answer, attempt)
         return attempt
 
     def answer(self, attempt: Attempt) -> None:
         """Its server has answered."""
-        attempt.finish(Result("ok"))
+        attempt.finish(AttemptResult("ok"))
 
-    def give_up(self, attempt: Attempt, ending: CloseReason) -> None:
-        attempt.finish(Result(outcome(ending, True)))
+    def abort(self, attempt: Attempt, reason: CloseReason) -> None:
+        attempt.finish(AttemptResult(attempt_status(reason, True)))
 
-    def hold_back(self, attempt: Attempt, ending: CloseReason) -> None:
+    def withdraw(self, attempt: Attempt, reason: CloseReason) -> None:
         """Every attempt goes out whole at once."""
 
 
@@ -134,16 +140,16 @@
         self.let_in = True
         return b""
 
-    def served(self, value: bytes) -> None:
+    def send_value(self, value: bytes) -> None:
         """An answer, which nobody reads."""
 
-    def refused(self, wait_ms: int) -> None:
+    def send_busy(self, retry_after_ms: int) -> None:
         """A refusal; modelled clients do not come again."""
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """An error."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Modelled clients wait for their answer."""
         return False
 
@@ -165,7 +171,7 @@
 class Life:
     """One limiter from its start to its end.
 
-    Implements what the audit asks of a limiter (`audit.driver.Port`).
+    Implements what the audit asks of a limiter (`configuration.state.ConfigurableLimiter`).
     """
 
     def __init__(
@@ -189,7 +195,7 @@
         if terms.control_bytes_per_s:
             self._settings = with_gossip_rate(told.settings, terms.control_bytes_per_s)
         self.gateway = DecisionEngine(self._settings, seed)
-        self.limiter = Limiter(
+        self.limiter = EngineDriver(
             self.gateway,
             self.scheduler,
             HollowBackend(self.scheduler, seed, terms.service_s),
@@ -199,7 +205,7 @@
         self.limiter.peers = peers
         self.fleet: MembershipDriver | None = None
         self.replica: ReplicationDriver | None = None
-        self.audit: AuditDriver | None = None
+        self.audit: ConfigurationDriver | None = None
         self._serial = 0
 
     # Its start and its end
@@ -209,7 +215,7 @@
 
         As the operator's file switches its subsystems on.
         """
-        self._peers.renew(self.stats, self.limiter.heard)
+        self._peers.renew(self.stats, self.limiter.gossip_received)
         self.list_servers(api.EndpointsUpdated("full", servers))
         seal, number = (
             MessageAuthenticator([KEY] if self._terms.sealed else []),
@@ -234,7 +240,7 @@
             view,
             seal,
             DriverOptions(
-                self.limiter.fleet,
+                self.limiter.notify,
                 self._leave,
                 replicates=self._terms.replicate,
                 gossip_is_paced=self._terms.control_bytes_per_s > 0,
@@ -251,34 +257,27 @@
     ) -> None:
         self.replica = ReplicationDriver(
             self.scheduler,
-            self._peers,
-            fleet,
-            seal,
-            self.gateway.replicated_accounts,
-            self.limiter.copied,
-            lambda calls: None,
+            Network(self._peers, fleet, seal, most, self._part(TrafficRole.REPLICATION)),
+            EngineLink(
+                EngineAccounts(self.gateway.replicated_accounts),
+                self.limiter.notify,
+                lambda calls: None,
+            ),
             self._seed,
-            most,
-            allowance=self._part(TrafficRole.REPLICATION),
         )
-        self.limiter.closed = self.replica.closed
+        self.limiter.on_count = self.replica.record_charge
         self._meter.turn(Role.REPLICATION, self.replica.start)
 
     def _start_audit(
         self, fleet: MembershipDriver, seal: MessageAuthenticator, incarnation: int
     ) -> None:
         record = AuditRecord(self._settings.limiter_id, incarnation)
-        self.limiter.sent = Counter()
-        self.audit = AuditDriver(
-            self.scheduler,
-            self._peers,
-            fleet,
-            seal,
-            self,
-            lambda: self.order,
-            record,
-            self._seed,
-            self._part(TrafficRole.CONFIGURATION),
+        self.limiter.attempts_by_endpoint = Counter()
+        self.audit = ConfigurationDriver(
+            Connections(self.scheduler, self._peers, fleet, seal, self),
+            ConfigurationOptions(
+                lambda: self.order, record, self._seed, self._part(TrafficRole.CONFIGURATION)
+            ),
         )
         self._meter.turn(Role.AUDIT, self.audit.start)
 
@@ -304,12 +303,12 @@
 
     def list_servers(self, event: api.EndpointsUpdated) -> None:
         """Discovery's news."""
-        self._meter.turn(Role.LIST, self.limiter.told, event)
+        self._meter.turn(Role.LIST, self.limiter.notify, event)
 
     def ask(self, drawn: Drawn, request: api.RequestArrived) -> bool:
         """A request comes; whether it is let in."""
         asked = HollowRequest(request)
-        self._meter.turn(Role.REQUESTS, self.limiter.ask, asked, asked)
+        self._meter.turn(Role.REQUESTS, self.limiter.submit, asked, asked)
         return asked.let_in
 
     def next_id(self) -> str:
@@ -323,15 +322,15 @@
 
     def _take_order(self, document: Mapping[str, Any], order: int) -> None:
         self.order = order
-        trouble = self.take(document)
+        trouble = self.apply_settings(document)
         assert not trouble, trouble
 
-    # What the audit asks (audit.driver.Port)
+    # What the audit asks (configuration.state.ConfigurableLimiter)
 
-    def document(self) -> Mapping[str, Any]:
+    def settings_document(self) -> Mapping[str, Any]:
         return self._document
 
-    def check(self, document: Mapping[str, Any]) -> str:
+    def check_settings(self, document: Mapping[str, Any]) -> str:
         try:
             self._checked = document, self._read(self._with_own(document))
         except (WireError, ValueError) as error:
@@ -345,12 +344,12 @@
         known = KnownSettings(self._document, self._settings)
         return parse_settings(Fields("settings", whole), known)
 
-    def take(self, document: Mapping[str, Any]) -> str:
+    def apply_settings(self, document: Mapping[str, Any]) -> str:
         """Settings of the operator or of a peer.
 
-        As `net.service.Service.take_settings` takes them.
+        As `net.settings_reload.SettingsReload.apply` takes them.
         """
-        trouble = self.check(document) if document is not self._checked[0] else ""
+        trouble = self.check_settings(document) if document is not self._checked[0] else ""
         if trouble:
             return trouble
         whole, settings = self._with_own(document), self._checked[1]
@@ -359,13 +358,13 @@
         self._acts_on(settings.limiter_id)
         return ""
 
-    def listed(self) -> tuple[int, str]:
+    def endpoint_list(self) -> tuple[int, str]:
         return 1, "127.0.0.1:0"
 
-    def out(self) -> set[str]:
+    def disabled_hosts(self) -> set[str]:
         return set()
 
-    def figures(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         stats = self.stats
         return {
             "requests": stats.requests,
@@ -374,9 +373,12 @@
             "failed": stats.failed,
         }
 
-    def sent(self) -> Counter[str]:
-        counts, self.limiter.sent = self.limiter.sent or Counter(), Counter()
+    def take_attempts(self) -> Counter[str]:
+        counts, self.limiter.attempts_by_endpoint = (
+            self.limiter.attempts_by_endpoint or Counter(),
+            Counter(),
+        )
         return counts
 
-    def samples(self) -> list[str]:
+    def take_samples(self) -> list[str]:
         return []
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -82,7 +82,9 @@
         sys.exit(2)
     scheduler = Scheduler(Clock())
     try:
-        servers = server.start(scheduler, address, seed, password, plan, shards, secure)
+        servers = server.start(
+            scheduler, address, server.ServerOptions(seed, password, plan, shards, secure)
+        )
     except OSError as error:
         _cannot_listen(listen, error)
     _until_signal(scheduler, [started.address for started in servers])
@@ -159,7 +161,7 @@
 
 
 def _loopback(listen: str) -> tuple[str, int]:
-    host, port = platform_config.address(listen, least_port=0)
+    host, port = platform_config.parse_address(listen, least_port=0)
     if not ipaddress.ip_address(host).is_loopback:
         raise ValueError(f"'{host}' is not a loopback address")
     return host, port
--- a/hazelhollow/standins/discovery.py
+++ b/hazelhollow/standins/discovery.py
@@ -129,7 +129,7 @@
 
     def _serve(self, driver: stream.Stream, limiter: str) -> None:
         received = bytearray()
-        while driver.ending is None:
+        while driver.close_reason is None:
             driver.wait()
             data = driver.read(MAX_HEAD)
             if isinstance(data, CloseReason):
--- /dev/null
+++ b/tests/replication/test_processes.py
@@ -0,0 +1,197 @@
+"""Replication between real processes that are killed, cut off and started again."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from hazelhollow.fault_injection import plan
+from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
+from hazelhollow.fault_injection.operator_files import disk_file, replica_file
+from hazelhollow.fault_injection.run import FaultInjectionRun
+from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.net.scheduler import Clock, Scheduler
+from hazelhollow.standins.link_faults import LinkFault
+from tests.membership.test_membership_processes import Fleet
+
+Event = plan.Event
+
+
+class ReplicatedFleet(Fleet):
+    """With calls at the operator addresses, from tasks of the harness's own scheduler."""
+
+    def __init__(self, cluster: LoopbackCluster) -> None:
+        super().__init__(cluster)
+        self.answers: dict[int, bytes] = {}
+
+    def call(self, name: str, words: str) -> bytes:
+        number = len(self.answers)
+
+        def ask() -> None:
+            self.answers[number] = self.cluster.call(name, words)
+
+        self.scheduler.spawn(ask)
+        self.until(lambda: number in self.answers)
+        return self.answers[number]
+
+    def replica(self, name: str) -> dict[str, Any]:
+        first = self.call(name, "fleet").splitlines()
+        found: dict[str, Any] = json.loads(first[0])["replica"] if len(first) == 2 else {}
+        return found
+
+    def out(self) -> list[list[str] | None]:
+        return [
+            self.replica(name).get("hosts_out")
+            for name in self.cluster.names
+            if self.cluster.processes.members[name].running
+        ]
+
+    def apart(self, some: tuple[str, ...]) -> int:
+        rest = [name for name in self.cluster.names if name not in some]
+        return self.cluster.relay.begin(
+            LinkFault(partitioned=True),
+            [pair for a in some for b in rest for pair in ((a, b), (b, a))],
+        )
+
+
+@pytest.fixture
+def fleet(tmp_path: Path) -> Any:
+    (tmp_path / "fleet").mkdir()
+    four = plan.Plan(name="x", instances=4, hosts=2)
+    one = ReplicatedFleet(
+        LoopbackCluster(Scheduler(Clock()), four, tmp_path / "fleet", operator=disk_file)
+    )
+    one.until(
+        lambda: one.whole() and all(one.replica(name).get("whole") for name in one.cluster.names)
+    )
+    yield one
+    one.cluster.close()
+
+
+def test_an_endpoint_disabled_at_one_limiter_is_disabled_at_all(
+    fleet: ReplicatedFleet,
+) -> None:
+    """One limiter is dead and one cut off at the time; later all are killed at once."""
+    fleet.cluster.processes.kill("n3")
+    number = fleet.apart(("n2",))
+    assert fleet.call("n0", "set-down h1").startswith(b"done")
+    fleet.until(lambda: fleet.replica("n1").get("hosts_out") == ["h1"])
+    assert fleet.replica("n2").get("hosts_out") == []
+    fleet.cluster.processes.start("n3")
+    fleet.until(lambda: fleet.replica("n3").get("hosts_out") == ["h1"])
+    fleet.cluster.relay.end(number)
+    fleet.until(lambda: fleet.out() == [["h1"]] * 4)
+    # What is called after having seen the other call holds, wherever it is made.
+    assert fleet.call("n2", "set-up h1").startswith(b"done")
+    fleet.until(lambda: fleet.out() == [[]] * 4)
+    # All killed at once: the snapshots hold it.
+    assert fleet.call("n2", "set-down h0").startswith(b"done")
+    fleet.until(lambda: fleet.out() == [["h0"]] * 4)
+    snapshots = [fleet.folder / name / f"replica-{n}" for n, name in enumerate(fleet.cluster.names)]
+    fleet.until(lambda: all(path.exists() and b"h0" in path.read_bytes() for path in snapshots))
+    for name in fleet.cluster.names:
+        fleet.cluster.processes.kill(name)
+    for name in fleet.cluster.names:
+        fleet.cluster.processes.start(name)
+    fleet.until(lambda: fleet.out() == [["h0"]] * 4)
+
+
+def test_operators_on_both_sides_of_a_partition_end_with_the_endpoint_disabled(
+    fleet: ReplicatedFleet,
+) -> None:
+    """Two operators enable and disable the same endpoints on two sides of a partition."""
+    fleet.call("n0", "set-down h1")
+    fleet.until(lambda: fleet.out() == [["h1"]] * 4)
+    number = fleet.apart(("n0", "n1"))
+    fleet.call("n0", "set-up h1")
+    fleet.call("n2", "set-up h1")
+    fleet.call("n2", "set-down h1")  # that side goes one call further
+    fleet.call("n0", "set-up h0")  # changes nothing
+    fleet.call("n1", "set-down h0")
+    fleet.cluster.relay.end(number)
+    fleet.until(lambda: fleet.out() == [["h0", "h1"]] * 4)
+
+
+def test_a_limiter_that_was_killed_catches_up_from_a_peer_and_logs_it(
+    fleet: ReplicatedFleet,
+) -> None:
+    """One of four limiters is killed and started again."""
+    fleet.until(lambda: all(fleet.replica(name).get("gives") for name in fleet.cluster.names))
+    first = fleet.cluster.processes.members["n1"].log.read_text().count("told by member")
+    fleet.cluster.processes.kill("n1")
+    fleet.cluster.processes.start("n1")
+    fleet.until(
+        lambda: fleet.cluster.processes.members["n1"].log.read_text().count("told by member")
+        > first
+    )
+    fleet.until(lambda: bool(fleet.replica("n1").get("whole")))
+
+
+def test_a_damaged_snapshot_is_set_aside_and_the_limiter_serves(fleet: ReplicatedFleet) -> None:
+    """The snapshot is overwritten while its limiter is dead."""
+    fleet.cluster.processes.kill("n1")
+    (fleet.folder / "n1" / "replica-1").write_bytes(b"spoilt")
+    fleet.cluster.processes.start("n1")
+    fleet.until(lambda: fleet.call("n1", "check").startswith(b"done"))
+    assert (fleet.folder / "n1" / "replica-1.bad").read_bytes() == b"spoilt"
+    assert "set aside" in fleet.cluster.processes.members["n1"].log.read_text()
+
+
+def played(
+    tmp_path: Path,
+    events: tuple[Event, ...],
+    operator: Callable[[str, Path], str],
+    seconds: float = 13.0,
+) -> dict[str, Any]:
+    folder = tmp_path / "drill"
+    folder.mkdir()
+    one = plan.Plan(name="x", instances=5, seconds=seconds, events=events)
+    found = FaultInjectionRun(one, folder, operator=operator).run()
+    promises = [
+        key for key in BROKEN_PROMISES if key not in ("false_deaths", "views_differ")
+    ]  # those are the view's own tests'
+    assert {key: found[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
+    return found
+
+
+def could_be_served(folder: Path) -> int:
+    """Of the requests that a limiter answered, as many as the quota had room for.
+
+    While all are dead, which takes as long as the machine takes to start processes, the quota fills
+    up to its burst and no further.
+    """
+    rate, burst = 20.0, 40.0  # of the plan `gold`
+    answered = [
+        row for row in rows(folder / "clients.jsonl") if row["outcome"] in ("served", "busy")
+    ]
+    level, at, served = burst, 0.0, 0
+    for row in sorted(answered, key=lambda row: row["t"]):
+        level, at = min(burst, level + rate * (row["t"] - at)), row["t"]
+        if level >= row["units"]:
+            level, served = level - row["units"], served + 1
+    return served
+
+
+def test_quotas_hold_through_a_partition_and_the_death_of_a_member(tmp_path: Path) -> None:
+    """Two of five limiters are cut off for 4 s, and one of the others dies meanwhile."""
+    events = (
+        Event(at=3.0, what="cut", whom=("n0", "n1"), lasts=4.0),
+        Event(at=4.0, what="kill", whom=("n3",), lasts=1.0),
+    )
+    found = played(tmp_path, events, replica_file)
+    assert found["over_quota_units"] <= 12 and found["service_share"] >= 0.85
+
+
+def test_quotas_hold_though_all_are_killed_at_once(
+    tmp_path: Path,
+) -> None:
+    """All limiters are killed at once, again and again; their snapshots say what was left."""
+    events = (Event(at=4.0, what="kill", whom=("*",), lasts=0.3, repeat=3.0, until=8.0),)
+    found = played(tmp_path, events, disk_file)
+    assert found["over_quota_units"] <= 4
+    assert found["accepted"] >= 0.75 * could_be_served(tmp_path / "drill")
--- a/tests/test_replica_module.py
+++ b/tests/test_replica_module.py
@@ -17,7 +17,7 @@
 from hazelhollow.decisions.state.accounts import DEBT_REPAYMENT_SHARE, Account
 from hazelhollow.decisions.state.customer_accounts import COUNT_SETTLE_S
 from hazelhollow.decisions.state.period_charges import ClosedCount, PeriodCharges
-from tests.scenario import PLAN, SETTINGS
+from tests.net.scenario import PLAN, SETTINGS
 from tests.test_gateway import ask, entry, servers
 
 SLOW = replace(
