--- /dev/null
+++ b/tests/decisions/test_bounds.py
@@ -0,0 +1,68 @@
+"""What must stay bounded however many customers, classes and failures there are."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from dataclasses import replace
+
+from hazelhollow.decisions.outlier_detection import MAX_RECORDS
+from hazelhollow.decisions.state.accounts import Account, Opening
+from tests.decisions.helpers import (
+    ENGINE_SETTINGS,
+    LIMITERS,
+    charged,
+    kinds,
+    make,
+)
+
+
+def test_of_a_large_set_those_heard_of_come_first_and_the_rest_by_chance() -> None:
+    account = Account(make().context.plans["basic"], "3", Opening(1.0, 0.0, 0.0, False))
+    account.place_set(7, 500, replace(ENGINE_SETTINGS, limiter_count=600))
+    account.charges.reported = {
+        ("9.aa", 5): 2.0,
+        ("300.bb", 5): 7.0,
+        ("9.aa", 4): 1.0,
+        ("3.cc", 5): 9.0,
+        ("8.d", 5): 0.0,
+    }
+    seen = Counter[int]()
+    for turn in range(60):
+        told = account.busiest_members(600, 40, random.Random(turn))
+        assert told[:2] == [300, 9] and len(set(told)) == len(told) == 40  # 3 is no member
+        assert all(account.includes(number, 600) for number in told)
+        seen.update(told[2:])
+    assert len(seen) > 400
+    assert account.busiest_members(600, 1, random.Random(1)) == [300]
+    assert sorted(account.busiest_members(600, 500, random.Random(1))) == sorted(
+        account.members(600)
+    )
+
+
+def test_an_endpoint_that_failed_many_classes_long_ago_keeps_few_records() -> None:
+    engine = make(0, limiter_count=LIMITERS, classes=kinds(300))
+    server = engine.endpoints["s0"]
+    for number in range(300):
+        engine.context.now = 100.0 + number
+        engine.outliers.record_failure(server, f"c{number}")
+    assert len(server.outlier_records) <= MAX_RECORDS and "c299" in server.outlier_records
+
+
+def test_failures_are_told_latest_first_and_forgotten() -> None:
+    engine = make(0, limiter_count=LIMITERS)
+    for number, tag in enumerate("abcab"):
+        engine.context.now = 100.0 + number
+        engine.outliers.note_for_peers(tag, "k")
+    assert engine.outliers.latest_failures(2, 10.0) == [("a", "k"), ("b", "k")]
+    assert engine.outliers.latest_failures(3, 3.0) == [("c", "k"), ("a", "k"), ("b", "k")][-2 - 1 :]
+    engine.context.now = 200.0
+    assert engine.outliers.latest_failures(3, 3.0) == [] and not engine.outliers.recent_failures
+
+
+def test_updates_that_are_too_old_are_looked_at_only_once() -> None:
+    engine = charged(50)
+    waiting = {(f"gone{n}", 50): "" for n in range(3000)}
+    for _ in range(7):
+        assert engine.composer.fill_datagram("head", waiting) == "head"
+    assert not waiting
--- a/tests/test_fleet.py
+++ b/tests/decisions/test_fleet_of_engines.py
@@ -1,7 +1,4 @@
-"""Forty modules together.
-
-What their datagrams cost and what becomes of quotas, counted over the fleet.
-"""
+"""Forty engines together: what gossip costs and what becomes of quotas."""
 
 from __future__ import annotations
 
--- a/tests/test_gossip_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -1,7 +1,4 @@
-"""Gossip under a budget of bytes.
-
-Never passed, those nearest their limits first, nothing told twice.
-"""
+"""Gossip under a budget of bytes."""
 
 from __future__ import annotations
 
@@ -23,15 +20,21 @@
     PendingUpdate,
 )
 from hazelhollow.decisions.gossip.scheduler import GossipScheduler
-from tests.test_gateway import answer, ask, make, only, spend
+from tests.decisions.helpers import (
+    answer,
+    ask,
+    make,
+    only,
+    spend,
+)
 
 BUDGET = 600.0  # bytes a second
 
 
-def budgeted(gateways: int = 3, budget: float = BUDGET, **changes: float) -> DecisionEngine:
-    gateway = make(0, limiter_count=gateways, gossip_bytes_per_s=budget, **changes)
-    gateway.handle(api.TimerFired("beat"), 100.0)
-    return gateway
+def budgeted(limiters: int = 3, budget: float = BUDGET, **changes: float) -> DecisionEngine:
+    engine = make(0, limiter_count=limiters, gossip_bytes_per_s=budget, **changes)
+    engine.handle(api.TimerFired("beat"), 100.0)
+    return engine
 
 
 def told(actions: list[api.Action]) -> list[api.SendGossip]:
@@ -49,8 +52,8 @@
     ]
 
 
-def key(gateway: DecisionEngine, customer: str) -> str:
-    return gateway.customer_accounts.key_of_customer(customer)
+def key(engine: DecisionEngine, customer: str) -> str:
+    return engine.customer_accounts.key_of_customer(customer)
 
 
 @hyp(max_examples=30, deadline=None)
@@ -59,21 +62,21 @@
     st.sampled_from([3, 40]),
 )
 def test_over_no_window_is_more_sent_than_the_budget_and_its_burst(
-    asked: list[tuple[float, int, int]], gateways: int
+    asked: list[tuple[float, int, int]], limiters: int
 ) -> None:
-    gateway, now, sent = budgeted(gateways), 100.0, list[tuple[float, int]]()
+    engine, now, sent = budgeted(limiters), 100.0, list[tuple[float, int]]()
     for wait, customer, units in asked:
         now += wait
         for event in (None, api.TimerFired("beat")):
-            spread = 3 if gateways == 3 else 30
+            spread = 3 if limiters == 3 else 30
             actions = (
-                gateway.handle(event, now)
+                engine.handle(event, now)
                 if event
-                else ask(gateway, now, customer=f"{customer}", units=float(units), set_size=spread)
+                else ask(engine, now, customer=f"{customer}", units=float(units), set_size=spread)
             )
             sent += [(now, len(t.text) + HEADER_BYTES) for t in told(actions)]
             for send in only(actions, api.StartAttempt):
-                answer(gateway, send, now)
+                answer(engine, send, now)
     for first in range(len(sent)):
         total = 0
         for at, size in sent[first:]:
@@ -81,55 +84,55 @@
             assert total <= BUDGET * (1.0 + at - sent[first][0]) + 1e-6
 
 
-def test_news_of_one_customer_are_told_once_with_the_newest_total() -> None:
-    gateway = budgeted()
+def test_updates_of_one_customer_are_told_once_with_the_newest_total() -> None:
+    engine = budgeted()
     for _ in range(5):
-        ask(gateway, 101.1, units=2.0)
-    texts = told(gateway.handle(api.TimerFired("beat"), 101.5))
-    assert words(texts, 1) == [key(gateway, "c")] == words(texts, 2)
+        ask(engine, 101.1, units=2.0)
+    texts = told(engine.handle(api.TimerFired("beat"), 101.5))
+    assert words(texts, 1) == [key(engine, "c")] == words(texts, 2)
     assert all(gossip._tenths(10.0) in t.text for t in texts)
-    assert not told(gateway.handle(api.TimerFired("beat"), 101.9))  # nothing is told again
+    assert not told(engine.handle(api.TimerFired("beat"), 101.9))  # nothing is told again
     assert not words(
-        told(gateway.handle(api.TimerFired("beat"), 102.1)), 1
+        told(engine.handle(api.TimerFired("beat"), 102.1)), 1
     )  # nor the final figure, which is known
 
 
 def test_who_is_near_its_limit_is_told_before_the_calm() -> None:
-    gateway = budgeted(2, 400.0)
+    engine = budgeted(2, 400.0)
     for number in range(60):
-        assert spend(gateway, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
-    assert spend(gateway, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
-    (text, *_) = told(gateway.handle(api.TimerFired("beat"), 100.6))
-    assert words([text], 1)[0] == key(gateway, "near")
+        assert spend(engine, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
+    assert spend(engine, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
+    (text, *_) = told(engine.handle(api.TimerFired("beat"), 100.6))
+    assert words([text], 1)[0] == key(engine, "near")
 
 
-def test_small_charges_of_a_calm_customer_are_told_at_each_beat_and_only_what_is_new() -> None:
-    gateway = budgeted()
-    gateway.gossip.outbox.bytes.capacity = 100 * BUDGET  # type: ignore[union-attr]  # so that there is not plenty
+def test_small_charges_of_a_calm_customer_are_told_each_round_and_only_what_is_new() -> None:
+    engine = budgeted()
+    engine.gossip.outbox.bytes.capacity = 100 * BUDGET  # type: ignore[union-attr]  # so that there is not plenty
     for now in (101.1, 101.4, 101.7):
-        ask(gateway, now, units=1.0)
-        assert words(told(gateway.handle(api.TimerFired("beat"), now + 0.1)), 1) == [
-            key(gateway, "c")
+        ask(engine, now, units=1.0)
+        assert words(told(engine.handle(api.TimerFired("beat"), now + 0.1)), 1) == [
+            key(engine, "c")
         ]
-        assert not told(gateway.handle(api.TimerFired("beat"), now + 0.2))
+        assert not told(engine.handle(api.TimerFired("beat"), now + 0.2))
     assert not words(
-        told(gateway.handle(api.TimerFired("beat"), 102.1)), 1
+        told(engine.handle(api.TimerFired("beat"), 102.1)), 1
     )  # the final figure is known
 
 
-def test_news_that_nobody_can_use_any_more_are_dropped_and_not_rendered() -> None:
-    gateway = budgeted()
-    gateway.gossip.outbox.bytes.rate = 0.0  # type: ignore[union-attr]
-    gateway.gossip.outbox.bytes.level = 0.0  # type: ignore[union-attr]
-    ask(gateway, 101.1, units=4.0)
-    gateway.gossip.outbox.bytes.rate = BUDGET  # type: ignore[union-attr]
+def test_updates_that_nobody_can_use_any_more_are_dropped_and_not_written() -> None:
+    engine = budgeted()
+    engine.gossip.outbox.bytes.rate = 0.0  # type: ignore[union-attr]
+    engine.gossip.outbox.bytes.level = 0.0  # type: ignore[union-attr]
+    ask(engine, 101.1, units=4.0)
+    engine.gossip.outbox.bytes.rate = BUDGET  # type: ignore[union-attr]
     rendered: list[str] = []
-    gateway.composer.charge_report = lambda name, period: rendered.append(name) or ""  # type: ignore[method-assign, func-returns-value]
-    gateway.handle(api.TimerFired("beat"), 110.0)
-    assert not rendered and not gateway.gossip.outbox.waiting  # type: ignore[union-attr]
+    engine.composer.charge_report = lambda name, period: rendered.append(name) or ""  # type: ignore[method-assign, func-returns-value]
+    engine.handle(api.TimerFired("beat"), 110.0)
+    assert not rendered and not engine.gossip.outbox.waiting  # type: ignore[union-attr]
 
 
-def test_news_that_became_useless_while_they_waited_are_neither_rendered_nor_told() -> None:
+def test_updates_that_became_useless_while_they_waited_are_neither_written_nor_told() -> None:
     worth = {"kept": 1.0, "gone": 1.0}
     outbox, rendered = GossipOutbox(BUDGET, lambda peer, news: worth[news[0]]), list[str]()
     for name in worth:
@@ -146,16 +149,16 @@
 
 
 def test_what_was_told_and_what_waits_of_old_periods_is_forgotten() -> None:
-    gateway = budgeted()
-    assert gateway.gossip.outbox
-    ask(gateway, 101.1, units=2.0)
-    assert told(gateway.handle(api.TimerFired("beat"), 101.2))
-    assert gateway.gossip.outbox.sent_units
-    gateway.gossip.outbox.bytes.rate = gateway.gossip.outbox.bytes.level = 0.0
-    ask(gateway, 101.3, units=2.0)
-    assert gateway.gossip.outbox.waiting
-    gateway.handle(api.TimerFired("beat"), 110.0)
-    assert not gateway.gossip.outbox.sent_units and not gateway.gossip.outbox.waiting
+    engine = budgeted()
+    assert engine.gossip.outbox
+    ask(engine, 101.1, units=2.0)
+    assert told(engine.handle(api.TimerFired("beat"), 101.2))
+    assert engine.gossip.outbox.sent_units
+    engine.gossip.outbox.bytes.rate = engine.gossip.outbox.bytes.level = 0.0
+    ask(engine, 101.3, units=2.0)
+    assert engine.gossip.outbox.waiting
+    engine.handle(api.TimerFired("beat"), 110.0)
+    assert not engine.gossip.outbox.sent_units and not engine.gossip.outbox.waiting
 
 
 def test_what_waits_is_bounded_and_the_most_useful_stays() -> None:
@@ -184,14 +187,14 @@
 
 
 def drawn_run(
-    gateway: DecisionEngine, events: list[tuple[float, int, int, int]], spread: int
+    engine: DecisionEngine, events: list[tuple[float, int, int, int]], spread: int
 ) -> list[api.Action]:
     """All actions of a run of requests (ids are the run's own), answers, gossip and beats."""
     actions, now = list[api.Action](), 100.0
     for number, (wait, customer, units, sender) in enumerate(events):
         now += wait
         asked = ask(
-            gateway,
+            engine,
             now,
             id=f"q{number}",
             customer=f"{customer}",
@@ -200,14 +203,14 @@
         )
         actions += asked
         for send in only(asked, api.StartAttempt):
-            actions += answer(gateway, send, now + 0.01)
+            actions += answer(engine, send, now + 0.01)
         text = gossip.encode_header(int(now) % 36, 0.1, "abc") + gossip.encode(
             gossip.ChargeReport(
-                key(gateway, f"{customer}"), gossip.name_tag("basic"), 0, spread, 0, float(units)
+                key(engine, f"{customer}"), gossip.name_tag("basic"), 0, spread, 0, float(units)
             )
         )
-        actions += gateway.handle(api.GossipReceived(sender, text), now + 0.01)
-        actions += gateway.handle(api.TimerFired("beat"), now + 0.02)
+        actions += engine.handle(api.GossipReceived(sender, text), now + 0.01)
+        actions += engine.handle(api.TimerFired("beat"), now + 0.02)
         now += 0.02
     return actions
 
@@ -223,8 +226,8 @@
 def test_a_budget_of_zero_changes_no_action(
     events: list[tuple[float, int, int, int]], size: tuple[int, int]
 ) -> None:
-    """Against a gateway whose code for the budget is not there at all."""
-    gateways, spread = size
+    """Against a engine whose code for the budget is not there at all."""
+    limiters, spread = size
 
     class WithoutBudget(GossipScheduler):
         def _enqueue_under_budget(
@@ -239,8 +242,8 @@
             raise AssertionError("there is no budget")
 
     without, with_field = (
-        make(0, limiter_count=gateways),
-        make(0, limiter_count=gateways, gossip_bytes_per_s=0.0),
+        make(0, limiter_count=limiters),
+        make(0, limiter_count=limiters, gossip_bytes_per_s=0.0),
     )
     without.gossip.__class__ = WithoutBudget
     expected = drawn_run(without, events, spread)
@@ -249,34 +252,30 @@
         assert told(expected)  # the run gossips
 
 
-def test_a_beat_looks_at_no_more_than_it_may_send_and_a_bounded_number_beside() -> None:
+def test_a_round_looks_at_no_more_than_it_may_send_and_a_bounded_number_beside() -> None:
     """Counted, with ten thousand customers waiting for each of four peers, and a hundred."""
     looked_at = {}
     for customers in (100, 10_000):
-        gateway = budgeted(40)
-        assert gateway.gossip.outbox
-        gateway.gossip.outbox.bytes.rate = gateway.gossip.outbox.bytes.level = (
-            0.0  # all of it waits
-        )
-        gateway.handle(api.TimerFired("beat"), 100.5)
+        engine = budgeted(40)
+        assert engine.gossip.outbox
+        engine.gossip.outbox.bytes.rate = engine.gossip.outbox.bytes.level = 0.0  # all of it waits
+        engine.handle(api.TimerFired("beat"), 100.5)
         for number in range(customers):
-            gateway.gossip.enqueue(
-                [1, 2, 3, 4], account_of(gateway, number), gateway.context.period
-            )
-        gateway.gossip.outbox.bytes.rate, gateway.gossip.outbox.bytes.level = BUDGET, BUDGET
-        worth = Mock(side_effect=gateway.gossip.outbox._usefulness)
-        gateway.gossip.outbox._usefulness = worth
-        datagrams = len(told(gateway.handle(api.TimerFired("beat"), 100.6)))
+            engine.gossip.enqueue([1, 2, 3, 4], account_of(engine, number), engine.context.period)
+        engine.gossip.outbox.bytes.rate, engine.gossip.outbox.bytes.level = BUDGET, BUDGET
+        worth = Mock(side_effect=engine.gossip.outbox._usefulness)
+        engine.gossip.outbox._usefulness = worth
+        datagrams = len(told(engine.handle(api.TimerFired("beat"), 100.6)))
         assert datagrams >= 1
         looked_at[customers] = worth.call_count / datagrams
     assert looked_at[10_000] <= MAX_WAITING and looked_at[100] <= 100
 
 
-def account_of(gateway: DecisionEngine, number: int) -> str:
+def account_of(engine: DecisionEngine, number: int) -> str:
     """Of a customer that was charged something in this period."""
-    account = gateway.customer_accounts.get(
-        gossip.base36(number), gateway.context.plans["basic"], 0, 30
+    account = engine.customer_accounts.get(
+        gossip.base36(number), engine.context.plans["basic"], 0, 30
     )
-    account.charges.advance(gateway.context.period)
-    account.charges.charge(4.0, gateway.context.period)
+    account.charges.advance(engine.context.period)
+    account.charges.charge(4.0, engine.context.period)
     return account.name
--- a/tests/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -1,4 +1,4 @@
-"""Words between limiters whose settings differ mean the same, or say that they do not."""
+"""Gossip between limiters whose settings differ."""
 
 from __future__ import annotations
 
@@ -11,22 +11,27 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
+from tests.decisions.helpers import (
+    ask,
+    entry,
+    same_key,
+    servers,
+)
 from tests.net.scenario import LOOK, PLAN, SETTINGS
-from tests.test_gateway import ask, entry, servers
 
 GOLD = replace(PLAN, name="gold", rate=20.0, burst=40.0, excess_cost=1.0)
 BRONZE = replace(PLAN, name="bronze", rate=2.0, burst=4.0, excess_cost=1.0)
 SLOW = replace(LOOK, name="slow")
 
 
-def gateway(
-    me: int, *plans: api.Plan, classes: tuple[api.RequestClass, ...] = (LOOK,), gateways: int = 2
+def engine(
+    me: int, *plans: api.Plan, classes: tuple[api.RequestClass, ...] = (LOOK,), limiters: int = 2
 ) -> DecisionEngine:
     one = DecisionEngine(
         replace(
             SETTINGS,
             limiter_id=me,
-            limiter_count=gateways,
+            limiter_count=limiters,
             plans=plans,
             classes=classes,
             gossip_messages_per_s=1000.0,
@@ -47,7 +52,7 @@
 
 
 def test_a_charge_on_one_plan_is_not_taken_for_one_on_another_that_stands_at_its_place() -> None:
-    old, new = gateway(0, GOLD), gateway(1, BRONZE, GOLD)
+    old, new = engine(0, GOLD), engine(1, BRONZE, GOLD)
     ask(old, 1000.1, "look", plan_name="gold", set_size=2, units=5.0)
     told(old, new, 1000.2)
     (account,) = new.accounts.values()
@@ -59,19 +64,8 @@
     assert sum(list(old.accounts.values())[1].charges.reported.values()) == 7.0
 
 
-def same_key(gateway: DecisionEngine) -> tuple[str, str]:
-    """Two customers that come to one key in messages."""
-    seen: dict[str, str] = {}
-    for number in range(200_000):
-        customer = f"{number:016x}"
-        other = seen.setdefault(gateway.customer_accounts.key_of_customer(customer), customer)
-        if other != customer:
-            return other, customer
-    raise AssertionError("none found")
-
-
 def test_two_customers_of_one_key_do_not_go_by_each_others_plan() -> None:
-    one, peer = gateway(0, BRONZE, GOLD), gateway(1, BRONZE, GOLD)
+    one, peer = engine(0, BRONZE, GOLD), engine(1, BRONZE, GOLD)
     bronze, gold = same_key(one)
     ask(one, 1000.1, "look", plan_name="bronze", set_size=2, customer=bronze)
     ask(one, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
@@ -88,7 +82,7 @@
 
 
 def test_a_changed_plan_holds_also_after_the_old_account_is_forgotten() -> None:
-    one = gateway(0, BRONZE, GOLD)
+    one = engine(0, BRONZE, GOLD)
     ask(one, 1000.1, "look", plan_name="bronze", set_size=2)
     ask(one, 1000.2, "look", plan_name="gold", set_size=2)
     del one.accounts[next(iter(one.accounts))]
@@ -98,7 +92,7 @@
 
 
 def test_a_plan_that_these_settings_do_not_have_costs_its_word_alone_and_is_said_once() -> None:
-    old, new = gateway(0, GOLD), gateway(1, BRONZE, GOLD)
+    old, new = engine(0, GOLD), engine(1, BRONZE, GOLD)
     for customer in "abc":
         ask(new, 1000.1, "look", plan_name="bronze", set_size=2, customer=customer)
     ask(new, 1000.1, "look", plan_name="gold", set_size=2, customer="d")
@@ -115,7 +109,7 @@
 
 def test_the_dialect_before_this_one_is_understood() -> None:
     """Words kept on file: a program of the release before wrote them."""
-    one = gateway(0, BRONZE, GOLD)
+    one = engine(0, BRONZE, GOLD)
     incarnation = gossip.incarnation_name(1000.0)
     one.handle(
         api.GossipReceived(1, f"h{gossip.base36(1000 % 36)}0{incarnation} 1abcd:1:0:2:0:1e 0zz=5"),
@@ -133,7 +127,7 @@
     "text", ["j{period}0{life} 1abcd:7kq:0:2:0:1e", "j{period}0{life}", "{period}", ""]
 )
 def test_a_dialect_that_is_newer_is_refused_whole_counted_and_said_once(text: str) -> None:
-    one = gateway(0, GOLD)
+    one = engine(0, GOLD)
     text = text.format(period=gossip.base36(1000 % 36), life=gossip.incarnation_name(1000.0))
     said = [
         a
@@ -146,8 +140,8 @@
 
 def test_a_failure_of_one_class_is_not_taken_for_another_at_its_place() -> None:
     old, new = (
-        gateway(0, GOLD, classes=(SLOW,), gateways=12),
-        gateway(1, GOLD, classes=(LOOK, SLOW), gateways=12),
+        engine(0, GOLD, classes=(SLOW,), limiters=12),
+        engine(1, GOLD, classes=(LOOK, SLOW), limiters=12),
     )
     tag = new.endpoints["s1"].tag
     for kind, name in ((gossip.name_tag("slow"), "slow"), (gossip.EVERY_CLASS, "")):
@@ -162,7 +156,7 @@
 
 
 def test_classes_read_again_are_told_by_their_new_names() -> None:
-    one = gateway(0, GOLD, gateways=12)
+    one = engine(0, GOLD, limiters=12)
     one.retune(replace(one.settings, classes=(LOOK, SLOW)))
     text = gossip.encode_header(1000, 0.0, gossip.incarnation_name(1000.0)) + gossip.encode(
         gossip.FailureReport(one.endpoints["s1"].tag, gossip.name_tag("slow"))
--- /dev/null
+++ b/tests/decisions/test_quota.py
@@ -0,0 +1,150 @@
+"""Quotas: what is charged, settled and refunded, the limit on open requests, and the ceiling."""
+
+from __future__ import annotations
+
+import random
+from zlib import crc32
+
+import pytest
+
+from hazelhollow.decisions import interface as api
+from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.decisions.gossip.codec import base36
+from tests.decisions.helpers import (
+    HARD,
+    answer,
+    ask,
+    make,
+    only,
+    servers,
+    spend,
+)
+
+
+def test_a_quota_refills_up_to_its_burst() -> None:
+    engine = make()
+    assert spend(engine, 100.0, 30) == 12
+    assert spend(engine, 102.0, 30) == 8
+    assert spend(engine, 120.0, 30) == 12
+
+
+def test_a_settlement_may_leave_a_quota_in_debt() -> None:
+    engine = make()
+    (send,) = only(ask(engine, 100.0, units=4.0), api.StartAttempt)
+    answer(engine, send, 100.0, true_units=20.0)
+    assert spend(engine, 100.0, 5) == 0
+    assert spend(engine, 102.0, 5) == 0  # still at nothing
+    assert spend(engine, 103.0, 5) > 0
+
+
+def test_a_quota_refills_evenly() -> None:
+    engine = make()
+    assert spend(engine, 100.0, 30) == 12
+    assert spend(engine, 100.5, 30) == 2
+    assert spend(engine, 101.0, 30) == 2
+
+
+def test_a_settlement_counts_once_and_for_its_request_only() -> None:
+    """Two answers of one request may both carry true units. Only the first may change the quota."""
+    engine = make()
+    (send,) = only(ask(engine, 100.0, units=4.0), api.StartAttempt)
+    answer(engine, send, 100.0, true_units=1.0)
+    answer(engine, send, 100.0, true_units=1.0)
+    assert spend(engine, 100.0, 30) == 11
+
+
+def test_a_second_figure_of_one_request_settles_nothing() -> None:
+    engine = make()
+    (send,) = only(ask(engine, 100.0, units=2.0), api.StartAttempt)
+    (again,) = only(answer(engine, send, 100.1, "error", true_units=4.0), api.StartAttempt)
+    engine.handle(api.AttemptEnded(again.id, 1, again.endpoint, "ok", 0.1, True, 4.0), 100.2)
+    assert next(iter(engine.accounts.values())).quota.level == pytest.approx(12.0 - 4.0, abs=1.0)
+
+
+def test_a_request_beyond_the_quota_is_rejected_with_the_time_until_it_fits() -> None:
+    engine = make()
+    spend(engine, 100.0, 12)
+    (refusal,) = only(ask(engine, 100.0), api.RejectRequest)
+    assert 0 < refusal.retry_after <= 1.0 and refusal.reason == "quota"
+
+
+def test_a_rejection_names_its_reason_for_the_counters() -> None:
+    assert [r.reason for r in only(ask(make(), 0.0, plan_name="hard"), api.RejectRequest)] == [
+        "ceiling"
+    ]  # empty at a start
+    assert [r.reason for r in only(ask(make(), 0.0, plan_name="none"), api.RejectRequest)] == [
+        "unknown"
+    ]
+    bare = make()
+    bare.handle(servers("full"), 0.0)
+    assert [r.reason for r in only(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
+
+
+@pytest.mark.parametrize("run", range(5))
+def test_the_ceiling_holds_over_limiters_that_restart_and_hear_nothing(run: int) -> None:
+    """Limiters are killed and restarted, and no datagram arrives.
+
+    All together must not pass the ceiling.
+    """
+    chance, level, at = random.Random(run), HARD.ceiling_burst, 100.0
+    fleet = [make(i) for i in range(3)]
+    for _ in range(3000):
+        now = at + chance.expovariate(60.0)
+        level, at = min(HARD.ceiling_burst, level + HARD.ceiling_rate * (now - at)), now
+        number = chance.choice((0, 0, 0, 1, 2))
+        if chance.random() < 0.002:
+            fleet[number] = make(number)
+            fleet[number].context.started_at = now
+        units = float(chance.randint(1, 4))
+        for send in only(ask(fleet[number], now, plan_name="hard", units=units), api.StartAttempt):
+            level -= units
+            answer(fleet[number], send, now)
+        assert level >= -1e-6
+
+
+def opened(engine: DecisionEngine, now: float) -> int:
+    """How many requests of one customer are let in, one after the other, while none ends."""
+    return sum(bool(only(ask(engine, now, plan_name="few"), api.StartAttempt)) for _ in range(8))
+
+
+def test_an_open_limit_counts_what_peers_are_likely_to_have_in_flight() -> None:
+    """A fixed share of a small limit turns away what the set has room for.
+
+    Without it a busy set would pass the limit.
+    """
+    few = api.Plan("few", rate=100.0, burst=300.0, open_limit=6)
+    assert opened(make(plans=(few,)), 1.0) == 6
+    key = base36(crc32(b"c") % 36**5)
+    for units, most in (
+        (4, 4),
+        (10, 2),
+        (90, 2),
+    ):  # a second, by each of two peers, at a sixth of a second each
+        engine = make(plans=(few,))
+        for peer in (1, 2):
+            engine.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10 * units)}"), 1.9)
+        assert opened(engine, 1.9) == most
+
+
+def test_requests_in_flight_at_peers_count_until_they_will_have_ended() -> None:
+    few, key = api.Plan("few", rate=100.0, burst=300.0, open_limit=6), base36(crc32(b"c") % 36**5)
+    for later, most in ((0.0, 2), (0.9, 5)):
+        engine = make(plans=(few,))
+        for peer in (1, 2):
+            engine.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10)}:2"), 1.0)
+        assert opened(engine, 1.0 + later) == most
+
+
+def test_a_request_leaves_room_for_what_peers_have_charged_and_not_told_yet() -> None:
+    quick, key = api.Plan("quick", rate=1.0, burst=100.0), base36(crc32(b"c") % 36**5)
+    for heard, most in ((0, 10), (50, 8)):
+        engine = make(plans=(quick,))
+        ask(engine, 1.9, plan_name="quick", units=0.001)
+        engine.handle(api.GossipReceived(1, f"h10x {key}:0:0:3:0:{base36(10 * heard)}"), 1.9)
+        engine.accounts[key].quota.level = 10.0
+        assert (
+            sum(
+                bool(only(ask(engine, 1.9, plan_name="quick"), api.StartAttempt)) for _ in range(20)
+            )
+            == most
+        )
--- a/tests/test_replica_module.py
+++ b/tests/decisions/test_replicated_accounts.py
@@ -1,7 +1,4 @@
-"""What the decision module does with counts that are told again.
-
-Nothing twice, nothing forgotten.
-"""
+"""Replicated counts: each charge counts once, whatever is lost."""
 
 from __future__ import annotations
 
@@ -17,8 +14,12 @@
 from hazelhollow.decisions.state.accounts import DEBT_REPAYMENT_SHARE, Account
 from hazelhollow.decisions.state.customer_accounts import COUNT_SETTLE_S
 from hazelhollow.decisions.state.period_charges import ClosedCount, PeriodCharges
+from tests.decisions.helpers import (
+    ask,
+    entry,
+    servers,
+)
 from tests.net.scenario import PLAN, SETTINGS
-from tests.test_gateway import ask, entry, servers
 
 SLOW = replace(
     PLAN, name="slow", rate=0.001, burst=1000.0, excess_cost=1.0
@@ -145,6 +146,10 @@
 def test_whatever_is_lost_or_told_again_each_charge_counts_once_in_the_end(
     plan: list[tuple[str, int, int]],
 ) -> None:
+    """Gossip is lost, doubled and late between three members.
+
+    Once counts have come, each charge counts once.
+    """
     one = Cluster()
     for number in range(3):
         one.ask(number)  # all know the customer from here on
@@ -196,9 +201,10 @@
     st.booleans(),
     st.sampled_from([0.1, 0.6, 1.1, 2.5]),
 )
-def test_one_that_begins_anew_takes_over_what_a_peer_knows_while_charges_go_on(
+def test_a_member_that_starts_anew_takes_over_what_a_peer_knows_while_charges_go_on(
     before: int, between: int, after: int, own: bool, wait: float
 ) -> None:
+    """A member is killed and starts again with nothing, while others go on charging."""
     one = Cluster()
     for number in (0, 1, 2):
         one.ask(number)
@@ -228,6 +234,10 @@
 
 
 def test_what_one_that_died_had_charged_is_told_by_those_who_heard_it() -> None:
+    """A member charges and dies before its counts are replicated.
+
+    Those who heard its reports tell them.
+    """
     one = Cluster()
     for number in range(3):
         one.ask(number)
@@ -258,6 +268,10 @@
 def test_what_a_member_used_of_what_was_left_to_it_is_not_taken_again_and_the_rest_comes_back() -> (
     None
 ):
+    """A partition ends.
+
+    What the other side used of its part must not be charged again, and the rest comes back.
+    """
     one = Cluster(plan="fast")
     for number in range(3):
         one.ask(number)
@@ -292,7 +306,11 @@
     )  # what came in, and what was left aside, to the burst
 
 
-def test_what_went_over_is_paid_back_in_time_and_not_by_refusing_all() -> None:
+def test_units_charged_unheard_are_paid_back_over_time() -> None:
+    """After a partition more was charged than the quota.
+
+    Customers must not be shut out until it is paid.
+    """
     one = Cluster(plan="fast")
     for number in range(3):
         one.ask(number)
@@ -310,6 +328,10 @@
 
 
 def test_what_is_credited_of_a_dead_members_part_is_no_more_than_was_left_to_it() -> None:
+    """A member that could not be heard turns out dead.
+
+    No more of its part comes back than was left to it.
+    """
     one = Cluster(plan="fast")
     one.ask(0)
     account = next(iter(one.all[0].accounts.values()))
@@ -322,6 +344,7 @@
 
 
 def test_a_member_that_dies_for_good_takes_no_more_than_its_part_with_it() -> None:
+    """A member dies and never comes back. Only its own part of the quota may be lost with it."""
     one = Cluster(plan="fast")
     one.ask(0)
     account = next(iter(one.all[0].accounts.values()))
@@ -419,7 +442,7 @@
     )
     assert totals.merge_count("1.x", ClosedCount(100, 105, 11.0)) == 2.0
     assert totals.merge_count("1.x", ClosedCount(108, 108, 1.0)) == 1.0  # counted anew
-    # Of one that began before this gateway knew the customer the first word adds nothing: it is
+    # Of one that began before this engine knew the customer the first word adds nothing: it is
     # part of the beginning.
     assert (
         totals.merge_count("2.y", ClosedCount(50, 101, 30.0)) == 0.0
--- /dev/null
+++ b/tests/decisions/test_retry.py
@@ -0,0 +1,151 @@
+"""Retries: which attempts may follow, and that no effect happens twice."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, seed
+from hypothesis import settings as hyp
+from hypothesis import strategies as st
+
+from hazelhollow.decisions import interface as api
+from hazelhollow.decisions.engine import DecisionEngine
+from hazelhollow.decisions.retry import NEVER_RAN
+from tests.decisions.helpers import (
+    HOLD,
+    answer,
+    ask,
+    make,
+    only,
+)
+
+
+def test_an_unsafe_request_that_may_have_run_fails_and_one_that_did_not_goes_again() -> None:
+    """A connection broke after the request was sent.
+
+    What may have run must not run again; what never ran may.
+    """
+    engine = make()
+    (send,) = only(ask(engine, 100.0, "issue"), api.StartAttempt)
+    assert only(answer(engine, send, 100.1, "reset"), api.FailRequest)
+    (send,) = only(ask(engine, 100.2, "issue"), api.StartAttempt)
+    assert only(answer(engine, send, 100.3, "full"), api.StartAttempt)
+
+
+def test_late_events_for_an_ended_request_are_harmless() -> None:
+    """An answer comes after the client has left.
+
+    It must neither fail nor bring the request back.
+    """
+    engine = make()
+    (send,) = only(ask(engine, 100.0), api.StartAttempt)
+    answer(engine, send, 100.1)
+    assert answer(engine, send, 100.2, "timeout") == []
+    assert engine.handle(api.ClientDisconnected(send.id), 100.3) == []
+    assert engine.pending_requests == {}
+
+
+STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "never_sent")
+
+
+@seed(1)
+@hyp(max_examples=300, deadline=None, derandomize=True, database=None)
+@given(
+    kind=st.sampled_from(["lookup", "issue", "hold"]),
+    statuses=st.lists(st.sampled_from(STATUSES), min_size=1, max_size=4),
+    waits=st.lists(st.floats(0.001, 1.5), min_size=4, max_size=4),
+)
+def test_every_request_ends_once_and_no_effect_happens_twice(
+    kind: str, statuses: list[str], waits: list[float]
+) -> None:
+    """Attempts end in every way and order.
+
+    Each request gets one final answer, and no effect happens twice.
+    """
+    engine, now = make(), 100.0
+    actions = ask(engine, now, kind)
+    zones = {s.entry.name: s.entry.zone for s in engine.endpoints.values()}
+    ran: list[tuple[str, float]] = []
+    for number, status in enumerate([*statuses, "timeout", "timeout", "timeout"]):
+        sends = only(actions, api.StartAttempt)
+        finals = [a for a in actions if isinstance(a, api.RejectRequest | api.FailRequest)]
+        assert len(sends) + len(finals) == 1
+        if ran and kind == "issue":
+            assert not sends and not only(finals, api.RejectRequest)
+        if ran and kind == "hold":
+            assert not only(finals, api.RejectRequest)
+            for send in sends:
+                assert zones[send.endpoint] == ran[0][0] and now < ran[0][1] + HOLD.dedup_window
+        if finals:
+            assert engine.pending_requests == {}
+            return
+        sent_at, now = now, now + waits[number % 4]
+        if status not in NEVER_RAN:
+            ran.append((zones[sends[0].endpoint], sent_at))
+        final = status == "ok"
+        event = api.AttemptEnded(sends[0].id, number, sends[0].endpoint, status, 0.1, final=final)  # type: ignore[arg-type]
+        actions = engine.handle(event, now)
+        if final:
+            assert not only(actions, api.StartAttempt) and engine.pending_requests == {}
+            return
+    raise AssertionError("never ended")
+
+
+def test_an_attempt_that_broke_off_at_once_costs_little_of_the_retry_budget() -> None:
+    """Resets by the dozen cost the servers nothing.
+
+    Were they to spend the retries, requests would fail for it.
+    """
+    for elapsed, most in ((0.0002, 200), (0.5, 30)):
+        engine, retried = make(), 0
+        for number in range(200):
+            (send,) = only(ask(engine, 1.0 + number, customer=str(number)), api.StartAttempt)
+            event = api.AttemptEnded(send.id, 0, send.endpoint, "reset", elapsed)
+            again = only(engine.handle(event, 1.0 + number), api.StartAttempt)
+            retried += len(again)
+            for further in again:
+                engine.handle(
+                    api.AttemptEnded(send.id, 1, further.endpoint, "ok", 0.1, True), 1.0 + number
+                )
+        assert 0.9 * most <= retried <= most
+
+
+def hung(engine: DecisionEngine, kind: str, wait: float, answers: bool) -> tuple[list[str], str]:
+    """The host at which a request hangs after some usual ones.
+
+    And those it goes to once the engine has looked.
+    """
+    for number in range(30):
+        for send in only(ask(engine, 1.0 + number / 10, customer=str(number)), api.StartAttempt):
+            engine.handle(
+                api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.02, True), 1.02 + number / 10
+            )
+    (send,) = only(ask(engine, 5.0, kind), api.StartAttempt)
+    engine.load.queue_wait = wait
+    if answers:
+        engine.endpoints[send.endpoint].last_progress_at = 5.7
+    cancels = only(engine.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
+    actions = [
+        engine.handle(api.AttemptEnded(c.id, c.attempt, send.endpoint, "cancelled", 0.75), 5.75)
+        for c in cancels
+    ]
+    return [again.endpoint for a in actions for again in only(a, api.StartAttempt)], send.endpoint
+
+
+@pytest.mark.parametrize("answers", [False, True])
+def test_an_attempt_that_hangs_at_a_calm_time_goes_to_another_endpoint(answers: bool) -> None:
+    """An endpoint takes a request and never answers, while others answer at once."""
+    engine = make(cancellation=True)
+    (other,), first = hung(engine, "lookup", 0.0, answers)
+    assert other != first
+    # one answer that is lost is no failing server
+    assert bool(engine.endpoints[first].outlier_records) is not answers
+
+
+def test_an_attempt_that_hangs_stays_in_an_overload_and_where_it_may_not_run_again() -> None:
+    """An attempt hangs in an overload, or has an effect.
+
+    Moving it would add load, or repeat the effect.
+    """
+    assert hung(make(cancellation=True), "lookup", 0.5, False)[0] == []
+    assert hung(make(cancellation=True), "issue", 0.0, False)[0] == []
+    assert hung(make(), "lookup", 0.0, False)[0] == []
--- /dev/null
+++ b/tests/decisions/test_settlement.py
@@ -0,0 +1,112 @@
+"""Sites that settle the true units after the answer."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from hazelhollow.net import attempts, resp
+from hazelhollow.simulator.endpoint_reports import read_report
+from tests.net.scenario import PLAN, SETTINGS, Stage
+
+SETTLED = replace(
+    SETTINGS, post_paid=True, max_units=4.0, plans=(replace(PLAN, rate=1.0, burst=8.0),)
+)
+GUESS = "[Q.ASK 00000000b4d65521 r{0} c=look,t=basic,d=1000,units={1},spread=1,first=0]"
+
+
+def cost(figures: str, number: int = 1, units: int = 1) -> str:
+    """A request whose host answers with these figures on use.
+
+    Its value reaches the client whatever they say.
+    """
+    words = GUESS.format(number, units)
+    return f"""
+        a send {words}
+        s1 expect {words}
+        s1 send *3\\r\\n$2\\r\\nhi\\r\\n${len(figures)}\\r\\n{figures}\\r\\n$7\\r\\nqueue=2
+        a expect $2\\r\\nhi"""
+
+
+def room(stage: Stage) -> float:
+    """Units that the customer's budget holds, as the next request finds it."""
+    (account,) = stage.service.engine.accounts.values()
+    return account.quota.level
+
+
+@pytest.mark.parametrize(
+    ("figures", "left", "bad"),
+    [
+        ("cost=4", 4.0, 0),
+        ("used=37,cost=2", 6.0, 0),
+        ("cost=1.5,used=3", 6.5, 0),
+        ("used=37", 7.0, 0),
+        ("cost=-4", 7.0, 1),
+        ("cost=inf", 7.0, 1),
+        ("cost=nan", 7.0, 1),
+        ("cost=", 7.0, 1),
+        ("cost=0", 7.0, 1),
+        ("cost=4,cost=4", 7.0, 1),
+        ("cost=5", 7.0, 1),
+        ("cost=1e0", 7.0, 1),
+        ("x" * 250 + ",cost=4", 7.0, 1),
+    ],
+)
+def test_true_units_settle_a_budget_and_what_cannot_be_true_does_not(
+    figures: str, left: float, bad: int
+) -> None:
+    stage = Stage(hosts=1, settings=SETTLED)
+    stage.play(cost(figures))
+    assert room(stage) == pytest.approx(left)
+    assert (stage.service.stats.figures_bad, stage.service.stats.settled) == (
+        bad,
+        "cost" in figures and not bad,
+    )
+
+
+def test_units_that_are_not_settled_afterwards_are_what_the_request_says() -> None:
+    stage = Stage(hosts=1, settings=replace(SETTLED, post_paid=False))
+    stage.play(cost("cost=4"))
+    assert room(stage) == pytest.approx(7.0)
+
+
+def test_a_client_that_left_is_settled_once_by_the_answer_that_still_comes() -> None:
+    stage = Stage(hosts=1, settings=SETTLED)
+    words = GUESS.format(1, 1)
+    stage.play(
+        f"a send {words}\ns1 expect {words}\na close\ns1 send "
+        "*3\\r\\n$1\\r\\nx\\r\\n$6\\r\\ncost=3\\r\\n$-1\nwait 0.05"
+    )
+    assert room(stage) == pytest.approx(5.0, abs=0.1) and stage.service.stats.settled == 1
+
+
+def test_settings_read_again_may_begin_to_settle() -> None:
+    stage = Stage(hosts=1, settings=replace(SETTLED, post_paid=False))
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=SETTLED))
+    stage.play(cost("cost=4"))
+    assert room(stage) == pytest.approx(4.0)
+
+
+@pytest.mark.parametrize(
+    ("line", "status", "report"),
+    [
+        (b"ERR failed used=3,cost=4 queue=2", "error", {"queue": 2.0}),
+        (b"ERR failed queue=2", "error", {"queue": 2.0}),
+        (b"ERR failed used=3", "error", {}),
+        (b"BUSY used=3 inflight=7,queue=2", "full", {"inflight": 7.0, "queue": 2.0}),
+        (b"BUSY", "full", {}),
+        (b"ERR failed", "error", {}),
+    ],
+)
+def test_an_error_line_may_hold_figures_before_its_report(
+    line: bytes, status: str, report: dict[str, float]
+) -> None:
+    result = attempts.read_answer(resp.ErrorReply(line))
+    assert result and result.status == status and not result.figures
+    assert read_report(result.report) == report
+
+
+@pytest.mark.parametrize("answer", [[b"v"], [b"v", None], [b"v", None, None], [b"v", [b"x"], 7]])
+def test_an_answer_without_figures_is_an_answer(answer: list[resp.Value]) -> None:
+    assert attempts.read_answer(answer) == attempts.AttemptResult("ok", b"v")
--- a/tests/test_cold_ramp.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,10 +1,4 @@
-"""A cold server under what all gateways of a fleet send together.
-
-Each decides for itself, and no server may fall by the sum.
-
-The gateways are real decision modules; the servers are modelled: each works on so many requests at
-once, a cold one on fewer, by the share that the settings name. Time is simulated.
-"""
+"""Endpoints that are warming up, against a model of one that falls over."""
 
 from __future__ import annotations
 
@@ -14,14 +8,118 @@
 import random
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 
 import pytest
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.slow_start import SlowStart
-from tests.test_gateway import entry, servers
+from hazelhollow.decisions.state.endpoint import Endpoint
+from hazelhollow.decisions.state.sliding_window import SlidingWindow
+from tests.decisions.helpers import answer, ask, entry, make, only, servers
+from tests.net.scenario import SETTINGS
+
+LARGE_FLEET = 40
+
+
+def test_an_endpoint_that_is_warming_up_gets_less_than_its_share() -> None:
+    engine = make()
+    engine.handle(servers("change", entry("s0", started=99.9)), 100.0)
+    counts = dict.fromkeys(("s0", "s1", "s2", "s3"), 0)
+    for i in range(200):
+        for send in only(ask(engine, 100.0 + i * 0.01, customer=f"{i}"), api.StartAttempt):
+            counts[send.endpoint] += 1
+            answer(engine, send, 100.0 + i * 0.01)
+    warm = (counts["s1"] + counts["s2"] + counts["s3"]) / 3
+    assert counts["s0"] <= 0.8 * warm  # four times the cold share may not even be neared
+
+
+def test_an_endpoint_that_is_warming_up_is_not_pushed_over_by_all_limiters_together() -> None:
+    """An endpoint falls over if all limiters of a large fleet send it more than it bears."""
+    many = [make(i, limiter_count=100) for i in range(100)]
+    for me, engine in enumerate(many):
+        engine.handle(
+            servers("full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)),
+            100.0,
+        )
+        engine.context.random.seed(me)
+    chance, counts = random.Random(1), dict.fromkeys([*(f"s{i}" for i in range(12)), "cold"], 0)
+    for i in range(2400):  # 8 a second at each of 100 limiters, for three seconds
+        engine, now = chance.choice(many), 100.0 + i / 800
+        for send in only(ask(engine, now, customer=f"{i}"), api.StartAttempt):
+            counts[send.endpoint] += 1
+            answer(engine, send, now)
+    warm = sum(counts.values()) / 13
+    assert counts["cold"] <= 2 * 0.4 * warm  # the fall multiple over the cold share: 4 x 0.2
+
+
+def test_endpoints_that_are_all_warming_up_are_still_sent_work() -> None:
+    engine = make(0, limiter_count=LARGE_FLEET)
+    engine.handle(servers("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
+    sent = sum(
+        len(only(ask(engine, 100.0 + i / 50, customer=f"{i}"), api.StartAttempt))
+        for i in range(100)
+    )
+    assert 0 < sent < 100
+
+
+def test_many_endpoints_that_are_warming_up_do_not_make_a_choice_dear(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Looking at all servers for each cold one took two thirds of a day's CPU at 7 limiters and 49
+    servers.
+    """
+    told = replace(
+        SETTINGS,
+        limiter_count=1,
+        warm_up_time=14.0,
+        warm_up_initial_share=0.2,
+        overload_multiple=4.0,
+        overload_window=2.0,
+    )
+    engine, looks, cold = DecisionEngine(told, seed=1), 0, Endpoint.is_warming_up
+    engine.handle(
+        servers("full", *(entry(f"s{n}", started=99.0 * (n % 2)) for n in range(80))), 100.0
+    )
+
+    def counted(server: Endpoint, now: float, settings: api.Settings) -> bool:
+        nonlocal looks
+        looks += 1
+        return cold(server, now, settings)
+
+    monkeypatch.setattr(Endpoint, "is_warming_up", counted)
+    assert only(ask(engine, 100.1, "look", set_size=1, time_left=3.0), api.StartAttempt)
+    assert looks <= 3 * 80
+
+
+def test_an_endpoint_that_turns_warm_counts_as_warm_from_then() -> None:
+    told = replace(
+        SETTINGS,
+        limiter_count=1,
+        warm_up_time=14.0,
+        warm_up_initial_share=0.2,
+        overload_multiple=4.0,
+        overload_window=2.0,
+    )
+    engine = DecisionEngine(told, seed=1)
+    engine.handle(servers("full", entry("old"), entry("new", started=99.0)), 100.0)
+    ask(engine, 100.1, "look", set_size=1, time_left=3.0)
+    widths = engine.table.warm_concurrency(100.1)
+    engine.handle(servers("change", entry("third")), 100.1)  # in the same moment
+    ask(engine, 100.1, "look", set_size=1, time_left=3.0)
+    assert engine.table.warm_concurrency(100.1) == 2 * widths > 0
+
+
+def test_a_window_is_the_sum_of_its_span() -> None:
+    window, chance, items = SlidingWindow(2.0), random.Random(3), list[tuple[float, float]]()
+    for turn in range(400):
+        now, amount = turn * 0.07 + (5.0 if turn > 300 else 0.0), chance.random()
+        window.add(now, amount)
+        items.append((now, amount))
+        assert window.sum(now + 1.0) == pytest.approx(sum(a for at, a in items if at > now - 1.0))
+    assert window.sum(1000.0) == 0.0
+
 
 CLASS = api.RequestClass(
     "look", latency_objective=1.0, deadline=3.0, priority_weight=1.0, effect="safe"
@@ -60,17 +158,17 @@
 
 
 class Fleet:
-    def __init__(self, gateways: int, seed: int) -> None:
+    def __init__(self, limiters: int, seed: int) -> None:
         self.random, self.now, self.served = random.Random(seed), START, 0
         self.hosts = {f"w{number}": Host() for number in range(WARM)}
         self._serial = itertools.count()
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.gateways = [self._gateway(number, gateways, seed) for number in range(gateways)]
+        self.gateways = [self._gateway(number, limiters, seed) for number in range(limiters)]
 
-    def _gateway(self, number: int, gateways: int, seed: int) -> DecisionEngine:
+    def _gateway(self, number: int, limiters: int, seed: int) -> DecisionEngine:
         told = api.Settings(
             number,
-            gateways,
+            limiters,
             (CLASS,),
             (FREE,),
             zone="a",
@@ -89,7 +187,7 @@
         heapq.heappush(self._heap, (when, next(self._serial), call))
 
     def load(self, rate: float, until: float) -> None:
-        """So many requests a second at all gateways together, by chance, until then."""
+        """So many requests a second at all limiters together, by chance, until then."""
 
         def ask() -> None:
             number = self.random.randrange(len(self.gateways))
@@ -158,12 +256,12 @@
     return worst
 
 
-def played(gateways: int, cold: int, load: float, seed: int) -> Fleet:
+def played(limiters: int, cold: int, load: float, seed: int) -> Fleet:
     """`load`.
 
     Of what the warm servers can do, from the moment in which so many cold ones join; before, less.
     """
-    fleet = Fleet(gateways, seed)
+    fleet = Fleet(limiters, seed)
     fleet.load(0.7 * load * CAPACITY * WARM, JOINS)
     fleet.run(JOINS)
     fleet.join(cold)
@@ -176,33 +274,33 @@
     return [host for host in fleet.hosts.values() if host.started]
 
 
-@pytest.mark.parametrize("gateways", [20, 30])
+@pytest.mark.parametrize("limiters", [20, 30])
 @pytest.mark.parametrize("cold", [1, 4])
 @pytest.mark.parametrize("load", [0.5, 0.9])
-def test_what_all_gateways_send_a_cold_server_stays_within_what_it_bears(
-    gateways: int, cold: int, load: float
+def test_what_all_limiters_send_an_endpoint_that_is_warming_up_stays_within_what_it_bears(
+    limiters: int, cold: int, load: float
 ) -> None:
     for seed in range(3):
-        for host in cold_hosts(played(gateways, cold, load, seed)):
+        for host in cold_hosts(played(limiters, cold, load, seed)):
             assert most_of_allowed(host) <= 1.0
 
 
 @pytest.mark.parametrize(
-    ("gateways", "cold", "load"), [(20, 1, 1.2), (30, 4, 1.2), (20, 4, 1.5), (30, 4, 1.5)]
+    ("limiters", "cold", "load"), [(20, 1, 1.2), (30, 4, 1.2), (20, 4, 1.5), (30, 4, 1.5)]
 )
-def test_nor_under_a_burst_that_the_warm_servers_cannot_work_off(
-    gateways: int, cold: int, load: float
+def test_nor_under_a_burst_that_the_warm_endpoints_cannot_work_off(
+    limiters: int, cold: int, load: float
 ) -> None:
     """What they are sent is then more than they can do.
 
     And says nothing of what a cold one bears.
     """
     for seed in (100, 101, 103, 107):
-        for host in cold_hosts(played(gateways, cold, load, seed)):
+        for host in cold_hosts(played(limiters, cold, load, seed)):
             assert most_of_allowed(host) <= 1.0
 
 
-def test_a_cold_server_is_used_all_the_same() -> None:
+def test_an_endpoint_that_is_warming_up_is_used_all_the_same() -> None:
     fleet = played(30, 1, 0.9, 1)
     (cold,) = cold_hosts(fleet)
     warm = [
@@ -213,7 +311,7 @@
     assert len(cold.got) >= COLD_FROM * sum(warm) / WARM
 
 
-def test_the_model_of_a_cold_server_falls_where_it_is_sent_as_much_as_a_warm_one() -> None:
+def test_the_model_falls_over_where_it_is_sent_as_much_as_a_warm_endpoint() -> None:
     """The check above can fail."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(SlowStart, "may_send", lambda slow_start, endpoint, work: True)
--- /dev/null
+++ b/tests/decisions/test_startup_quota.py
@@ -0,0 +1,49 @@
+"""What a limiter that has just started lets a customer use."""
+
+from __future__ import annotations
+
+import pytest
+
+from hazelhollow.decisions import interface as api
+from hazelhollow.decisions.gossip.codec import base36, incarnation_name
+from tests.decisions.helpers import (
+    ask,
+    make,
+    only,
+    spend,
+)
+
+
+def test_a_new_limiter_admits_its_part_and_an_old_one_the_whole_burst() -> None:
+    """A limiter was restarted while peers had spent the burst.
+
+    It must not give all of it out again.
+    """
+    assert spend(make(), 0.0, 30) == 4  # 12 / 3
+    assert spend(make(), 0.0, 30, set_size=2) == 6
+    assert spend(make(), 100.0, 30) == 12
+
+
+@pytest.mark.parametrize(
+    "incarnations, basic, hard", [((0.0, 0.6), 12, 8), ((0.0, -10.0), 4, 0), ((0.0,), 4, 0)]
+)
+def test_limiters_that_started_together_have_the_whole_burst_and_a_later_one_a_part(
+    incarnations: tuple[float, ...], basic: int, hard: int
+) -> None:
+    """Of one that starts among older ones.
+
+    Or has not met all, it is not known what was spent before.
+    """
+    for plan, most in (("basic", basic), ("hard", hard)):
+        engine = make()
+        engine.context.started_at, engine.context.incarnation = 1000.0, incarnation_name(1000.0)
+        let_in = [ask(engine, 1000.0, plan_name=plan)]
+        for peer, start in enumerate(incarnations, 1):
+            engine.handle(
+                api.GossipReceived(
+                    peer, f"h{base36(1000 % 36)}0{incarnation_name(1000.0 + start)}"
+                ),
+                1000.0,
+            )
+        let_in += [ask(engine, 1000.0, plan_name=plan) for _ in range(30)]
+        assert sum(bool(only(actions, api.StartAttempt)) for actions in let_in) == most
--- a/tests/test_subset.py
+++ b/tests/decisions/test_subsetting.py
@@ -1,7 +1,4 @@
-"""The hosts that each gateway of a large fleet keeps to.
-
-Even, steady, and left when they do not serve.
-"""
+"""The endpoints that a limiter of a large fleet keeps to."""
 
 from __future__ import annotations
 
@@ -15,16 +12,25 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.outlier_detection import OutlierRecord
 from hazelhollow.decisions.subsetting import MIN_LIMITERS_PER_ENDPOINT, MIN_SUBSET_SIZE, subset
-from tests.test_gateway import answer, ask, entry, make, only, servers
+from tests.decisions.helpers import (
+    answer,
+    ask,
+    entry,
+    make,
+    only,
+    servers,
+)
 
 HOSTS = [f"s{i:02}" for i in range(60)]
 
 
 @pytest.mark.parametrize(
-    "gateways, count", [(9, 30), (9, 500), (20, 60), (40, 60), (40, 5000), (100, 60), (300, 1000)]
+    "limiters, count", [(9, 30), (9, 500), (20, 60), (40, 60), (40, 5000), (100, 60), (300, 1000)]
 )
-def test_each_host_is_used_by_about_as_many_gateways_and_by_some(gateways: int, count: int) -> None:
-    held = Counter(host for me in range(gateways) for host in subset(range(count), me, gateways))
+def test_each_endpoint_is_used_by_about_as_many_limiters_and_by_some(
+    limiters: int, count: int
+) -> None:
+    held = Counter(host for me in range(limiters) for host in subset(range(count), me, limiters))
     even = sum(held.values()) / count
     assert len(held) == count and even >= MIN_LIMITERS_PER_ENDPOINT
     assert max(held.values()) <= even + 4 and min(held.values()) >= even - 4
@@ -32,52 +38,55 @@
 
 @hyp(max_examples=60, deadline=None)
 @given(st.integers(0, 59), st.integers(0, 99))
-def test_a_host_that_goes_moves_a_stretch_by_one_place_at_most(gone: int, me: int) -> None:
+def test_an_endpoint_that_goes_moves_a_subset_by_one_place_at_most(gone: int, me: int) -> None:
     before = subset(HOSTS, me, 100)
     after = subset([h for i, h in enumerate(HOSTS) if i != gone], me, 100)
     assert len(set(before) - set(after) - {HOSTS[gone]}) <= 1 and len(set(after) - set(before)) <= 2
 
 
-def test_few_hosts_are_kept_to_by_all() -> None:
+def test_few_endpoints_are_used_by_all_limiters() -> None:
     assert subset(HOSTS[:12], 7, 40) == HOSTS[:12] and subset([], 7, 40) == []
 
 
 def used(
-    gateways: int,
+    limiters: int,
     changes: dict[str, api.EndpointEntry],
     ejected: frozenset[str] = frozenset(),
     count: int = 300,
 ) -> set[str]:
-    """By one gateway, for the last hundred of so many requests, each answered at once."""
-    gateway, names = make(2, limiter_count=gateways), set[str]()
-    gateway.handle(servers("full", *(changes.get(name, entry(name)) for name in HOSTS)), 0.0)
+    """By one engine, for the last hundred of so many requests, each answered at once."""
+    engine, names = make(2, limiter_count=limiters), set[str]()
+    engine.handle(servers("full", *(changes.get(name, entry(name)) for name in HOSTS)), 0.0)
     for name in ejected:
-        record = gateway.endpoints[name].outlier_records[""] = OutlierRecord()
+        record = engine.endpoints[name].outlier_records[""] = OutlierRecord()
         record.failures, record.updated_at = 9.0, 100.0
         record.ejections, record.ejected_until = 1, 1100.0
     for i in range(count):
         now = 100.0 + i / 10
-        for send in only(ask(gateway, now, customer=f"{i}"), api.StartAttempt):
+        for send in only(ask(engine, now, customer=f"{i}"), api.StartAttempt):
             names |= {send.endpoint} if i >= count - 100 else set()
-            answer(gateway, send, now)
+            answer(engine, send, now)
     return names
 
 
-def test_a_gateway_of_a_large_fleet_keeps_to_few_hosts_and_one_of_a_small_fleet_to_all() -> None:
+def test_a_limiter_of_a_large_fleet_keeps_to_few_endpoints_and_one_of_a_small_fleet_to_all() -> (
+    None
+):
     assert len(used(40, {})) == MIN_SUBSET_SIZE
     small = make(2, limiter_count=3)
     small.handle(servers("full", *(entry(name) for name in HOSTS)), 0.0)
     assert len(next(small.selection.rounds())[1]) == len(HOSTS)
 
 
-def test_hosts_that_drain_or_fail_are_replaced_by_others() -> None:
+def test_endpoints_that_drain_or_fail_are_replaced_by_others() -> None:
+    """Endpoints of a limiter's subset drain or are ejected. Others must take their places."""
     mine = used(40, {})
     drained = used(40, {name: entry(name, state="draining") for name in mine})
     assert not drained & mine and len(drained) == MIN_SUBSET_SIZE
     assert len(used(40, {}, ejected=frozenset(mine)) - mine) > MIN_SUBSET_SIZE  # any of the others
 
 
-def test_the_cold_have_a_stretch_of_their_own_so_that_all_are_warmed_by_some() -> None:
+def test_endpoints_that_are_warming_up_have_a_subset_of_their_own() -> None:
     cold = {name: entry(name, started=95.0) for name in HOSTS[:30]}
     found = used(40, cold, count=40)
     assert found & set(HOSTS[30:]) and len(found & set(HOSTS[30:])) <= MIN_SUBSET_SIZE
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -17,9 +17,9 @@
     unpack_address,
 )
 from hazelhollow.membership.timing import PROBE_INTERVAL_S, STALL_S
+from tests.decisions.helpers import ask, entry, only, servers
 from tests.membership.helpers import PEER, alone, answered, from_peer
 from tests.net.scenario import SETTINGS
-from tests.test_gateway import ask, entry, only, servers
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_partition_quota.py
+++ b/tests/membership/test_partition_quota.py
@@ -16,8 +16,8 @@
 from hazelhollow.membership.partition_quota import SILENCE_S, TAKE_OVER_AFTER_S, PartitionQuota
 from hazelhollow.membership.presence_index import PresenceIndex
 from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record
+from tests.decisions.helpers import ask, entry, servers
 from tests.net.scenario import PLAN, SETTINGS
-from tests.test_gateway import ask, entry, servers
 
 LIVES = {1: 11, 2: 12, 3: 13, 4: 14}
 
--- a/tests/net/test_administrative_overrides.py
+++ b/tests/net/test_administrative_overrides.py
@@ -9,9 +9,9 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.override_file import OverrideFile, path_for
+from tests.decisions.helpers import ask, entry, make, only, servers
 from tests.net.scenario import Stage
 from tests.net.test_operator_address import call, figures, stage
-from tests.test_gateway import ask, entry, make, only, servers
 
 
 def test_a_banned_server_gets_nothing_even_when_all_others_fail() -> None:
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -17,9 +17,9 @@
 from hazelhollow.net.command_reader import MAX_PIPELINED
 from hazelhollow.net.session import LINGER_S
 from hazelhollow.net.session_table import MAX_LINGERING
+from tests.decisions.helpers import same_key
 from tests.net.scenario import BUY, LOOK, SETTINGS, Stage
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
-from tests.test_gossip_settings import same_key
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -15,9 +15,9 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.requests import RequestLimits
 from hazelhollow.platform_config import PlatformConfigError
+from tests.decisions.helpers import answer, ask, make, only
 from tests.net.scenario import BUY, LOOK, Stage
 from tests.net.test_connection_ends import unanswering
-from tests.test_gateway import answer, ask, make, only
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
 
--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -30,8 +30,8 @@
 from hazelhollow.replication.restore import guaranteed_level
 from hazelhollow.replication.snapshot_collector import SLICE_CUSTOMERS, SnapshotCollector
 from hazelhollow.replication.snapshot_file import SnapshotFile
+from tests.decisions.helpers import entry, servers
 from tests.net.scenario import PLAN, SETTINGS
-from tests.test_gateway import entry, servers
 
 START = 1_700_000_000.0
 MEMBERS = 5
--- a/tests/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -14,7 +14,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.simulator import wire
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 PARAMS = {
     "position": 0,
     "balancers": 2,
