--- a/hazelhollow/platform_config.py
+++ b/hazelhollow/platform_config.py
@@ -21,7 +21,9 @@
 import orjson
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.errors import WireError
+from hazelhollow.simulator.fields import Fields
+from hazelhollow.simulator.settings_document import parse_settings
 
 Address = tuple[str, int]
 VARIABLES = ("name", "listen", "discovery", "operator")  # RELAY_NAME and so on
@@ -99,12 +101,12 @@
         if f"RELAY_{key.upper()}" in environment:
             document[key] = environment[f"RELAY_{key.upper()}"]
     try:
-        return _read(wire.Fields("config", document))
-    except (wire.WireError, ValueError) as error:
+        return _read(Fields("config", document))
+    except (WireError, ValueError) as error:
         raise PlatformConfigError(f"{path}: {error}") from None
 
 
-def _read(fields: wire.Fields) -> PlatformConfig:
+def _read(fields: Fields) -> PlatformConfig:
     settings, limits = fields.part("settings", needed=True), fields.part("limits")
     policy = settings.part("policy_limits")
     return PlatformConfig(
@@ -112,7 +114,7 @@
         listen=parse_address(fields.text("listen"), least_port=0),
         discovery=parse_address(fields.text("discovery")),
         seed=int(fields.text("seed", "0"), 16),
-        settings=wire.parse_settings(settings),
+        settings=parse_settings(settings),
         peer_listen=_parse_optional(fields.text("peer_listen", "")),
         peers=tuple(parse_address(text) for text in fields.texts("peers")),
         counter=_parse_optional(fields.text("counter", "")),
