--- /dev/null
+++ b/tests/fault_injection/test_relay_faults.py
@@ -0,0 +1,222 @@
+"""Faults of the relay: what each does to datagrams and connections, and in which direction."""
+
+from __future__ import annotations
+
+import select
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from hazelhollow.net.scheduler import Clock, Scheduler
+from hazelhollow.standins.link_faults import LinkFault
+from hazelhollow.standins.relay import DatagramRoute, Relay
+
+LOOPBACK = ("127.0.0.1", 0)
+
+
+def readable(sock: socket.socket, seconds: float) -> bool:
+    """Not by select(): a run of many tests may hold more descriptors than that can name."""
+    poll = select.poll()
+    poll.register(sock, select.POLLIN)
+    return bool(poll.poll(seconds * 1000))
+
+
+class Net:
+    """Two datagram sockets, `a` and `b`, that know each other by the relay's addresses.
+
+    The clock is set by hand.
+    """
+
+    def __init__(self) -> None:
+        self.now = 1000.0
+        self.scheduler = Scheduler(lambda: self.now)
+        self.relay = Relay(self.scheduler, seed=1)
+        self.socks = {name: self._sock() for name in "ab"}
+        own = {name: sock.getsockname() for name, sock in self.socks.items()}
+        self.known = {"a": self._free(), "b": self._free()}  # by whom it stands for
+        for sender, receiver in (("a", "b"), ("b", "a")):
+            route = DatagramRoute(self.known[receiver], own[sender], own[receiver])
+            self.relay.relay_datagrams(sender, receiver, route)
+
+    @staticmethod
+    def _sock() -> socket.socket:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.bind(LOOPBACK)
+        sock.setblocking(False)
+        return sock
+
+    def _free(self) -> tuple[str, int]:
+        with self._sock() as sock:
+            address: tuple[str, int] = sock.getsockname()
+            return address
+
+    def send(self, who: str, *texts: str) -> None:
+        other = "b" if who == "a" else "a"
+        for text in texts:
+            self.socks[who].sendto(text.encode(), self.known[other])
+        self.turn()
+
+    def turn(self, seconds: float = 0.0) -> None:
+        self.now += seconds
+        for _ in range(6):
+            self.scheduler.turn(longest=0.001)
+
+    def got(self, who: str) -> list[str]:
+        found = []
+        while readable(self.socks[who], 0.01):
+            data, sender = self.socks[who].recvfrom(100)
+            assert (
+                sender == self.known["b" if who == "a" else "a"]
+            )  # the peer's own, as the receiver knows it
+            found.append(data.decode())
+        return found
+
+    def close(self) -> None:
+        self.relay.close()
+        for sock in self.socks.values():
+            sock.close()
+
+
+@pytest.fixture
+def network() -> Any:
+    network = Net()
+    network.turn()
+    yield network
+    network.close()
+
+
+@pytest.mark.parametrize(
+    ("fault", "passes", "other_way"),
+    [
+        (LinkFault(), ["1", "2"], ["3"]),
+        (LinkFault(partitioned=True), [], ["3"]),
+        (LinkFault(reset=True), [], ["3"]),
+        (LinkFault(loss=1.0), [], ["3"]),
+        (LinkFault(duplication=1.0), ["1", "1", "2", "2"], ["3"]),
+        (LinkFault(max_datagrams_per_s=1.0), ["1"], ["3"]),
+        (LinkFault(stalled=True), [], ["3"]),
+        (LinkFault(delay=0.5), [], ["3"]),
+    ],
+)
+def test_fault_affects_only_its_direction(
+    network: Net, fault: LinkFault, passes: list[str], other_way: list[str]
+) -> None:
+    """A fault from a to b changes what b receives and leaves the way from b to a untouched."""
+    network.relay.begin(fault, [("a", "b")])
+    network.send("a", "1", "2")
+    network.send("b", "3")
+    assert (network.got("b"), network.got("a")) == (passes, other_way)
+
+
+def test_stalled_and_delayed_datagrams_arrive_late_and_partitioned_ones_never(network: Net) -> None:
+    """After a stall or a delay the datagrams that waited arrive; those sent into a partition are
+    lost for good.
+    """
+    for fault, late in (
+        (LinkFault(stalled=True), ["x"]),
+        (LinkFault(delay=0.5), ["x"]),
+        (LinkFault(partitioned=True), []),
+    ):
+        number = network.relay.begin(fault, [("a", "b")])
+        network.send("a", "x")
+        network.relay.end(number)
+        network.turn(0.6)
+        assert network.got("b") == late
+
+
+def test_ending_a_fault_leaves_an_overlapping_one_active(network: Net) -> None:
+    """Two partitions overlap on one link. Ending one of them must not heal the link."""
+    first = network.relay.begin(LinkFault(partitioned=True), [("a", "b")])
+    second = network.relay.begin(LinkFault(partitioned=True), [("a", "b"), ("b", "a")])
+    network.relay.end(second)
+    network.send("a", "x")
+    assert network.got("b") == []
+    network.relay.end(first)
+    network.send("a", "y")
+    assert network.got("b") == ["y"]
+
+
+def test_datagram_of_an_unknown_sender_is_dropped(network: Net) -> None:
+    """A forged datagram from a socket that the relay does not know must not reach a peer."""
+    with Net._sock() as stranger:
+        stranger.sendto(b"forged", network.known["b"])
+        network.turn()
+        assert network.got("b") == []
+
+
+class Wire:
+    """A listener behind the relay and one client of it."""
+
+    def __init__(self) -> None:
+        self.scheduler = Scheduler(Clock())
+        self.relay = Relay(self.scheduler, seed=1)
+        self.server = socket.create_server(LOOPBACK)
+        with socket.create_server(LOOPBACK) as probe:
+            listen = probe.getsockname()
+        self.relay.relay_connections("c", "n0", listen, self.server.getsockname())
+        self.client = socket.create_connection(listen)
+        self.until(lambda: readable(self.server, 0))
+        self.far, _ = self.server.accept()
+        for sock in (self.client, self.far):
+            sock.setblocking(False)
+
+    def until(self, met: Callable[[], bool]) -> None:
+        for _ in range(2000):
+            self.scheduler.turn(longest=0.005)
+            if met():
+                return
+        raise AssertionError("not met")
+
+    def receives(self, sock: socket.socket) -> bytes | None:
+        """What has come after some turns.
+
+        None: nothing, b"": the end; raises ConnectionResetError.
+        """
+        for _ in range(20):
+            self.scheduler.turn(longest=0.002)
+        try:
+            return sock.recv(100)
+        except BlockingIOError:
+            return None
+
+    def close(self) -> None:
+        self.relay.close()
+        for sock in (self.client, self.far, self.server):
+            sock.close()
+
+
+def test_stalled_connection_resumes_and_a_partition_resets_one_whose_bytes_it_held() -> None:
+    """A stalled connection delivers its bytes once the stall ends. A partition that swallowed bytes
+    resets the connection when it heals, since the stream has a gap.
+    """
+    wire = Wire()
+    wire.client.send(b"one")
+    assert wire.receives(wire.far) == b"one"
+    number = wire.relay.begin(LinkFault(stalled=True), [("c", "n0")])
+    wire.client.send(b"two")
+    wire.far.send(b"back")
+    assert wire.receives(wire.far) is None and wire.receives(wire.client) == b"back"
+    wire.relay.end(number)
+    assert wire.receives(wire.far) == b"two"
+    number = wire.relay.begin(LinkFault(partitioned=True), [("c", "n0")])
+    wire.client.send(b"three")
+    assert wire.receives(wire.far) is None
+    wire.relay.end(number)
+    with pytest.raises(ConnectionResetError):
+        wire.receives(wire.client)
+    wire.close()
+
+
+def test_reset_fault_resets_connections_and_a_close_stays_a_close() -> None:
+    """An orderly close passes the relay as an end of stream; a reset fault shows as a reset."""
+    wire = Wire()
+    wire.far.close()
+    assert wire.receives(wire.client) == b""
+    wire.close()
+    wire = Wire()
+    wire.relay.begin(LinkFault(reset=True), [("n0", "c")])
+    with pytest.raises(ConnectionResetError):
+        wire.receives(wire.client)
+    wire.close()
--- a/tests/test_operator.py
+++ b/tests/operator/test_cue.py
@@ -1,28 +1,15 @@
-"""The operator file.
-
-What is read, what is said of what cannot be, and that no bytes do worse than that.
-"""
+"""The subset of CUE that operator files are written in: parser, evaluation and messages."""
 
 from __future__ import annotations
 
-import io
-import logging
-from pathlib import Path
-
-import orjson
 import pytest
-import structlog
-from click.testing import CliRunner
 from hypothesis import given
-from hypothesis import settings as hyp
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from hazelhollow.cli import main
-from hazelhollow.operator import attach, live_changes, load, logs
 from hazelhollow.operator.errors import CueError
 from hazelhollow.operator.evaluate import evaluate
 from hazelhollow.operator.parser import MAX_BYTES, parse
-from hazelhollow.operator.settings import LogSettings, OperatorSettings
 
 SCHEMA = b"""package s
 #Op: {log: #Log, store?: #Store, n: *3 | int & >=1 & <=64, kind: *#A | #B}
@@ -46,7 +33,7 @@
 def problems(text: str, schema: bool = True) -> list[str]:
     with pytest.raises(CueError) as caught:
         read(text) if schema else plain(text)
-    return [str(t) for t in caught.value.problems]
+    return [str(problem) for problem in caught.value.problems]
 
 
 DEFAULT = {"log": {"format": "json"}, "n": 3, "kind": {"is": "a", "x": 1}}
@@ -78,7 +65,7 @@
         ),
     ],
 )
-def test_a_file_is_unified_with_its_definition(text: str, changes: dict[str, object]) -> None:
+def test_file_is_unified_with_its_definition(text: str, changes: dict[str, object]) -> None:
     assert read(text) == {**DEFAULT, **changes}
 
 
@@ -103,7 +90,7 @@
         ("a: null\nb: (1 | *2) & >1", {"a": None, "b": 2}),
     ],
 )
-def test_values_are_those_of_cue(text: str, value: object) -> None:
+def test_values_follow_cue(text: str, value: object) -> None:
     assert plain(text) == value
 
 
@@ -144,9 +131,12 @@
         ),
     ],
 )
-def test_all_troubles_are_told_with_place_path_and_what_is_allowed(
+def test_every_problem_is_reported_with_location_path_and_allowed_values(
     text: str, expected: list[str]
 ) -> None:
+    """A file has one or several mistakes. Each is reported, not only the first,
+    with its line, its path and what would be allowed.
+    """
     assert problems(text) == expected
 
 
@@ -175,14 +165,16 @@
         ("package 1", "'1' cannot stand here"),
     ],
 )
-def test_what_cannot_be_read_is_named(text: str, word: str) -> None:
+def test_unreadable_input_is_named(text: str, word: str) -> None:
+    """A file that cannot be parsed or has no definite value is refused with the reason."""
     assert any(word in problem for problem in problems(text, schema=False))
 
 
 @pytest.mark.parametrize(
     "data, word", [(b"a: 1\nb: \xff", "f.cue:2:4: a byte"), (b" " * (MAX_BYTES + 1), "at most")]
 )
-def test_bytes_that_are_no_text_are_named(data: bytes, word: str) -> None:
+def test_bytes_that_are_not_utf8_or_too_many_are_refused(data: bytes, word: str) -> None:
+    """A file is not UTF-8, or larger than the limit: it is refused with the place."""
     with pytest.raises(CueError, match=word):
         parse(data, "f.cue")
 
@@ -230,16 +222,22 @@
         st.lists(st.sampled_from(PIECES), max_size=40).map(lambda p: "".join(p).encode()),
     )
 )
-def test_any_bytes_give_a_value_or_clear_troubles(data: bytes) -> None:
+def test_any_bytes_give_a_value_or_located_problems(data: bytes) -> None:
+    """Whatever bytes come, the result is a value or problems with a line; nothing else escapes."""
     try:
         evaluate(parse(data, "f.cue"), parse(SCHEMA, "schema.cue"), "#Op")
     except CueError as error:
-        assert error.problems and all(t.found and t.place.line > 0 for t in error.problems)
+        assert error.problems and all(
+            problem.found and problem.place.line > 0 for problem in error.problems
+        )
 
 
-@hyp(max_examples=15)
+@hypothesis_settings(max_examples=15)
 @given(st.integers(2, 12), st.integers(1, 40))
-def test_work_is_bounded_however_often_things_are_referred_to(width: int, depth: int) -> None:
+def test_evaluation_work_is_bounded(width: int, depth: int) -> None:
+    """References that multiply at every level would take exponential work; evaluation stops
+    and says that it is too much.
+    """
     lines = ["x0: {v: 1}"] + [
         f"x{i}: {{{', '.join(f'y{k}: x{i - 1}' for k in range(width))}}}" for i in range(1, depth)
     ]
@@ -247,103 +245,3 @@
         plain("\n".join(lines))
     except CueError as error:
         assert "too much" in str(error)
-
-
-# Our own schema
-
-
-def test_the_example_file_is_good_and_what_show_prints_is_the_same_file() -> None:
-    example = load.load("deploy/operator.cue")
-    assert example.store and example.store.call_timeout == 0.05 and example.store.lease.term == 1.5
-    shown = CliRunner().invoke(main, ["config", "show", "deploy/operator.cue"]).output
-    assert load.read(shown.encode(), "shown.cue") == example
-
-
-@pytest.mark.parametrize(
-    "text, word",
-    [
-        ('store: {address: "a:99999"}', "x.cue:1:18: store.address: port 99999"),
-        (
-            'store: {address: "a:1", lease: {term: "100ms"}}',
-            "at least four times store.call_timeout",
-        ),
-        ('store: {address: "a:1", presence: {term: "600ms"}}', "twice store.presence.every"),
-        ('store: {address: "a:1", call_timeout: "0s"}', "more than nothing"),
-        ('store: {address: "a:1", retry_most: "1ms"}', "at least store.retry_least"),
-    ],
-)
-def test_what_no_field_shows_by_itself_is_checked_too(text: str, word: str) -> None:
-    with pytest.raises(CueError, match=word):
-        load.read(text.encode(), "x.cue")
-
-
-def test_the_commands_say_what_is_wrong_and_end_with_a_status_for_scripts(tmp_path: Path) -> None:
-    file = tmp_path / "o.cue"
-    file.write_text("log: level: 3\nstore: {}\n")
-    run = CliRunner().invoke(main, ["config", "check", str(file), "--json"])
-    assert run.exit_code == 2 and [row["path"] for row in orjson.loads(run.output)] == [
-        "log.level",
-        "store.address",
-    ]
-    run = CliRunner().invoke(main, ["config", "check", str(file)])
-    assert run.exit_code == 2 and run.output.count("hazelhollow: ") == 2
-    assert CliRunner().invoke(main, ["config", "check", str(tmp_path / "none")]).exit_code == 2
-    file.write_text("")
-    assert CliRunner().invoke(main, ["config", "check", str(file)]).exit_code == 0
-
-
-def operator(text: str) -> OperatorSettings:
-    return load.read(text.encode(), "x.cue")
-
-
-def test_of_a_changed_file_the_live_part_is_taken_and_the_rest_named() -> None:
-    old = operator('store: {address: "a:1", prefix: "p"}')
-    new = operator('log: level: "debug"\nstore: {address: "a:2", prefix: "q", tls: ca_file: "c"}')
-    live, later = live_changes.changes(old, new)
-    assert {"log.level", "store.address", "store.tls.ca_file"} <= set(live) and all(
-        "tls" in p for p in live[2:]
-    )
-    assert later == ["store.prefix"]
-    taken = live_changes.merged(old, new)
-    assert taken.store and (taken.store.address, taken.store.prefix, taken.log.level) == (
-        ("a", 2),
-        "p",
-        "debug",
-    )
-    assert live_changes.changes(old, operator("")) == ([], ["store"])
-    assert live_changes.merged(old, operator("")).store == old.store
-
-
-def test_a_reload_takes_a_good_file_and_a_bad_one_changes_nothing(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
-    file = tmp_path / "o.cue"
-    file.write_text("")
-    attached = attach.Attached(str(file), load.load(str(file)))
-    handlers = logging.getLogger().handlers[:]
-    try:
-        file.write_text('log: level: "wrong"')
-        attached.reload(taken=True)
-        assert str(attached.operator.log.level) == "info"
-        file.write_text('log: level: "warning"')
-        attached.reload(taken=True)
-        assert attached.operator.log.level == "warning"
-    finally:
-        logging.getLogger().handlers = handlers
-        structlog.reset_defaults()
-
-
-def test_events_are_json_lines_whether_they_come_by_structlog_or_by_logging() -> None:
-    root, sink = logging.getLogger(), io.StringIO()
-    handlers, level = root.handlers[:], root.level
-    try:
-        logs.configure(LogSettings(format="json", level="info"), sink)
-        structlog.get_logger("here").info("began", port=1)
-        logging.getLogger("there").warning("old %s", "way")
-        logging.getLogger("there").debug("not said")
-    finally:
-        root.handlers, root.level = handlers, level
-        structlog.reset_defaults()
-    first, second = map(orjson.loads, sink.getvalue().splitlines())
-    assert (first["event"], first["port"], first["logger"]) == ("began", 1, "here")
-    assert (second["event"], second["level"], second["logger"]) == ("old way", "warning", "there")
