--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -102,7 +102,7 @@
 def test_checker_counts_units_beyond_quotas_and_ceilings(
     tmp_path: Path, many: int, name: str, over: float, passed: int
 ) -> None:
-    """The endpoints ran more units than a quota or a hard ceiling allows; the checker counts them."""
+    """The endpoints ran more units than a quota or a ceiling allows; the checker counts them."""
     rows = [asked(n, plan=name) for n in range(many)]
     found = played(tmp_path, clients=rows, h0=[ran(n) for n in range(many)])
     assert (found["over_quota_units"], found["ceilings_passed"]) == (over, passed)
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -38,8 +38,8 @@
     ],
 )
 def test_conditions_between_fields_are_checked(text: str, word: str) -> None:
-    """Each field is valid by itself, yet together they cannot work, such as a lease shorter than its
-    calls. The file is refused and the field named.
+    """Each field is valid by itself, yet together they cannot work, such as a lease shorter than
+    its calls. The file is refused and the field named.
     """
     with pytest.raises(CueError, match=word):
         load.read(text.encode(), "x.cue")
