--- a/hazelhollow/bench/checker.py
+++ b/hazelhollow/bench/checker.py
@@ -1,21 +1,30 @@
-"""The rule on limits, worked out from what hosts were sent.
+"""The rule on limits, computed from what endpoints received.
 
-One store of units for each customer, shared by all limiters.
-
-Independent of the accounting under test: it knows when and how much, and nothing of leases.
+One token bucket for each limit of a customer, shared by all limiters. It is independent of the
+accounting under test: it knows when how many units were sent, and nothing of leases.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SHARE = 0.10  # of the burst, or one of the largest requests, whichever is more ...
-WITHIN = 0.150  # ... and what the rate gives in so many seconds
+# A limit is broken by more than this share of its burst or one largest request, whichever is more,
+TOLERATED_BURST_SHARE = 0.10
+# and what its rate gives in this time.
+TOLERATED_RATE_S = 0.150
 
 
 @dataclass
 class Bucket:
-    """Begins full; `lowest` is how far below nothing it went."""
+    """An exact token bucket that begins full and may go below zero.
+
+    Args:
+        rate: Units that come in each second.
+        burst: Units that it holds at most.
+        at: Seconds; the instant of its start, later of its last refill.
+        level: Units in it now.
+        lowest: The lowest level so far, 0 if it never went below zero.
+    """
 
     rate: float
     burst: float
@@ -26,19 +35,23 @@
     def __post_init__(self) -> None:
         self.level = self.burst
 
-    def fill(self, now: float) -> float:
+    def refill(self, now: float) -> float:
+        """Add what came in until `now`; returns the level."""
         self.level = min(self.burst, self.level + self.rate * (now - self.at))
         self.at = now
         return self.level
 
     def take(self, units: float, now: float) -> None:
-        self.fill(now)
+        """Take units, also those that are not there."""
+        self.refill(now)
         self.level -= units
         self.lowest = min(self.lowest, self.level)
 
-    def over_share(self) -> float:
-        """The most by which it was passed, as a share of the burst."""
+    def overshoot_share(self) -> float:
+        """The most by which the limit was passed, as a share of the burst."""
         return -self.lowest / self.burst
 
-    def broken(self, largest: float) -> bool:
-        return -self.lowest > max(SHARE * self.burst, largest) + WITHIN * self.rate
+    def is_broken(self, largest_request: float) -> bool:
+        """Whether the limit was passed by more than is tolerated."""
+        tolerated = max(TOLERATED_BURST_SHARE * self.burst, largest_request)
+        return -self.lowest > tolerated + TOLERATED_RATE_S * self.rate
--- /dev/null
+++ b/hazelhollow/bench/count_model/cluster.py
@@ -0,0 +1,277 @@
+"""The members of the model, the datagrams under way, and what was really charged."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import Any, Literal
+
+from hazelhollow.bench.count_model.member import CUSTOMER, MemberIncarnation, ModelMember
+from hazelhollow.bench.errors import InvariantError
+from hazelhollow.decisions import interface as api
+from hazelhollow.replication.count_table import CountRow
+
+FIRST_PERIOD = 1_000  # a second
+TOLERANCE = 0.01  # units
+PERIODS_UNTIL_CLOSED = 4  # until all that was charged is closed
+
+StepKind = Literal["charge", "turn", "gossip", "counts", "ask", "deliver", "again", "crash"]
+
+
+@dataclass(frozen=True)
+class Bounds:
+    """How much may happen in a sequence.
+
+    Args:
+        members: How many there are.
+        charges: Requests that are charged.
+        sends: Datagrams of gossip and of counts.
+        turns: Ends of periods.
+        crashes: Members that start anew.
+        copies: Datagrams that are duplicated.
+        lags: Turns that one member's clock comes late to.
+        depth: Steps in all.
+    """
+
+    members: int = 2
+    charges: int = 2
+    sends: int = 2
+    turns: int = 3
+    crashes: int = 1
+    copies: int = 1
+    lags: int = 1
+    depth: int = 8
+
+
+@dataclass(frozen=True)
+class Step:
+    """One event; the package's doc comment lists the kinds and their operands."""
+
+    kind: StepKind
+    operands: tuple[int, ...] = ()
+
+    def __str__(self) -> str:
+        return " ".join((self.kind, *map(str, self.operands)))
+
+
+@dataclass(frozen=True)
+class Gossip:
+    """Charges by period of a sender's incarnation."""
+
+    incarnation: str
+    units_by_period: dict[int, float]
+
+
+@dataclass(frozen=True)
+class Counts:
+    """Rows of a sender's table of counts."""
+
+    rows: list[CountRow]
+
+
+@dataclass(frozen=True)
+class AccountCopy:
+    """An answer to a member that catches up, for the incarnation that asked."""
+
+    asked_by: str
+    account: api.AccountReplicated | None
+
+
+@dataclass(frozen=True)
+class Datagram:
+    """Something under way from one member to another."""
+
+    sender: int
+    receiver: int
+    content: Gossip | Counts | AccountCopy
+
+
+class Cluster:
+    """A state of the model.
+
+    Args:
+        bounds: What is left to happen at its start.
+    """
+
+    def __init__(self, bounds: Bounds) -> None:
+        self.period = FIRST_PERIOD
+        self.members = [
+            ModelMember(number, bounds.members, FIRST_PERIOD, f"a{number}", is_complete=True)
+            for number in range(bounds.members)
+        ]
+        self.datagrams: list[Datagram] = []
+        self._charged: dict[MemberIncarnation, int] = {}  # units
+        self._left = {
+            "charge": bounds.charges,
+            "send": bounds.sends,
+            "turn": bounds.turns,
+            "crash": bounds.crashes,
+            "again": bounds.copies,
+            "lag": bounds.lags,
+        }
+
+    # Steps
+
+    def possible_steps(self) -> Iterator[Step]:
+        """What can happen next."""
+        numbers = range(len(self.members))
+        if self._left["charge"]:
+            yield from (Step("charge", (n,)) for n in numbers)
+        if self._left["turn"]:
+            yield Step("turn")
+            if self._left["lag"]:
+                yield from (Step("turn", (n,)) for n in numbers)
+        pairs = [(a, b) for a in numbers for b in numbers if a != b]
+        if self._left["send"]:
+            yield from (
+                Step("gossip", pair)
+                for pair in pairs
+                if self.members[pair[0]].account().charges.own
+            )
+            yield from (
+                Step("counts", pair) for pair in pairs if self.members[pair[0]].counts.customers
+            )
+        yield from (
+            Step("ask", (new, source))
+            for new, source in pairs
+            if not self.members[new].is_complete and self.members[source].is_complete
+        )
+        for place in range(len(self.datagrams)):
+            yield Step("deliver", (place,))
+            if self._left["again"]:
+                yield Step("again", (place,))
+        if self._left["crash"]:
+            yield from (Step("crash", (n,)) for n in numbers)
+
+    def take(self, step: Step) -> None:
+        """Let a step happen."""
+        if step.kind in self._left:
+            self._left[step.kind] -= 1
+        match step.kind, step.operands:
+            case "charge", (number,):
+                self._charge(self.members[number])
+            case "turn", late_members:
+                self._left["lag"] -= len(late_members)
+                self._end_period(late_members)
+            case (("gossip" | "counts"), (sender, receiver)):
+                self._left["send"] -= 1
+                self._send(step.kind, sender, receiver)
+            case "ask", (new, source):
+                copy = AccountCopy(
+                    self.members[new].context.incarnation, self.members[source].copy_of_account()
+                )
+                self.datagrams.append(Datagram(source, new, copy))
+            case "deliver", (place,):
+                self._receive(self.datagrams.pop(place))
+            case "again", (place,):
+                self._receive(self.datagrams[place])
+            case "crash", (number,):
+                self._restart(number)
+
+    def _charge(self, member: ModelMember) -> None:
+        member.charge()
+        self._charged[member.incarnation] = self._charged.get(member.incarnation, 0) + 1
+
+    def _end_period(self, late_members: tuple[int, ...]) -> None:
+        self.period += 1
+        for number, member in enumerate(self.members):
+            if number not in late_members:
+                member.begin_period(self.period)
+
+    def _send(self, kind: str, sender: int, receiver: int) -> None:
+        member = self.members[sender]
+        content: Gossip | Counts
+        if kind == "gossip":
+            content = Gossip(member.context.incarnation, dict(member.account().charges.own))
+        else:
+            content = Counts(member.counts.rows(CUSTOMER))
+        self.datagrams.append(Datagram(sender, receiver, content))
+
+    def _receive(self, datagram: Datagram) -> None:
+        member, content = self.members[datagram.receiver], datagram.content
+        if isinstance(content, Gossip):
+            sender = f"{datagram.sender}.{content.incarnation}"
+            member.receive_gossip(sender, content.units_by_period)
+        elif isinstance(content, Counts):
+            member.receive_rows(content.rows)
+        elif (
+            content.asked_by == member.context.incarnation
+            and content.account is not None
+            and not member.is_complete
+        ):
+            member.catch_up(content.account)
+
+    def _restart(self, number: int) -> None:
+        self.members[number] = ModelMember(
+            number, len(self.members), self.period, f"b{number}{self.period}", is_complete=False
+        )
+        self.datagrams = [d for d in self.datagrams if d.receiver != number]
+
+    # Invariants
+
+    def check(self) -> None:
+        """Raise InvariantError if a complete member holds more as used than was charged."""
+        total = sum(self._charged.values())
+        for number, member in enumerate(self.members):
+            if member.is_complete and member.used() > total + TOLERANCE:
+                raise InvariantError(
+                    f"member {number} holds {member.used():g} for used where {total} were "
+                    "charged: something counts twice"
+                )
+
+    def check_after_exchange(self) -> None:
+        """Let all hear all, and raise InvariantError unless each then holds what was charged.
+
+        What crashed incarnations charged, and what no row reported, may be known to some alone.
+        """
+        if not self._complete_all():
+            return  # nobody is left who knows anything
+        for _ in range(PERIODS_UNTIL_CLOSED):
+            self.take(Step("turn"))
+        for _ in range(2):
+            self._exchange_counts()
+        running = {member.incarnation for member in self.members}
+        charged_by_running = sum(self._charged.get(incarnation, 0) for incarnation in running)
+        reported_of_crashed = [
+            max((m.highest_reported.get(incarnation, 0.0) for m in self.members), default=0.0)
+            for incarnation in self._charged
+            if incarnation not in running
+        ]
+        least = charged_by_running + sum(reported_of_crashed)
+        most = sum(self._charged.values())
+        for number, member in enumerate(self.members):
+            if not least - TOLERANCE <= member.used() <= most + TOLERANCE:
+                raise InvariantError(
+                    f"in the end member {number} holds {member.used():g} for used; {least} "
+                    f"to {most} were charged"
+                )
+        if len({tuple(member.counts.digests()) for member in self.members}) != 1:
+            raise InvariantError("all have exchanged all counts, and their tables differ")
+
+    def _complete_all(self) -> bool:
+        """Let members that catch up do so; False if no member can help them."""
+        for member in self.members:
+            source = next((other for other in self.members if other.is_complete), None)
+            if member.is_complete:
+                continue
+            if source is None:
+                return False
+            account = source.copy_of_account()
+            if account is not None:
+                member.catch_up(account)
+        return True
+
+    def _exchange_counts(self) -> None:
+        for sender in self.members:
+            for receiver in self.members:
+                if sender is not receiver:
+                    receiver.receive_rows(sender.counts.rows(CUSTOMER))
+
+    def snapshot(self) -> tuple[Any, ...]:
+        """All that tells two states apart."""
+        return (
+            self.period,
+            tuple(member.snapshot() for member in self.members),
+            repr(self.datagrams),
+            tuple(self._left.items()),
+        )
--- /dev/null
+++ b/hazelhollow/bench/count_model/member.py
@@ -0,0 +1,167 @@
+"""One member of the model: the engine's account of one customer, and its table of counts."""
+
+from __future__ import annotations
+
+import math
+from random import Random
+from typing import Any
+
+from hazelhollow.decisions import interface as api
+from hazelhollow.decisions.context import DecisionContext
+from hazelhollow.decisions.startup_quota import StartupQuota
+from hazelhollow.decisions.state.accounts import Account, Opening
+from hazelhollow.decisions.state.customer_accounts import CustomerAccounts
+from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
+from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
+
+CUSTOMER, PLAN = "abc", "p"
+BURST = 1000.0  # units
+RATE = 1e-9  # units a second: nothing refills the account
+MAX_CLOSED_COUNTS = 1000  # that close at once: more than a model has
+WIRE_UNITS = 10  # counts are in tenths of a unit
+
+MemberIncarnation = tuple[int, str]
+
+
+class ModelAccounts(CustomerAccounts):
+    """Accounts that begin full where the member is complete, and that nothing refills."""
+
+    def __init__(self, context: DecisionContext, startup: StartupQuota, is_complete: bool) -> None:
+        super().__init__(context, startup)
+        self._begins_full = is_complete
+
+    def get(self, key: str, plan: api.Plan, set_start: int, set_size: int) -> Account:
+        """The account of the only customer."""
+        context = self._context
+        account = self.by_name.get(key)
+        if account is None:
+            level = plan.burst if self._begins_full else plan.burst / set_size
+            opening = Opening(level, context.now, context.now, False, True)
+            account = self.by_name[key] = Account(plan, CUSTOMER, opening)
+            account.place_set(set_start, set_size, context.settings)
+        account.charges.advance(context.period)
+        return account
+
+
+class ModelMember:
+    """One incarnation of a member.
+
+    Args:
+        number: Its number.
+        members: How many members there are.
+        period: The second in which it starts.
+        incarnation: Its name.
+        is_complete: Whether it knows all there is to know, or has to catch up.
+    """
+
+    def __init__(
+        self, number: int, members: int, period: int, incarnation: str, is_complete: bool
+    ) -> None:
+        plan = api.Plan(PLAN, rate=RATE, burst=BURST, excess_cost=1.0)
+        request_class = api.RequestClass("c", 1.0, 3.0, 1.0, "safe")
+        settings = api.Settings(number, members, (request_class,), (plan,), peers=True)
+        self.context = DecisionContext(settings, Random(0))
+        self.context.counts_replicated, self.context.incarnation = True, incarnation
+        self.context.started_at = float(period)
+        startup = StartupQuota(self.context)
+        self._accounts = ModelAccounts(self.context, startup, is_complete)
+        self._replicated = ReplicatedAccounts(self.context, self._accounts, startup)
+        self.counts, self.is_complete = CountTable(), is_complete
+        # The most units that were ever reported to it of an incarnation.
+        self.highest_reported: dict[MemberIncarnation, float] = {}
+        self.begin_period(period)
+        if is_complete:
+            startup.complete_since = -math.inf
+            self.account()
+
+    @property
+    def incarnation(self) -> MemberIncarnation:
+        """This member and its incarnation."""
+        return self.context.settings.limiter_id, self.context.incarnation
+
+    def begin_period(self, period: int) -> None:
+        """Move its clock; counts of periods that closed enter its table."""
+        self.context.now, self.context.period = float(period), period
+        self.counts.advance(period)
+        for action in self._replicated.take_closed(MAX_CLOSED_COUNTS):
+            if isinstance(action, api.ReplicateCount):
+                self._store_count(action.replicated_count, action.set_size)
+
+    def _store_count(self, count: api.ReplicatedCount, set_size: int) -> None:
+        is_own = (count.member, count.incarnation) == self.incarnation
+        value = CountValue(count.since, count.through, round(WIRE_UNITS * count.total), int(is_own))
+        self.counts.merge_in(
+            CountRow(CUSTOMER, PLAN, 0, set_size, count.member, count.incarnation, value)
+        )
+
+    def account(self) -> Account:
+        """The engine's account of the customer; from now on its counts are replicated."""
+        account = self._accounts.by_name.get(CUSTOMER)
+        if account is None:
+            set_size = self.context.settings.limiter_count
+            account = self._accounts.get(CUSTOMER, self.context.plans[PLAN], 0, set_size)
+        account.charges.advance(self.context.period)
+        self._replicated.mark_charged(account)
+        return account
+
+    def charge(self) -> None:
+        """Charge one unit."""
+        account = self.account()
+        account.quota.level -= account.charges.charge(1.0, self.context.period)
+
+    def receive_gossip(self, sender: str, units_by_period: dict[int, float]) -> None:
+        """Take in another member's charges by period."""
+        account = self.account()
+        for period, units in units_by_period.items():
+            account.quota.level -= account.charges.merge_report(sender, period, units)
+
+    def receive_rows(self, rows: list[CountRow]) -> None:
+        """Take in rows of another member's counts."""
+        for row in rows:
+            origin = row.member, row.incarnation
+            units = row.value.total / WIRE_UNITS
+            self.highest_reported[origin] = max(self.highest_reported.get(origin, 0.0), units)
+            is_new = origin != self.incarnation and self.counts.merge_in(row)
+            if is_new and self.is_complete:
+                self._merge_row(row)
+
+    def copy_of_account(self) -> api.AccountReplicated | None:
+        """What it gives to a member that catches up."""
+        return self._replicated.copy_of(CUSTOMER)
+
+    def catch_up(self, copy: api.AccountReplicated) -> None:
+        """Take in another member's account and become complete."""
+        self._replicated.merge(copy)
+        self.is_complete = True
+        self._replicated.merge(api.AccountReplicated(""))
+        for row in self.counts.rows(CUSTOMER):
+            if (row.member, row.incarnation) != self.incarnation:
+                self._merge_row(row)
+
+    def _merge_row(self, row: CountRow) -> None:
+        value = row.value
+        count = api.ReplicatedCount(
+            row.member, row.incarnation, value.since, value.through, value.total / WIRE_UNITS
+        )
+        self._replicated.merge(api.AccountReplicated(CUSTOMER, PLAN, 0, row.set_size, (count,)))
+
+    def used(self) -> float:
+        """Units that it holds as used."""
+        account = self.account()
+        return BURST - (account.quota.level - account.debt)
+
+    def snapshot(self) -> tuple[Any, ...]:
+        """All that tells two states of it apart."""
+        account = self.account()
+        charges = account.charges
+        return (
+            round(account.quota.level - account.debt, 3),
+            self.is_complete,
+            account.caught_up,
+            charges.own_closed,
+            charges.complete_since,
+            tuple(sorted(charges.own.items())),
+            tuple(sorted(charges.reported.items())),
+            tuple(sorted((charges.closed_counts or {}).items())),
+            tuple(sorted((r.member, r.incarnation, r.value) for r in self.counts.rows(CUSTOMER))),
+        )
--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -1,17 +1,18 @@
-"""The view's own modules on a virtual clock.
+"""Membership by size of the fleet: real `Membership` objects in virtual time.
 
-Many members, a model of datagrams, and what settling costs by size.
+Datagrams take a drawn time and are lost at a given rate. `report` plays a fleet through starts,
+crashes and a split and measures how long all members take to agree, and what that costs.
 """
 
 from __future__ import annotations
 
-import heapq
 import random
 import statistics
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from typing import Any
 
+from hazelhollow.bench.virtual_time import Timeline
 from hazelhollow.membership.allowance import Allowance
 from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import PRESENT_STATES, MemberState
@@ -19,10 +20,18 @@
 from hazelhollow.membership.settings import MembershipSettings
 from hazelhollow.membership.timing import PROBE_INTERVAL_S
 
-START = 1_700_000_000.0
-DELAY = (0.001, 0.02)  # seconds on the way
-LONGEST = 60.0  # seconds until a scenario counts as not settled
-SHOWN = (
+START = 1_700_000_000.0  # seconds; the first instant of each run
+DATAGRAM_DELAY_S = (0.001, 0.02)  # one way, drawn uniformly
+START_SPREAD_S = 0.05  # within which members that start together make their first tick
+SETTLE_TIMEOUT_S = 60.0
+CHECK_INTERVAL_S = 0.05  # between checks whether all agree,
+LARGE_FLEET, LARGE_FLEET_CHECK_FACTOR = 200, 5  # longer in fleets of this size
+SOCKET_BUFFER = 200  # datagrams that wait for a paused process
+WARM_UP_S = 15.0  # before costs are measured
+COST_SPAN_S = 5.0  # over which they are measured
+LOSS_WARM_UP_S = 10.0  # before false deaths are counted
+# Figures of the report, in the order in which they are shown.
+FIGURES = (
     "start",
     "one_suspected",
     "one_dead",
@@ -34,127 +43,170 @@
     "messages",
     "bytes",
 )
-LOOK = 0.05  # seconds between looks at whether all agree
 
 
 @dataclass(eq=False)
-class Member:
+class SimulatedMember:
+    """One incarnation of a member and the state of its process."""
+
     number: int
     membership: Membership
-    up: bool = True
-    paused: bool = False
-    held: list[tuple[int, str]] = field(default_factory=list)  # what came while it stood still
-    epoch: int = 0  # of its timers
+    is_up: bool = True
+    is_paused: bool = False
+    waiting: list[tuple[int, str]] = field(default_factory=list)  # sender, text; while paused
+    timer_epoch: int = 0  # timers of an earlier epoch are void
+
+
+@dataclass(frozen=True)
+class Death:
+    """A member was held dead by another."""
+
+    at: float
+    observer: int
+    member: int
+
+
+def no_allowance(_now: float) -> Allowance | None:
+    """No bound on what a member sends."""
+    return None
 
 
-class Sim:
-    """`lose`.
+def nothing_cut(_sender: int, _receiver: int) -> bool:
+    """No link is cut."""
+    return False
 
-    The share of datagrams that is lost; `allowance`: makes one for a member that starts;
-    `versions`: of what all members act on. The same seed plays the same.
+
+class SimulatedFleet:
+    """Members and the network between them. The same seed plays the same.
+
+    Args:
+        members: How many there are; none is up before its start.
+        seed: Of all draws.
+        loss: Share of datagrams that are lost.
+        make_allowance: Makes the bound on what a member sends, from the instant of its start.
+        versions: The versions of settings that all members say they act on.
     """
 
     def __init__(
         self,
         members: int,
         seed: int,
-        lose: float = 0.0,
-        allowance: Callable[[float], Allowance | None] = lambda now: None,
+        loss: float = 0.0,
+        make_allowance: Callable[[float], Allowance | None] = no_allowance,
         versions: str = "",
     ) -> None:
-        self.count, self.random, self.lose, self.allowance = (
-            members,
-            random.Random(seed),
-            lose,
-            allowance,
-        )
-        self.versions = versions
-        self.now = START
-        self.members: dict[int, Member] = {}
-        self.cut: Callable[[int, int], bool] = lambda a, b: False
-        self.sent = self.bytes = 0
-        # when a member was first suspected or held dead since `watch`
-        self.suspected: dict[int, float] = {}
-        self.deaths: list[tuple[float, int, int]] = []  # when, who said so, of whom
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._serial = 0
+        self._size, self._random, self._loss = members, random.Random(seed), loss
+        self._make_allowance, self._versions = make_allowance, versions
+        self._timeline = Timeline(START)
+        self.members: dict[int, SimulatedMember] = {}
+        self.is_cut: Callable[[int, int], bool] = nothing_cut  # from a sender to a receiver
+        # Since the last `reset_counters`:
+        self.sent_datagrams = self.sent_bytes = 0
+        self.suspected: dict[int, float] = {}  # when a member was first suspected or held dead
+        self.deaths: list[Death] = []
+
+    @property
+    def now(self) -> float:
+        """Seconds of virtual time."""
+        return self._timeline.now
 
     # Members
 
-    def start(self, number: int, clock_back: float = 0.0) -> Member:
-        """A new incarnation; a wall clock that was set back gives it an earlier one."""
-        incarnation = self.random.randrange(1 << 30)
-        old = self.members.get(number)
-        view = Membership(
-            MembershipSettings(number, self.count, incarnation, versions=self.versions),
+    def start(self, number: int, clock_back: float = 0.0) -> SimulatedMember:
+        """Begin a new incarnation.
+
+        Args:
+            number: The member.
+            clock_back: Seconds by which its wall clock was set back: the incarnation is earlier.
+
+        Returns:
+            The member.
+        """
+        incarnation = self._random.randrange(1 << 30)
+        earlier = self.members.get(number)
+        membership = Membership(
+            MembershipSettings(number, self._size, incarnation, versions=self._versions),
             self.now,
-            self.allowance(self.now),
+            self._make_allowance(self.now),
             started_at=self.now - clock_back,
         )
-        one = Member(number, view)
-        one.epoch = old.epoch + 1 if old else 0
-        self.members[number] = one
-        self._at(self.now + self.random.random() * 0.05, lambda: self._beat(one, one.epoch))
-        return one
+        member = SimulatedMember(number, membership)
+        member.timer_epoch = earlier.timer_epoch + 1 if earlier else 0
+        self.members[number] = member
+        first_tick = self.now + self._random.random() * START_SPREAD_S
+        self._timeline.at(first_tick, self._tick_first, member)
+        return member
 
     def start_all(self) -> None:
-        for number in range(self.count):
+        """Start every member."""
+        for number in range(self._size):
             self.start(number)
 
     def kill(self, number: int) -> None:
-        self.members[number].up = False
+        """End a member without a word."""
+        self.members[number].is_up = False
 
     def pause(self, number: int) -> None:
-        self.members[number].paused = True
+        """Stop a member's process; datagrams wait in its socket."""
+        self.members[number].is_paused = True
 
     def resume(self, number: int) -> None:
-        """As a process: timers that are due come before what waits in its socket."""
-        one = self.members[number]
-        one.paused = False
-        self._beat(one, one.epoch)
-        held, one.held = one.held[-200:], []
-        for source, text in held:
-            self._take(one, source, text)
-
-    def _beat(self, one: Member, epoch: int) -> None:
-        if not one.up or one.paused or one.epoch != epoch or self.members[one.number] is not one:
+        """Let the process go on: timers that are due come before what waits in its socket."""
+        member = self.members[number]
+        member.is_paused = False
+        self._tick(member, member.timer_epoch)
+        waiting, member.waiting = member.waiting[-SOCKET_BUFFER:], []
+        for sender, text in waiting:
+            self._receive(member, sender, text)
+
+    def _tick_first(self, member: SimulatedMember) -> None:
+        self._tick(member, member.timer_epoch)
+
+    def _tick(self, member: SimulatedMember, epoch: int) -> None:
+        is_void = member.timer_epoch != epoch or self.members[member.number] is not member
+        if not member.is_up or member.is_paused or is_void:
             return
-        one.epoch = epoch = epoch + 1
-        self._pass(one, one.membership.tick(self.now))
-        self._at(self.now + PROBE_INTERVAL_S, lambda: self._beat(one, epoch))
-        self._at(self.now + one.membership.indirect_probe_after_s, lambda: self._due(one))
+        member.timer_epoch = epoch = epoch + 1
+        self.send(member, member.membership.tick(self.now))
+        self._timeline.at(self.now + PROBE_INTERVAL_S, self._tick, member, epoch)
+        indirect_at = self.now + member.membership.indirect_probe_after_s
+        self._timeline.at(indirect_at, self._request_indirect_probes, member)
 
-    def _due(self, one: Member) -> None:
-        if one.up and not one.paused:
-            self._pass(one, one.membership.request_indirect_probes(self.now))
+    def _request_indirect_probes(self, member: SimulatedMember) -> None:
+        if member.is_up and not member.is_paused:
+            self.send(member, member.membership.request_indirect_probes(self.now))
 
     # The network
 
-    def _pass(self, one: Member, sends: list[Datagram]) -> None:
-        for send in sends:
-            self.sent += 1
-            self.bytes += len(send.text)
-            if self.random.random() >= self.lose and not self.cut(one.number, send.recipient):
-                when = self.now + self.random.uniform(*DELAY)
-                self._at(when, lambda n=send.recipient, t=send.text: self.deliver(one.number, n, t))  # type: ignore[misc]
-        if one.membership.take_changes():
-            self._watch(one, one.membership.take_changed_members())
-
-    def deliver(self, source: int, target: int, text: str) -> None:
-        one = self.members.get(target)
-        if one is None or not one.up:
+    def send(self, member: SimulatedMember, datagrams: list[Datagram]) -> None:
+        """Put a member's datagrams on their way, and note what it has just learned."""
+        for datagram in datagrams:
+            self.sent_datagrams += 1
+            self.sent_bytes += len(datagram.text)
+            is_lost = self._random.random() < self._loss
+            if not is_lost and not self.is_cut(member.number, datagram.recipient):
+                arrives_at = self.now + self._random.uniform(*DATAGRAM_DELAY_S)
+                self._timeline.at(
+                    arrives_at, self._deliver, member.number, datagram.recipient, datagram.text
+                )
+        if member.membership.take_changes():
+            self._note_changes(member, member.membership.take_changed_members())
+
+    def _deliver(self, sender: int, receiver: int, text: str) -> None:
+        member = self.members.get(receiver)
+        if member is None or not member.is_up:
             return
-        if one.paused:
-            one.held.append((source, text))
+        if member.is_paused:
+            member.waiting.append((sender, text))
         else:
-            self._take(one, source, text)
+            self._receive(member, sender, text)
 
-    def _take(self, one: Member, source: int, text: str) -> None:
-        self._pass(one, one.membership.receive(source, text, self.now))
+    def _receive(self, member: SimulatedMember, sender: int, text: str) -> None:
+        self.send(member, member.membership.receive(sender, text, self.now))
 
-    def _watch(self, one: Member, changed_members: list[int]) -> None:
+    def _note_changes(self, observer: SimulatedMember, changed_members: list[int]) -> None:
         for number in changed_members:
-            record = one.membership.table.get(number)
+            record = observer.membership.table.get(number)
             if (
                 record
                 and record.state in (MemberState.SUSPECT, MemberState.DEAD)
@@ -162,119 +214,142 @@
             ):
                 self.suspected.setdefault(number, self.now)
                 if record.state == MemberState.DEAD:
-                    self.deaths.append((self.now, one.number, number))
+                    self.deaths.append(Death(self.now, observer.number, number))
 
     # Time
 
-    def _at(self, when: float, call: Callable[[], None]) -> None:
-        self._serial += 1
-        heapq.heappush(self._heap, (when, self._serial, call))
-
     def run(self, seconds: float) -> None:
-        until = self.now + seconds
-        while self._heap and self._heap[0][0] <= until:
-            self.now, _, call = heapq.heappop(self._heap)
-            call()
-        self.now = until
+        """Let so much time pass."""
+        self._timeline.run_until(self.now + seconds)
 
     def settle(
-        self, met: Callable[[], bool] | None = None, longest: float = LONGEST
+        self, condition: Callable[[], bool] | None = None, longest: float = SETTLE_TIMEOUT_S
     ) -> float | None:
-        """Seconds until all that are up agree and are right; nothing if they do not in time."""
-        began, met = self.now, met or self.agreed
-        while not met():
+        """Let time pass until a condition holds.
+
+        Args:
+            condition: By default, that all members that are up agree and are right.
+            longest: Seconds after which it gives up.
+
+        Returns:
+            The seconds that it took; None if the condition did not come to hold.
+        """
+        began, condition = self.now, condition or self.agreed
+        is_large = self._size >= LARGE_FLEET
+        while not condition():
             if self.now - began > longest:
                 return None
-            self.run(LOOK if self.count < 200 else 5 * LOOK)
+            self.run(LARGE_FLEET_CHECK_FACTOR * CHECK_INTERVAL_S if is_large else CHECK_INTERVAL_S)
         return self.now - began
 
     def agreed(self, among: Iterable[int] | None = None) -> bool:
-        """Whether each of these holds all of these that are up as present, in the incarnation that
-        they have, and no other.
+        """Whether these members hold each other as present, in their true incarnations.
+
+        Of `among` (default: all), those that are up are asked; they must hold no other as present
+        and none as suspected.
         """
         numbers = set(self.members if among is None else among)
-        up = {n: self.members[n].membership.own.incarnation for n in numbers if self.members[n].up}
+        up = {
+            number: self.members[number].membership.own.incarnation
+            for number in numbers
+            if self.members[number].is_up
+        }
         tables = [self.members[number].membership.table for number in up]
         if len({table.digest() for table in tables}) != 1:
             return False
-        return all(  # alike, so that two of them speak for all
-            len(table) == self.count
+        return all(  # alike by their digests, so that two of them speak for all
+            len(table) == self._size
             and {r.number: r.incarnation for r in table if r.state in PRESENT_STATES} == up
             and not any(r.state == MemberState.SUSPECT for r in table)
             for table in (tables[0], tables[-1])
         )
 
-    def forget(self) -> None:
-        """What was counted so far."""
-        self.sent = self.bytes = 0
+    def reset_counters(self) -> None:
+        """Begin to count anew what is sent, suspected and held dead."""
+        self.sent_datagrams = self.sent_bytes = 0
         self.suspected, self.deaths = {}, []
 
 
 def scenarios(members: int, seed: int) -> dict[str, Any]:
-    """One fleet through a start, a crash, a crash of half, their return, a split and its heal.
+    """Play one fleet through a start, a crash, a crash of half, their return, a split and its heal.
 
-    Times in seconds.
+    Returns:
+        FIGURES: seconds (None where it did not settle), and datagrams and bytes of a member a
+        second while nothing happens.
     """
-    sim, found = Sim(members, seed), dict[str, Any]()
-    sim.start_all()
-    found["start"] = sim.settle()
-    sim.run(15.0)
-    sim.forget()
-    sim.run(5.0)
-    found["messages"], found["bytes"] = sim.sent / members / 5.0, sim.bytes / members / 5.0
-    sim.forget()
-    began = sim.now
-    sim.kill(members // 3)
-    found["one_dead"] = sim.settle()
-    found["one_suspected"] = sim.suspected.get(members // 3, sim.now) - began
-    sim.start(members // 3)
-    found["one_joins"] = sim.settle()
-    half = range(members // 2)
+    fleet, found = SimulatedFleet(members, seed), dict[str, Any]()
+    fleet.start_all()
+    found["start"] = fleet.settle()
+    fleet.run(WARM_UP_S)
+    fleet.reset_counters()
+    fleet.run(COST_SPAN_S)
+    found["messages"] = fleet.sent_datagrams / members / COST_SPAN_S
+    found["bytes"] = fleet.sent_bytes / members / COST_SPAN_S
+    fleet.reset_counters()
+    began, crashed = fleet.now, members // 3
+    fleet.kill(crashed)
+    found["one_dead"] = fleet.settle()
+    found["one_suspected"] = fleet.suspected.get(crashed, fleet.now) - began
+    fleet.start(crashed)
+    found["one_joins"] = fleet.settle()
+    half, rest = range(members // 2), range(members // 2, members)
     for number in half:
-        sim.kill(number)
-    found["half_dead"] = sim.settle()
+        fleet.kill(number)
+    found["half_dead"] = fleet.settle()
     for number in half:
-        sim.start(number)
-    found["half_join"] = sim.settle()
-    sim.cut = lambda a, b: (a in half) != (b in half)
-    rest = range(members // 2, members)
-    found["split"] = sim.settle(lambda: sim.agreed(half) and sim.agreed(rest))
-    sim.cut = lambda a, b: False
-    found["heal"] = sim.settle()
+        fleet.start(number)
+    found["half_join"] = fleet.settle()
+    fleet.is_cut = lambda sender, receiver: (sender in half) != (receiver in half)
+    found["split"] = fleet.settle(lambda: fleet.agreed(half) and fleet.agreed(rest))
+    fleet.is_cut = nothing_cut
+    found["heal"] = fleet.settle()
     return found
 
 
-def false_deaths(members: int, seed: int, lose: float, minutes: float) -> tuple[int, float]:
-    """Members that were held dead though all were up, and member-minutes played."""
-    sim = Sim(members, seed, lose)
-    sim.start_all()
-    sim.run(10.0)
-    sim.forget()
-    sim.run(60.0 * minutes)
-    return len({(round(at), of) for at, _, of in sim.deaths}), members * minutes
+def false_deaths(members: int, seed: int, loss: float, minutes: float) -> tuple[int, float]:
+    """Members that were held dead though all were up, and the member-minutes played."""
+    fleet = SimulatedFleet(members, seed, loss)
+    fleet.start_all()
+    fleet.run(LOSS_WARM_UP_S)
+    fleet.reset_counters()
+    fleet.run(60.0 * minutes)
+    deaths = {(round(death.at), death.member) for death in fleet.deaths}
+    return len(deaths), members * minutes
 
 
 def report(
-    sizes: list[int], seeds: int, lose: float, minutes: float, progress: Callable[[str], None]
+    sizes: list[int], seeds: int, loss: float, minutes: float, progress: Callable[[str], None]
 ) -> dict[str, Any]:
-    """By size: median and worst of each figure over the seeds, and false deaths at that loss."""
+    """Median and worst of each figure over the seeds, by size, and false deaths under loss.
+
+    Args:
+        sizes: Members of each fleet.
+        seeds: Fleets of each size.
+        loss: Share of datagrams lost while false deaths are counted.
+        minutes: For which they are counted; 0: they are not.
+        progress: Called with what is played next.
+
+    Returns:
+        By size, figures as `hazelhollow bench fleet --json` writes them.
+    """
     found: dict[str, Any] = {}
     for size in sizes:
         rows = []
         for seed in range(1, seeds + 1):
             progress(f"{size} members, seed {seed} of {seeds}")
             rows.append(scenarios(size, seed))
-        row: dict[str, Any] = {}
-        for key in rows[0]:
-            values = [one[key] for one in rows]
-            known = [value for value in values if value is not None]
-            row[key] = {
-                "median": round(statistics.median(known), 3) if known else None,
-                "worst": round(max(known), 3) if known else None,
-            }
-            row[key]["not_settled"] = len(values) - len(known)
+        figures: dict[str, Any] = {key: _spread([row[key] for row in rows]) for key in rows[0]}
         if minutes:
-            deaths, played = false_deaths(size, 1, lose, minutes)
-            row["false_deaths"], row["member_minutes"] = deaths, played
-        found[str(size)] = row
+            deaths, member_minutes = false_deaths(size, 1, loss, minutes)
+            figures["false_deaths"], figures["member_minutes"] = deaths, member_minutes
+        found[str(size)] = figures
     return found
+
+
+def _spread(values: list[float | None]) -> dict[str, Any]:
+    known = [value for value in values if value is not None]
+    return {
+        "median": round(statistics.median(known), 3) if known else None,
+        "worst": round(max(known), 3) if known else None,
+        "not_settled": len(values) - len(known),
+    }
--- a/hazelhollow/bench/load.py
+++ b/hazelhollow/bench/load.py
@@ -1,8 +1,8 @@
-"""Month-end load: customers, their ways of asking, and the arrivals drawn ahead from a seed.
+"""Month-end load: customers, their patterns of use, and arrivals drawn from a seed.
 
 The ranges are those that the operators state for their site: shares of use by plan, rates and
 bursts, how many customers are calm, near their quota, heavy or spiky, and how their requests shift
-between their limiters.
+between their limiters. Only `draw`s given by the caller are used, in a fixed order.
 """
 
 from __future__ import annotations
@@ -30,26 +30,37 @@
         dedup_window=6.0,
     ),
 )
-SHARES = (0.47, 0.44, 0.09)
-UNITS = (1.0, 2.0, 3.0, 4.0, 5.0, 6.0)
-UNIT_WEIGHTS = (8, 5, 3, 2, 1, 1)
+CLASS_SHARES = (0.47, 0.44, 0.09)  # of requests, by CLASSES
+UNITS = (1.0, 2.0, 3.0, 4.0, 5.0, 6.0)  # of one request
+UNIT_WEIGHTS = (8, 5, 3, 2, 1, 1)  # how often each of UNITS is drawn
 MEAN_UNITS = sum(u * w for u, w in zip(UNITS, UNIT_WEIGHTS, strict=True)) / sum(UNIT_WEIGHTS)
-INSIDE_PER_S = 220.0  # requests inside the quotas, all customers
-CALM = 0.3  # of its quota, before the rush
-RETRIES = 2
-RETRY_AFTER = (0.0, 0.2)  # seconds: clients ask again at once or after a short fixed wait
+REQUESTS_WITHIN_QUOTAS_PER_S = 220.0  # of all customers of up to BASE_LIMITERS limiters
+BASE_LIMITERS = 3
+CALM_SHARE = 0.3  # of its quota that a customer uses at most before the rush
+RETRIES = 2  # of a client after a rejection
+RETRY_AFTER_S = (0.0, 0.2)  # a client's wait before a retry; one is drawn
 
 
 @dataclass(frozen=True)
 class PlanRange:
+    """What a plan's settings are drawn from.
+
+    Args:
+        name: The plan.
+        use_share: Its share of what is used within quotas.
+        rate: Units a second, from and to.
+        burst_s: The burst in seconds of the rate, from and to.
+        ceiling_factor: The hard ceiling as a multiple of rate and burst, from and to; 0: none.
+    """
+
     name: str
-    use: float  # share of what is used inside quotas
+    use_share: float
     rate: tuple[float, float]
     burst_s: tuple[float, float]
-    ceiling: tuple[float, float] = (0.0, 0.0)
+    ceiling_factor: tuple[float, float] = (0.0, 0.0)
 
 
-RANGES = (
+PLAN_RANGES = (
     PlanRange("pieni", 0.20, (1.6, 2.8), (3.3, 5.0)),
     PlanRange("perus", 0.37, (5.3, 9.2), (3.3, 4.9)),
     PlanRange("laaja", 0.22, (16.0, 28.0), (1.5, 2.7), (1.6, 2.1)),
@@ -57,131 +68,174 @@
 )
 
 
-def draw_plans(chance: random.Random) -> tuple[api.Plan, ...]:
+def draw_plans(draw: random.Random) -> tuple[api.Plan, ...]:
+    """One plan for each of PLAN_RANGES."""
     plans = []
-    for span in RANGES:
-        rate = chance.uniform(*span.rate)
-        burst, times = rate * chance.uniform(*span.burst_s), chance.uniform(*span.ceiling)
+    for plan_range in PLAN_RANGES:
+        rate = draw.uniform(*plan_range.rate)
+        burst = rate * draw.uniform(*plan_range.burst_s)
+        ceiling_factor = draw.uniform(*plan_range.ceiling_factor)
         plans.append(
             api.Plan(
-                span.name,
+                plan_range.name,
                 rate,
                 burst,
                 excess_cost=1.2,
-                ceiling_rate=times * rate,
-                ceiling_burst=times * burst,
+                ceiling_rate=ceiling_factor * rate,
+                ceiling_burst=ceiling_factor * burst,
             )
         )
     return tuple(plans)
 
 
+@dataclass(frozen=True)
+class LoadSettings:
+    """How much load is drawn.
+
+    Args:
+        limiters: How many limiters there are; beyond BASE_LIMITERS, as many more customers.
+        start: Seconds; the first instant of the run.
+        seconds: Of load.
+    """
+
+    limiters: int
+    start: float
+    seconds: float
+
+
+@dataclass(frozen=True)
+class Spike:
+    """A time in which a customer asks for a multiple of its quota.
+
+    Args:
+        begin: Seconds, the first instant.
+        end: Seconds, the instant after the last.
+        factor: Multiple of the plan's rate.
+    """
+
+    begin: float
+    end: float
+    factor: float
+
+
 @dataclass
 class Customer:
-    """One partner: its set of limiters, its way of asking and the weights of its limiters now."""
+    """One customer: its set of limiters and its pattern of use.
+
+    Args:
+        id: Its name in requests.
+        plan: Its plan.
+        set_start: The first limiter of its set.
+        set_size: How many limiters its requests come through.
+        use_factor: Multiple of its quota that it asks for on average, outside of spikes.
+        spikes: Times in which it asks for more.
+        weights: How its requests spread over its limiters now.
+        shift_interval_s: Seconds between changes of `weights`.
+        shifted_at: Seconds, the last change of `weights`.
+        calm_until: Seconds; it stays calm until then, as before a rush.
+    """
 
     id: str
     plan: api.Plan
-    first: int
-    spread: int
-    way: str
-    times: float  # its quota that it asks for, on the mean
-    spikes: list[tuple[float, float, float]]  # from, to, times its quota
+    set_start: int
+    set_size: int
+    use_factor: float
+    spikes: list[Spike]
     weights: list[float]
-    shift_every: float
-    skew: float
-    shifted_at: float = 0.0
+    shift_interval_s: float
+    shifted_at: float
     calm_until: float = 0.0
 
     def rate(self, now: float) -> float:
-        """Units a second.
-
-        Until `calm_until` every customer is calm: the fleet has been serving before the rush.
-        """
+        """Units that it asks for a second."""
         if now < self.calm_until:
-            return self.plan.rate * min(self.times, CALM)
-        spike = max([times for begin, end, times in self.spikes if begin <= now < end], default=0.0)
-        return self.plan.rate * max(self.times, spike)
+            return self.plan.rate * min(self.use_factor, CALM_SHARE)
+        active = [spike.factor for spike in self.spikes if spike.begin <= now < spike.end]
+        return self.plan.rate * max(self.use_factor, max(active, default=0.0))
 
-    def limiter(self, chance: random.Random, now: float, gateways: int) -> int:
-        if now - self.shifted_at >= self.shift_every:
+    def choose_limiter(self, draw: random.Random, now: float, limiters: int) -> int:
+        """The limiter that its next request comes to, of so many."""
+        if now - self.shifted_at >= self.shift_interval_s:
             self.shifted_at = now
-            chance.shuffle(self.weights)
-        return (self.first + chance.choices(range(self.spread), self.weights)[0]) % gateways
+            draw.shuffle(self.weights)
+        return (self.set_start + draw.choices(range(self.set_size), self.weights)[0]) % limiters
 
 
 def draw_customers(
-    chance: random.Random, plans: tuple[api.Plan, ...], gateways: int, seconds: float, start: float
+    draw: random.Random, plans: tuple[api.Plan, ...], settings: LoadSettings
 ) -> list[Customer]:
-    """As many of each plan as make up its share of the use.
-
-    With more limiters than three, as many more customers.
-    """
-    found = list[Customer]()
-    for plan, span in zip(plans, RANGES, strict=True):
-        left = INSIDE_PER_S * MEAN_UNITS * span.use * max(gateways / 3, 1.0)
-        while left > 0:
-            customer = _draw_customer(chance, plan, gateways, seconds, start, len(found))
-            left -= plan.rate * min(customer.times, 1.0)
-            found.append(customer)
-    return found
+    """As many customers of each plan as make up its share of the use."""
+    customers = list[Customer]()
+    scale = max(settings.limiters / BASE_LIMITERS, 1.0)
+    for plan, plan_range in zip(plans, PLAN_RANGES, strict=True):
+        units_left = REQUESTS_WITHIN_QUOTAS_PER_S * MEAN_UNITS * plan_range.use_share * scale
+        while units_left > 0:
+            customer = _draw_customer(draw, plan, settings, len(customers))
+            units_left -= plan.rate * min(customer.use_factor, 1.0)
+            customers.append(customer)
+    return customers
 
 
 def _draw_customer(
-    chance: random.Random, plan: api.Plan, gateways: int, seconds: float, start: float, number: int
+    draw: random.Random, plan: api.Plan, settings: LoadSettings, number: int
 ) -> Customer:
-    way = chance.choices(("calm", "full", "heavy", "spiky"), (0.62, 0.13, 0.09, 0.16))[0]
-    times = {
-        "calm": chance.uniform(0.18, 0.39),
-        "full": chance.uniform(0.9, 1.05),
-        "heavy": chance.uniform(3.1, 4.7),
-        "spiky": chance.uniform(0.18, 0.39),
-    }[way]
+    pattern = draw.choices(("calm", "full", "heavy", "spiky"), (0.62, 0.13, 0.09, 0.16))[0]
+    use_factor = {  # all are drawn, whichever is used: the draws that follow stay the same
+        "calm": draw.uniform(0.18, 0.39),
+        "full": draw.uniform(0.9, 1.05),
+        "heavy": draw.uniform(3.1, 4.7),
+        "spiky": draw.uniform(0.18, 0.39),
+    }[pattern]
     spikes = []
-    at = start + chance.uniform(0.0, 14.0)
-    while way == "spiky" and at < start + seconds:
-        spikes.append((at, at + chance.uniform(0.8, 4.9), chance.uniform(4.8, 7.9)))
-        at += chance.uniform(14.0, 24.0)
-    spread = min(chance.randint(2, 4), gateways)
-    skew = chance.uniform(0.21, 1.2)
-    weights = [1.0 / (n + 1) ** skew for n in range(spread)]
-    chance.shuffle(weights)
+    at = settings.start + draw.uniform(0.0, 14.0)
+    while pattern == "spiky" and at < settings.start + settings.seconds:
+        spikes.append(Spike(at, at + draw.uniform(0.8, 4.9), draw.uniform(4.8, 7.9)))
+        at += draw.uniform(14.0, 24.0)
+    set_size = min(draw.randint(2, 4), settings.limiters)
+    skew = draw.uniform(0.21, 1.2)
+    weights = [1.0 / (n + 1) ** skew for n in range(set_size)]
+    draw.shuffle(weights)
     return Customer(
-        f"{number:016x}",
-        plan,
-        chance.randrange(gateways),
-        spread,
-        way,
-        times,
-        spikes,
-        weights,
-        chance.uniform(8.4, 18.0),
-        skew,
-        start + chance.uniform(-8.0, 0.0),
+        id=f"{number:016x}",
+        plan=plan,
+        set_start=draw.randrange(settings.limiters),
+        set_size=set_size,
+        use_factor=use_factor,
+        spikes=spikes,
+        weights=weights,
+        shift_interval_s=draw.uniform(8.4, 18.0),
+        shifted_at=settings.start + draw.uniform(-8.0, 0.0),
     )
 
 
 @dataclass(frozen=True)
 class Arrival:
+    """A request that a client is about to make.
+
+    Args:
+        at: Seconds.
+        customer: Who asks.
+        class_name: One of CLASSES.
+        units: What it uses.
+    """
+
     at: float
     customer: Customer
-    kind: str
+    class_name: str
     units: float
 
 
 def arrivals(
-    chance: random.Random, customer: Customer, start: float, seconds: float
+    draw: random.Random, customer: Customer, start: float, seconds: float
 ) -> Iterator[Arrival]:
-    """Poisson at the customer's rate of the moment, by thinning."""
-    most = (
-        max([customer.times, *[times for *_, times in customer.spikes]])
-        * customer.plan.rate
-        / MEAN_UNITS
-    )
+    """A customer's requests: a Poisson process at its rate of the moment, by thinning."""
+    peak_factor = max([customer.use_factor, *[spike.factor for spike in customer.spikes]])
+    peak_requests_per_s = peak_factor * customer.plan.rate / MEAN_UNITS
     at = start
     while True:
-        at += chance.expovariate(most)
+        at += draw.expovariate(peak_requests_per_s)
         if at >= start + seconds:
             return
-        if chance.random() * most * MEAN_UNITS < customer.rate(at):
-            kind = chance.choices(CLASSES, SHARES)[0].name
-            yield Arrival(at, customer, kind, chance.choices(UNITS, UNIT_WEIGHTS)[0])
+        if draw.random() * peak_requests_per_s * MEAN_UNITS < customer.rate(at):
+            class_name = draw.choices(CLASSES, CLASS_SHARES)[0].name
+            yield Arrival(at, customer, class_name, draw.choices(UNITS, UNIT_WEIGHTS)[0])
--- a/hazelhollow/bench/plots.py
+++ b/hazelhollow/bench/plots.py
@@ -1,15 +1,12 @@
-"""Figures as pictures, with matplotlib, which only this module imports."""
+"""Figures as pictures. Only this module imports matplotlib, which is optional."""
 
 from __future__ import annotations
 
 from typing import Any
 
-import matplotlib
+from matplotlib.figure import Figure
 
-matplotlib.use("svg")
-from matplotlib import pyplot  # noqa: E402
-
-TIMES = {
+SETTLING_TIMES = {
     "one_suspected": "a crash suspected",
     "one_dead": "a crash agreed on",
     "half_dead": "a crash of half",
@@ -19,19 +16,16 @@
 COSTS = {"messages": "datagrams", "bytes": "bytes"}
 
 
-def fleet(found: dict[str, Any], file: str) -> None:
-    """`found` as `bench.fleet.report` gives it."""
+def plot_fleet(found: dict[str, Any], file: str) -> None:
+    """Draw the report of `bench.fleet` by size; the file's suffix says the format."""
     sizes = [int(size) for size in found]
-    figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 5))
-    for key, name in TIMES.items():
-        left.plot(sizes, [found[str(n)][key]["median"] for n in sizes], marker="o", label=name)
-    for key, name in COSTS.items():
-        right.plot(
-            sizes,
-            [found[str(n)][key]["median"] for n in sizes],
-            marker="o",
-            label=f"{name} a second and member",
-        )
+    figure = Figure(figsize=(10, 5))
+    left, right = figure.subplots(1, 2)
+    for key, label in SETTLING_TIMES.items():
+        left.plot(sizes, [row[key]["median"] for row in found.values()], marker="o", label=label)
+    for key, label in COSTS.items():
+        medians = [row[key]["median"] for row in found.values()]
+        right.plot(sizes, medians, marker="o", label=f"{label} a second and member")
     left.set(
         xscale="log",
         xlabel="members",
@@ -53,4 +47,3 @@
         side.grid(alpha=0.3)
     figure.tight_layout()
     figure.savefig(file)
-    pyplot.close(figure)
--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -1,197 +1,225 @@
-"""The replica's own modules on a virtual clock.
+"""Replicated counts in virtual time: real `Replica` objects with datagrams between them.
 
-How long and how many bytes until one that begins is whole, what keeping alike costs each second,
-and how much memory a count takes.
+Measures how long and how many bytes a new member takes to catch up, what anti-entropy costs each
+second, how long tables differ after a split, and the memory of a count.
 """
 
 from __future__ import annotations
 
-import heapq
 import random
 import statistics
 import tracemalloc
 from collections.abc import Callable
-from functools import partial
 from typing import Any
 
+from hazelhollow.bench.fleet import nothing_cut
+from hazelhollow.bench.virtual_time import Timeline
 from hazelhollow.decisions.gossip.codec import base36
 from hazelhollow.replication.count_table import CountRow, CountTable, CountValue
 from hazelhollow.replication.messages import AccountCopy, RecentCount
 from hazelhollow.replication.outbox import Datagram, LocalMember
 from hazelhollow.replication.replica import ROUND_INTERVAL_S, Replica
 
-START = 1_700_000_000.0
-DELAY = (0.001, 0.02)  # seconds on the way
-LONGEST = 600.0  # seconds until a catch-up counts as not done
-KEYS_FROM = 36**4
-LIVES = 5  # members that have charged each customer
+START = 1_700_000_000  # seconds; the first instant of each run
+DATAGRAM_DELAY_S = (0.001, 0.02)  # one way, drawn uniformly
+CATCH_UP_TIMEOUT_S = 600.0
+HEAL_TIMEOUT_S = 50.0
+SPLIT_S = 5.0
+STEADY_WARM_UP_S = 5  # before the steady cost is measured
+CHARGED_SHARE = 0.1  # of customers that each member charges in a second of the steady cost
+FIRST_KEY = 36**4  # so that all keys have five digits
+CHARGING_MEMBERS = 5  # that have charged each customer
+CUSTOMERS_OF_FLEETS = 200  # for the steady cost and the heal
+PLAN_DIGEST = "7kq"
 
 
 def key_of(number: int) -> str:
-    return base36(KEYS_FROM + number)
+    """The name of a customer."""
+    return base36(FIRST_KEY + number)
 
 
-class Known:
-    """What a decision module with so many customers would say, each charged by some members."""
+class KnownAccounts:
+    """What a decision engine with so many customers says, each charged by some members."""
 
-    def __init__(self, customers: int, incarnations: int = LIVES) -> None:
-        self.keys, self.incarnations = [key_of(n) for n in range(customers)], incarnations
+    def __init__(self, customers: int, charging_members: int = CHARGING_MEMBERS) -> None:
+        self._keys = [key_of(number) for number in range(customers)]
+        self._charging_members = charging_members
 
     def customers_below_full(self) -> list[str]:
-        return self.keys
+        """All customers."""
+        return self._keys
 
     def account(self, key: str) -> AccountCopy | None:
-        through = int(START) - 2
-        recents = tuple(
+        """The account of any customer."""
+        through = START - 2
+        recent_counts = tuple(
             RecentCount(n, f"7p{n}", CountValue(through - 50, through, 1234 + n), 20, 10)
-            for n in range(self.incarnations)
+            for n in range(self._charging_members)
         )
-        return AccountCopy(key, "7kq", 0, self.incarnations, 217, recents)
+        return AccountCopy(key, PLAN_DIGEST, 0, self._charging_members, 217, recent_counts)
 
 
-class Sim:
-    """Exchanges with their datagrams on the way. The same seed plays the same."""
+class SimulatedReplicas:
+    """Replicas and the network between them. The same seed plays the same.
 
-    def __init__(self, sources: list[Known], seed: int, lose: float = 0.0) -> None:
-        self.random, self.lose, self.now = random.Random(seed), lose, START
-        self.all = [
-            Replica(LocalMember(n, len(sources), f"7p{n}"), seed * 1000 + n, source)
-            for n, source in enumerate(sources)
+    Args:
+        sources: What each member's decision engine knows.
+        seed: Of all draws.
+        loss: Share of datagrams that are lost.
+    """
+
+    def __init__(self, sources: list[KnownAccounts], seed: int, loss: float = 0.0) -> None:
+        self.random, self._loss = random.Random(seed), loss
+        self._timeline = Timeline(float(START))
+        self.replicas = [
+            Replica(LocalMember(number, len(sources), f"7p{number}"), seed * 1000 + number, source)
+            for number, source in enumerate(sources)
         ]
-        self.sent = self.bytes = self._serial = 0
-        self.got = [0] * len(sources)
-        self.cut: Callable[[int, int], bool] = lambda a, b: False
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        for one in self.all:
-            self._at(self.now + self.random.random() * ROUND_INTERVAL_S, partial(self._beat, one))
-
-    def _at(self, when: float, call: Callable[[], None]) -> None:
-        self._serial += 1
-        heapq.heappush(self._heap, (when, self._serial, call))
-
-    def _beat(self, one: Replica) -> None:
-        self._at(self.now + ROUND_INTERVAL_S, lambda: self._beat(one))
-        me = one.local.number
-        present = [n for n in range(len(self.all)) if n != me and not self.cut(n, me)]
-        self._pass(one, one.run_round(self.now, present))
-
-    def _pass(self, one: Replica, sends: list[Datagram]) -> None:
-        self.got[one.local.number] += len(one.catch_up.new_accounts)
-        one.catch_up.new_accounts, one.anti_entropy.new_rows = [], []
-        for send in sends:
-            self.sent, self.bytes = self.sent + 1, self.bytes + len(send.text)
-            if self.random.random() >= self.lose and not self.cut(one.local.number, send.member):
-                self._at(
-                    self.now + self.random.uniform(*DELAY),
-                    partial(self._take, send.member, one.local.number, send.text),
-                )
-
-    def _take(self, number: int, source: int, text: str) -> None:
-        one = self.all[number]
-        self._pass(one, one.receive(source, text, self.now))
-
-    def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        began, end = self.now, self.now + seconds
-        while self._heap and self._heap[0][0] <= end and not until():
-            self.now, _, call = heapq.heappop(self._heap)
-            call()
-        return self.now - began
-
-
-def catch_up(customers: int, lose: float, seed: int) -> dict[str, float]:
-    """One that begins beside two that know all and two that have begun themselves.
-
-    Seconds and bytes until it is whole.
+        self.sent_datagrams = self.sent_bytes = 0
+        self.received_accounts = [0] * len(sources)
+        self.is_cut: Callable[[int, int], bool] = nothing_cut  # from a sender to a receiver
+        for replica in self.replicas:
+            first_round = self._timeline.now + self.random.random() * ROUND_INTERVAL_S
+            self._timeline.at(first_round, self._run_round, replica)
+
+    def _run_round(self, replica: Replica) -> None:
+        now = self._timeline.now
+        self._timeline.at(now + ROUND_INTERVAL_S, self._run_round, replica)
+        number = replica.local.number
+        present = [
+            n for n in range(len(self.replicas)) if n != number and not self.is_cut(n, number)
+        ]
+        self._send(replica, replica.run_round(now, present))
+
+    def _send(self, replica: Replica, datagrams: list[Datagram]) -> None:
+        number = replica.local.number
+        self.received_accounts[number] += len(replica.catch_up.new_accounts)
+        replica.catch_up.new_accounts, replica.anti_entropy.new_rows = [], []
+        for datagram in datagrams:
+            self.sent_datagrams += 1
+            self.sent_bytes += len(datagram.text)
+            is_lost = self.random.random() < self._loss
+            if not is_lost and not self.is_cut(number, datagram.member):
+                arrives_at = self._timeline.now + self.random.uniform(*DATAGRAM_DELAY_S)
+                self._timeline.at(arrives_at, self._receive, datagram.member, number, datagram.text)
+
+    def _receive(self, receiver: int, sender: int, text: str) -> None:
+        replica = self.replicas[receiver]
+        self._send(replica, replica.receive(sender, text, self._timeline.now))
+
+    def run(self, seconds: float, condition: Callable[[], bool] = lambda: False) -> float:
+        """Play events until a condition holds, for so many seconds at most.
+
+        Returns:
+            The seconds up to the last event.
+        """
+        timeline = self._timeline
+        began, end = timeline.now, timeline.now + seconds
+        while timeline.next_at() <= end and not condition():
+            timeline.run_next()
+        return timeline.now - began
+
+    def complete_all(self) -> None:
+        """Make all members know that they have caught up."""
+        for replica in self.replicas:
+            replica.catch_up.is_complete = True
+
+    def charge_all(self, customers: int, period: int, share: float) -> None:
+        """Let every member charge a share of the customers in this second."""
+        for replica in self.replicas:
+            local = replica.local
+            for number in range(customers):
+                if self.random.random() < share:
+                    total = 10 * (period - START + 1)
+                    value = CountValue(START - 9, period, total)
+                    replica.record_charge(
+                        CountRow(
+                            key_of(number),
+                            PLAN_DIGEST,
+                            0,
+                            len(self.replicas),
+                            local.number,
+                            local.incarnation,
+                            value,
+                        )
+                    )
+
+
+def catch_up(customers: int, loss: float, seed: int) -> dict[str, float]:
+    """Let a new member catch up beside two that know all and two that are new themselves.
+
+    Returns:
+        Seconds (infinity if it was not complete in time), bytes sent by all, accounts that it was
+        told, and customers.
     """
-    sim = Sim(
-        [Known(customers), Known(customers), *(Known(0) for _ in range(LIVES - 2))], seed, lose
+    empty = [KnownAccounts(0) for _ in range(CHARGING_MEMBERS - 2)]
+    simulation = SimulatedReplicas(
+        [KnownAccounts(customers), KnownAccounts(customers), *empty], seed, loss
     )
-    for other in sim.all[:-1]:
+    *others, new = simulation.replicas
+    for other in others:
         number = other.local.number
         other.catch_up.is_complete = True
         other.catch_up.completed_by = None if number > 1 else number
-    new = sim.all[-1]
-    seconds = sim.run(LONGEST, lambda: new.catch_up.is_complete)
+    seconds = simulation.run(CATCH_UP_TIMEOUT_S, lambda: new.catch_up.is_complete)
     return {
         "seconds": seconds if new.catch_up.is_complete else float("inf"),
-        "bytes": float(sim.bytes),
-        "told": float(sim.got[-1]),
+        "bytes": float(simulation.sent_bytes),
+        "told": float(simulation.received_accounts[-1]),
         "customers": float(customers),
     }
 
 
-def charged(sim: Sim, customers: int, period: int, share: float) -> None:
-    """In that second a share of the customers is charged by every member."""
-    for one in sim.all:
-        for number in range(customers):
-            if sim.random.random() < share:
-                total = 10 * (period - int(START) + 1)
-                one.record_charge(
-                    CountRow(
-                        key_of(number),
-                        "7kq",
-                        0,
-                        len(sim.all),
-                        one.local.number,
-                        one.local.incarnation,
-                        CountValue(int(START) - 9, period, total),
-                    )
-                )
+def steady(members: int, customers: int, seed: int, seconds: int = 20) -> dict[str, float]:
+    """Datagrams and bytes that a member sends a second under steady charges."""
+    simulation = SimulatedReplicas([KnownAccounts(0) for _ in range(members)], seed)
+    simulation.complete_all()
+    for second in range(seconds):
+        simulation.charge_all(customers, START + second, CHARGED_SHARE)
+        simulation.run(1.0)
+        if second == STEADY_WARM_UP_S - 1:
+            simulation.sent_datagrams = simulation.sent_bytes = 0
+    member_seconds = members * (seconds - STEADY_WARM_UP_S)
+    return {
+        "datagrams": simulation.sent_datagrams / member_seconds,
+        "bytes": simulation.sent_bytes / member_seconds,
+    }
 
 
-def steady(members: int, customers: int, seed: int, seconds: int = 20) -> dict[str, float]:
-    """Datagrams and bytes that a member sends a second while a tenth of the customers is charged
-    each second.
-    """
-    sim = Sim([Known(0) for _ in range(members)], seed)
-    for one in sim.all:
-        one.catch_up.is_complete = True
-    for period in range(int(START), int(START) + seconds):
-        charged(sim, customers, period, 0.1)
-        sim.run(1.0)
-        if period == int(START) + 4:
-            sim.sent = sim.bytes = 0
-    span = members * (seconds - 5)
-    return {"datagrams": sim.sent / span, "bytes": sim.bytes / span}
-
-
-def heal(members: int, customers: int, seed: int, lose: float = 0.1) -> float:
-    """Seconds after two parts hear each other again until all books are alike, with nothing charged
-    meanwhile.
-    """
-    sim = Sim([Known(0) for _ in range(members)], seed, lose)
-    for one in sim.all:
-        one.catch_up.is_complete = True
-    sim.cut = lambda a, b: (a < members // 2) != (b < members // 2)
-    charged(sim, customers, int(START), 1.0)
-    sim.run(5.0)
-    sim.cut = lambda a, b: False
-    for one in sim.all:
+def heal(members: int, customers: int, seed: int, loss: float = 0.1) -> float:
+    """Seconds from the end of a split until all tables are alike, with no charges meanwhile."""
+    simulation = SimulatedReplicas([KnownAccounts(0) for _ in range(members)], seed, loss)
+    simulation.complete_all()
+
+    def are_apart(one_member: int, other_member: int) -> bool:
+        return (one_member < members // 2) != (other_member < members // 2)
+
+    simulation.is_cut = are_apart
+    simulation.charge_all(customers, START, 1.0)
+    simulation.run(SPLIT_S)
+    simulation.is_cut = nothing_cut
+    for replica in simulation.replicas:
         for number in range(members):
-            if (number < members // 2) != (one.local.number < members // 2):
-                one.anti_entropy.member_returned(number)
-    return sim.run(
-        50.0, lambda: len({tuple(one.anti_entropy.counts.digests()) for one in sim.all}) == 1
-    )
+            if are_apart(number, replica.local.number):
+                replica.anti_entropy.member_returned(number)
+
+    def are_alike() -> bool:
+        digests = {tuple(r.anti_entropy.counts.digests()) for r in simulation.replicas}
+        return len(digests) == 1
+
+    return simulation.run(HEAL_TIMEOUT_S, are_alike)
 
 
-def memory(customers: int = 2000, members: int = LIVES) -> float:
-    """Bytes for a customer and member that used it."""
+def memory(customers: int = 2000, members: int = CHARGING_MEMBERS) -> float:
+    """Bytes for one count: of a customer and a member that charged it."""
     tracemalloc.start()
-    before, book = tracemalloc.get_traced_memory()[0], CountTable()
-    book.advance(int(START))
+    before, counts = tracemalloc.get_traced_memory()[0], CountTable()
+    counts.advance(START)
     for number in range(customers):
         for member in range(members):
-            book.merge_in(
-                CountRow(
-                    key_of(number),
-                    "7kq",
-                    0,
-                    members,
-                    member,
-                    f"7p{member}",
-                    CountValue(int(START) - 50, int(START) - 2, 1000 + member),
-                )
+            value = CountValue(START - 50, START - 2, 1000 + member)
+            counts.merge_in(
+                CountRow(key_of(number), PLAN_DIGEST, 0, members, member, f"7p{member}", value)
             )
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -205,28 +233,38 @@
     fleets: list[int],
     progress: Callable[[str], None],
 ) -> dict[str, Any]:
+    """The figures of `hazelhollow bench replica`, medians over the seeds.
+
+    Args:
+        sizes: Customers of a catch-up.
+        losses: Shares of datagrams lost during a catch-up.
+        seeds: Runs of each kind.
+        fleets: Members, for the steady cost and the heal.
+        progress: Called with what is played next.
+
+    Returns:
+        Figures as the command writes them.
+    """
     found: dict[str, Any] = {
         "catch_up": [],
         "steady": [],
         "heal": [],
         "bytes_per_customer_and_member": round(memory(), 1),
     }
+    seed_range = range(1, seeds + 1)
     for customers in sizes:
-        for lose in losses:
-            progress(f"catch-up with {customers} customers at {lose:.0%} loss")
-            rows = [catch_up(customers, lose, seed) for seed in range(1, seeds + 1)]
-            row = {key: round(statistics.median(one[key] for one in rows), 2) for key in rows[0]}
+        for loss in losses:
+            progress(f"catch-up with {customers} customers at {loss:.0%} loss")
+            rows = [catch_up(customers, loss, seed) for seed in seed_range]
+            worst = round(max(row["seconds"] for row in rows), 2)
             found["catch_up"].append(
-                row | {"lose": lose, "worst_seconds": round(max(one["seconds"] for one in rows), 2)}
+                _medians(rows, digits=2) | {"lose": loss, "worst_seconds": worst}
             )
     for members in fleets:
         progress(f"{members} members")
-        rows = [steady(members, 200, seed) for seed in range(1, seeds + 1)]
-        healed = [heal(members, 200, seed) for seed in range(1, seeds + 1)]
-        found["steady"].append(
-            {"members": members}
-            | {key: round(statistics.median(one[key] for one in rows), 1) for key in rows[0]}
-        )
+        rows = [steady(members, CUSTOMERS_OF_FLEETS, seed) for seed in seed_range]
+        healed = [heal(members, CUSTOMERS_OF_FLEETS, seed) for seed in seed_range]
+        found["steady"].append({"members": members} | _medians(rows, digits=1))
         found["heal"].append(
             {
                 "members": members,
@@ -235,3 +273,7 @@
             }
         )
     return found
+
+
+def _medians(rows: list[dict[str, float]], digits: int) -> dict[str, float]:
+    return {key: round(statistics.median(row[key] for row in rows), digits) for key in rows[0]}
--- /dev/null
+++ b/hazelhollow/bench/replication_commands.py
@@ -0,0 +1,133 @@
+"""`hazelhollow bench replica` and `model`: replicated counts in memory."""
+
+from __future__ import annotations
+
+import sys
+from contextlib import nullcontext
+from pathlib import Path
+
+import click
+
+from hazelhollow.bench import replica
+from hazelhollow.bench.count_model.cluster import Bounds
+from hazelhollow.bench.count_model.exploration import explore
+from hazelhollow.bench.count_model.fault_plan import as_plan
+from hazelhollow.bench.count_model.planted_mistakes import MISTAKES, plant_mistake
+from hazelhollow.bench.output import exit_for_bad_arguments, on_terminal, parse_numbers, write_json
+from hazelhollow.fault_injection import plan
+
+
+@click.command("replica")
+@click.option(
+    "--customers",
+    default="100,10000",
+    show_default=True,
+    metavar="N,M",
+    help="That a limiter which begins is told of.",
+)
+@click.option(
+    "--lose",
+    default="0,10,30",
+    show_default=True,
+    metavar="P,Q",
+    help="Of a hundred datagrams, lost.",
+)
+@click.option(
+    "--fleets",
+    default="5,20",
+    show_default=True,
+    metavar="N,M",
+    help="Members, for what keeping alike costs.",
+)
+@click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 1000))
+@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
+def replica_command(customers: str, lose: str, fleets: str, seeds: int, file: str | None) -> None:
+    """Replicated counts in memory: catch-up, steady cost, the heal of a split, bytes for a count.
+
+    Exit status 1: some catch-up was not complete within ten minutes, or got a customer not once.
+    """
+    try:
+        sizes = parse_numbers(customers, 0, 1_000_000)
+        losses = parse_numbers(lose, 0, 90)
+        members = parse_numbers(fleets, 2, 200)
+    except ValueError as error:
+        exit_for_bad_arguments(error)
+    loss_shares = [percent / 100 for percent in losses]
+    found = replica.report(sizes, loss_shares, seeds, members, on_terminal())
+    write_json(found, file)
+    failed = any(
+        row["told"] != row["customers"] or row["worst_seconds"] > replica.CATCH_UP_TIMEOUT_S
+        for row in found["catch_up"]
+    )
+    sys.exit(1 if failed else 0)
+
+
+@click.command("model")
+@click.option("--members", default=2, show_default=True, type=click.IntRange(2, 4))
+@click.option("--charges", default=2, show_default=True, type=click.IntRange(0, 4))
+@click.option(
+    "--sends",
+    default=2,
+    show_default=True,
+    type=click.IntRange(0, 5),
+    help="Of gossip and of counts, in all.",
+)
+@click.option(
+    "--turns", default=3, show_default=True, type=click.IntRange(0, 6), help="Of the period."
+)
+@click.option("--crashes", default=1, show_default=True, type=click.IntRange(0, 3))
+@click.option(
+    "--copies",
+    default=1,
+    show_default=True,
+    type=click.IntRange(0, 3),
+    help="Datagrams that come again.",
+)
+@click.option(
+    "--lags",
+    default=1,
+    show_default=True,
+    type=click.IntRange(0, 3),
+    help="Turns that one clock comes late to.",
+)
+@click.option("--depth", default=6, show_default=True, type=click.IntRange(1, 20), help="Steps.")
+@click.option("--plant", type=click.Choice(sorted(MISTAKES)), help="A mistake that it must find.")
+@click.option(
+    "--plan", "file", metavar="FILE", help="Write what broke as a plan for `fleet replay`."
+)
+def model_command(
+    members: int,
+    charges: int,
+    sends: int,
+    turns: int,
+    crashes: int,
+    copies: int,
+    lags: int,
+    depth: int,
+    plant: str | None,
+    file: str | None,
+) -> None:
+    """Play every order of charges, datagrams, crashes and catch-up up to these bounds.
+
+    The merge and the catch-up are the product's own.
+
+    Exit status 1: something counted twice or was forgotten; the steps are printed, no shorter ones
+    do it.
+    """
+    bounds = Bounds(members, charges, sends, turns, crashes, copies, lags, depth)
+    tty = sys.stderr.isatty()
+
+    def progress(states: int) -> None:
+        if tty:
+            click.echo(f"\r{states} states", nl=False, err=True)
+
+    with plant_mistake(plant) if plant else nullcontext():
+        found = explore(bounds, progress)
+    click.echo(
+        f"{found.states} states: {found.failure or 'each charge counts once in all of them'}"
+    )
+    for step in found.steps:
+        click.echo(f"  {step}")
+    if found.steps and file:
+        Path(file).write_bytes(plan.write(as_plan(bounds, found.steps, found.failure)))
+    sys.exit(1 if found.steps else 0)
--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -1,13 +1,13 @@
-"""`hazelhollow bench store`.
+"""Runs of `hazelhollow bench store`: month-end load on limiters that lease limits from a store.
 
-Seeded runs of month-end load against the stand-in, without faults and with each kind.
+`play` plays one job and judges it by exact token buckets beside it; `summary` makes the report.
 """
 
 from __future__ import annotations
 
 import multiprocessing
 import random
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Any
 
@@ -16,86 +16,37 @@
 
 from hazelhollow.bench import load
 from hazelhollow.bench.checker import Bucket
-from hazelhollow.bench.world import START, WARM_UP, Fleet, Member
+from hazelhollow.bench.store_faults import (
+    EVEN_SPLIT,
+    LIMITER_FAULTS,
+    NO_STORE,
+    WITH_ALL_CUSTOMERS,
+    draw_kinds,
+    draw_store_faults,
+    schedule_limiter_faults,
+)
+from hazelhollow.bench.world import START, WARM_UP_S, LimiterSite, SiteOptions
 from hazelhollow.decisions import interface as api
 from hazelhollow.operator.load import read
 from hazelhollow.operator.settings import StoreSettings
-from hazelhollow.standins.redis.faults import Fault
 from hazelhollow.standins.redis.node import Node
 
-EVEN, TODAY = "even_split", "no_store"  # for comparison
-
-Plan = Callable[[random.Random], list[Fault]]
-
-
-def terms(hold: str = "both", plans: tuple[str, ...] = ()) -> StoreSettings:
-    """The store's settings with their defaults, as an operator file gives them."""
-    names = ", ".join(f'"{name}"' for name in plans)
-    store = read(
-        f'store: {{address: "127.0.0.1:6379", hold: "{hold}", plans: [{names}]}}'.encode(), "bench"
-    ).store
-    assert store
-    return store
-
-
-def _share(kind: str, share: float, **more: Any) -> Plan:
-    """Hits some commands for a long middle part of the run."""
-    return lambda chance: [
-        Fault(kind, at=chance.uniform(2, 6), lasts=chance.uniform(10, 20), share=share, **more)
-    ]
-
-
-def _spell(kind: str, least: float, most: float) -> Plan:
-    """All commands for a while, twice."""
-    return lambda chance: [
-        Fault(kind, at=at + chance.uniform(0, 6), lasts=chance.uniform(least, most))
-        for at in (4, 22)
-    ]
-
-
-def _moments(kind: str, **more: Any) -> Plan:
-    return lambda chance: [Fault(kind, at=at + chance.uniform(0, 8), **more) for at in (4, 14, 24)]
-
-
-FAULTS: dict[str, Plan] = {
-    "none": lambda chance: [],
-    # never there: each limiter has its even share of the same limits
-    EVEN: lambda chance: [Fault("down")],
-    TODAY: lambda chance: [],  # no store: quotas by gossip, ceilings evenly split
-    "slow": _share("slow", 0.2, delay=0.08),
-    "late": _share("late", 0.2, delay=0.1),
-    "lost": _share("lost", 0.03),
-    "cut_before": _share("cut_before", 0.03),
-    "cut_after": _share("cut_after", 0.03),
-    "half": _share("half", 0.03),
-    "garbage": _share("garbage", 0.03),
-    "restart_empty": _moments("restart_empty", lasts=0.6),
-    "restart_old": _moments("restart_old", lasts=0.4, age=4.0),
-    "flush_scripts": _moments("flush_scripts", every=3.0),
-    "flush_data": _moments("flush_data"),
-    "loading": _spell("loading", 1.0, 4.0),
-    "readonly": _spell("readonly", 1.0, 4.0),
-    "oom": _spell("oom", 1.0, 4.0),
-    "busy": _spell("busy", 1.0, 4.0),
-    "stall": _spell("stall", 0.5, 3.0),
-    "down": _spell("down", 6.0, 12.0),
-    "clock_jump": lambda chance: [
-        Fault("clock_jump", at=chance.uniform(5, 20), by=by)
-        for by in (30.0, -45.0, chance.uniform(-3, 3))
-    ],
-}
-# What goes wrong with limiters while the store is well.
-MEMBERS = ("partition", "kill", "pause", "clocks")
-# played with all customers; the others with those whose limits the store keeps
-WHOLE = ("none", EVEN, TODAY)
-KINDS = tuple(k for k in (*FAULTS, *MEMBERS, "mixed") if k not in (EVEN, TODAY))
+LOG_LEVEL_ABOVE_ALL = 50
 
 
 @dataclass(frozen=True)
 class Job:
     """One run.
 
-    `store`: with it, or as limiters do without (quotas by gossip, ceilings evenly split).
+    Args:
+        seed: The same job gives the same result.
+        kind: A kind of faults, EVEN_SPLIT or NO_STORE.
+        limiters: How many there are.
+        seconds: Of load.
+        hold: Which limits the store keeps: both, ceilings or quotas.
+        with_store: Whether there is a store; without, quotas go by gossip and ceilings are split.
+        plans: Whose limits the store keeps; empty: of plans with a ceiling.
+        uneven: Whether most requests of a customer come through one limiter.
     """
 
     seed: int
@@ -103,165 +54,161 @@
     limiters: int
     seconds: float
     hold: str = "both"
-    store: bool = True
+    with_store: bool = True
     plans: tuple[str, ...] = ()
     uneven: bool = False
 
 
 class Result(msgspec.Struct):
-    """What one run showed. Shares are of one customer's burst (overshoot) or of requests."""
+    """What one run showed.
+
+    Overshoots are shares of one customer's burst, the greatest of any customer. "Stored" are the
+    customers whose limits the store keeps; "admissible" units are those that one limiter with an
+    exact ledger would have admitted.
+    """
 
     seed: int
     kind: str
     requests: int
-    kept_requests: int  # of the customers whose limits the store keeps
-    calls: float
-    over: float  # the worst overshoot of a customer's ceiling
-    broken: bool
-    over_quota: float
-    with_room: float  # units that one limiter with an exact ledger would have let in ...
-    refused_with_room: float  # ... and that were refused here
-    away: float
-    late: float
+    stored_requests: int
+    store_calls: float
+    overshoot: float  # of a limit that must hold
+    broken: bool  # one was passed by more than is tolerated
+    quota_overshoot: float
+    admissible_units: float
+    admissible_rejected_units: float
+    absences: float  # times that a limiter fell back on its even share
+    late_answers: float
 
 
-class Watch:
-    """Independent buckets beside the run.
+class LimitWatch:
+    """Exact buckets beside a run, for the customers whose limits the store keeps.
 
-    What was sent, and what one limiter that had it all to itself would have sent.
+    Some see what was sent, others what one limiter would have sent that had it all to itself.
     """
 
-    def __init__(self, fleet: Fleet, job: Job) -> None:
-        held = [
-            c
-            for c in fleet.customers
-            if c.plan.name in job.plans or (c.plan.ceiling_rate and not job.plans)
-        ]
-        self.quota = {c.id: _quota(c.plan) for c in held}
-        self.ceiling = {c.id: _ceiling(c.plan) for c in held if c.plan.ceiling_rate}
-        self.ideal = {
-            c.id: [_quota(c.plan), *([_ceiling(c.plan)] if c.plan.ceiling_rate else [])]
-            for c in held
+    def __init__(self, site: LimiterSite, job: Job) -> None:
+        customers = [customer for customer in site.customers if _is_stored(customer.plan, job)]
+        self.quotas = {c.id: _quota_bucket(c.plan) for c in customers}
+        self.ceilings = {c.id: _ceiling_bucket(c.plan) for c in customers if c.plan.ceiling_rate}
+        self._ideal = {
+            c.id: [
+                _quota_bucket(c.plan),
+                *([_ceiling_bucket(c.plan)] if c.plan.ceiling_rate else []),
+            ]
+            for c in customers
         }
-        self.could, self.did = dict.fromkeys(self.quota, 0.0), dict.fromkeys(self.quota, 0.0)
-        # arrivals that the ideal has let in: it sees no retries of those
-        self._taken: set[int] = set()
-        self._kept: list[load.Arrival] = []  # so that no other arrival gets the same identity
-        self._world = fleet.world
+        self._admissible_units = dict.fromkeys(self.quotas, 0.0)
+        self._sent_units = dict.fromkeys(self.quotas, 0.0)
+        # Arrivals that the ideal admitted, by identity: it sees no retries of those. They are
+        # referred to, so that no later arrival gets the same identity.
+        self._ideal_admitted: dict[int, load.Arrival] = {}
+        self._timeline = site.timeline
         self.requests = 0
 
-    def see(self, arrival: load.Arrival, sent: bool) -> None:
-        now, units, key = self._world.now, arrival.units, arrival.customer.id
-        if key not in self.quota:
+    def see(self, arrival: load.Arrival, admitted: bool) -> None:
+        """Note a request and whether a limiter admitted it."""
+        now, units, key = self._timeline.now, arrival.units, arrival.customer.id
+        if key not in self.quotas:
             return
         self.requests += 1
-        counted = now >= START + WARM_UP  # what passes a limit counts from the first moment on
-        if id(arrival) not in self._taken and min(b.fill(now) for b in self.ideal[key]) >= units:
-            self._taken.add(id(arrival))
-            self._kept.append(arrival)
-            self.could[key] += units if counted else 0.0
-            for bucket in self.ideal[key]:
+        counted = now >= START + WARM_UP_S  # what passes a limit counts from the first moment on
+        ideal = self._ideal[key]
+        if (
+            id(arrival) not in self._ideal_admitted
+            and min(bucket.refill(now) for bucket in ideal) >= units
+        ):
+            self._ideal_admitted[id(arrival)] = arrival
+            self._admissible_units[key] += units if counted else 0.0
+            for bucket in ideal:
                 bucket.take(units, now)
-        if sent:
-            self.did[key] += units if counted else 0.0
-            for book in (self.quota, self.ceiling):
-                if key in book:
-                    book[key].take(units, now)
+        if admitted:
+            self._sent_units[key] += units if counted else 0.0
+            for buckets in (self.quotas, self.ceilings):
+                if key in buckets:
+                    buckets[key].take(units, now)
+
+    def admissible_units(self) -> float:
+        """Units that the ideal would have admitted."""
+        return sum(self._admissible_units.values())
 
-    def short(self) -> float:
-        """Units that the ideal would have let in and this run did not, customer by customer."""
-        return sum(max(self.could[key] - self.did[key], 0.0) for key in self.could)
+    def admissible_rejected_units(self) -> float:
+        """Units that the ideal would have admitted and this run did not, customer by customer."""
+        return sum(
+            max(units - self._sent_units[key], 0.0) for key, units in self._admissible_units.items()
+        )
 
 
-def _quota(plan: api.Plan) -> Bucket:
+def _is_stored(plan: api.Plan, job: Job) -> bool:
+    return plan.name in job.plans or bool(plan.ceiling_rate and not job.plans)
+
+
+def _quota_bucket(plan: api.Plan) -> Bucket:
     return Bucket(plan.rate, plan.burst, START)
 
 
-def _ceiling(plan: api.Plan) -> Bucket:
+def _ceiling_bucket(plan: api.Plan) -> Bucket:
     return Bucket(plan.ceiling_rate, plan.ceiling_burst, START)
 
 
+def store_settings(hold: str, plans: tuple[str, ...]) -> StoreSettings:
+    """The store's settings with their defaults, as an operator file gives them."""
+    names = ", ".join(f'"{name}"' for name in plans)
+    text = f'store: {{address: "127.0.0.1:6379", hold: "{hold}", plans: [{names}]}}'
+    settings = read(text.encode(), "bench").store
+    assert settings
+    return settings
+
+
 def play(job: Job) -> Result:
     """One run; the same job gives the same result, whatever runs beside it."""
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    chance = random.Random(f"faults {job.kind} {job.seed}")
-    kinds = (
-        [job.kind]
-        if job.kind != "mixed"
-        else chance.sample([k for k in KINDS if k not in ("none", EVEN, TODAY, "mixed")], 3)
-    )
-    plan = [fault for kind in kinds if kind in FAULTS for fault in FAULTS[kind](chance)]
-    fleet = Fleet(
-        job.seed,
-        job.limiters,
-        job.seconds,
-        terms(job.hold, job.plans) if job.store else None,
-        lambda clock: Node(clock, job.seed, "", plan),
-        job.uneven,
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(LOG_LEVEL_ABOVE_ALL))
+    draw = random.Random(f"faults {job.kind} {job.seed}")
+    kinds = draw_kinds(job.kind, draw)
+    store_faults = draw_store_faults(kinds, draw)
+    site = LimiterSite(
+        SiteOptions(
+            job.seed,
+            job.limiters,
+            job.seconds,
+            store_settings(job.hold, job.plans) if job.with_store else None,
+            lambda clock: Node(clock, job.seed, "", store_faults),
+            job.uneven,
+        )
     )
     for kind in kinds:
-        if kind in MEMBERS:
-            _trouble(kind, fleet, chance)
-    watch = Watch(fleet, job)
-    if job.kind not in WHOLE:
-        fleet.customers = [c for c in fleet.customers if c.id in watch.quota]
-    fleet.log.on_request = watch.see
-    fleet.run()
-    largest = max(load.UNITS)
-    hard = watch.ceiling if job.hold == "ceilings" else {**watch.quota, **watch.ceiling}
-    counts = [m.ledger.counts for m in fleet.members if m.ledger]
+        if kind in LIMITER_FAULTS:
+            schedule_limiter_faults(kind, site, draw)
+    watch = LimitWatch(site, job)
+    if job.kind not in WITH_ALL_CUSTOMERS:
+        site.customers = [c for c in site.customers if c.id in watch.quotas]
+    site.log.on_request = watch.see
+    site.run()
+    return _result(job, site, watch)
+
+
+def _result(job: Job, site: LimiterSite, watch: LimitWatch) -> Result:
+    largest_request = max(load.UNITS)
+    must_hold = (
+        watch.ceilings if job.hold == "ceilings" else {**watch.quotas, **watch.ceilings}
+    ).values()
+    counts = [limiter.ledger.counts for limiter in site.limiters if limiter.ledger]
     return Result(
         seed=job.seed,
         kind=job.kind,
-        requests=fleet.log.requests,
-        kept_requests=watch.requests,
-        calls=fleet.calls(),
-        over=max((b.over_share() for b in hard.values()), default=0.0),
-        broken=any(b.broken(largest) for b in hard.values()),
-        over_quota=max((b.over_share() for b in watch.quota.values()), default=0.0),
-        with_room=sum(watch.could.values()),
-        refused_with_room=watch.short(),
-        away=sum(c["absences"] for c in counts),
-        late=sum(c["late"] for c in counts),
+        requests=site.log.requests,
+        stored_requests=watch.requests,
+        store_calls=site.store_calls(),
+        overshoot=max((bucket.overshoot_share() for bucket in must_hold), default=0.0),
+        broken=any(bucket.is_broken(largest_request) for bucket in must_hold),
+        quota_overshoot=max((b.overshoot_share() for b in watch.quotas.values()), default=0.0),
+        admissible_units=watch.admissible_units(),
+        admissible_rejected_units=watch.admissible_rejected_units(),
+        absences=sum(count["absences"] for count in counts),
+        late_answers=sum(count["late"] for count in counts),
     )
 
 
-def _trouble(kind: str, fleet: Fleet, chance: random.Random) -> None:
-    members = chance.sample(fleet.members, max(1, len(fleet.members) // 3))
-    for member in members:
-        if kind == "clocks":
-            member.skew = chance.uniform(-0.05, 0.05)
-            continue
-        at = START + chance.uniform(3, 9)
-        while at < START + fleet.seconds:
-            lasts = {
-                "partition": chance.uniform(2, 14),
-                "kill": chance.uniform(1.7, 7.6),
-                "pause": chance.uniform(0.3, 5),
-            }[kind]
-            fleet.world.at(at, _begin, kind, member)
-            fleet.world.at(at + lasts, _end, kind, member)
-            at += lasts + chance.uniform(3, 9)
-
-
-def _begin(kind: str, member: Member) -> None:
-    if kind == "partition":
-        member.cut_off = True
-    elif kind == "pause":
-        member.pause(True)
-    elif not member.dead:
-        member.kill()
-
-
-def _end(kind: str, member: Member) -> None:
-    if kind == "partition":
-        member.cut_off = False
-    elif kind == "pause":
-        member.pause(False)
-    elif member.dead:
-        member.start()
-
-
 def play_all(jobs: list[Job], processes: int) -> Iterator[Result]:
     """The results in the order of the jobs, as they come."""
     if processes <= 1:
@@ -272,58 +219,63 @@
 
 
 def summary(results: list[Result]) -> dict[str, Any]:
-    """The report's top level.
-
-    The even split and the way without a store are told apart from the runs with one.
-    """
-    even = [r for r in results if r.kind == EVEN]
-    today = [r for r in results if r.kind == TODAY]
-    results = [r for r in results if r.kind not in (EVEN, TODAY)]
-    overs = sorted(max(0.0, r.over) for r in results)
-    calm = [r for r in results if r.kind == "none"] or results
-
-    def at(share: float) -> float:
-        return (
-            round(overs[min(len(overs) - 1, int(share * len(overs)))], 4) + 0.0 if overs else 0.0
-        )  # not -0.0
-
+    """The report: figures of the runs with a store, beside those of both comparisons."""
+    even_split = [result for result in results if result.kind == EVEN_SPLIT]
+    no_store = [result for result in results if result.kind == NO_STORE]
+    with_store = [result for result in results if result.kind not in (EVEN_SPLIT, NO_STORE)]
+    without_faults = [result for result in with_store if result.kind == "none"] or with_store
+    overshoots = sorted(max(0.0, result.overshoot) for result in with_store)
     return {
-        "runs": len(results),
-        "broken": sum(r.broken for r in results),
-        "worst_overshoot_share": at(1.0),
-        "overshoot_p50_p99_max": [at(0.5), at(0.99), at(1.0)],
-        "calls_per_request": _ratio(sum(r.calls for r in calm), sum(r.requests for r in calm)),
-        "refused_with_room_share": _refused(calm),
-        "refused_with_room_share_even_split": _refused(even),
-        "refused_with_room_share_no_store": _refused(today),
+        "runs": len(with_store),
+        "broken": sum(result.broken for result in with_store),
+        "worst_overshoot_share": _percentile(overshoots, 1.0),
+        "overshoot_p50_p99_max": [_percentile(overshoots, share) for share in (0.5, 0.99, 1.0)],
+        "calls_per_request": _ratio(
+            sum(result.store_calls for result in without_faults),
+            sum(result.requests for result in without_faults),
+        ),
+        "refused_with_room_share": _rejected_share(without_faults),
+        "refused_with_room_share_even_split": _rejected_share(even_split),
+        "refused_with_room_share_no_store": _rejected_share(no_store),
         "worst_overshoot_of_quota_no_store": round(
-            max((r.over_quota for r in today), default=0.0), 4
+            max((result.quota_overshoot for result in no_store), default=0.0), 4
         ),
         "by_fault": {
-            kind: _of_kind([r for r in results if r.kind == kind])
-            for kind in dict.fromkeys(r.kind for r in results)
+            kind: _summary_of_kind([result for result in with_store if result.kind == kind])
+            for kind in dict.fromkeys(result.kind for result in with_store)
         },
     }
 
 
-def _refused(results: list[Result]) -> float:
-    return _ratio(sum(r.refused_with_room for r in results), sum(r.with_room for r in results))
-
-
-def _of_kind(results: list[Result]) -> dict[str, Any]:
+def _summary_of_kind(results: list[Result]) -> dict[str, Any]:
     return {
         "runs": len(results),
-        "broken": sum(r.broken for r in results),
-        "worst_overshoot_share": round(max(0.0, *[r.over for r in results]), 4),
+        "broken": sum(result.broken for result in results),
+        "worst_overshoot_share": round(max(0.0, *[result.overshoot for result in results]), 4),
         "calls_per_kept_request": _ratio(
-            sum(r.calls for r in results), sum(r.kept_requests for r in results)
+            sum(result.store_calls for result in results),
+            sum(result.stored_requests for result in results),
         ),
-        "refused_with_room_share": _refused(results),
-        "went_to_even_share": sum(r.away for r in results),
-        "late_answers": sum(r.late for r in results),
-        "broken_seeds": [r.seed for r in results if r.broken],
+        "refused_with_room_share": _rejected_share(results),
+        "went_to_even_share": sum(result.absences for result in results),
+        "late_answers": sum(result.late_answers for result in results),
+        "broken_seeds": [result.seed for result in results if result.broken],
     }
 
 
+def _percentile(ordered: list[float], share: float) -> float:
+    if not ordered:
+        return 0.0
+    value = ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return round(value, 4) + 0.0  # not -0.0
+
+
+def _rejected_share(results: list[Result]) -> float:
+    return _ratio(
+        sum(result.admissible_rejected_units for result in results),
+        sum(result.admissible_units for result in results),
+    )
+
+
 def _ratio(part: float, whole: float) -> float:
     return round(part / whole, 5) if whole else 0.0
--- /dev/null
+++ b/hazelhollow/bench/store_commands.py
@@ -0,0 +1,163 @@
+"""`hazelhollow bench store` and `cpu`: limiters with a shared store."""
+
+from __future__ import annotations
+
+import os
+import sys
+from typing import Any
+
+import click
+
+from hazelhollow.bench import cpu, store, store_faults
+from hazelhollow.bench.output import write_json
+
+EXIT_INTERRUPTED = 130
+
+
+@click.command("store")
+@click.option(
+    "--runs",
+    default=100,
+    show_default=True,
+    type=click.IntRange(1, 10_000),
+    help="Of each kind, by seeds in a row.",
+)
+@click.option("--seed", default=1, show_default=True, help="Of the first run.")
+@click.option("--limiters", default=3, show_default=True, type=click.IntRange(1, 200))
+@click.option(
+    "--seconds",
+    default=40.0,
+    show_default=True,
+    type=click.FloatRange(12.0, 600.0),
+    help="Of virtual time, each run.",
+)
+@click.option(
+    "--faults",
+    multiple=True,
+    type=click.Choice([*store_faults.KINDS, "all"]),
+    help="Kinds; several may be given. [default: all]",
+)
+@click.option(
+    "--hold",
+    default="both",
+    show_default=True,
+    type=click.Choice(["both", "ceilings", "quotas"]),
+    help="The limits that the store keeps.",
+)
+@click.option(
+    "--plans",
+    default="",
+    metavar="A,B",
+    help="Whose limits it keeps. [default: those with a ceiling]",
+)
+@click.option(
+    "--uneven",
+    is_flag=True,
+    help=(
+        "Nine tenths of a customer's requests come through one limiter, another every few "
+        "seconds."
+    ),
+)
+@click.option(
+    "--processes",
+    default=0,
+    type=click.IntRange(0, 256),
+    help="At once. [default: as many as there are cores]",
+)
+@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
+def store_command(
+    runs: int,
+    seed: int,
+    limiters: int,
+    seconds: float,
+    faults: tuple[str, ...],
+    hold: str,
+    plans: str,
+    uneven: bool,
+    processes: int,
+    file: str | None,
+) -> None:
+    """Month-end load on limiters that keep their limits in a store, against the stand-in.
+
+    For each kind of fault so many runs, and as many with even shares and with no store for
+    comparison. A run is broken if any customer's limit was passed by more than 10% of its burst or
+    one largest request, and 150 ms of its rate. Exit status 1: some run was broken.
+    """
+    kinds = list(store_faults.KINDS)
+    if faults and "all" not in faults:
+        kinds = list(dict.fromkeys(faults))
+    names = tuple(name for name in plans.split(",") if name)
+    jobs = [
+        store.Job(
+            number, kind, limiters, seconds, hold, kind != store_faults.NO_STORE, names, uneven
+        )
+        for kind in [*kinds, store_faults.EVEN_SPLIT, store_faults.NO_STORE]
+        for number in range(seed, seed + runs)
+    ]
+    figures = store.summary(_play(jobs, processes or os.cpu_count() or 1))
+    if file:
+        write_json(figures, file)
+    else:
+        _print_table(figures)
+    sys.exit(1 if figures["broken"] else 0)
+
+
+def _play(jobs: list[store.Job], processes: int) -> list[store.Result]:
+    """All results; ends the program with a status of 130 if it is interrupted."""
+    results = list[store.Result]()
+    try:
+        for result in store.play_all(jobs, processes):
+            results.append(result)
+            if sys.stderr.isatty():
+                broken = sum(result.broken for result in results)
+                text = f"\r{len(results)} of {len(jobs)} runs, {broken} broken"
+                click.echo(text, nl=False, err=True)
+    except KeyboardInterrupt:
+        click.echo(f"\nstopped after {len(results)} of {len(jobs)} runs; no figures", err=True)
+        sys.exit(EXIT_INTERRUPTED)
+    return results
+
+
+def _print_table(figures: dict[str, Any]) -> None:
+    for name, value in figures.items():
+        if name != "by_fault":
+            click.echo(f"{name:40} {value}")
+    for kind, row in figures["by_fault"].items():
+        click.echo(
+            f"  {kind:14} broken {row['broken']:3}  over "
+            f"{row['worst_overshoot_share']:7.4f}  calls a kept request "
+            f"{row['calls_per_kept_request']:.3f}  refused with room "
+            f"{row['refused_with_room_share']:.4f}"
+        )
+
+
+@click.command("cpu")
+@click.option(
+    "--pairs",
+    default=5,
+    show_default=True,
+    type=click.IntRange(1, 100),
+    help="Of runs, without the store and with it in turn.",
+)
+@click.option(
+    "--requests",
+    default=8000,
+    show_default=True,
+    type=click.IntRange(160, 1_000_000),
+    help="In each run.",
+)
+@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
+def cpu_command(pairs: int, requests: int, file: str | None) -> None:
+    """CPU a request of a limiter on sockets, with a store and without.
+
+    Needs a quiet machine: only the ratio counts.
+    """
+    rows = []
+    for row in cpu.compare(pairs, requests):
+        rows.append(row)
+        click.echo(
+            f"{len(rows)} of {pairs}: {row['without_us']:.0f} and {row['with_us']:.0f} "
+            f"µs, ratio {row['ratio']:.3f}",
+            err=True,
+        )
+    write_json(cpu.summary(rows), file)
--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -1,336 +1,111 @@
-"""A world in virtual time.
+"""A site in virtual time: limiters, the store that they share, and clients under a month-end load.
 
-Limiters (the real decision module, ledger, link), one stand-in store, clients, and what fails.
-
-Nothing here decides what the product decides. The network delays bytes and keeps the order within a
-connection; backend hosts answer everything after a short while, so that only limits refuse.
+`store` builds one site for each run, injects faults into it and reads its log.
 """
 
 from __future__ import annotations
 
-import heapq
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
-from typing import Any
 
 from hazelhollow.bench import load
+from hazelhollow.bench.simulated_limiter import SimulatedLimiter, Site
+from hazelhollow.bench.simulated_store import SimulatedStore
+from hazelhollow.bench.virtual_time import Timeline
 from hazelhollow.decisions import interface as api
-from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.gossip.codec import base36
-from hazelhollow.net.engine_driver import Decisions
 from hazelhollow.operator.settings import StoreSettings
-from hazelhollow.shared_store.client import StoreClient
-from hazelhollow.shared_store.lease_ledger import LeaseLedger
-from hazelhollow.shared_store.leased_decisions import LeasedDecisions
-from hazelhollow.shared_store.link import Credentials
 from hazelhollow.standins.redis.node import Node
-from hazelhollow.standins.redis.session import Session
-
-START = 1_800_000_000.0
-TO_STORE = (0.0007, 0.0013)  # seconds one way
-TO_PEER = (0.0019, 0.030)
-PEER_LOSS = 0.05
-ANSWER = 0.02  # seconds in which a backend host answers
-CALL_COST = 0.00004  # seconds that a store takes for a call
-HOSTS = 12
-# seconds in which a fleet and its store get to know their customers, who are calm meanwhile
-WARM_UP = 8.0
-
-
-class World:
-    """The clock and what is to happen."""
-
-    def __init__(self, seed: int) -> None:
-        self.now, self.chance = START, random.Random(seed)
-        self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._serial = 0
-
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        self._serial += 1
-        heapq.heappush(self._heap, (max(when, self.now), self._serial, call, args))
-
-    def run(self, until: float) -> None:
-        while self._heap and self._heap[0][0] <= until:
-            self.now, _, call, args = heapq.heappop(self._heap)
-            call(*args)
-        self.now = until
-
-
-class StoreHost:
-    """The stand-in node in this world."""
-
-    def __init__(self, world: World, node: Node) -> None:
-        self.world, self.node = world, node
-        self.wires: dict[int, Wire] = {}
-        self._at = float("inf")
-
-    def advance(self) -> None:
-        for out in self.node.turn():
-            wire = self.wires.get(out.session.id)
-            if wire:
-                wire.from_store(out.data, out.closes)
-        due = self.node.next_at()
-        if due is not None and due < self._at:
-            self._at = max(due, self.world.now)
-            self.world.at(self._at, self._due)
-
-    def _due(self) -> None:
-        self._at = float("inf")
-        self.advance()
-
 
-class Wire:
-    """One connection of a limiter to the store.
-
-    Bytes in their order, after a delay, or lost while the way is cut.
-    """
-
-    def __init__(self, member: Member, host: StoreHost, session: Session) -> None:
-        self.member, self.host, self.session, self.world = member, host, session, member.world
-        self.over = False
-        self._there = self._back = 0.0  # when the last bytes arrive
-        host.wires[session.id] = self
-
-    def to_store(self, data: bytes) -> None:
-        if not self.over and not self.member.cut_off:
-            self._there = max(self._there, self.world.now + self.world.chance.uniform(*TO_STORE))
-            self.world.at(self._there, self._feed, data)
-
-    def _feed(self, data: bytes) -> None:
-        self.session.feed(data)
-        self.host.advance()
-
-    def from_store(self, data: bytes, cut: bool) -> None:
-        if not self.over and not self.member.cut_off:
-            self._back = max(self._back, self.world.now + self.world.chance.uniform(*TO_STORE))
-            self.world.at(self._back, self.member.heard, self, data, cut)
-
-    def end(self) -> None:
-        self.over = True
-        self.host.wires.pop(self.session.id, None)
-        self.host.node.disconnect(self.session)
+START = 1_800_000_000.0  # seconds; the first instant of each run
+WARM_UP_S = 8.0  # customers are calm until limiters and the store know them
+LOAD_AFTER_S = 1.0  # limiters are up before the first request
+START_INTERVAL_S = 0.05  # between the starts of limiters,
+START_ROUND = 10  # of which so many are apart
+RETRY_TRAVEL_S = 0.002  # on the way of a retry, besides the client's wait
+# Where load is uneven: shares of a customer's requests through one limiter and all the others.
+DOMINANT_SHARE, OTHERS_SHARE = 0.9, 0.1
 
 
 @dataclass
-class Sent:
-    """One request's first attempt, as a backend host has it."""
+class RequestLog:
+    """What clients saw of a run.
 
-    at: float
-    units: float
-
-
-@dataclass
-class Log:
-    """What clients and hosts saw."""
+    Args:
+        requests: Requests and retries that reached a limiter.
+        on_request: Called with each arrival and whether the limiter admitted it.
+    """
 
     requests: int = 0
-    refused: int = 0
-    sent: dict[str, list[Sent]] = field(default_factory=dict)
     on_request: Callable[[load.Arrival, bool], None] | None = None
 
 
-class Member:
-    """One limiter, through all its incarnations."""
+@dataclass(frozen=True)
+class SiteOptions:
+    """What a run plays.
 
-    def __init__(
-        self,
-        world: World,
-        number: int,
-        settings: api.Settings,
-        terms: StoreSettings | None,
-        host: StoreHost | None,
-    ) -> None:
-        self.world, self.number, self.settings, self.terms, self.host = (
-            world,
-            number,
-            settings,
-            terms,
-            host,
-        )
-        self.peers: list[Member] = []
-        self.cut_off = self.paused = False
-        self.dead = True  # until its start
-        self.skew = 0.0  # of this limiter's clock
-        self.wire: Wire | None = None
-        self.exchange: StoreClient | None = None
-        self.ledger: LeaseLedger | None = None
-        self.decisions: Decisions
-        self._life = 0
-        self._held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self._advance_at = float("inf")
-        self.calls = 0.0
-
-    def clock(self) -> float:
-        return self.world.now + self.skew
-
-    # Lives
-
-    def start(self) -> None:
-        self.dead = False
-        self._life += 1
-        now, seed = self.clock(), self.world.chance.getrandbits(32)
-        self.decisions = DecisionEngine(self.settings, seed)
-        self.exchange = self.ledger = None
-        if self.terms and self.host:
-            self.ledger = LeaseLedger(self.settings, self.terms, base36(int(now * 1000)), now)
-            self.exchange = StoreClient(self.ledger, self.terms, seed)
-            self.decisions = LeasedDecisions(self.decisions, self.ledger, self._pump)
-            self._connect(self._life)
-            self._arm()
-        entries = tuple(api.EndpointEntry(f"s{n}", "up", "a", n % 3, 1.0) for n in range(HOSTS))
-        self.handle(api.EndpointsUpdated("full", entries))
-
-    def kill(self) -> None:
-        self.dead = True
-        self.calls += self.ledger.counts["calls"] if self.ledger else 0.0
-        self._life += 1
-        self._held.clear()
-        if self.wire:
-            self.wire.end()
-            self.wire = None
-
-    def pause(self, on: bool) -> None:
-        """What comes meanwhile waits, as it does for a stopped process."""
-        self.paused = on
-        held, self._held = ([], self._held) if on else (self._held, [])
-        for call, args in held:
-            call(*args)
-
-    def _later(self, call: Callable[..., None], *args: Any) -> bool:
-        if self.paused:
-            self._held.append((call, args))
-        return self.paused
-
-    # The decision module
-
-    def handle(self, event: api.Event) -> list[api.Action]:
-        actions = self.decisions.handle(event, self.clock())
-        for action in actions:
-            if isinstance(action, api.StartAttempt):
-                outcome = api.AttemptEnded(action.id, 0, action.endpoint, "ok", ANSWER, final=True)
-                self.world.at(self.world.now + ANSWER, self._event, self._life, outcome)
-            elif isinstance(action, api.SetTimer):
-                self.world.at(
-                    self.world.now + action.delay,
-                    self._event,
-                    self._life,
-                    api.TimerFired(action.name),
-                )
-            elif isinstance(action, api.SendGossip) and self.world.chance.random() >= PEER_LOSS:
-                self.world.at(
-                    self.world.now + self.world.chance.uniform(*TO_PEER),
-                    self.peers[action.limiter_id].told,
-                    self.number,
-                    action.text,
-                )
-        return actions
-
-    def _event(self, incarnation: int, event: api.Event) -> None:
-        if incarnation == self._life and not self._later(self._event, incarnation, event):
-            self.handle(event)
-
-    def told(self, sender: int, text: str) -> None:
-        if not self.dead and not self._later(self.told, sender, text):
-            self.handle(api.GossipReceived(sender, text))
-
-    # The store
-
-    def _connect(self, incarnation: int) -> None:
-        if incarnation != self._life or self._later(self._connect, incarnation):
-            return
-        assert self.host and self.exchange
-        session = None if self.cut_off else self.host.node.connect()
-        if session is None:
-            self.world.at(self.world.now + self.exchange.retry_in(), self._connect, incarnation)
-            return
-        self.wire = Wire(self, self.host, session)
-        self.exchange.opened(Credentials(), self.clock())
-        self._flush()
-
-    def heard(self, wire: Wire, data: bytes, cut: bool) -> None:
-        if wire is not self.wire or self._later(self.heard, wire, data, cut):
-            return
-        assert self.exchange
-        why = self.exchange.receive(data, self.clock()) if data else ""
-        if cut or why:
-            self._close()
-        self._flush()
-
-    def _close(self) -> None:
-        assert self.exchange
-        if self.wire:
-            self.wire.end()
-            self.wire = None
-            self.exchange.closed(self.clock())
-            self.world.at(self.world.now + self.exchange.retry_in(), self._connect, self._life)
+    Args:
+        seed: The same seed draws the same load, whatever the store does.
+        limiters: How many limiters there are.
+        seconds: Of load.
+        store_settings: The operator's settings of the store; None: there is no store.
+        make_node: Makes the stand-in of the store from a clock.
+        uneven: Whether most requests of a customer come through one limiter.
+    """
 
-    def _pump(self) -> None:
-        if self.exchange:
-            self.exchange.pump(self.clock())
-            self._flush()
+    seed: int
+    limiters: int
+    seconds: float
+    store_settings: StoreSettings | None
+    make_node: Callable[[Callable[[], float]], Node]
+    uneven: bool = False
 
-    def _flush(self) -> None:
-        data = self.exchange.take() if self.exchange else b""
-        if data and self.wire:
-            self.wire.to_store(data)
-        self._arm()
 
-    def _arm(self) -> None:
-        assert self.exchange
-        due = self.exchange.next_at(self.clock()) - self.skew
-        if due < self._advance_at - 1e-9:
-            self._advance_at = due
-            self.world.at(due, self._advance, self._life, due)
+@dataclass
+class _Client:
+    """The draws and the coming arrivals of one customer."""
 
-    def _advance(self, incarnation: int, due: float) -> None:
-        if due == self._advance_at:
-            self._advance_at = float("inf")
-        if incarnation != self._life or self._later(self._advance, incarnation, due):
-            return
-        assert self.exchange
-        if self.exchange.advance(self.clock()):
-            self._close()
-        self._flush()
+    draw: random.Random
+    arrivals: Iterator[load.Arrival] = field(repr=False)
 
 
-class Fleet:
+class LimiterSite:
     """All limiters, the store and the clients of one run."""
 
-    def __init__(
-        self,
-        seed: int,
-        gateways: int,
-        seconds: float,
-        terms: StoreSettings | None,
-        node: Callable[[Callable[[], float]], Node],
-        uneven: bool = False,
-    ) -> None:
-        self.world, self.seconds, self.gateways = World(seed), seconds, gateways
-        self.log = Log()
-        draw = random.Random(f"load {seed}")  # the load is the same whatever the store does
+    def __init__(self, options: SiteOptions) -> None:
+        self.options, self.log = options, RequestLog()
+        self.timeline = timeline = Timeline(START)
+        # Of its own, so that the load is the same whatever the store does.
+        draw = random.Random(f"load {options.seed}")
         self.plans = load.draw_plans(draw)
-        self.host = StoreHost(self.world, node(lambda: self.world.now)) if terms else None
-        self.members = [
-            Member(self.world, n, self._settings(n), terms, self.host) for n in range(gateways)
-        ]
-        for member in self.members:
-            member.peers = self.members
-            # Limiters start one after another, and their store is there before them.
-            self.world.at(START + 0.05 * n_th(member.number), member.start)
-        self.customers = load.draw_customers(draw, self.plans, gateways, seconds, START)
+        store = None
+        if options.store_settings:
+            store = SimulatedStore(timeline, options.make_node(lambda: timeline.now))
+        self.limiters: list[SimulatedLimiter] = []
+        site = Site(
+            timeline, random.Random(options.seed), store, options.store_settings, self.limiters
+        )
+        for number in range(options.limiters):
+            limiter = SimulatedLimiter(site, self._settings(number))
+            self.limiters.append(limiter)
+            timeline.at(START + START_INTERVAL_S * (number % START_ROUND), limiter.start)
+        self.customers = load.draw_customers(
+            draw, self.plans, load.LoadSettings(options.limiters, START, options.seconds)
+        )
         for customer in self.customers:
-            customer.calm_until = START + WARM_UP
-        for customer in self.customers if uneven else ():
-            customer.weights = [0.9] + [0.1 / max(customer.spread - 1, 1)] * (customer.spread - 1)
+            customer.calm_until = START + WARM_UP_S
+        for customer in self.customers if options.uneven else ():
+            others = customer.set_size - 1
+            small_share = OTHERS_SHARE / max(others, 1)
+            customer.weights = [DOMINANT_SHARE] + [small_share] * others
             draw.shuffle(customer.weights)
         self._draw = draw
-        self._ids = 0
+        self._request_ids = 0
 
     def _settings(self, number: int) -> api.Settings:
         return api.Settings(
             number,
-            self.gateways,
+            self.options.limiters,
             load.CLASSES,
             self.plans,
             zone="a",
@@ -340,68 +115,57 @@
             max_retry_after=1.0,
         )
 
-    def run(self) -> Log:
-        warm = START + 1.0
+    def run(self) -> RequestLog:
+        """Play the whole load."""
+        begin, seconds = START + LOAD_AFTER_S, self.options.seconds
         for customer in self.customers:
             draw = random.Random(f"{customer.id} {self._draw.random()}")
-            stream = load.arrivals(draw, customer, warm, self.seconds)
-            self._next(draw, stream)
-        self.world.run(warm + self.seconds)
+            arrivals = load.arrivals(draw, customer, begin, seconds)
+            self._schedule_next(_Client(draw, arrivals))
+        self.timeline.run_until(begin + seconds)
         return self.log
 
-    def _next(self, draw: random.Random, stream: Any) -> None:
-        arrival = next(stream, None)
+    def _schedule_next(self, client: _Client) -> None:
+        arrival = next(client.arrivals, None)
         if arrival:
-            self.world.at(arrival.at, self._arrive, draw, stream, arrival)
+            self.timeline.at(arrival.at, self._arrive, client, arrival)
 
-    def _arrive(self, draw: random.Random, stream: Any, arrival: load.Arrival) -> None:
-        self._next(draw, stream)
-        self._try(draw, arrival, 0)
+    def _arrive(self, client: _Client, arrival: load.Arrival) -> None:
+        self._schedule_next(client)
+        self._attempt(client, arrival, 0)
 
-    def _try(self, draw: random.Random, arrival: load.Arrival, tries: int) -> None:
-        customer = arrival.customer
-        member = self.members[customer.limiter(draw, self.world.now, self.gateways)]
-        if member.dead or member.paused:
-            sent = None
-        else:
-            sent = self._ask(member, arrival)
-        if not sent and tries < load.RETRIES:
-            wait = draw.choice(load.RETRY_AFTER)
-            self.world.at(self.world.now + wait + 0.002, self._try, draw, arrival, tries + 1)
-
-    def _ask(self, member: Member, arrival: load.Arrival) -> bool:
-        self._ids += 1
+    def _attempt(self, client: _Client, arrival: load.Arrival, retries: int) -> None:
+        customer, draw = arrival.customer, client.draw
+        limiter = self.limiters[
+            customer.choose_limiter(draw, self.timeline.now, self.options.limiters)
+        ]
+        is_reachable = not (limiter.is_down or limiter.is_paused)
+        admitted = is_reachable and self._request(limiter, arrival)
+        if not admitted and retries < load.RETRIES:
+            retry_at = self.timeline.now + draw.choice(load.RETRY_AFTER_S) + RETRY_TRAVEL_S
+            self.timeline.at(retry_at, self._attempt, client, arrival, retries + 1)
+
+    def _request(self, limiter: SimulatedLimiter, arrival: load.Arrival) -> bool:
+        self._request_ids += 1
         customer = arrival.customer
-        kind = next(c for c in load.CLASSES if c.name == arrival.kind)
+        request_class = next(c for c in load.CLASSES if c.name == arrival.class_name)
         request = api.RequestArrived(
-            f"r{self._ids}",
-            kind.name,
+            f"r{self._request_ids}",
+            request_class.name,
             customer.plan.name,
             customer.id,
             arrival.units,
-            kind.deadline,
-            customer.first,
-            customer.spread,
+            request_class.deadline,
+            customer.set_start,
+            customer.set_size,
         )
         self.log.requests += 1
-        actions = member.handle(request)
-        sent = any(isinstance(a, api.StartAttempt) and a.id == request.id for a in actions)
+        actions = limiter.handle(request)
+        admitted = any(isinstance(a, api.StartAttempt) and a.id == request.id for a in actions)
         if self.log.on_request:
-            self.log.on_request(arrival, sent)
-        if sent:
-            self.log.sent.setdefault(customer.id, []).append(Sent(self.world.now, arrival.units))
-        else:
-            self.log.refused += 1
-        return sent
-
-    def calls(self) -> float:
-        """What the store was asked, over all incarnations of all limiters."""
-        return sum(
-            m.calls + (m.ledger.counts["calls"] if m.ledger and not m.dead else 0.0)
-            for m in self.members
-        )
-
+            self.log.on_request(arrival, admitted)
+        return admitted
 
-def n_th(number: int) -> float:
-    """Starts are spread over half a second at most, however many there are."""
-    return number % 10
+    def store_calls(self) -> float:
+        """Calls to the store, over all incarnations of all limiters."""
+        return sum(limiter.store_calls() for limiter in self.limiters)
--- a/hazelhollow/bench/zones.py
+++ b/hazelhollow/bench/zones.py
@@ -1,9 +1,7 @@
-"""The view of a large fleet while a zone dies, comes back, and a region is cut off.
+"""Membership of a large fleet while a zone dies and comes back and a region is cut off.
 
-What a member sends, and how long all take.
-
-The view's own modules on the virtual clock of `bench/fleet.py`. Rates are of datagrams with their
-headers (28 bytes each), the greatest of any member; times are seconds.
+Real `Membership` objects in virtual time, as in `fleet`. Rates are of datagrams with their headers,
+the greatest of any member; times are seconds.
 """
 
 from __future__ import annotations
@@ -13,7 +11,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hazelhollow.bench.fleet import Member, Sim
+from hazelhollow.bench.fleet import (
+    SimulatedFleet,
+    SimulatedMember,
+    no_allowance,
+    nothing_cut,
+)
 from hazelhollow.control_budget.budget import (
     HEADER_BYTES,
     BucketSettings,
@@ -27,30 +30,37 @@
 from hazelhollow.membership.records import MemberState
 from hazelhollow.membership.sender import Datagram
 
-VERSIONS = "i4pz002k3f9005wa1cz0q1"  # as the audit writes them, the same at all members
-SLOT = 0.25  # seconds that are counted together
+VERSIONS = "i4pz002k3f9005wa1cz0q1"  # the same at all members, in the form that they announce
+SLOT_S = 0.25  # bytes are counted by slots of this length
 ZONES, REGIONS = 6, 3
 LOST_ZONE, CUT_REGION = 5, 1
-PEACE = 10.0  # seconds of each measurement in peace, and the least of the others
-CUT_FOR = 20.0  # seconds for which a region is cut off at least
-LONGEST = 60.0  # seconds until a phase counts as not settled
+CALM_BEFORE_S = 15.0  # between the start and the first measurement
+MEASURED_S = 10.0  # at least, of each phase
+CUT_S = 20.0  # at least, that a region is cut off
+SETTLE_TIMEOUT_S = 60.0  # of each phase
 
 
 @dataclass
-class Ledger:
-    """Bytes with headers that each member has sent, by slot."""
+class TrafficCounter:
+    """Bytes with headers that each member has sent, by slot.
 
-    began: float = 0.0
-    bytes: dict[int, defaultdict[int, int]] = field(default_factory=dict)
+    Args:
+        began: Seconds; the begin of the first slot.
+        bytes_by_member: By member and slot.
+    """
+
+    began: float
+    bytes_by_member: dict[int, defaultdict[int, int]] = field(default_factory=dict)
 
     def add(self, member: int, size: int, now: float) -> None:
-        slots = self.bytes.setdefault(member, defaultdict(int))
-        slots[int((now - self.began) / SLOT)] += size
+        """Count a datagram of this size."""
+        slots = self.bytes_by_member.setdefault(member, defaultdict(int))
+        slots[int((now - self.began) / SLOT_S)] += size
 
-    def worst(self, seconds: float) -> float:
+    def peak(self, seconds: float) -> float:
         """Bytes a second of the member and window of so many seconds in which most was sent."""
-        width, most = round(seconds / SLOT), 0
-        for slots in self.bytes.values():
+        width, most = round(seconds / SLOT_S), 0
+        for slots in self.bytes_by_member.values():
             inside = 0
             for slot in range(max(slots) + 1):
                 inside += slots.get(slot, 0) - slots.get(slot - width, 0)
@@ -58,66 +68,83 @@
         return most / seconds
 
     def mean(self, seconds: float) -> float:
-        """Bytes a second of a member on the average."""
-        return (
-            sum(sum(slots.values()) for slots in self.bytes.values())
-            / max(1, len(self.bytes))
-            / seconds
-        )
+        """Bytes a second of a member on average over so many seconds."""
+        total = sum(sum(slots.values()) for slots in self.bytes_by_member.values())
+        return total / max(1, len(self.bytes_by_member)) / seconds
 
 
-class CountingSim(Sim):
-    """A simulation that knows what each member sends.
+class ObservedFleet(SimulatedFleet):
+    """A fleet that counts each member's traffic, and deaths of members that were up and in reach.
 
-    And which deaths were told of members that were up and within reach.
+    Args:
+        members: How many there are.
+        seed: Of all draws.
+        loss: Share of datagrams that are lost.
+        make_allowance: Makes the bound on what a member sends.
     """
 
     def __init__(
-        self, members: int, seed: int, lose: float, allowance: Callable[[float], Allowance | None]
+        self,
+        members: int,
+        seed: int,
+        loss: float,
+        make_allowance: Callable[[float], Allowance | None],
     ) -> None:
-        super().__init__(members, seed, lose, allowance, VERSIONS)
-        self.ledger = Ledger(self.now)
+        super().__init__(members, seed, loss, make_allowance, VERSIONS)
+        self.traffic = TrafficCounter(self.now)
         self.false_deaths: set[tuple[int, int]] = set()  # member held dead, and the second
 
-    def _pass(self, one: Member, sends: list[Datagram]) -> None:
-        for send in sends:
-            self.ledger.add(one.number, len(send.text) + HEADER_BYTES, self.now)
-        super()._pass(one, sends)
+    def send(self, member: SimulatedMember, datagrams: list[Datagram]) -> None:
+        """Count a member's datagrams and put them on their way."""
+        for datagram in datagrams:
+            self.traffic.add(member.number, len(datagram.text) + HEADER_BYTES, self.now)
+        super().send(member, datagrams)
 
     def begin_phase(self) -> None:
-        self.forget()
-        self.ledger = Ledger(self.now)
+        """Begin to count traffic anew."""
+        self.reset_counters()
+        self.traffic = TrafficCounter(self.now)
 
-    def _watch(self, one: Member, changed_members: list[int]) -> None:
+    def _note_changes(self, observer: SimulatedMember, changed_members: list[int]) -> None:
         for number in changed_members:
-            record, told = one.membership.table.get(number), self.members.get(number)
-            if record is None or record.state != MemberState.DEAD or told is None:
+            record, changed = observer.membership.table.get(number), self.members.get(number)
+            if record is None or record.state != MemberState.DEAD or changed is None:
                 continue
             if (
-                told.up
-                and record.incarnation == told.membership.own.incarnation
-                and not self.cut(one.number, number)
+                changed.is_up
+                and record.incarnation == changed.membership.own.incarnation
+                and not self.is_cut(observer.number, number)
             ):
                 self.false_deaths.add((number, round(self.now)))
-        super()._watch(one, changed_members)
+        super()._note_changes(observer, changed_members)
 
 
 def zone_of(member: int) -> int:
+    """The zone that a member is in."""
     return member % ZONES
 
 
 def region_of(member: int) -> int:
+    """The region that a member is in."""
     return member % REGIONS
 
 
 def allowances(bytes_per_s: float, contended: bool) -> Callable[[float], Allowance | None]:
-    """What makes the view's part of a budget of so many bytes a second (0: no bound).
+    """What makes each member's bound on membership traffic.
 
-    `contended`: the other roles use all that they can get, so that the view has its guaranteed rate
-    and no more. Raises ValueError for too few bytes.
+    Args:
+        bytes_per_s: The control budget of a limiter; 0: no bound.
+        contended: The other roles use all that they can get, so that membership has its guaranteed
+            rate and no more.
+
+    Returns:
+        A function of the instant at which a member starts.
+
+    Raises:
+        ValueError: The budget is too small.
     """
     if not bytes_per_s:
-        return lambda now: None
+        return no_allowance
     settings = settings_for(bytes_per_s)
     if contended:
         own = settings.roles[TrafficRole.MEMBERSHIP]
@@ -127,63 +154,86 @@
     return lambda now: RoleBudget(ControlBudget(settings, now), TrafficRole.MEMBERSHIP)
 
 
+class _Phases:
+    """Runs a fleet phase by phase and notes the figures of each."""
+
+    def __init__(self, fleet: ObservedFleet, progress: Callable[[str], None]) -> None:
+        self._fleet, self._progress = fleet, progress
+        self.found = dict[str, Any]()
+
+    def measure(
+        self, name: str, least: float = MEASURED_S, settled: Callable[[], bool] | None = None
+    ) -> None:
+        """Run until all agree, and at least so many seconds."""
+        fleet, began = self._fleet, self._fleet.now
+        settled_after = fleet.settle(settled, SETTLE_TIMEOUT_S)
+        fleet.run(max(0.0, least - (fleet.now - began)))
+        self.found[name] = {
+            "settled_s": None if settled_after is None else round(settled_after, 2),
+            "worst_second": round(fleet.traffic.peak(1.0)),
+            "worst_ten_seconds": round(fleet.traffic.peak(10.0)),
+            "mean": round(fleet.traffic.mean(fleet.now - began)),
+        }
+        self._progress(f"{len(fleet.members)} members: {name} {self.found[name]}")
+        fleet.begin_phase()
+
+
 def play(
     members: int,
     seed: int,
-    lose: float,
-    allowance: Callable[[float], Allowance | None],
+    loss: float,
+    make_allowance: Callable[[float], Allowance | None],
     progress: Callable[[str], None],
 ) -> dict[str, Any]:
-    """One fleet through a start, peace, the loss of a zone, its return, a region's cut and its
-    heal: figures by phase.
+    """Play one fleet through all phases.
+
+    These are a start, calm, the loss of a zone, its return, a region's cut and its heal.
+
+    Args:
+        members: How many there are.
+        seed: Of all draws.
+        loss: Share of datagrams that are lost, all the time.
+        make_allowance: Makes the bound on what a member sends.
+        progress: Called with the figures of each phase.
+
+    Returns:
+        Figures by phase, and the number of false deaths.
     """
-    sim = CountingSim(members, seed, lose, allowance)
-    found = dict[str, Any]()
-
-    def measure(name: str, met: Callable[[], bool] | None, least: float) -> None:
-        began = sim.now
-        settled = sim.settle(met, LONGEST)
-        sim.run(max(0.0, least - (sim.now - began)))
-        found[name] = {
-            "settled_s": None if settled is None else round(settled, 2),
-            "worst_second": round(sim.ledger.worst(1.0)),
-            "worst_ten_seconds": round(sim.ledger.worst(10.0)),
-            "mean": round(sim.ledger.mean(sim.now - began)),
-        }
-        progress(f"{members} members: {name} {found[name]}")
-        sim.begin_phase()
-
-    sim.start_all()
-    measure("start", None, PEACE)
-    sim.run(15.0)
-    sim.begin_phase()
-    measure("peace", None, PEACE)
-    lost = [n for n in range(members) if zone_of(n) == LOST_ZONE]
+    fleet = ObservedFleet(members, seed, loss, make_allowance)
+    phases = _Phases(fleet, progress)
+    fleet.start_all()
+    phases.measure("start")
+    fleet.run(CALM_BEFORE_S)
+    fleet.begin_phase()
+    phases.measure("peace")
+    lost = [number for number in range(members) if zone_of(number) == LOST_ZONE]
     for number in lost:
-        sim.kill(number)
-    measure("zone_lost", None, PEACE)
+        fleet.kill(number)
+    phases.measure("zone_lost")
     for number in lost:
-        sim.start(number)
-    measure("zone_back", None, PEACE)
-    cut = {n for n in range(members) if region_of(n) == CUT_REGION}
+        fleet.start(number)
+    phases.measure("zone_back")
+    cut = {number for number in range(members) if region_of(number) == CUT_REGION}
     rest = set(range(members)) - cut
-    sim.cut = lambda a, b: (a in cut) != (b in cut)
-    measure("region_cut", lambda: sim.agreed(cut) and sim.agreed(rest), CUT_FOR)
-    sim.cut = lambda a, b: False
-    measure("region_healed", None, PEACE)
-    found["false_deaths"] = len(sim.false_deaths)
-    return found
+    fleet.is_cut = lambda sender, receiver: (sender in cut) != (receiver in cut)
+    phases.measure("region_cut", CUT_S, lambda: fleet.agreed(cut) and fleet.agreed(rest))
+    fleet.is_cut = nothing_cut
+    phases.measure("region_healed")
+    phases.found["false_deaths"] = len(fleet.false_deaths)
+    return phases.found
 
 
 def report(
     sizes: list[int],
     seeds: int,
-    lose: float,
-    allowance: Callable[[float], Allowance | None],
+    loss: float,
+    make_allowance: Callable[[float], Allowance | None],
     progress: Callable[[str], None],
 ) -> dict[str, list[dict[str, Any]]]:
-    """By size, the figures of each seed."""
+    """The figures of `play` for each seed, by size."""
     return {
-        str(size): [play(size, seed, lose, allowance, progress) for seed in range(1, seeds + 1)]
+        str(size): [
+            play(size, seed, loss, make_allowance, progress) for seed in range(1, seeds + 1)
+        ]
         for size in sizes
     }
--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -4,7 +4,7 @@
 
 from hypothesis import strategies as st
 
-from hazelhollow.bench.fleet import Sim
+from hazelhollow.bench.fleet import SimulatedFleet
 from hazelhollow.control_budget.budget import (
     ControlBudget,
     RoleBudget,
@@ -80,14 +80,14 @@
     return sent
 
 
-def settled(members: int, seed: int = 1, loss: float = 0.0) -> Sim:
-    sim = Sim(members, seed, loss)
+def settled(members: int, seed: int = 1, loss: float = 0.0) -> SimulatedFleet:
+    sim = SimulatedFleet(members, seed, loss)
     sim.start_all()
     assert sim.settle(longest=10.0) is not None
     return sim
 
 
-def states(sim: Sim, observer: int) -> dict[int, str]:
+def states(sim: SimulatedFleet, observer: int) -> dict[int, str]:
     return {
         number: state
         for number, (state, _) in sim.members[observer].membership.member_states().items()
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -6,7 +6,7 @@
 
 from hazelhollow.bench import fleet as bench
 from hazelhollow.bench import zones
-from hazelhollow.bench.fleet import Sim
+from hazelhollow.bench.fleet import SimulatedFleet
 from hazelhollow.control_budget.budget import (
     TrafficRole,
     settings_for,
@@ -29,7 +29,7 @@
     """Two of eight never start. The others hold them dead, and agree again once one of them
     starts.
     """
-    sim = Sim(8, 1)
+    sim = SimulatedFleet(8, 1)
     for number in range(2, 8):
         sim.start(number)
     assert sim.settle(longest=10.0) is not None
@@ -59,10 +59,10 @@
 def test_both_sides_of_a_partition_settle_and_then_together(seed: int) -> None:
     """A partition: each side holds the other dead. It heals, and all agree."""
     sim = settled(12, seed)
-    sim.cut = lambda a, b: (a < 5) != (b < 5)
+    sim.is_cut = lambda a, b: (a < 5) != (b < 5)
     assert sim.settle(lambda: sim.agreed(range(5)) and sim.agreed(range(5, 12)), 10.0) is not None
     assert states(sim, 0)[11] == "dead"
-    sim.cut = lambda a, b: False
+    sim.is_cut = lambda a, b: False
     assert sim.settle(longest=5.0) is not None
 
 
@@ -71,8 +71,8 @@
     long, both report it.
     """
     sim = settled(8)
-    sim.cut = lambda a, b: {a, b} == {2, 6}
-    sim.forget()
+    sim.is_cut = lambda a, b: {a, b} == {2, 6}
+    sim.reset_counters()
     sim.run(15.0)
     assert sim.deaths == [] and sim.agreed()
     assert sim.members[2].membership.unreachable() == [6] and sim.members[
@@ -81,7 +81,7 @@
     assert sim.members[2].membership.cannot_hear_us() == (6,) and {
         r.unreachable for r in sim.members[4].membership.table if r.number == 2
     } == {(6,)}
-    sim.cut = lambda a, b: False
+    sim.is_cut = lambda a, b: False
     sim.run(8.0)
     assert (
         sim.members[2].membership.unreachable() == []
@@ -94,7 +94,7 @@
     dies.
     """
     sim = settled(8)
-    sim.cut = lambda a, b: (a, b) == (2, 6)
+    sim.is_cut = lambda a, b: (a, b) == (2, 6)
     sim.run(15.0)
     assert (
         sim.members[6].membership.unreachable() == [2]
@@ -108,10 +108,10 @@
     arrive again.
     """
     sim = settled(6)
-    sim.cut = lambda a, b: a == 3
+    sim.is_cut = lambda a, b: a == 3
     sim.run(8.0)
     assert all(states(sim, n)[3] == "dead" for n in range(6) if n != 3)
-    sim.cut = lambda a, b: False
+    sim.is_cut = lambda a, b: False
     assert sim.settle(longest=5.0) is not None
 
 
@@ -119,9 +119,9 @@
     """A partition comes and goes twice a second. Once links hold, all agree."""
     sim = settled(10)
     for turn in range(12):
-        sim.cut = (lambda a, b: (a < 5) != (b < 5)) if turn % 2 else (lambda a, b: False)
+        sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if turn % 2 else (lambda a, b: False)
         sim.run(0.5)
-    sim.cut = lambda a, b: False
+    sim.is_cut = lambda a, b: False
     assert sim.settle(longest=5.0) is not None
 
 
@@ -143,7 +143,7 @@
 
 def test_a_member_that_left_is_not_dead_and_can_come_back() -> None:
     sim = settled(6)
-    sim._pass(sim.members[2], sim.members[2].membership.leave(sim.now))
+    sim.send(sim.members[2], sim.members[2].membership.leave(sim.now))
     sim.kill(2)
     sim.run(3.0)
     assert {states(sim, n)[2] for n in (0, 1, 3)} == {"left"}
@@ -166,7 +166,7 @@
     """One member holds a record that no longer rides along. Differing digests make the others
     ask for it.
     """
-    sim = Sim(7, 1)
+    sim = SimulatedFleet(7, 1)
     for number in range(6):
         sim.start(number)
     assert sim.settle(longest=10.0) is not None
@@ -186,10 +186,10 @@
     for members in (8, 48):
         sim = settled(members, loss=0.1)
         sim.run(20.0)
-        sim.forget()
+        sim.reset_counters()
         sim.run(10.0)
         assert sim.deaths == []
-        rates.append(sim.sent / members)
+        rates.append(sim.sent_datagrams / members)
     assert rates[1] < 1.3 * rates[0]
 
 
@@ -214,15 +214,15 @@
     """A partition with more members on each side than are pinged at once heals. Nobody dies for
     want of a ping.
     """
-    sim = zones.CountingSim(48, 3, 0.0, lambda now: None)
+    sim = zones.ObservedFleet(48, 3, 0.0, lambda now: None)
     sim.start_all()
     assert sim.settle() is not None
     cut = set(range(16))
     rest = set(range(16, 48))
-    sim.cut = lambda a, b: (a in cut) != (b in cut)
+    sim.is_cut = lambda a, b: (a in cut) != (b in cut)
     assert sim.settle(lambda: sim.agreed(cut) and sim.agreed(rest)) is not None
     sim.false_deaths.clear()
-    sim.cut = lambda a, b: False
+    sim.is_cut = lambda a, b: False
     assert sim.settle() is not None
     assert not sim.false_deaths
 
@@ -231,7 +231,7 @@
     """All members ask the one whose table differs. What it sends that is older is answered with
     what is newer.
     """
-    sim = Sim(8, 1)
+    sim = SimulatedFleet(8, 1)
     sim.start_all()
     assert sim.settle() is not None
     member = sim.members[2].membership
--- a/tests/replication/test_bench.py
+++ b/tests/replication/test_bench.py
@@ -8,57 +8,62 @@
 import pytest
 from click.testing import CliRunner
 
-from hazelhollow.bench import model, replica
+from hazelhollow.bench import replica
 from hazelhollow.bench.commands import bench
+from hazelhollow.bench.count_model.cluster import Bounds, Step
+from hazelhollow.bench.count_model.exploration import explore, play
+from hazelhollow.bench.count_model.fault_plan import as_plan
+from hazelhollow.bench.count_model.planted_mistakes import plant_mistake
+from hazelhollow.bench.errors import InvariantError
 from hazelhollow.fault_injection import plan
 from hazelhollow.fault_injection.run_commands import _earlier
 
-CHARGE, TURN, COUNTS = ("charge", 0), ("turn",), ("counts", 0, 1)
-FAST = model.Bounds(charges=1, sends=2, turns=3, crashes=0, copies=0, depth=9)
+CHARGE, TURN, COUNTS = Step("charge", (0,)), Step("turn"), Step("counts", (0, 1))
+FAST = Bounds(charges=1, sends=2, turns=3, crashes=0, copies=0, depth=9)
 
 
 @pytest.mark.parametrize(
     "bounds",
     [
-        model.Bounds(depth=5),
-        model.Bounds(charges=1, sends=1, turns=2, copies=0, depth=7),
+        Bounds(depth=5),
+        Bounds(charges=1, sends=1, turns=2, copies=0, depth=7),
         FAST,
-        model.Bounds(members=3, lags=0, copies=0, depth=4),
+        Bounds(members=3, lags=0, copies=0, depth=4),
     ],
 )
-def test_in_every_order_up_to_these_bounds_each_charge_counts_once(bounds: model.Bounds) -> None:
-    found = model.explore(bounds)
-    assert found.why == "" and found.states > 100
+def test_in_every_order_up_to_these_bounds_each_charge_counts_once(bounds: Bounds) -> None:
+    found = explore(bounds)
+    assert found.failure == "" and found.states > 100
 
 
-LATE = model.Bounds(members=3, turns=4, copies=0, lags=0, depth=12)
+LATE = Bounds(members=3, turns=4, copies=0, lags=0, depth=12)
 PLANTED = [
     ("late gossip counts beside its count", FAST, ()),
     ("a count forgets what gossip told", FAST, ()),
     ("who spoke last is right", LATE, (CHARGE, TURN, TURN, COUNTS, CHARGE, TURN, TURN)),
-    ("catch-up forgets what was charged meanwhile", model.Bounds(depth=4), ()),
+    ("catch-up forgets what was charged meanwhile", Bounds(depth=4), ()),
 ]
 
 
 @pytest.mark.parametrize(("name", "bounds", "first"), PLANTED)
 def test_planted_mistakes_are_found_and_become_plans(
-    name: str, bounds: model.Bounds, first: tuple[model.Step, ...], tmp_path: Path
+    name: str, bounds: Bounds, first: tuple[Step, ...], tmp_path: Path
 ) -> None:
     """A mistake in merge, gossip or catch-up: the model must find it and make a plan of it."""
-    with model.planted(name):
-        found = model.explore(bounds, first=first)
-    assert found.why and len(found.steps) <= bounds.depth
-    drill = model.as_plan(bounds, found.steps, found.why)
+    with plant_mistake(name):
+        found = explore(bounds, first=first)
+    assert found.failure and len(found.steps) <= bounds.depth
+    drill = as_plan(bounds, found.steps, found.failure)
     plan.check(drill)
     (tmp_path / "plan.json").write_bytes(plan.write(drill))
     assert _earlier(tmp_path / "plan.json") == drill
     with (
-        pytest.raises(model.Broken),
-        model.planted(name),
+        pytest.raises(InvariantError),
+        plant_mistake(name),
     ):  # the same steps break it again, and only with the mistake
-        model.play(bounds, found.steps).check()
-        model.play(bounds, found.steps).finish()
-    model.play(bounds, found.steps).check()
+        play(bounds, found.steps).check()
+        play(bounds, found.steps).check_after_exchange()
+    play(bounds, found.steps).check()
 
 
 def test_the_command_says_what_broke_and_how(tmp_path: Path) -> None:
@@ -84,7 +89,7 @@
 @pytest.mark.parametrize("lose", [0.0, 0.3])
 def test_catch_up_tells_of_every_customer_once(lose: float) -> None:
     found = replica.catch_up(300, lose, seed=1)
-    assert found["told"] == 300 and found["seconds"] < replica.LONGEST
+    assert found["told"] == 300 and found["seconds"] < replica.CATCH_UP_TIMEOUT_S
 
 
 def test_what_a_member_sends_does_not_grow_with_the_fleet() -> None:
--- a/tests/shared_store/test_limiter.py
+++ b/tests/shared_store/test_limiter.py
@@ -62,7 +62,7 @@
         for kind, seed in [("mixed", 1), ("mixed", 2), ("restart_old", 1), ("down", 1), ("kill", 3)]
     ]
     results = [bench.play(job) for job in jobs]
-    assert not any(result.broken or result.over > 0 for result in results)
+    assert not any(result.broken or result.overshoot > 0 for result in results)
     assert bench.play(jobs[0]) == results[0] != results[1]
     figures = bench.summary(results)
     assert (
@@ -77,6 +77,8 @@
     for _ in range(28):
         bucket.take(1.0, 0.0)
     assert (
-        bucket.over_share() == 0.4 and bucket.broken(largest=6.0) and not bucket.broken(largest=7.0)
+        bucket.overshoot_share() == 0.4
+        and bucket.is_broken(largest_request=6.0)
+        and not bucket.is_broken(largest_request=7.0)
     )
-    assert bucket.fill(10.0) == 20.0
+    assert bucket.refill(10.0) == 20.0
