--- a/hazelhollow/bench/documents.py
+++ b/hazelhollow/bench/documents.py
@@ -1,12 +1,14 @@
-"""How long a document of settings takes to reach members within their budgets of control traffic.
+"""How long a settings document takes to reach all members within their control budgets.
 
-The audit's own cutting, asking and giving, on a virtual clock, with a model of datagrams that are
-all taken 20 ms to arrive.
+The product's own packing, requests and answers in virtual time: `DocumentFetch` and `SendQueue`.
+The clock moves in steps, and datagrams arrive at the end of the step in which they leave.
 """
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
+from typing import Protocol
 
 from hazelhollow.configuration.distribution import codec
 from hazelhollow.configuration.distribution.exchange import (
@@ -30,92 +32,170 @@
 )
 from hazelhollow.control_budget.send_queue import SendQueue
 
-STEP = 0.05  # seconds of the virtual clock
-LONGEST = 3600.0  # seconds until it counts as never
+STEP_S = 0.05  # of the virtual clock
+TIMEOUT_S = 3600.0  # until it counts as never
+STEPS_PER_REQUEST = round(REQUEST_INTERVAL_S / STEP_S)
+DELTA_BASE = DeltaBase("base", {"step": 1})
 
 
-class Member:
-    """One that has the document, or takes it."""
-
-    def __init__(self, settings: BudgetSettings, has: bool) -> None:
-        allowance = RoleBudget(ControlBudget(settings, 0.0), TrafficRole.CONFIGURATION)
-        self.waiting = SendQueue[tuple[int, str]](allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
-        self.has = has
+class Source(Protocol):
+    """A member's document, as it gives it to others."""
 
+    digest: str
 
-BASE = DeltaBase("base", {"step": 1})
+    def answer_at_once(self, request: codec.PieceRequest, /) -> list[str]:
+        """The datagrams that answer a request."""
 
 
-class _Given:
-    """A whole document of so many pieces, whatever they say."""
+class OpaqueDocument:
+    """A complete document of so many pieces, whatever they say."""
 
     def __init__(self, pieces: int) -> None:
         self.digest = "digest"
         self._pieces = [f"{n:x}".rjust(codec.PIECE_CHARACTERS, "0") for n in range(pieces)]
 
-    def answer_at_once(self, asked: codec.PieceRequest) -> list[str]:
+    def answer_at_once(self, request: codec.PieceRequest, /) -> list[str]:
+        """The pieces that were asked for, by default the first."""
         total = len(self._pieces)
         return [
-            codec.encode_piece(codec.Piece(1, self.digest, n, total, self._pieces[n]))
-            for n in asked.pieces or (0,)
+            codec.encode_piece(codec.Piece(1, self.digest, number, total, self._pieces[number]))
+            for number in request.pieces or (0,)
         ]
 
 
-def _changed() -> DocumentSource:
-    """Settings that came after `BASE`, and the difference."""
+def _changed_document() -> DocumentSource:
+    """Settings that came after DELTA_BASE, and the delta from it."""
     history, document = SettingsHistory(), {"step": 2}
-    history.put(BASE.digest, BASE.document)
+    history.put(DELTA_BASE.digest, DELTA_BASE.document)
     history.put(settings_digest(document), document)
     return DocumentSource(1, document, history)
 
 
+class Member:
+    """A member that has the document or fetches it.
+
+    Args:
+        number: Its number.
+        settings: Its control budget.
+        fetch: How it fetches the document; None: it has it.
+    """
+
+    def __init__(self, number: int, settings: BudgetSettings, fetch: DocumentFetch | None) -> None:
+        budget = RoleBudget(ControlBudget(settings, 0.0), TrafficRole.CONFIGURATION)
+        self.queue = SendQueue[tuple[int, str]](budget, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
+        self.number, self.fetch = number, fetch
+        self._received = set[int]()
+
+    def answer(self, source: Source, request: codec.PieceRequest) -> list[str]:
+        """What it answers: from the document, or from the pieces that it has so far."""
+        return self.fetch.answer(request) if self.fetch else source.answer_at_once(request)
+
+    def receive(self, piece: codec.Piece, total: int) -> None:
+        """Take in a piece of so many; with the last it has the document."""
+        if self.fetch is None:
+            return
+        self._received.add(piece.number)
+        if len(self._received) == total:
+            self.fetch = None
+        else:
+            self.fetch.put(piece)
+
+
+@dataclass(frozen=True)
+class Distribution:
+    """What is distributed, and to whom.
+
+    Args:
+        members: How many there are.
+        holders: How many of them have the document at the start.
+        pieces: Of a complete document; 0: all get a delta in one piece.
+    """
+
+    members: int
+    holders: int
+    pieces: int
+
+
 def seconds_to_all(
-    members: int, holders: int, texts: int, bytes_per_s: float, contended: bool, seed: int
+    distribution: Distribution, bytes_per_s: float, contended: bool, seed: int
 ) -> float:
-    """Until every member has a document of so many pieces.
+    """Seconds until every member has the document.
+
+    Args:
+        distribution: What is distributed.
+        bytes_per_s: The control budget of each member.
+        contended: The other roles use all that they can get.
+        seed: Of all draws.
+
+    Returns:
+        The seconds; TIMEOUT_S or a little more if some member never got it.
 
-    Which `holders` of them have at the start; of none: until it has the difference from what it
-    acts on, in one.
+    Raises:
+        ValueError: The budget is too small.
     """
-    settings, chance, now = settings_for(bytes_per_s), random.Random(seed), 0.0
-    if contended:
-        own = settings.roles[TrafficRole.CONFIGURATION]
-        settings = BudgetSettings(
-            own.rate, {TrafficRole.CONFIGURATION: BucketSettings(own.rate, own.burst)}, 0.0
+    settings, draw, now = _budget(bytes_per_s, contended), random.Random(seed), 0.0
+    source: Source
+    if distribution.pieces:
+        source, base = OpaqueDocument(distribution.pieces), None
+    else:
+        source, base = _changed_document(), DELTA_BASE
+    members = [
+        Member(
+            number,
+            settings,
+            None if number < distribution.holders else DocumentFetch(1, source.digest, base),
         )
-    all_members = [Member(settings, number < holders) for number in range(members)]
-    given = _Given(texts) if texts else _changed()
-    base = None if texts else BASE
-    takers = {number: DocumentFetch(1, given.digest, base) for number in range(holders, members)}
-    got = {number: set[int]() for number in takers}
-    steps_per_request = round(REQUEST_INTERVAL_S / STEP)
-    while any(not one.has for one in all_members) and now < LONGEST:
-        now += STEP
-        having = [number for number, one in enumerate(all_members) if one.has]
-        mail = list[tuple[int, int, str]]()
-        for number, one in enumerate(all_members):
-            if not one.has and round(now / STEP) % steps_per_request == number % steps_per_request:
-                text = takers[number].next_budgeted_request(chance, now, bool(takers[number].base))
-                few = not takers[number].base and 2 * len(having) < members - 1
-                of_others = few and not (
-                    takers[number].may_be_short() and chance.random() < HOLDER_REQUEST_PROBABILITY
-                )
-                others = range(members) if of_others else having
-                giver = chance.choice([n for n in others if n != number])
-                if text is not None:
-                    one.waiting.add(REQUEST_RANK, len(text), (giver, text), now)
-            mail += [(number, to, text) for to, text in one.waiting.take_sendable(now)]
-        for sender, receiver, text in mail:
-            said, one = codec.decode(text), all_members[receiver]
-            if isinstance(said, codec.PieceRequest):
-                for line in (
-                    given.answer_at_once(said) if one.has else takers[receiver].answer(said)
-                ):
-                    if not one.waiting.contains((sender, line)):
-                        one.waiting.add(PIECE_RANK, len(line), (sender, line), now)
-            elif isinstance(said, codec.Piece) and not one.has:
-                got[receiver].add(said.number)
-                one.has = len(got[receiver]) == max(texts, 1)
-                if not one.has:
-                    takers[receiver].put(said)
+        for number in range(distribution.members)
+    ]
+    while any(member.fetch for member in members) and now < TIMEOUT_S:
+        now += STEP_S
+        datagrams = _send(members, draw, now)
+        for sender, receiver, text in datagrams:
+            message, member = codec.decode(text), members[receiver]
+            if isinstance(message, codec.PieceRequest):
+                for answer in member.answer(source, message):
+                    if not member.queue.contains((sender, answer)):
+                        member.queue.add(PIECE_RANK, len(answer), (sender, answer), now)
+            elif isinstance(message, codec.Piece):
+                member.receive(message, max(distribution.pieces, 1))
     return now
+
+
+def _budget(bytes_per_s: float, contended: bool) -> BudgetSettings:
+    settings = settings_for(bytes_per_s)
+    if not contended:
+        return settings
+    own = settings.roles[TrafficRole.CONFIGURATION]
+    roles = {TrafficRole.CONFIGURATION: BucketSettings(own.rate, own.burst)}
+    return BudgetSettings(own.rate, roles, 0.0)
+
+
+def _send(members: list[Member], draw: random.Random, now: float) -> list[tuple[int, int, str]]:
+    """What leaves in this step: sender, receiver and text."""
+    holders = [member.number for member in members if not member.fetch]
+    step, datagrams = round(now / STEP_S), list[tuple[int, int, str]]()
+    for member in members:
+        is_turn = step % STEPS_PER_REQUEST == member.number % STEPS_PER_REQUEST
+        if member.fetch and is_turn:
+            _request(member, members, holders, draw, now)
+        datagrams += [
+            (member.number, receiver, text) for receiver, text in member.queue.take_sendable(now)
+        ]
+    return datagrams
+
+
+def _request(
+    member: Member, members: list[Member], holders: list[int], draw: random.Random, now: float
+) -> None:
+    """Ask a holder; while these are few, mostly any member, for it may have some pieces."""
+    fetch = member.fetch
+    assert fetch
+    text = fetch.next_budgeted_request(draw, now, bool(fetch.base))
+    few_holders = not fetch.base and 2 * len(holders) < len(members) - 1
+    asks_anyone = few_holders and not (
+        fetch.may_be_short() and draw.random() < HOLDER_REQUEST_PROBABILITY
+    )
+    candidates = range(len(members)) if asks_anyone else holders
+    asked = draw.choice([number for number in candidates if number != member.number])
+    if text is not None:
+        member.queue.add(REQUEST_RANK, len(text), (asked, text), now)
--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -291,8 +291,12 @@
     """
     pieces, settings = 30, settings_for(4000.0)
     alone = pieces * MAX_DATAGRAM_BYTES / settings.roles[TrafficRole.CONFIGURATION].rate
-    assert documents.seconds_to_all(2, 1, pieces, 4000.0, True, 1) <= 2 * alone
-    assert documents.seconds_to_all(6, 1, pieces, 4000.0, True, 1) <= 6 * alone
+    assert (
+        documents.seconds_to_all(documents.Distribution(2, 1, pieces), 4000.0, True, 1) <= 2 * alone
+    )
+    assert (
+        documents.seconds_to_all(documents.Distribution(6, 1, pieces), 4000.0, True, 1) <= 6 * alone
+    )
 
 
 def test_a_piece_that_is_on_its_way_is_not_asked_for_again_at_once() -> None:
@@ -313,7 +317,9 @@
 def test_a_short_document_that_few_have_is_at_all_soon() -> None:
     """Its holder is asked half of the times, not once in so many as there are others."""
     for members in (6, 20, 50):
-        assert documents.seconds_to_all(members, 1, 1, 4000.0, False, 1) <= 2.0
+        assert (
+            documents.seconds_to_all(documents.Distribution(members, 1, 1), 4000.0, False, 1) <= 2.0
+        )
 
 
 def test_one_to_whom_pieces_come_asks_on_and_is_not_shut_out_meanwhile() -> None:
