--- a/hazelhollow/bench/cpu.py
+++ b/hazelhollow/bench/cpu.py
@@ -1,9 +1,7 @@
-"""CPU a request of a limiter on real sockets, with an operator file and without.
+"""CPU time per request of a limiter process on sockets, with a shared store and without.
 
-As a ratio of runs taken in turn.
-
-Machines are noisy, so only the ratio within one session says anything: the runs alternate, and each
-pair gives one ratio.
+Machines are noisy, so only ratios within one session say anything: runs with and without the store
+alternate, and each pair gives one ratio.
 """
 
 from __future__ import annotations
@@ -16,19 +14,25 @@
 import tempfile
 import time
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from pathlib import Path
 from statistics import median
+from typing import Any
 
 import orjson
 
+from hazelhollow.bench.errors import LimiterStartError
 from hazelhollow.net import resp
 
-# each asks 20 times a second, well inside its quota: both ways of running serve them all
+# Each asks 20 times a second, well within its quota: both ways of running serve all requests.
 CUSTOMERS = 40
-IN_FLIGHT = 16  # connections that ask at once ...
-BEAT = 0.02  # ... so often, in seconds
-READY = 15.0  # seconds for a program to say so
+CONNECTIONS = 16  # each makes one request in every interval
+REQUEST_INTERVAL_S = 0.02
+# Three seconds: customers become known, pools are connected and leases are taken.
+WARM_UP_REQUESTS = 2400
+START_TIMEOUT_S = 15.0
+STOP_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 SETTINGS = {
     "position": 0,
@@ -51,156 +55,175 @@
 
 
 @contextmanager
-def program(
-    *words: str, env: dict[str, str] | None = None, ready: bool = True
+def running_command(
+    *arguments: str, environment: dict[str, str] | None = None, waits_until_ready: bool = True
 ) -> Iterator[tuple[int, str]]:
-    """One of our commands as a process of its own.
+    """Run one of our commands as a process for as long as this lasts.
+
+    Args:
+        arguments: Of `hazelhollow`.
+        environment: Variables besides our own.
+        waits_until_ready: Whether the command prints a line with its address once it is ready.
 
-    Its number and, where it tells one, its address.
+    Yields:
+        Its process number, and its address or nothing.
     """
     with tempfile.TemporaryFile() as sink:
         process = subprocess.Popen(
-            [sys.executable, "-m", "hazelhollow", *words],
-            env={**os.environ, **(env or {})},
+            [sys.executable, "-m", "hazelhollow", *arguments],
+            env={**os.environ, **(environment or {})},
             stdout=subprocess.PIPE,
             stderr=sink,
             text=True,
         )
         try:
             assert process.stdout
-            line = process.stdout.readline().split() if ready else []
+            line = process.stdout.readline().split() if waits_until_ready else []
             yield process.pid, line[-1] if line else ""
         finally:
             process.send_signal(signal.SIGTERM)
-            process.wait(30)
+            process.wait(STOP_TIMEOUT_S)
 
 
-def cpu_of(pid: int) -> float:
-    """Seconds that a process has been on a CPU (schedstat.
-
-    Nanoseconds, where stat counts hundredths of a second).
-    """
+def cpu_seconds(pid: int) -> float:
+    """Seconds that a process has been on a CPU, to the nanosecond (from schedstat)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 def free_port() -> int:
+    """A port that nobody listens on now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
         return port
 
 
-def one_run(folder: Path, node: str, operator: str | None, requests: int) -> tuple[float, int]:
-    """Seconds of CPU a request, and how many were served."""
+def measure(
+    folder: Path, endpoint: str, operator_file: str | None, requests: int
+) -> tuple[float, int]:
+    """Run one limiter under load.
+
+    Args:
+        folder: For its files.
+        endpoint: Address of the only endpoint.
+        operator_file: Attaches the shared store; None: there is none.
+        requests: How many are measured.
+
+    Returns:
+        Seconds of CPU a request, and how many were served.
+
+    Raises:
+        LimiterStartError: The limiter did not come up.
+    """
     port = free_port()
-    known = {
-        "index": 1,
-        "snapshot": True,
-        "endpoints": [
-            {
-                "name": "s-1",
-                "address": node,
-                "zone": "a",
-                "group": 0,
-                "status": "in_service",
-                "weight": 1.0,
-                "since_ms": 0,
-            }
-        ],
+    config_file = folder / "config.json"
+    config_file.write_bytes(orjson.dumps(_config(port, endpoint)))
+    arguments = ["serve", "--log-level", "error"]
+    if operator_file:
+        arguments += ["--operator", operator_file]
+    environment = {"RELAY_CONFIG": str(config_file)}
+    with running_command(*arguments, environment=environment, waits_until_ready=False) as (pid, _):
+        _wait_until_up(port)
+        _request(port, WARM_UP_REQUESTS)
+        before = cpu_seconds(pid)
+        served = _request(port, requests)
+        return (cpu_seconds(pid) - before) / requests, served
+
+
+def _config(port: int, endpoint: str) -> dict[str, Any]:
+    """The platform's configuration of a limiter that knows its endpoint without discovery."""
+    entry = {
+        "name": "s-1",
+        "address": endpoint,
+        "zone": "a",
+        "group": 0,
+        "status": "in_service",
+        "weight": 1.0,
+        "since_ms": 0,
     }
-    told = {
+    return {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "discovery": "127.0.0.1:9",
         "seed": "1",
-        "known": known,
+        "known": {"index": 1, "snapshot": True, "endpoints": [entry]},
         "settings": SETTINGS,
     }
-    config = folder / "config.json"
-    config.write_bytes(orjson.dumps(told))
-    extra = ["--operator", operator] if operator else []
-    with program(
-        "serve", "--log-level", "error", *extra, env={"RELAY_CONFIG": str(config)}, ready=False
-    ) as (
-        pid,
-        _,
-    ):
-        _until_up(port)
-        _ask(port, 2400)  # three seconds: customers become known, pools open, leases are taken
-        before = cpu_of(pid)
-        served = _ask(port, requests)
-        return (cpu_of(pid) - before) / requests, served
 
 
-def _until_up(port: int) -> None:
-    end = time.monotonic() + READY
+def _wait_until_up(port: int) -> None:
+    end = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end:
-        try:
-            with socket.create_connection(("127.0.0.1", port), timeout=1) as sock:
-                sock.sendall(b"*1\r\n$4\r\nPING\r\n")
-                if sock.recv(100).startswith(b"+PONG"):
-                    return
-        except OSError:
-            pass
-        time.sleep(0.05)
-    raise RuntimeError("the limiter did not come up")
-
-
-def _ask(port: int, requests: int) -> int:
-    """At a steady pace, each connection once a beat; gives how many were served."""
-    lines = [socket.create_connection(("127.0.0.1", port), timeout=10) for _ in range(IN_FLIGHT)]
-    parsers = [resp.Parser() for _ in lines]
+        with suppress(OSError), socket.create_connection(("127.0.0.1", port), timeout=1) as sock:
+            sock.sendall(b"*1\r\n$4\r\nPING\r\n")
+            if sock.recv(100).startswith(b"+PONG"):
+                return
+        time.sleep(POLL_INTERVAL_S)
+    raise LimiterStartError(f"the limiter did not come up within {START_TIMEOUT_S:g} s")
+
+
+def _request(port: int, requests: int) -> int:
+    """Make requests at a steady pace, one on each connection an interval; how many were served."""
+    sockets = [
+        socket.create_connection(("127.0.0.1", port), timeout=10) for _ in range(CONNECTIONS)
+    ]
+    parsers = [resp.Parser() for _ in sockets]
     served, begin = 0, time.monotonic()
-    for turn in range(requests // IN_FLIGHT):
-        time.sleep(max(0.0, begin + turn * BEAT - time.monotonic()))
-        for at, line in enumerate(lines):
-            number = turn * IN_FLIGHT + at
-            customer = b"%016x" % (number % CUSTOMERS)
+    for turn in range(requests // CONNECTIONS):
+        time.sleep(max(0.0, begin + turn * REQUEST_INTERVAL_S - time.monotonic()))
+        for place, sock in enumerate(sockets):
+            customer = b"%016x" % ((turn * CONNECTIONS + place) % CUSTOMERS)
             fields = b"c=look,t=gold,d=2000,units=1,spread=2,first=0"
-            line.sendall(
+            sock.sendall(
                 resp.encode_command([b"Q.ASK", customer, os.urandom(8).hex().encode(), fields])
             )
-        for line, parser in zip(lines, parsers, strict=True):
+        for sock, parser in zip(sockets, parsers, strict=True):
             while isinstance(answer := parser.next(), resp.NeedMoreData):
-                parser.feed(line.recv(65536))
+                parser.feed(sock.recv(65536))
             served += isinstance(answer, bytes) and not isinstance(answer, resp.ErrorReply)
-    for line in lines:
-        line.close()
+    for sock in sockets:
+        sock.close()
     return served
 
 
 def compare(pairs: int, requests: int) -> Iterator[dict[str, float]]:
-    """So many pairs of runs, without and with the store in turn.
+    """Run pairs of a limiter without the store and one with it, in turn.
+
+    Args:
+        pairs: How many.
+        requests: That are measured in each run.
 
-    Each gives its figures in µs a request and the ratio.
+    Yields:
+        For each pair µs of CPU a request, their ratio, and how many requests were served.
     """
     with (
         tempfile.TemporaryDirectory() as name,
-        program("standin", "node", "--work", "0.0005", "--cores", "64") as (_, node),
-        program("standin", "redis") as (_, store),
+        running_command("standin", "node", "--work", "0.0005", "--cores", "64") as (_, endpoint),
+        running_command("standin", "redis") as (_, store),
     ):
         folder = Path(name)
-        operator = folder / "operator.cue"
-        operator.write_text(f'log: level: "error"\nstore: address: "{store}"\n')
+        operator_file = folder / "operator.cue"
+        operator_file.write_text(f'log: level: "error"\nstore: address: "{store}"\n')
         for _ in range(pairs):
-            without, served = one_run(folder, node, None, requests)
-            with_store, kept = one_run(folder, node, str(operator), requests)
+            without_s, served_without = measure(folder, endpoint, None, requests)
+            with_s, served_with = measure(folder, endpoint, str(operator_file), requests)
             yield {
-                "without_us": without * 1e6,
-                "with_us": with_store * 1e6,
-                "ratio": with_store / without,
-                "served_without": served,
-                "served_with": kept,
+                "without_us": without_s * 1e6,
+                "with_us": with_s * 1e6,
+                "ratio": with_s / without_s,
+                "served_without": served_without,
+                "served_with": served_with,
             }
 
 
 def summary(rows: list[dict[str, float]]) -> dict[str, object]:
+    """The figures that `hazelhollow bench cpu` writes, from the rows of `compare`."""
     ratios = sorted(row["ratio"] for row in rows)
     return {
         "pairs": len(rows),
         "ratio_median": round(median(ratios), 4),
         "ratio_least_most": [round(ratios[0], 4), round(ratios[-1], 4)],
-        "without_us_median": round(median(r["without_us"] for r in rows), 1),
-        "with_us_median": round(median(r["with_us"] for r in rows), 1),
+        "without_us_median": round(median(row["without_us"] for row in rows), 1),
+        "with_us_median": round(median(row["with_us"] for row in rows), 1),
         "rows": rows,
     }
--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -1,9 +1,7 @@
-"""What a budget of bytes for the quota gossip costs.
+"""What a byte budget for quota gossip costs, by rate and by which updates go first.
 
-Real decision modules in virtual time, by rate and by order of the news.
-
-`python -m hazelhollow.bench.gossip_budget --help`. A seed gives the same figures on any machine,
-and all orders the same customers.
+Real decision engines in virtual time: `python -m hazelhollow.bench.gossip_budget --help`. A seed
+gives the same figures on any machine, and all orders the same customers.
 """
 
 from __future__ import annotations
@@ -14,58 +12,60 @@
 
 import click
 
-from hazelhollow.bench.modules import Fleet
+from hazelhollow.bench.engine_fleet import EngineFleet, FleetOptions
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip.outbox import HEADER_BYTES, PendingUpdate
 from hazelhollow.decisions.gossip.scheduler import GossipScheduler
 
-LOAD_PER_GATEWAY = 40.0  # units a second inside quotas
-# of the burst: what `HoldBack` keeps back, of customers with so much left
-HELD_BACK, FAR = 0.1, 0.5
+UNITS_PER_S_PER_LIMITER = 40.0  # within quotas
+# `HoldBack` keeps back less than the one share of the burst, of customers that have more than the
+# other left.
+HELD_BACK_SHARE, PLENTY_SHARE = 0.1, 0.5
 
 
 class FirstCome(GossipScheduler):
-    """Tells all updates in the order in which they came."""
+    """Sends updates in the order in which they came."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """The same for all that are of use."""
+        """1 for all that are of use."""
         return 1.0 if super().usefulness(peer, update) > 0 else 0.0
 
 
 class UntoldOnly(GossipScheduler):
-    """Tells what is most units behind, whatever the customer has left."""
+    """Sends first what the peer is most units behind on, whatever the customer has left."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """The untold share of the burst."""
+        """The share of the burst that the peer does not know of."""
         account = self._accounts.by_name.get(update[0])
         return self.untold(account, peer, update) if account else 0.0
 
 
 class UntoldByNearness(GossipScheduler):
-    """Tells most units behind, against what the customer has left."""
+    """Sends first what the peer is most units behind on, against what the customer has left."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """The untold share of the burst against what is left."""
+        """The share of the burst that the peer does not know of, against what is left."""
         account = self._accounts.by_name.get(update[0])
         untold = self.untold(account, peer, update) if account else 0.0
         return super().usefulness(peer, update) * untold
 
 
 class HoldBack(UntoldByNearness):
-    """The same.
+    """As `UntoldByNearness`, but small charges of customers with plenty left wait.
 
-    But small charges of customers with much left wait until they add up or the period closes.
+    They are sent when they have added up or their period closes.
     """
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """0 for a small charge of a customer with much left."""
+        """0 for a small charge of a customer with plenty left."""
         account, useful = self._accounts.by_name.get(update[0]), super().usefulness(peer, update)
         if account is None or self.outbox is None or self.outbox.has_plenty():
             return useful
         if update[1] != self._context.period:
             return useful
-        far = account.quota.level > FAR * account.plan.burst
-        return 0.0 if far and self.untold(account, peer, update) < HELD_BACK else useful
+        has_plenty = account.quota.level > PLENTY_SHARE * account.plan.burst
+        is_small = self.untold(account, peer, update) < HELD_BACK_SHARE
+        return 0.0 if has_plenty and is_small else useful
 
 
 ORDERS: dict[str, type[GossipScheduler]] = {
@@ -77,58 +77,79 @@
 }
 
 
-class Figures(NamedTuple):
+class BudgetFigures(NamedTuple):
     """Of one run.
 
-    Shares are of the worth offered inside quotas, bytes are a gateway's, a second, headers
-    included.
+    Values are shares of the value offered within quotas; traffic is a limiter's, a second, with
+    headers.
     """
 
     served: float
-    over: float
+    excess: float
     bytes_per_s: float
     datagrams_per_s: float
 
     @property
     def net(self) -> float:
-        return self.served - self.over
-
-
-def measure(seed: int, gateways: int, seconds: float, rate: float, order: str) -> Figures:
-    """One run. `rate`: bytes a second for each gateway, 0: no budget."""
-    load = LOAD_PER_GATEWAY * gateways
-    make = partial(DecisionEngine, scheduler_class=ORDERS[order])
-    fleet = Fleet(seed, gateways, load, make=make, gossip_bytes_per_s=rate)
-    count, span = fleet.play(seconds), seconds * gateways
-    sent = (count.message_bytes + HEADER_BYTES * count.messages) / span
-    return Figures(
-        count.served / count.offered, count.over / count.offered, sent, count.messages / span
+        """Served less the price of attempts beyond quotas."""
+        return self.served - self.excess
+
+
+def measure(seed: int, limiters: int, seconds: float, rate: float, order: str) -> BudgetFigures:
+    """One run.
+
+    Args:
+        seed: Of all draws.
+        limiters: How many there are.
+        seconds: Of load.
+        rate: Bytes a second of gossip for each limiter; 0: no budget.
+        order: One of ORDERS.
+
+    Returns:
+        Its figures.
+    """
+    options = FleetOptions(
+        limiters=limiters,
+        units_per_s=UNITS_PER_S_PER_LIMITER * limiters,
+        make_engine=partial(DecisionEngine, scheduler_class=ORDERS[order]),
+        settings={"gossip_bytes_per_s": rate},
+    )
+    figures, limiter_seconds = EngineFleet(seed, options).play(seconds), seconds * limiters
+    sent_bytes = figures.gossip_bytes + HEADER_BYTES * figures.gossip_datagrams
+    return BudgetFigures(
+        figures.served_value / figures.offered_value,
+        figures.excess_value / figures.offered_value,
+        sent_bytes / limiter_seconds,
+        figures.gossip_datagrams / limiter_seconds,
     )
 
 
-def lines(
-    seeds: list[int], gateways: int, seconds: float, rates: list[float], orders: list[str]
+def table(
+    seeds: list[int], limiters: int, seconds: float, rates: list[float], orders: list[str]
 ) -> Iterator[str]:
-    """A Markdown table, a line as soon as its runs are done."""
-    nets = " | ".join(f"net, seed {seed}" for seed in seeds)
-    yield f"| bytes a second | order | {nets} | mean net | mean over | bytes sent | datagrams |"
+    """A Markdown table, each line as soon as its runs are done."""
+    seed_columns = " | ".join(f"net, seed {seed}" for seed in seeds)
+    yield (
+        f"| bytes a second | order | {seed_columns} | mean net | mean over | bytes sent | "
+        "datagrams |"
+    )
     yield "| --- " * (len(seeds) + 6) + "|"
     for rate in rates:
         for order in orders if rate else ["nearest"]:
-            found = [measure(seed, gateways, seconds, rate, order) for seed in seeds]
-            net = " | ".join(f"{one.net:.3f}" for one in found)
-            means = [sum(values) / len(found) for values in zip(*found, strict=True)]
-            mean_net = sum(one.net for one in found) / len(found)
+            runs = [measure(seed, limiters, seconds, rate, order) for seed in seeds]
+            nets = " | ".join(f"{run.net:.3f}" for run in runs)
+            means = BudgetFigures(*(sum(values) / len(runs) for values in zip(*runs, strict=True)))
+            mean_net = sum(run.net for run in runs) / len(runs)
             yield (
-                f"| {rate:,.0f} | {order if rate else 'no budget'} | {net} | "
-                f"{mean_net:.3f} | {means[1]:.3f} "
-                f"| {means[2]:,.0f} | {means[3]:.1f} |"
+                f"| {rate:,.0f} | {order if rate else 'no budget'} | {nets} | "
+                f"{mean_net:.3f} | {means.excess:.3f} "
+                f"| {means.bytes_per_s:,.0f} | {means.datagrams_per_s:.1f} |"
             )
 
 
 @click.command()
 @click.option("--seed", "seeds", multiple=True, type=int, default=(1, 2, 3), show_default=True)
-@click.option("--gateways", default=50, show_default=True, type=click.IntRange(2, 1000))
+@click.option("--gateways", "limiters", default=50, show_default=True, type=click.IntRange(2, 1000))
 @click.option("--seconds", default=8.0, show_default=True, type=click.FloatRange(1.0, 600.0))
 @click.option(
     "--rate",
@@ -137,7 +158,7 @@
     type=float,
     default=(0.0, 3000.0, 2000.0, 1600.0),
     show_default=True,
-    help="Bytes a second for each gateway; 0: no budget.",
+    help="Bytes a second for each limiter; 0: no budget.",
 )
 @click.option(
     "--order",
@@ -149,13 +170,13 @@
 )
 def main(
     seeds: tuple[int, ...],
-    gateways: int,
+    limiters: int,
     seconds: float,
     rates: tuple[float, ...],
     orders: tuple[str, ...],
 ) -> None:
-    """Worth served less the price of tries beyond quotas, under budgets of the gossip."""
-    for line in lines(list(seeds), gateways, seconds, list(rates), list(orders)):
+    """Value served less the price of attempts beyond quotas, under budgets of the gossip."""
+    for line in table(list(seeds), limiters, seconds, list(rates), list(orders)):
         click.echo(line)
 
 
--- a/hazelhollow/bench/losses.py
+++ b/hazelhollow/bench/losses.py
@@ -1,74 +1,82 @@
-"""What the loss of each state costs.
+"""What the loss of each part of an engine's state costs.
 
-A gateway is killed and started again, and all that it knew is given back but one thing.
-
-Real modules in memory, virtual time, datagrams that come late or never; some hosts are slow, one
-fails. The cost is the difference to the same run with everything given back.
+Real decision engines in virtual time, some endpoints slow and one failing. Every few seconds one
+engine is replaced by a new one that gets all of the old one's state but one part. The cost is the
+difference to the same run in which the new engine gets everything.
 """
 
 from __future__ import annotations
 
 import statistics
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
 
-from hazelhollow.bench.modules import Fleet
+from hazelhollow.bench.engine_fleet import EngineFleet, FleetOptions
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.outlier_detection import OutlierRecord
 
-EVERY = 3.0  # seconds between kills, of one gateway after another
-SLOW, FAILING = 3, 11  # one host in so many is so
-SLOWER = 2.5
-
-
-class Killed(Fleet):
-    """`lost`: the state that is not given back, one of STATES; `everything`, or nothing."""
-
-    def __init__(
-        self, seed: int, lost: str, gateways: int = 5, hosts: int = 15, **changes: Any
-    ) -> None:
-        self.lost, self._next = lost, 0
-        super().__init__(seed, limiter_count=gateways, load=120.0, hosts=hosts, stay=0.3, **changes)
-        self.at(self.now + EVERY, self._kill)
-
-    def answer(self, server: str, units: int) -> tuple[api.Status, float]:
-        number, (status, elapsed) = int(server[1:]), super().answer(server, units)
-        if number % FAILING == FAILING - 1:
-            return "error", 0.02
-        return status, elapsed * (SLOWER if number % SLOW == 0 else 1.0)
-
-    def _kill(self) -> None:
-        me, self._next = self._next % self.number, self._next + 1
-        old = self.gateways[me]
-        new = self.gateways[me] = DecisionEngine(old.settings, seed=self.random.randrange(1 << 30))
-        self.tell(me, api.EndpointsUpdated("cached", tuple(self.hosts)))
-        if self.lost != "everything":
-            give_back(old, new, self.lost)
-        self.at(self.now + EVERY, self._kill)
-
-
-def give_back(old: DecisionEngine, new: DecisionEngine, but: str) -> None:
-    """All that the old incarnation knew, but one state."""
-    for name, (attributes, take_away) in STATES.items():
-        if name != but:
-            _hand_on(old, new, attributes)
-        elif take_away:
-            take_away(old)
-            _hand_on(old, new, attributes)
-
-
-def _hand_on(old: DecisionEngine, new: DecisionEngine, attributes: tuple[str, ...]) -> None:
-    """Each attribute is a part of the engine and what that holds: `part.attribute`, or `part.*`."""
-    for attribute in attributes:
-        part, _, name = attribute.partition(".")
-        before, after = getattr(old, part), getattr(new, part)
-        for one in vars(before) if name == "*" else (name,):
-            setattr(after, one, getattr(before, one))
-
-
-def _no_budgets(old: DecisionEngine) -> None:
-    """What a new incarnation would begin with."""
+RESTART_INTERVAL_S = 3.0  # between restarts, of one limiter after another
+SLOW_EVERY, FAILING_EVERY = 3, 11  # one endpoint in so many is slow, or fails
+SLOW_FACTOR = 2.5  # of the time that others take
+FAILURE_S = 0.02  # after which a failing endpoint answers
+NOTHING, EVERYTHING = "nothing", "everything"
+OPTIONS = FleetOptions(limiters=5, units_per_s=120.0, endpoints=15, answer_time_s=0.3)
+
+
+class RestartingFleet(EngineFleet):
+    """A fleet whose engines are restarted in turn.
+
+    Args:
+        seed: Of all draws.
+        lost: The part of STATES that a new engine does not get; EVERYTHING or NOTHING.
+        options: What is simulated.
+    """
+
+    def __init__(self, seed: int, lost: str, options: FleetOptions) -> None:
+        super().__init__(seed, options)
+        self._lost, self._next_restart = lost, 0
+        self.timeline.at(self.timeline.now + RESTART_INTERVAL_S, self._restart)
+
+    def answer(self, endpoint: str, units: int) -> tuple[api.Status, float]:
+        """What becomes of an attempt, and after how many seconds."""
+        number, (status, elapsed) = int(endpoint[1:]), super().answer(endpoint, units)
+        if number % FAILING_EVERY == FAILING_EVERY - 1:
+            return "error", FAILURE_S
+        return status, elapsed * (SLOW_FACTOR if number % SLOW_EVERY == 0 else 1.0)
+
+    def _restart(self) -> None:
+        number = self._next_restart % len(self.engines)
+        self._next_restart += 1
+        old = self.engines[number]
+        new = DecisionEngine(old.settings, seed=self.random.randrange(1 << 30))
+        self.engines[number] = new
+        self.give_endpoints(number)
+        if self._lost != EVERYTHING:
+            hand_over(old, new, self._lost)
+        self.timeline.at(self.timeline.now + RESTART_INTERVAL_S, self._restart)
+
+
+def hand_over(old: DecisionEngine, new: DecisionEngine, lost: str) -> None:
+    """Give the new engine all of the old one's state but one part."""
+    for name, part in STATES.items():
+        if name != lost:
+            _copy(old, new, part.attributes)
+        elif part.reset:
+            part.reset(old)
+            _copy(old, new, part.attributes)
+
+
+def _copy(old: DecisionEngine, new: DecisionEngine, attributes: tuple[str, ...]) -> None:
+    for path in attributes:
+        holder, _, attribute = path.partition(".")
+        source, target = getattr(old, holder), getattr(new, holder)
+        for name in vars(source) if attribute == "*" else (attribute,):
+            setattr(target, name, getattr(source, name))
+
+
+def _reset_quotas(old: DecisionEngine) -> None:
+    """As a new incarnation would begin."""
     old.context.started_at = old.context.now
     for account in old.accounts.values():
         account.quota.level = account.plan.burst / max(account.set_size, 1)
@@ -76,24 +84,24 @@
         account.charges.own, account.charges.reported = {}, {}
 
 
-def _no_ceilings(old: DecisionEngine) -> None:
+def _reset_ceilings(old: DecisionEngine) -> None:
     for account in old.accounts.values():
         account.ceiling.level = 0.0
 
 
-def _no_open(old: DecisionEngine) -> None:
+def _reset_open_requests(old: DecisionEngine) -> None:
     for account in old.accounts.values():
         account.open_requests, account.peers_open = 0, {}
     old.pending.by_id = {}
 
 
-def _no_failures(old: DecisionEngine) -> None:
+def _reset_failures(old: DecisionEngine) -> None:
     old.outliers.recent_failures = {}
     for endpoint in old.endpoints.values():
         endpoint.outlier_records = dict[str, OutlierRecord]()
 
 
-def _no_paces(old: DecisionEngine) -> None:
+def _reset_load(old: DecisionEngine) -> None:
     fresh = DecisionEngine(old.settings, seed=1)
     old.load.classes, old.load.queue_wait = fresh.load.classes, 0.0
     old.load.mean_attempt_time = fresh.load.mean_attempt_time
@@ -103,21 +111,33 @@
         endpoint.work_factor = 1.0
 
 
-Take = Callable[[DecisionEngine], None]
-STATES: dict[str, tuple[tuple[str, ...], Take | None]] = {
-    "budgets and what was settled": (
+@dataclass(frozen=True)
+class StatePart:
+    """A part of an engine's state that can be lost.
+
+    Args:
+        attributes: Where it is: `part.attribute` of the engine, or `part.*` for all of a part.
+        reset: Takes it out of an engine whose `attributes` hold more; None: these are not copied.
+    """
+
+    attributes: tuple[str, ...]
+    reset: Callable[[DecisionEngine], None] | None = None
+
+
+# By the name in the report.
+STATES: dict[str, StatePart] = {
+    "budgets and what was settled": StatePart(
         ("context.started_at", "startup.all_started_together"),
-        _no_budgets,
+        _reset_quotas,
     ),
-    "ceilings' shares": (
+    "ceilings' shares": StatePart(
         ("customer_accounts.by_name", "customer_accounts.checks", "replicated_accounts.unclosed"),
-        _no_ceilings,
+        _reset_ceilings,
     ),
-    "requests open, keys not answered": (("pending.by_id",), _no_open),
-    "hosts that failed": (("table.*",), _no_failures),
-    # Together: what is asked for is reckoned in learned work, and one without the other refuses
-    # nearly all.
-    "work, paces and clients' ways learned": (
+    "requests open, keys not answered": StatePart(("pending.by_id",), _reset_open_requests),
+    "hosts that failed": StatePart(("table.*",), _reset_failures),
+    # Together: demand is counted in learned work, and one without the other rejects nearly all.
+    "work, paces and clients' ways learned": StatePart(
         (
             "load.classes",
             "load.queue_wait",
@@ -125,64 +145,63 @@
             "load_shedding.time_left",
             "load_shedding.demand",
         ),
-        _no_paces,
+        _reset_load,
     ),
-    "retry budget": (("retry_budget.available", "quota.excess_units"), None),
-    "peers' loads and lives": (
+    "retry budget": StatePart(("retry_budget.available", "quota.excess_units")),
+    "peers' loads and lives": StatePart(
         ("peer_loads.by_peer", "startup.incarnations", "context.incarnation"),
-        None,
     ),
-    "news not told yet": (
+    "news not told yet": StatePart(
         (
             "gossip.unsent",
             "gossip.charged_this_period",
             "gossip.final_due",
             "gossip.overdue",
         ),
-        None,
     ),
 }
 
 
-def play(seed: int, lost: str, seconds: float, **changes: Any) -> dict[str, float]:
-    """Shares of the worth asked for inside quotas: served, and the price of what went beyond."""
-    count = Killed(seed, lost, **changes).play(seconds)
+def play(seed: int, lost: str, seconds: float, options: FleetOptions = OPTIONS) -> dict[str, float]:
+    """One run: served and excess value as shares of what was offered, and the lowest ceiling."""
+    figures = RestartingFleet(seed, lost, options).play(seconds)
     return {
-        "served": count.served / count.offered,
-        "over": count.over / count.offered,
-        "ceiling": count.lowest_ceiling,
+        "served": figures.served_value / figures.offered_value,
+        "over": figures.excess_value / figures.offered_value,
+        "ceiling": figures.lowest_ceiling,
     }
 
 
 def report(
-    seeds: int, seconds: float, progress: Callable[[str], None], **changes: Any
+    seeds: int,
+    seconds: float,
+    progress: Callable[[str], None],
+    options: FleetOptions = OPTIONS,
 ) -> dict[str, dict[str, float]]:
-    """By state.
+    """What each loss costs, against the same runs with nothing lost.
+
+    Args:
+        seeds: Runs of each loss.
+        seconds: Of each run.
+        progress: Called with the loss that is played next.
+        options: What is simulated.
 
-    How much less is served and how much more goes beyond than with everything given back; means and
-    the spread.
+    Returns:
+        By loss: means of how much less is served and how much more goes beyond quotas, the
+        standard deviation of the first, and the lowest ceiling.
     """
-    base = [play(seed, "nothing", seconds, **changes) for seed in range(1, seeds + 1)]
+    seed_range = range(1, seeds + 1)
+    base = [play(seed, NOTHING, seconds, options) for seed in seed_range]
     found = {}
-    for lost in (*STATES, "everything"):
+    for lost in (*STATES, EVERYTHING):
         progress(lost)
-        rows = [play(seed, lost, seconds, **changes) for seed in range(1, seeds + 1)]
+        rows = [play(seed, lost, seconds, options) for seed in seed_range]
+        served_less = [b["served"] - r["served"] for b, r in zip(base, rows, strict=True)]
+        over_more = [r["over"] - b["over"] for b, r in zip(base, rows, strict=True)]
         found[lost] = {
-            "served_less": round(
-                statistics.mean(b["served"] - r["served"] for b, r in zip(base, rows, strict=True)),
-                4,
-            ),
-            "over_more": round(
-                statistics.mean(r["over"] - b["over"] for b, r in zip(base, rows, strict=True)), 4
-            ),
-            "spread": round(
-                statistics.stdev(
-                    b["served"] - r["served"] for b, r in zip(base, rows, strict=True)
-                ),
-                4,
-            )
-            if seeds > 1
-            else 0.0,
-            "lowest_ceiling": round(min(r["ceiling"] for r in rows), 1),
+            "served_less": round(statistics.mean(served_less), 4),
+            "over_more": round(statistics.mean(over_more), 4),
+            "spread": round(statistics.stdev(served_less), 4) if seeds > 1 else 0.0,
+            "lowest_ceiling": round(min(row["ceiling"] for row in rows), 1),
         }
     return found
