--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -38,7 +38,7 @@
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
         """The untold share of the burst."""
         account = self._accounts.by_name.get(update[0])
-        return self.untold(account, peer, update) if account else 0.0
+        return self.unreported(account, peer, update) if account else 0.0
 
 
 class UntoldByNearness(GossipScheduler):
@@ -47,7 +47,7 @@
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
         """The untold share of the burst against what is left."""
         account = self._accounts.by_name.get(update[0])
-        untold = self.untold(account, peer, update) if account else 0.0
+        untold = self.unreported(account, peer, update) if account else 0.0
         return super().usefulness(peer, update) * untold
 
 
@@ -65,7 +65,7 @@
         if update[1] != self._context.period:
             return useful
         far = account.quota.level > FAR * account.plan.burst
-        return 0.0 if far and self.untold(account, peer, update) < HELD_BACK else useful
+        return 0.0 if far and self.unreported(account, peer, update) < HELD_BACK else useful
 
 
 ORDERS: dict[str, type[GossipScheduler]] = {
--- a/hazelhollow/decisions/attempts.py
+++ b/hazelhollow/decisions/attempts.py
@@ -159,7 +159,7 @@
     def _record_failure(
         self, endpoint: Endpoint, request: PendingRequest, event: AttemptEnded
     ) -> None:
-        """An endpoint failed; in a large fleet, peers are told.
+        """An endpoint failed; in a large fleet, peers are notified.
 
         What did not run, or did not answer, has nothing to do with the class. An endpoint that
         refuses connections is ejected at once in a large fleet, whose limiters see few attempts.
@@ -170,7 +170,7 @@
         refused = status == "connect_failed" and not small_fleet
         weight = EJECTION_THRESHOLD if refused else 1.0
         self._outliers.record_failure(endpoint, class_name, weight)
-        # An endpoint that is full must not be ejected by the word of all.
+        # An endpoint that is full must not be ejected by what all limiters report.
         if status != "full" and not small_fleet:
             tag = codec.name_tag(class_name) if class_name else codec.EVERY_CLASS
             self._outliers.note_for_peers(endpoint.tag, tag)
--- a/hazelhollow/decisions/context.py
+++ b/hazelhollow/decisions/context.py
@@ -30,7 +30,7 @@
         started_at: The instant of the first event.
         incarnation: The name of this run; "" before the first event.
         may_admit: Whether this limiter may take new work.
-        away: Members that are not told anything: not up, or unable to hear this one.
+        away: Members that nothing is sent to: not up, or unable to hear this one.
         unreachable: Members that can't be heard and may go on admitting.
         counts_replicated: Whether charges of closed periods are replicated as counts.
     """
--- a/hazelhollow/decisions/gossip/codec.py
+++ b/hazelhollow/decisions/gossip/codec.py
@@ -12,8 +12,8 @@
 
 Numbers are in base 36, amounts in tenths of a unit, work in hundredths of a second. Plans, classes
 and endpoints go by tags of their names, so that a datagram means the same under settings that list
-others beside them. The dialect before this one told places in the sender's settings in place of
-tags, and is still read.
+others beside them. The dialect before this one named places in the sender's settings in place
+of tags, and is still read.
 """
 
 from __future__ import annotations
@@ -249,7 +249,7 @@
 
 
 def _known_tag(text: str, tags: Collection[str], by_place: bool) -> str:
-    """A tag of these settings, which the previous dialect told by its place in the sender's."""
+    """A tag of these settings, which the previous dialect named by its place in the sender's."""
     if by_place:
         return list(tags)[int(text, 36)]
     if text not in tags:
--- a/hazelhollow/decisions/gossip/composer.py
+++ b/hazelhollow/decisions/gossip/composer.py
@@ -2,7 +2,7 @@
 
 Along with updates go, as far as there is room: in a small fleet the work in flight at endpoints; in
 a large one failures of endpoints, of which each limiter sees too few, and levels that hubs
-announced lately, for members that no hub has told yet.
+announced lately, for members that no hub has notified yet.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 RELAY_AGE_S = 0.5  # for which an announced level is passed on
 MAX_RELAYED = 5  # announced levels in one datagram
 MAX_FAILURES = 2  # in one datagram
-FAILURE_AGE_S = 2.0 * PERIOD_S  # up to which a failure is told
+FAILURE_AGE_S = 2.0 * PERIOD_S  # up to which a failure is reported
 MAX_LOADS = 64  # endpoints in one datagram
 
 
--- a/hazelhollow/decisions/gossip/outbox.py
+++ b/hazelhollow/decisions/gossip/outbox.py
@@ -11,7 +11,7 @@
 HEADER_BYTES = 28  # of UDP and IP, for each datagram
 BURST_S = 0.6  # seconds of the rate that may leave at once, as the control budget grants gossip
 MAX_WAITING = 200  # updates for one peer; when there are more, half of them stay
-# What is to be told: an account's name, and the period of its charges or `LEVEL`
+# What is to be sent: an account's name, and the period of its charges or `LEVEL`
 # (`gossip/scheduler.py`).
 PendingUpdate = tuple[str, int]
 
@@ -19,13 +19,13 @@
 class GossipOutbox:
     """A bucket of bytes, and the updates that wait for each peer.
 
-    An update says what to tell, not its figures: these are taken when it leaves, so that the newest
-    total of a customer and period is the one that is told.
+    An update says what to report, not its figures: these are taken when it leaves, so that the
+    newest total of a customer and period is the one that is sent.
 
     Attributes:
         bytes: What may be sent, headers included.
         waiting: Updates for each peer, with their text where it is fixed, else "".
-        sent_units: What each peer was told last, by peer, account and period.
+        sent_units: What was reported last, by peer, account and period.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         return True
 
     def most_urgent_peer(self, now: float, away: frozenset[int]) -> int | None:
-        """The peer to be told next, if a full datagram may be sent now."""
+        """The peer to send to next, if a full datagram may be sent now."""
         if self.bytes.refill(now) < MAX_DATAGRAM_BYTES + HEADER_BYTES:
             return None
         peers = self._urgency.keys() - away
--- a/hazelhollow/decisions/gossip/receiver.py
+++ b/hazelhollow/decisions/gossip/receiver.py
@@ -119,9 +119,7 @@
         )
         if not self.unusable[what]:
             text = event.text[:LOGGED_CHARACTERS]
-            self._context.actions.append(
-                WriteLog(f"gateway {event.sender} tells of a {what}: {text}")
-            )
+            self._context.actions.append(WriteLog(f"limiter {event.sender} sent a {what}: {text}"))
         self.unusable[what] += 1 if message is None else message.unknown
         return message
 
@@ -143,8 +141,8 @@
         """A level that a hub announced, or another member passes on.
 
         A hub goes by its own sum; but one that started lately doesn't know what was used before.
-        In a set so large that one hub can't tell all of it, members pass on what a hub told them,
-        but not what was passed on to them: that grows old.
+        In a set so large that one hub can't notify all of it, members pass on what a hub announced
+        to them, but not what was passed on to them: that grows old.
         """
         context = self._context
         account = self._accounts.get(report.key, self.plan_of[report.plan], 0, 0)
--- a/hazelhollow/decisions/gossip/scheduler.py
+++ b/hazelhollow/decisions/gossip/scheduler.py
@@ -1,4 +1,4 @@
-"""What is told to which limiter, and when.
+"""Which updates go to which limiter, and when.
 
 - A charge of a small set goes to its members: in a small fleet with the next round, in a large one
   at once.
@@ -9,7 +9,7 @@
 
 No limiter sends more datagrams than `SENT_SHARE` of what one takes in, so that the mean one hears
 no more than that. What finds no room waits. Under a byte budget (`gossip_bytes_per_s`) updates wait
-in a `GossipOutbox`, and the most useful ones are told.
+in a `GossipOutbox`, and the most useful ones are sent.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
 ANNOUNCED_BELOW = 1.0
 ANNOUNCED_CHANGE = 0.6
 MIN_LEVEL_SHARE = 0.05  # of the burst: levels below count as this for how useful an update is
-MAX_FINAL_CHARGES = 256  # accounts whose final charges are told in one round
+MAX_FINAL_CHARGES = 256  # accounts whose final charges are enqueued in one round
 MAX_AWAY_PEERS = 64  # peers that are away whose updates are gone through in one round
 
 
 class GossipScheduler:
-    """Keeps what is still to be told, and sends it.
+    """Keeps the updates that are still to be sent, and sends them.
 
     Attributes:
         messages: Datagrams that may be sent.
-        max_announced_members: Members that one hub can tell within a period.
+        max_announced_members: Members that one hub can notify within a period.
         unsent: Updates that wait for each peer, where there is no byte budget.
         outbox: The same under a byte budget; None without one.
         charged_this_period: Names of accounts charged in the current period.
@@ -81,7 +81,7 @@
         # Peers that were away when the period began.
         self._away_peers: Iterator[int] = iter(())
 
-    # What is to be told
+    # What is to be sent
 
     def charged(self, account: Account, period: int) -> None:
         """This limiter charged an account."""
@@ -92,7 +92,7 @@
     def charge_known(self, account: Account) -> None:
         """A charge is known here: a hub of a large set may have to announce the level.
 
-        The first hub does, or each where one can't tell the whole set within a period.
+        The first hub does, or each where one can't notify the whole set within a period.
         """
         limiter_id = self._context.settings.limiter_id
         if account.set_size > MAX_DIRECT_SET and limiter_id in account.hubs:
@@ -102,7 +102,7 @@
                 self._announce(account.name)
 
     def enqueue(self, peers: list[int], name: str, period: int, text: str = "") -> None:
-        """Has peers told of an account's charges in a period, or, with a `text`, that.
+        """Enqueues an account's charges in a period for peers, or, with a `text`, that.
 
         At the next round; in a large fleet at once, where two charges seldom go the same way.
         """
@@ -113,16 +113,16 @@
                 continue
             self.unsent.setdefault(peer, {})[name, period] = text
             if not context.small_fleet and peer not in context.away:
-                self._tell(peer)
+                self._send_waiting_to(peer)
 
     def _enqueue_under_budget(
         self, outbox: GossipOutbox, peer: int, update: PendingUpdate, text: str
     ) -> None:
-        """Told at a round; in a large fleet at once while there is plenty of the budget."""
+        """Sent in a round; in a large fleet at once while there is plenty of the budget."""
         outbox.bytes.refill(self._context.now)
         useful = outbox.put(peer, update, text)
         if useful and not self._context.small_fleet and outbox.has_plenty():
-            self._tell_most_useful(at_once=True)
+            self._send_most_useful(at_once=True)
 
     def _announce(self, name: str) -> None:
         """Announces an account's level to its set, or the busiest of it, if that is of use.
@@ -161,7 +161,7 @@
             self.outbox.begin_period(context.period)
 
     def enqueue_final_charges(self) -> None:
-        """Has some of the final charges told, except of a large set that nothing was announced of.
+        """Enqueues some of the final charges, except of a large set that nothing was announced of.
 
         Nobody waits for these.
         """
@@ -180,11 +180,11 @@
 
     def send_waiting(self) -> None:
         """Sends what waits: the most useful, and then each peer's in turn, the longest first."""
-        self._tell_most_useful()
+        self._send_most_useful()
         if self.messages.refill(self._context.now) >= 1.0:
             for peer in list(self.unsent):
                 if peer not in self._context.away and self.messages.level >= 1.0:
-                    self._tell(peer)
+                    self._send_waiting_to(peer)
 
     def drop_old_updates(self) -> None:
         """Drops updates for some peers that are away.
@@ -202,7 +202,7 @@
 
     # Sending
 
-    def _tell(self, peer: int) -> None:
+    def _send_waiting_to(self, peer: int) -> None:
         """Sends a peer what waits for it, as far as there is room.
 
         In a small fleet a datagram goes out even if nothing waits, for the loads in it; these are
@@ -222,7 +222,7 @@
         if not waiting and not small_fleet:
             del self.unsent[peer]
 
-    def _tell_most_useful(self, at_once: bool = False) -> None:
+    def _send_most_useful(self, at_once: bool = False) -> None:
         """Under a byte budget: sends to the peers that miss most, as far as the budget goes.
 
         `at_once`: only as long as there is plenty of it.
@@ -254,16 +254,16 @@
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
         """Of telling a peer an update: the nearer the customer is to its limit, the more.
 
-        0 if the peer has been told all of it.
+        0 if all of it has been sent to the peer.
         """
         account = self._accounts.by_name.get(update[0])
-        if not account or self.untold(account, peer, update) <= 0:
+        if not account or self.unreported(account, peer, update) <= 0:
             return 0.0
         left = account.quota.refill(self._context.now) / (account.plan.burst or 1.0)
         return 1.0 / max(left, MIN_LEVEL_SHARE)
 
-    def untold(self, account: Account, peer: int, update: PendingUpdate) -> float:
-        """The share of the burst that a peer has not been told of; 1 for a level.
+    def unreported(self, account: Account, peer: int, update: PendingUpdate) -> float:
+        """The share of the burst that was charged since the last report to a peer; 1 for a level.
 
         0 for periods that nobody takes reports of any more.
         """
@@ -273,8 +273,8 @@
         if period < self._context.period - 1 or self.outbox is None:
             return 0.0
         units = account.charges.own.get(period, 0.0)
-        told = self.outbox.sent_units.get((peer, *update), 0.0)
-        return abs(units - told) / (account.plan.burst or 1.0)
+        sent = self.outbox.sent_units.get((peer, *update), 0.0)
+        return abs(units - sent) / (account.plan.burst or 1.0)
 
     def _units_charged(self, update: PendingUpdate) -> float:
         account = self._accounts.by_name.get(update[0])
--- a/hazelhollow/decisions/load_estimate.py
+++ b/hazelhollow/decisions/load_estimate.py
@@ -82,8 +82,8 @@
 
     def learn_peer_wait(self, objectives: float) -> None:
         """A peer said what its queue wait is, in tightest objectives."""
-        told = objectives * self.tightest_objective
-        self.queue_wait += LEARNING_RATE * (told - self.queue_wait)
+        peer_wait = objectives * self.tightest_objective
+        self.queue_wait += LEARNING_RATE * (peer_wait - self.queue_wait)
 
     def learn_from_attempts_in_flight(self, attempts: Sequence[Attempt], interval: float) -> None:
         """Learns, once every `interval` seconds, from attempts that started lately and go on.
--- a/hazelhollow/decisions/outlier_detection.py
+++ b/hazelhollow/decisions/outlier_detection.py
@@ -83,7 +83,7 @@
 
     Attributes:
         recent_failures: Failures seen here and when, by endpoint's tag and class's tag; the latest
-            stands last. Limiters of a large fleet, each of which sees few, tell them to peers.
+            stands last. Limiters of a large fleet, each of which sees few, gossip them.
     """
 
     def __init__(self, context: DecisionContext, load: LoadEstimate) -> None:
@@ -129,12 +129,12 @@
                 records[name].recover()
 
     def note_for_peers(self, endpoint_tag: str, class_tag: str) -> None:
-        """A failure that peers are told of."""
+        """Keeps a failure for gossip to peers."""
         self.recent_failures.pop((endpoint_tag, class_tag), None)
         self.recent_failures[endpoint_tag, class_tag] = self._context.now
 
     def latest_failures(self, limit: int, max_age: float) -> list[tuple[str, str]]:
-        """The latest failures that peers are told of; forgets those of `max_age` seconds ago."""
+        """The latest failures for gossip; forgets those of `max_age` seconds ago."""
         failures, now = self.recent_failures, self._context.now
         while failures and now - next(iter(failures.values())) >= max_age:
             del failures[next(iter(failures))]
--- a/hazelhollow/decisions/quota.py
+++ b/hazelhollow/decisions/quota.py
@@ -13,7 +13,7 @@
   (`state/accounts.py`, `reserve_for`), so that the sides of a partition together hold the quota.
   What was charged unheard becomes a debt, paid with half of the rate.
 - A limiter that has just started begins with its part of the burst (`startup_quota.py`).
-- The ceiling is split evenly between the limiters of the set, so that it holds without a word.
+- The ceiling is split evenly between the limiters of the set, so that it holds without any message.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 UNHEARD_S = 0.06  # seconds of peers' charges that are on their way
 # Of the burst: while a level was announced, the last part of it in which requests are admitted by
-# chance, and the same in a set so large that one hub can't tell all of it in a second.
+# chance, and the same in a set so large that one hub can't notify all of it in a second.
 ANNOUNCED_RESERVE = 1.0
 SLOWLY_ANNOUNCED_RESERVE = 2.0
 MAX_OPEN_LIMIT_RISK = 0.04  # the probability of passing an open limit that a request may take
@@ -157,7 +157,7 @@
         self.record_charge(request.account, true_units - request.event.units, period)
 
     def record_charge(self, account: Account, units: float, period: int) -> None:
-        """Takes units off an account, and has peers told."""
+        """Takes units off an account, and hands the charge to gossip."""
         account.quota.level -= account.charges.charge(units, period)
         self._replicated.mark_charged(account)
         self._gossip.charged(account, period)
--- a/hazelhollow/decisions/slow_start.py
+++ b/hazelhollow/decisions/slow_start.py
@@ -4,9 +4,9 @@
 what the warm ones are sent. Its share rises evenly, from `warm_up_initial_share` at its start to
 all of it after `warm_up_time`. Past that for `overload_window` seconds it fails.
 
-Each limiter holds the ceiling for itself, with no word to the others: it sends such an endpoint, in
-any `overload_window`, at most that share of what it sends a warm one itself. As all limiters keep
-to it, so does their sum.
+Each limiter holds the ceiling for itself, with no message to the others: it sends such an endpoint,
+in any `overload_window`, at most that share of what it sends a warm one itself. As all limiters
+keep to it, so does their sum.
 """
 
 from __future__ import annotations
--- a/hazelhollow/decisions/startup_quota.py
+++ b/hazelhollow/decisions/startup_quota.py
@@ -6,8 +6,8 @@
 - Nothing known: the burst's even part of the set, and what has come in since the start.
 - All limiters started together (`MAX_START_DIFFERENCE_S`): the whole burst; where membership is
   kept, half of the rest, since they may have been killed together.
-- A peer has told everything (the catch-up): the level that it told; of a customer that it did not
-  name, the whole burst.
+- A peer has sent everything that it knows (the catch-up): the level that it sent; of a customer
+  that it did not name, the whole burst.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     Attributes:
         all_started_together: All limiters have been heard from, and started when this one did.
         complete_since: The instant since which all charges are known here; infinite at first,
-            minus infinite once a peer has told everything.
+            minus infinite once the catch-up is complete.
         incarnations: Those of the peers heard from while meeting.
     """
 
@@ -80,7 +80,7 @@
         ):
             return
         self.all_started_together = True
-        # Where a peer has told everything, the level is known already.
+        # Once the catch-up is complete, the level is known already.
         share = self._share_if_together if self.complete_since == math.inf else 0.0
         for account in accounts:
             account.quota.level += (
@@ -89,7 +89,7 @@
             account.ceiling.level += account.ceiling.capacity or account.plan.ceiling_burst
 
     def complete_catch_up(self, accounts: Iterable[Account]) -> None:
-        """A peer has told everything: nobody used what this limiter's caution left to others."""
+        """A peer has sent everything: nobody used what this limiter's caution left to others."""
         if self.complete_since != math.inf:
             return
         self.complete_since = -math.inf
--- a/hazelhollow/decisions/state/accounts.py
+++ b/hazelhollow/decisions/state/accounts.py
@@ -76,7 +76,7 @@
         unreachable: Who these are.
         unreachable_since: When their units were last reckoned up.
         returning: Members that can be heard again, and since when.
-        caught_up: A peer told everything that it knows of this customer.
+        caught_up: A peer has sent everything that it knows of this customer.
         next_check_at: When it is looked at next, whether it may be forgotten.
     """
 
@@ -212,7 +212,7 @@
     def share_ceiling(self) -> None:
         """An even part of the ceiling for each member of the set.
 
-        The parts sum to the ceiling, so that it holds without a word between the members.
+        The parts sum to the ceiling, so that it holds without any message between the members.
         """
         self.ceiling.rate = self.plan.ceiling_rate / self.set_size
         self.ceiling.capacity = self.plan.ceiling_burst / self.set_size
--- a/hazelhollow/decisions/state/period_charges.py
+++ b/hazelhollow/decisions/state/period_charges.py
@@ -5,9 +5,9 @@
 replicated, a closed period's charges go into a running count for each incarnation of a limiter, so
 that what a lost report would have said can be made up for; else they are dropped.
 
-A charge must count once, whatever way and however often word of it comes:
+A charge must count once, whatever way and however often it is heard of:
 
-| word of a charge       | counted as                                                            |
+| heard by               | counted as                                                            |
 | ---------------------- | --------------------------------------------------------------------- |
 | own charge             | added to `own`                                                        |
 | report of a peer       | replaces the peer's total for that period; the difference is charged  |
@@ -43,7 +43,7 @@
     Attributes:
         period: The current period, as of the last `advance`.
         since: The first period in which this limiter knew the customer; 0 before any.
-        complete_since: The period from which on all charges are heard of here, or were told.
+        complete_since: The period from which on all charges are known here.
         own: This limiter's charges by open period, in units.
         own_closed: The same of all closed periods together.
         own_last_period: The last closed period in which this limiter charged.
--- a/hazelhollow/decisions/state/replicated_accounts.py
+++ b/hazelhollow/decisions/state/replicated_accounts.py
@@ -89,7 +89,7 @@
         hears_all = account.hears_all_charges(context.settings.limiter_id)
         bucket = account.quota if hears_all else account.announced
         level = bucket.refill(context.now) - account.debt
-        # Periods of a clock that is ahead are not told.
+        # Periods of a clock that is ahead are not part of it.
         level += sum(
             units
             for (_, period), units in account.charges.reported.items()
@@ -247,11 +247,11 @@
         charges = account.charges
         own = charges.own_closed + sum(charges.own.values())
         level, own, known = self._merge_peer_counts(account, event, own)
-        told = {f"{count.member}.{count.incarnation}" for count in event.counts}
+        named = {f"{count.member}.{count.incarnation}" for count in event.counts}
         beyond = sum(
             units
             for (incarnation, period), units in charges.reported.items()
-            if incarnation not in told or not event.period - 1 <= period <= event.period
+            if incarnation not in named or not event.period - 1 <= period <= event.period
         )
         account.quota.level = min(level - own - known - beyond, account.quota.capacity)
 
@@ -260,7 +260,7 @@
     ) -> tuple[float, float, float]:
         """Takes the counts of a catch-up.
 
-        Returns the level that was told, less what they say of open periods beyond what was
+        Returns the level that was sent, less what they say of open periods beyond what was
         reported; what this limiter charged that the peer did not know (`own` in all); and what has
         closed here since.
         """
@@ -276,7 +276,7 @@
                 own -= count.total + count.previous_units + count.current_units
                 continue
             since, through, total = charges.closed_counts.get(incarnation, ClosedCount())
-            told_total, told_through = count.total, count.through
+            sent_total, sent_through = count.total, count.through
             closed_at_peer = [
                 period
                 for who, period in charges.reported
@@ -291,14 +291,14 @@
             )
             for period, units in open_at_peer:
                 if period < context.period - 1:  # closed here meanwhile
-                    told_total += units
-                    told_through = period if units else told_through
+                    sent_total += units
+                    sent_through = period if units else sent_through
                     continue
                 reported = charges.reported.get((incarnation, period), 0.0)
                 level -= max(0.0, reported - units)
                 charges.reported[incarnation, period] = max(units, reported)
-            known += max(0.0, total - told_total)
+            known += max(0.0, total - sent_total)
             charges.closed_counts[incarnation] = ClosedCount(
-                max(since, count.since), max(through, told_through), max(total, told_total)
+                max(since, count.since), max(through, sent_through), max(total, sent_total)
             )
         return level, own, known
--- a/tests/decisions/test_gossip_byte_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -235,7 +235,7 @@
         ) -> None:
             raise AssertionError("there is no budget")
 
-        def _tell_most_useful(self, at_once: bool = False) -> None:
+        def _send_most_useful(self, at_once: bool = False) -> None:
             return
 
         def usefulness(self, peer: int, update: PendingUpdate) -> float:
