--- a/hazelhollow/decisions/engine.py
+++ b/hazelhollow/decisions/engine.py
@@ -86,71 +86,70 @@
             seed: Of the source of chance: the same events lead to the same actions.
             scheduler_class: What decides about gossip; benches compare others.
         """
-        context = self.context = DecisionContext(settings, random.Random(seed))
+        self.context = DecisionContext(settings, random.Random(seed))
+        self._build_state()
+        self._build_gossip(scheduler_class)
+        self._build_rules()
+        self._round_interval = max(PERIOD_S / ROUNDS_PER_PERIOD, settings.tick)
+        self._round_period = 0  # the period of the latest round
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            RequestArrived: self.admission.arrive,
+            AttemptEnded: self.attempts.end,
+            ClientDisconnected: self._client_disconnected,
+            AllowanceGranted: self.quota.grant_allowance,
+            GossipReceived: self.receiver.receive,
+            TimerFired: self._round,
+            EndpointsUpdated: self._endpoints_updated,
+            EndpointOverridden: self._endpoint_overridden,
+            MembershipChanged: self._membership_changed,
+            AccountReplicated: self.replicated_accounts.merge,
+        }
+
+    def _build_state(self) -> None:
+        """What is remembered, and what is learned of endpoints."""
+        context = self.context
         self.load = LoadEstimate(context)
         self.startup = StartupQuota(context)
         self.customer_accounts = CustomerAccounts(context, self.startup)
         self.replicated_accounts = ReplicatedAccounts(context, self.customer_accounts, self.startup)
         self.pending = PendingRequests()
-        self.table = EndpointTable(settings)
+        self.table = EndpointTable(context.settings)
         self.peer_loads = PeerLoads(context)
         self.outliers = OutlierDetection(context, self.load)
-        self.slow_start = SlowStart(context, self.table)
-        self.selection = EndpointSelection(
-            context, self.table, Rules(self.outliers, self.slow_start), self.peer_loads
-        )
+
+    def _build_gossip(self, scheduler_class: type[GossipScheduler]) -> None:
+        """What is sent to peers, and received from them."""
+        context, accounts = self.context, self.customer_accounts
         self.composer = GossipComposer(
-            context,
-            self.load,
-            self.customer_accounts,
-            self.pending,
-            (self.table, self.outliers),
+            context, self.load, accounts, self.pending, (self.table, self.outliers)
         )
-        self.gossip = scheduler_class(context, self.load, self.customer_accounts, self.composer)
+        self.gossip = scheduler_class(context, self.load, accounts, self.composer)
         self.receiver = GossipReceiver(
             context,
-            AccountState(self.customer_accounts, self.replicated_accounts, self.startup),
+            AccountState(accounts, self.replicated_accounts, self.startup),
             EndpointState(self.table, self.outliers, self.load, self.peer_loads),
             self.composer,
             self.gossip,
         )
-        self.quota = Quota(
-            context, self.load, self.customer_accounts, self.replicated_accounts, self.gossip
+
+    def _build_rules(self) -> None:
+        """The rules that requests and attempts go through."""
+        context, load, accounts = self.context, self.load, self.customer_accounts
+        self.slow_start = SlowStart(context, self.table)
+        self.selection = EndpointSelection(
+            context, self.table, Rules(self.outliers, self.slow_start), self.peer_loads
         )
+        self.quota = Quota(context, load, accounts, self.replicated_accounts, self.gossip)
         self.retry_budget = RetryBudget()
-        self.attempts = Attempts(
-            context,
-            self.pending,
-            self.load,
-            self.peer_loads,
-            AttemptRules(
-                self.selection, self.slow_start, self.outliers, self.quota, self.retry_budget
-            ),
+        attempt_rules = AttemptRules(
+            self.selection, self.slow_start, self.outliers, self.quota, self.retry_budget
         )
-        self.load_shedding = LoadShedding(context, self.load)
-        self.admission = Admission(
-            context,
-            self.customer_accounts,
-            self.pending,
-            self.load,
-            AdmissionRules(
-                self.quota, self.load_shedding, self.selection, self.retry_budget, self.attempts
-            ),
+        self.attempts = Attempts(context, self.pending, load, self.peer_loads, attempt_rules)
+        self.load_shedding = LoadShedding(context, load)
+        admission_rules = AdmissionRules(
+            self.quota, self.load_shedding, self.selection, self.retry_budget, self.attempts
         )
-        self._round_interval = max(PERIOD_S / ROUNDS_PER_PERIOD, settings.tick)
-        self._round_period = 0  # the period of the latest round
-        self._handlers: dict[type, Callable[[Any], None]] = {
-            RequestArrived: self.admission.arrive,
-            AttemptEnded: self.attempts.end,
-            ClientDisconnected: self._client_disconnected,
-            AllowanceGranted: self.quota.grant_allowance,
-            GossipReceived: self.receiver.receive,
-            TimerFired: self._round,
-            EndpointsUpdated: self._endpoints_updated,
-            EndpointOverridden: self._endpoint_overridden,
-            MembershipChanged: self._membership_changed,
-            AccountReplicated: self.replicated_accounts.merge,
-        }
+        self.admission = Admission(context, accounts, self.pending, load, admission_rules)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """What is to be done about an event that happened at `now`."""
--- a/hazelhollow/decisions/slow_start.py
+++ b/hazelhollow/decisions/slow_start.py
@@ -1,12 +1,15 @@
 """Slow start: an endpoint that has just started gets less until it is warm.
 
-The platform's rule: an endpoint that is warming up can bear `overload_multiple` times its share of
-what the warm ones are sent. Its share rises evenly, from `warm_up_initial_share` at its start to
-all of it after `warm_up_time`. Past that for `overload_window` seconds it fails.
+The platform's rule: an endpoint that is warming up fails if, over `overload_window` seconds, it is
+sent more than `overload_multiple` times its share of a warm endpoint's load. Its share rises
+evenly, from `warm_up_initial_share` at its start to all of it after `warm_up_time`:
 
-Each limiter holds the ceiling for itself, with no message to the others: it sends such an endpoint,
-in any `overload_window`, at most that share of what it sends a warm one itself. As all limiters
-keep to it, so does their sum.
+    share = initial + (1 - initial) * age / warm_up_time
+    part  = min(1, min(MAX_SHARE_MULTIPLE, SAFE_PART_OF_MULTIPLE * overload_multiple) * share)
+
+Each limiter holds the ceiling for itself, with no message to the others: in any `overload_window`
+it sends such an endpoint at most `part` of what it sends a warm one of that weight itself. As each
+limiter keeps to its own, the sum over all limiters, however many, keeps to it, too.
 """
 
 from __future__ import annotations
