--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -97,7 +97,7 @@
 
 
 def spend(engine: DecisionEngine, now: float, tries: int, **changes: Any) -> int:
-    """How many of so many tries go out, each answered at once."""
+    """How many of so many requests go out, each answered at once."""
     sent = 0
     for _ in range(tries):
         for send in only(ask(engine, now, **changes), api.StartAttempt):
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -42,11 +42,11 @@
 
 def test_an_endpoint_that_failed_many_classes_long_ago_keeps_few_records() -> None:
     engine = make(0, limiter_count=LIMITERS, classes=kinds(300))
-    server = engine.endpoints["s0"]
+    endpoint = engine.endpoints["s0"]
     for number in range(300):
         engine.context.now = 100.0 + number
-        engine.outliers.record_failure(server, f"c{number}")
-    assert len(server.outlier_records) <= MAX_RECORDS and "c299" in server.outlier_records
+        engine.outliers.record_failure(endpoint, f"c{number}")
+    assert len(endpoint.outlier_records) <= MAX_RECORDS and "c299" in endpoint.outlier_records
 
 
 def test_failures_are_told_latest_first_and_forgotten() -> None:
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -184,9 +184,9 @@
 
 
 def charged_by_many(customers: int) -> DecisionEngine:
-    """Counts are kept.
+    """An engine that replicates counts.
 
-    And so many customers were charged one unit each by each of three members in the period of 100.
+    Each customer was charged one unit by each of three members in the period of 100.
     """
     engine = make(0, limiter_count=3)
     engine.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
@@ -233,7 +233,7 @@
 
 def test_customers_that_are_charged_all_the_time_do_not_keep_others_counts_from_closing() -> None:
     engine, told = charged_by_many(2 * MAX_COUNTS_A_ROUND), set[str]()
-    for period in range(102, 125):  # one beat a period: fewer than there are counts
+    for period in range(102, 125):  # one round a period: fewer than there are counts
         engine.context.now, engine.context.period = float(period), period
         for number in range(MAX_COUNTS_A_ROUND):
             account = engine.accounts[gossip.base36(number)]
--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -37,8 +37,8 @@
     """
     engine = make()
     (hangs,) = only(ask(engine, 1.0), api.StartAttempt)
-    for name, server in engine.endpoints.items():
-        server.work_factor = 1.0 if name == hangs.endpoint else 5.0  # else it would be the best
+    for name, endpoint in engine.endpoints.items():
+        endpoint.work_factor = 1.0 if name == hangs.endpoint else 5.0  # else it would be the best
     later = set()
     for number in range(40):
         (send,) = only(ask(engine, 1.9, customer=str(number)), api.StartAttempt)
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -24,7 +24,7 @@
 
 
 class PlainTable:
-    """The list as it was kept: every change a pass over all servers."""
+    """The list as it was kept: every change a pass over all endpoints."""
 
     def __init__(self, told: api.Settings) -> None:
         self.told, self.entries, self.incarnations = (
@@ -108,12 +108,12 @@
                 table.apply(servers(what, *words), now)
                 plain.apply(servers(what, *words))
             same_as(table, plain, now)
-            for name, server in table.endpoints.items():  # the same one until it has started anew
-                incarnation, before = incarnations.get(name, (0, server))
-                assert (server is before) == (
+            for name, endpoint in table.endpoints.items():  # the same one until it has started anew
+                incarnation, before = incarnations.get(name, (0, endpoint))
+                assert (endpoint is before) == (
                     incarnation == plain.incarnations[name]
                 ) or not incarnation
-                incarnations[name] = plain.incarnations[name], server
+                incarnations[name] = plain.incarnations[name], endpoint
 
     check()
 
@@ -133,8 +133,8 @@
     for zone in "ab":
         in_zone = {e.name for e in plain.up() if e.zone == zone}
         assert {s.entry.name for s in table.all_of(("zone", zone))} == in_zone
-    tagged = {server.tag: server for server in table.endpoints.values()}
-    assert all(table.by_tag(tag) is server for tag, server in tagged.items())
+    tagged = {endpoint.tag: endpoint for endpoint in table.endpoints.values()}
+    assert all(table.by_tag(tag) is endpoint for tag, endpoint in tagged.items())
     assert not [tag for tag in gossip._DIGITS if tag not in tagged and table.by_tag(tag)]
 
 
--- a/tests/decisions/test_gossip_byte_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -189,7 +189,7 @@
 def drawn_run(
     engine: DecisionEngine, events: list[tuple[float, int, int, int]], spread: int
 ) -> list[api.Action]:
-    """All actions of a run of requests (ids are the run's own), answers, gossip and beats."""
+    """All actions of a run of requests (ids are the run's own), answers, gossip and rounds."""
     actions, now = list[api.Action](), 100.0
     for number, (wait, customer, units, sender) in enumerate(events):
         now += wait
@@ -226,7 +226,7 @@
 def test_a_budget_of_zero_changes_no_action(
     events: list[tuple[float, int, int, int]], size: tuple[int, int]
 ) -> None:
-    """Against a engine whose code for the budget is not there at all."""
+    """Against an engine whose code for the budget is not there at all."""
     limiters, spread = size
 
     class WithoutBudget(GossipScheduler):
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -43,7 +43,7 @@
 
 
 def told(source: DecisionEngine, target: DecisionEngine, now: float) -> list[api.Action]:
-    """What the target does with all that the source says at its next beat."""
+    """What the target does with all that the source says at its next round."""
     found = []
     for action in source.handle(api.TimerFired("beat"), now):
         if isinstance(action, api.SendGossip):
--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -170,9 +170,9 @@
 def spend_in_vast(
     limiters: list[DecisionEngine], turns: int, dead: int = -1, **changes: Any
 ) -> int:
-    """A customer asks so often, each time at the next of 40 members.
+    """How many requests go out where a customer asks each time at the next of 40 members.
 
-    Everything is delivered at once. How much goes out.
+    Every datagram is delivered at once.
     """
     sent = 0
     for turn in range(turns):
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -41,9 +41,9 @@
 def test_under_pressure_a_retry_past_its_objective_yields() -> None:
     """In an overload old retries took the places of requests that could still be in time."""
     engine = make()
-    for server in engine.endpoints.values():
+    for endpoint in engine.endpoints.values():
         # seconds of work: a wait between the two limits
-        server.in_flight["other", 0], server.last_progress_at = 0.4, 100.0
+        endpoint.in_flight["other", 0], endpoint.last_progress_at = 0.4, 100.0
     assert only(ask(engine, 100.1, customer="a", time_left=2.5), api.RejectRequest)
     assert only(ask(engine, 100.1, customer="b", time_left=4.0), api.StartAttempt)
     assert only(ask(engine, 100.1, customer="c", time_left=3.5), api.StartAttempt)
@@ -53,33 +53,36 @@
 def test_first_requests_that_come_with_less_time_are_not_taken_for_late_retries(
     marks: bool,
 ) -> None:
-    """Some clients give a first try 60% of the time and its retry all that is left.
+    """Some clients give a first request 60% of the time, and its retry all that is left.
 
-    That shows no age.
+    A short time left then shows no age.
     """
     engine = make(clients_mark_retries=marks)
     # learned where clients mark nothing, known where they do
     for turn in range(6 if not marks else 0):
         spend(engine, 100.0, 1, customer=f"{turn}", time_left=2.4 + turn / 1000)
         spend(engine, 100.0, 1, customer=f"r{turn}", time_left=3.9)
-    for server in engine.endpoints.values():
-        server.in_flight["other", 0], server.last_progress_at = 0.4, 100.0
+    for endpoint in engine.endpoints.values():
+        endpoint.in_flight["other", 0], endpoint.last_progress_at = 0.4, 100.0
     assert only(ask(engine, 100.1, customer="a", time_left=2.4), api.StartAttempt)
     assert only(ask(engine, 100.1, customer="b", time_left=2.0, is_retry=marks), api.RejectRequest)
 
 
 @pytest.mark.parametrize("limiters", [3, 12])
 def test_in_a_large_fleet_a_few_requests_alike_do_not_pass_for_a_habit(limiters: int) -> None:
-    """Each engine of it sees little.
+    """Each limiter sees little.
 
-    Retries after a fixed wait, cut alike, would hold for first tries.
+    Retries after a fixed wait, cut alike, would hold for first requests.
     """
     engine = make(limiter_count=limiters)
     spend(engine, 100.0, 1, customer="first", time_left=4.0)
     for turn in range(6):
         spend(engine, 100.0, 1, customer=f"{turn}", time_left=2.4)
-    for server in engine.endpoints.values():
-        server.in_flight["other", 0], server.last_progress_at = 0.7 if limiters > 8 else 0.4, 100.0
+    for endpoint in engine.endpoints.values():
+        endpoint.in_flight["other", 0], endpoint.last_progress_at = (
+            0.7 if limiters > 8 else 0.4,
+            100.0,
+        )
     late = [
         action.reason
         for action in only(ask(engine, 100.1, customer="a", time_left=2.4), api.RejectRequest)
@@ -89,8 +92,8 @@
 
 def test_a_client_that_waits_as_advised_is_in_time() -> None:
     engine = make()
-    for server in engine.endpoints.values():
-        server.in_flight["other", 0] = 9.0
+    for endpoint in engine.endpoints.values():
+        endpoint.in_flight["other", 0] = 9.0
     (refusal,) = only(ask(engine, 100.0), api.RejectRequest)
     assert 0 < refusal.retry_after < LOOKUP.latency_objective / 2
 
@@ -113,7 +116,7 @@
     assert only(ask(engine, 100.0, customer="a"), api.StartAttempt)
     slow(engine, 100.1, 3.0, 60)
     assert only(ask(engine, 100.1, customer="b"), api.RejectRequest)
-    for beat in range(200):  # all refused: nothing tells that it is over
+    for beat in range(200):  # all rejected: nothing tells that it is over
         engine.handle(api.TimerFired("beat"), 100.2 + beat / 10)
     assert only(ask(engine, 121.0, customer="c"), api.StartAttempt)
 
@@ -169,9 +172,9 @@
 
 
 def test_work_is_learned_for_each_number_of_units() -> None:
-    """Where units are a guess, a large one may mean far more work than its number says.
+    """Where units are an estimate, a large one may mean far more work than its number says.
 
-    And the hosts must be chosen and filled by that.
+    Endpoints must be chosen and filled by the work.
     """
     plan = api.Plan("basic", rate=1000.0, burst=1000.0)
     engine = DecisionEngine(
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -20,14 +20,14 @@
 
 def test_costly_requests_do_not_make_an_endpoint_look_slow() -> None:
     engine = make()
-    server = engine.endpoints["s0"]
+    endpoint = engine.endpoints["s0"]
     for i in range(40):
         (send,) = only(ask(engine, 100.0 + i, customer=f"{i}"), api.StartAttempt)
         cost = 20.0 if i % 20 == 0 else 0.1
         engine.handle(
             api.AttemptEnded(send.id, 0, send.endpoint, "ok", cost, final=True), 100.5 + i
         )
-    assert all(s.work_factor < 2.0 for s in engine.endpoints.values()) and server.work_factor > 0
+    assert all(s.work_factor < 2.0 for s in engine.endpoints.values()) and endpoint.work_factor > 0
 
 
 def test_an_endpoint_that_fails_one_class_serves_the_rest() -> None:
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -91,7 +91,7 @@
 
 
 def test_an_attempt_that_broke_off_at_once_costs_little_of_the_retry_budget() -> None:
-    """Resets by the dozen cost the servers nothing.
+    """Resets by the dozen cost the endpoints nothing.
 
     Were they to spend the retries, requests would fail for it.
     """
@@ -110,9 +110,9 @@
 
 
 def hung(engine: DecisionEngine, kind: str, wait: float, answers: bool) -> tuple[list[str], str]:
-    """The host at which a request hangs after some usual ones.
+    """Where a request goes whose first attempt hangs, and the endpoint at which it hangs.
 
-    And those it goes to once the engine has looked.
+    Some usual requests are answered before.
     """
     for number in range(30):
         for send in only(ask(engine, 1.0 + number / 10, customer=str(number)), api.StartAttempt):
@@ -137,7 +137,7 @@
     engine = make(cancellation=True)
     (other,), first = hung(engine, "lookup", 0.0, answers)
     assert other != first
-    # one answer that is lost is no failing server
+    # one answer that is lost is no failing endpoint
     assert bool(engine.endpoints[first].outlier_records) is not answers
 
 
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -30,7 +30,7 @@
 
 
 def room(stage: Stage) -> float:
-    """Units that the customer's budget holds, as the next request finds it."""
+    """Units that the customer's quota holds, as the next request finds it."""
     (account,) = stage.service.engine.accounts.values()
     return account.quota.level
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -67,9 +67,7 @@
 def test_many_endpoints_that_are_warming_up_do_not_make_a_choice_dear(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Looking at all servers for each cold one took two thirds of a day's CPU at 7 limiters and 49
-    servers.
-    """
+    """Looking at all endpoints for each cold one took most of the CPU of a fleet of cold ones."""
     told = replace(
         SETTINGS,
         limiter_count=1,
@@ -83,10 +81,10 @@
         servers("full", *(entry(f"s{n}", started=99.0 * (n % 2)) for n in range(80))), 100.0
     )
 
-    def counted(server: Endpoint, now: float, settings: api.Settings) -> bool:
+    def counted(endpoint: Endpoint, now: float, settings: api.Settings) -> bool:
         nonlocal looks
         looks += 1
-        return cold(server, now, settings)
+        return cold(endpoint, now, settings)
 
     monkeypatch.setattr(Endpoint, "is_warming_up", counted)
     assert only(ask(engine, 100.1, "look", set_size=1, time_left=3.0), api.StartAttempt)
@@ -125,23 +123,23 @@
     "look", latency_objective=1.0, deadline=3.0, priority_weight=1.0, effect="safe"
 )
 FREE = api.Plan("free", rate=1e6, burst=1e6)  # quotas are not what is asked about here
-WORK = 0.1  # seconds of a mean request at a warm server
-SLOTS = 2  # requests that a server works on at once
-CAPACITY = SLOTS / WORK  # requests a second of a warm server
+WORK = 0.1  # seconds of a mean request at a warm endpoint
+SLOTS = 2  # requests that an endpoint works on at once
+CAPACITY = SLOTS / WORK  # requests a second of a warm endpoint
 COLD_FOR, COLD_FROM, FALL_MULTIPLE, FALL_TIME = 8.0, 0.25, 2.0, 3.0
-START, JOINS, ENDS = 100.0, 106.0, 116.0  # seconds: of the load, of the cold servers, and the end
+START, JOINS, ENDS = 100.0, 106.0, 116.0  # seconds: of the load, of the cold endpoints, and the end
 WARM = 8
 
 
 def share(age: float) -> float:
-    """Of a warm server's work, that one of that age can do."""
+    """Of a warm endpoint's work, that one of that age can do."""
     return min(1.0, COLD_FROM + (1.0 - COLD_FROM) * age / COLD_FOR)
 
 
 def allowed(age: float) -> float:
-    """Requests within FALL_TIME up to which a server of that age is sure to stand.
+    """Requests within FALL_TIME that an endpoint of that age is sure to bear, N.
 
-    N, and 2 x root of N + 2 for chance.
+    Plus 2 x root of N + 2 for chance.
     """
     expected = FALL_MULTIPLE * share(age) * CAPACITY * FALL_TIME
     return expected + 2.0 * math.sqrt(expected) + 2.0
@@ -149,7 +147,7 @@
 
 @dataclass
 class Host:
-    """A modelled server: first come, first served."""
+    """A modelled endpoint: first come, first served."""
 
     started: float = 0.0
     busy: int = 0
@@ -257,9 +255,9 @@
 
 
 def played(limiters: int, cold: int, load: float, seed: int) -> Fleet:
-    """`load`.
+    """A fleet that was run until some time after so many cold endpoints joined.
 
-    Of what the warm servers can do, from the moment in which so many cold ones join; before, less.
+    `load`: the part of what the warm endpoints can do that is asked for then; before, less.
     """
     fleet = Fleet(limiters, seed)
     fleet.load(0.7 * load * CAPACITY * WARM, JOINS)
@@ -291,9 +289,9 @@
 def test_nor_under_a_burst_that_the_warm_endpoints_cannot_work_off(
     limiters: int, cold: int, load: float
 ) -> None:
-    """What they are sent is then more than they can do.
+    """A burst sends the warm endpoints more than they can do.
 
-    And says nothing of what a cold one bears.
+    It says nothing of what a cold one bears.
     """
     for seed in (100, 101, 103, 107):
         for host in cold_hosts(played(limiters, cold, load, seed)):
--- a/tests/decisions/test_startup_quota.py
+++ b/tests/decisions/test_startup_quota.py
@@ -30,9 +30,9 @@
 def test_limiters_that_started_together_have_the_whole_burst_and_a_later_one_a_part(
     incarnations: tuple[float, ...], basic: int, hard: int
 ) -> None:
-    """Of one that starts among older ones.
+    """A limiter starts among older ones, or has not heard from all.
 
-    Or has not met all, it is not known what was spent before.
+    What was spent before is not known then.
     """
     for plan, most in (("basic", basic), ("hard", hard)):
         engine = make()
--- a/tests/decisions/test_unreachable_members.py
+++ b/tests/decisions/test_unreachable_members.py
@@ -39,7 +39,7 @@
 def kept_apart(
     sets: list[tuple[int, int]], told: list[tuple[float, frozenset[int], list[tuple[int, float]]]]
 ) -> list[Any]:
-    """What a engine knows of customers of these sets, after these changes to who can be heard."""
+    """What an engine knows of customers of these sets, after these changes to who can be heard."""
     plan = api.Plan("basic", 10.0, 40.0, excess_cost=1.0)
     engine = make(1, limiter_count=RING, plans=(plan,), gossip_messages_per_s=60.0)
     everybody, now = tuple(range(RING)), 100.0
