--- a/hazelhollow/net/attachment.py
+++ b/hazelhollow/net/attachment.py
@@ -24,12 +24,12 @@
     def settings(self, settings: api.Settings) -> api.Settings:
         """The platform's settings with what the operator file changes in them."""
 
-    def decisions(
+    def wrap_engine(
         self, inner: Decisions, settings: api.Settings, seed: int, now: float
     ) -> Decisions:
         """The decision engine, with what the operator file puts in front of it."""
 
-    def begin(self, service: Service) -> None:
+    def start(self, service: Service) -> None:
         """The limiter is about to serve."""
 
     def reload(self, taken: bool) -> None:
@@ -41,17 +41,17 @@
     def ready(self) -> bool:
         """Whether this limiter may be given work."""
 
-    def view(self) -> dict[str, Any] | None:
+    def fleet_document(self) -> dict[str, Any] | None:
         """The answer to `call fleet`; None where that is switched off."""
 
-    def written(self) -> list[Any] | None:
+    def audit_entries(self) -> list[Any] | None:
         """The answer to `call audit`; None where that is switched off."""
 
     def config_call(self, words: tuple[str, ...]) -> str | None:
         """The answer to `call config ...`; None where that is switched off."""
 
-    def called(self, server: str, down: bool) -> None:
+    def override_made(self, server: str, down: bool) -> None:
         """An operator has disabled or enabled an endpoint at this limiter."""
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Every request is answered, and the limiter ends."""
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -12,7 +12,7 @@
 - `-BUSY` without a time: the engine gave no time, or never saw the request because as many as
   `policy_limits.max_open` were open: `submit`. The latter has no entry in `refusals`.
 
-No other path of the network code leads to `-BUSY`; `session.AnswerSlot.send_busy` writes it.
+No other path of the network code leads to `-BUSY`; `answer_slot.AnswerSlot.send_busy` writes it.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/graceful_shutdown.py
+++ b/hazelhollow/net/graceful_shutdown.py
@@ -12,14 +12,13 @@
 
 Step by step, for a request that is in flight when SIGTERM comes:
 
-1. ANNOUNCED, from 0.0 s (`BETWEEN_REQUESTS_AFTER_S`): nothing changes for it or for its attempts,
+1. ANNOUNCED, up to 0.5 s (`BETWEEN_REQUESTS_AFTER_S`): nothing changes for it or for its attempts,
    and retries go on. `call check` at the operator address says `error not ready yet` from now on.
-   Clients may come for up to 0.4 s more, as the platform's balancers learn late that the limiter
-   leaves.
-2. DRAINING, from 0.5 s (`STOP_ACCEPTING_AFTER_S` ends it): `Frontend.finish` marks every connection
-   to be closed between requests. One without an open request is closed now; one with requests in
-   flight once the last of them is answered. Its client reads its answers and then the end of the
-   stream. A client that has just connected has 0.25 s for its first command
+   Clients come for up to 0.4 s after the signal, so new connections are served as ever.
+2. DRAINING, up to 0.7 s (`STOP_ACCEPTING_AFTER_S`): `Frontend.finish` marks every connection that
+   is open to be closed between requests. One without an open request is closed now; one with
+   requests in flight once the last of them is answered. Its client reads its answers and then the
+   end of the stream. A client that has just connected has 0.25 s for its first command
    (`session.FIRST_COMMAND_GRACE_S`).
 3. CLOSING, from 0.7 s: the listening socket is closed. What waited in its queue is accepted once
    more and gets 0.25 s for a first command; else it would be reset. Of open connections no further
@@ -111,7 +110,7 @@
             self._scheduler.sleep(POLL_INTERVAL_S)
         self.state = ShutdownState.STOPPED
         if self._attachment:
-            self._attachment.end()
+            self._attachment.stop()
         log.info("left after %.2f s", self._scheduler.clock() - began_at)
         self._pool.close_all()
         self._scheduler.stop()
--- a/hazelhollow/net/operator_console.py
+++ b/hazelhollow/net/operator_console.py
@@ -67,7 +67,9 @@
             return _unknown(call.verb) if text is None else b"%b\n" % text.encode()
         document: Any = None
         if attachment:
-            document = attachment.view() if call.verb == "fleet" else attachment.written()
+            document = (
+                attachment.fleet_document() if call.verb == "fleet" else attachment.audit_entries()
+            )
         return _unknown(call.verb) if document is None else _document(document)
 
     def _set_disabled(self, name: str, disabled: bool) -> str | None:
@@ -81,7 +83,7 @@
             return f"no server '{name}' has been listed"
         service.overrides.replace(before | {name} if disabled else before - {name})
         if service.attachment:
-            service.attachment.called(name, disabled)
+            service.attachment.override_made(name, disabled)
         return None
 
 
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -115,7 +115,7 @@
     def start(self) -> None:
         """Starts the tasks; the scheduler then runs them."""
         if self.attachment:
-            self.attachment.begin(self)
+            self.attachment.start(self)
         self.scheduler.spawn_supervised(self.discovery_watch.run, "watch")
         if self.engine_driver.peers:
             self.scheduler.spawn_supervised(self.engine_driver.peers.run, "peers")
@@ -128,7 +128,7 @@
     def _build_engine_driver(self, config: PlatformConfig) -> EngineDriver:
         decisions: Decisions = self.engine
         if self.attachment:
-            decisions = self.attachment.decisions(
+            decisions = self.attachment.wrap_engine(
                 decisions, self.settings_reload.settings, config.seed, self.scheduler.clock()
             )
         driver = EngineDriver(decisions, self.scheduler, self.pool, self.stats, config.max_open)
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -128,7 +128,7 @@
             return settings
         return with_gossip_rate(settings, terms.bytes_per_s)
 
-    def decisions(
+    def wrap_engine(
         self, inner: Decisions, settings: api.Settings, seed: int, now: float
     ) -> Decisions:
         """The decision module, with what stands before it."""
@@ -143,7 +143,7 @@
         if self.driver:
             self.driver.pump()
 
-    def begin(self, service: Service) -> None:
+    def start(self, service: Service) -> None:
         """The limiter is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
@@ -284,7 +284,7 @@
         """
         return self.fleet is None or self.fleet.may_admit()
 
-    def view(self) -> dict[str, Any] | None:
+    def fleet_document(self) -> dict[str, Any] | None:
         """What `call fleet` answers."""
         document = self.fleet.document() if self.fleet else None
         if document and self.replica:
@@ -295,7 +295,7 @@
             document["control"] = self.control.document()
         return document
 
-    def written(self) -> list[Any] | None:
+    def audit_entries(self) -> list[Any] | None:
         """What `call audit` answers."""
         return self.audit.record.newest() if self.audit else None
 
@@ -305,7 +305,7 @@
             return None
         return operator_calls.answer(self.audit.rollouts, Path(self.file).parent, words)
 
-    def called(self, server: str, down: bool) -> None:
+    def override_made(self, server: str, down: bool) -> None:
         """An operator has put a server out or back at this limiter."""
         if self.replica:
             self.replica.set_override(server, down)
@@ -317,7 +317,7 @@
         if self.audit:
             self.audit.settings_reloaded()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """The limiter has answered all and ends."""
         if self.audit:
             self.audit.end()
