--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -60,7 +60,7 @@
         control = self.operator.fleet and self.operator.fleet.control
         return with_gossip_rate(settings, control.bytes_per_s) if control else settings
 
-    def decisions(
+    def wrap_engine(
         self, inner: Decisions, settings: api.Settings, seed: int, now: float
     ) -> Decisions:
         """The engine, behind the shared store's ledger where there is a store."""
@@ -76,7 +76,7 @@
         if self.store_driver:
             self.store_driver.pump()
 
-    def begin(self, service: Service) -> None:
+    def start(self, service: Service) -> None:
         """Starts the subsystems of a service that is about to serve."""
         log.info("operator file in use", file=self.file, store=self.operator.store is not None)
         if self.ledger and self.operator.store:
@@ -95,11 +95,11 @@
         """Whether the limiter may be given work."""
         return self.fleet is None or self.fleet.may_admit()
 
-    def view(self) -> dict[str, Any] | None:
+    def fleet_document(self) -> dict[str, Any] | None:
         """What `call fleet` answers."""
         return self.fleet.document() if self.fleet else None
 
-    def written(self) -> list[Any] | None:
+    def audit_entries(self) -> list[Any] | None:
         """What `call audit` answers."""
         configuration = self.fleet and self.fleet.configuration
         return configuration.record.newest() if configuration else None
@@ -111,7 +111,7 @@
             return None
         return operator_calls.answer(configuration.rollouts, Path(self.file).parent, words)
 
-    def called(self, server: str, down: bool) -> None:
+    def override_made(self, server: str, down: bool) -> None:
         """An operator has disabled or enabled an endpoint at this limiter."""
         if self.fleet:
             self.fleet.override_set(server, down)
@@ -160,7 +160,7 @@
         audit = self.operator.fleet and self.operator.fleet.audit
         return audit.order if audit else 0
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Ends the subsystems, once the limiter has answered every request."""
         if self.fleet:
             self.fleet.end()
