--- a/tests/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -36,7 +36,7 @@
 from hazelhollow.scale.report_tables import Run, Runs, distance, percent, shown, tables
 from hazelhollow.scale.results import Axis, EventKind, Role
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "CAPACITY.md"
 DATA = ROOT / "docs" / "capacity"
 BASE = results.Size(limiters=50, servers=200, routes=10, tenants=1000, requests_per_s=204.0)
