--- a/hazelhollow/scale/agreement.py
+++ b/hazelhollow/scale/agreement.py
@@ -9,18 +9,18 @@
 
 from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record
-from hazelhollow.scale.topology import Cut, open_network
+from hazelhollow.scale.topology import CutPredicate, no_cut
 
-CLOCK_STEP = 0.02  # seconds by which an incarnation's number may lie before its start
+CLOCK_TOLERANCE_S = 0.02  # seconds by which an incarnation's number may lie before its start
 
 
-class Truth:
+class GroundTruth:
     """Which limiters are up, since when, and which pairs cannot hear each other."""
 
     def __init__(self, limiters: int) -> None:
         self.limiters = limiters
         self.up_since: dict[int, float] = {}
-        self.cut: Cut = open_network
+        self.cut: CutPredicate = no_cut
 
     def reachable(self, observer: int, number: int) -> bool:
         """Whether it is up and no cut lies between."""
@@ -36,17 +36,17 @@
         return (
             record.state in PRESENT_STATES
             and record.state != MemberState.SUSPECT
-            and began >= self.up_since[number] - CLOCK_STEP
+            and began >= self.up_since[number] - CLOCK_TOLERANCE_S
         )
 
 
-class Watcher:
+class MembershipWatcher:
     """One member's view, for as long as the run lasts.
 
     `wrong`: members of which it holds what is not so.
     """
 
-    def __init__(self, number: int, truth: Truth, clock: Callable[[], float]) -> None:
+    def __init__(self, number: int, truth: GroundTruth, clock: Callable[[], float]) -> None:
         self.number, self._truth, self._clock = number, truth, clock
         self.wrong = set(range(truth.limiters))
         self.right_since: float | None = None
@@ -63,7 +63,7 @@
             ):
                 if (
                     record.incarnation / INCARNATIONS_PER_S
-                    >= self._truth.up_since[record.number] - CLOCK_STEP
+                    >= self._truth.up_since[record.number] - CLOCK_TOLERANCE_S
                 ):
                     self.falsely_dead.add(record.number)
         self._note()
--- a/hazelhollow/scale/commands.py
+++ b/hazelhollow/scale/commands.py
@@ -14,11 +14,12 @@
 
 from hazelhollow.scale import origin, results
 from hazelhollow.scale import plan as plans
-from hazelhollow.scale.coordinator import Coordinator, RunError
-from hazelhollow.scale.plan import Plan, PlanError, PlannedPoint
+from hazelhollow.scale.coordinator import Coordinator
+from hazelhollow.scale.errors import PlanError, ResultsError, RunError
+from hazelhollow.scale.plan import Plan, PlannedPoint
 from hazelhollow.scale.real_commands import compare, latency
 from hazelhollow.scale.report_commands import report
-from hazelhollow.scale.results import Axis, Results, ResultsError
+from hazelhollow.scale.results import Axis, Results
 
 FAILED = 1  # exit status where a point could not be played
 
@@ -81,7 +82,9 @@
 
 def _value(planned: PlannedPoint) -> int:
     """What the axis changes."""
-    name = plans.ALONE_WITH.get(planned.axis, "limiters" if planned.axis is Axis.ALL else "routes")
+    name = plans.FIELD_OF_AXIS.get(
+        planned.axis, "limiters" if planned.axis is Axis.ALL else "routes"
+    )
     return int(getattr(planned.size, name))
 
 
--- a/hazelhollow/scale/coordinator.py
+++ b/hazelhollow/scale/coordinator.py
@@ -23,9 +23,10 @@
 
 from hazelhollow.fault_injection.processes import ProcessGroup
 from hazelhollow.scale import measure, messages, truth
+from hazelhollow.scale.errors import ClockTooFastError, RunError
 from hazelhollow.scale.load import populate
 from hazelhollow.scale.messages import Bound, Job, Lag, Report, SeenEvent, Wired
-from hazelhollow.scale.network import Ledger
+from hazelhollow.scale.network import DatagramLedger
 from hazelhollow.scale.origin import total_memory
 from hazelhollow.scale.plan import Plan, PlannedPoint
 from hazelhollow.scale.results import NO_TIMES, Event, Point, Quotas, Spread
@@ -37,7 +38,7 @@
     0.0006,
 )  # processor seconds of a limiter a second, and of a request, that are guessed at first
 FILLED = 0.6  # of a worker's core that the guess fills
-MOST_TRIES = 4
+MAX_ATTEMPTS = 4
 SLOWER = 2.0  # times by which the clock is slowed where workers fell behind at the start
 LEAD_S = 0.3  # real seconds from the last word to the workers to the clock's begin
 GRACE_S = 60.0  # real seconds past a point's end in which its workers report
@@ -46,14 +47,6 @@
 NETS = (16, 230)  # second numbers of the loopback addresses that workers get, one each
 
 
-class RunError(Exception):
-    """A point could not be played; the text says why."""
-
-
-class Behind(Exception):
-    """Workers asked for a slower clock."""
-
-
 class Coordinator:
     """`progress` gets a line now and then."""
 
@@ -63,11 +56,11 @@
     def play(self, planned: PlannedPoint) -> Point:
         """One point; raises RunError."""
         dilation = planned.terms.dilation or self._guess(planned)
-        for tries in range(1, MOST_TRIES + 1):
-            may_slow = not planned.terms.dilation and tries < MOST_TRIES
+        for tries in range(1, MAX_ATTEMPTS + 1):
+            may_slow = not planned.terms.dilation and tries < MAX_ATTEMPTS
             try:
                 return self._try(planned, dilation, may_slow)
-            except Behind:
+            except ClockTooFastError:
                 dilation *= SLOWER
                 self._progress(
                     f"the workers fell behind; again with a clock {dilation:.2f} times slower"
@@ -91,7 +84,7 @@
             table = Table(self._plan, planned, dilation, may_slow, folder, processes)
             reports = table.play(self._workers(table.limiters), self._progress)
             if any(report.behind for report in reports):
-                raise Behind
+                raise ClockTooFastError
             return point_of(self._plan, planned, dilation, reports, table.rows())
         except (TimeoutError, OSError, msgspec.DecodeError) as error:
             raise RunError(str(error)) from error
@@ -114,7 +107,7 @@
         folder: Path,
         processes: ProcessGroup,
     ) -> None:
-        self._plan, self._planned, self._folder, self._crew = plan, planned, folder, processes
+        self._plan, self._planned, self._folder, self._processes = plan, planned, folder, processes
         self._dilation, self._may_slow = dilation, may_slow
         self.limiters = planned.terms.present or planned.size.limiters
         self._names = list[str]()
@@ -159,8 +152,8 @@
     def _start(self, number: int) -> None:
         name = f"worker-{number}"
         words = [sys.executable, "-m", "hazelhollow.scale.worker", str(self._folder), str(number)]
-        self._crew.add(name, words, {})
-        self._crew.start(name)
+        self._processes.add(name, words, {})
+        self._processes.start(name)
         self._names.append(name)
 
     def _wait(
@@ -180,13 +173,13 @@
 
     def _look(self, waited_for: int) -> None:
         for number, name in enumerate(self._names):
-            over = self._crew.reap(name) and not (self._folder / f"{number}.report").exists()
+            over = self._processes.reap(name) and not (self._folder / f"{number}.report").exists()
             if over:
                 log = (
                     (self._folder / f"{name}.log").read_text(errors="replace").strip().splitlines()
                 )
                 raise RunError(f"worker {number} ended: {log[-1] if log else 'without a word'}")
-        used = sum(_resident(self._crew.members[name].pid) for name in self._names)
+        used = sum(_resident(self._processes.members[name].pid) for name in self._names)
         if used > MEMORY_SHARE * total_memory():
             raise RunError(f"the workers use {used >> 20} MB, more than their share of the memory")
 
@@ -225,7 +218,7 @@
     windows = [truth.Window(measured_at, measured_at + shortest)]
     windows += [truth.Window(one[0].at_s, one[0].at_s + one[0].window_s) for one in seen]
     whole, *by_event = truth.judge(rows, populate(planned.size, planned.fleet, plan.seed), windows)
-    sums = measure.fresh()
+    sums = measure.zero_totals()
     for report in reports:
         for role, one in report.roles.items():
             sums[role].add(one)
@@ -238,7 +231,7 @@
         dilation=dilation,
         hollow=limiters,
         real=0,
-        roles=measure.as_records(sums),
+        roles=measure.to_records(sums),
         loop_s=sum(report.loop_s for report in reports) / len(reports),
         memory_bytes=max(0.0, grown / limiters),
         quotas=whole,
@@ -290,7 +283,7 @@
 
 def _notes(plan: Plan, planned: PlannedPoint, reports: Sequence[Report]) -> list[str]:
     """What a reader of the figures must know."""
-    notes, ledger = list[str](), Ledger()
+    notes, ledger = list[str](), DatagramLedger()
     for report in reports:
         ledger.add(report.ledger)
     notes.append(
--- a/hazelhollow/scale/fleet.py
+++ b/hazelhollow/scale/fleet.py
@@ -10,32 +10,32 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.scale import settings
-from hazelhollow.scale.agreement import Truth, Watcher
-from hazelhollow.scale.hollow import Life, Told
-from hazelhollow.scale.load import Drawn, Population, Requests, Tenant, split
-from hazelhollow.scale.measure import Meter, Traffic, traffic_of
+from hazelhollow.scale.agreement import GroundTruth, MembershipWatcher
+from hazelhollow.scale.hollow import Incarnation, InitialSettings
+from hazelhollow.scale.load import DrawnRequest, Population, Requests, Tenant, split
+from hazelhollow.scale.measure import Meter, Traffic, sum_traffic
 from hazelhollow.scale.messages import Job
-from hazelhollow.scale.network import HollowPeers, Wire, absent_address, dropped
+from hazelhollow.scale.network import HollowPeerSocket, NetworkState, absent_address, dropped
 from hazelhollow.scale.results import EventKind
-from hazelhollow.scale.topology import lay_out, open_network, region_cut
+from hazelhollow.scale.topology import make_topology, no_cut, region_partition
 
-LIST_EVERY_S = 1.0  # between changes of the list of servers
+LIST_CHANGE_INTERVAL_S = 1.0  # between changes of the list of servers
 # limiters times routes from which the limiters of a process share one settings object
-SHARED_FROM = 200_000
-HOSTS = 250  # last numbers of addresses that are used
-RESTARTED = 3  # last digit of the numbers that restart
+SHARED_SETTINGS_FROM = 200_000
+HOSTS_PER_SUBNET = 250  # last numbers of addresses that are used
+RESTARTED_LAST_DIGIT = 3  # last digit of the numbers that restart
 TENTH = 10
-CONFIGURED = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
+CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
 
 
 class Member:
     """One limiter through all its incarnations, and what is known of its view."""
 
     def __init__(
-        self, number: int, peers: HollowPeers, watcher: Watcher, requests: Requests
+        self, number: int, peers: HollowPeerSocket, watcher: MembershipWatcher, requests: Requests
     ) -> None:
         self.number, self.peers, self.watcher, self.requests = number, peers, watcher, requests
-        self.incarnation: Life | None = None
+        self.incarnation: Incarnation | None = None
         self.incarnations = 0
         self.acts_on: float | None = None  # since when it acts on the order that is watched for
 
@@ -60,31 +60,38 @@
             scheduler,
             meter,
         )
-        self.wire = Wire(meter)
-        self.truth = Truth(job.size.limiters)
+        self.wire = NetworkState(meter)
+        self.truth = GroundTruth(job.size.limiters)
         # of each request: seconds into the run, tenant, units, whether it was let in
         self.rows = array("d")
-        self.shares_settings = len(job.here) * job.size.routes >= SHARED_FROM
-        self._topology = lay_out(job.size.limiters, job.fleet)
+        self.shares_settings = len(job.here) * job.size.routes >= SHARED_SETTINGS_FROM
+        self._topology = make_topology(job.size.limiters, job.fleet)
         self._servers = settings.servers(job.size, job.fleet)
         self._document = settings.document(job.size, population.quotas, job.fleet)
         self._order = 0
-        self._one_told: Told | None = None
+        self._shared_settings: InitialSettings | None = None
         self._began = 0.0
         self._played = set[int]()
         self.members = dict(self._build(second))
-        self._first_lives = {number: self._prepare(one) for number, one in self.members.items()}
+        self._first_incarnations = {
+            number: self._prepare(one) for number, one in self.members.items()
+        }
 
     def _build(self, second: Callable[[], int]) -> Iterator[tuple[int, Member]]:
         job = self._job
         parts = split(self._population, job.here, job.size.limiters)
         for place, number in enumerate(job.here):
-            address = f"{job.net}.{1 + place // HOSTS}.{1 + place % HOSTS}"
-            peers = HollowPeers(self._scheduler, self.wire, number, (address, 0), second)
+            address = f"{job.net}.{1 + place // HOSTS_PER_SUBNET}.{1 + place % HOSTS_PER_SUBNET}"
+            peers = HollowPeerSocket(self._scheduler, self.wire, number, (address, 0), second)
             requests = Requests(parts[number], job.size.routes, number, job.seed)
             yield (
                 number,
-                Member(number, peers, Watcher(number, self.truth, self._scheduler.clock), requests),
+                Member(
+                    number,
+                    peers,
+                    MembershipWatcher(number, self.truth, self._scheduler.clock),
+                    requests,
+                ),
             )
 
     def begin(self, addresses: dict[int, tuple[str, int]], began: float) -> None:
@@ -108,7 +115,7 @@
     def start_at(self, number: int, at_s: float) -> None:
         """Its first incarnation, and its requests from the begin of the run on."""
         one = self.members[number]
-        self._at(at_s, self._start, one, self._first_lives.pop(number))
+        self._at(at_s, self._start, one, self._first_incarnations.pop(number))
         coming = iter(one.requests)
         first = next(coming, None)
         if first:
@@ -120,38 +127,42 @@
             if one.incarnation and one.incarnation.scheduler.on_process_pause:
                 one.incarnation.scheduler.on_process_pause()
 
-    def _told(self, number: int) -> Told:
+    def _initial_settings(self, number: int) -> InitialSettings:
         document = settings.own_document(self._document, number, self._topology)
         if not self.shares_settings:
-            return Told(document, self._order)
-        if self._one_told is None or self._one_told.order != self._order:
-            self._one_told = Told(document, self._order)
+            return InitialSettings(document, self._order)
+        if self._shared_settings is None or self._shared_settings.order != self._order:
+            self._shared_settings = InitialSettings(document, self._order)
         own = {"limiter_id": number, "zone": document["zone"]}
-        return Told(document, self._order, _replace(self._one_told.settings, own))
+        return InitialSettings(document, self._order, _replace(self._shared_settings.settings, own))
 
-    def _prepare(self, one: Member) -> Life:
+    def _prepare(self, one: Member) -> Incarnation:
         one.incarnations += 1
         # of numbers: the same in every process
         seed = hash((self._job.seed, one.number, one.incarnations))
-        return Life(
+        return Incarnation(
             self._scheduler,
             self._meter,
             one.peers,
-            self._told(one.number),
+            self._initial_settings(one.number),
             self._job.fleet,
             seed,
             one.watcher.saw,
             self._acts_on,
         )
 
-    def _start(self, one: Member, incarnation: Life | None = None) -> None:
+    def _start(self, one: Member, incarnation: Incarnation | None = None) -> None:
         one.incarnation = incarnation or self._prepare(one)
         one.incarnation.start(self._servers)
         self._scheduler.at(
-            self._scheduler.clock() + LIST_EVERY_S, self._change_list, one, one.incarnation, 0
+            self._scheduler.clock() + LIST_CHANGE_INTERVAL_S,
+            self._change_list,
+            one,
+            one.incarnation,
+            0,
         )
 
-    def _change_list(self, one: Member, incarnation: Life, change: int) -> None:
+    def _change_list(self, one: Member, incarnation: Incarnation, change: int) -> None:
         """One server drains, or is back."""
         if one.incarnation is not incarnation:
             return
@@ -159,19 +170,23 @@
         entry = _replace(server, {"state": "up" if change % 2 else "draining"})
         incarnation.list_servers(api.EndpointsUpdated("change", (entry,)))
         self._scheduler.at(
-            self._scheduler.clock() + LIST_EVERY_S, self._change_list, one, incarnation, change + 1
+            self._scheduler.clock() + LIST_CHANGE_INTERVAL_S,
+            self._change_list,
+            one,
+            incarnation,
+            change + 1,
         )
 
     # Requests
 
-    def _arrive(self, one: Member, coming: Iterator[Drawn], drawn: Drawn) -> None:
+    def _arrive(self, one: Member, coming: Iterator[DrawnRequest], drawn: DrawnRequest) -> None:
         if one.incarnation:
             self._ask(one.incarnation, drawn)
         following = next(coming, None)
         if following:
             self._at(following.at, self._arrive, one, coming, following)
 
-    def _ask(self, incarnation: Life, drawn: Drawn) -> None:
+    def _ask(self, incarnation: Incarnation, drawn: DrawnRequest) -> None:
         tenant = self._population.tenants[drawn.tenant]
         request = api.RequestArrived(
             incarnation.next_id(),
@@ -223,19 +238,19 @@
     def _happen(self, kind: EventKind, at_s: float) -> None:
         up = set(self.truth.up_since)
         if kind is EventKind.RESTART_TENTH:
-            self._restart({n for n in up if n % TENTH == RESTARTED % len(up)}, at_s)
+            self._restart({n for n in up if n % TENTH == RESTARTED_LAST_DIGIT % len(up)}, at_s)
         elif kind is EventKind.RACK_LOST:
             rack = self._topology.rack(self._job.size.limiters // 3)
             self._lose({n for n in up if self._topology.rack(n) == rack})
         elif kind is EventKind.ZONE_LOST:
             self._lose({n for n in up if self._topology.zone(n) == self._topology.zones - 1})
         elif kind is EventKind.ZONE_BACK:
-            self._bring_back(at_s)
+            self._restart_all_down(at_s)
         elif kind is EventKind.REGION_CUT:
-            self.truth.cut = self.wire.cut = region_cut(self._topology, 0)
+            self.truth.cut = self.wire.cut = region_partition(self._topology, 0)
         elif kind is EventKind.REGION_HEALED:
-            self.truth.cut = self.wire.cut = open_network
-        elif kind in CONFIGURED:
+            self.truth.cut = self.wire.cut = no_cut
+        elif kind in CONFIGURATION_EVENTS:
             self._configure(kind)
 
     def _restart(self, numbers: set[int], at_s: float) -> None:
@@ -256,7 +271,7 @@
                 one.incarnation.crash()
                 one.incarnation = None
 
-    def _bring_back(self, at_s: float) -> None:
+    def _restart_all_down(self, at_s: float) -> None:
         """All that are down.
 
         Since when they are up is what was planned, the same in every process.
@@ -284,14 +299,16 @@
     def until(self, kind: EventKind, at_s: float) -> list[float | None]:
         """Seconds of each member that is up from the event until it was right for good."""
         up = [one for one in self.members.values() if one.incarnation]
-        moments = [one.acts_on if kind in CONFIGURED else one.watcher.right_since for one in up]
+        moments = [
+            one.acts_on if kind in CONFIGURATION_EVENTS else one.watcher.right_since for one in up
+        ]
         return [
             None if moment is None else max(0.0, moment - self._began - at_s) for moment in moments
         ]
 
     def traffic(self) -> Traffic:
         """Since the last event."""
-        return traffic_of(one.peers.bytes_by_second for one in self.members.values())
+        return sum_traffic(one.peers.bytes_by_second for one in self.members.values())
 
     def falsely_dead(self) -> list[int]:
         """Members that some other here held dead without cause."""
@@ -316,8 +333,8 @@
             one.peers.close()
 
 
-def _first_request(tenant: Tenant, routes: int) -> Drawn:
-    return Drawn(0.0, tenant.number, tenant.number % routes, 1)
+def _first_request(tenant: Tenant, routes: int) -> DrawnRequest:
+    return DrawnRequest(0.0, tenant.number, tenant.number % routes, 1)
 
 
 def _replace(record: Any, values: dict[str, Any]) -> Any:
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -38,16 +38,16 @@
 from hazelhollow.net.stats import Stats
 from hazelhollow.replication.account_adapter import EngineAccounts
 from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
-from hazelhollow.scale.load import Drawn, service_time
+from hazelhollow.scale.load import DrawnRequest, service_time
 from hazelhollow.scale.measure import Meter
-from hazelhollow.scale.network import HollowPeers
+from hazelhollow.scale.network import HollowPeerSocket
 from hazelhollow.scale.plan import FleetTerms
 from hazelhollow.scale.results import Role
 from hazelhollow.simulator.errors import WireError
 from hazelhollow.simulator.fields import Fields
 from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 
-MOST_OPEN = 20_000  # requests, as a real limiter's configuration has it
+MAX_OPEN_REQUESTS = 20_000  # requests, as a real limiter's configuration has it
 KEY = b"the key of a scale run, which is no secret"
 DRIVERS: tuple[tuple[type, Role], ...] = (
     (MembershipDriver, Role.VIEW),
@@ -57,7 +57,7 @@
 )
 
 
-def role_of_call(call: Callable[..., object]) -> Role:
+def timer_role(call: Callable[..., object]) -> Role:
     """Whose a timer is."""
     owner = getattr(call, "__self__", None)
     if isinstance(
@@ -67,7 +67,7 @@
     return next((role for kind, role in DRIVERS if isinstance(owner, kind)), Role.TIMERS)
 
 
-class OwnScheduler(Scheduler):
+class IncarnationScheduler(Scheduler):
     """One incarnation's part of the shared scheduler."""
 
     def __init__(self, shared: Scheduler, meter: Meter) -> None:
@@ -82,7 +82,7 @@
         return getattr(self._shared, name)
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
-        return self._shared.at(when, self._play, role_of_call(call), call, args)
+        return self._shared.at(when, self._play, timer_role(call), call, args)
 
     def time_since_poll(self) -> float:
         return self._shared.time_since_poll()
@@ -95,7 +95,7 @@
         self._shared.at_end_of_turn(lambda: self._play(Role.REQUESTS, call, ()))
 
 
-class HollowBackend(ConnectionPool):
+class ModelledConnectionPool(ConnectionPool):
     """Modelled servers: each attempt is answered after a drawn time."""
 
     def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
@@ -154,7 +154,7 @@
         return False
 
 
-class Told:
+class InitialSettings:
     """What a limiter is told at its start.
 
     `document`: its settings; `settings`: the same as the decision module takes them; `order`: the
@@ -168,7 +168,7 @@
         self.settings = settings or parse_settings(Fields("settings", dict(document)))
 
 
-class Life:
+class Incarnation:
     """One limiter from its start to its end.
 
     Implements what the audit asks of a limiter (`configuration.state.ConfigurableLimiter`).
@@ -178,14 +178,14 @@
         self,
         shared: Scheduler,
         meter: Meter,
-        peers: HollowPeers,
-        told: Told,
+        peers: HollowPeerSocket,
+        told: InitialSettings,
         terms: FleetTerms,
         seed: int,
         saw: Callable[[Record], None],
         acts_on: Callable[[int], None],
     ) -> None:
-        self.scheduler, self._meter, self._peers = OwnScheduler(shared, meter), meter, peers
+        self.scheduler, self._meter, self._peers = IncarnationScheduler(shared, meter), meter, peers
         self._document, self.order, self._settings = told.document, told.order, told.settings
         # Settings that were found to be sound, and what they were read from.
         self._checked: tuple[Mapping[str, Any] | None, api.Settings] = (None, told.settings)
@@ -198,9 +198,9 @@
         self.limiter = EngineDriver(
             self.gateway,
             self.scheduler,
-            HollowBackend(self.scheduler, seed, terms.service_s),
+            ModelledConnectionPool(self.scheduler, seed, terms.service_s),
             self.stats,
-            MOST_OPEN,
+            MAX_OPEN_REQUESTS,
         )
         self.limiter.peers = peers
         self.fleet: MembershipDriver | None = None
@@ -305,7 +305,7 @@
         """Discovery's news."""
         self._meter.turn(Role.LIST, self.limiter.notify, event)
 
-    def ask(self, drawn: Drawn, request: api.RequestArrived) -> bool:
+    def ask(self, drawn: DrawnRequest, request: api.RequestArrived) -> bool:
         """A request comes; whether it is let in."""
         asked = HollowRequest(request)
         self._meter.turn(Role.REQUESTS, self.limiter.submit, asked, asked)
--- a/hazelhollow/scale/load.py
+++ b/hazelhollow/scale/load.py
@@ -21,12 +21,12 @@
 
 UNITS = (1, 1, 1, 2, 2, 2, 3, 3, 4, 6)
 MEAN_UNITS = sum(UNITS) / len(UNITS)
-MOST_UNITS = max(UNITS)
-SPIKE = 6.0  # times its rate that a spiky tenant asks for while it spikes
-LEAST_BURST = 2.0 * MOST_UNITS
+MAX_UNITS = max(UNITS)
+SPIKE_MULTIPLE = 6.0  # times its rate that a spiky tenant asks for while it spikes
+MIN_BURST_UNITS = 2.0 * MAX_UNITS
 
 
-class Way(NamedTuple):
+class UsagePattern(NamedTuple):
     """A way of use: its share of the tenants, and what it asks for as a part of the plan's rate."""
 
     name: str
@@ -34,11 +34,11 @@
     use: float
 
 
-WAYS = (
-    Way("calm", 0.61, 0.28),
-    Way("full", 0.14, 0.97),
-    Way("heavy", 0.09, 3.9),
-    Way("spiky", 0.16, 0.28),
+USAGE_PATTERNS = (
+    UsagePattern("calm", 0.61, 0.28),
+    UsagePattern("full", 0.14, 0.97),
+    UsagePattern("heavy", 0.09, 3.9),
+    UsagePattern("spiky", 0.16, 0.28),
 )
 
 
@@ -80,7 +80,7 @@
     quota: int
     first: int
     spread: int
-    way: str
+    usage: str
     asks: float
     top: float
     skew: float
@@ -96,7 +96,7 @@
         return self.top if span and (at - first) % every < span else self.asks
 
 
-class Drawn(NamedTuple):
+class DrawnRequest(NamedTuple):
     """One request: seconds into the run, tenant, route and units."""
 
     at: float
@@ -122,7 +122,7 @@
     scale = asked or 1.0  # quotas stay as they are where nobody asks
     tenants = tuple(one._replace(asks=one.asks * asked, top=one.top * asked) for one in drawn)
     quotas = tuple(
-        Quota(one.name, one.rate * scale, max(one.rate * scale * one.burst_s, LEAST_BURST))
+        Quota(one.name, one.rate * scale, max(one.rate * scale * one.burst_s, MIN_BURST_UNITS))
         for one in TARIFFS
     )
     return Population(tenants, quotas)
@@ -130,7 +130,7 @@
 
 def _tenant(chance: random.Random, number: int, limiters: int, terms: FleetTerms) -> Tenant:
     quota = chance.choices(range(len(TARIFFS)), [one.share for one in TARIFFS])[0]
-    way = chance.choices(WAYS, [one.share for one in WAYS])[0]
+    way = chance.choices(USAGE_PATTERNS, [one.share for one in USAGE_PATTERNS])[0]
     rate = TARIFFS[quota].rate / MEAN_UNITS
     spiky = way.name == "spiky"
     spike = (
@@ -142,7 +142,7 @@
     spread = chance.randint(least, min(terms.spread_most or limiters, limiters))
     asks = rate * way.use * chance.uniform(0.85, 1.15)
     skew = round(chance.uniform(0.21, 1.2), 1)  # few values, so that sums of weights are kept
-    top = rate * SPIKE if spiky else asks
+    top = rate * SPIKE_MULTIPLE if spiky else asks
     return Tenant(
         number, quota, chance.randrange(limiters), spread, way.name, asks, top, skew, spike
     )
@@ -154,7 +154,7 @@
 
 
 @lru_cache(100_000)
-def _whole(spread: int, skew: float) -> float:
+def _total_weight(spread: int, skew: float) -> float:
     return float(sum((rank + 1) ** -skew for rank in range(spread)))
 
 
@@ -164,7 +164,7 @@
     if place >= tenant.spread:
         return 0.0
     rank = (place + tenant.number) % tenant.spread
-    return float((rank + 1) ** -tenant.skew / _whole(tenant.spread, tenant.skew))
+    return float((rank + 1) ** -tenant.skew / _total_weight(tenant.spread, tenant.skew))
 
 
 def split(
@@ -192,7 +192,7 @@
         self.tenants = [one for one, _ in parts]
         self._sums = list(accumulate(one.top * part for one, part in parts))
 
-    def __iter__(self) -> Iterator[Drawn]:
+    def __iter__(self) -> Iterator[DrawnRequest]:
         """Thinned arrivals: the highest rate draws, the present one keeps.
 
         Ends at once where nobody asks.
@@ -205,7 +205,7 @@
             route = int(self._routes ** chance.random()) - 1  # about as often as one over its place
             units = chance.choice(UNITS)
             if kept:
-                yield Drawn(at, tenant.number, min(max(route, 0), self._routes - 1), units)
+                yield DrawnRequest(at, tenant.number, min(max(route, 0), self._routes - 1), units)
 
 
 def service_time(chance: random.Random, mean: float) -> float:
--- a/hazelhollow/scale/measure.py
+++ b/hazelhollow/scale/measure.py
@@ -15,8 +15,8 @@
 from hazelhollow.replication import codec as replication_codec
 from hazelhollow.scale.results import HEADER_BYTES, Role, RoleSums
 
-STEPS = 16  # of the histogram of turns, for each doubling of their time
-LOOP_STEPS = 2000
+STEPS_PER_DOUBLING = 16  # of the histogram of turns, for each doubling of their time
+REFERENCE_LOOP_STEPS = 2000
 ROLES_BY_LETTER = {
     membership_codec.DIALECT[0]: Role.VIEW,
     replication_codec.DIALECT[0]: Role.REPLICATION,
@@ -24,12 +24,12 @@
 }
 
 
-def role_of(text: str) -> Role:
+def datagram_role(text: str) -> Role:
     """Whose a datagram is: the gossip's where no other knows its first letter."""
     return ROLES_BY_LETTER.get(text[:1], Role.GOSSIP)
 
 
-class Sums(msgspec.Struct):
+class RoleTotals(msgspec.Struct):
     """What one role came to.
 
     `turns`: by step of their time, as `step_of` counts them. Times in nanoseconds of the processor.
@@ -44,7 +44,7 @@
     datagrams_in: int = 0
     bytes_in: int = 0
 
-    def add(self, other: Sums) -> None:
+    def add(self, other: RoleTotals) -> None:
         """Another process's sums of the same role."""
         self.longest_ns = max(self.longest_ns, other.longest_ns)
         for name in ("calls", "cpu_ns", "datagrams_out", "bytes_out", "datagrams_in", "bytes_in"):
@@ -61,21 +61,21 @@
         for step in sorted(self.turns):
             left -= self.turns[step]
             if left <= 0:
-                return min(math.exp2((step + 1) / STEPS), float(self.longest_ns))
+                return min(math.exp2((step + 1) / STEPS_PER_DOUBLING), float(self.longest_ns))
         return 0.0
 
 
-def step_of(nanoseconds: int) -> int:
+def histogram_step(nanoseconds: int) -> int:
     """The step of the histogram that a turn falls into."""
-    return int(math.log2(max(nanoseconds, 1)) * STEPS)
+    return int(math.log2(max(nanoseconds, 1)) * STEPS_PER_DOUBLING)
 
 
-def fresh() -> dict[Role, Sums]:
+def zero_totals() -> dict[Role, RoleTotals]:
     """Sums of nothing."""
-    return {role: Sums() for role in Role}
+    return {role: RoleTotals() for role in Role}
 
 
-def as_records(sums: dict[Role, Sums]) -> tuple[RoleSums, ...]:
+def to_records(sums: dict[Role, RoleTotals]) -> tuple[RoleSums, ...]:
     """The sums as the results hold them: seconds, and the histogram as its 99th in a hundred."""
     return tuple(
         RoleSums(
@@ -103,7 +103,7 @@
     def __init__(self, processor_ns: Callable[[], int] = time.thread_time_ns) -> None:
         self._processor_ns = processor_ns
         self._busy = False
-        self.sums = fresh()
+        self.sums = zero_totals()
 
     def turn(self, role: Role, call: Callable[..., Any], *args: Any) -> Any:
         """Makes the call and counts it, also where it raises."""
@@ -118,11 +118,11 @@
             self._count(self.sums[role], spent)
 
     @staticmethod
-    def _count(one: Sums, spent: int) -> None:
+    def _count(one: RoleTotals, spent: int) -> None:
         one.calls += 1
         one.cpu_ns += spent
         one.longest_ns = max(one.longest_ns, spent)
-        step = step_of(spent)
+        step = histogram_step(spent)
         one.turns[step] = one.turns.get(step, 0) + 1
 
     def more(self, role: Role, spent: int) -> None:
@@ -142,9 +142,9 @@
         one.datagrams_in += 1
         one.bytes_in += size
 
-    def take(self) -> dict[Role, Sums]:
+    def take(self) -> dict[Role, RoleTotals]:
         """What was counted so far; from here on it counts anew."""
-        found, self.sums = self.sums, fresh()
+        found, self.sums = self.sums, zero_totals()
         return found
 
     def longest_turn_s(self) -> float:
@@ -178,7 +178,7 @@
         return max(found, default=0) / length / max(members, 1)
 
 
-def traffic_of(counters: Iterable[Counter[int]]) -> Traffic:
+def sum_traffic(counters: Iterable[Counter[int]]) -> Traffic:
     """Of each limiter's bytes by second."""
     whole = Traffic()
     for counter in counters:
@@ -191,9 +191,9 @@
     return text_bytes + HEADER_BYTES
 
 
-def loop_ns() -> int:
+def reference_loop_ns() -> int:
     """Processor time that a fixed loop of plain Python takes now."""
     before, whole = time.thread_time_ns(), 0
-    for step in range(LOOP_STEPS):
+    for step in range(REFERENCE_LOOP_STEPS):
         whole += step & 7
     return time.thread_time_ns() - before
--- a/hazelhollow/scale/messages.py
+++ b/hazelhollow/scale/messages.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from hazelhollow.scale.measure import Sums, Traffic
-from hazelhollow.scale.network import Ledger
+from hazelhollow.scale.measure import RoleTotals, Traffic
+from hazelhollow.scale.network import DatagramLedger
 from hazelhollow.scale.plan import AxisPlan, FleetTerms
 from hazelhollow.scale.results import EventKind, Role, Size
 
@@ -96,8 +96,8 @@
     limiters: int
     seconds: float = 0.0
     measured_at_s: float = 0.0
-    roles: dict[Role, Sums] = {}
-    ledger: Ledger = msgspec.field(default_factory=Ledger)
+    roles: dict[Role, RoleTotals] = {}
+    ledger: DatagramLedger = msgspec.field(default_factory=DatagramLedger)
     events: list[SeenEvent] = []
     lag: Lag = msgspec.field(default_factory=Lag)
     memory_before: int = 0
--- a/hazelhollow/scale/network.py
+++ b/hazelhollow/scale/network.py
@@ -16,9 +16,9 @@
 from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.stats import Stats
-from hazelhollow.scale.measure import Meter, role_of, size_on_wire
+from hazelhollow.scale.measure import Meter, datagram_role, size_on_wire
 from hazelhollow.scale.results import Role
-from hazelhollow.scale.topology import Cut, open_network
+from hazelhollow.scale.topology import CutPredicate, no_cut
 
 UDP_TABLE = Path("/proc/net/udp")
 INODE, DROPS = 9, 12  # columns of that table
@@ -31,7 +31,7 @@
 )
 
 
-class Ledger(msgspec.Struct):
+class DatagramLedger(msgspec.Struct):
     """Datagrams of all limiters of a process over a whole run.
 
     What went out is what came in and what was lost. Words to a limiter's own address are in
@@ -44,7 +44,7 @@
     to_dead: int = 0
     dropped: int = 0  # by the system, for want of room in a socket
 
-    def add(self, other: Ledger) -> None:
+    def add(self, other: DatagramLedger) -> None:
         for name in self.__struct_fields__:
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
@@ -60,22 +60,22 @@
     def recvfrom(self, bufsize: int, flags: int = 0, /) -> tuple[bytes, tuple[str, int]]:
         before = time.thread_time_ns()
         data, sender = super().recvfrom(bufsize, flags)
-        self.meter.more(role_of(data[:1].decode("latin-1")), time.thread_time_ns() - before)
+        self.meter.more(datagram_role(data[:1].decode("latin-1")), time.thread_time_ns() - before)
         return data, sender
 
 
-class Wire:
+class NetworkState:
     """What the limiters of one process share.
 
     The faults between limiters, the ledger and the meter.
     """
 
     def __init__(self, meter: Meter) -> None:
-        self.meter, self.ledger = meter, Ledger()
-        self.cut: Cut = open_network
+        self.meter, self.ledger = meter, DatagramLedger()
+        self.cut: CutPredicate = no_cut
 
 
-class HollowPeers(PeerSocket):
+class HollowPeerSocket(PeerSocket):
     """The real datagrams of one limiter, through all of its incarnations.
 
     While it is `dead`, what comes is counted and dropped.
@@ -84,7 +84,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        wire: Wire,
+        wire: NetworkState,
         number: int,
         listen: tuple[str, int],
         second: Callable[[], int],
@@ -110,13 +110,13 @@
         if self._stats.told == before:
             return
         size = len(text)
-        self._wire.meter.sent(role_of(text), size)
+        self._wire.meter.sent(datagram_role(text), size)
         self._wire.ledger.out += 1
         self._wire.ledger.to_dead += address is not None and address[1] == ABSENT_PORT
         self.bytes_by_second[self._second()] += size_on_wire(size)
 
     def _take(self, data: bytes, sender: tuple[str, int]) -> None:
-        wire, role = self._wire, role_of(data[:1].decode("latin-1"))
+        wire, role = self._wire, datagram_role(data[:1].decode("latin-1"))
         # the view's word to a process that may have the same number
         if sender[0] == self.address[0]:
             if not self.dead:
--- a/hazelhollow/scale/plan.py
+++ b/hazelhollow/scale/plan.py
@@ -11,14 +11,15 @@
 import msgspec
 
 from hazelhollow.control_budget.budget import MIN_BYTES_PER_S
+from hazelhollow.scale.errors import PlanError
 from hazelhollow.scale.results import Axis, EventKind, Size
 
 FOLDER = Path(__file__).parent / "plans"
-MOST_WORKERS = 16
-MOST_LIMITERS = 1000
-LEAST_WINDOW_S = 1.0
+MAX_WORKERS = 16
+MAX_LIMITERS = 1000
+MIN_WINDOW_S = 1.0
 PAIRS = {EventKind.ZONE_BACK: EventKind.ZONE_LOST, EventKind.REGION_HEALED: EventKind.REGION_CUT}
-ALONE_WITH = {
+FIELD_OF_AXIS = {
     Axis.SERVERS: "servers",
     Axis.ROUTES: "routes",
     Axis.TENANTS: "tenants",
@@ -26,10 +27,6 @@
 }
 
 
-class PlanError(ValueError):
-    """A plan that cannot be played; the text says which file, which place in it, and why."""
-
-
 class PlannedEvent(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """`window_s`.
 
@@ -40,8 +37,8 @@
     window_s: float
 
     def __post_init__(self) -> None:
-        if self.window_s < LEAST_WINDOW_S:
-            raise ValueError(f"window_s: less than {LEAST_WINDOW_S:g} s")
+        if self.window_s < MIN_WINDOW_S:
+            raise ValueError(f"window_s: less than {MIN_WINDOW_S:g} s")
 
 
 class FleetTerms(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -137,11 +134,11 @@
     fleet: FleetTerms = FleetTerms()
 
     def __post_init__(self) -> None:
-        if not 1 <= self.workers <= MOST_WORKERS:
-            raise ValueError(f"workers: not 1 to {MOST_WORKERS}")
+        if not 1 <= self.workers <= MAX_WORKERS:
+            raise ValueError(f"workers: not 1 to {MAX_WORKERS}")
         for point in self.points():
-            if not 2 <= point.size.limiters <= MOST_LIMITERS:
-                raise ValueError(f"limiters: {point.size.limiters} is not 2 to {MOST_LIMITERS}")
+            if not 2 <= point.size.limiters <= MAX_LIMITERS:
+                raise ValueError(f"limiters: {point.size.limiters} is not 2 to {MAX_LIMITERS}")
             if point.terms.present > point.size.limiters:
                 raise ValueError(
                     f"present: {point.terms.present} of {point.size.limiters} limiters"
@@ -161,7 +158,9 @@
                 yield PlannedPoint(terms.axis, size, terms, terms.fleet or self.fleet)
 
     def _grown(self, terms: AxisPlan, value: int) -> Size:
-        name = ALONE_WITH.get(terms.axis, "routes")  # of a configuration, what grows are its routes
+        name = FIELD_OF_AXIS.get(
+            terms.axis, "routes"
+        )  # of a configuration, what grows are its routes
         return msgspec.structs.replace(terms.base or self.base, **{name: value})
 
 
--- a/hazelhollow/scale/plots.py
+++ b/hazelhollow/scale/plots.py
@@ -5,12 +5,12 @@
 from pathlib import Path
 
 import matplotlib
+from matplotlib import pyplot
 
-matplotlib.use("agg")
-from matplotlib import pyplot  # noqa: E402
+from hazelhollow.scale.report_rows import Known, Row, Slope, coordinate
+from hazelhollow.scale.report_tables import AXIS_WORDS
 
-from hazelhollow.scale.report_rows import Known, Row, Slope, coordinate  # noqa: E402
-from hazelhollow.scale.report_tables import AXIS_WORDS  # noqa: E402
+matplotlib.use("agg")  # the backend that needs no display
 
 STEPS = 60  # points of a drawn curve
 INCHES = (6.0, 4.0)
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -35,6 +35,7 @@
 from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.net.gc_pauses import shorten_collector_pauses
 from hazelhollow.net.scheduler import Clock, Scheduler
+from hazelhollow.scale.errors import BusyMachineError, LateClientError, MeasurementError
 from hazelhollow.scale.results import Latency, Size
 from hazelhollow.standins.discovery import Discovery, Host
 
@@ -46,31 +47,19 @@
 LOOK_S = 0.05
 WARM_UP_S = 2.0  # of requests that are not counted
 END_WITHIN_S = 3.0  # for requests that are out at the end
-MOST_LATE_P99_S = 0.0005  # by which the client's own requests may go out late
-MOST_STRAIGHT_P99_S = (
+MAX_CLIENT_DELAY_P99_S = 0.0005  # by which the client's own requests may go out late
+MAX_DIRECT_P99_S = (
     # of a request straight to a server that does no work: one that takes longer shows the machine
     0.003
 )
 # stretches that are judged by themselves: those in which the client was late are left out
 BLOCK_S = 0.1
-LEAST_REQUESTS = 500  # by which a 99th in a hundred means something
+MIN_REQUESTS = 500  # by which a 99th in a hundred means something
 LIMITER, SERVER = "limiter", "server"
 
 Player = Callable[["LatencyPlan"], Latency]
 
 
-class RealError(Exception):
-    """A measurement with real processes that gave no figure; the text says why."""
-
-
-class BusyMachine(RealError):
-    """What was measured is the slowness of the machine; another try may find it quiet."""
-
-
-class LateClient(BusyMachine):
-    """The load tool itself was late, so that what it measured is its own slowness."""
-
-
 class LatencyPlan(msgspec.Struct, frozen=True, kw_only=True):
     """`size.limiters`: how many the settings tell of; one runs.
 
@@ -155,21 +144,21 @@
     counted = [row for block in on_time for row in block]
     through = [row for row in counted if row.to == LIMITER]
     straight = [row for row in counted if row.to == SERVER]
-    if min(len(through), len(straight)) < LEAST_REQUESTS:
+    if min(len(through), len(straight)) < MIN_REQUESTS:
         text = f"{len(through)} and {len(straight)} requests are too few"
         if len(on_time) == len(blocks):
-            raise RealError(text)
-        raise LateClient(
+            raise MeasurementError(text)
+        raise LateClientError(
             f"the client was late in {len(blocks) - len(on_time)} of {len(blocks)} blocks: {text}"
         )
     unserved = [row for row in counted if row.outcome != "served"]
     if unserved:
-        raise RealError(
+        raise MeasurementError(
             f"{len(unserved)} of {len(counted)} requests were not served ({unserved[0].outcome})"
         )
     straight_p99 = quantile([row.end - row.due for row in straight], 0.99)
-    if straight_p99 > MOST_STRAIGHT_P99_S:
-        raise BusyMachine(
+    if straight_p99 > MAX_DIRECT_P99_S:
+        raise BusyMachineError(
             f"straight to the server one request in 100 took {1000 * straight_p99:.2f} "
             "ms: no figure"
         )
@@ -194,7 +183,7 @@
 
 
 def _client_late(block: Sequence[Row]) -> bool:
-    return quantile([row.began - row.due for row in block], 0.99) > MOST_LATE_P99_S
+    return quantile([row.began - row.due for row in block], 0.99) > MAX_CLIENT_DELAY_P99_S
 
 
 def quantile(values: Sequence[float], share: float) -> float:
@@ -213,7 +202,7 @@
         self._plan, self._folder = plan, folder
         self.scheduler = Scheduler(Clock(), FinePoller())
         self._network = free_network()
-        self._crew = ProcessGroup(folder, keep=False)
+        self._processes = ProcessGroup(folder, keep=False)
         self._discovery = Discovery(self.scheduler)
         self._error: BaseException | None = None
         self._file = folder / "clients.jsonl"
@@ -235,12 +224,12 @@
     def close(self) -> None:
         """No process, socket or file is left."""
         self._out.close()
-        self._crew.close()
+        self._processes.close()
         self._discovery.close()
 
     def memory_bytes(self) -> float:
         """The most that the limiter held, its start included; known once it has ended."""
-        return self._crew.members[LIMITER].max_memory_kb * 1024.0
+        return self._processes.members[LIMITER].max_memory_kb * 1024.0
 
     def _start(self) -> None:
         agent = self._discovery.listen(LIMITER, self._network.own(1, DISCOVERY_PORT))
@@ -253,11 +242,11 @@
         config.write_bytes(orjson.dumps(self._config(f"{agent[0]}:{agent[1]}")))
         python = [sys.executable, "-m", "hazelhollow"]
         node = [*python, "standin", "node", "--listen", server, "--work", "0", "--cores", "1000"]
-        self._crew.add(SERVER, node, {})
+        self._processes.add(SERVER, node, {})
         environment = {"RELAY_CONFIG": str(config), "TMPDIR": str(self._folder)}
-        self._crew.add(LIMITER, [*python, "serve", "--log-level", "warning"], environment)
-        self._crew.start(SERVER)
-        self._crew.start(LIMITER)
+        self._processes.add(LIMITER, [*python, "serve", "--log-level", "warning"], environment)
+        self._processes.start(SERVER)
+        self._processes.start(LIMITER)
 
     def _text(self, number: int, port: int) -> str:
         return to_text(self._network.own(number, port))
@@ -287,11 +276,11 @@
         until = self.scheduler.clock() + READY_WITHIN_S
         operator_address = self._network.own(1, OPERATOR_PORT)
         while not call(self.scheduler, operator_address, "check").startswith(b"done"):
-            if self._crew.reap(LIMITER):
-                tail = self._crew.members[LIMITER].log.read_text(errors="replace")[-600:]
-                raise RealError(f"the limiter ended: {tail}")
+            if self._processes.reap(LIMITER):
+                tail = self._processes.members[LIMITER].log.read_text(errors="replace")[-600:]
+                raise MeasurementError(f"the limiter ended: {tail}")
             if self.scheduler.clock() > until:
-                raise RealError(f"the limiter was not ready within {READY_WITHIN_S:g} s")
+                raise MeasurementError(f"the limiter was not ready within {READY_WITHIN_S:g} s")
             self.scheduler.sleep(LOOK_S)
 
     def _ask(self) -> None:
@@ -347,7 +336,7 @@
     for number in range(1, tries + 1):
         try:
             return play(plan)
-        except BusyMachine as error:
+        except BusyMachineError as error:
             progress(f"try {number} of {tries}: {error}")
             if number == tries:
                 raise
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -13,10 +13,11 @@
 import msgspec
 
 from hazelhollow.scale import budgets, origin, real, real_fleet, results
-from hazelhollow.scale.real import LatencyPlan, RealError
+from hazelhollow.scale.errors import MeasurementError, ResultsError
+from hazelhollow.scale.real import LatencyPlan
 from hazelhollow.scale.real_fleet import FleetPlan
 from hazelhollow.scale.report_tables import distance, shown
-from hazelhollow.scale.results import Latency, ResultsError, Size
+from hazelhollow.scale.results import Latency, Size
 
 PLANNED = budgets.PLANNED
 RATES = (50.0, 100.0, PLANNED.requests_per_s)
@@ -88,7 +89,7 @@
     try:
         plan = LatencyPlan(size=size, seconds=seconds)
         one = real.measure_again(plan, tries, lambda line: click.echo(f"  {line}", err=True))
-    except RealError as error:
+    except MeasurementError as error:
         click.echo(f"  no figure: {error}", err=True)
         return None
     median = one.limiter_median_s - one.direct_median_s
@@ -121,7 +122,7 @@
     except (OSError, ResultsError) as error:
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(BAD_INPUT)
-    except RealError as error:
+    except MeasurementError as error:
         click.echo(f"no figures: {error}", err=True)
         sys.exit(FAILED)
     apart = [one for one in made if distance(one) > one.margin]
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -26,11 +26,11 @@
 from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.net.scheduler import Clock, Scheduler
-from hazelhollow.scale.coordinator import Coordinator, RunError
+from hazelhollow.scale.coordinator import Coordinator
+from hazelhollow.scale.errors import MeasurementError, RunError
 from hazelhollow.scale.load import Population, populate, split
-from hazelhollow.scale.measure import role_of
+from hazelhollow.scale.measure import datagram_role
 from hazelhollow.scale.plan import AxisPlan, FleetTerms, Plan, PlannedEvent, PlannedPoint
-from hazelhollow.scale.real import RealError
 from hazelhollow.scale.results import (
     HEADER_BYTES,
     Axis,
@@ -42,7 +42,7 @@
     Size,
 )
 from hazelhollow.scale.settings import document, own_document, route_name
-from hazelhollow.scale.topology import lay_out
+from hazelhollow.scale.topology import make_topology
 
 MARGIN = 0.25  # by which real and hollow figures may differ, as a part of the real one
 HOLLOW_START_S = (
@@ -50,8 +50,8 @@
     0.25
 )
 QUIET_RATE = 0.001  # requests a second: nobody asks
-CONTROL = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
-TALKING = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
+CONTROL_ROLES = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
+ROLES_WITH_DATAGRAMS = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
 ALIVE, DEAD = "alive", "dead"
 BACK_WITHIN_S = 20.0  # for a limiter that was killed, until all hold it as alive again
 
@@ -116,7 +116,7 @@
         real = real_figures(plan, progress)
         hollow = hollow_figures(plan, progress)
     except (HarnessError, RunError) as error:
-        raise RealError(str(error)) from error
+        raise MeasurementError(str(error)) from error
     return comparisons(real, hollow)
 
 
@@ -154,12 +154,12 @@
     def __init__(self, scheduler: Scheduler, plan: FleetPlan, folder: Path) -> None:
         self.population: Population = populate(plan.size, plan.terms, plan.seed)
         self._shared = document(plan.size, self.population.quotas, plan.terms)
-        self._topology = lay_out(plan.limiters, plan.terms)
+        self._topology = make_topology(plan.limiters, plan.terms)
         self.datagrams, self.bytes = Counter[Role](), Counter[Role]()
-        rig = HarnessPlan(
+        harness_plan = HarnessPlan(
             name="compare", instances=plan.limiters, hosts=plan.servers, seed=plan.seed
         )
-        super().__init__(scheduler, rig, folder, operator=operator_file)
+        super().__init__(scheduler, harness_plan, folder, operator=operator_file)
         self.relay.on_datagram = self._passed
 
     def config(self, number: int, order: int = 0) -> dict[str, Any]:
@@ -169,7 +169,7 @@
         }
 
     def _passed(self, data: bytes) -> None:
-        role = role_of(data[:1].decode(errors="replace"))
+        role = datagram_role(data[:1].decode(errors="replace"))
         self.datagrams[role] += 1
         self.bytes[role] += len(data) + HEADER_BYTES
 
@@ -229,7 +229,9 @@
     def _agreed_after_start(self) -> float:
         """Seconds from the last member's start until the last one holds all as alive for good."""
         lines = self._lines(self.cluster.names)
-        begun = max(_life_began(view, number) for number, view in enumerate(_last_views(lines)))
+        begun = max(
+            _incarnation_start(view, number) for number, view in enumerate(_last_views(lines))
+        )
         whole = {str(number): ALIVE for number in range(self._plan.limiters)}
         return max(settled(one, whole) for one in lines) - begun
 
@@ -302,7 +304,7 @@
         until = self.scheduler.clock() + BACK_WITHIN_S
         while any(states(view) != whole for view in _last_views(self._lines(self.cluster.names))):
             if self.scheduler.clock() > until:
-                raise RealError(
+                raise MeasurementError(
                     f"a limiter that was started again was not known within {BACK_WITHIN_S:g} s"
                 )
             self.scheduler.sleep(0.25)
@@ -314,7 +316,7 @@
         self.scheduler.sleep(seconds)
         each = (self.scheduler.clock() - began) * self._plan.limiters
         found: dict[tuple[str, Role], float] = {}
-        for role in TALKING:
+        for role in ROLES_WITH_DATAGRAMS:
             found["datagrams", role] = (self.cluster.datagrams[role] - datagrams[role]) / each
             found["bytes", role] = (self.cluster.bytes[role] - sizes[role]) / each
         return found
@@ -341,7 +343,7 @@
         right = states(line["members"]) == wanted
         since = (line["t"] if since is None else since) if right else None
     if since is None:
-        raise RealError("a limiter did not come to hold what is so")
+        raise MeasurementError("a limiter did not come to hold what is so")
     return since
 
 
@@ -349,11 +351,11 @@
     return [one[-1]["members"] if one else {} for one in lines]
 
 
-def _life_began(view: View, number: int) -> float:
+def _incarnation_start(view: View, number: int) -> float:
     """When that member's incarnation began, in Unix seconds, as its own view has it."""
     entry = view.get(str(number))
     if entry is None:
-        raise RealError(f"limiter {number} does not know itself")
+        raise MeasurementError(f"limiter {number} does not know itself")
     return float(entry[1]) / INCARNATIONS_PER_S
 
 
@@ -401,7 +403,7 @@
 def figures_at_rest(point: Point) -> Figures:
     """Traffic by role, and the processor time of all roles of control."""
     each = point.hollow * point.seconds
-    control = sum(sums.cpu_s for sums in point.roles if sums.role in CONTROL)
+    control = sum(sums.cpu_s for sums in point.roles if sums.role in CONTROL_ROLES)
     return {**_traffic(point, "at rest"), "processor for control at rest": control / each}
 
 
@@ -409,7 +411,7 @@
     each = point.hollow * point.seconds
     found: Figures = {}
     for sums in point.roles:
-        if sums.role in TALKING:
+        if sums.role in ROLES_WITH_DATAGRAMS:
             found[f"datagrams {when}, {sums.role}"] = sums.datagrams_out / each
             size = sums.bytes_out + HEADER_BYTES * sums.datagrams_out
             found[f"bytes {when}, {sums.role}"] = size / each
@@ -420,7 +422,7 @@
     """The event of that kind, once all members have agreed. Raises RealError if they have not."""
     event = next((one for one in point.events if one.kind is kind), None)
     if event is None or event.until_agreed.reached < event.until_agreed.of:
-        raise RealError(f"hollow limiters did not agree after {kind}")
+        raise MeasurementError(f"hollow limiters did not agree after {kind}")
     return event
 
 
--- a/hazelhollow/scale/report.py
+++ b/hazelhollow/scale/report.py
@@ -5,9 +5,10 @@
 from collections.abc import Sequence
 from pathlib import Path
 
+from hazelhollow.scale.errors import ResultsError
 from hazelhollow.scale.report_page import render
 from hazelhollow.scale.report_tables import Run, Runs, tables
-from hazelhollow.scale.results import ResultsError, load
+from hazelhollow.scale.results import load
 
 EARLIER = "before-"  # what names of files with runs of an earlier program begin with
 
--- a/hazelhollow/scale/report_commands.py
+++ b/hazelhollow/scale/report_commands.py
@@ -8,10 +8,9 @@
 import click
 
 from hazelhollow.scale import report as reports
-from hazelhollow.scale.report_page import PageError
+from hazelhollow.scale.errors import PageError, ResultsError
 from hazelhollow.scale.report_rows import analyse
 from hazelhollow.scale.report_tables import Runs, tables
-from hazelhollow.scale.results import ResultsError
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 DIFFERS = 1  # exit status of --check where page and data differ
--- a/hazelhollow/scale/report_page.py
+++ b/hazelhollow/scale/report_page.py
@@ -8,18 +8,13 @@
 import re
 from collections.abc import Mapping
 
+from hazelhollow.scale.errors import PageError
+
 BEGIN = "<!-- table: {} -->"
 END = "<!-- end: {} -->"
 _MARKER = re.compile(r"^<!-- (table|end): ([a-z-]+) -->$")
 
 
-class PageError(ValueError):
-    """Markers that do not fit the tables.
-
-    Unknown names, a block without its end, one name twice.
-    """
-
-
 def render(page: str, tables: Mapping[str, str]) -> str:
     """The page with each block filled anew.
 
--- a/hazelhollow/scale/report_rows.py
+++ b/hazelhollow/scale/report_rows.py
@@ -28,7 +28,7 @@
     Size,
 )
 
-CONTROL = (Role.LIST, Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
+CONTROL_ROLES = (Role.LIST, Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
 CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
 PROCESS = "process"  # what belongs to a limiter as a whole
 # Along which axes a role's figures say something. What members tell each other does not follow the
@@ -44,7 +44,7 @@
     Role.TIMERS: tuple(Axis),
 }
 # roles that send datagrams to members
-TALKING = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
+ROLES_WITH_DATAGRAMS = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
 LEAST_SECONDS = 1.0  # of measuring, below which a run was broken off and has no rates
 # its arrival and its answer; a run that has each tenant ask once at first has more turns than its
 # rate says
@@ -202,7 +202,7 @@
 
 def role_quantity(role: Role, resource: Resource) -> Quantity:
     """The quantity of a role, with the budget that it draws on."""
-    control = role in CONTROL
+    control = role in CONTROL_ROLES
     if resource is Resource.PROCESSOR:
         return Quantity(
             role, resource, "core", budgets.CONTROL_CPU if control else budgets.REQUEST_CPU
@@ -239,7 +239,7 @@
         if role is Role.TIMERS:
             continue  # the roles' own timers count as theirs
         yield role_quantity(role, Resource.PROCESSOR)
-        if role in TALKING:
+        if role in ROLES_WITH_DATAGRAMS:
             yield role_quantity(role, Resource.BYTES_SENT)
         yield role_quantity(role, Resource.LONGEST_TURN)
         yield role_quantity(role, Resource.TURN_P99)
@@ -287,7 +287,7 @@
 
     But for the gossip's turns, in which it goes through its tenants.
     """
-    alone = sums.role in TALKING and not point.whole_fleet
+    alone = sums.role in ROLES_WITH_DATAGRAMS and not point.whole_fleet
     if not alone and point.seconds >= LEAST_SECONDS:
         yield from _rates(point, sums, planned)
     if sums.calls and (not alone or sums.role is Role.GOSSIP):
@@ -298,7 +298,7 @@
 def _rates(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
     """Means over the measured limiters, a second of the run's clock."""
     limiter_seconds = max(1, point.hollow) * point.seconds
-    if sums.role in TALKING:
+    if sums.role in ROLES_WITH_DATAGRAMS:
         size = sums.bytes_out + HEADER_BYTES * sums.datagrams_out
         yield role_quantity(sums.role, Resource.BYTES_SENT), size / limiter_seconds
     if sums.role is Role.REQUESTS:
--- a/hazelhollow/scale/report_tables.py
+++ b/hazelhollow/scale/report_tables.py
@@ -19,12 +19,7 @@
     order,
     sums,
 )
-from hazelhollow.scale.report_rows import (
-    Figure,
-    Known,
-    Mark,
-    analyse,
-)
+from hazelhollow.scale.report_rows import Figure, Known, Mark, analyse
 from hazelhollow.scale.results import (
     Axis,
     Comparison,
--- a/hazelhollow/scale/results.py
+++ b/hazelhollow/scale/results.py
@@ -10,16 +10,14 @@
 
 import msgspec
 
+from hazelhollow.scale.errors import ResultsError
+
 FORMAT = 1  # raised when a field changes its meaning
 # how a note ends that names an event for which the machine was too slow
 NO_TIMES = "no figures of time"
 HEADER_BYTES = 28  # of IPv4 and UDP, counted for each datagram
 
 
-class ResultsError(ValueError):
-    """A file that holds no results of this format; the text says which file and why."""
-
-
 class Axis(StrEnum):
     """What grows from one point to the next while the rest stays."""
 
--- a/hazelhollow/scale/settings.py
+++ b/hazelhollow/scale/settings.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from hazelhollow.decisions import interface as api
-from hazelhollow.scale.load import MOST_UNITS, Quota
+from hazelhollow.scale.load import MAX_UNITS, Quota
 from hazelhollow.scale.plan import FleetTerms
 from hazelhollow.scale.results import Size
 from hazelhollow.scale.topology import Topology
 
 DEADLINE_S = 2.0  # of each route, from which its answer is worth nothing
-AIM_S = 0.5
+LATENCY_OBJECTIVE_S = 0.5
 CELLS = 32
 
 
@@ -38,7 +38,7 @@
             }
             for one in quotas
         ],
-        "family_info": {"max_units": MOST_UNITS, "inbox_per_s": terms.inbox_per_s},
+        "family_info": {"max_units": MAX_UNITS, "inbox_per_s": terms.inbox_per_s},
         "policy_limits": {
             "max_attempts": 3,
             "peers": True,
@@ -54,7 +54,7 @@
     name = route_name(number)
     return {
         "name": name,
-        "objective": AIM_S,
+        "objective": LATENCY_OBJECTIVE_S,
         "deadline": deadline,
         "effect": "pure",
         "credit": 1.0 + number % 3,
--- a/hazelhollow/scale/topology.py
+++ b/hazelhollow/scale/topology.py
@@ -10,7 +10,7 @@
 
 from hazelhollow.scale.plan import FleetTerms
 
-Cut = Callable[[int, int], bool]
+CutPredicate = Callable[[int, int], bool]
 
 
 class Topology(NamedTuple):
@@ -31,17 +31,17 @@
         return number * self.racks // self.limiters
 
 
-def lay_out(limiters: int, terms: FleetTerms) -> Topology:
+def make_topology(limiters: int, terms: FleetTerms) -> Topology:
     """Raises nothing: a fleet smaller than its racks leaves some of them empty."""
     return Topology(limiters, terms.regions, terms.zones, terms.racks)
 
 
-def open_network(source: int, target: int) -> bool:
+def no_cut(source: int, target: int) -> bool:
     """The cut of a network that is whole."""
     return False
 
 
-def region_cut(topology: Topology, region: int) -> Cut:
+def region_partition(topology: Topology, region: int) -> CutPredicate:
     """The cut between one region and the others: no datagram passes, whoever sends it."""
     return lambda source, target: (topology.region(source) == region) != (
         topology.region(target) == region
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -21,19 +21,19 @@
 from hazelhollow.scale.clock import DilatedClock, DilatedPoller
 from hazelhollow.scale.fleet import HollowFleet
 from hazelhollow.scale.load import populate
-from hazelhollow.scale.measure import Meter, loop_ns
+from hazelhollow.scale.measure import Meter, reference_loop_ns
 from hazelhollow.scale.messages import Bound, Job, Lag, Report, SeenEvent, Wired
 from hazelhollow.scale.plan import PlannedEvent
 from hazelhollow.scale.results import EventKind
 
-START_OVER_S = 0.25  # in which all limiters start
-LOOK_EVERY_S = 0.25  # between looks at the worker's own clock
-LATE_S = 0.1  # by which such a look is late
-MOST_LATE = 0.05  # of the looks, and
-WORST_LATE_S = 0.5  # of one of them, before the worker counts as fallen behind
-START_LATE = 0.2  # of the looks during the start, before a slower clock is asked for
+START_SPREAD_S = 0.25  # in which all limiters start
+LAG_CHECK_INTERVAL_S = 0.25  # between looks at the worker's own clock
+LATE_CHECK_S = 0.1  # by which such a look is late
+MAX_LATE_SHARE = 0.05  # of the looks, and
+MAX_LAG_S = 0.5  # of one of them, before the worker counts as fallen behind
+MAX_LATE_SHARE_AT_START = 0.2  # of the looks during the start, before a slower clock is asked for
 WAIT_FOR_OTHERS_S = 300.0  # real seconds in which all workers have bound their sockets
-QUIET_S = 0.5  # after the end, in which datagrams that are on their way come in
+IN_TRANSIT_S = 0.5  # after the end, in which datagrams that are on their way come in
 CLOSE_BEFORE_S = 0.001  # the next event, so that a window holds nothing of it
 
 
@@ -55,7 +55,7 @@
 
 def fell_behind(lag: Lag) -> bool:
     """Whether the figures of a process with that lag are those of its slowness."""
-    return lag.late > MOST_LATE * lag.looks or lag.worst_s > WORST_LATE_S
+    return lag.late > MAX_LATE_SHARE * lag.looks or lag.worst_s > MAX_LAG_S
 
 
 class Worker:
@@ -99,10 +99,10 @@
     def _look(self, due: float) -> None:
         late = self._scheduler.clock() - max(due, self._burst_over)
         self._lag.looks += 1
-        self._lag.late += late > LATE_S
+        self._lag.late += late > LATE_CHECK_S
         self._lag.worst_s = max(self._lag.worst_s, late)
-        self._loops.append(loop_ns())
-        following = max(due + LOOK_EVERY_S, self._scheduler.clock())
+        self._loops.append(reference_loop_ns())
+        following = max(due + LAG_CHECK_INTERVAL_S, self._scheduler.clock())
         self._scheduler.at(following, self._look, following)
 
     def _at(self, at_s: float, call: Callable[..., object], *args: Any) -> None:
@@ -131,7 +131,7 @@
 
     def _schedule(self) -> None:
         chance = random.Random(f"starts {self._job.seed}")
-        starts = [chance.uniform(0.0, START_OVER_S) for _ in range(self._job.size.limiters)]
+        starts = [chance.uniform(0.0, START_SPREAD_S) for _ in range(self._job.size.limiters)]
         for number in self.fleet.members:
             self.fleet.start_at(number, starts[number])
         self._scheduler.at(self._began, self._look, self._began)
@@ -142,7 +142,7 @@
 
         Where the clock was too fast for it, nothing that follows is worth measuring.
         """
-        if self._job.may_slow and self._lag.late > START_LATE * self._lag.looks:
+        if self._job.may_slow and self._lag.late > MAX_LATE_SHARE_AT_START * self._lag.looks:
             self._report.behind = self._ended = True
             return
         self._close_window(EventKind.START, 0.0, self._job.terms.settle_s)
@@ -207,9 +207,9 @@
         """
         self.fleet.silence()
         self._scheduler.on_process_pause = None
-        until = time.monotonic() + QUIET_S
+        until = time.monotonic() + IN_TRANSIT_S
         while time.monotonic() < until:
-            self._scheduler.turn(longest=QUIET_S / 10 / self._job.dilation)
+            self._scheduler.turn(longest=IN_TRANSIT_S / 10 / self._job.dilation)
         self._report.ledger = self.fleet.wire.ledger
         self._report.ledger.dropped = self.fleet.dropped()
 
--- a/tests/control_budget/test_hollow_limiter_budget.py
+++ b/tests/control_budget/test_hollow_limiter_budget.py
@@ -12,24 +12,27 @@
 from hazelhollow.control_budget.budget import MIN_BYTES_PER_S, TrafficRole, settings_for
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale import settings, topology
-from hazelhollow.scale.hollow import Life, Told
+from hazelhollow.scale.errors import PlanError
+from hazelhollow.scale.hollow import Incarnation, InitialSettings
 from hazelhollow.scale.load import populate
 from hazelhollow.scale.measure import Meter
-from hazelhollow.scale.network import HollowPeers, Wire
-from hazelhollow.scale.plan import FleetTerms, PlanError, read
+from hazelhollow.scale.network import HollowPeerSocket, NetworkState
+from hazelhollow.scale.plan import FleetTerms, read
 from hazelhollow.scale.results import Size
 
 SIZE = Size(limiters=12, servers=4, routes=1, tenants=12, requests_per_s=1.0)
 BUDGET = 4000.0
 
 
-def incarnation(terms: FleetTerms) -> Life:
+def incarnation(terms: FleetTerms) -> Incarnation:
     """One limiter of twelve that has started; the others are not there."""
     scheduler, meter = Scheduler(Clock()), Meter()
-    peers = HollowPeers(scheduler, Wire(meter), 0, ("127.0.0.1", 0), lambda: 0)
+    peers = HollowPeerSocket(scheduler, NetworkState(meter), 0, ("127.0.0.1", 0), lambda: 0)
     shared = settings.document(SIZE, populate(SIZE, terms, 1).quotas, terms)
-    told = Told(settings.own_document(shared, 0, topology.lay_out(SIZE.limiters, terms)), 0)
-    one = Life(
+    told = InitialSettings(
+        settings.own_document(shared, 0, topology.make_topology(SIZE.limiters, terms)), 0
+    )
+    one = Incarnation(
         scheduler,
         meter,
         peers,
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -22,16 +22,9 @@
 
 from hazelhollow.net import scheduler
 from hazelhollow.scale import budgets, hollow, real, real_commands, real_fleet, results
+from hazelhollow.scale.errors import BusyMachineError, LateClientError, MeasurementError
 from hazelhollow.scale.measure import Meter
-from hazelhollow.scale.real import (
-    LIMITER,
-    SERVER,
-    BusyMachine,
-    LateClient,
-    LatencyPlan,
-    RealError,
-    Row,
-)
+from hazelhollow.scale.real import LIMITER, SERVER, LatencyPlan, Row
 from hazelhollow.scale.results import Latency, Size
 
 SIZE = Size(limiters=930, servers=20, routes=3, tenants=1, requests_per_s=50.0)
@@ -54,7 +47,7 @@
 
 
 def test_latency_counts_from_the_time_at_which_a_request_was_due() -> None:
-    late = real.MOST_LATE_P99_S / 2
+    late = real.MAX_CLIENT_DELAY_P99_S / 2
     found = real.latency(SIZE, client_rows(late=late), 0.0)
     assert found.limiter_median_s == pytest.approx(0.002) and found.limiter_p99_s == pytest.approx(
         0.002
@@ -90,18 +83,22 @@
     ("rows", "error", "why"),
     [
         (
-            client_rows(late=2 * real.MOST_LATE_P99_S),
-            LateClient,
+            client_rows(late=2 * real.MAX_CLIENT_DELAY_P99_S),
+            LateClientError,
             "the client was late in 100 of 100 blocks",
         ),
-        (client_rows(count=real.LEAST_REQUESTS - 1), RealError, "too few"),
+        (client_rows(count=real.MIN_REQUESTS - 1), MeasurementError, "too few"),
         (
-            client_rows(straight=2 * real.MOST_STRAIGHT_P99_S),
-            BusyMachine,
+            client_rows(straight=2 * real.MAX_DIRECT_P99_S),
+            BusyMachineError,
             "one request in 100 took 6.00 ms",
         ),
-        (client_rows(outcome="busy"), RealError, r"1000 of 2000 requests were not served \(busy\)"),
-        ([], RealError, "too few"),
+        (
+            client_rows(outcome="busy"),
+            MeasurementError,
+            r"1000 of 2000 requests were not served \(busy\)",
+        ),
+        ([], MeasurementError, "too few"),
     ],
 )
 def test_there_is_no_figure_where_it_would_mislead(
@@ -130,7 +127,7 @@
         def play(plan: LatencyPlan) -> Latency:
             played.append(plan)
             if len(played) < good:
-                raise LateClient("late")
+                raise LateClientError("late")
             return figure
 
         return play
@@ -139,7 +136,7 @@
     assert real.measure_again(plan, 3, said.append, late_until(3)) is figure
     assert len(played) == 3 and len(said) == 2
     played.clear()
-    with pytest.raises(LateClient):
+    with pytest.raises(LateClientError):
         real.measure_again(plan, 2, said.append, late_until(9))
     assert len(played) == 2
 
@@ -230,7 +227,7 @@
 
     def play(plan: LatencyPlan, tries: int, progress: object) -> Latency:
         if plan.size.servers > 200:
-            raise LateClient("the client was late")
+            raise LateClientError("the client was late")
         return msgspec.structs.replace(figure, size=plan.size)
 
     monkeypatch.setattr(real, "measure_again", play)
@@ -272,7 +269,7 @@
 
 @pytest.mark.parametrize("lines", [[], [line(1, "alive", "dead"), line(2, "alive", "suspect")]])
 def test_a_view_that_is_not_right_at_the_end_has_no_figure(lines: list[dict[str, Any]]) -> None:
-    with pytest.raises(RealError):
+    with pytest.raises(MeasurementError):
         real_fleet.settled(lines, {"0": "alive", "1": "dead"})
 
 
@@ -327,7 +324,7 @@
 def test_hollow_limiters_that_did_not_agree_give_no_figure() -> None:
     assert real_fleet.agreed(hollow_point(1.0), results.EventKind.START).until_agreed.worst == 3.0
     for kind, reached in ((results.EventKind.START, 3), (results.EventKind.ZONE_LOST, 4)):
-        with pytest.raises(RealError):
+        with pytest.raises(MeasurementError):
             real_fleet.agreed(hollow_point(1.0, reached), kind)
 
 
@@ -371,6 +368,6 @@
 def test_a_hollow_limiter_asks_the_shared_loop_how_old_its_knowledge_is() -> None:
     now = [100.0]
     shared = scheduler.Scheduler(lambda: now[0])
-    own = hollow.OwnScheduler(shared, Meter())
+    own = hollow.IncarnationScheduler(shared, Meter())
     now[0] = 100.4
     assert own.time_since_poll() == shared.time_since_poll() == pytest.approx(0.4)
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -19,11 +19,12 @@
 from hazelhollow.configuration.distribution import codec
 from hazelhollow.net import http1
 from hazelhollow.scale import budgets, report, report_claims, report_documents, results
+from hazelhollow.scale.errors import PageError, ResultsError
 from hazelhollow.scale.report_claims import CLAIMS, Verdict, verdict
 from hazelhollow.scale.report_commands import report as report_command
 from hazelhollow.scale.report_fit import Sample, Shape, fit
 from hazelhollow.scale.report_order import LEAST, MOST, document_passings, order, passes_at, sums
-from hazelhollow.scale.report_page import PageError, render
+from hazelhollow.scale.report_page import render
 from hazelhollow.scale.report_rows import (
     ADDED_P99,
     MEMORY,
@@ -794,7 +795,7 @@
 def test_runs_of_another_plan_are_not_mixed(tmp_path: Path) -> None:
     first = saved(tmp_path, "a.json", gathered())
     other = saved(tmp_path, "b.json", msgspec.structs.replace(gathered(), planned=BASE))
-    with pytest.raises(results.ResultsError, match="another planned size"):
+    with pytest.raises(ResultsError, match="another planned size"):
         report.read([first, other])
 
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -32,11 +32,12 @@
     truth,
     worker,
 )
-from hazelhollow.scale.agreement import Truth, Watcher
+from hazelhollow.scale.agreement import GroundTruth, MembershipWatcher
 from hazelhollow.scale.clock import DilatedClock
-from hazelhollow.scale.measure import Meter, Sums, Traffic
-from hazelhollow.scale.network import Ledger
-from hazelhollow.scale.plan import FleetTerms, PlanError
+from hazelhollow.scale.errors import PlanError, RunError
+from hazelhollow.scale.measure import Meter, RoleTotals, Traffic
+from hazelhollow.scale.network import DatagramLedger
+from hazelhollow.scale.plan import FleetTerms
 from hazelhollow.scale.results import Axis, EventKind, Point, Role, Size
 from hazelhollow.scale.results import load as load_results
 
@@ -117,7 +118,7 @@
 # The load
 
 
-def _requests(seed: int, limiter: int, here: tuple[int, ...]) -> list[load.Drawn]:
+def _requests(seed: int, limiter: int, here: tuple[int, ...]) -> list[load.DrawnRequest]:
     people = load.populate(SIZE, FleetTerms(), seed)
     parts = load.split(people, here, SIZE.limiters)
     return list(islice(load.Requests(parts[limiter], SIZE.routes, limiter, seed), 300))
@@ -152,7 +153,7 @@
                 break
             count += 1
     assert count / seconds / SIZE.limiters == pytest.approx(SIZE.requests_per_s, rel=0.15)
-    assert {one.way for one in people.tenants} == {way.name for way in load.WAYS}
+    assert {one.usage for one in people.tenants} == {way.name for way in load.USAGE_PATTERNS}
 
 
 def test_nobody_asks_where_no_requests_are_planned() -> None:
@@ -172,8 +173,8 @@
     limiters: int, one: int, other: int
 ) -> None:
     one, other = one % limiters, other % limiters
-    layout = topology.lay_out(limiters, FleetTerms())
-    cut = topology.region_cut(layout, 0)
+    layout = topology.make_topology(limiters, FleetTerms())
+    cut = topology.region_partition(layout, 0)
     assert (
         cut(one, other)
         == cut(other, one)
@@ -182,7 +183,7 @@
 
 
 def test_zones_lie_within_regions_and_racks_within_zones() -> None:
-    layout = topology.lay_out(930, FleetTerms())
+    layout = topology.make_topology(930, FleetTerms())
     places = {(layout.region(n), layout.zone(n), layout.rack(n)) for n in range(930)}
     assert len(places) == 60 and len({(region, zone) for region, zone, _ in places}) == 6
 
@@ -213,10 +214,10 @@
 def test_sums_of_processes_add_up_and_bound_the_ninety_ninth(
     times: list[int], processes: int
 ) -> None:
-    parts = [Sums() for _ in range(processes)]
+    parts = [RoleTotals() for _ in range(processes)]
     for place, spent in enumerate(times):
         Meter._count(parts[place % processes], spent)
-    whole = Sums()
+    whole = RoleTotals()
     for part in parts:
         whole.add(part)
     assert (whole.calls, whole.cpu_ns, whole.longest_ns) == (len(times), sum(times), max(times))
@@ -253,9 +254,9 @@
 
 
 def test_a_view_is_right_when_it_holds_what_is_so() -> None:
-    now, facts = [10.0], Truth(3)
+    now, facts = [10.0], GroundTruth(3)
     facts.up_since = {0: 1.0, 1: 1.0, 2: 8.0}
-    watcher = Watcher(0, facts, lambda: now[0])
+    watcher = MembershipWatcher(0, facts, lambda: now[0])
     watcher.look(
         [
             _record(0, MemberState.ALIVE, 1.0),
@@ -277,10 +278,10 @@
 
 
 def test_whom_a_cut_parts_is_rightly_dead() -> None:
-    facts = Truth(4)
+    facts = GroundTruth(4)
     facts.up_since = dict.fromkeys(range(4), 1.0)
     facts.cut = lambda source, target: (source < 2) != (target < 2)
-    watcher = Watcher(0, facts, lambda: 5.0)
+    watcher = MembershipWatcher(0, facts, lambda: 5.0)
     watcher.look(
         [_record(n, MemberState.ALIVE if n < 2 else MemberState.DEAD, 1.0) for n in range(4)]
     )
@@ -331,16 +332,16 @@
     after = settings.changed(before, (4,), 1)
     pairs = zip(before["grades"], after["grades"], strict=True)
     assert [place for place, (old, new) in enumerate(pairs) if old != new] == [4]
-    layout = topology.lay_out(40, FleetTerms())
+    layout = topology.make_topology(40, FleetTerms())
     assert settings.own_document(after, 39, layout)["zone"] == "zone-5"
 
 
 def _report(limiters: int, seconds: float, calls: int) -> messages.Report:
-    sums = measure.fresh()
-    sums[Role.VIEW] = Sums(
+    sums = measure.zero_totals()
+    sums[Role.VIEW] = RoleTotals(
         calls=calls, cpu_ns=calls * 1000, longest_ns=calls, datagrams_out=calls, bytes_out=9
     )
-    ledger = Ledger(out=10, came=6, cut=1, to_dead=1, dropped=2)
+    ledger = DatagramLedger(out=10, came=6, cut=1, to_dead=1, dropped=2)
     return messages.Report(
         limiters=limiters, seconds=seconds, roles=sums, ledger=ledger, memory_after=limiters * 100
     )
@@ -463,7 +464,7 @@
     monkeypatch.setattr(coordinator, "total_memory", lambda: 1 << 20)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(tempfile, "tempdir", None)
-    with pytest.raises(coordinator.RunError, match="more than their share of the memory"):
+    with pytest.raises(RunError, match="more than their share of the memory"):
         _play(_tiny())
     assert not list(tmp_path.iterdir())
 
@@ -490,7 +491,7 @@
     broken = msgspec.structs.replace(
         point, size=msgspec.structs.replace(point.size, servers=-1, routes=0)
     )
-    with pytest.raises(coordinator.RunError, match="worker [01] ended: ValueError: classes: none"):
+    with pytest.raises(RunError, match="worker [01] ended: ValueError: classes: none"):
         _play(broken)
 
 
