--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -33,7 +33,8 @@
 from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.stats import Stats
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.endpoint_reports import read_cost, read_report
+from hazelhollow.simulator.errors import WireError
 
 FAILED_TIMER_RETRY_S = 1.0  # until a timer at which the engine failed fires again
 # Since the last poll, past which a client's connection is looked at before an attempt starts for
@@ -178,7 +179,7 @@
             now - attempt.started_at,
             opened.answered,
             self._settled_units(result),
-            wire.read_report(result.report),
+            read_report(result.report),
         )
         self._handle(event, opened)
 
@@ -191,8 +192,8 @@
         if result.status != "ok" or not self.max_settled_units:
             return 0.0
         try:
-            units = wire.read_cost(result.figures, self.max_settled_units)
-        except wire.WireError as error:
+            units = read_cost(result.figures, self.max_settled_units)
+        except WireError as error:
             self._stats.figures_bad += 1
             self._log.warning("%s", error)
             return 0.0
--- a/hazelhollow/net/settings_reload.py
+++ b/hazelhollow/net/settings_reload.py
@@ -22,7 +22,9 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.stats import Stats
 from hazelhollow.platform_config import PlatformConfig, PlatformConfigError
-from hazelhollow.simulator import wire
+from hazelhollow.simulator.errors import WireError
+from hazelhollow.simulator.fields import Fields
+from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 
 if TYPE_CHECKING:
     from hazelhollow.net.attachment import Attachment
@@ -92,7 +94,7 @@
         """Says what is wrong with a settings document, or nothing if it could be put in force."""
         try:
             self._checked = document, self._read(self._with_own(document))
-        except (wire.WireError, PlatformConfigError, ValueError) as error:
+        except (WireError, PlatformConfigError, ValueError) as error:
             return str(error)
         return ""
 
@@ -121,8 +123,8 @@
 
     def _read(self, document: Mapping[str, Any]) -> api.Settings:
         """Raises WireError, PlatformConfigError or ValueError for what cannot be put in force."""
-        known = wire.KnownSettings(self.document, self.settings)
-        settings = wire.parse_settings(wire.Fields("settings", document), known)
+        known = KnownSettings(self.document, self.settings)
+        settings = parse_settings(Fields("settings", document), known)
         _raise_if_fixed_parts_differ(self.settings, settings)
         return settings
 
