--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -1,22 +1,20 @@
-"""A small language for what happens on sockets, and the stage on which it is played.
+"""The scenario language, and the stage that plays it: a whole limiter and all the parties round it.
 
-A scenario is a text of lines `WHO VERB WORDS`; a blank line or one that begins with `#` says
-nothing.
+A scenario is a text of lines `WHO VERB WORDS`; blank lines and those after `#` are skipped.
 
-    a send [PING]           client `a` (any name; it connects when first named) sends a command
-    s1 expect [Q.ASK ...]   backend host s1 gets just this on its newest connection; `s1.2`: on its
-      second
-    s1 send -BUSY           a line; `\\r\\n` in the words and `[..]` commands are taken as they are
-    a expect nothing        so far; `a expect closed`: the connection is over
-    s1 close                its end of the connection; `s1 stop` does not answer new ones from then
-      on
-    disco send table 7 s1:terminating    discovery's answer to a watch; `whole 7 ...`: the whole
-      list
-    disco2 reload           the new configuration names this one as discovery
-    p1 send TEXT            a datagram from the limiter numbered 1
-    wait 0.5                the clock, which nothing else moves, goes on by half a second
+| line | meaning |
+| --- | --- |
+| `a send [PING]` | client `a` (any name; it connects when first named) sends a command |
+| `s1 expect [Q.ASK ...]` | endpoint s1 gets just this on its newest connection, `s1.2` on its 2nd |
+| `s1 send -BUSY` | a line; `\\r\\n` in the words and `[..]` commands are taken as they are |
+| `a expect nothing` | so far; `a expect closed`: the connection is over |
+| `s1 close` | its end of the connection; `s1 stop`: it accepts no new ones from then on |
+| `disco send table 7 s1:terminating` | discovery answers with a change; `whole 7 ...`: a list |
+| `disco2 reload` | the new configuration names this one as discovery |
+| `p1 send TEXT` | a datagram from the limiter numbered 1 |
+| `wait 0.5` | the clock, which nothing else moves, goes on by half a second |
 
-Sockets are real, on ports that the system picks; `expect` gives the kernel a moment, nothing
+Sockets are real, on ports that the system picks; `expect` gives the kernel a moment, and nothing
 sleeps.
 """
 
