--- a/hazelhollow/scale/clock.py
+++ b/hazelhollow/scale/clock.py
@@ -1,4 +1,8 @@
-"""The run's clock: it goes slower than real time, alike in all processes of a run."""
+"""The clock of a scale run: it runs slower than real time, by the same factor in all processes.
+
+A machine that cannot play a large fleet in real time plays it on a dilated clock. `DilatedClock` is
+the scheduler's clock and `DilatedPoller` its poller, so that all timers follow.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +13,13 @@
 
 
 class DilatedClock(NamedTuple):
-    """Unix time that passes one second for each `dilation` seconds of the machine's monotonic
-    clock, which all processes share. `began`: the reading of that clock at which this one shows
-    `shows`.
+    """Unix time that advances by one second in `dilation` seconds of real time.
+
+    Attributes:
+        began: Reading of the monotonic clock, which all processes share, at which this one starts.
+        shows: Unix seconds that this clock shows at `began`.
+        dilation: Real seconds for one second of this clock.
+        monotonic: Reads the machine's monotonic clock in seconds.
     """
 
     began: float
@@ -24,28 +32,33 @@
 
 
 class DilatedPoller:
-    """`select.epoll` as the scheduler's poller.
+    """`select.epoll` as the scheduler's poller, with timeouts in the run's time.
 
-    Its pauses, which are the run's, take as much longer as the clock goes slower.
+    Args:
+        dilation: Real seconds for one second of the run's clock.
     """
 
     def __init__(self, dilation: float) -> None:
         self._epoll, self._dilation = select.epoll(), dilation
-        self._known = set[int]()
+        self._registered = set[int]()
 
     def register(self, fd: int, events: int, /) -> None:
-        if fd in self._known:
+        """Watches a descriptor, or changes the events that it is watched for."""
+        if fd in self._registered:
             self._epoll.modify(fd, events)
         else:
-            self._known.add(fd)
+            self._registered.add(fd)
             self._epoll.register(fd, events)
 
     def unregister(self, fd: int, /) -> None:
-        self._known.discard(fd)
+        """Stops watching a descriptor."""
+        self._registered.discard(fd)
         self._epoll.unregister(fd)
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
+        """Descriptors that are ready, with their events; `timeout`: milliseconds of the run."""
         return self._epoll.poll(timeout / 1000 * self._dilation)
 
     def close(self) -> None:
+        """Closes the epoll descriptor."""
         self._epoll.close()
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -1,11 +1,12 @@
-"""A hollow limiter.
+"""A hollow limiter: a limiter's real decisions and drivers, without clients and servers.
 
-The real decision module, view, replica and audit with their real drivers, without clients and
-servers.
+An `Incarnation` is one run of a limiter: the real decision engine, membership, replication and
+configuration with their drivers, from its start to its end. `scale.fleet` creates, starts and ends
+incarnations. Attempts are answered by modelled servers, and requests come from the modelled load.
 
-Many of them share one scheduler. Each incarnation of one has a scheduler of its own in front of it,
-which counts every timer's call as the role of whom it calls, and which falls silent when the
-incarnation ends.
+The limiters of a process share one scheduler. Each incarnation sees it through an
+`IncarnationScheduler`, which measures every timer's call as the role of its owner and drops all
+calls once the incarnation has ended.
 """
 
 from __future__ import annotations
@@ -13,6 +14,7 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from hazelhollow.configuration.audit.record import AuditRecord
@@ -38,7 +40,7 @@
 from hazelhollow.net.stats import Stats
 from hazelhollow.replication.account_adapter import EngineAccounts
 from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
-from hazelhollow.scale.load import DrawnRequest, service_time
+from hazelhollow.scale.load import service_time
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeerSocket
 from hazelhollow.scale.plan import FleetTerms
@@ -47,9 +49,9 @@
 from hazelhollow.simulator.fields import Fields
 from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 
-MAX_OPEN_REQUESTS = 20_000  # requests, as a real limiter's configuration has it
+MAX_OPEN_REQUESTS = 20_000  # as in the configuration of a real limiter
 KEY = b"the key of a scale run, which is no secret"
-DRIVERS: tuple[tuple[type, Role], ...] = (
+ROLE_BY_DRIVER: tuple[tuple[type, Role], ...] = (
     (MembershipDriver, Role.VIEW),
     (ReplicationDriver, Role.REPLICATION),
     (ConfigurationDriver, Role.AUDIT),
@@ -58,17 +60,23 @@
 
 
 def timer_role(call: Callable[..., object]) -> Role:
-    """Whose a timer is."""
+    """The role that a timer's call is measured as, by the object that set the timer."""
     owner = getattr(call, "__self__", None)
-    if isinstance(
-        owner, EngineDriver
-    ):  # the decision module's one timer is its gossip's; the others are requests'
+    # The engine's one timer is its gossip's; the driver's other timers are those of requests.
+    if isinstance(owner, EngineDriver):
         return Role.GOSSIP if getattr(call, "__name__", "") == "_timer_fired" else Role.REQUESTS
-    return next((role for kind, role in DRIVERS if isinstance(owner, kind)), Role.TIMERS)
+    return next((role for kind, role in ROLE_BY_DRIVER if isinstance(owner, kind)), Role.TIMERS)
 
 
 class IncarnationScheduler(Scheduler):
-    """One incarnation's part of the shared scheduler."""
+    """The shared scheduler as one incarnation sees it.
+
+    It measures every call and makes none once `alive` is false.
+
+    Args:
+        shared: The scheduler of the process.
+        meter: The meter of the process.
+    """
 
     def __init__(self, shared: Scheduler, meter: Meter) -> None:
         self._shared, self._meter = shared, meter
@@ -76,31 +84,40 @@
         self.alive = True
 
     def __getattr__(self, name: str) -> Any:
-        """What this one does not keep itself, such as when the loop polled last, is the shared
-        one's.
-        """
+        """Attributes that are not kept here, such as the time of the last poll, are shared."""
         return getattr(self._shared, name)
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
-        return self._shared.at(when, self._play, timer_role(call), call, args)
+        """Calls at a time, as `Scheduler.at` does."""
+        return self._shared.at(when, self._call_if_alive, timer_role(call), call, args)
 
     def time_since_poll(self) -> float:
+        """Seconds since the shared loop polled."""
         return self._shared.time_since_poll()
 
-    def _play(self, role: Role, call: Callable[..., object], args: tuple[Any, ...]) -> None:
+    def _call_if_alive(
+        self, role: Role, call: Callable[..., object], args: tuple[Any, ...]
+    ) -> None:
         if self.alive:
-            self._meter.turn(role, call, *args)
+            self._meter.measure_call(role, call, *args)
 
     def later(self, call: Callable[[], object]) -> None:
-        self._shared.at_end_of_turn(lambda: self._play(Role.REQUESTS, call, ()))
+        """Calls at the end of the present turn of the loop."""
+        self._shared.at_end_of_turn(lambda: self._call_if_alive(Role.REQUESTS, call, ()))
 
 
 class ModelledConnectionPool(ConnectionPool):
-    """Modelled servers: each attempt is answered after a drawn time."""
+    """A connection pool of modelled servers: each attempt is answered after a random time.
+
+    Args:
+        scheduler: Of the incarnation.
+        seed: Of the service times.
+        service_s: Mean service time in seconds.
+    """
 
     def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
         self._scheduler, self._service_s = scheduler, service_s
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def start(
         self,
@@ -109,56 +126,59 @@
         done: Callable[[AttemptResult], None],
         look: Callable[[], object] = lambda: None,
     ) -> Attempt:
+        """Starts an attempt, which is sent at once and completely."""
         now = self._scheduler.clock()
         attempt = Attempt(name, command, done, look, now)
-        self._scheduler.at(now + service_time(self._chance, self._service_s), self.answer, attempt)
+        self._scheduler.at(now + service_time(self._rng, self._service_s), self.answer, attempt)
         return attempt
 
     def answer(self, attempt: Attempt) -> None:
-        """Its server has answered."""
+        """The server of an attempt has answered."""
         attempt.finish(AttemptResult("ok"))
 
     def abort(self, attempt: Attempt, reason: CloseReason) -> None:
+        """Ends an attempt whose request was sent."""
         attempt.finish(AttemptResult(attempt_status(reason, True)))
 
     def withdraw(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Every attempt goes out whole at once."""
+        """Does nothing: every attempt has been sent completely at once."""
 
 
 class HollowRequest:
-    """One modelled request.
+    """A modelled request together with its client, which records whether it was admitted."""
 
-    What the limiter reads, and its client, who notes what becomes of it.
-    """
-
-    __slots__ = ("request", "let_in")
+    __slots__ = ("request", "admitted")
 
     def __init__(self, request: api.RequestArrived) -> None:
-        self.request, self.let_in = request, False
+        self.request, self.admitted = request, False
 
     def command(self, wait_ms: int) -> bytes:
-        self.let_in = True
+        """The bytes to forward; a request that is forwarded has been admitted."""
+        del wait_ms  # modelled servers have no deadline
+        self.admitted = True
         return b""
 
     def send_value(self, value: bytes) -> None:
-        """An answer, which nobody reads."""
+        """Drops the answer."""
 
     def send_busy(self, retry_after_ms: int) -> None:
-        """A refusal; modelled clients do not come again."""
+        """Drops a rejection; modelled clients do not retry."""
 
     def send_failure(self) -> None:
-        """An error."""
+        """Drops an error."""
 
     def has_disconnected(self) -> bool:
-        """Modelled clients wait for their answer."""
+        """False: modelled clients wait for their answer."""
         return False
 
 
 class InitialSettings:
-    """What a limiter is told at its start.
+    """The settings that an incarnation starts with.
 
-    `document`: its settings; `settings`: the same as the decision module takes them; `order`: the
-    operator's number of them.
+    Args:
+        document: The settings document.
+        order: Its revision.
+        settings: The parsed document; parsed here if it is not given.
     """
 
     def __init__(
@@ -168,171 +188,199 @@
         self.settings = settings or parse_settings(Fields("settings", dict(document)))
 
 
+@dataclass(frozen=True)
+class IncarnationHost:
+    """What the process gives to each incarnation of a limiter.
+
+    Attributes:
+        scheduler: The scheduler of the process.
+        meter: The meter of the process.
+        peers: The socket of the limiter.
+        record_changed: Called with every record that changes in the limiter's member table.
+        settings_applied: Called with the limiter's number when it has applied new settings.
+    """
+
+    scheduler: Scheduler
+    meter: Meter
+    peers: HollowPeerSocket
+    record_changed: Callable[[Record], None]
+    settings_applied: Callable[[int], None]
+
+
 class Incarnation:
-    """One limiter from its start to its end.
+    """One run of a hollow limiter, from its start to its end.
 
-    Implements what the audit asks of a limiter (`configuration.state.ConfigurableLimiter`).
+    States: created, `start` once, then `leave` or `crash` once. Implements
+    `configuration.state.ConfigurableLimiter`, by which configuration reads and changes the
+    limiter.
+
+    Args:
+        host: What the process gives to it.
+        initial: The settings to start with.
+        terms: How the fleet is set up.
+        seed: Of all random draws of this incarnation.
     """
 
     def __init__(
-        self,
-        shared: Scheduler,
-        meter: Meter,
-        peers: HollowPeerSocket,
-        told: InitialSettings,
-        terms: FleetTerms,
-        seed: int,
-        saw: Callable[[Record], None],
-        acts_on: Callable[[int], None],
+        self, host: IncarnationHost, initial: InitialSettings, terms: FleetTerms, seed: int
     ) -> None:
-        self.scheduler, self._meter, self._peers = IncarnationScheduler(shared, meter), meter, peers
-        self._document, self.order, self._settings = told.document, told.order, told.settings
-        # Settings that were found to be sound, and what they were read from.
-        self._checked: tuple[Mapping[str, Any] | None, api.Settings] = (None, told.settings)
-        self._acts_on, self._seed, self._terms, self._saw = acts_on, seed, terms, saw
+        self._host, self._meter, self._peers = host, host.meter, host.peers
+        self.scheduler = IncarnationScheduler(host.scheduler, host.meter)
+        self._document, self.order = initial.document, initial.order
+        self._settings = initial.settings
+        # Settings that were found to be valid, and the document that they were parsed from.
+        self._checked: tuple[Mapping[str, Any] | None, api.Settings] = (None, initial.settings)
+        self._seed, self._terms = seed, terms
         self.stats = Stats()
         self._budget: LimiterBudget | None = None
         if terms.control_bytes_per_s:
-            self._settings = with_gossip_rate(told.settings, terms.control_bytes_per_s)
-        self.gateway = DecisionEngine(self._settings, seed)
-        self.limiter = EngineDriver(
-            self.gateway,
+            self._settings = with_gossip_rate(initial.settings, terms.control_bytes_per_s)
+        self.engine = DecisionEngine(self._settings, seed)
+        self.engine_driver = EngineDriver(
+            self.engine,
             self.scheduler,
             ModelledConnectionPool(self.scheduler, seed, terms.service_s),
             self.stats,
             MAX_OPEN_REQUESTS,
         )
-        self.limiter.peers = peers
-        self.fleet: MembershipDriver | None = None
-        self.replica: ReplicationDriver | None = None
-        self.audit: ConfigurationDriver | None = None
-        self._serial = 0
+        self.engine_driver.peers = host.peers
+        self.membership: MembershipDriver | None = None
+        self.replication: ReplicationDriver | None = None
+        self.configuration: ConfigurationDriver | None = None
+        self._last_request = 0
 
-    # Its start and its end
+    # Start and end
 
     def start(self, servers: tuple[api.EndpointEntry, ...]) -> None:
-        """It is given its list of servers and meets the fleet.
-
-        As the operator's file switches its subsystems on.
-        """
-        self._peers.renew(self.stats, self.limiter.gossip_received)
-        self.list_servers(api.EndpointsUpdated("full", servers))
-        seal, number = (
-            MessageAuthenticator([KEY] if self._terms.sealed else []),
-            self._settings.limiter_id,
-        )
-        now, most = self.scheduler.clock(), max_text_bytes(seal)
+        """Gives it its list of servers and starts the subsystems that the fleet's terms name."""
+        self._peers.attach_incarnation(self.stats, self.engine_driver.gossip_received)
+        self.update_servers(api.EndpointsUpdated("full", servers))
+        authenticator = MessageAuthenticator([KEY] if self._terms.sealed else [])
+        started_at = self.scheduler.clock()
         if self._terms.control_bytes_per_s:
-            clock = self.scheduler.clock
             self._budget = LimiterBudget(
-                self._terms.control_bytes_per_s, self._peers, clock, seal.overhead_bytes
+                self._terms.control_bytes_per_s,
+                self._peers,
+                self.scheduler.clock,
+                authenticator.overhead_bytes,
             )
-        allowance = self._part(TrafficRole.MEMBERSHIP)
-        view = Membership(
-            MembershipSettings(number, self._settings.limiter_count, self._seed, most),
-            now,
-            allowance,
+        membership = self._start_membership(authenticator, started_at)
+        if self._terms.replicate:
+            self._start_replication(membership, authenticator)
+        if self._terms.audit:
+            self._start_configuration(membership, authenticator, int(started_at * 1000))
+
+    def _start_membership(
+        self, authenticator: MessageAuthenticator, started_at: float
+    ) -> MembershipDriver:
+        settings = MembershipSettings(
+            self._settings.limiter_id,
+            self._settings.limiter_count,
+            self._seed,
+            max_text_bytes(authenticator),
         )
-        view.table.subscribe(self._saw)
-        self.fleet = MembershipDriver(
+        membership = Membership(settings, started_at, self._role_budget(TrafficRole.MEMBERSHIP))
+        membership.table.subscribe(self._host.record_changed)
+        driver = MembershipDriver(
             self.scheduler,
             self._peers,
-            view,
-            seal,
+            membership,
+            authenticator,
             DriverOptions(
-                self.limiter.notify,
-                self._leave,
+                self.engine_driver.notify,
+                self._on_duplicate,
                 replicates=self._terms.replicate,
                 gossip_is_paced=self._terms.control_bytes_per_s > 0,
             ),
         )
-        self._meter.turn(Role.VIEW, self.fleet.start)
-        if self._terms.replicate:
-            self._start_replica(self.fleet, seal, most)
-        if self._terms.audit:
-            self._start_audit(self.fleet, seal, int(now * 1000))
+        self.membership = driver
+        self._meter.measure_call(Role.VIEW, driver.start)
+        return driver
 
-    def _start_replica(
-        self, fleet: MembershipDriver, seal: MessageAuthenticator, most: int
+    def _start_replication(
+        self, membership: MembershipDriver, authenticator: MessageAuthenticator
     ) -> None:
-        self.replica = ReplicationDriver(
+        budget = self._role_budget(TrafficRole.REPLICATION)
+        most = max_text_bytes(authenticator)
+        self.replication = ReplicationDriver(
             self.scheduler,
-            Network(self._peers, fleet, seal, most, self._part(TrafficRole.REPLICATION)),
+            Network(self._peers, membership, authenticator, most, budget),
             EngineLink(
-                EngineAccounts(self.gateway.replicated_accounts),
-                self.limiter.notify,
-                lambda calls: None,
+                EngineAccounts(self.engine.replicated_accounts),
+                self.engine_driver.notify,
+                lambda _overrides: None,
             ),
             self._seed,
         )
-        self.limiter.on_count = self.replica.record_charge
-        self._meter.turn(Role.REPLICATION, self.replica.start)
+        self.engine_driver.on_count = self.replication.record_charge
+        self._meter.measure_call(Role.REPLICATION, self.replication.start)
 
-    def _start_audit(
-        self, fleet: MembershipDriver, seal: MessageAuthenticator, incarnation: int
+    def _start_configuration(
+        self, membership: MembershipDriver, authenticator: MessageAuthenticator, incarnation: int
     ) -> None:
         record = AuditRecord(self._settings.limiter_id, incarnation)
-        self.limiter.attempts_by_endpoint = Counter()
-        self.audit = ConfigurationDriver(
-            Connections(self.scheduler, self._peers, fleet, seal, self),
-            ConfigurationOptions(
-                lambda: self.order, record, self._seed, self._part(TrafficRole.CONFIGURATION)
-            ),
+        budget = self._role_budget(TrafficRole.CONFIGURATION)
+        self.engine_driver.attempts_by_endpoint = Counter()
+        self.configuration = ConfigurationDriver(
+            Connections(self.scheduler, self._peers, membership, authenticator, self),
+            ConfigurationOptions(lambda: self.order, record, self._seed, budget),
         )
-        self._meter.turn(Role.AUDIT, self.audit.start)
+        self._meter.measure_call(Role.AUDIT, self.configuration.start)
 
-    def _part(self, role: TrafficRole) -> RoleBudget | None:
-        """What that role asks before it sends; nothing where there is no budget."""
+    def _role_budget(self, role: TrafficRole) -> RoleBudget | None:
+        """The part of the control budget that a role has; None where there is no budget."""
         return self._budget.for_role(role) if self._budget else None
 
-    def _leave(self) -> None:
-        """Another process has its number, which cannot be here."""
-        raise AssertionError(f"limiter {self._settings.limiter_id} met a twin")
+    def _on_duplicate(self) -> None:
+        """Membership met a process with the same number, which a run never starts."""
+        raise AssertionError(f"limiter {self._settings.limiter_id} met a duplicate")
 
     def leave(self) -> None:
-        """It says that it goes, and goes."""
-        if self.fleet:
-            self._meter.turn(Role.VIEW, self.fleet.leave)
+        """Ends it gracefully: its peers are notified first."""
+        if self.membership:
+            self._meter.measure_call(Role.VIEW, self.membership.leave)
         self.crash()
 
     def crash(self) -> None:
-        """It is gone from one moment to the next."""
+        """Ends it at once; its peers are not notified."""
         self.scheduler.alive, self._peers.dead = False, True
 
-    # What happens to it
+    # Events from outside
 
-    def list_servers(self, event: api.EndpointsUpdated) -> None:
-        """Discovery's news."""
-        self._meter.turn(Role.LIST, self.limiter.notify, event)
+    def update_servers(self, event: api.EndpointsUpdated) -> None:
+        """Discovery reports the list of servers, or a change to it."""
+        self._meter.measure_call(Role.LIST, self.engine_driver.notify, event)
 
-    def ask(self, drawn: DrawnRequest, request: api.RequestArrived) -> bool:
-        """A request comes; whether it is let in."""
-        asked = HollowRequest(request)
-        self._meter.turn(Role.REQUESTS, self.limiter.submit, asked, asked)
-        return asked.let_in
+    def submit(self, request: api.RequestArrived) -> bool:
+        """Submits a request; returns whether it was admitted."""
+        hollow = HollowRequest(request)
+        self._meter.measure_call(Role.REQUESTS, self.engine_driver.submit, hollow, hollow)
+        return hollow.admitted
 
-    def next_id(self) -> str:
-        """A name for a request, as no other of this limiter has it."""
-        self._serial += 1
-        return f"{self._settings.limiter_id}-{self._serial}"
+    def next_request_id(self) -> str:
+        """An id for a request that is unique in this incarnation."""
+        self._last_request += 1
+        return f"{self._settings.limiter_id}-{self._last_request}"
 
-    def order_settings(self, document: Mapping[str, Any], order: int) -> None:
-        """An operator has given this limiter new settings, and it reads them."""
-        self._meter.turn(Role.AUDIT, self._take_order, document, order)
+    def change_settings(self, document: Mapping[str, Any], order: int) -> None:
+        """An operator gives this limiter a new revision of the settings."""
+        self._meter.measure_call(Role.AUDIT, self._change_settings, document, order)
 
-    def _take_order(self, document: Mapping[str, Any], order: int) -> None:
+    def _change_settings(self, document: Mapping[str, Any], order: int) -> None:
         self.order = order
-        trouble = self.apply_settings(document)
-        assert not trouble, trouble
+        error = self.apply_settings(document)
+        assert not error, error
 
-    # What the audit asks (configuration.state.ConfigurableLimiter)
+    # What configuration calls (configuration.state.ConfigurableLimiter)
 
     def settings_document(self) -> Mapping[str, Any]:
+        """The settings document in force."""
         return self._document
 
     def check_settings(self, document: Mapping[str, Any]) -> str:
+        """What is wrong with a document, or an empty text."""
         try:
-            self._checked = document, self._read(self._with_own(document))
+            self._checked = document, self._parse(self._with_own(document))
         except (WireError, ValueError) as error:
             return str(error)
         return ""
@@ -340,31 +388,34 @@
     def _with_own(self, document: Mapping[str, Any]) -> dict[str, Any]:
         return {**document, **{name: self._document[name] for name in ("position", "zone")}}
 
-    def _read(self, whole: dict[str, Any]) -> api.Settings:
+    def _parse(self, document: dict[str, Any]) -> api.Settings:
         known = KnownSettings(self._document, self._settings)
-        return parse_settings(Fields("settings", whole), known)
+        return parse_settings(Fields("settings", document), known)
 
     def apply_settings(self, document: Mapping[str, Any]) -> str:
-        """Settings of the operator or of a peer.
+        """Applies settings of the operator or of a peer; returns what is wrong with them, if any.
 
-        As `net.settings_reload.SettingsReload.apply` takes them.
+        As `net.settings_reload.SettingsReload.apply` does.
         """
-        trouble = self.check_settings(document) if document is not self._checked[0] else ""
-        if trouble:
-            return trouble
-        whole, settings = self._with_own(document), self._checked[1]
-        self._document, self._settings = whole, settings
-        self.gateway.retune(settings)
-        self._acts_on(settings.limiter_id)
+        error = self.check_settings(document) if document is not self._checked[0] else ""
+        if error:
+            return error
+        settings = self._checked[1]
+        self._document, self._settings = self._with_own(document), settings
+        self.engine.retune(settings)
+        self._host.settings_applied(settings.limiter_id)
         return ""
 
     def endpoint_list(self) -> tuple[int, str]:
+        """Revision and source of the list of servers."""
         return 1, "127.0.0.1:0"
 
     def disabled_hosts(self) -> set[str]:
+        """Servers that an operator has disabled: none."""
         return set()
 
     def request_counts(self) -> dict[str, int]:
+        """Requests by what became of them."""
         stats = self.stats
         return {
             "requests": stats.requests,
@@ -374,11 +425,13 @@
         }
 
     def take_attempts(self) -> Counter[str]:
-        counts, self.limiter.attempts_by_endpoint = (
-            self.limiter.attempts_by_endpoint or Counter(),
+        """Attempts by server since the last call."""
+        counts, self.engine_driver.attempts_by_endpoint = (
+            self.engine_driver.attempts_by_endpoint or Counter(),
             Counter(),
         )
         return counts
 
     def take_samples(self) -> list[str]:
+        """Samples of requests: none."""
         return []
--- a/hazelhollow/scale/load.py
+++ b/hazelhollow/scale/load.py
@@ -1,8 +1,8 @@
-"""The modelled load: tenants by way of use, and the requests of one limiter, drawn from a seed.
+"""The modelled load: tenants by usage pattern, and the requests of one limiter, from a seed.
 
-What a tenant asks is split over its limiters by uneven weights. A Poisson stream that is split so
-is one Poisson stream at each limiter, so that each limiter's requests are drawn by themselves: the
-same whichever process plays it.
+A tenant's requests are split over its limiters by uneven weights. A Poisson stream that is split at
+random is a Poisson stream at each limiter. Each limiter's requests are therefore drawn
+independently, and are the same whichever process runs the limiter.
 """
 
 from __future__ import annotations
@@ -19,15 +19,22 @@
 from hazelhollow.scale.plan import FleetTerms
 from hazelhollow.scale.results import Size
 
+# Units of a request; each is drawn equally often.
 UNITS = (1, 1, 1, 2, 2, 2, 3, 3, 4, 6)
 MEAN_UNITS = sum(UNITS) / len(UNITS)
 MAX_UNITS = max(UNITS)
-SPIKE_MULTIPLE = 6.0  # times its rate that a spiky tenant asks for while it spikes
-MIN_BURST_UNITS = 2.0 * MAX_UNITS
+SPIKE_MULTIPLE = 6.0  # of its plan's rate, that a spiky tenant requests during a spike
+MIN_BURST_UNITS = 2.0 * MAX_UNITS  # so that the largest request always fits
 
 
 class UsagePattern(NamedTuple):
-    """A way of use: its share of the tenants, and what it asks for as a part of the plan's rate."""
+    """A usage pattern.
+
+    Attributes:
+        name: As it stands in `Tenant.usage`.
+        share: Share of the tenants that have it.
+        use: Mean use as a part of the plan's rate.
+    """
 
     name: str
     share: float
@@ -43,9 +50,13 @@
 
 
 class Tariff(NamedTuple):
-    """A plan of tenants before it is scaled to the size.
+    """A tenants' plan before it is scaled to the size.
 
-    Units a second, seconds of them at once, share of the tenants.
+    Attributes:
+        name: As it stands in the settings.
+        rate: Units a second.
+        burst_s: Burst, in seconds of the rate.
+        share: Share of the tenants that have it.
     """
 
     name: str
@@ -63,7 +74,7 @@
 
 
 class Quota(NamedTuple):
-    """A plan as it is in the settings."""
+    """A plan as it stands in the settings: `rate` in units a second, `burst` in units."""
 
     name: str
     rate: float
@@ -71,9 +82,18 @@
 
 
 class Tenant(NamedTuple):
-    """`asks`.
-
-    Requests a second on the mean; `spike`: first, every and for how many seconds, of a spiky one.
+    """A tenant, and how it sends requests.
+
+    Attributes:
+        number: The tenant's number.
+        quota: Index of its quota in `Population.quotas`.
+        first: First limiter of the set that serves it.
+        spread: Number of limiters in that set.
+        usage: Name of its usage pattern.
+        asks: Requests a second outside of spikes.
+        top: Requests a second at most.
+        skew: Exponent of the weights by which its requests are split over its limiters.
+        spike: Start of the first spike, period and duration, in seconds; no duration: no spikes.
     """
 
     number: int
@@ -88,16 +108,18 @@
 
     @property
     def name(self) -> str:
+        """The tenant's name in requests."""
         return f"tenant-{self.number:06d}"
 
     def rate(self, at: float) -> float:
-        """Requests a second, so many seconds into the run."""
-        first, every, span = self.spike
-        return self.top if span and (at - first) % every < span else self.asks
+        """Requests a second at a time, in seconds since the run began."""
+        first, period, duration = self.spike
+        in_spike = duration and (at - first) % period < duration
+        return self.top if in_spike else self.asks
 
 
 class DrawnRequest(NamedTuple):
-    """One request: seconds into the run, tenant, route and units."""
+    """One request: seconds since the run began, tenant, route and units."""
 
     at: float
     tenant: int
@@ -114,43 +136,50 @@
 
 
 def populate(size: Size, terms: FleetTerms, seed: int) -> Population:
-    """The tenants, with quotas scaled so that together they ask for what the size says."""
-    chance = random.Random(f"tenants {seed}")
-    drawn = [_tenant(chance, number, size.limiters, terms) for number in range(size.tenants)]
-    whole = sum(_mean(one) for one in drawn)
-    asked = size.requests_per_s * size.limiters / whole
-    scale = asked or 1.0  # quotas stay as they are where nobody asks
-    tenants = tuple(one._replace(asks=one.asks * asked, top=one.top * asked) for one in drawn)
+    """The tenants, with rates and quotas scaled to the requests a second of the size."""
+    rng = random.Random(f"tenants {seed}")
+    drawn = [_tenant(rng, number, size.limiters, terms) for number in range(size.tenants)]
+    unscaled = sum(_mean_rate(tenant) for tenant in drawn)
+    scale = size.requests_per_s * size.limiters / unscaled
+    quota_scale = scale or 1.0  # without any requests the quotas stay unscaled
+    tenants = tuple(
+        tenant._replace(asks=tenant.asks * scale, top=tenant.top * scale) for tenant in drawn
+    )
     quotas = tuple(
-        Quota(one.name, one.rate * scale, max(one.rate * scale * one.burst_s, MIN_BURST_UNITS))
-        for one in TARIFFS
+        Quota(
+            tariff.name,
+            tariff.rate * quota_scale,
+            max(tariff.rate * quota_scale * tariff.burst_s, MIN_BURST_UNITS),
+        )
+        for tariff in TARIFFS
     )
     return Population(tenants, quotas)
 
 
-def _tenant(chance: random.Random, number: int, limiters: int, terms: FleetTerms) -> Tenant:
-    quota = chance.choices(range(len(TARIFFS)), [one.share for one in TARIFFS])[0]
-    way = chance.choices(USAGE_PATTERNS, [one.share for one in USAGE_PATTERNS])[0]
+def _tenant(rng: random.Random, number: int, limiters: int, terms: FleetTerms) -> Tenant:
+    quota = rng.choices(range(len(TARIFFS)), [tariff.share for tariff in TARIFFS])[0]
+    pattern = rng.choices(USAGE_PATTERNS, [each.share for each in USAGE_PATTERNS])[0]
     rate = TARIFFS[quota].rate / MEAN_UNITS
-    spiky = way.name == "spiky"
+    spiky = pattern.name == "spiky"
     spike = (
-        (chance.uniform(0, 20), chance.uniform(14, 24), chance.uniform(0.8, 4.9))
+        (rng.uniform(0, 20), rng.uniform(14, 24), rng.uniform(0.8, 4.9))
         if spiky
         else (0.0, 1.0, 0.0)
     )
     least = min(terms.spread_least or limiters // 2 or 1, limiters)
-    spread = chance.randint(least, min(terms.spread_most or limiters, limiters))
-    asks = rate * way.use * chance.uniform(0.85, 1.15)
-    skew = round(chance.uniform(0.21, 1.2), 1)  # few values, so that sums of weights are kept
+    spread = rng.randint(least, min(terms.spread_most or limiters, limiters))
+    asks = rate * pattern.use * rng.uniform(0.85, 1.15)
+    skew = round(rng.uniform(0.21, 1.2), 1)  # few values, so that sums of weights are kept
     top = rate * SPIKE_MULTIPLE if spiky else asks
     return Tenant(
-        number, quota, chance.randrange(limiters), spread, way.name, asks, top, skew, spike
+        number, quota, rng.randrange(limiters), spread, pattern.name, asks, top, skew, spike
     )
 
 
-def _mean(one: Tenant) -> float:
-    _, every, span = one.spike
-    return one.asks + (one.top - one.asks) * span / every
+def _mean_rate(tenant: Tenant) -> float:
+    """Requests a second, spikes included."""
+    _, period, duration = tenant.spike
+    return tenant.asks + (tenant.top - tenant.asks) * duration / period
 
 
 @lru_cache(100_000)
@@ -159,7 +188,7 @@
 
 
 def weight(tenant: Tenant, limiter: int, limiters: int) -> float:
-    """The part of a tenant's requests that comes to a limiter; nothing outside its set."""
+    """The part of a tenant's requests that goes to a limiter; 0 outside of its set."""
     place = (limiter - tenant.first) % limiters
     if place >= tenant.spread:
         return 0.0
@@ -170,44 +199,53 @@
 def split(
     population: Population, here: Sequence[int], limiters: int
 ) -> dict[int, list[tuple[Tenant, float]]]:
-    """By limiter of those here: the tenants that it serves, and which part of their requests."""
-    found: dict[int, list[tuple[Tenant, float]]] = {number: [] for number in here}
+    """For each limiter `here`: the tenants that it serves, and which part of their requests."""
+    parts_by_limiter: dict[int, list[tuple[Tenant, float]]] = {number: [] for number in here}
     for tenant in population.tenants:
         places = [(tenant.first + place) % limiters for place in range(tenant.spread)]
         for number in places if len(places) < len(here) else here:
-            part = weight(tenant, number, limiters) if number in found else 0.0
+            part = weight(tenant, number, limiters) if number in parts_by_limiter else 0.0
             if part:
-                found[number].append((tenant, part))
-    return found
+                parts_by_limiter[number].append((tenant, part))
+    return parts_by_limiter
 
 
 class Requests:
-    """The requests of one limiter, in the order of their times; drawn as they are asked for."""
+    """The requests of one limiter in the order of their times, drawn as they are iterated.
+
+    Args:
+        parts: The limiter's tenants, and which part of their requests goes to it.
+        routes: Number of routes.
+        limiter: The limiter's number.
+        seed: Of the run.
+    """
 
     def __init__(
         self, parts: Sequence[tuple[Tenant, float]], routes: int, limiter: int, seed: int
     ) -> None:
-        self._chance = random.Random(f"requests {seed} {limiter}")
+        self._rng = random.Random(f"requests {seed} {limiter}")
         self._routes = routes
-        self.tenants = [one for one, _ in parts]
-        self._sums = list(accumulate(one.top * part for one, part in parts))
+        self.tenants = [tenant for tenant, _ in parts]
+        self._cumulative_rates = list(accumulate(tenant.top * part for tenant, part in parts))
 
     def __iter__(self) -> Iterator[DrawnRequest]:
-        """Thinned arrivals: the highest rate draws, the present one keeps.
+        """Arrivals by thinning: drawn at the tenants' highest rates, accepted by the present ones.
 
-        Ends at once where nobody asks.
+        Ends at once where no tenant sends requests.
         """
-        chance, sums, at = self._chance, self._sums, 0.0
+        rng, sums, at = self._rng, self._cumulative_rates, 0.0
         while sums and sums[-1] > 0.0:
-            at += chance.expovariate(sums[-1])
-            tenant = self.tenants[min(bisect(sums, chance.random() * sums[-1]), len(sums) - 1)]
-            kept = chance.random() * tenant.top < tenant.rate(at)
-            route = int(self._routes ** chance.random()) - 1  # about as often as one over its place
-            units = chance.choice(UNITS)
-            if kept:
+            at += rng.expovariate(sums[-1])
+            tenant = self.tenants[min(bisect(sums, rng.random() * sums[-1]), len(sums) - 1)]
+            accepted = rng.random() * tenant.top < tenant.rate(at)
+            route = (
+                int(self._routes ** rng.random()) - 1
+            )  # about Zipf: as often as 1 / (number + 1)
+            units = rng.choice(UNITS)
+            if accepted:
                 yield DrawnRequest(at, tenant.number, min(max(route, 0), self._routes - 1), units)
 
 
-def service_time(chance: random.Random, mean: float) -> float:
-    """Seconds that a modelled server takes."""
-    return -mean * math.log(1.0 - chance.random())
+def service_time(rng: random.Random, mean: float) -> float:
+    """Draws the seconds that a modelled server takes, exponential with that mean."""
+    return -mean * math.log(1.0 - rng.random())
--- a/hazelhollow/scale/measure.py
+++ b/hazelhollow/scale/measure.py
@@ -1,4 +1,9 @@
-"""Processor time and datagrams by role, summed over the limiters of a process."""
+"""Processor time and datagrams by role, summed over the limiters of one process.
+
+A worker has one `Meter`. Every call into a limiter goes through `Meter.measure_call`, every datagram
+through `record_sent` or `record_received`. The coordinator adds the workers' `RoleTotals` and
+`Traffic` up and converts them to the records of `scale.results`.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +20,8 @@
 from hazelhollow.replication import codec as replication_codec
 from hazelhollow.scale.results import HEADER_BYTES, Role, RoleSums
 
-STEPS_PER_DOUBLING = 16  # of the histogram of turns, for each doubling of their time
-REFERENCE_LOOP_STEPS = 2000
+STEPS_PER_DOUBLING = 16  # histogram steps for each doubling of a call's time
+REFERENCE_LOOP_STEPS = 2000  # iterations of the loop that gauges the machine's speed
 ROLES_BY_LETTER = {
     membership_codec.DIALECT[0]: Role.VIEW,
     replication_codec.DIALECT[0]: Role.REPLICATION,
@@ -25,14 +30,22 @@
 
 
 def datagram_role(text: str) -> Role:
-    """Whose a datagram is: the gossip's where no other knows its first letter."""
+    """The role that a datagram belongs to, by its first letter; gossip where no other matches."""
     return ROLES_BY_LETTER.get(text[:1], Role.GOSSIP)
 
 
 class RoleTotals(msgspec.Struct):
-    """What one role came to.
-
-    `turns`: by step of their time, as `step_of` counts them. Times in nanoseconds of the processor.
+    """Totals of one role.
+
+    Attributes:
+        calls: Calls from outside into a limiter.
+        cpu_ns: Processor nanoseconds of these calls, and of reading datagrams.
+        longest_ns: Processor nanoseconds of the longest call.
+        turns: Histogram of the calls' times: number of calls by `histogram_step`.
+        datagrams_out: Datagrams sent.
+        bytes_out: Bytes of their text, without headers.
+        datagrams_in: Datagrams received.
+        bytes_in: Bytes of their text, without headers.
     """
 
     calls: int = 0
@@ -45,7 +58,7 @@
     bytes_in: int = 0
 
     def add(self, other: RoleTotals) -> None:
-        """Another process's sums of the same role."""
+        """Adds another process's totals of the same role."""
         self.longest_ns = max(self.longest_ns, other.longest_ns)
         for name in ("calls", "cpu_ns", "datagrams_out", "bytes_out", "datagrams_in", "bytes_in"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
@@ -53,9 +66,9 @@
             self.turns[step] = self.turns.get(step, 0) + count
 
     def p99_ns(self) -> float:
-        """The upper end of the step in which the turn lies that 99 in 100 are not longer than.
+        """The 99th percentile of the calls' times, in nanoseconds.
 
-        The longest bounds it.
+        It is the upper end of a histogram step, and never more than the longest call.
         """
         left = 0.99 * sum(self.turns.values())
         for step in sorted(self.turns):
@@ -66,134 +79,142 @@
 
 
 def histogram_step(nanoseconds: int) -> int:
-    """The step of the histogram that a turn falls into."""
+    """The histogram step of a call that took that long."""
     return int(math.log2(max(nanoseconds, 1)) * STEPS_PER_DOUBLING)
 
 
 def zero_totals() -> dict[Role, RoleTotals]:
-    """Sums of nothing."""
+    """Totals of every role before anything was measured."""
     return {role: RoleTotals() for role in Role}
 
 
-def to_records(sums: dict[Role, RoleTotals]) -> tuple[RoleSums, ...]:
-    """The sums as the results hold them: seconds, and the histogram as its 99th in a hundred."""
+def to_records(totals_by_role: dict[Role, RoleTotals]) -> tuple[RoleSums, ...]:
+    """Converts totals to result records: seconds, and the histogram as its 99th percentile."""
     return tuple(
         RoleSums(
             role=role,
-            calls=one.calls,
-            cpu_s=one.cpu_ns / 1e9,
-            longest_turn_s=one.longest_ns / 1e9,
-            turn_p99_s=one.p99_ns() / 1e9,
-            datagrams_out=one.datagrams_out,
-            bytes_out=one.bytes_out,
-            datagrams_in=one.datagrams_in,
-            bytes_in=one.bytes_in,
+            calls=totals.calls,
+            cpu_s=totals.cpu_ns / 1e9,
+            longest_turn_s=totals.longest_ns / 1e9,
+            turn_p99_s=totals.p99_ns() / 1e9,
+            datagrams_out=totals.datagrams_out,
+            bytes_out=totals.bytes_out,
+            datagrams_in=totals.datagrams_in,
+            bytes_in=totals.bytes_in,
         )
-        for role, one in sums.items()
+        for role, totals in totals_by_role.items()
     )
 
 
 class Meter:
-    """Of one process.
+    """Measures the limiters of one process.
+
+    A measured call is one from outside into a limiter. A call made within a measured call counts as
+    part of the outer one. The thread's processor time is read before and after.
 
-    A turn is one call from outside into a limiter, and all that it leads to: a call within a turn
-    is part of it. The processor time of this thread is read before and after.
+    Args:
+        processor_ns: Reads the processor time in nanoseconds.
     """
 
     def __init__(self, processor_ns: Callable[[], int] = time.thread_time_ns) -> None:
         self._processor_ns = processor_ns
-        self._busy = False
-        self.sums = zero_totals()
+        self._in_call = False
+        self.totals = zero_totals()
 
-    def turn(self, role: Role, call: Callable[..., Any], *args: Any) -> Any:
-        """Makes the call and counts it, also where it raises."""
-        if self._busy:
+    def measure_call(self, role: Role, call: Callable[..., Any], *args: Any) -> Any:
+        """Makes the call, counts it even where it raises, and returns its result."""
+        if self._in_call:
             return call(*args)
-        self._busy, before = True, self._processor_ns()
+        self._in_call, before = True, self._processor_ns()
         try:
             return call(*args)
         finally:
             spent = self._processor_ns() - before
-            self._busy = False
-            self._count(self.sums[role], spent)
+            self._in_call = False
+            self._count(self.totals[role], spent)
 
     @staticmethod
-    def _count(one: RoleTotals, spent: int) -> None:
-        one.calls += 1
-        one.cpu_ns += spent
-        one.longest_ns = max(one.longest_ns, spent)
-        step = histogram_step(spent)
-        one.turns[step] = one.turns.get(step, 0) + 1
-
-    def more(self, role: Role, spent: int) -> None:
-        """Processor time beside turns that is a role's all the same.
-
-        The system's, in which its datagrams are read.
-        """
-        self.sums[role].cpu_ns += spent
-
-    def sent(self, role: Role, size: int) -> None:
-        one = self.sums[role]
-        one.datagrams_out += 1
-        one.bytes_out += size
-
-    def came(self, role: Role, size: int) -> None:
-        one = self.sums[role]
-        one.datagrams_in += 1
-        one.bytes_in += size
-
-    def take(self) -> dict[Role, RoleTotals]:
-        """What was counted so far; from here on it counts anew."""
-        found, self.sums = self.sums, zero_totals()
-        return found
+    def _count(totals: RoleTotals, spent_ns: int) -> None:
+        totals.calls += 1
+        totals.cpu_ns += spent_ns
+        totals.longest_ns = max(totals.longest_ns, spent_ns)
+        step = histogram_step(spent_ns)
+        totals.turns[step] = totals.turns.get(step, 0) + 1
+
+    def add_cpu_time(self, role: Role, spent_ns: int) -> None:
+        """Adds processor time outside of measured calls, such as that of reading datagrams."""
+        self.totals[role].cpu_ns += spent_ns
+
+    def record_sent(self, role: Role, size: int) -> None:
+        """Counts a datagram that was sent; `size`: bytes of its text."""
+        totals = self.totals[role]
+        totals.datagrams_out += 1
+        totals.bytes_out += size
+
+    def record_received(self, role: Role, size: int) -> None:
+        """Counts a datagram that was received; `size`: bytes of its text."""
+        totals = self.totals[role]
+        totals.datagrams_in += 1
+        totals.bytes_in += size
+
+    def take_totals(self) -> dict[Role, RoleTotals]:
+        """Returns the totals so far and resets them."""
+        taken, self.totals = self.totals, zero_totals()
+        return taken
 
     def longest_turn_s(self) -> float:
-        """Of any role, since it was counted anew."""
-        return max(one.longest_ns for one in self.sums.values()) / 1e9
+        """Processor seconds of the longest call of any role since the last reset."""
+        return max(totals.longest_ns for totals in self.totals.values()) / 1e9
 
 
 class Traffic(msgspec.Struct):
-    """Bytes sent by the limiters of a process, headers included, by second since the window began.
+    """Bytes sent by the limiters of a process, headers included, by second of the window.
 
-    The sum over all, and the most that one sent in it.
+    Attributes:
+        sums: Bytes of all limiters together.
+        most: Bytes of the limiter that sent the most in that second.
     """
 
     sums: dict[int, int] = msgspec.field(default_factory=dict)
     most: dict[int, int] = msgspec.field(default_factory=dict)
 
     def add(self, other: Traffic) -> None:
+        """Adds the traffic of other limiters."""
         for second, size in other.sums.items():
             self.sums[second] = self.sums.get(second, 0) + size
         for second, size in other.most.items():
             self.most[second] = max(self.most.get(second, 0), size)
 
-    def worst(self, seconds: int, members: int, window_s: float) -> float:
-        """Bytes a second of the mean member in the worst stretch of so many seconds.
+    def worst_mean_rate(self, seconds: int, members: int, window_s: float) -> float:
+        """Bytes a second of the mean member in the worst stretch of the window.
 
-        Or in the whole window if it is shorter.
+        Args:
+            seconds: Length of the stretch; the whole window where that is shorter.
+            members: Number of limiters.
+            window_s: Length of the window in seconds.
         """
         length = max(1, min(seconds, math.floor(window_s)))
         starts = range(min(self.sums, default=0), max(self.sums, default=0) + 1)
-        found = [sum(self.sums.get(start + n, 0) for n in range(length)) for start in starts]
-        return max(found, default=0) / length / max(members, 1)
+        stretches = [sum(self.sums.get(start + n, 0) for n in range(length)) for start in starts]
+        return max(stretches, default=0) / length / max(members, 1)
 
 
 def sum_traffic(counters: Iterable[Counter[int]]) -> Traffic:
-    """Of each limiter's bytes by second."""
-    whole = Traffic()
+    """The traffic of limiters whose bytes by second are given."""
+    total = Traffic()
     for counter in counters:
-        whole.add(Traffic(dict(counter), dict(counter)))
-    return whole
+        total.add(Traffic(dict(counter), dict(counter)))
+    return total
 
 
 def size_on_wire(text_bytes: int) -> int:
-    """Bytes of a datagram with its headers."""
+    """Bytes of a datagram with its IPv4 and UDP headers."""
     return text_bytes + HEADER_BYTES
 
 
 def reference_loop_ns() -> int:
-    """Processor time that a fixed loop of plain Python takes now."""
-    before, whole = time.thread_time_ns(), 0
+    """Processor nanoseconds of a fixed loop of plain Python: how fast the machine is now."""
+    before, total = time.thread_time_ns(), 0
     for step in range(REFERENCE_LOOP_STEPS):
-        whole += step & 7
+        total += step & 7
     return time.thread_time_ns() - before
--- a/hazelhollow/scale/network.py
+++ b/hazelhollow/scale/network.py
@@ -1,6 +1,9 @@
-"""The network side of hollow limiters.
+"""The sockets of hollow limiters: real datagrams over loopback, measured and subject to partitions.
 
-The real sockets between limiters, with meters, faults and a ledger of datagrams.
+`HollowPeerSocket` is the `PeerSocket` of one limiter through all its incarnations. All sockets of a
+process share one `NetworkState`: the meter, the partition in force and the ledger of datagrams. At
+the end of a run the ledger must balance: what was sent is what was received, cut, addressed to dead
+limiters, or dropped by the operating system.
 """
 
 from __future__ import annotations
@@ -21,135 +24,156 @@
 from hazelhollow.scale.topology import CutPredicate, no_cut
 
 UDP_TABLE = Path("/proc/net/udp")
-INODE, DROPS = 9, 12  # columns of that table
-LOOPBACK_BYTES = 1 << 18  # that a socket may hold for a limiter whose worker has others to play
-
-ABSENT_PORT = (
-    # at which nobody listens on the loopback: of limiters that the settings name and the run does
-    # not play
-    9
-)
+INODE_COLUMN = 9  # of that table
+DROPS_COLUMN = 12  # of that table
+RECEIVE_BUFFER_BYTES = 1 << 18  # of a socket whose process has other limiters to run meanwhile
+ABSENT_PORT = 9  # nobody listens there: of limiters that the settings name and the run leaves out
+ABSENT_HOSTS_PER_SUBNET = 250  # last numbers that addresses of such limiters use
 
 
 class DatagramLedger(msgspec.Struct):
     """Datagrams of all limiters of a process over a whole run.
 
-    What went out is what came in and what was lost. Words to a limiter's own address are in
-    neither.
+    Datagrams of a limiter to its own address count as neither sent nor received.
+
+    Attributes:
+        out: Sent.
+        came: Received and handled.
+        cut: Received, and dropped by the partition in force.
+        to_dead: Addressed to limiters that are down or not part of the run.
+        dropped: Dropped by the operating system for lack of buffer space.
     """
 
     out: int = 0
     came: int = 0
     cut: int = 0
     to_dead: int = 0
-    dropped: int = 0  # by the system, for want of room in a socket
+    dropped: int = 0
 
     def add(self, other: DatagramLedger) -> None:
+        """Adds another process's counts."""
         for name in self.__struct_fields__:
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
     def lost(self) -> int:
+        """Datagrams that were sent and not handled, whatever the reason."""
         return self.cut + self.to_dead + self.dropped
 
 
 class MeteredSocket(socket.socket):
-    """Counts the processor time in which datagrams are read."""
+    """A socket that adds the processor time of reading a datagram to the datagram's role."""
 
     meter: Meter
 
     def recvfrom(self, bufsize: int, flags: int = 0, /) -> tuple[bytes, tuple[str, int]]:
+        """Reads a datagram, as `socket.socket.recvfrom` does."""
         before = time.thread_time_ns()
         data, sender = super().recvfrom(bufsize, flags)
-        self.meter.more(datagram_role(data[:1].decode("latin-1")), time.thread_time_ns() - before)
+        self.meter.add_cpu_time(
+            datagram_role(data[:1].decode("latin-1")), time.thread_time_ns() - before
+        )
         return data, sender
 
 
 class NetworkState:
-    """What the limiters of one process share.
-
-    The faults between limiters, the ledger and the meter.
-    """
+    """What the sockets of one process share: the meter, the partition in force and the ledger."""
 
     def __init__(self, meter: Meter) -> None:
         self.meter, self.ledger = meter, DatagramLedger()
-        self.cut: CutPredicate = no_cut
+        self.is_cut: CutPredicate = no_cut
 
 
 class HollowPeerSocket(PeerSocket):
-    """The real datagrams of one limiter, through all of its incarnations.
+    """The socket of one limiter, through all its incarnations.
 
-    While it is `dead`, what comes is counted and dropped.
+    While no incarnation runs (`dead`), datagrams are counted and dropped.
+
+    Args:
+        scheduler: Of the process.
+        network: What the sockets of the process share.
+        number: The limiter's number.
+        listen: Address to bind.
+        current_second: The second of the present window, for `bytes_by_second`.
     """
 
     def __init__(
         self,
         scheduler: Scheduler,
-        wire: NetworkState,
+        network: NetworkState,
         number: int,
         listen: tuple[str, int],
-        second: Callable[[], int],
+        current_second: Callable[[], int],
     ) -> None:
-        super().__init__(scheduler, Stats(), listen, (), lambda sender, text: None)
-        self._wire, self._number, self._second = wire, number, second
+        super().__init__(scheduler, Stats(), listen, (), _ignore_message)
+        self._network, self._number, self._current_second = network, number, current_second
         sock = MeteredSocket(fileno=self._sock.detach())
         sock.setblocking(False)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LOOPBACK_BYTES)
-        sock.meter = wire.meter
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        sock.meter = network.meter
         self._sock = sock
         self.dead = True
         self.bytes_by_second = Counter[int]()
 
-    def renew(self, stats: Stats, heard: Callable[[int, str], None]) -> None:
-        """A new incarnation of this limiter listens here."""
-        self._stats, self.on_message, self.on_unknown_sender, self.dead = stats, heard, None, False
+    def attach_incarnation(self, stats: Stats, on_message: Callable[[int, str], None]) -> None:
+        """A new incarnation of the limiter receives what comes from now on."""
+        self._stats, self.on_message, self.on_unknown_sender = stats, on_message, None
+        self.dead = False
         self.on_sent = None
 
     def send(self, address: tuple[str, int] | None, text: str) -> None:
+        """Sends a datagram, as `PeerSocket.send` does, and counts it if it left."""
         before = self._stats.told
         super().send(address, text)
         if self._stats.told == before:
             return
         size = len(text)
-        self._wire.meter.sent(datagram_role(text), size)
-        self._wire.ledger.out += 1
-        self._wire.ledger.to_dead += address is not None and address[1] == ABSENT_PORT
-        self.bytes_by_second[self._second()] += size_on_wire(size)
+        self._network.meter.record_sent(datagram_role(text), size)
+        self._network.ledger.out += 1
+        self._network.ledger.to_dead += address is not None and address[1] == ABSENT_PORT
+        self.bytes_by_second[self._current_second()] += size_on_wire(size)
 
     def _take(self, data: bytes, sender: tuple[str, int]) -> None:
-        wire, role = self._wire, datagram_role(data[:1].decode("latin-1"))
-        # the view's word to a process that may have the same number
+        network, role = self._network, datagram_role(data[:1].decode("latin-1"))
+        # Membership's message to a process that may have the same number.
         if sender[0] == self.address[0]:
             if not self.dead:
-                wire.meter.turn(Role.VIEW, super()._take, data, sender)
+                network.meter.measure_call(Role.VIEW, super()._take, data, sender)
             return
         number = self._numbers.get(sender, -1)
         if self.dead:
-            wire.ledger.to_dead += 1
-        elif wire.cut(number, self._number):
-            wire.ledger.cut += 1
+            network.ledger.to_dead += 1
+        elif network.is_cut(number, self._number):
+            network.ledger.cut += 1
         else:
-            wire.ledger.came += 1
-            wire.meter.came(role, len(data))
-            wire.meter.turn(role, super()._take, data, sender)
+            network.ledger.came += 1
+            network.meter.record_received(role, len(data))
+            network.meter.measure_call(role, super()._take, data, sender)
 
     def inode(self) -> int:
-        """By which the system's table names its socket."""
+        """The inode by which the system's table of sockets names this one."""
         return Path(f"/proc/self/fd/{self._sock.fileno()}").stat().st_ino
 
     def close(self) -> None:
+        """Closes the socket."""
         self._scheduler.unregister(self._sock.fileno())
         self._sock.close()
 
 
 def absent_address(number: int) -> tuple[str, int]:
-    """Of a limiter that is not played."""
-    return f"127.1.{number // 250}.{1 + number % 250}", ABSENT_PORT
+    """The address of a limiter that the settings name and the run leaves out."""
+    subnet, host = divmod(number, ABSENT_HOSTS_PER_SUBNET)
+    return f"127.1.{subnet}.{1 + host}", ABSENT_PORT
 
 
-def dropped(inodes: set[int]) -> int:
-    """Datagrams that the system has dropped at these sockets.
+def dropped_datagrams(inodes: set[int]) -> int:
+    """Datagrams that the operating system has dropped at these sockets.
 
-    Raises OSError where it does not tell.
+    Raises:
+        OSError: The system does not tell.
     """
     rows = [line.split() for line in UDP_TABLE.read_text().splitlines()[1:]]
-    return sum(int(row[DROPS]) for row in rows if int(row[INODE]) in inodes)
+    return sum(int(row[DROPS_COLUMN]) for row in rows if int(row[INODE_COLUMN]) in inodes)
+
+
+def _ignore_message(_sender: int, _text: str) -> None:
+    """No incarnation runs yet."""
--- a/hazelhollow/scale/settings.py
+++ b/hazelhollow/scale/settings.py
@@ -1,6 +1,6 @@
-"""The settings that hollow limiters are told.
+"""The settings of the limiters of a scale run, and their list of servers.
 
-The document as a configuration holds it, and the list of servers.
+The documents have the form that operators give them (`simulator.settings_document` reads them).
 """
 
 from __future__ import annotations
@@ -14,29 +14,30 @@
 from hazelhollow.scale.results import Size
 from hazelhollow.scale.topology import Topology
 
-DEADLINE_S = 2.0  # of each route, from which its answer is worth nothing
-LATENCY_OBJECTIVE_S = 0.5
-CELLS = 32
+DEADLINE_S = 2.0  # of each route: an answer after it has no weight
+LATENCY_OBJECTIVE_S = 0.5  # of each route
+CELLS = 32  # over which the servers are distributed
 
 
 def route_name(number: int) -> str:
+    """The name of a route."""
     return f"route-{number:05d}"
 
 
 def document(size: Size, quotas: Sequence[Quota], terms: FleetTerms) -> dict[str, Any]:
-    """The part of the settings that all limiters share."""
+    """The settings that all limiters share."""
     return {
         "balancers": size.limiters,
         "step": 0.001,
         "grades": [_route(number, DEADLINE_S) for number in range(size.routes)],
         "tariffs": [
             {
-                "name": one.name,
-                "per_second": one.rate,
-                "most_at_once": one.burst,
+                "name": quota.name,
+                "per_second": quota.rate,
+                "most_at_once": quota.burst,
                 "excess_cost": 1.0,
             }
-            for one in quotas
+            for quota in quotas
         ],
         "family_info": {"max_units": MAX_UNITS, "inbox_per_s": terms.inbox_per_s},
         "policy_limits": {
@@ -62,7 +63,13 @@
 
 
 def changed(before: dict[str, Any], routes: Sequence[int], change: int) -> dict[str, Any]:
-    """The document of the next order, in which these routes have another deadline."""
+    """The next revision of a document: these routes have another deadline.
+
+    Args:
+        before: The document to start from; it is not changed.
+        routes: Numbers of the routes.
+        change: The revision; the deadlines grow by this many milliseconds.
+    """
     grades = list(before["grades"])
     for number in routes:
         grades[number] = _route(number, DEADLINE_S + change / 1000)
@@ -70,16 +77,17 @@
 
 
 def own_document(shared: dict[str, Any], number: int, topology: Topology) -> dict[str, Any]:
-    """With what is each limiter's own."""
+    """The shared settings with one limiter's position and zone."""
     return {**shared, "position": number, "zone": zone_name(topology.zone(number))}
 
 
 def zone_name(zone: int) -> str:
+    """The name of a zone."""
     return f"zone-{zone}"
 
 
 def servers(size: Size, terms: FleetTerms) -> tuple[api.EndpointEntry, ...]:
-    """Those of the size, dealt out to the zones in turn."""
+    """The list of servers, assigned to the zones in turn."""
     return tuple(
         api.EndpointEntry(
             f"server-{n:05d}", "up", zone_name(n % terms.zones), n % CELLS, 1.0 + n % 2
--- a/hazelhollow/scale/topology.py
+++ b/hazelhollow/scale/topology.py
@@ -1,6 +1,6 @@
-"""Where limiters stand, and which pairs of them cannot hear each other.
+"""The topology of a fleet: regions of zones of racks, and which pairs of limiters are partitioned.
 
-Regions of zones of racks, by the limiter's number.
+A limiter's place follows from its number alone, so that every process of a run agrees on it.
 """
 
 from __future__ import annotations
@@ -11,10 +11,11 @@
 from hazelhollow.scale.plan import FleetTerms
 
 CutPredicate = Callable[[int, int], bool]
+"""Whether datagrams from the first limiter to the second are dropped."""
 
 
 class Topology(NamedTuple):
-    """`limiters` in their order over the racks, those of one zone side by side."""
+    """Limiters in the order of their numbers over the racks; those of a zone are adjacent."""
 
     limiters: int
     regions: int
@@ -22,27 +23,30 @@
     racks: int
 
     def zone(self, number: int) -> int:
+        """The zone of a limiter."""
         return number * self.zones // self.limiters
 
     def region(self, number: int) -> int:
+        """The region of a limiter."""
         return self.zone(number) * self.regions // self.zones
 
     def rack(self, number: int) -> int:
+        """The rack of a limiter."""
         return number * self.racks // self.limiters
 
 
 def make_topology(limiters: int, terms: FleetTerms) -> Topology:
-    """Raises nothing: a fleet smaller than its racks leaves some of them empty."""
+    """The topology of that many limiters; with fewer limiters than racks some racks are empty."""
     return Topology(limiters, terms.regions, terms.zones, terms.racks)
 
 
-def no_cut(source: int, target: int) -> bool:
-    """The cut of a network that is whole."""
+def no_cut(_source: int, _target: int) -> bool:
+    """The predicate of a network without a partition."""
     return False
 
 
 def region_partition(topology: Topology, region: int) -> CutPredicate:
-    """The cut between one region and the others: no datagram passes, whoever sends it."""
+    """A partition, in both directions, between one region and all others."""
     return lambda source, target: (topology.region(source) == region) != (
         topology.region(target) == region
     )
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -147,10 +147,10 @@
             return
         self._close_window(EventKind.START, 0.0, self._job.terms.settle_s)
         if self._job.terms.every_tenant_first:
-            self.fleet.ask_for_all(self._overdue)
+            self.fleet.request_for_every_tenant(self._overdue)
             self._burst_over = self._scheduler.clock()
         self._lag, self._loops = Lag(), []
-        self._meter.take()
+        self._meter.take_totals()
         self._began_measuring = self._scheduler.clock()
         self._processor, self._waited = time.process_time(), waited_s()
         self._scheduler.at(self._began_measuring + self._job.terms.seconds, self._measured)
@@ -169,7 +169,7 @@
             return
         report.measured_at_s = began - self._began
         report.seconds = self._scheduler.clock() - began
-        report.roles = self._meter.take()
+        report.roles = self._meter.take_totals()
         report.processor_s = time.process_time() - self._processor
         report.waited_s = waited_s() - self._waited
         report.memory_after = memory_bytes() - self.fleet.rows.itemsize * len(self.fleet.rows)
@@ -178,8 +178,8 @@
 
     def _begin_event(self, event: PlannedEvent, at_s: float) -> None:
         self._window_began, self._lag = self._scheduler.clock(), Lag()
-        self._meter.take()
-        self.fleet.happen(event.kind, at_s)
+        self._meter.take_totals()
+        self.fleet.apply_event(event.kind, at_s)
         end_s = at_s + event.window_s - CLOSE_BEFORE_S
         self._at(end_s, self._close_window, event.kind, at_s, event.window_s)
 
@@ -188,7 +188,7 @@
             kind=kind,
             at_s=at_s,
             window_s=window_s,
-            until=self.fleet.until(kind, at_s),
+            until=self.fleet.seconds_until_agreed(kind, at_s),
             traffic=self.fleet.traffic(),
             members=len(self.fleet.members),
             lag=self._lag,
@@ -210,8 +210,8 @@
         until = time.monotonic() + IN_TRANSIT_S
         while time.monotonic() < until:
             self._scheduler.turn(longest=IN_TRANSIT_S / 10 / self._job.dilation)
-        self._report.ledger = self.fleet.wire.ledger
-        self._report.ledger.dropped = self.fleet.dropped()
+        self._report.ledger = self.fleet.network.ledger
+        self._report.ledger.dropped = self.fleet.dropped_datagrams()
 
     def close(self) -> None:
         """No socket is left."""
--- a/tests/control_budget/test_hollow_limiter_budget.py
+++ b/tests/control_budget/test_hollow_limiter_budget.py
@@ -13,7 +13,7 @@
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale import settings, topology
 from hazelhollow.scale.errors import PlanError
-from hazelhollow.scale.hollow import Incarnation, InitialSettings
+from hazelhollow.scale.hollow import Incarnation, IncarnationHost, InitialSettings
 from hazelhollow.scale.load import populate
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.network import HollowPeerSocket, NetworkState
@@ -29,43 +29,36 @@
     scheduler, meter = Scheduler(Clock()), Meter()
     peers = HollowPeerSocket(scheduler, NetworkState(meter), 0, ("127.0.0.1", 0), lambda: 0)
     shared = settings.document(SIZE, populate(SIZE, terms, 1).quotas, terms)
-    told = InitialSettings(
+    initial = InitialSettings(
         settings.own_document(shared, 0, topology.make_topology(SIZE.limiters, terms)), 0
     )
-    one = Incarnation(
-        scheduler,
-        meter,
-        peers,
-        told,
-        terms,
-        random.Random(1).randrange(99),
-        lambda _: None,
-        lambda _: None,
-    )
-    one.start(())
-    return one
+    host = IncarnationHost(scheduler, meter, peers, lambda _: None, lambda _: None)
+    limiter = Incarnation(host, initial, terms, random.Random(1).randrange(99))
+    limiter.start(())
+    return limiter
 
 
 def test_under_a_budget_gossip_has_the_rate_of_its_role_and_each_subsystem_a_part() -> None:
-    one = incarnation(FleetTerms(control_bytes_per_s=BUDGET))
+    limiter = incarnation(FleetTerms(control_bytes_per_s=BUDGET))
     quota = settings_for(BUDGET).roles[TrafficRole.QUOTA]
     assert (
-        one.gateway.gossip.outbox is not None and one.gateway.gossip.outbox.bytes.rate == quota.rate
+        limiter.engine.gossip.outbox is not None
+        and limiter.engine.gossip.outbox.bytes.rate == quota.rate
     )
-    assert one.gateway.gossip.outbox.bytes.capacity <= quota.burst
+    assert limiter.engine.gossip.outbox.bytes.capacity <= quota.burst
     assert (
-        one._budget is not None
-        and one.fleet is not None
-        and one.fleet.membership.allowance is not None
+        limiter._budget is not None
+        and limiter.membership is not None
+        and limiter.membership.membership.allowance is not None
     )
-    usage = one._budget.budget.usage
+    usage = limiter._budget.budget.usage
     assert usage[TrafficRole.MEMBERSHIP].sent > 0, "its first pings ask for their bytes"
-    assert one._peers.on_sent is not None, "gossip is debited as it leaves"
+    assert limiter._peers.on_sent is not None, "gossip is debited as it leaves"
 
 
 def test_without_a_budget_there_is_none() -> None:
-    one = incarnation(FleetTerms())
-    assert one.gateway.gossip.outbox is None
+    limiter = incarnation(FleetTerms())
+    assert limiter.engine.gossip.outbox is None
 
 
 def test_a_plan_with_too_small_a_budget_is_refused_with_its_place() -> None:
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -194,20 +194,23 @@
 def test_roles_add_up_and_a_turn_within_a_turn_is_part_of_it() -> None:
     ticks = iter(range(0, 1000, 10))
     meter = Meter(lambda: next(ticks))
-    meter.turn(Role.VIEW, lambda: meter.turn(Role.GOSSIP, lambda: None))
-    meter.turn(Role.VIEW, lambda: None)
-    meter.more(Role.VIEW, 5)
-    assert (meter.sums[Role.VIEW].calls, meter.sums[Role.VIEW].cpu_ns) == (2, 25)
-    assert meter.sums[Role.GOSSIP].calls == 0
-    assert sum(meter.take()[Role.VIEW].turns.values()) == 2 and meter.sums[Role.VIEW].calls == 0
+    meter.measure_call(Role.VIEW, lambda: meter.measure_call(Role.GOSSIP, lambda: None))
+    meter.measure_call(Role.VIEW, lambda: None)
+    meter.add_cpu_time(Role.VIEW, 5)
+    assert (meter.totals[Role.VIEW].calls, meter.totals[Role.VIEW].cpu_ns) == (2, 25)
+    assert meter.totals[Role.GOSSIP].calls == 0
+    assert (
+        sum(meter.take_totals()[Role.VIEW].turns.values()) == 2
+        and meter.totals[Role.VIEW].calls == 0
+    )
 
 
 def test_a_turn_that_fails_is_counted_and_the_next_one_too() -> None:
     meter = Meter()
     with pytest.raises(ZeroDivisionError):
-        meter.turn(Role.LIST, lambda: 1 / 0)
-    meter.turn(Role.LIST, lambda: None)
-    assert meter.sums[Role.LIST].calls == 2
+        meter.measure_call(Role.LIST, lambda: 1 / 0)
+    meter.measure_call(Role.LIST, lambda: None)
+    assert meter.totals[Role.LIST].calls == 2
 
 
 @given(st.lists(st.integers(1, 10**10), min_size=1, max_size=200), st.integers(1, 5))
@@ -234,7 +237,7 @@
     whole = Traffic()
     whole.add(Traffic({0: 400, 1: 200}, {0: 400, 1: 200}))
     whole.add(Traffic({0: 200, 3: 400}, {0: 200, 3: 400}))
-    assert whole.worst(seconds, 2, window_s) == pytest.approx(expected)
+    assert whole.worst_mean_rate(seconds, 2, window_s) == pytest.approx(expected)
     assert whole.most == {0: 400, 1: 200, 3: 400}
 
 
@@ -257,7 +260,7 @@
     now, facts = [10.0], GroundTruth(3)
     facts.up_since = {0: 1.0, 1: 1.0, 2: 8.0}
     watcher = MembershipWatcher(0, facts, lambda: now[0])
-    watcher.look(
+    watcher.reset(
         [
             _record(0, MemberState.ALIVE, 1.0),
             _record(1, MemberState.ALIVE, 1.5),
@@ -265,24 +268,24 @@
         ]
     )
     assert watcher.wrong == {2}, "a record of an earlier life"
-    watcher.saw(_record(2, MemberState.ALIVE, 8.1))
+    watcher.record_changed(_record(2, MemberState.ALIVE, 8.1))
     assert watcher.right_since == 10.0
     now[0] = 11.0
-    watcher.saw(_record(1, MemberState.SUSPECT, 1.5))
+    watcher.record_changed(_record(1, MemberState.SUSPECT, 1.5))
     assert watcher.right_since is None and not watcher.falsely_dead
-    watcher.saw(_record(1, MemberState.DEAD, 1.5))
+    watcher.record_changed(_record(1, MemberState.DEAD, 1.5))
     assert watcher.falsely_dead == {1}
     now[0] = 12.0
-    watcher.saw(_record(1, MemberState.ALIVE, 1.5))
+    watcher.record_changed(_record(1, MemberState.ALIVE, 1.5))
     assert watcher.right_since == 12.0, "right for good from the last time on"
 
 
 def test_whom_a_cut_parts_is_rightly_dead() -> None:
     facts = GroundTruth(4)
     facts.up_since = dict.fromkeys(range(4), 1.0)
-    facts.cut = lambda source, target: (source < 2) != (target < 2)
+    facts.is_cut = lambda source, target: (source < 2) != (target < 2)
     watcher = MembershipWatcher(0, facts, lambda: 5.0)
-    watcher.look(
+    watcher.reset(
         [_record(n, MemberState.ALIVE if n < 2 else MemberState.DEAD, 1.0) for n in range(4)]
     )
     assert not watcher.wrong and not watcher.falsely_dead
