--- a/hazelhollow/decisions/quota.py
+++ b/hazelhollow/decisions/quota.py
@@ -4,14 +4,18 @@
 that peers report are taken off. A request is within the quota if the bucket holds its units and a
 reserve for what peers charge that is not heard yet.
 
-Beyond the quota:
+Beyond the quota, and when a limiter can't hear its peers:
 
-- A plan whose excess earns more than it costs lets a request beyond its quota through while what
+- A plan whose excess earns more than it costs lets a request beyond its quota through, while what
   such requests used stays under `EXCESS_SHARE` of what was charged within quotas.
-- No rule lets more through because this limiter can't hear its peers. A member that can't be heard
-  and may go on admitting keeps its even part of the quota: of the rate, the capacity and the level
-  (`state/accounts.py`, `reserve_for`), so that the sides of a partition together hold the quota.
-  What was charged unheard becomes a debt, paid with half of the rate.
+- Until membership says that a member can't be heard, or where no membership is kept, a limiter goes
+  by its own charges and by what it heard last. The sides of a partition may then each use the level
+  that they saw, and the rate.
+- Once it says so, the member's even part of the rate, the capacity and the level is left to it
+  (`state/accounts.py`, `reserve_for`): the sides together hold the quota. Not for a plan whose
+  excess earns more than it costs.
+- What was charged unheard becomes a debt once counts show it, beyond what was left to that member,
+  and is paid with `DEBT_REPAYMENT_SHARE` of the rate.
 - A limiter that has just started begins with its part of the burst (`startup_quota.py`).
 - The ceiling is split evenly between the limiters of the set, so that it holds without any message.
 """
