--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -91,7 +91,7 @@
     assert account.plan == GOLD and account.charges.open_total() == 2.0
 
 
-def test_a_plan_that_these_settings_do_not_have_costs_its_word_alone_and_is_said_once() -> None:
+def test_a_report_of_a_plan_that_these_settings_do_not_have_is_left_out_and_logged_once() -> None:
     old, new = engine(0, GOLD), engine(1, BRONZE, GOLD)
     for customer in "abc":
         ask(new, 1000.1, "look", plan_name="bronze", set_size=2, customer=customer)
--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -299,7 +299,7 @@
     assert account.quota.level == pytest.approx(0.0)
 
 
-def test_gossip_stays_within_what_a_gateway_may_take_in() -> None:
+def test_gossip_stays_within_what_a_limiter_may_take_in() -> None:
     engine, told = make(0, limiter_count=FLEET), 0
     for i in range(4000):
         told += len(
--- a/tests/decisions/test_replicated_accounts.py
+++ b/tests/decisions/test_replicated_accounts.py
@@ -431,7 +431,7 @@
     )
 
 
-def test_a_word_that_is_older_than_what_is_known_changes_nothing() -> None:
+def test_a_count_that_is_older_than_what_is_known_changes_nothing() -> None:
     totals = PeriodCharges(0)
     totals.closed_counts = {}
     totals.advance(100)
