--- a/hazelhollow/scale/agreement.py
+++ b/hazelhollow/scale/agreement.py
@@ -34,7 +34,7 @@
         return number in self.up_since and not self.is_cut(observer, number)
 
     def agrees(self, observer: int, number: int, record: Record | None) -> bool:
-        """Whether the observer's record of a member matches the facts; a missing record never does."""
+        """Whether the observer's record of a member matches the facts; no record never does."""
         if record is None:
             return False
         if not self.reachable(observer, number):
--- a/hazelhollow/scale/budgets.py
+++ b/hazelhollow/scale/budgets.py
@@ -1,10 +1,8 @@
-"""The planned size of the fleet and each budget that holds at that size.
+"""The planned size of the fleet, and the budgets of one limiter at that size.
 
-As typed constants with their units.
-
-The operators' figures are taken as they were given. Where a unit can be read in two ways the
-smaller one is taken: a kilobyte is 1,000 bytes. Two limits are derived: a limiter is one process on
-one core, and a turn of its loop delays every request that comes meanwhile.
+The operators' figures stand as they gave them. Where a unit has two readings the smaller one holds:
+a kilobyte is 1,000 bytes. Two limits are derived: a limiter is one process on one core, and a turn
+of its loop delays every request that arrives meanwhile.
 """
 
 from __future__ import annotations
@@ -25,7 +23,14 @@
 
 
 class Budget(msgspec.Struct, frozen=True, kw_only=True):
-    """`limit`: in `unit`, for one limiter. `derived`: it follows from others and was not given."""
+    """A limit on what one limiter may use.
+
+    Attributes:
+        name: As tables show it.
+        unit: Of the limit.
+        limit: The most that is allowed.
+        derived: Whether it follows from other figures and was not given by the operators.
+    """
 
     name: str
     unit: str
--- a/hazelhollow/scale/measure.py
+++ b/hazelhollow/scale/measure.py
@@ -1,8 +1,8 @@
 """Processor time and datagrams by role, summed over the limiters of one process.
 
-A worker has one `Meter`. Every call into a limiter goes through `Meter.measure_call`, every datagram
-through `record_sent` or `record_received`. The coordinator adds the workers' `RoleTotals` and
-`Traffic` up and converts them to the records of `scale.results`.
+A worker has one `Meter`. Every call into a limiter goes through `Meter.measure_call`, and every
+datagram through `record_sent` or `record_received`. The coordinator adds up the workers'
+`RoleTotals` and `Traffic` and converts them to the records of `scale.results`.
 """
 
 from __future__ import annotations
--- a/hazelhollow/scale/messages.py
+++ b/hazelhollow/scale/messages.py
@@ -1,6 +1,13 @@
-"""What the coordinator and its workers tell each other.
+"""Messages between the coordinator and its workers: JSON files in the run's folder.
 
-JSON files in the run's folder, each written whole at once.
+| file | from | to | message |
+| --- | --- | --- | --- |
+| `NUMBER.job` | coordinator | worker | `Job` |
+| `NUMBER.bound` | worker | coordinator | `Bound` |
+| `wired` | coordinator | all workers | `Wired` |
+| `NUMBER.report` | worker | coordinator | `Report` |
+
+Each file appears complete or not at all.
 """
 
 from __future__ import annotations
@@ -17,12 +24,23 @@
 from hazelhollow.scale.plan import AxisPlan, FleetTerms
 from hazelhollow.scale.results import EventKind, Role, Size
 
-LOOK_S = 0.02  # seconds between looks for a file
+POLL_INTERVAL_S = 0.02  # between checks whether a file is there
 Message = TypeVar("Message", bound=msgspec.Struct)
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker's part of a point. `net`: the first two numbers of its limiters' addresses."""
+    """One worker's part of a point.
+
+    Attributes:
+        size: Size of the whole fleet and of what surrounds it.
+        terms: The plan of the axis.
+        fleet: How the fleet is set up.
+        seed: Of the run.
+        here: Numbers of the worker's limiters.
+        dilation: Real seconds for one second of the run's clock.
+        may_slow: Whether a worker that falls behind at the start may ask for a slower clock.
+        net: The first two numbers of its limiters' addresses.
+    """
 
     size: Size
     terms: AxisPlan
@@ -30,20 +48,23 @@
     seed: int
     here: tuple[int, ...]
     dilation: float
-    may_slow: bool  # whether a worker that falls behind at the start may ask for a slower clock
+    may_slow: bool
     net: str
 
 
 class Bound(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's limiters listen, in the order of its job."""
+    """The addresses at which a worker's limiters listen, in the order of its job."""
 
     addresses: tuple[tuple[str, int], ...]
 
 
 class Wired(msgspec.Struct, frozen=True, kw_only=True):
-    """Where all limiters are, by number, and the run's clock.
+    """The addresses of all limiters, and the start of the run's clock.
 
-    What it shows at which monotonic second.
+    Attributes:
+        addresses: By number.
+        began: Reading of the machine's monotonic clock, in seconds, at which the run begins.
+        shows: Unix seconds that the run's clock shows then.
     """
 
     addresses: dict[int, tuple[str, int]]
@@ -52,9 +73,12 @@
 
 
 class Lag(msgspec.Struct):
-    """How far a worker fell behind its clock.
+    """How far a worker fell behind its clock, by periodic checks.
 
-    Its regular looks that came late, of all, and the worst, in seconds of the run's clock.
+    Attributes:
+        looks: Number of checks.
+        late: Checks that were late.
+        worst_s: How late the latest was, in seconds of the run's clock.
     """
 
     looks: int = 0
@@ -62,6 +86,7 @@
     worst_s: float = 0.0
 
     def add(self, other: Lag) -> None:
+        """Adds the checks of another process."""
         self.looks += other.looks
         self.late += other.late
         self.worst_s = max(self.worst_s, other.worst_s)
@@ -70,8 +95,17 @@
 class SeenEvent(msgspec.Struct, kw_only=True):
     """One event as a worker's members saw it.
 
-    `until`: seconds of each member that is up at the end of the window until it was right for good,
-    nothing where it was not.
+    Attributes:
+        kind: The event.
+        at_s: When it was planned, in seconds since the run began.
+        window_s: Seconds for which it was observed.
+        until: For each member that is up at the end of the window: seconds until it agreed for
+            good, or None.
+        traffic: Bytes that the members sent in the window.
+        members: Number of the worker's members.
+        lag: Of the worker in the window.
+        falsely_dead: Limiters that a member held dead without cause.
+        longest_turn_s: Processor seconds of the longest measured call.
     """
 
     kind: EventKind
@@ -88,9 +122,23 @@
 class Report(msgspec.Struct, kw_only=True):
     """What a worker measured.
 
-    `refusals`: by reason, from the start to the end of measuring. `waited_s`: real seconds in which
-    other work had the processor. `missing`: of the point, if it ended early. `behind`: it asks for
-    a slower clock and has measured nothing.
+    Attributes:
+        limiters: Number of its limiters.
+        seconds: Length of the measurement on the run's clock.
+        measured_at_s: When it began, in seconds since the run began.
+        roles: Totals by role.
+        ledger: Datagrams of the whole run.
+        events: Events that it saw to their end.
+        lag: While measuring.
+        memory_before: Bytes that the process held before its limiters.
+        memory_after: Bytes that it held at the end of measuring.
+        processor_s: Processor seconds of the process while measuring.
+        waited_s: Real seconds meanwhile in which it waited for a processor.
+        loop_s: Mean processor seconds of the reference loop.
+        refusals: By reason, from the start to the end of measuring.
+        missing: Why the point ended early, or an empty text.
+        behind: It asks for a slower clock and has measured nothing.
+        shared_settings: Whether its limiters share one settings object.
     """
 
     limiters: int
@@ -112,14 +160,14 @@
 
 
 def write(message: msgspec.Struct, path: Path) -> None:
-    """The file is there whole or not at all; raises OSError."""
+    """Writes a message, so that it appears complete or not at all; raises OSError."""
     part = path.with_suffix(".part")
     part.write_bytes(msgspec.json.encode(message))
     os.replace(part, path)
 
 
 def read(path: Path, kind: type[Message]) -> Message | None:
-    """The message, if it has been written; raises msgspec.DecodeError for one of another kind."""
+    """The message, or None if it is not there; raises msgspec.DecodeError if it is malformed."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=kind)
     except FileNotFoundError:
@@ -127,10 +175,10 @@
 
 
 def wait_for(path: Path, kind: type[Message], seconds: float) -> Message:
-    """Waits until the message has been written; raises TimeoutError after so many seconds."""
+    """Waits for a message; raises TimeoutError after that many seconds."""
     until = time.monotonic() + seconds
     while (found := read(path, kind)) is None:
         if time.monotonic() > until:
             raise TimeoutError(f"{path.name}: nothing after {seconds:g} s")
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
     return found
--- a/hazelhollow/scale/origin.py
+++ b/hazelhollow/scale/origin.py
@@ -1,4 +1,4 @@
-"""Where results come from: the commit of the program, the machine and its load, and the time."""
+"""The origin of results: the commit of the program, the machine and its load, and the time."""
 
 from __future__ import annotations
 
@@ -12,20 +12,27 @@
 
 
 def total_memory() -> int:
-    """Bytes that the machine has."""
+    """Bytes of the machine's memory."""
     return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
 
 
 def begin(plan: str, planned: Size, file: Path) -> Results:
-    """The results that the file has, to be added to, or new ones.
+    """The results in a file, to be added to, or new ones if there is no file.
 
-    Raises OSError or ResultsError for a file that holds none.
+    Args:
+        plan: Name of the plan, for new results.
+        planned: The size to design for, for new results.
+        file: Where results may be.
+
+    Raises:
+        OSError: The file cannot be read.
+        ResultsError: It holds no results of this format.
     """
     return load(file) if file.exists() else fresh(plan, planned)
 
 
 def fresh(plan: str, planned: Size) -> Results:
-    """Results without a point, of this program on this machine now."""
+    """Results without any figures, of this program on this machine now."""
     return Results(
         format=FORMAT,
         plan=plan,
@@ -42,8 +49,8 @@
 
 
 def commit() -> str:
-    """Of the program, where it runs from a repository; with a mark where it was changed since."""
-    words = [
+    """The commit that the program runs from, with `-dirty` if files have changed; or `unknown`."""
+    command = [
         "git",
         "-C",
         str(Path(__file__).parent),
@@ -54,7 +61,7 @@
     ]
     try:
         return subprocess.run(
-            words, capture_output=True, text=True, check=True, timeout=10
+            command, capture_output=True, text=True, check=True, timeout=10
         ).stdout.strip()
     except (OSError, subprocess.SubprocessError):
         return "unknown"
--- a/hazelhollow/scale/plan.py
+++ b/hazelhollow/scale/plan.py
@@ -1,6 +1,8 @@
 """Plans of scale runs: typed records, read from TOML.
 
-A plan that cannot be played is refused with the place of the trouble.
+Reading validates a plan completely: one that cannot be played is rejected with the place of the
+fault. `Plan.points` turns a plan into the points that the coordinator plays. Names of fields are
+those of the TOML files.
 """
 
 from __future__ import annotations
@@ -14,11 +16,13 @@
 from hazelhollow.scale.errors import PlanError
 from hazelhollow.scale.results import Axis, EventKind, Size
 
-FOLDER = Path(__file__).parent / "plans"
+FOLDER = Path(__file__).parent / "plans"  # the plans that come with the program
 MAX_WORKERS = 16
 MAX_LIMITERS = 1000
 MIN_WINDOW_S = 1.0
+# Events that undo another one, which must come before them.
 PAIRS = {EventKind.ZONE_BACK: EventKind.ZONE_LOST, EventKind.REGION_HEALED: EventKind.REGION_CUT}
+# The field of a size that grows along an axis.
 FIELD_OF_AXIS = {
     Axis.SERVERS: "servers",
     Axis.ROUTES: "routes",
@@ -28,9 +32,12 @@
 
 
 class PlannedEvent(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`window_s`.
+    """An event of a point.
 
-    Seconds of the run's clock for which its effects are watched; the next event comes after them.
+    Attributes:
+        kind: What happens.
+        window_s: Seconds of the run's clock for which its effects are observed; the next event
+            follows them.
     """
 
     kind: EventKind
@@ -42,11 +49,21 @@
 
 
 class FleetTerms(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How the fleet is laid out and set.
-
-    `spread_least`, `spread_most`: limiters that serve one tenant (0: half of the fleet, and all of
-    it); `service_s`: mean seconds that a modelled server takes; `control_bytes_per_s`: budget of a
-    limiter's control traffic, headers included (0: none).
+    """How the fleet is laid out and set up.
+
+    Attributes:
+        regions: Number of regions.
+        zones: Number of zones in all regions together.
+        racks: Number of racks in all zones together.
+        spread_least: Fewest limiters that serve one tenant; 0: half of the fleet.
+        spread_most: Most limiters that serve one tenant; 0: the whole fleet.
+        inbox_per_s: The settings' `inbox_per_s`: gossip datagrams a second for one limiter.
+        service_s: Mean seconds that a modelled server takes.
+        restart_s: Seconds from a limiter's end to its next start.
+        sealed: Whether datagrams are authenticated.
+        replicate: Whether quota counts are replicated.
+        audit: Whether configuration is distributed and audited.
+        control_bytes_per_s: Budget of a limiter's control traffic, headers included; 0: none.
     """
 
     regions: int = 3
@@ -76,13 +93,22 @@
 
 
 class AxisPlan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The points of one axis: the base with one value changed, or, for `all`, the sizes named.
-
-    `base`, `fleet`: in place of the plan's. `present`: limiters that are played, of the fleet that
-    the settings tell (0: all of it). `settle_s`: before measuring, from the start of all.
-    `dilation`: seconds of real time for one of the run's clock; 0: so much that the workers keep
-    up. `every_tenant_first`: each tenant asks once at each of its limiters right before measuring.
-    `most_real_s`: after which a point ends, whatever is missing then.
+    """The points of one axis: the base with one value changed or, for `all`, the sizes named.
+
+    Attributes:
+        axis: What grows.
+        values: Values of the axis's field; none for the axis `all`.
+        sizes: Sizes of the axis `all`; none for others.
+        base: Size to change, in place of the plan's.
+        fleet: How the fleet is set up, in place of the plan's.
+        present: Limiters that are played, of those that the settings name; 0: all.
+        settle_s: Seconds from the start of the limiters to the measurement.
+        seconds: Length of the measurement.
+        dilation: Real seconds for one second of the run's clock; 0: as many as the workers need.
+        every_tenant_first: Each tenant sends one request to each of its limiters right before the
+            measurement.
+        events: Events after the measurement.
+        most_real_s: Real seconds after which a point ends, complete or not.
     """
 
     axis: Axis
@@ -112,18 +138,28 @@
             raise ValueError(
                 "events: none where every_tenant_first, which takes as long as it takes"
             )
-        open_pairs = set[EventKind]()
+        seen = set[EventKind]()
         for event in self.events:
             if event.kind is EventKind.START:
                 raise ValueError("events: start is always the first and is not named")
-            first = PAIRS.get(event.kind)
-            if first and first not in open_pairs:
-                raise ValueError(f"events: {event.kind.value} without {first.value} before it")
-            open_pairs.add(event.kind)
+            undone = PAIRS.get(event.kind)
+            if undone and undone not in seen:
+                raise ValueError(f"events: {event.kind.value} without {undone.value} before it")
+            seen.add(event.kind)
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`workers`: processes that share the limiters."""
+    """A plan of a scale run.
+
+    Attributes:
+        name: The plan's name.
+        seed: Of all random draws.
+        base: The size that axes change.
+        axes: What is measured.
+        planned: The size to design for.
+        workers: Processes that share the limiters.
+        fleet: How the fleet is set up.
+    """
 
     name: str
     seed: int
@@ -154,18 +190,16 @@
     def points(self) -> Iterator[PlannedPoint]:
         """All points, axis by axis, in the order of the plan."""
         for terms in self.axes:
-            for size in terms.sizes or [self._grown(terms, value) for value in terms.values]:
+            for size in terms.sizes or [self._size_of(terms, value) for value in terms.values]:
                 yield PlannedPoint(terms.axis, size, terms, terms.fleet or self.fleet)
 
-    def _grown(self, terms: AxisPlan, value: int) -> Size:
-        name = FIELD_OF_AXIS.get(
-            terms.axis, "routes"
-        )  # of a configuration, what grows are its routes
+    def _size_of(self, terms: AxisPlan, value: int) -> Size:
+        name = FIELD_OF_AXIS.get(terms.axis, "routes")  # routes are what grows of a configuration
         return msgspec.structs.replace(terms.base or self.base, **{name: value})
 
 
 class PlannedPoint(msgspec.Struct, frozen=True):
-    """One size to be measured, and how."""
+    """One point to be measured: its size, the plan of its axis, and how the fleet is set up."""
 
     axis: Axis
     size: Size
@@ -174,7 +208,7 @@
 
 
 def read(text: str, source: str) -> Plan:
-    """A plan from its text; raises PlanError."""
+    """Reads a plan from its text; `source` is named in errors. Raises PlanError."""
     try:
         plan: Plan = msgspec.toml.decode(text, type=Plan)
     except (msgspec.DecodeError, ValueError) as error:
@@ -183,13 +217,13 @@
 
 
 def load(name: str) -> Plan:
-    """A plan by the name of one that comes with the program, or by its path; raises PlanError."""
+    """Reads a plan by its name, if it comes with the program, or by its path. Raises PlanError."""
     path = FOLDER / f"{name}.toml"
     if not path.exists():
         path = Path(name)
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        known = ", ".join(sorted(one.stem for one in FOLDER.glob("*.toml")))
+        known = ", ".join(sorted(file.stem for file in FOLDER.glob("*.toml")))
         raise PlanError(f"{name}: no such plan ({error}); there are {known}") from error
     return read(text, str(path))
--- a/hazelhollow/scale/results.py
+++ b/hazelhollow/scale/results.py
@@ -1,6 +1,7 @@
-"""Results of a scale run as typed records, written to and read from JSON.
+"""Results of scale runs as typed records, written to and read from JSON.
 
-Sums are kept as they were measured; rates, slopes and shares of a budget are derived by the report.
+The names of the fields are those of the files; `FORMAT` is raised when a field changes its meaning.
+Totals stand as they were measured: rates, slopes and shares of a budget are derived by the report.
 """
 
 from __future__ import annotations
@@ -13,9 +14,9 @@
 from hazelhollow.scale.errors import ResultsError
 
 FORMAT = 1  # raised when a field changes its meaning
-# how a note ends that names an event for which the machine was too slow
+# The end of a note on an event for which the machine was too slow.
 NO_TIMES = "no figures of time"
-HEADER_BYTES = 28  # of IPv4 and UDP, counted for each datagram
+HEADER_BYTES = 28  # of IPv4 and UDP, for each datagram
 
 
 class Axis(StrEnum):
@@ -56,7 +57,7 @@
 
 
 class Size(msgspec.Struct, frozen=True, kw_only=True):
-    """`requests_per_s`: of one limiter."""
+    """The size of a fleet and of what surrounds it; `requests_per_s` is that of one limiter."""
 
     limiters: int
     servers: int
@@ -66,10 +67,18 @@
 
 
 class RoleSums(msgspec.Struct, frozen=True, kw_only=True):
-    """Sums over all measured limiters.
-
-    `longest_turn_s`: processor time of the longest single call, `turn_p99_s`: of the 99th in a
-    hundred. Bytes are those of the datagrams' text, without headers.
+    """Totals of one role over all measured limiters.
+
+    Attributes:
+        role: What the time and the datagrams were spent on.
+        calls: Calls from outside into a limiter.
+        cpu_s: Processor seconds.
+        longest_turn_s: Processor seconds of the longest call.
+        turn_p99_s: 99th percentile of the calls' processor seconds.
+        datagrams_out: Datagrams sent.
+        bytes_out: Bytes of their text, without headers.
+        datagrams_in: Datagrams received.
+        bytes_in: Bytes of their text, without headers.
     """
 
     role: Role
@@ -84,8 +93,13 @@
 
 
 class Quotas(msgspec.Struct, frozen=True, kw_only=True):
-    """Units over the whole fleet, against one store for each tenant that sees every request at
-    once.
+    """Units over the whole fleet, against one token bucket a tenant that sees every request.
+
+    Attributes:
+        asked: Units of all requests.
+        let_in: Units of requests that were admitted.
+        beyond: Units that were admitted beyond the quota.
+        refused_with_room: Units that were rejected though the quota had capacity.
     """
 
     asked: float
@@ -95,7 +109,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True, kw_only=True):
-    """Seconds. `reached`: how many of `of` members got there at all."""
+    """Seconds until members agreed; `reached`: how many of the `of` members agreed at all."""
 
     median: float
     p99: float
@@ -105,12 +119,20 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """`until_agreed`.
-
-    Seconds from the event to the moment at which a member's view (of a configuration: what it acts
-    on) is right for good. Bytes: of one member, headers included; the mean over all and the worst
-    member. `longest_turn_s`: of any role at any member; nothing in files from before it was
-    measured.
+    """An event of a run, and its effects. Bytes are those of one member, headers included.
+
+    Attributes:
+        kind: What happened.
+        at_s: When, in seconds since the run began.
+        until_agreed: Seconds from the event until a member's membership (for a configuration: the
+            settings that it acts on) was right for good.
+        worst_second_bytes_mean: Bytes in the worst second, mean over all members.
+        worst_second_bytes_most: Bytes in any second of the member that sent the most.
+        worst_ten_seconds_bytes_mean: Bytes a second in the worst ten, mean over all members.
+        false_deaths: Limiters that a member held dead without cause.
+        quotas: Units while it was observed.
+        longest_turn_s: Processor seconds of the longest call of any role at any member; None in
+            files that are older than the field.
     """
 
     kind: EventKind
@@ -125,12 +147,23 @@
 
 
 class Point(msgspec.Struct, frozen=True, kw_only=True):
-    """One size, measured for `seconds` of the run's clock, of the mean limiter.
-
-    `dilation`: seconds of real time for one of the run's clock. `memory_bytes`: of one hollow
-    limiter, from the growth of its process. `loop_s`: mean processor time of one fixed loop, played
-    again and again while measuring: it tells how fast the machine was then, beside all else that
-    ran on it.
+    """One size that was measured.
+
+    Attributes:
+        axis: What grows from one point to the next.
+        size: The size.
+        seed: Of the run.
+        seconds: Length of the measurement on the run's clock, of the mean limiter.
+        dilation: Real seconds for one second of the run's clock.
+        hollow: Number of hollow limiters that were played.
+        real: Number of real limiters that were played.
+        roles: Totals by role.
+        memory_bytes: Of one hollow limiter, from the growth of its process.
+        loop_s: Mean processor seconds of a fixed loop while measuring, which tell how fast the
+            machine was then.
+        quotas: Units while measuring.
+        events: What happened after the measurement.
+        notes: What a reader of the figures must know.
     """
 
     axis: Axis
@@ -149,17 +182,11 @@
 
     @property
     def whole_fleet(self) -> bool:
-        """Whether all limiters of the size were played.
-
-        What they tell each other is that of the size.
-        """
+        """Whether all limiters of the size were played, so that traffic is that of the size."""
         return self.hollow + self.real >= self.size.limiters
 
     def timed(self, event: Event) -> bool:
-        """Whether the event's seconds count.
-
-        No note says that the machine was too slow for them.
-        """
+        """Whether the event's seconds are valid: no note says that the machine was too slow."""
         return not any(
             note.startswith(f"{event.kind.value}:") and note.endswith(NO_TIMES)
             for note in self.notes
@@ -167,8 +194,19 @@
 
 
 class Latency(msgspec.Struct, frozen=True, kw_only=True):
-    """Seconds from the intended start to the answer, through one real limiter and straight to the
-    server, interleaved.
+    """Latency through one real limiter and directly to the server, interleaved.
+
+    Seconds are counted from the intended start of a request to its answer.
+
+    Attributes:
+        size: The size.
+        requests: Requests through the limiter that count.
+        direct_median_s: Median directly to the server.
+        direct_p99_s: 99th percentile directly to the server.
+        limiter_median_s: Median through the limiter.
+        limiter_p99_s: 99th percentile through the limiter.
+        limiter_memory_bytes: Most memory that the limiter held; 0: not measured.
+        left_out: Part of the run that does not count because the load generator was late.
     """
 
     size: Size
@@ -177,22 +215,30 @@
     direct_p99_s: float
     limiter_median_s: float
     limiter_p99_s: float
-    limiter_memory_bytes: float = 0.0  # the most that its process held; 0: not measured
-    left_out: float = 0.0  # the part of the run in which the load tool itself was late
+    limiter_memory_bytes: float = 0.0
+    left_out: float = 0.0
 
 
 class Comparison(msgspec.Struct, frozen=True, kw_only=True):
-    """One figure of a real process and of a hollow limiter at a size at which all can be real."""
+    """One figure of real and of hollow limiters at the same size.
+
+    Attributes:
+        figure: What was measured.
+        unit: Of both values.
+        real: Value of real processes.
+        hollow: Value of hollow limiters.
+        margin: By which they may differ, as a part of the real value.
+    """
 
     figure: str
     unit: str
     real: float
     hollow: float
-    margin: float  # by which the two may differ, as a part of the real one
+    margin: float
 
 
 class Machine(msgspec.Struct, frozen=True, kw_only=True):
-    """What the run was played on. `load`: the mean number of runnable processes at its begin."""
+    """The machine of a run; `load`: its mean number of runnable processes at the start."""
 
     cores: int
     memory_bytes: int
@@ -201,7 +247,19 @@
 
 
 class Results(msgspec.Struct, frozen=True, kw_only=True):
-    """`commit`: of the program that was measured. `planned`: the size to design for."""
+    """The contents of a file of results.
+
+    Attributes:
+        format: `FORMAT` of the program that wrote it.
+        plan: Name of the plan, or of the command.
+        commit: Of the program that was measured.
+        began: When the file was begun, in UTC.
+        machine: What the program ran on.
+        planned: The size to design for.
+        points: Of scale runs.
+        latencies: Of `scale latency`.
+        comparisons: Of `scale compare`.
+    """
 
     format: int
     plan: str
@@ -215,12 +273,12 @@
 
 
 def save(results: Results, path: Path) -> None:
-    """Writes the results, indented; raises OSError."""
+    """Writes results as indented JSON; raises OSError."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
 
 
 def load(path: Path) -> Results:
-    """Reads results; raises OSError, or ResultsError for a file that holds none of this format."""
+    """Reads results; raises OSError, or ResultsError if the file holds none of this format."""
     try:
         results: Results = msgspec.json.decode(path.read_bytes(), type=Results)
     except msgspec.DecodeError as error:
--- a/hazelhollow/scale/truth.py
+++ b/hazelhollow/scale/truth.py
@@ -1,5 +1,7 @@
-"""What the fleet as a whole did with quotas, against one store for each tenant that sees every
-request at once.
+"""How well the fleet as a whole held quotas, by all requests of a run.
+
+The reference is one token bucket for each tenant that sees every request of the fleet at once, as a
+single limiter would. `point_assembly` calls `judge` with the rows that the workers wrote.
 """
 
 from __future__ import annotations
@@ -13,11 +15,11 @@
 from hazelhollow.scale.load import Population
 from hazelhollow.scale.results import Quotas
 
-FIELDS = 4  # of a row, as `scale.fleet.HollowFleet.rows` has them
+FIELDS = 4  # of a row in the files, in the order of `Row`
 
 
 class Row(NamedTuple):
-    """One request: seconds into the run, tenant, units, and whether a limiter let it in."""
+    """One request: seconds since the run began, tenant, units, and whether it was admitted."""
 
     at: float
     tenant: int
@@ -26,7 +28,7 @@
 
 
 class Window(NamedTuple):
-    """A stretch of the run, in seconds."""
+    """A part of the run, in seconds since it began; the end is not part of it."""
 
     begin: float
     end: float
@@ -45,21 +47,32 @@
 
 
 def judge(rows: Sequence[Row], population: Population, windows: Sequence[Window]) -> list[Quotas]:
-    """For each of the windows. The stores see what comes outside of them too."""
-    stores = dict[int, TokenBucket]()
-    sums = [[0.0, 0.0, 0.0, 0.0] for _ in windows]
+    """The fleet's figures for each window, in their order.
+
+    The reference buckets see the requests outside of the windows too.
+
+    Args:
+        rows: All requests, in the order of their times.
+        population: The tenants and their quotas.
+        windows: Which requests count for which figures; windows may overlap.
+    """
+    buckets = dict[int, TokenBucket]()
+    figures = [[0.0, 0.0, 0.0, 0.0] for _ in windows]
     for row in rows:
-        store = stores.get(row.tenant)
-        if store is None:
+        bucket = buckets.get(row.tenant)
+        if bucket is None:
             quota = population.quotas[population.tenants[row.tenant].quota]
-            store = stores[row.tenant] = TokenBucket(quota.rate, quota.burst, quota.burst, row.at)
-        room = store.refill(row.at) >= row.units
+            bucket = buckets[row.tenant] = TokenBucket(quota.rate, quota.burst, quota.burst, row.at)
+        room = bucket.refill(row.at) >= row.units
         if row.let_in and room:
-            store.level -= row.units
-        for window, found in zip(windows, sums, strict=True):
+            bucket.level -= row.units
+        for window, sums in zip(windows, figures, strict=True):
             if window.begin <= row.at < window.end:
-                found[0] += row.units
-                found[1] += row.units if row.let_in else 0.0
-                found[2] += row.units if row.let_in and not room else 0.0
-                found[3] += row.units if room and not row.let_in else 0.0
-    return [Quotas(asked=a, let_in=b, beyond=c, refused_with_room=d) for a, b, c, d in sums]
+                sums[0] += row.units
+                sums[1] += row.units if row.let_in else 0.0
+                sums[2] += row.units if row.let_in and not room else 0.0
+                sums[3] += row.units if room and not row.let_in else 0.0
+    return [
+        Quotas(asked=asked, let_in=admitted, beyond=beyond, refused_with_room=refused)
+        for asked, admitted, beyond, refused in figures
+    ]
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -1,7 +1,17 @@
-"""One process of a scale run: its limiters on one scheduler, from their start to the report.
+"""One worker process of a scale run: its limiters on one scheduler, from the start to the report.
 
-`python -m hazelhollow.scale.worker FOLDER NUMBER` reads `NUMBER.job`, writes `NUMBER.bound`, waits
-for `wired` and writes `NUMBER.report` and, with one row for each request, `NUMBER.requests`.
+The coordinator starts it as `python -m hazelhollow.scale.worker FOLDER NUMBER`. It reads
+`NUMBER.job`, writes `NUMBER.bound`, waits for `wired`, and writes `NUMBER.report` and, with one row
+for each request, `NUMBER.requests`.
+
+Stages of a point, in seconds of the run's clock:
+
+| stage | from | to | what it yields |
+| --- | --- | --- | --- |
+| start | 0 | `settle_s` | the event `start`, or a request for a slower clock |
+| measuring | `settle_s` | + `seconds` | totals by role, lag, refusals, memory |
+| each event | end of the stage before | + `window_s` | agreement, traffic, lag |
+| settling | the end | + `IN_TRANSIT_S` real seconds | the ledger of datagrams |
 """
 
 from __future__ import annotations
@@ -26,26 +36,26 @@
 from hazelhollow.scale.plan import PlannedEvent
 from hazelhollow.scale.results import EventKind
 
-START_SPREAD_S = 0.25  # in which all limiters start
-LAG_CHECK_INTERVAL_S = 0.25  # between looks at the worker's own clock
-LATE_CHECK_S = 0.1  # by which such a look is late
-MAX_LATE_SHARE = 0.05  # of the looks, and
-MAX_LAG_S = 0.5  # of one of them, before the worker counts as fallen behind
-MAX_LATE_SHARE_AT_START = 0.2  # of the looks during the start, before a slower clock is asked for
-WAIT_FOR_OTHERS_S = 300.0  # real seconds in which all workers have bound their sockets
-IN_TRANSIT_S = 0.5  # after the end, in which datagrams that are on their way come in
-CLOSE_BEFORE_S = 0.001  # the next event, so that a window holds nothing of it
+START_SPREAD_S = 0.25  # over which the limiters start, at random
+LAG_CHECK_INTERVAL_S = 0.25  # between checks of how far the worker lags behind its clock
+LATE_CHECK_S = 0.1  # from which such a check counts as late
+MAX_LATE_SHARE = 0.05  # of the checks; above it the worker counts as too slow
+MAX_LAG_S = 0.5  # of any check; above it the worker counts as too slow
+MAX_LATE_SHARE_AT_START = 0.2  # above it the worker asks for a slower clock
+MESSAGE_TIMEOUT_S = 300.0  # real seconds within which all workers bind their sockets
+IN_TRANSIT_S = 0.5  # real seconds after the end in which datagrams in transit are received
+CLOSE_BEFORE_S = 0.001  # a window closes so long before the next event
 
 
 def memory_bytes() -> int:
-    """Of this process, as the system counts what is resident."""
+    """Resident memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def waited_s() -> float:
-    """Real seconds in which this process could have run and other work had the processor.
+    """Real seconds in which this process was runnable and waited for a processor.
 
-    0 where the system does not tell.
+    0 where the operating system does not tell.
     """
     try:
         return int(Path("/proc/self/schedstat").read_text().split()[1]) / 1e9
@@ -54,14 +64,15 @@
 
 
 def fell_behind(lag: Lag) -> bool:
-    """Whether the figures of a process with that lag are those of its slowness."""
+    """Whether a process with that lag was too slow for its figures of time to be valid."""
     return lag.late > MAX_LATE_SHARE * lag.looks or lag.worst_s > MAX_LAG_S
 
 
 class Worker:
-    """Plays its limiters through the start, the measuring and the events.
+    """Plays a worker's part of a point: `bound`, `wire_up`, `play` and `close`, in that order.
 
-    The clock begins with `wire_up`.
+    Args:
+        job: The worker's part of the point.
     """
 
     def __init__(self, job: Job) -> None:
@@ -69,41 +80,47 @@
         self._clock = DilatedClock(time.monotonic(), time.time(), job.dilation)
         self._poller = DilatedPoller(job.dilation)
         self._scheduler = Scheduler(lambda: self._clock(), self._poller)
-        self._meter, self._lag, self._loops = Meter(), Lag(), list[int]()
+        self._meter, self._lag = Meter(), Lag()
+        self._loop_times_ns = list[int]()
         population = populate(job.size, job.fleet, job.seed)
         self._report = Report(limiters=len(job.here), memory_before=memory_bytes())
-        self.fleet = HollowFleet(job, population, self._scheduler, self._meter, self._second)
+        self.fleet = HollowFleet(job, population, self._scheduler, self._meter, self._window_second)
         self._report.shared_settings = self.fleet.shares_settings
         self._scheduler.on_process_pause = self.fleet.on_process_pause
-        self._began = self._window_began = self._real_until = self._processor = self._waited = 0.0
+        self._began = self._window_began = 0.0  # Unix seconds of the run's clock
+        self._real_until = 0.0  # reading of the machine's monotonic clock
+        self._processor_s = self._waited_s = 0.0  # at the begin of measuring
         self._began_measuring: float | None = None
-        # when every tenant had asked once, before which nothing could be in time
+        # Until then one request of every tenant kept the worker busy: no check could be in time.
         self._burst_over = 0.0
         self._ended = False
 
     def bound(self) -> Bound:
-        """Where its limiters listen."""
-        return Bound(addresses=tuple(one.peers.address for one in self.fleet.members.values()))
+        """The addresses at which its limiters listen, in the order of the job."""
+        return Bound(
+            addresses=tuple(member.peers.address for member in self.fleet.members.values())
+        )
 
     def wire_up(self, wired: Wired) -> None:
-        """All addresses are known, and the clock begins."""
+        """Connects the limiters with all others and starts the clock."""
         self._clock = DilatedClock(wired.began, wired.shows, self._job.dilation)
         self._began = self._window_began = wired.shows
         self.fleet.begin(wired.addresses, wired.shows)
 
     # Time
 
-    def _second(self) -> int:
+    def _window_second(self) -> int:
         return int(self._scheduler.clock() - self._window_began)
 
-    def _look(self, due: float) -> None:
+    def _check_lag(self, due: float) -> None:
+        """Records how late this check is and how fast the machine is, and schedules the next."""
         late = self._scheduler.clock() - max(due, self._burst_over)
         self._lag.looks += 1
         self._lag.late += late > LATE_CHECK_S
         self._lag.worst_s = max(self._lag.worst_s, late)
-        self._loops.append(reference_loop_ns())
+        self._loop_times_ns.append(reference_loop_ns())
         following = max(due + LAG_CHECK_INTERVAL_S, self._scheduler.clock())
-        self._scheduler.at(following, self._look, following)
+        self._scheduler.at(following, self._check_lag, following)
 
     def _at(self, at_s: float, call: Callable[..., object], *args: Any) -> None:
         self._scheduler.at(self._began + at_s, call, *args)
@@ -111,10 +128,17 @@
     def _overdue(self) -> bool:
         return time.monotonic() > self._real_until
 
-    # A point, from its start to its end
+    # Stages of a point
 
     def play(self, real_until: float) -> Report:
-        """Until the last window has passed, or the machine's monotonic clock shows `real_until`."""
+        """Plays the point and returns the report.
+
+        Args:
+            real_until: Reading of the machine's monotonic clock at which it ends early.
+
+        Raises:
+            OSError: The operating system does not tell how many datagrams it has dropped.
+        """
         self._real_until = real_until
         self._schedule()
         while not self._ended and not self._overdue():
@@ -130,17 +154,17 @@
         return self._report
 
     def _schedule(self) -> None:
-        chance = random.Random(f"starts {self._job.seed}")
-        starts = [chance.uniform(0.0, START_SPREAD_S) for _ in range(self._job.size.limiters)]
+        rng = random.Random(f"starts {self._job.seed}")
+        starts = [rng.uniform(0.0, START_SPREAD_S) for _ in range(self._job.size.limiters)]
         for number in self.fleet.members:
             self.fleet.start_at(number, starts[number])
-        self._scheduler.at(self._began, self._look, self._began)
-        self._at(self._job.terms.settle_s, self._measure)
+        self._scheduler.at(self._began, self._check_lag, self._began)
+        self._at(self._job.terms.settle_s, self._begin_measuring)
 
-    def _measure(self) -> None:
-        """The start is over.
+    def _begin_measuring(self) -> None:
+        """Ends the stage of the start and begins to measure.
 
-        Where the clock was too fast for it, nothing that follows is worth measuring.
+        Where the clock was too fast for the start, the point ends and is played again.
         """
         if self._job.may_slow and self._lag.late > MAX_LATE_SHARE_AT_START * self._lag.looks:
             self._report.behind = self._ended = True
@@ -149,13 +173,13 @@
         if self._job.terms.every_tenant_first:
             self.fleet.request_for_every_tenant(self._overdue)
             self._burst_over = self._scheduler.clock()
-        self._lag, self._loops = Lag(), []
+        self._lag, self._loop_times_ns = Lag(), []
         self._meter.take_totals()
         self._began_measuring = self._scheduler.clock()
-        self._processor, self._waited = time.process_time(), waited_s()
-        self._scheduler.at(self._began_measuring + self._job.terms.seconds, self._measured)
+        self._processor_s, self._waited_s = time.process_time(), waited_s()
+        self._scheduler.at(self._began_measuring + self._job.terms.seconds, self._end_measuring)
 
-    def _measured(self) -> None:
+    def _end_measuring(self) -> None:
         self._stop_measuring()
         at = self._job.terms.settle_s + self._job.terms.seconds
         for event in self._job.terms.events:
@@ -170,11 +194,11 @@
         report.measured_at_s = began - self._began
         report.seconds = self._scheduler.clock() - began
         report.roles = self._meter.take_totals()
-        report.processor_s = time.process_time() - self._processor
-        report.waited_s = waited_s() - self._waited
+        report.processor_s = time.process_time() - self._processor_s
+        report.waited_s = waited_s() - self._waited_s
         report.memory_after = memory_bytes() - self.fleet.rows.itemsize * len(self.fleet.rows)
         report.lag, report.refusals = self._lag, self.fleet.refusals()
-        report.loop_s = sum(self._loops) / max(1, len(self._loops)) / 1e9
+        report.loop_s = sum(self._loop_times_ns) / max(1, len(self._loop_times_ns)) / 1e9
 
     def _begin_event(self, event: PlannedEvent, at_s: float) -> None:
         self._window_began, self._lag = self._scheduler.clock(), Lag()
@@ -201,10 +225,7 @@
         self._ended = True
 
     def _settle(self) -> None:
-        """Nobody says anything more.
-
-        What is on its way still comes in, so that the ledger is whole.
-        """
+        """Ends all limiters and receives the datagrams in transit, so that the ledger balances."""
         self.fleet.silence()
         self._scheduler.on_process_pause = None
         until = time.monotonic() + IN_TRANSIT_S
@@ -214,18 +235,18 @@
         self._report.ledger.dropped = self.fleet.dropped_datagrams()
 
     def close(self) -> None:
-        """No socket is left."""
+        """Closes all sockets."""
         self.fleet.close()
         self._poller.close()
 
 
 def run(folder: Path, number: int) -> None:
-    """Plays one worker's part; raises TimeoutError where the others do not come."""
-    job = messages.wait_for(folder / f"{number}.job", Job, WAIT_FOR_OTHERS_S)
+    """Plays one worker's part; raises TimeoutError if the coordinator's messages do not come."""
+    job = messages.wait_for(folder / f"{number}.job", Job, MESSAGE_TIMEOUT_S)
     worker = Worker(job)
-    shorten_collector_pauses()  # as a real limiter does
+    shorten_collector_pauses()  # as in a real limiter
     messages.write(worker.bound(), folder / f"{number}.bound")
-    wired = messages.wait_for(folder / "wired", Wired, WAIT_FOR_OTHERS_S)
+    wired = messages.wait_for(folder / "wired", Wired, MESSAGE_TIMEOUT_S)
     worker.wire_up(wired)
     report = worker.play(wired.began + job.terms.most_real_s)
     worker.close()
@@ -234,6 +255,7 @@
 
 
 def main() -> None:
+    """Runs a worker; arguments: the run's folder and the worker's number."""
     logging.basicConfig(level="ERROR", stream=sys.stderr)
     run(Path(sys.argv[1]), int(sys.argv[2]))
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -27,6 +27,7 @@
     measure,
     messages,
     plan,
+    point_assembly,
     settings,
     topology,
     truth,
@@ -325,7 +326,7 @@
 def test_spreads_say_how_many_got_there(
     values: list[float | None], expected: tuple[float, float, int, int]
 ) -> None:
-    found = coordinator.spread(values)
+    found = point_assembly.spread(values)
     assert (found.median, found.worst, found.reached, found.of) == expected
 
 
@@ -354,7 +355,7 @@
     planned = _tiny()
     one = plan.read(HEAD + AXIS, "here")
     reports = [_report(3, 8.0, 5), _report(1, 4.0, 7)]
-    point = coordinator.point_of(one, planned, 2.0, reports, [])
+    point = point_assembly.assemble_point(one, planned, 2.0, reports, [])
     view = next(sums for sums in point.roles if sums.role is Role.VIEW)
     assert (view.calls, view.datagrams_out, view.bytes_out, view.longest_turn_s) == (
         12,
@@ -367,7 +368,7 @@
     reports[1].ledger.came -= 3
     assert [
         note
-        for note in coordinator.point_of(one, planned, 2.0, reports, []).notes
+        for note in point_assembly.assemble_point(one, planned, 2.0, reports, []).notes
         if "3 datagrams are" in note
     ]
 
