--- a/hazelhollow/scale/commands.py
+++ b/hazelhollow/scale/commands.py
@@ -1,7 +1,4 @@
-"""`hazelhollow scale`.
-
-What limiters cost as the fleet, the servers, the routes and the tenants grow.
-"""
+"""`hazelhollow scale`: what limiters cost as everything around them grows."""
 
 from __future__ import annotations
 
@@ -19,14 +16,14 @@
 from hazelhollow.scale.plan import Plan, PlannedPoint
 from hazelhollow.scale.real_commands import compare, latency
 from hazelhollow.scale.report_commands import report
-from hazelhollow.scale.results import Axis, Results
+from hazelhollow.scale.results import Axis, Point, Results
 
 FAILED = 1  # exit status where a point could not be played
 
 
 @click.group(help="Measure what limiters cost as everything around them grows.")
 def scale() -> None:
-    pass
+    """The group of the commands; its help is that of the decorator."""
 
 
 scale.add_command(compare)
@@ -48,7 +45,7 @@
     "--axis",
     "axes",
     multiple=True,
-    type=click.Choice([one.value for one in Axis]),
+    type=click.Choice([axis.value for axis in Axis]),
     help="Play these axes alone.",
 )
 @click.option(
@@ -62,13 +59,20 @@
     """
     try:
         plan = plans.load(plan_name)
-        found = _begin(plan, path)
+        found = origin.begin(plan.name, plan.planned, path)
     except (PlanError, ResultsError, OSError) as error:
         raise click.ClickException(str(error)) from error
     failed = 0
     for planned in plan.points():
         if _wanted(planned, axes, values):
-            failed += not _play(plan, planned, path, found)
+            began = time.monotonic()
+            point = _play(plan, planned)
+            if point is None:
+                failed += 1
+                continue
+            found = _add(found, point, path)
+            seconds = time.monotonic() - began
+            click.echo(f"  {_summary(point)} ({seconds:.0f} s of real time)", err=True)
     if failed:
         click.echo(f"{failed} points could not be played", err=True)
         raise SystemExit(FAILED)
@@ -81,42 +85,42 @@
 
 
 def _value(planned: PlannedPoint) -> int:
-    """What the axis changes."""
+    """The value of the field that grows along the point's axis."""
     name = plans.FIELD_OF_AXIS.get(
         planned.axis, "limiters" if planned.axis is Axis.ALL else "routes"
     )
     return int(getattr(planned.size, name))
 
 
-def _play(plan: Plan, planned: PlannedPoint, path: Path, found: list[Results]) -> bool:
-    """One point, added to the file; whether it could be played."""
-    began = time.monotonic()
+def _play(plan: Plan, planned: PlannedPoint) -> Point | None:
+    """Plays a point; None if it could not be played."""
     click.echo(f"{planned.axis.value} {_value(planned)} ...", err=True)
     try:
         point = Coordinator(plan, lambda line: click.echo(f"  {line}", err=True)).play(planned)
     except RunError as error:
         click.echo(f"  could not be played: {error}", err=True)
-        return False
+        return None
+    return point
+
+
+def _add(found: Results, point: Point, path: Path) -> Results:
+    """Adds a point to the results and writes them; raises OSError."""
     commit = origin.commit()
-    if commit != found[0].commit:  # of the file, which an earlier run began
+    if commit != found.commit:  # an earlier program began the file
         point = msgspec.structs.replace(point, notes=(*point.notes, f"measured at commit {commit}"))
-    found[0] = msgspec.structs.replace(found[0], points=(*found[0].points, point))
-    results.save(found[0], path)
-    click.echo(f"  {_line(point)} ({time.monotonic() - began:.0f} s of real time)", err=True)
-    return True
+    found = msgspec.structs.replace(found, points=(*found.points, point))
+    results.save(found, path)
+    return found
 
 
-def _line(point: results.Point) -> str:
+def _summary(point: Point) -> str:
     limiter_s = point.hollow * point.seconds or 1.0
     cores = ", ".join(
-        f"{one.role.value} {one.cpu_s / limiter_s:.2%}" for one in point.roles if one.calls
+        f"{totals.role.value} {totals.cpu_s / limiter_s:.2%}"
+        for totals in point.roles
+        if totals.calls
     )
     return (
         f"a core's part by role: {cores}; {point.memory_bytes / 2**20:.1f} MB; dilation "
         f"{point.dilation:g}"
     )
-
-
-def _begin(plan: Plan, path: Path) -> list[Results]:
-    """Results to be added to, in a list of one: those of the file, or new ones."""
-    return [origin.begin(plan.name, plan.planned, path)]
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -1,10 +1,11 @@
-"""What one real limiter adds to a request.
+"""The latency that one real limiter adds to a request.
 
-Real processes on loopback, and a client whose requests go out at times laid down ahead, through the
-limiter and straight to the server in turn.
+Real processes on loopback, and a client that sends requests on a fixed schedule (an open loop),
+alternately through the limiter and directly to the server.
 
-Latency is counted from the time at which a request was to go out, so that a slow limiter is not
-spared. Stretches in which the client itself was late give no figure: it would be the client's.
+Latency is counted from the scheduled time of a request, so that waiting behind a slow limiter
+counts. Blocks of time in which the client itself was late are left out: their latency would be the
+client's.
 """
 
 from __future__ import annotations
@@ -41,29 +42,29 @@
 
 CUSTOMER = "00000000b4d65521"
 PLAN = "gold"
-ROUTE = "look"  # of all routes of the configuration the one that is asked for
-UNBOUNDED = 1e6  # units a second and at once of that plan: nothing is refused
-READY_WITHIN_S = 60.0  # for a limiter with a long list and many routes on a busy machine
-LOOK_S = 0.05
-WARM_UP_S = 2.0  # of requests that are not counted
-END_WITHIN_S = 3.0  # for requests that are out at the end
-MAX_CLIENT_DELAY_P99_S = 0.0005  # by which the client's own requests may go out late
-MAX_DIRECT_P99_S = (
-    # of a request straight to a server that does no work: one that takes longer shows the machine
-    0.003
-)
-# stretches that are judged by themselves: those in which the client was late are left out
-BLOCK_S = 0.1
-MIN_REQUESTS = 500  # by which a 99th in a hundred means something
+ROUTE = "look"  # the route of all requests, among those of the settings
+UNBOUNDED = 1e6  # units a second and burst of that plan: nothing is rejected
+READY_TIMEOUT_S = 60.0  # for a limiter with a long list and many routes on a busy machine
+CHECK_INTERVAL_S = 0.05  # between checks of whether a process is ready or requests have ended
+WARM_UP_S = 2.0  # in which requests are sent and not counted
+DRAIN_TIMEOUT_S = 3.0  # for requests that are in flight at the end
+MAX_CLIENT_DELAY_P99_S = 0.0005  # by which the client may send its requests late
+# Of requests directly to a server that does no work; above it the machine is too busy.
+MAX_DIRECT_P99_S = 0.003
+BLOCK_S = 0.1  # blocks in which the client was late are left out
+MIN_REQUESTS = 500  # for a meaningful 99th percentile
 LIMITER, SERVER = "limiter", "server"
 
-Player = Callable[["LatencyPlan"], Latency]
+Measure = Callable[["LatencyPlan"], Latency]
 
 
 class LatencyPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """`size.limiters`: how many the settings tell of; one runs.
+    """A measurement of latency.
 
-    `seconds`: of requests that are counted.
+    Attributes:
+        size: Its number of limiters is that of the settings; one limiter runs.
+        seconds: In which requests are counted.
+        seed: Of the limiter and the client.
     """
 
     size: Size
@@ -71,11 +72,12 @@
     seed: int = 1
 
 
-class FinePoller:
-    """select.poll rounds its time up to a whole millisecond.
+class MicrosecondPoller:
+    """A poller whose timeouts are exact to the microsecond.
 
-    Which would make requests late by half of one on the mean; select.select keeps microseconds. For
-    the few descriptors of this client its longer work for each call does not matter.
+    `select.poll` rounds its timeout up to a whole millisecond, so that requests would be late by
+    half of one on the mean. `select.select` does not; its greater cost does not matter for the few
+    descriptors of this client.
     """
 
     def __init__(self) -> None:
@@ -98,18 +100,21 @@
         writes = [fd for fd, events in self._interest.items() if events & select.POLLOUT]
         try:
             ready = any(select.select(reads, writes, [], timeout / 1000.0))
-        except (
-            OSError,
-            ValueError,
-        ):  # a descriptor that was closed and not forgotten, or beyond what select takes
+        # A descriptor that was closed and is still registered, or is too large for select.
+        except (OSError, ValueError):
             return self._coarse.poll(timeout)
         return self._coarse.poll(0) if ready else []
 
 
-class Row(msgspec.Struct, frozen=True):
-    """What the client wrote of one request, in seconds.
+class RequestRow(msgspec.Struct, frozen=True):
+    """One request of the client; times in seconds.
 
-    When it was to go out, when it did, when its answer came.
+    Attributes:
+        to: `LIMITER` or `SERVER`.
+        due: Scheduled time.
+        began: When it was sent.
+        end: When its answer arrived.
+        outcome: What became of it.
     """
 
     to: str
@@ -119,33 +124,41 @@
     outcome: str
 
 
-def measure(plan: LatencyPlan) -> Latency:
-    """Plays it.
+def measure_latency(plan: LatencyPlan) -> Latency:
+    """Measures once.
 
-    Raises RealError where it gives no figure, LateClient where that is the client's fault.
+    Raises:
+        LateClientError: The client was late too often.
+        BusyMachineError: Requests directly to the server were slow too.
+        MeasurementError: Requests were not served, or the limiter did not start.
     """
     folder = Path(tempfile.mkdtemp(prefix="hazelhollow-latency-"))
-    run = Run(plan, folder)
+    run = LatencyRun(plan, folder)
     try:
-        found = run.play()
+        requests = run.play()
     finally:
         run.close()
-    figures = latency(plan.size, found, run.counted_from)
+    figures = summarize(plan.size, requests, run.counted_from)
     return msgspec.structs.replace(figures, limiter_memory_bytes=run.memory_bytes())
 
 
-def latency(size: Size, found: Sequence[Row], counted_from: float) -> Latency:
-    """The figures of the rows that were due from then on, without the blocks in which the client
-    was late. Raises LateClient where too few are left, BusyMachine where the straight way was
-    slow too, RealError where it is neither's fault.
+def summarize(size: Size, found: Sequence[RequestRow], counted_from: float) -> Latency:
+    """The figures of the requests that were due from `counted_from` on.
+
+    Blocks in which the client was late are left out.
+
+    Raises:
+        LateClientError: Too few requests are left.
+        BusyMachineError: Requests directly to the server were slow too.
+        MeasurementError: There were too few requests, or some were not served.
     """
     blocks = _blocks(found, counted_from)
     on_time = [block for block in blocks if not _client_late(block)]
     counted = [row for block in on_time for row in block]
     through = [row for row in counted if row.to == LIMITER]
-    straight = [row for row in counted if row.to == SERVER]
-    if min(len(through), len(straight)) < MIN_REQUESTS:
-        text = f"{len(through)} and {len(straight)} requests are too few"
+    direct = [row for row in counted if row.to == SERVER]
+    if min(len(through), len(direct)) < MIN_REQUESTS:
+        text = f"{len(through)} and {len(direct)} requests are too few"
         if len(on_time) == len(blocks):
             raise MeasurementError(text)
         raise LateClientError(
@@ -156,33 +169,33 @@
         raise MeasurementError(
             f"{len(unserved)} of {len(counted)} requests were not served ({unserved[0].outcome})"
         )
-    straight_p99 = quantile([row.end - row.due for row in straight], 0.99)
-    if straight_p99 > MAX_DIRECT_P99_S:
+    direct_p99 = quantile([row.end - row.due for row in direct], 0.99)
+    if direct_p99 > MAX_DIRECT_P99_S:
         raise BusyMachineError(
-            f"straight to the server one request in 100 took {1000 * straight_p99:.2f} "
+            f"straight to the server one request in 100 took {1000 * direct_p99:.2f} "
             "ms: no figure"
         )
     return Latency(
         size=size,
         requests=len(through),
-        direct_median_s=quantile([row.end - row.due for row in straight], 0.5),
-        direct_p99_s=straight_p99,
+        direct_median_s=quantile([row.end - row.due for row in direct], 0.5),
+        direct_p99_s=direct_p99,
         limiter_median_s=quantile([row.end - row.due for row in through], 0.5),
         limiter_p99_s=quantile([row.end - row.due for row in through], 0.99),
         left_out=1.0 - len(on_time) / len(blocks),
     )
 
 
-def _blocks(found: Sequence[Row], counted_from: float) -> list[list[Row]]:
-    """The rows that were due from then on, by stretches of BLOCK_S."""
-    blocks: dict[int, list[Row]] = {}
+def _blocks(found: Sequence[RequestRow], counted_from: float) -> list[list[RequestRow]]:
+    """The requests that were due from `counted_from` on, by blocks of `BLOCK_S`."""
+    blocks: dict[int, list[RequestRow]] = {}
     for row in found:
         if row.due >= counted_from:
             blocks.setdefault(int((row.due - counted_from) / BLOCK_S), []).append(row)
     return list(blocks.values())
 
 
-def _client_late(block: Sequence[Row]) -> bool:
+def _client_late(block: Sequence[RequestRow]) -> bool:
     return quantile([row.began - row.due for row in block], 0.99) > MAX_CLIENT_DELAY_P99_S
 
 
@@ -195,12 +208,17 @@
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
 
 
-class Run:
-    """One server, one limiter, discovery and the client; `play` once, then `close`."""
+class LatencyRun:
+    """One server, one limiter, discovery and the client; call `play` once, then `close`.
+
+    Args:
+        plan: What is measured.
+        folder: An empty folder for all files of the run.
+    """
 
     def __init__(self, plan: LatencyPlan, folder: Path) -> None:
         self._plan, self._folder = plan, folder
-        self.scheduler = Scheduler(Clock(), FinePoller())
+        self.scheduler = Scheduler(Clock(), MicrosecondPoller())
         self._network = free_network()
         self._processes = ProcessGroup(folder, keep=False)
         self._discovery = Discovery(self.scheduler)
@@ -209,31 +227,31 @@
         self._out = self._file.open("wb")
         self.counted_from = 0.0
 
-    def play(self) -> list[Row]:
-        """Raises RealError."""
+    def play(self) -> list[RequestRow]:
+        """Sends all requests and returns what became of them; raises MeasurementError."""
         self._start()
         self.scheduler.spawn(self._guarded, name="latency")
         self.scheduler.run()
         if self._error:
             raise self._error
         return [
-            Row(row["to"], row["due"], row["t"], row["end"], row["outcome"])
+            RequestRow(row["to"], row["due"], row["t"], row["end"], row["outcome"])
             for row in rows(self._file)
         ]
 
     def close(self) -> None:
-        """No process, socket or file is left."""
+        """Ends all processes and removes all files."""
         self._out.close()
         self._processes.close()
         self._discovery.close()
 
     def memory_bytes(self) -> float:
-        """The most that the limiter held, its start included; known once it has ended."""
+        """The most memory that the limiter held, its start included; known once it has ended."""
         return self._processes.members[LIMITER].max_memory_kb * 1024.0
 
     def _start(self) -> None:
         agent = self._discovery.listen(LIMITER, self._network.own(1, DISCOVERY_PORT))
-        server = self._text(2, ENDPOINT_PORT)
+        server = self._address_text(2, ENDPOINT_PORT)
         for number in range(self._plan.size.servers):
             name = f"s-{number:05d}"
             self._discovery.index = 1
@@ -248,14 +266,14 @@
         self._processes.start(SERVER)
         self._processes.start(LIMITER)
 
-    def _text(self, number: int, port: int) -> str:
+    def _address_text(self, number: int, port: int) -> str:
         return to_text(self._network.own(number, port))
 
     def _config(self, discovery: str) -> dict[str, Any]:
         return {
             "name": LIMITER,
-            "listen": self._text(1, CLIENT_PORT),
-            "operator": self._text(1, OPERATOR_PORT),
+            "listen": self._address_text(1, CLIENT_PORT),
+            "operator": self._address_text(1, OPERATOR_PORT),
             "discovery": discovery,
             "seed": f"{self._plan.seed:x}",
             "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
@@ -266,27 +284,27 @@
     def _guarded(self) -> None:
         try:
             self._await_ready()
-            self._ask()
+            self._send_requests()
         except BaseException as error:
             self._error = error
         finally:
             self.scheduler.stop()
 
     def _await_ready(self) -> None:
-        until = self.scheduler.clock() + READY_WITHIN_S
+        until = self.scheduler.clock() + READY_TIMEOUT_S
         operator_address = self._network.own(1, OPERATOR_PORT)
         while not call(self.scheduler, operator_address, "check").startswith(b"done"):
             if self._processes.reap(LIMITER):
                 tail = self._processes.members[LIMITER].log.read_text(errors="replace")[-600:]
                 raise MeasurementError(f"the limiter ended: {tail}")
             if self.scheduler.clock() > until:
-                raise MeasurementError(f"the limiter was not ready within {READY_WITHIN_S:g} s")
-            self.scheduler.sleep(LOOK_S)
+                raise MeasurementError(f"the limiter was not ready within {READY_TIMEOUT_S:g} s")
+            self.scheduler.sleep(CHECK_INTERVAL_S)
 
-    def _ask(self) -> None:
-        """Each way gets a request each 1/rate seconds, half of that apart."""
+    def _send_requests(self) -> None:
+        """Each way gets a request every 1/rate seconds; the two ways alternate evenly."""
         size = self._plan.size
-        begin = self.scheduler.clock() + 2 * LOOK_S
+        begin = self.scheduler.clock() + 2 * CHECK_INTERVAL_S
         self.counted_from = begin + WARM_UP_S
         end = self.counted_from + self._plan.seconds
         load = Load(customer=CUSTOMER, plan=PLAN, kind=ROUTE, rate=size.requests_per_s)
@@ -298,14 +316,14 @@
             target = ClientTarget(name, number, self._network.own(host, port))
             self.scheduler.spawn(clients.run, target, load, begin, end, number / 2, name="clients")
         self.scheduler.sleep(end - self.scheduler.clock())
-        until = self.scheduler.clock() + END_WITHIN_S
+        until = self.scheduler.clock() + DRAIN_TIMEOUT_S
         while clients.open and self.scheduler.clock() < until:
-            self.scheduler.sleep(LOOK_S)
+            self.scheduler.sleep(CHECK_INTERVAL_S)
         self._out.flush()
 
 
 def settings(size: Size) -> dict[str, Any]:
-    """One limiter of so many, with so many routes; nothing is refused."""
+    """The settings of one limiter at that size, under which nothing is rejected."""
     names = [ROUTE, *(f"route-{number:05d}" for number in range(1, size.routes))]
     return {
         "position": 0,
@@ -330,12 +348,25 @@
 
 
 def measure_again(
-    plan: LatencyPlan, tries: int, progress: Callable[[str], None], play: Player = measure
+    plan: LatencyPlan,
+    tries: int,
+    progress: Callable[[str], None],
+    measure: Measure = measure_latency,
 ) -> Latency:
-    """The first of so many tries at which the machine was quiet enough. Raises RealError."""
+    """Measures until the machine was idle enough.
+
+    Args:
+        plan: What is measured.
+        tries: How often at most.
+        progress: Called with a line of text for each attempt without a figure.
+        measure: Measures once.
+
+    Raises:
+        MeasurementError: The last attempt found the machine busy, or one failed otherwise.
+    """
     for number in range(1, tries + 1):
         try:
-            return play(plan)
+            return measure(plan)
         except BusyMachineError as error:
             progress(f"try {number} of {tries}: {error}")
             if number == tries:
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -12,20 +12,21 @@
 import click
 import msgspec
 
-from hazelhollow.scale import budgets, origin, real, real_fleet, results
+from hazelhollow.scale import budgets, fleet_comparison, origin, real, results
+from hazelhollow.scale.comparison_plan import FleetPlan
 from hazelhollow.scale.errors import MeasurementError, ResultsError
 from hazelhollow.scale.real import LatencyPlan
-from hazelhollow.scale.real_fleet import FleetPlan
 from hazelhollow.scale.report_tables import distance, shown
 from hazelhollow.scale.results import Latency, Size
 
 PLANNED = budgets.PLANNED
+# What `scale latency` grows: requests a second, servers and routes.
 RATES = (50.0, 100.0, PLANNED.requests_per_s)
 SERVERS = (200, 2_000, PLANNED.servers)
 ROUTES = (1, 1_000, PLANNED.routes)
 FAILED = 1  # exit status where a size gave no figure
-BAD_INPUT = 2
-TRIES = 3
+BAD_INPUT = 2  # exit status where a file cannot be used
+TRIES = 3  # of each size on a busy machine, unless an option says otherwise
 
 
 def sizes() -> list[tuple[int, int, float]]:
@@ -58,8 +59,7 @@
 def latency(
     path: Path, chosen: Sequence[tuple[int, int, float]], seconds: float, tries: int
 ) -> None:
-    """Requests at times laid down ahead, through one real limiter and straight to its server in
-    turn.
+    """Requests at times laid down ahead, through a real limiter and straight to its server.
 
     Wants a quiet machine: where the client itself was late there is no figure, and the size is
     tried again. Exit status 1 if a size gave none.
@@ -68,10 +68,10 @@
         found = origin.begin("latency", PLANNED, path)
         failed = 0
         for servers, routes, rate in chosen or sizes():
-            one = _measured(servers, routes, rate, seconds, tries)
-            failed += one is None
-            if one:
-                found = msgspec.structs.replace(found, latencies=(*found.latencies, one))
+            figure = _measure(servers, routes, rate, seconds, tries)
+            failed += figure is None
+            if figure:
+                found = msgspec.structs.replace(found, latencies=(*found.latencies, figure))
                 results.save(found, path)
     except (OSError, ResultsError) as error:
         click.echo(f"hazelhollow: {error}", err=True)
@@ -81,21 +81,21 @@
         sys.exit(FAILED)
 
 
-def _measured(servers: int, routes: int, rate: float, seconds: float, tries: int) -> Latency | None:
+def _measure(servers: int, routes: int, rate: float, seconds: float, tries: int) -> Latency | None:
     size = Size(
         limiters=PLANNED.limiters, servers=servers, routes=routes, tenants=1, requests_per_s=rate
     )
     click.echo(f"{servers} servers, {routes} routes, {rate:g} requests/s ...", err=True)
     try:
         plan = LatencyPlan(size=size, seconds=seconds)
-        one = real.measure_again(plan, tries, lambda line: click.echo(f"  {line}", err=True))
+        figure = real.measure_again(plan, tries, lambda line: click.echo(f"  {line}", err=True))
     except MeasurementError as error:
         click.echo(f"  no figure: {error}", err=True)
         return None
-    median = one.limiter_median_s - one.direct_median_s
-    p99 = one.limiter_p99_s - one.direct_p99_s
+    median = figure.limiter_median_s - figure.direct_median_s
+    p99 = figure.limiter_p99_s - figure.direct_p99_s
     click.echo(f"  added: median {1000 * median:.2f} ms, 99 in 100 {1000 * p99:.2f} ms", err=True)
-    return one
+    return figure
 
 
 @click.command("compare")
@@ -117,7 +117,7 @@
     try:
         found = origin.begin("compare", PLANNED, path)
         plan = FleetPlan(limiters=limiters, deaths=deaths)
-        made = real_fleet.compare(plan, lambda line: click.echo(f"  {line}", err=True))
+        made = fleet_comparison.compare(plan, lambda line: click.echo(f"  {line}", err=True))
         results.save(msgspec.structs.replace(found, comparisons=(*found.comparisons, *made)), path)
     except (OSError, ResultsError) as error:
         click.echo(f"hazelhollow: {error}", err=True)
@@ -125,11 +125,11 @@
     except MeasurementError as error:
         click.echo(f"no figures: {error}", err=True)
         sys.exit(FAILED)
-    apart = [one for one in made if distance(one) > one.margin]
-    for one in made:
-        words = "apart by more than the margin" if one in apart else "alike"
+    apart = [each for each in made if distance(each) > each.margin]
+    for each in made:
+        verdict = "apart by more than the margin" if each in apart else "alike"
         click.echo(
-            f"{one.figure}: real {shown(one.real, one.unit)}, hollow "
-            f"{shown(one.hollow, one.unit)}, {words}"
+            f"{each.figure}: real {shown(each.real, each.unit)}, hollow "
+            f"{shown(each.hollow, each.unit)}, {verdict}"
         )
     sys.exit(FAILED if apart else 0)
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -1,9 +1,8 @@
-"""The same figures from a fleet of real processes and from hollow limiters, at a size at which all
-can be real.
+"""Figures of a fleet of real processes, to be compared with those of hollow limiters.
 
-Both are told the same settings and asked the same by the same tenants. What is compared: datagrams
-and bytes a second by role and processor time for control while nobody asks, the gossip under load,
-and seconds until all agree after a start and after one death.
+The limiters run in a cluster of the fault-injection harness. Their datagrams are counted by its
+relay, their processor time comes from the operating system, and agreement from the membership that
+each limiter writes to a file.
 """
 
 from __future__ import annotations
@@ -12,130 +11,40 @@
 import statistics
 import tempfile
 from collections import Counter
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 from pathlib import Path
 from typing import Any
 
-import msgspec
-
 from hazelhollow.fault_injection.clients import Clients, ClientTarget
-from hazelhollow.fault_injection.errors import HarnessError
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.plan import Plan as HarnessPlan
 from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.net.scheduler import Clock, Scheduler
-from hazelhollow.scale.coordinator import Coordinator
-from hazelhollow.scale.errors import MeasurementError, RunError
+from hazelhollow.scale.comparison_plan import ROLES_WITH_DATAGRAMS, Figures, FleetPlan, Progress
+from hazelhollow.scale.errors import MeasurementError
 from hazelhollow.scale.load import Population, populate, split
 from hazelhollow.scale.measure import datagram_role
-from hazelhollow.scale.plan import AxisPlan, FleetTerms, Plan, PlannedEvent, PlannedPoint
 from hazelhollow.scale.results import (
     HEADER_BYTES,
-    Axis,
-    Comparison,
-    Event,
-    EventKind,
-    Point,
     Role,
-    Size,
 )
 from hazelhollow.scale.settings import document, own_document, route_name
 from hazelhollow.scale.topology import make_topology
 
-MARGIN = 0.25  # by which real and hollow figures may differ, as a part of the real one
-HOLLOW_START_S = (
-    # over which hollow limiters start; agreement counts from its end, as from the last real start
-    0.25
-)
-QUIET_RATE = 0.001  # requests a second: nobody asks
-CONTROL_ROLES = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
-ROLES_WITH_DATAGRAMS = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
 ALIVE, DEAD = "alive", "dead"
-BACK_WITHIN_S = 20.0  # for a limiter that was killed, until all hold it as alive again
-
-Progress = Callable[[str], None]
-View = Mapping[str, Sequence[Any]]  # state and incarnation by number, as a limiter writes them down
-Figures = dict[str, float]
-UNITS = {
-    "datagrams": "/s",
-    "bytes": "B/s",
-    "processor": "core",
-    "agreed": "s",
-}  # by the first word of a figure's name
-
-
-class FleetPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """`settle_s`.
-
-    From the start until measuring; `rest_s`: of each measurement; `deaths`: limiters killed, one
-    after another, each watched for `death_s`.
-    """
-
-    limiters: int = 12
-    servers: int = 2
-    routes: int = 4
-    tenants: int = 24
-    requests_per_s: float = 10.0
-    settle_s: float = 6.0
-    rest_s: float = 10.0
-    deaths: int = 3
-    death_s: float = 8.0
-    seed: int = 1
-
-    @property
-    def size(self) -> Size:
-        return Size(
-            limiters=self.limiters,
-            servers=self.servers,
-            routes=self.routes,
-            tenants=self.tenants,
-            requests_per_s=self.requests_per_s,
-        )
+RESTART_TIMEOUT_S = 20.0  # within which all hold a limiter that was started again as alive
+CHECK_INTERVAL_S = 0.25  # between checks of the limiters' memberships
+END_CHECK_INTERVAL_S = 0.1  # between checks whether the clients have ended
+REAP_INTERVAL_S = 0.01  # between checks whether a killed process has ended
 
-    @property
-    def terms(self) -> FleetTerms:
-        """A rack for each limiter, so that a lost rack is one death.
-
-        Each tenant at all limiters; no keys.
-        """
-        return FleetTerms(
-            regions=1,
-            zones=1,
-            racks=self.limiters,
-            spread_least=self.limiters,
-            spread_most=self.limiters,
-            sealed=False,
-        )
-
-
-def compare(plan: FleetPlan, progress: Progress) -> tuple[Comparison, ...]:
-    """Plays both. Raises RealError."""
-    try:
-        real = real_figures(plan, progress)
-        hollow = hollow_figures(plan, progress)
-    except (HarnessError, RunError) as error:
-        raise MeasurementError(str(error)) from error
-    return comparisons(real, hollow)
-
-
-def comparisons(real: Figures, hollow: Figures) -> tuple[Comparison, ...]:
-    """Of each figure that both have, in the order of the real ones."""
-    return tuple(
-        Comparison(
-            figure=name, unit=UNITS[name.split()[0]], real=value, hollow=hollow[name], margin=MARGIN
-        )
-        for name, value in real.items()
-        if name in hollow
-    )
-
-
-# Real processes
+MembershipLine = Mapping[str, Sequence[Any]]
+"""A line of a membership file: state and incarnation by limiter number."""
 
 
 def operator_file(name: str, home: Path) -> str:
-    """What `deploy/fleet.cue` switches on, with the view written to where its agreement is read."""
+    """An operator file like `deploy/fleet.cue`, which also has the membership written down."""
     return (
         'package operator\nlog: format: "console"\nfleet: view_file: '
         f'"{view_file(home.parent, name)}"\n'
@@ -144,12 +53,18 @@
 
 
 def view_file(folder: Path, name: str) -> Path:
-    """Where a limiter writes its view."""
+    """Where a limiter writes its membership."""
     return folder / f"{name}.view.jsonl"
 
 
 class RealFleet(LoopbackCluster):
-    """A harness whose limiters are told the settings that hollow ones are."""
+    """A cluster of the harness whose limiters have the settings of hollow ones.
+
+    Attributes:
+        population: The tenants.
+        datagrams: Datagrams that the limiters sent, by role.
+        bytes: Bytes of these, headers included.
+    """
 
     def __init__(self, scheduler: Scheduler, plan: FleetPlan, folder: Path) -> None:
         self.population: Population = populate(plan.size, plan.terms, plan.seed)
@@ -160,22 +75,25 @@
             name="compare", instances=plan.limiters, hosts=plan.servers, seed=plan.seed
         )
         super().__init__(scheduler, harness_plan, folder, operator=operator_file)
-        self.relay.on_datagram = self._passed
+        self.relay.on_datagram = self._count_datagram
 
     def config(self, number: int, order: int = 0) -> dict[str, Any]:
-        """What that limiter is told."""
+        """The configuration of a limiter."""
         return super().config(number, order) | {
             "settings": own_document(self._shared, number, self._topology)
         }
 
-    def _passed(self, data: bytes) -> None:
+    def _count_datagram(self, data: bytes) -> None:
         role = datagram_role(data[:1].decode(errors="replace"))
         self.datagrams[role] += 1
         self.bytes[role] += len(data) + HEADER_BYTES
 
 
 class RealRun:
-    """One fleet through a start, rest, load and deaths; `play` once, then `close`."""
+    """One real fleet through a start, a time without requests, load and deaths.
+
+    Call `play` once, then `close`.
+    """
 
     def __init__(self, plan: FleetPlan, folder: Path, progress: Progress) -> None:
         self._plan, self._folder, self._progress = plan, folder, progress
@@ -185,7 +103,7 @@
         self.figures: Figures = {}
 
     def play(self) -> Figures:
-        """Raises RigError or RealError."""
+        """Plays the fleet and returns its figures; raises HarnessError or MeasurementError."""
         self.scheduler.spawn(self._guarded, name="fleet")
         self.scheduler.run()
         if self._error:
@@ -193,7 +111,7 @@
         return self.figures
 
     def close(self) -> None:
-        """No process, socket or file is left."""
+        """Ends all processes and removes all files."""
         self.cluster.close()
 
     def _guarded(self) -> None:
@@ -214,11 +132,13 @@
         self.figures |= self._at_rest()
         self._progress("under load")
         self.figures |= self._under_load()
-        found = [self._one_death(number) for number in self._victims()]
+        deaths = [self._kill_one(number) for number in self._victims()]
         self.figures["agreed after one death, median"] = statistics.mean(
-            median for median, _ in found
+            median for median, _ in deaths
+        )
+        self.figures["agreed after one death, worst"] = statistics.mean(
+            worst for _, worst in deaths
         )
-        self.figures["agreed after one death, worst"] = statistics.mean(worst for _, worst in found)
 
     def _victims(self) -> list[int]:
         return [
@@ -227,32 +147,32 @@
         ]
 
     def _agreed_after_start(self) -> float:
-        """Seconds from the last member's start until the last one holds all as alive for good."""
+        """Seconds from the last member's start until every member holds all as alive for good."""
         lines = self._lines(self.cluster.names)
         begun = max(
             _incarnation_start(view, number) for number, view in enumerate(_last_views(lines))
         )
-        whole = {str(number): ALIVE for number in range(self._plan.limiters)}
-        return max(settled(one, whole) for one in lines) - begun
+        wanted = {str(number): ALIVE for number in range(self._plan.limiters)}
+        return max(settled(of_member, wanted) for of_member in lines) - begun
 
     def _at_rest(self) -> Figures:
         cpu = self._processor_s()
-        counted = self._count(self._plan.rest_s)
+        counted = self._measure_traffic(self._plan.rest_s)
         figures = {f"{what} at rest, {role}": value for (what, role), value in counted.items()}
         spent = (self._processor_s() - cpu) / self._plan.limiters / self._plan.rest_s
         return {**figures, "processor for control at rest": spent}
 
     def _under_load(self) -> Figures:
-        """The gossip alone: what else is said does not follow the load."""
+        """Traffic of gossip alone, as no other traffic depends on the load."""
         begin, end = self.scheduler.clock(), self.scheduler.clock() + 2 * self._plan.rest_s
         with (self._folder / "clients.jsonl").open("wb") as out:
             clients = Clients(self.scheduler, self._plan.seed, out, self._plan.limiters)
             for target, load in self._loads():
                 self.scheduler.spawn(clients.run, target, load, begin, end, name="clients")
             self.scheduler.sleep(self._plan.rest_s)
-            counted = self._count(self._plan.rest_s)
+            counted = self._measure_traffic(self._plan.rest_s)
             while clients.open or self.scheduler.clock() < end:
-                self.scheduler.sleep(0.1)
+                self.scheduler.sleep(END_CHECK_INTERVAL_S)
         return {
             f"{what} under load, {role}": value
             for (what, role), value in counted.items()
@@ -260,12 +180,12 @@
         }
 
     def _loads(self) -> Iterable[tuple[ClientTarget, Load]]:
-        """The tenants of each limiter at their mean rates, evenly spaced."""
+        """The load of each tenant at each limiter: its mean rate, evenly spaced."""
         plan, population = self._plan, self.cluster.population
         parts = split(population, range(plan.limiters), plan.limiters)
         for number, name in enumerate(self.cluster.names):
             target = ClientTarget(name, number, self.cluster.client_address(name))
-            whole = sum(tenant.asks * part for tenant, part in parts[number])
+            total = sum(tenant.asks * part for tenant, part in parts[number])
             for tenant, part in parts[number]:
                 yield (
                     target,
@@ -273,53 +193,53 @@
                         customer=f"{tenant.number:016x}",
                         plan=population.quotas[tenant.quota].name,
                         kind=route_name(tenant.number % plan.routes),
-                        rate=plan.requests_per_s * tenant.asks * part / whole,
+                        rate=plan.requests_per_s * tenant.asks * part / total,
                         units=2,
                         first=tenant.first,
                     ),
                 )
 
-    def _one_death(self, number: int) -> tuple[float, float]:
-        """Median and worst seconds until the others hold it as dead for good.
+    def _kill_one(self, number: int) -> tuple[float, float]:
+        """Kills a limiter; returns median and worst seconds until the others hold it dead for good.
 
-        It is back and known when this ends.
+        Afterwards it is started again, and all hold it as alive when this returns.
         """
         name = self.cluster.names[number]
         self._progress(f"{name} is killed")
-        at = self.scheduler.clock()
+        killed_at = self.scheduler.clock()
         self.cluster.processes.signal(name, signal.SIGKILL)
         while not self.cluster.processes.reap(name):
-            self.scheduler.sleep(0.01)
+            self.scheduler.sleep(REAP_INTERVAL_S)
         self.scheduler.sleep(self._plan.death_s)
-        whole = {str(n): DEAD if n == number else ALIVE for n in range(self._plan.limiters)}
-        others = [one for one in self.cluster.names if one != name]
-        seconds = [settled(lines, whole) - at for lines in self._lines(others)]
+        wanted = {str(n): DEAD if n == number else ALIVE for n in range(self._plan.limiters)}
+        others = [other for other in self.cluster.names if other != name]
+        seconds = [settled(lines, wanted) - killed_at for lines in self._lines(others)]
         self.cluster.processes.start(name)
         self.cluster.await_ready([name])
         self._await_all_alive()
         return statistics.median(seconds), max(seconds)
 
     def _await_all_alive(self) -> None:
-        whole = {str(number): ALIVE for number in range(self._plan.limiters)}
-        until = self.scheduler.clock() + BACK_WITHIN_S
-        while any(states(view) != whole for view in _last_views(self._lines(self.cluster.names))):
+        wanted = {str(number): ALIVE for number in range(self._plan.limiters)}
+        until = self.scheduler.clock() + RESTART_TIMEOUT_S
+        while any(states(view) != wanted for view in _last_views(self._lines(self.cluster.names))):
             if self.scheduler.clock() > until:
                 raise MeasurementError(
-                    f"a limiter that was started again was not known within {BACK_WITHIN_S:g} s"
+                    f"a limiter that was started again was not known within {RESTART_TIMEOUT_S:g} s"
                 )
-            self.scheduler.sleep(0.25)
+            self.scheduler.sleep(CHECK_INTERVAL_S)
 
-    def _count(self, seconds: float) -> dict[tuple[str, Role], float]:
+    def _measure_traffic(self, seconds: float) -> dict[tuple[str, Role], float]:
         """Datagrams and bytes a second and limiter by role, headers included."""
         datagrams, sizes = Counter(self.cluster.datagrams), Counter(self.cluster.bytes)
         began = self.scheduler.clock()
         self.scheduler.sleep(seconds)
-        each = (self.scheduler.clock() - began) * self._plan.limiters
-        found: dict[tuple[str, Role], float] = {}
+        limiter_s = (self.scheduler.clock() - began) * self._plan.limiters
+        rates: dict[tuple[str, Role], float] = {}
         for role in ROLES_WITH_DATAGRAMS:
-            found["datagrams", role] = (self.cluster.datagrams[role] - datagrams[role]) / each
-            found["bytes", role] = (self.cluster.bytes[role] - sizes[role]) / each
-        return found
+            rates["datagrams", role] = (self.cluster.datagrams[role] - datagrams[role]) / limiter_s
+            rates["bytes", role] = (self.cluster.bytes[role] - sizes[role]) / limiter_s
+        return rates
 
     def _processor_s(self) -> float:
         return sum(self.cluster.processes.cpu_of(name) for name in self.cluster.names)
@@ -328,15 +248,20 @@
         return [rows(view_file(self._folder, name)) for name in names]
 
 
-def states(view: View) -> dict[str, str]:
-    """States by number."""
+def states(view: MembershipLine) -> dict[str, str]:
+    """The state of each limiter, by number."""
     return {number: str(entry[0]) for number, entry in view.items()}
 
 
 def settled(lines: Sequence[Mapping[str, Any]], wanted: Mapping[str, str]) -> float:
-    """When the view became what is wanted, for good, in Unix seconds.
+    """Unix seconds at which a member's states became the wanted ones for good.
+
+    Args:
+        lines: The memberships that the member wrote, in their order.
+        wanted: States by number.
 
-    Raises RealError if it is not so at the end.
+    Raises:
+        MeasurementError: The last states are not the wanted ones.
     """
     since: float | None = None
     for line in lines:
@@ -347,12 +272,12 @@
     return since
 
 
-def _last_views(lines: Iterable[Sequence[Mapping[str, Any]]]) -> list[View]:
-    return [one[-1]["members"] if one else {} for one in lines]
+def _last_views(lines: Iterable[Sequence[Mapping[str, Any]]]) -> list[MembershipLine]:
+    return [of_member[-1]["members"] if of_member else {} for of_member in lines]
 
 
-def _incarnation_start(view: View, number: int) -> float:
-    """When that member's incarnation began, in Unix seconds, as its own view has it."""
+def _incarnation_start(view: MembershipLine, number: int) -> float:
+    """Unix seconds of a member's start, by its own membership."""
     entry = view.get(str(number))
     if entry is None:
         raise MeasurementError(f"limiter {number} does not know itself")
@@ -360,95 +285,9 @@
 
 
 def real_figures(plan: FleetPlan, progress: Progress) -> Figures:
-    """Of real processes. Raises RigError or RealError."""
+    """Figures of real processes; raises HarnessError or MeasurementError."""
     run = RealRun(plan, Path(tempfile.mkdtemp(prefix="hazelhollow-compare-")), progress)
     try:
         return run.play()
     finally:
         run.close()
-
-
-# Hollow limiters
-
-
-def hollow_figures(plan: FleetPlan, progress: Progress) -> Figures:
-    """Of hollow limiters.
-
-    At rest with a death, by as many seeds as there are deaths, and under load. Raises RunError or
-    RealError.
-    """
-    quiet = [
-        _played(plan, QUIET_RATE, plan.seed + number, progress, death=True)
-        for number in range(plan.deaths)
-    ]
-    loaded = _played(plan, plan.requests_per_s, plan.seed, progress, death=False)
-    return {
-        **figures_at_rest(quiet[0]),
-        **{
-            name: value
-            for name, value in _traffic(loaded, "under load").items()
-            if name.endswith(Role.GOSSIP)
-        },
-        "agreed after the start, worst": agreed(quiet[0], EventKind.START).until_agreed.worst
-        - HOLLOW_START_S,
-        "agreed after one death, median": statistics.mean(
-            _death(point).until_agreed.median for point in quiet
-        ),
-        "agreed after one death, worst": statistics.mean(
-            _death(point).until_agreed.worst for point in quiet
-        ),
-    }
-
-
-def figures_at_rest(point: Point) -> Figures:
-    """Traffic by role, and the processor time of all roles of control."""
-    each = point.hollow * point.seconds
-    control = sum(sums.cpu_s for sums in point.roles if sums.role in CONTROL_ROLES)
-    return {**_traffic(point, "at rest"), "processor for control at rest": control / each}
-
-
-def _traffic(point: Point, when: str) -> Figures:
-    each = point.hollow * point.seconds
-    found: Figures = {}
-    for sums in point.roles:
-        if sums.role in ROLES_WITH_DATAGRAMS:
-            found[f"datagrams {when}, {sums.role}"] = sums.datagrams_out / each
-            size = sums.bytes_out + HEADER_BYTES * sums.datagrams_out
-            found[f"bytes {when}, {sums.role}"] = size / each
-    return found
-
-
-def agreed(point: Point, kind: EventKind) -> Event:
-    """The event of that kind, once all members have agreed. Raises RealError if they have not."""
-    event = next((one for one in point.events if one.kind is kind), None)
-    if event is None or event.until_agreed.reached < event.until_agreed.of:
-        raise MeasurementError(f"hollow limiters did not agree after {kind}")
-    return event
-
-
-def _death(point: Point) -> Event:
-    return agreed(point, EventKind.RACK_LOST)
-
-
-def _played(plan: FleetPlan, rate: float, seed: int, progress: Progress, death: bool) -> Point:
-    events = (PlannedEvent(kind=EventKind.RACK_LOST, window_s=plan.death_s),) if death else ()
-    axis = AxisPlan(
-        axis=Axis.LIMITERS,
-        values=(plan.limiters,),
-        settle_s=plan.settle_s if death else plan.settle_s + plan.rest_s,
-        seconds=plan.rest_s,
-        dilation=1.0,
-        events=events,
-    )
-    size = msgspec.structs.replace(plan.size, requests_per_s=rate)
-    whole = Plan(
-        name="compare",
-        seed=seed,
-        base=size,
-        axes=(axis,),
-        planned=size,
-        workers=2,
-        fleet=plan.terms,
-    )
-    progress(f"{plan.limiters} hollow limiters, {rate:g} requests/s, seed {seed}")
-    return Coordinator(whole, progress).play(PlannedPoint(Axis.LIMITERS, size, axis, plan.terms))
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -21,10 +21,20 @@
 from hypothesis import strategies as st
 
 from hazelhollow.net import scheduler
-from hazelhollow.scale import budgets, hollow, real, real_commands, real_fleet, results
+from hazelhollow.scale import (
+    budgets,
+    fleet_comparison,
+    hollow,
+    hollow_figures,
+    real,
+    real_commands,
+    real_fleet,
+    results,
+)
+from hazelhollow.scale.comparison_plan import FleetPlan
 from hazelhollow.scale.errors import BusyMachineError, LateClientError, MeasurementError
 from hazelhollow.scale.measure import Meter
-from hazelhollow.scale.real import LIMITER, SERVER, LatencyPlan, Row
+from hazelhollow.scale.real import LIMITER, SERVER, LatencyPlan, RequestRow
 from hazelhollow.scale.results import Latency, Size
 
 SIZE = Size(limiters=930, servers=20, routes=3, tenants=1, requests_per_s=50.0)
@@ -36,19 +46,19 @@
     straight: float = 0.001,
     through: float = 0.002,
     outcome: str = "served",
-) -> list[Row]:
+) -> list[RequestRow]:
     """Rows of both ways in turn, due each hundredth of a second from 0 on."""
     found = []
     for number in range(count):
         due = number / 100
-        found.append(Row(LIMITER, due, due + late, due + through, outcome))
-        found.append(Row(SERVER, due, due + late, due + straight, "served"))
+        found.append(RequestRow(LIMITER, due, due + late, due + through, outcome))
+        found.append(RequestRow(SERVER, due, due + late, due + straight, "served"))
     return found
 
 
 def test_latency_counts_from_the_time_at_which_a_request_was_due() -> None:
     late = real.MAX_CLIENT_DELAY_P99_S / 2
-    found = real.latency(SIZE, client_rows(late=late), 0.0)
+    found = real.summarize(SIZE, client_rows(late=late), 0.0)
     assert found.limiter_median_s == pytest.approx(0.002) and found.limiter_p99_s == pytest.approx(
         0.002
     )
@@ -57,26 +67,29 @@
 
 def test_stretches_in_which_the_client_was_late_are_left_out() -> None:
     slow = [
-        Row(row.to, row.due, row.began + 0.02, row.end + 0.02, row.outcome)
+        RequestRow(row.to, row.due, row.began + 0.02, row.end + 0.02, row.outcome)
         if row.due < 2.0
         else row
         for row in client_rows()
     ]
-    found = real.latency(SIZE, slow, 0.0)
+    found = real.summarize(SIZE, slow, 0.0)
     assert found.limiter_p99_s == pytest.approx(0.002) and found.left_out == pytest.approx(0.2)
     assert found.requests == 800
     slow_limiter = [
-        Row(row.to, row.due, row.began, row.end + 0.02, row.outcome)
+        RequestRow(row.to, row.due, row.began, row.end + 0.02, row.outcome)
         if row.due < 2.0 and row.to == LIMITER
         else row
         for row in client_rows()
     ]
-    assert real.latency(SIZE, slow_limiter, 0.0).limiter_p99_s == pytest.approx(0.022)
+    assert real.summarize(SIZE, slow_limiter, 0.0).limiter_p99_s == pytest.approx(0.022)
 
 
 def test_what_was_due_before_the_counting_is_left_out() -> None:
-    cold = [Row(LIMITER, -1.0, -1.0, 5.0, "served"), Row(SERVER, -1.0, -1.0, 5.0, "failed")] * 500
-    assert real.latency(SIZE, cold + client_rows(), 0.0).limiter_p99_s == pytest.approx(0.002)
+    cold = [
+        RequestRow(LIMITER, -1.0, -1.0, 5.0, "served"),
+        RequestRow(SERVER, -1.0, -1.0, 5.0, "failed"),
+    ] * 500
+    assert real.summarize(SIZE, cold + client_rows(), 0.0).limiter_p99_s == pytest.approx(0.002)
 
 
 @pytest.mark.parametrize(
@@ -102,10 +115,10 @@
     ],
 )
 def test_there_is_no_figure_where_it_would_mislead(
-    rows: list[Row], error: type[Exception], why: str
+    rows: list[RequestRow], error: type[Exception], why: str
 ) -> None:
     with pytest.raises(error, match=why):
-        real.latency(SIZE, rows, 0.0)
+        real.summarize(SIZE, rows, 0.0)
 
 
 @given(st.lists(st.floats(0, 10), min_size=1, max_size=200), st.floats(0.01, 1.0))
@@ -121,9 +134,9 @@
 def test_a_late_client_is_tried_again_and_at_the_end_there_is_no_figure() -> None:
     said: list[str] = []
     played: list[LatencyPlan] = []
-    figure = real.latency(SIZE, client_rows(), 0.0)
+    figure = real.summarize(SIZE, client_rows(), 0.0)
 
-    def late_until(good: int) -> real.Player:
+    def late_until(good: int) -> real.Measure:
         def play(plan: LatencyPlan) -> Latency:
             played.append(plan)
             if len(played) < good:
@@ -142,7 +155,7 @@
 
 
 def test_the_poller_never_wakes_before_its_time_and_tells_what_is_ready() -> None:
-    poller, (one, other) = real.FinePoller(), socket.socketpair()
+    poller, (one, other) = real.MicrosecondPoller(), socket.socketpair()
     with one, other:
         poller.register(one.fileno(), select.POLLIN)
         for wait_ms in (0.0, 0.3, 1.4, 5.2):
@@ -161,7 +174,7 @@
 def test_the_poller_takes_descriptors_beyond_what_select_does() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(2048, hard)), hard))
-    poller, (one, other) = real.FinePoller(), socket.socketpair()
+    poller, (one, other) = real.MicrosecondPoller(), socket.socketpair()
     far = fcntl.fcntl(one.fileno(), fcntl.F_DUPFD, 1024)
     try:
         poller.register(far, select.POLLIN)
@@ -184,7 +197,7 @@
 def test_real_processes_serve_both_ways_in_turn_and_none_is_left(tmp_path: Path) -> None:
     folder = tmp_path / "run"
     folder.mkdir()
-    run = real.Run(LatencyPlan(size=SIZE, seconds=1.0), folder)
+    run = real.LatencyRun(LatencyPlan(size=SIZE, seconds=1.0), folder)
     try:
         found = run.play()
         pids = [int(line.split()[0]) for line in (folder / "pids").read_text().splitlines()]
@@ -223,7 +236,7 @@
 def test_figures_are_added_to_those_that_the_file_has_and_a_size_without_one_is_told(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    figure = real.latency(SIZE, client_rows(), 0.0)
+    figure = real.summarize(SIZE, client_rows(), 0.0)
 
     def play(plan: LatencyPlan, tries: int, progress: object) -> Latency:
         if plan.size.servers > 200:
@@ -314,7 +327,7 @@
 
 
 def test_hollow_figures_are_of_one_limiter_and_leave_requests_and_lists_out() -> None:
-    found = real_fleet.figures_at_rest(hollow_point(cpu_s=0.4))
+    found = hollow_figures.figures_at_rest(hollow_point(cpu_s=0.4))
     assert found["processor for control at rest"] == pytest.approx(5 * 0.4 / 40)
     assert found["datagrams at rest, view"] == pytest.approx(10)
     assert found["bytes at rest, view"] == pytest.approx(100 + 28 * 10)
@@ -322,19 +335,21 @@
 
 
 def test_hollow_limiters_that_did_not_agree_give_no_figure() -> None:
-    assert real_fleet.agreed(hollow_point(1.0), results.EventKind.START).until_agreed.worst == 3.0
+    assert (
+        hollow_figures.agreed(hollow_point(1.0), results.EventKind.START).until_agreed.worst == 3.0
+    )
     for kind, reached in ((results.EventKind.START, 3), (results.EventKind.ZONE_LOST, 4)):
         with pytest.raises(MeasurementError):
-            real_fleet.agreed(hollow_point(1.0, reached), kind)
+            hollow_figures.agreed(hollow_point(1.0, reached), kind)
 
 
 def test_figures_that_only_one_side_has_are_not_compared() -> None:
-    found = real_fleet.comparisons(
+    found = fleet_comparison.comparisons(
         {"bytes at rest, view": 100.0, "agreed after x": 1.0},
         {"bytes at rest, view": 90.0, "datagrams": 3.0},
     )
     assert [(one.figure, one.unit, one.real, one.hollow, one.margin) for one in found] == [
-        ("bytes at rest, view", "B/s", 100.0, 90.0, real_fleet.MARGIN)
+        ("bytes at rest, view", "B/s", 100.0, 90.0, fleet_comparison.MARGIN)
     ]
 
 
@@ -343,21 +358,21 @@
 ) -> None:
     folder = tmp_path / "run"
     folder.mkdir()
-    plan = real_fleet.FleetPlan(limiters=3, settle_s=4.0, rest_s=1.0, deaths=1, death_s=10.0)
+    plan = FleetPlan(limiters=3, settle_s=4.0, rest_s=1.0, deaths=1, death_s=10.0)
     run = real_fleet.RealRun(plan, folder, lambda text: None)
     try:
         found = run.play()
         pids = [int(row.split()[0]) for row in (folder / "pids").read_text().splitlines()]
     finally:
         run.close()
-    hollow = real_fleet.figures_at_rest(hollow_point(1.0))
+    hollow = hollow_figures.figures_at_rest(hollow_point(1.0))
     assert set(hollow) <= set(found)
     assert {
         "bytes under load, gossip",
         "agreed after the start, worst",
         "agreed after one death, worst",
     } <= set(found)
-    assert all(name.split()[0] in real_fleet.UNITS for name in found)
+    assert all(name.split()[0] in fleet_comparison.UNITS for name in found)
     assert found["datagrams at rest, view"] > 0 and found["bytes under load, gossip"] > 0
     assert len(pids) == 3 + plan.servers + 1  # and the one that was started again
     for pid in pids:
