--- a/hazelhollow/scale/clock.py
+++ b/hazelhollow/scale/clock.py
@@ -28,6 +28,7 @@
     monotonic: Callable[[], float] = time.monotonic
 
     def __call__(self) -> float:
+        """Unix seconds of the run now."""
         return self.shows + (self.monotonic() - self.began) / self.dilation
 
 
--- a/hazelhollow/scale/plots.py
+++ b/hazelhollow/scale/plots.py
@@ -7,8 +7,9 @@
 import matplotlib
 from matplotlib import pyplot
 
-from hazelhollow.scale.report_rows import Known, Row, Slope, coordinate
-from hazelhollow.scale.report_tables import AXIS_WORDS
+from hazelhollow.scale.report_observations import coordinate
+from hazelhollow.scale.report_rows import Known, Row, Slope
+from hazelhollow.scale.report_text import AXIS_WORDS
 
 matplotlib.use("agg")  # the backend that needs no display
 
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -16,7 +16,8 @@
 from hazelhollow.scale.comparison_plan import FleetPlan
 from hazelhollow.scale.errors import MeasurementError, ResultsError
 from hazelhollow.scale.real import LatencyPlan
-from hazelhollow.scale.report_tables import distance, shown
+from hazelhollow.scale.report_run_tables import distance
+from hazelhollow.scale.report_text import shown
 from hazelhollow.scale.results import Latency, Size
 
 PLANNED = budgets.PLANNED
--- a/hazelhollow/scale/report.py
+++ b/hazelhollow/scale/report.py
@@ -7,17 +7,19 @@
 
 from hazelhollow.scale.errors import ResultsError
 from hazelhollow.scale.report_page import render
-from hazelhollow.scale.report_tables import Run, Runs, tables
+from hazelhollow.scale.report_runs import Run, Runs
+from hazelhollow.scale.report_tables import tables
 from hazelhollow.scale.results import load
 
-EARLIER = "before-"  # what names of files with runs of an earlier program begin with
+EARLIER = "before-"  # prefix of files with results of an earlier program
 
 
 def read(files: Sequence[Path]) -> Runs:
-    """The runs of these files in the order of their names.
+    """Reads the results of these files, in the order of their names.
 
-    Raises OSError, or ResultsError for a file that holds no results or whose planned size is
-    another one.
+    Raises:
+        OSError: A file cannot be read.
+        ResultsError: A file holds no results, or their planned size is not that of the others.
     """
     runs = [Run(file.name, load(file)) for file in sorted(files, key=lambda file: file.name)]
     for run in runs:
--- a/hazelhollow/scale/report_commands.py
+++ b/hazelhollow/scale/report_commands.py
@@ -10,11 +10,12 @@
 from hazelhollow.scale import report as reports
 from hazelhollow.scale.errors import PageError, ResultsError
 from hazelhollow.scale.report_rows import analyse
-from hazelhollow.scale.report_tables import Runs, tables
+from hazelhollow.scale.report_runs import Runs
+from hazelhollow.scale.report_tables import tables
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 DIFFERS = 1  # exit status of --check where page and data differ
-BAD_INPUT = 2
+BAD_INPUT = 2  # exit status where a file cannot be used
 
 
 @click.command("report")
--- a/hazelhollow/scale/report_order.py
+++ b/hazelhollow/scale/report_order.py
@@ -13,7 +13,8 @@
 from hazelhollow.scale import budgets
 from hazelhollow.scale.budgets import Budget
 from hazelhollow.scale.report_documents import Routes, most
-from hazelhollow.scale.report_rows import Known, Mark, Row, coordinate
+from hazelhollow.scale.report_observations import coordinate
+from hazelhollow.scale.report_rows import Known, Mark, Row
 from hazelhollow.scale.results import Axis, Size
 
 # of the other budgets the dearest row counts
--- a/hazelhollow/scale/report_page.py
+++ b/hazelhollow/scale/report_page.py
@@ -1,7 +1,4 @@
-"""Marked blocks of a Markdown page.
-
-The program writes what stands between the markers, people what stands around them.
-"""
+"""Marked blocks of a Markdown page: the program writes what is in them, people what is around."""
 
 from __future__ import annotations
 
@@ -16,9 +13,14 @@
 
 
 def render(page: str, tables: Mapping[str, str]) -> str:
-    """The page with each block filled anew.
+    """The page with each block filled anew; tables without a block are left out.
+
+    Args:
+        page: The page's text.
+        tables: Text by name of the block.
 
-    Tables without a block on the page are left out. Raises PageError.
+    Raises:
+        PageError: A block has no end, an unknown name, or a name that another one has.
     """
     lines: list[str] = []
     seen = set[str]()
@@ -30,28 +32,32 @@
                 lines.append(line)
             continue
         kind, name = marker[1], marker[2]
-        _check(kind, name, inside, seen, tables, number)
         lines.append(line)
         if kind == "table":
+            _check_begin(name, inside, seen, tables, number)
             inside = name
             seen.add(name)
             lines += ["", *tables[name].split("\n"), ""]
         else:
+            _check_end(name, inside, number)
             inside = ""
     if inside:
         raise PageError(f"the block {inside!r} has no end")
     return "\n".join(lines)
 
 
-def _check(
-    kind: str, name: str, inside: str, seen: set[str], tables: Mapping[str, str], number: int
+def _check_end(name: str, inside: str, number: int) -> None:
+    """Raises PageError unless the block that ends at a line is the open one."""
+    if inside != name:
+        raise PageError(
+            f"line {number}: the end of {name!r} where {inside or 'no block'!r} is open"
+        )
+
+
+def _check_begin(
+    name: str, inside: str, seen: set[str], tables: Mapping[str, str], number: int
 ) -> None:
-    if kind == "end":
-        if inside != name:
-            raise PageError(
-                f"line {number}: the end of {name!r} where {inside or 'no block'!r} is open"
-            )
-        return
+    """Raises PageError unless a block of that name may begin at a line."""
     if inside:
         raise PageError(f"line {number}: {name!r} begins within {inside!r}")
     if name in seen:
--- /dev/null
+++ b/hazelhollow/scale/report_quantities.py
@@ -0,0 +1,109 @@
+"""The quantities of the capacity report: what is measured, in which unit, against which budget."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from enum import StrEnum
+
+import msgspec
+
+from hazelhollow.scale import budgets
+from hazelhollow.scale.budgets import Budget
+from hazelhollow.scale.results import EventKind, Role
+
+CONTROL_ROLES = (Role.LIST, Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
+# Roles that send datagrams to other limiters.
+ROLES_WITH_DATAGRAMS = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
+CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
+PROCESS = "process"  # the part of quantities that belong to a limiter as a whole
+
+
+class Resource(StrEnum):
+    """What a quantity is measured in."""
+
+    PROCESSOR = "processor"
+    BYTES_SENT = "bytes sent"
+    BYTES_RECEIVED = "bytes received"
+    MEMORY = "memory"
+    LONGEST_TURN = "longest turn"
+    TURN_P99 = "turn, 99 in 100"
+    ADDED_MEDIAN = "added to a request, median"
+    ADDED_P99 = "added to a request, 99 in 100"
+    SETTLED_P99 = "seconds until settled, 99 in 100"
+    SETTLED_WORST = "seconds until settled, worst"
+    WORST_TEN_SECONDS = "bytes in the worst ten seconds, mean member"
+    WORST_SECOND = "bytes in the worst second, worst member"
+
+
+class Quantity(msgspec.Struct, frozen=True):
+    """What a row of the report is about.
+
+    Attributes:
+        part: A role, an event or the whole process.
+        resource: What is measured of it.
+        unit: Of its values.
+        budget: The budget that it draws on, if any.
+    """
+
+    part: str
+    resource: Resource
+    unit: str
+    budget: Budget | None = None
+
+    @property
+    def name(self) -> str:
+        """As tables and pictures show it."""
+        return f"{self.part}: {self.resource}"
+
+
+def role_quantity(role: Role, resource: Resource) -> Quantity:
+    """The quantity of a role, with the budget that it draws on."""
+    control = role in CONTROL_ROLES
+    if resource is Resource.PROCESSOR:
+        return Quantity(
+            role, resource, "core", budgets.CONTROL_CPU if control else budgets.REQUEST_CPU
+        )
+    if resource in (Resource.BYTES_SENT, Resource.BYTES_RECEIVED):
+        sent = resource is Resource.BYTES_SENT and control
+        return Quantity(role, resource, "B/s", budgets.CONTROL_BYTES if sent else None)
+    # Of control, the 99th percentile only says how often turns are long; the longest one counts.
+    rare = resource is Resource.TURN_P99 and control
+    return Quantity(role, resource, "s", None if rare else budgets.TURN)
+
+
+def event_quantity(kind: EventKind, resource: Resource) -> Quantity:
+    """The quantity of an event; those of changes of configuration have a budget."""
+    if resource is Resource.WORST_SECOND:
+        return Quantity(kind, resource, "B/s")
+    if resource is Resource.WORST_TEN_SECONDS:
+        return Quantity(kind, resource, "B/s", budgets.WORST_BYTES)
+    limits = {
+        Resource.SETTLED_P99: budgets.CHANGE_P99,
+        Resource.SETTLED_WORST: budgets.CHANGE_WORST,
+    }
+    return Quantity(kind, resource, "s", limits[resource] if kind in CONFIGURATION_EVENTS else None)
+
+
+MEMORY = Quantity(PROCESS, Resource.MEMORY, "B", budgets.CONTROL_MEMORY)
+ADDED_MEDIAN = Quantity(PROCESS, Resource.ADDED_MEDIAN, "s")
+ADDED_P99 = Quantity(PROCESS, Resource.ADDED_P99, "s", budgets.ADDED_LATENCY)
+
+
+def expected_quantities() -> Iterator[Quantity]:
+    """Quantities that have a row even where nothing was measured."""
+    for role in Role:
+        if role is Role.TIMERS:
+            continue  # the roles' own timers count as theirs
+        yield role_quantity(role, Resource.PROCESSOR)
+        if role in ROLES_WITH_DATAGRAMS:
+            yield role_quantity(role, Resource.BYTES_SENT)
+        yield role_quantity(role, Resource.LONGEST_TURN)
+        yield role_quantity(role, Resource.TURN_P99)
+    yield MEMORY
+    yield ADDED_MEDIAN
+    yield ADDED_P99
+    for kind in EventKind:
+        yield event_quantity(kind, Resource.SETTLED_P99)
+        yield event_quantity(kind, Resource.SETTLED_WORST)
+        yield event_quantity(kind, Resource.WORST_TEN_SECONDS)
+        yield event_quantity(kind, Resource.WORST_SECOND)
--- /dev/null
+++ b/hazelhollow/scale/report_text.py
@@ -0,0 +1,116 @@
+"""Values and tables of the capacity report as text."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable, Sequence
+
+from hazelhollow.scale import budgets
+from hazelhollow.scale.report_fit import Fit, Shape
+from hazelhollow.scale.report_rows import Figure, Mark
+from hazelhollow.scale.results import Axis, Size
+
+NONE = "-"
+NO_RUN = "no run yet"
+NEVER = "not within the run"
+MIN_RATE_SHARE = 0.9  # of the planned requests; below it a figure says at how many it was measured
+PREFIXES = ((1e6, "M"), (1e3, "k"), (1.0, ""))
+SECONDS = ((1.0, "s"), (1e-3, "ms"), (1e-6, "µs"))
+AXIS_WORDS = {
+    Axis.LIMITERS: "limiters",
+    Axis.SERVERS: "servers",
+    Axis.ROUTES: "routes",
+    Axis.TENANTS: "tenants",
+    Axis.CONFIGURATION: "routes changed",
+    Axis.ALL: "fraction of the plan",
+}
+
+
+def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """A Markdown table, or `NO_RUN` where there are no rows."""
+    lines = [_line(row) for row in rows]
+    if not lines:
+        return NO_RUN
+    return "\n".join([_line(heads), _line(["---"] * len(heads)), *lines])
+
+
+def _line(cells: Sequence[str]) -> str:
+    return "| " + " | ".join(cells) + " |"
+
+
+def shown(value: float | None, unit: str) -> str:
+    """A value with three digits, its unit and a fitting prefix; None: not known."""
+    if value is None:
+        return NONE
+    if math.isinf(value):
+        return NEVER if value > 0.0 else NONE
+    if unit == "s":
+        return _seconds(value)
+    if unit == "core":
+        return f"{digits(100.0 * value)}% of a core"
+    for size, prefix in PREFIXES:
+        if abs(value) >= size:
+            return f"{digits(value / size)} {prefix}{unit}"
+    return f"{digits(value)} {unit}"
+
+
+def digits(value: float) -> str:
+    """Three significant digits; whole numbers from a hundred on."""
+    if value == 0.0:
+        return "0"
+    places = max(0, 2 - math.floor(math.log10(abs(value))))
+    return f"{value:,.{min(places, 6)}f}"
+
+
+def percent(share: float | None) -> str:
+    """A share as a percentage; None: not known."""
+    if share is None:
+        return NONE
+    return "without bound" if math.isinf(share) else f"{digits(100.0 * share)}%"
+
+
+def size_text(size: Size) -> str:
+    """A size in one cell."""
+    return (
+        f"{size.limiters:,} limiters, {size.servers:,} servers, {size.routes:,} routes, "
+        f"{size.tenants:,} tenants, "
+        f"{size.requests_per_s:g} requests/s"
+    )
+
+
+def mark_text(figure: Figure) -> str:
+    """How a figure is known.
+
+    With how far it was extrapolated, along which axes nothing is known, and, if they were few, at
+    how many requests a second it was measured.
+    """
+    text = str(figure.mark)
+    if figure.mark is Mark.EXTRAPOLATED or (figure.mark is Mark.MODELLED and figure.factor > 1.0):
+        text += f" ({digits(figure.factor)} times the measured size)"
+    if figure.without and figure.mark is not Mark.UNKNOWN:
+        text += without_text(figure.without)
+    if 0.0 < figure.rate < MIN_RATE_SHARE * budgets.PLANNED.requests_per_s:
+        text += f", at {figure.rate:g} requests/s"
+    return text
+
+
+def without_text(axes: Sequence[Axis]) -> str:
+    """The axes along which nothing is known; an empty text for none."""
+    return ", without " + ", ".join(axes) if axes else ""
+
+
+def formula(curve: Fit, unit: str) -> str:
+    """The fitted curve, where N is the size along its axis and `unit` that of its values."""
+    size = "N" if curve.shape is Shape.LINEAR else "ln N"
+    sign = "+" if curve.slope >= 0.0 else "-"
+    return (
+        f"{shown(curve.intercept, unit)} {sign} {shown(abs(curve.slope), unit)} x {size} "
+        f"({curve.samples} points, off by {percent(curve.error)} at most)"
+    )
+
+
+def _seconds(value: float) -> str:
+    for size, unit in SECONDS:
+        if abs(value) >= size:
+            return f"{digits(value / size)} {unit}"
+    return f"{digits(value * 1e6)} µs"
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -25,16 +25,18 @@
 from hazelhollow.scale.report_fit import Sample, Shape, fit
 from hazelhollow.scale.report_order import LEAST, MOST, document_passings, order, passes_at, sums
 from hazelhollow.scale.report_page import render
-from hazelhollow.scale.report_rows import (
+from hazelhollow.scale.report_quantities import (
     ADDED_P99,
     MEMORY,
-    Mark,
     Resource,
-    analyse,
     event_quantity,
     role_quantity,
 )
-from hazelhollow.scale.report_tables import Run, Runs, distance, percent, shown, tables
+from hazelhollow.scale.report_rows import Mark, analyse
+from hazelhollow.scale.report_run_tables import distance
+from hazelhollow.scale.report_runs import Run, Runs
+from hazelhollow.scale.report_tables import tables
+from hazelhollow.scale.report_text import percent, shown
 from hazelhollow.scale.results import Axis, EventKind, Role
 
 ROOT = Path(__file__).parents[2]
