--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -31,27 +31,27 @@
         return 1.0 if super().usefulness(peer, update) > 0 else 0.0
 
 
-class UntoldOnly(GossipScheduler):
+class UnreportedOnly(GossipScheduler):
     """Sends first what the peer is most units behind on, whatever the customer has left."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
         """The share of the burst that the peer does not know of."""
         account = self._accounts.by_name.get(update[0])
-        return self.untold(account, peer, update) if account else 0.0
+        return self.unreported(account, peer, update) if account else 0.0
 
 
-class UntoldByNearness(GossipScheduler):
+class UnreportedByNearness(GossipScheduler):
     """Sends first what the peer is most units behind on, against what the customer has left."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
         """The share of the burst that the peer does not know of, against what is left."""
         account = self._accounts.by_name.get(update[0])
-        untold = self.untold(account, peer, update) if account else 0.0
-        return super().usefulness(peer, update) * untold
+        unreported = self.unreported(account, peer, update) if account else 0.0
+        return super().usefulness(peer, update) * unreported
 
 
-class HoldBack(UntoldByNearness):
-    """As `UntoldByNearness`, but small charges of customers with plenty left wait.
+class HoldBack(UnreportedByNearness):
+    """As `UnreportedByNearness`, but small charges of customers with plenty left wait.
 
     They are sent when they have added up or their period closes.
     """
@@ -64,15 +64,15 @@
         if update[1] != self._context.period:
             return useful
         has_plenty = account.quota.level > PLENTY_SHARE * account.plan.burst
-        is_small = self.untold(account, peer, update) < HELD_BACK_SHARE
+        is_small = self.unreported(account, peer, update) < HELD_BACK_SHARE
         return 0.0 if has_plenty and is_small else useful
 
 
 ORDERS: dict[str, type[GossipScheduler]] = {
     "nearest": GossipScheduler,  # the product's own
     "first-come": FirstCome,
-    "untold": UntoldOnly,
-    "untold-by-nearness": UntoldByNearness,
+    "untold": UnreportedOnly,
+    "untold-by-nearness": UnreportedByNearness,
     "hold-back": HoldBack,
 }
 
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -40,6 +40,19 @@
 )
 
 
+def ask_into(
+    actions: list[api.Action], engine: DecisionEngine, now: float, kind: str, customer: str
+) -> None:
+    """One request, whose actions are added to a list."""
+    actions.extend(ask(engine, now, kind, customer=customer))
+
+
+def handle_and_ask(engine: DecisionEngine, event: api.Event, now: float) -> None:
+    """An event, and a request after it."""
+    engine.handle(event, now)
+    ask(engine, now, "c0")
+
+
 def decide_some(
     engine: DecisionEngine, now: float, count: int, cost: Callable[[Callable[[], object]], float]
 ) -> list[float]:
@@ -52,7 +65,8 @@
             classes[number * 7919 % len(classes)],
         )
         actions: list[api.Action] = []
-        costs.append(cost(lambda: actions.extend(ask(engine, now, kind, customer=customer))))  # noqa: B023
+        request = partial(ask_into, actions, engine, now, kind, customer)
+        costs.append(cost(request))
         for send in only(actions, api.StartAttempt):
             answer(engine, send, now)
     return costs
@@ -96,8 +110,7 @@
                 servers("change", entry(f"s{number}", state="gone")),
             ):
                 now = 101.0 + number
-                both = lambda: (engine.handle(event, now), ask(engine, now, "c0"))  # noqa: B023, E731
-                found.append(bytecodes(both))
+                found.append(bytecodes(partial(handle_and_ask, engine, event, now)))
         costs[count] = statistics.median(found)
     assert costs[SERVERS] <= MARGIN * costs[200]
 
@@ -184,9 +197,9 @@
 
 
 def charged_by_many(customers: int) -> DecisionEngine:
-    """Counts are kept.
+    """An engine that replicates counts.
 
-    And so many customers were charged one unit each by each of three members in the period of 100.
+    Each customer was charged one unit by each of three members in the period of 100.
     """
     engine = make(0, limiter_count=3)
     engine.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
@@ -233,7 +246,7 @@
 
 def test_customers_that_are_charged_all_the_time_do_not_keep_others_counts_from_closing() -> None:
     engine, told = charged_by_many(2 * MAX_COUNTS_A_ROUND), set[str]()
-    for period in range(102, 125):  # one beat a period: fewer than there are counts
+    for period in range(102, 125):  # one round a period: fewer than there are counts
         engine.context.now, engine.context.period = float(period), period
         for number in range(MAX_COUNTS_A_ROUND):
             account = engine.accounts[gossip.base36(number)]
--- a/tests/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -19,24 +19,27 @@
 from hazelhollow.configuration.distribution import codec
 from hazelhollow.net import http1
 from hazelhollow.scale import budgets, report, report_claims, report_documents, results
+from hazelhollow.scale.errors import PageError, ResultsError
 from hazelhollow.scale.report_claims import CLAIMS, Verdict, verdict
 from hazelhollow.scale.report_commands import report as report_command
 from hazelhollow.scale.report_fit import Sample, Shape, fit
 from hazelhollow.scale.report_order import LEAST, MOST, document_passings, order, passes_at, sums
-from hazelhollow.scale.report_page import PageError, render
-from hazelhollow.scale.report_rows import (
+from hazelhollow.scale.report_page import render
+from hazelhollow.scale.report_quantities import (
     ADDED_P99,
     MEMORY,
-    Mark,
     Resource,
-    analyse,
     event_quantity,
     role_quantity,
 )
-from hazelhollow.scale.report_tables import Run, Runs, distance, percent, shown, tables
+from hazelhollow.scale.report_rows import Mark, analyse
+from hazelhollow.scale.report_run_tables import distance
+from hazelhollow.scale.report_runs import Run, Runs
+from hazelhollow.scale.report_tables import tables
+from hazelhollow.scale.report_text import percent, shown
 from hazelhollow.scale.results import Axis, EventKind, Role
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "CAPACITY.md"
 DATA = ROOT / "docs" / "capacity"
 BASE = results.Size(limiters=50, servers=200, routes=10, tenants=1000, requests_per_s=204.0)
@@ -794,7 +797,7 @@
 def test_runs_of_another_plan_are_not_mixed(tmp_path: Path) -> None:
     first = saved(tmp_path, "a.json", gathered())
     other = saved(tmp_path, "b.json", msgspec.structs.replace(gathered(), planned=BASE))
-    with pytest.raises(results.ResultsError, match="another planned size"):
+    with pytest.raises(ResultsError, match="another planned size"):
         report.read([first, other])
 
 
