--- a/hazelhollow/bench/__init__.py
+++ b/hazelhollow/bench/__init__.py
@@ -10,8 +10,9 @@
 | `fleet`, `zones` | membership by size, and while zones and regions fail |
 | `replica` | catch-up, anti-entropy and its cost |
 | `count_model/` | every order of events on replicated counts, up to bounds |
-| `modules`, `losses`, `gossip_budget` | decision engines: quotas, lost state, gossip budgets |
-| `documents` | distribution of settings under a control budget |
+| `engine_fleet`, `engine_load`, `losses`, `gossip_budget` | quotas, lost state, gossip budgets |
+| `documents`, `contention` | distribution of settings under a control budget |
 | `cpu` | CPU time of a limiter on sockets |
-| `commands` | `hazelhollow bench` |
+| `commands`, `*_commands`, `output`, `plots` | `hazelhollow bench` |
+| `virtual_time` | the clock and event queue of all simulations |
 """
--- a/hazelhollow/bench/cpu.py
+++ b/hazelhollow/bench/cpu.py
@@ -24,7 +24,7 @@
 from hazelhollow.bench.errors import LimiterStartError
 from hazelhollow.net import resp
 
-# Each asks 20 times a second, well within its quota: both ways of running serve all requests.
+# Each asks 20 times a second, well within its quota.
 CUSTOMERS = 40
 CONNECTIONS = 16  # each makes one request in every interval
 REQUEST_INTERVAL_S = 0.02
--- a/hazelhollow/bench/documents.py
+++ b/hazelhollow/bench/documents.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from hazelhollow.bench.contention import budget_for_role
 from hazelhollow.configuration.distribution import codec
 from hazelhollow.configuration.distribution.exchange import (
     HOLDER_REQUEST_PROBABILITY,
@@ -23,12 +24,10 @@
 from hazelhollow.configuration.distribution.source import DocumentSource
 from hazelhollow.configuration.versions import settings_digest
 from hazelhollow.control_budget.budget import (
-    BucketSettings,
     BudgetSettings,
     ControlBudget,
     RoleBudget,
     TrafficRole,
-    settings_for,
 )
 from hazelhollow.control_budget.send_queue import SendQueue
 
@@ -133,7 +132,8 @@
     Raises:
         ValueError: The budget is too small.
     """
-    settings, draw, now = _budget(bytes_per_s, contended), random.Random(seed), 0.0
+    settings = budget_for_role(bytes_per_s, TrafficRole.CONFIGURATION, contended)
+    draw, now = random.Random(seed), 0.0
     source: Source
     if distribution.pieces:
         source, base = OpaqueDocument(distribution.pieces), None
@@ -161,15 +161,6 @@
     return now
 
 
-def _budget(bytes_per_s: float, contended: bool) -> BudgetSettings:
-    settings = settings_for(bytes_per_s)
-    if not contended:
-        return settings
-    own = settings.roles[TrafficRole.CONFIGURATION]
-    roles = {TrafficRole.CONFIGURATION: BucketSettings(own.rate, own.burst)}
-    return BudgetSettings(own.rate, roles, 0.0)
-
-
 def _send(members: list[Member], draw: random.Random, now: float) -> list[tuple[int, int, str]]:
     """What leaves in this step: sender, receiver and text."""
     holders = [member.number for member in members if not member.fetch]
--- a/hazelhollow/bench/errors.py
+++ b/hazelhollow/bench/errors.py
@@ -1,5 +1,7 @@
 """Errors of the seeded runs."""
 
+from __future__ import annotations
+
 
 class BenchError(Exception):
     """Base class of the errors raised here."""
--- a/hazelhollow/bench/zones.py
+++ b/hazelhollow/bench/zones.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from hazelhollow.bench.contention import budget_for_role
 from hazelhollow.bench.fleet import (
     SimulatedFleet,
     SimulatedMember,
@@ -19,12 +20,9 @@
 )
 from hazelhollow.control_budget.budget import (
     HEADER_BYTES,
-    BucketSettings,
-    BudgetSettings,
     ControlBudget,
     RoleBudget,
     TrafficRole,
-    settings_for,
 )
 from hazelhollow.membership.allowance import Allowance
 from hazelhollow.membership.records import MemberState
@@ -145,12 +143,7 @@
     """
     if not bytes_per_s:
         return no_allowance
-    settings = settings_for(bytes_per_s)
-    if contended:
-        own = settings.roles[TrafficRole.MEMBERSHIP]
-        settings = BudgetSettings(
-            own.rate, {TrafficRole.MEMBERSHIP: BucketSettings(own.rate, own.burst)}, 0.0
-        )
+    settings = budget_for_role(bytes_per_s, TrafficRole.MEMBERSHIP, contended)
     return lambda now: RoleBudget(ControlBudget(settings, now), TrafficRole.MEMBERSHIP)
 
 
--- a/tests/replication/test_bench.py
+++ b/tests/replication/test_bench.py
@@ -53,10 +53,10 @@
     with plant_mistake(name):
         found = explore(bounds, first=first)
     assert found.failure and len(found.steps) <= bounds.depth
-    drill = as_plan(bounds, found.steps, found.failure)
-    plan.check(drill)
-    (tmp_path / "plan.json").write_bytes(plan.write(drill))
-    assert _earlier(tmp_path / "plan.json") == drill
+    fault_plan = as_plan(bounds, found.steps, found.failure)
+    plan.check(fault_plan)
+    (tmp_path / "plan.json").write_bytes(plan.write(fault_plan))
+    assert _earlier(tmp_path / "plan.json") == fault_plan
     with (
         pytest.raises(InvariantError),
         plant_mistake(name),
@@ -67,7 +67,7 @@
 
 
 def test_the_command_says_what_broke_and_how(tmp_path: Path) -> None:
-    words = [
+    arguments = [
         "model",
         "--depth",
         "4",
@@ -76,7 +76,7 @@
         "--plan",
         str(tmp_path / "p.json"),
     ]
-    result = CliRunner().invoke(bench, words)
+    result = CliRunner().invoke(bench, arguments)
     assert (
         result.exit_code == 1
         and "crash" in result.output
--- a/tests/standins/test_redis.py
+++ b/tests/standins/test_redis.py
@@ -43,8 +43,8 @@
         self.up.set()
         while not self.over:
             scheduler.turn(longest=0.005)
-        for one in self.servers:
-            one.close()
+        for stand_in in self.servers:
+            stand_in.close()
 
     def connection(self, **options: Any) -> Any:
         make: Any = redis.Connection
@@ -402,7 +402,7 @@
         for n in range(50):
             cluster.set(f"key{n}", n)
         assert [int(cluster.get(f"key{n}")) for n in range(50)] == list(range(50))
-        assert all(one.node.state.engine.databases[0].entries for one in running.servers)
+        assert all(each.node.state.engine.databases[0].entries for each in running.servers)
         connection = running.connection()
         away = next(
             f"k{n}" for n in range(100) if slots.slot_of(b"k%d" % n) in slots.slot_ranges(3)[2]
@@ -421,8 +421,8 @@
 # Faults
 
 
-def fault(standin: Running, *words: object) -> None:
-    assert standin.client().execute_command("STANDIN", "FAULT", *words)
+def fault(standin: Running, *arguments: object) -> None:
+    assert standin.client().execute_command("STANDIN", "FAULT", *arguments)
 
 
 def test_errors_of_a_store_in_trouble(standin: Running) -> None:
@@ -588,17 +588,19 @@
 
     The sum stays and nothing falls below nothing.
     """
-    chance, node = random.Random(seed), Node(lambda: 0.0)
+    draw, node = random.Random(seed), Node(lambda: 0.0)
     move = (
         "if tonumber(redis.call('GET',KEYS[1]))>0 then redis.call('DECR',KEYS[1]) return "
         "redis.call('INCR',KEYS[2]) end"
     )
     sessions = [s for s in (node.connect(), node.connect()) if s]
 
-    def send(n: int, *words: str) -> bytes:
+    def send(n: int, *arguments: str) -> bytes:
         sessions[n].feed(
-            b"*%d\r\n" % len(words)
-            + b"".join(b"$%d\r\n%b\r\n" % (len(w), w.encode()) for w in words)
+            b"*%d\r\n" % len(arguments)
+            + b"".join(
+                b"$%d\r\n%b\r\n" % (len(argument), argument.encode()) for argument in arguments
+            )
         )
         return b"".join(out.data for out in node.turn())
 
@@ -606,13 +608,13 @@
     send(0, "SET", "{k}b", "5")
     watching = [False, False]
     for _ in range(steps):
-        n, keys = chance.randrange(2), chance.sample(["{k}a", "{k}b"], 2)
+        n, keys = draw.randrange(2), draw.sample(["{k}a", "{k}b"], 2)
         if watching[n]:
             watching[n] = False
-            for words in (["MULTI"], ["DECR", keys[0]], ["INCR", keys[1]]):
-                send(n, *words)
+            for arguments in (["MULTI"], ["DECR", keys[0]], ["INCR", keys[1]]):
+                send(n, *arguments)
             send(n, "EXEC")
-        elif chance.random() < 0.5:
+        elif draw.random() < 0.5:
             send(n, "EVAL", move, "2", *keys)
         else:
             send(n, "WATCH", *keys)
