--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -98,11 +98,9 @@
         self.pool.free_descriptor = self.frontend.free_descriptor
         self.discovery_watch.free_descriptor = self.frontend.free_descriptor
         self.started_at, self._has_first_list = scheduler.clock(), False
+        override_file = OverrideFile(path_for(config.name))
         self.overrides = AdministrativeOverrides(
-            scheduler,
-            OverrideFile(path_for(config.name)),
-            self.engine_driver.notify,
-            self._update_pool,
+            scheduler, override_file, self.engine_driver.notify, self._update_pool
         )
         self.overrides.poll_file()
         self.shutdown = GracefulShutdown(scheduler, self.frontend, self.pool, attachment)
