--- a/hazelhollow/scale/__init__.py
+++ b/hazelhollow/scale/__init__.py
@@ -4,9 +4,11 @@
 | --- | --- |
 | `plan`, `results`, `budgets`, `origin`, `errors` | what is measured, what was, against what |
 | `coordinator`, `messages`, `worker`, `point_assembly` | the processes of a run |
-| `fleet`, `hollow`, `network`, `load`, `settings`, `topology` | hollow limiters and their load |
+| `fleet`, `hollow`, `incarnation_scheduler`, `network` | hollow limiters |
+| `modelled_endpoints`, `load`, `settings`, `topology` | what surrounds hollow limiters |
 | `clock`, `measure`, `agreement`, `truth` | time, meters, and the facts to compare with |
-| `real`, `real_fleet` | the same figures from real processes |
+| `real` | the latency that one real limiter adds |
+| `real_fleet`, `hollow_figures`, `fleet_comparison`, `comparison_plan` | real against hollow |
 | `report` and `report_*`, `plots` | the capacity page |
 | `commands`, `real_commands`, `report_commands` | the commands of `hazelhollow scale` |
 """
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -2,16 +2,13 @@
 
 An `Incarnation` is one run of a limiter: the real decision engine, membership, replication and
 configuration with their drivers, from its start to its end. `scale.fleet` creates, starts and ends
-incarnations. Attempts are answered by modelled servers, and requests come from the modelled load.
-
-The limiters of a process share one scheduler. Each incarnation sees it through an
-`IncarnationScheduler`, which measures every timer's call as the role of its owner and drops all
-calls once the incarnation has ended.
+incarnations. Attempts are answered by modelled servers, and requests come from the modelled load
+(`scale.modelled_endpoints`). The limiters of a process share one scheduler, which each incarnation
+sees through an `IncarnationScheduler`.
 """
 
 from __future__ import annotations
 
-import random
 from collections import Counter
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -32,16 +29,14 @@
 from hazelhollow.membership.membership import Membership
 from hazelhollow.membership.records import Record
 from hazelhollow.membership.settings import MembershipSettings
-from hazelhollow.net.attempts import Attempt, AttemptResult
-from hazelhollow.net.close_reason import CloseReason, attempt_status
-from hazelhollow.net.connection_pool import ConnectionPool
 from hazelhollow.net.engine_driver import EngineDriver
-from hazelhollow.net.scheduler import Scheduler, Timer
+from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.net.stats import Stats
 from hazelhollow.replication.account_adapter import EngineAccounts
 from hazelhollow.replication.driver import EngineLink, Network, ReplicationDriver
-from hazelhollow.scale.load import service_time
+from hazelhollow.scale.incarnation_scheduler import IncarnationScheduler
 from hazelhollow.scale.measure import Meter
+from hazelhollow.scale.modelled_endpoints import HollowRequest, ModelledConnectionPool
 from hazelhollow.scale.network import HollowPeerSocket
 from hazelhollow.scale.plan import FleetTerms
 from hazelhollow.scale.results import Role
@@ -51,125 +46,6 @@
 
 MAX_OPEN_REQUESTS = 20_000  # as in the configuration of a real limiter
 KEY = b"the key of a scale run, which is no secret"
-ROLE_BY_DRIVER: tuple[tuple[type, Role], ...] = (
-    (MembershipDriver, Role.VIEW),
-    (ReplicationDriver, Role.REPLICATION),
-    (ConfigurationDriver, Role.AUDIT),
-    (ConnectionPool, Role.REQUESTS),
-)
-
-
-def timer_role(call: Callable[..., object]) -> Role:
-    """The role that a timer's call is measured as, by the object that set the timer."""
-    owner = getattr(call, "__self__", None)
-    # The engine's one timer is its gossip's; the driver's other timers are those of requests.
-    if isinstance(owner, EngineDriver):
-        return Role.GOSSIP if getattr(call, "__name__", "") == "_timer_fired" else Role.REQUESTS
-    return next((role for kind, role in ROLE_BY_DRIVER if isinstance(owner, kind)), Role.TIMERS)
-
-
-class IncarnationScheduler(Scheduler):
-    """The shared scheduler as one incarnation sees it.
-
-    It measures every call and makes none once `alive` is false.
-
-    Args:
-        shared: The scheduler of the process.
-        meter: The meter of the process.
-    """
-
-    def __init__(self, shared: Scheduler, meter: Meter) -> None:
-        self._shared, self._meter = shared, meter
-        self.clock, self.on_process_pause = shared.clock, None
-        self.alive = True
-
-    def __getattr__(self, name: str) -> Any:
-        """Attributes that are not kept here, such as the time of the last poll, are shared."""
-        return getattr(self._shared, name)
-
-    def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Calls at a time, as `Scheduler.at` does."""
-        return self._shared.at(when, self._call_if_alive, timer_role(call), call, args)
-
-    def time_since_poll(self) -> float:
-        """Seconds since the shared loop polled."""
-        return self._shared.time_since_poll()
-
-    def _call_if_alive(
-        self, role: Role, call: Callable[..., object], args: tuple[Any, ...]
-    ) -> None:
-        if self.alive:
-            self._meter.measure_call(role, call, *args)
-
-    def later(self, call: Callable[[], object]) -> None:
-        """Calls at the end of the present turn of the loop."""
-        self._shared.at_end_of_turn(lambda: self._call_if_alive(Role.REQUESTS, call, ()))
-
-
-class ModelledConnectionPool(ConnectionPool):
-    """A connection pool of modelled servers: each attempt is answered after a random time.
-
-    Args:
-        scheduler: Of the incarnation.
-        seed: Of the service times.
-        service_s: Mean service time in seconds.
-    """
-
-    def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
-        self._scheduler, self._service_s = scheduler, service_s
-        self._rng = random.Random(seed)
-
-    def start(
-        self,
-        name: str,
-        command: bytes,
-        done: Callable[[AttemptResult], None],
-        look: Callable[[], object] = lambda: None,
-    ) -> Attempt:
-        """Starts an attempt, which is sent at once and completely."""
-        now = self._scheduler.clock()
-        attempt = Attempt(name, command, done, look, now)
-        self._scheduler.at(now + service_time(self._rng, self._service_s), self.answer, attempt)
-        return attempt
-
-    def answer(self, attempt: Attempt) -> None:
-        """The server of an attempt has answered."""
-        attempt.finish(AttemptResult("ok"))
-
-    def abort(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Ends an attempt whose request was sent."""
-        attempt.finish(AttemptResult(attempt_status(reason, True)))
-
-    def withdraw(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Does nothing: every attempt has been sent completely at once."""
-
-
-class HollowRequest:
-    """A modelled request together with its client, which records whether it was admitted."""
-
-    __slots__ = ("request", "admitted")
-
-    def __init__(self, request: api.RequestArrived) -> None:
-        self.request, self.admitted = request, False
-
-    def command(self, wait_ms: int) -> bytes:
-        """The bytes to forward; a request that is forwarded has been admitted."""
-        del wait_ms  # modelled servers have no deadline
-        self.admitted = True
-        return b""
-
-    def send_value(self, value: bytes) -> None:
-        """Drops the answer."""
-
-    def send_busy(self, retry_after_ms: int) -> None:
-        """Drops a rejection; modelled clients do not retry."""
-
-    def send_failure(self) -> None:
-        """Drops an error."""
-
-    def has_disconnected(self) -> bool:
-        """False: modelled clients wait for their answer."""
-        return False
 
 
 class InitialSettings:
--- /dev/null
+++ b/hazelhollow/scale/modelled_endpoints.py
@@ -0,0 +1,79 @@
+"""What surrounds a hollow limiter: modelled servers, and requests with their modelled clients."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from hazelhollow.decisions import interface as api
+from hazelhollow.net.attempts import Attempt, AttemptResult
+from hazelhollow.net.close_reason import CloseReason, attempt_status
+from hazelhollow.net.connection_pool import ConnectionPool
+from hazelhollow.net.scheduler import Scheduler
+from hazelhollow.scale.load import service_time
+
+
+class ModelledConnectionPool(ConnectionPool):
+    """A connection pool of modelled servers: each attempt is answered after a random time.
+
+    Args:
+        scheduler: Of the incarnation.
+        seed: Of the service times.
+        service_s: Mean service time in seconds.
+    """
+
+    def __init__(self, scheduler: Scheduler, seed: int, service_s: float) -> None:
+        self._scheduler, self._service_s = scheduler, service_s
+        self._rng = random.Random(seed)
+
+    def start(
+        self,
+        name: str,
+        command: bytes,
+        done: Callable[[AttemptResult], None],
+        look: Callable[[], object] = lambda: None,
+    ) -> Attempt:
+        """Starts an attempt, which is sent at once and completely."""
+        now = self._scheduler.clock()
+        attempt = Attempt(name, command, done, look, now)
+        self._scheduler.at(now + service_time(self._rng, self._service_s), self.answer, attempt)
+        return attempt
+
+    def answer(self, attempt: Attempt) -> None:
+        """The server of an attempt has answered."""
+        attempt.finish(AttemptResult("ok"))
+
+    def abort(self, attempt: Attempt, reason: CloseReason) -> None:
+        """Ends an attempt whose request was sent."""
+        attempt.finish(AttemptResult(attempt_status(reason, True)))
+
+    def withdraw(self, attempt: Attempt, reason: CloseReason) -> None:
+        """Does nothing: every attempt has been sent completely at once."""
+
+
+class HollowRequest:
+    """A modelled request together with its client, which records whether it was admitted."""
+
+    __slots__ = ("request", "admitted")
+
+    def __init__(self, request: api.RequestArrived) -> None:
+        self.request, self.admitted = request, False
+
+    def command(self, wait_ms: int) -> bytes:
+        """The bytes to forward; a request that is forwarded has been admitted."""
+        del wait_ms  # modelled servers have no deadline
+        self.admitted = True
+        return b""
+
+    def send_value(self, value: bytes) -> None:
+        """Drops the answer."""
+
+    def send_busy(self, retry_after_ms: int) -> None:
+        """Drops a rejection; modelled clients do not retry."""
+
+    def send_failure(self) -> None:
+        """Drops an error."""
+
+    def has_disconnected(self) -> bool:
+        """False: modelled clients wait for their answer."""
+        return False
--- a/hazelhollow/scale/plots.py
+++ b/hazelhollow/scale/plots.py
@@ -1,4 +1,4 @@
-"""Slopes as pictures, with matplotlib, which only this module imports."""
+"""Pictures of fitted curves. Only this module imports matplotlib, which is optional."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 matplotlib.use("agg")  # the backend that needs no display
 
 STEPS = 60  # points of a drawn curve
-INCHES = (6.0, 4.0)
+FIGURE_SIZE_INCHES = (6.0, 4.0)  # width and height
 
 
 def slopes(known: Known, folder: Path) -> list[Path]:
-    """A picture for each slope, in that folder, which is made if it is missing. Raises OSError."""
+    """Draws each slope into a folder, which is created if missing; raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     return [_draw(row, slope, known, folder) for row in known.rows for slope in row.slopes]
 
@@ -26,13 +26,13 @@
 def _draw(row: Row, slope: Slope, known: Known, folder: Path) -> Path:
     target = coordinate(known.planned, slope.axis, known.planned)
     measured = [
-        (coordinate(one.size, slope.axis, known.planned), one.value)
-        for one in row.observations
-        if one.axis is slope.axis
+        (coordinate(seen.size, slope.axis, known.planned), seen.value)
+        for seen in row.observations
+        if seen.axis is slope.axis
     ]
     start, end = slope.curve.least, max(target, slope.curve.most)
     sizes = [start + (end - start) * step / STEPS for step in range(STEPS + 1)]
-    figure, axes = pyplot.subplots(figsize=INCHES)
+    figure, axes = pyplot.subplots(figsize=FIGURE_SIZE_INCHES)
     axes.plot(sizes, [slope.curve.at(size) for size in sizes], label=f"fitted, {slope.curve.shape}")
     axes.plot(
         [size for size, _ in measured], [value for _, value in measured], "o", label="measured"
--- a/hazelhollow/scale/report_claims.py
+++ b/hazelhollow/scale/report_claims.py
@@ -1,6 +1,7 @@
-"""Figures from a first look, each held against what the runs measured.
+"""Figures of a first look, each compared with what the runs measured.
 
-Confirmed, refuted or not run.
+A claim is confirmed if the measured figure is within a factor of `NEAR`, refuted if it is not, or
+not run. Each function that returns a `Measure` finds one kind of figure in results.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
     RoleSums,
 )
 
-NEAR = 1.5  # times by which a measured figure may lie above or below the first one and confirm it
-# of runs that are there for these figures alone: their base is not that of the others
-PLAN = "first-look"
-NEXT = 0.25  # part of a size by which a run may lie beside the one that is meant
+NEAR = 1.5  # factor by which a measured figure may differ from a claim and confirm it
+PLAN = "first-look"  # plan of runs for these figures alone, whose base differs from the others'
+SIZE_TOLERANCE = 0.25  # part of a size by which a run may differ from the wanted one
 
 Measure = Callable[[Sequence[Results]], float | None]
+"""Finds a figure in results; None where it was not run."""
 
 
 class Verdict(StrEnum):
-    """What the runs say of a first figure."""
+    """What the runs say of a claim."""
 
     CONFIRMED = "confirmed"
     REFUTED = "refuted"
@@ -38,7 +39,14 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """`first`: the figure of the first look, in `unit`; `measure` finds the same in results."""
+    """A figure of the first look.
+
+    Attributes:
+        text: As the table shows it.
+        unit: Of the figure.
+        first: The figure.
+        measure: Finds the same figure in results.
+    """
 
     text: str
     unit: str
@@ -47,7 +55,7 @@
 
 
 def verdict(first: float, measured: float | None) -> Verdict:
-    """Whether the measured figure is near the first one."""
+    """Whether a measured figure confirms the first one."""
     if measured is None:
         return Verdict.NOT_RUN
     near = first / NEAR <= measured <= first * NEAR
@@ -58,15 +66,15 @@
 
 
 def _points(results: Sequence[Results], **sizes: int) -> Iterator[Point]:
-    """Points whose size has these values, or lies next to them."""
-    for one in results:
-        for point in one.points:
-            if all(_next_to(getattr(point.size, name), value) for name, value in sizes.items()):
+    """Points whose size has about these values."""
+    for of_file in results:
+        for point in of_file.points:
+            if all(_is_about(getattr(point.size, name), value) for name, value in sizes.items()):
                 yield point
 
 
-def _next_to(value: int, wanted: int) -> bool:
-    return abs(value - wanted) <= NEXT * wanted
+def _is_about(value: int, wanted: int) -> bool:
+    return abs(value - wanted) <= SIZE_TOLERANCE * wanted
 
 
 def _role(point: Point, role: Role) -> RoleSums | None:
@@ -87,7 +95,7 @@
 
 
 def mean_turn(role: Role, **sizes: int) -> Measure:
-    """Processor seconds of the mean turn of a role, on the axis of servers."""
+    """Processor seconds of a role's mean call, on the axis of servers."""
 
     def measure(results: Sequence[Results]) -> float | None:
         for point in _points(results, **sizes):
@@ -100,7 +108,7 @@
 
 
 def longest_turn(role: Role, axis: Axis, **sizes: int) -> Measure:
-    """Processor seconds of the longest turn of a role on that axis."""
+    """Processor seconds of a role's longest call, on an axis."""
 
     def measure(results: Sequence[Results]) -> float | None:
         for point in _points(results, **sizes):
@@ -123,7 +131,7 @@
 
 
 def agreement(kind: EventKind, limiters: int) -> Measure:
-    """Seconds until the last member agrees, where all do."""
+    """Seconds until the last member agreed; None if not all did."""
 
     def measure(results: Sequence[Results]) -> float | None:
         found = _event(results, kind, limiters)
@@ -136,7 +144,7 @@
 
 
 def event_bytes(kind: EventKind, limiters: int) -> Measure:
-    """Bytes a second of the mean member in the worst ten seconds."""
+    """Bytes a second in the worst ten seconds, mean over all members."""
 
     def measure(results: Sequence[Results]) -> float | None:
         found = _event(results, kind, limiters)
@@ -146,7 +154,7 @@
 
 
 def bytes_sent(role: Role, **sizes: int) -> Measure:
-    """Bytes a second of a member's datagrams of a role, without headers."""
+    """Bytes a second of a role's datagrams, of one member and without headers."""
 
     def measure(results: Sequence[Results]) -> float | None:
         for point in _points(results, **sizes):
@@ -159,30 +167,30 @@
 
 
 def latency(figure: Callable[[Latency], float], **sizes: int) -> Measure:
-    """A figure of a latency run of that size, the greatest where it was run more than once."""
+    """A figure of latency at exactly that size; the greatest if it was measured more than once."""
 
     def measure(results: Sequence[Results]) -> float | None:
         found = [
-            figure(one)
+            figure(measured)
             for result in results
-            for one in result.latencies
-            if all(getattr(one.size, name) == value for name, value in sizes.items())
+            for measured in result.latencies
+            if all(getattr(measured.size, name) == value for name, value in sizes.items())
         ]
         return max(found, default=None)
 
     return measure
 
 
-def _added_median(one: Latency) -> float:
-    return one.limiter_median_s - one.direct_median_s
+def _added_median(measured: Latency) -> float:
+    return measured.limiter_median_s - measured.direct_median_s
 
 
-def _added_p99(one: Latency) -> float:
-    return one.limiter_p99_s - one.direct_p99_s
+def _added_p99(measured: Latency) -> float:
+    return measured.limiter_p99_s - measured.direct_p99_s
 
 
-def _memory(one: Latency) -> float:
-    return one.limiter_memory_bytes
+def _memory(measured: Latency) -> float:
+    return measured.limiter_memory_bytes
 
 
 CLAIMS = (
--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -1,10 +1,8 @@
-"""The settings document by its number of routes.
+"""Sizes of the settings document by its number of routes, and of the list of servers.
 
-As the audit would hand it on, and the list of servers: worked out, not run.
-
-Documents of routes that differ only in a running number compress far better than those of a real
-site. So both are worked out: alike ones, as the scale runs use them, and ones whose names and times
-have nothing in common.
+They are computed by the code that distributes them, without a run. Documents whose routes differ
+only in a number compress far better than those of a real site. Both are therefore computed: alike
+ones, as scale runs use them, and ones whose names and times have nothing in common.
 """
 
 from __future__ import annotations
@@ -31,12 +29,12 @@
 from hazelhollow.standins.discovery import Discovery, Host
 
 COUNTS = (100, 1_000, 5_500, PLANNED.routes)
-STEP = 50  # routes to which the most that travel are found
-SEARCHED = 6  # times the planned routes, up to which is looked for the most that travel
-NAME_DIGITS = 16
+STEP = 50  # routes; the precision of `most`
+SEARCH_MULTIPLE = 6  # of the planned routes, up to which `most` searches
+NAME_DIGITS = 16  # of routes that have nothing in common
 SERVERS = (200, 2_000, PLANNED.servers)
 LIMITER = "limiter"
-TENANTS = 4  # the plans do not follow the tenants
+TENANTS = 4  # any number will do: the plans in the settings do not depend on the tenants
 
 
 class Routes(StrEnum):
@@ -47,9 +45,14 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """`size`.
-
-    Bytes of its JSON; `characters`: of its compressed text; `pieces`: datagrams of one transfer.
+    """A settings document as it is distributed.
+
+    Attributes:
+        routes: Number of routes.
+        kind: How much the routes have in common.
+        size: Bytes of its JSON.
+        characters: Length of its compressed text.
+        pieces: Datagrams of one transfer.
     """
 
     routes: int
@@ -60,34 +63,34 @@
 
     @property
     def travels(self) -> bool:
-        """Whether members can hand it on to each other."""
+        """Whether members can distribute it to each other."""
         return self.pieces <= MAX_PIECES and self.size <= MAX_DOCUMENT_BYTES
 
 
 def documents() -> Iterator[Document]:
-    """One for each count and kind."""
+    """The document of each kind and number of routes."""
     for kind in Routes:
         for routes in COUNTS:
-            yield measured(routes, kind)
+            yield make_document(routes, kind)
 
 
 @cache
-def measured(routes: int, kind: Routes) -> Document:
-    """The document of so many routes, cut up as the audit cuts it."""
-    told = _document(routes, kind)
-    source = DocumentSource(1, told)
-    size = len(orjson.dumps(shared_settings(told), option=orjson.OPT_SORT_KEYS))
+def make_document(routes: int, kind: Routes) -> Document:
+    """The document of that many routes, cut into pieces as configuration does it."""
+    document = _document(routes, kind)
+    source = DocumentSource(1, document)
+    size = len(orjson.dumps(shared_settings(document), option=orjson.OPT_SORT_KEYS))
     pieces = source.all_pieces()
     return Document(routes, kind, size, sum(map(len, pieces)), len(pieces))
 
 
 @cache
 def most(kind: Routes) -> int:
-    """The most routes, in steps of STEP, whose document travels."""
-    low, high = 0, SEARCHED * PLANNED.routes // STEP
+    """The most routes, in steps of `STEP`, whose document can be distributed."""
+    low, high = 0, SEARCH_MULTIPLE * PLANNED.routes // STEP
     while low < high:
         middle = (low + high + 1) // 2
-        if measured(middle * STEP, kind).travels:
+        if make_document(middle * STEP, kind).travels:
             low = middle
         else:
             high = middle - 1
@@ -97,10 +100,12 @@
 def _document(routes: int, kind: Routes) -> dict[str, Any]:
     size = msgspec.structs.replace(PLANNED, routes=routes, tenants=TENANTS)
     terms = FleetTerms()
-    told = settings.document(size, populate(size, terms, seed=1).quotas, terms)
+    document = settings.document(size, populate(size, terms, seed=1).quotas, terms)
     if kind is Routes.UNLIKE:
-        told["grades"] = [_unlike(number, grade) for number, grade in enumerate(told["grades"])]
-    return told
+        document["grades"] = [
+            _unlike(number, grade) for number, grade in enumerate(document["grades"])
+        ]
+    return document
 
 
 def _unlike(number: int, grade: dict[str, Any]) -> dict[str, Any]:
@@ -115,20 +120,20 @@
 
 
 class ServerList(msgspec.Struct, frozen=True):
-    """A whole list of servers as discovery answers it; `size` in bytes."""
+    """A complete list of servers as discovery sends it; `size` in bytes."""
 
     servers: int
     size: int
 
     @property
     def taken(self) -> bool:
-        """Whether a limiter takes an answer of that size."""
+        """Whether a limiter accepts an answer of that size."""
         return self.size <= http1.MAX_BODY_BYTES
 
 
 @cache
 def server_lists() -> tuple[ServerList, ...]:
-    """One for each count."""
+    """The list for each number of servers."""
     return tuple(ServerList(count, _list_size(count)) for count in SERVERS)
 
 
--- a/hazelhollow/scale/report_fit.py
+++ b/hazelhollow/scale/report_fit.py
@@ -1,7 +1,4 @@
-"""A figure as a function of one size.
-
-Least squares through measured points, linear or logarithmic, whichever fits better.
-"""
+"""A figure as a function of one size: least squares, linear or logarithmic by the better fit."""
 
 from __future__ import annotations
 
@@ -11,11 +8,8 @@
 
 import msgspec
 
-SAME_FIT = (
-    # difference of two sums of squares, as a part of the values', below which the linear shape is
-    # taken
-    1e-9
-)
+# Difference of two sums of squares, as a part of the squared values, below which linear is chosen.
+SAME_FIT = 1e-9
 
 
 class Shape(StrEnum):
@@ -26,17 +20,23 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """A figure `value` measured at the size `size`."""
+    """A figure that was measured at a size."""
 
     size: float
     value: float
 
 
 class Fit(msgspec.Struct, frozen=True, kw_only=True):
-    """`value = intercept + slope * size`, or with the natural logarithm of the size.
-
-    `least` and `most`: the range of sizes measured. `error`: the greatest distance of a point from
-    the curve, as a part of the greatest value measured.
+    """The curve `intercept + slope * size`, or with the natural logarithm of the size.
+
+    Attributes:
+        shape: Whether the size or its logarithm counts.
+        intercept: In the figure's unit.
+        slope: In the figure's unit.
+        least: Least size measured.
+        most: Greatest size measured.
+        samples: Number of samples.
+        error: Greatest distance of a sample from the curve, as a part of the greatest value.
     """
 
     shape: Shape
@@ -48,26 +48,20 @@
     error: float
 
     def at(self, size: float) -> float:
-        """The figure at that size, never below nothing.
-
-        One that falls with the size is not taken to fall beyond the range.
-        """
+        """The figure at a size, at least 0; a falling curve stays constant beyond the range."""
         if self.slope < 0.0:
             size = min(size, self.most)
         return max(0.0, self.intercept + self.slope * _scaled(self.shape, size))
 
     def growth(self, size: float, start: float) -> float:
-        """By how much the figure at `size` exceeds the one at `start`.
-
-        Below nothing where `size` is the smaller.
-        """
+        """By how much the figure at `size` exceeds the one at `start`; may be negative."""
         return self.at(size) - self.at(start)
 
 
 def fit(samples: Sequence[Sample]) -> Fit | None:
-    """None where the samples have fewer than two sizes.
+    """The curve that fits better, or None for fewer than two sizes.
 
-    A size that is not above nothing has no logarithm: then linear.
+    With two sizes, or one that has no logarithm, the curve is linear.
     """
     sizes = {sample.size for sample in samples}
     if len(sizes) < 2:
--- a/hazelhollow/scale/report_order.py
+++ b/hazelhollow/scale/report_order.py
@@ -1,6 +1,7 @@
-"""Sums by budget, what is left of each.
+"""Totals by budget, what is left of each, and the order in which budgets are passed.
 
-And the order in which the budgets are passed as the fleet grows.
+`report_tables` shows both. A budget is passed at the least fraction of the planned size at which a
+row or a total exceeds it, all axes growing alike.
 """
 
 from __future__ import annotations
@@ -17,17 +18,22 @@
 from hazelhollow.scale.report_rows import Known, Mark, Row
 from hazelhollow.scale.results import Axis, Size
 
-# of the other budgets the dearest row counts
+# Budgets whose rows are added up; of all others the greatest row counts.
 ADDED_UP = (budgets.CONTROL_CPU, budgets.CONTROL_BYTES)
-LEAST, MOST = 0.001, 10.0  # fractions of the plan between which a passing is looked for
-STEPS = 400  # from the least to the most, evenly on a logarithmic scale
-HALVINGS = 40
+LEAST = 0.001  # fraction of the plan from which the search goes on
+MOST = 10.0  # fraction of the plan at which the search ends
+STEPS = 400  # of the search, evenly spaced on a logarithmic scale
+HALVINGS = 40  # of the step in which a budget is passed
 
 
 class BudgetSum(msgspec.Struct, frozen=True, kw_only=True):
-    """What the rows of one budget take of it at the planned size.
+    """What the rows of one budget use of it at the planned size.
 
-    `value`: None where no row is known.
+    Attributes:
+        budget: The budget.
+        known: Rows whose figure is known.
+        unknown: All other rows.
+        value: Their sum, or the greatest; None where no row is known.
     """
 
     budget: Budget
@@ -37,16 +43,22 @@
 
     @property
     def left(self) -> float | None:
-        """Below nothing where the budget is passed."""
+        """What is left of the budget; negative where it is passed."""
         return None if self.value is None else self.budget.limit - self.value
 
 
 class Passing(msgspec.Struct, frozen=True, kw_only=True):
-    """`fraction`.
-
-    Of the plan at which a row or a sum passes its budget; 0: at any size; None: not up to MOST, or
-    not known. `share`: of its budget at the planned size. `fitted`: a slope says so, and not runs
-    at one size, which passed it there or before.
+    """When a row or a total passes its budget.
+
+    Attributes:
+        name: Of the row or total.
+        budget: The budget.
+        fraction: Of the plan; 0: at any size; None: not up to `MOST`, or not known.
+        share: Of its budget at the planned size; None: not known.
+        mark: How it is known.
+        fitted: Whether it follows from a slope; else from runs at single sizes, so that it may be
+            passed earlier.
+        without: Axes along which nothing was measured.
     """
 
     name: str
@@ -55,26 +67,30 @@
     share: float | None
     mark: Mark
     fitted: bool
-    without: tuple[Axis, ...] = ()  # axes along which nothing was measured
+    without: tuple[Axis, ...] = ()
 
 
 def sums(known: Known) -> tuple[BudgetSum, ...]:
-    """One for each budget, in the order in which the budgets stand."""
+    """The total of each budget, in the order of `BUDGETS`."""
     return tuple(_sum(budget, known) for budget in budgets.BUDGETS)
 
 
 def order(known: Known, more: Sequence[Passing] = ()) -> tuple[Passing, ...]:
-    """Rows and sums with a budget, and `more` that is known without runs.
+    """When each row and total with a budget passes it, the first to pass first.
+
+    Those that do not pass follow, and those that are not known come last.
 
-    The first to pass first; those that do not pass next, what is not known last.
+    Args:
+        known: The rows.
+        more: What is known without runs.
     """
     passings = [_row_passing(row, known) for row in known.rows if row.quantity.budget]
-    passings += [_sum_passing(one, known) for one in sums(known) if one.budget in ADDED_UP]
+    passings += [_sum_passing(total, known) for total in sums(known) if total.budget in ADDED_UP]
     return tuple(sorted([*passings, *more], key=_rank))
 
 
 def document_passings(planned: Size) -> tuple[Passing, ...]:
-    """A settings document that members cannot hand on is never in force everywhere."""
+    """When a settings document grows too large to be distributed, and so never takes effect."""
     return tuple(
         Passing(
             name=f"settings document of {kind} routes: handed on at all",
@@ -89,9 +105,14 @@
 
 
 def passes_at(value: Callable[[float], float | None], limit: float) -> float | None:
-    """The least fraction of the plan at which the value is above the limit.
+    """The least fraction of the plan at which a value is above a limit.
+
+    Args:
+        value: The value by fraction of the plan; None: not known.
+        limit: The limit.
 
-    0 if it is so from the least on, None if it is not up to the greatest that is looked at.
+    Returns:
+        0 if it is above already at `LEAST`, None if it is not above up to `MOST`.
     """
     before = LEAST
     if _above(value(LEAST), limit):
@@ -149,27 +170,24 @@
     )
 
 
-def _sum_passing(one: BudgetSum, known: Known) -> Passing:
-    """By the slopes.
-
-    Or by the least size at which the rows of one run came to more, whichever is passed first.
-    """
-    limit = one.budget.limit
-    by_slopes = passes_at(lambda fraction: _sum_at(one.known, fraction, known), limit)
-    seen = _seen_above((*one.known, *one.unknown), limit, known.planned)
+def _sum_passing(total: BudgetSum, known: Known) -> Passing:
+    """By the slopes, or by the least run whose rows together exceed the budget, if that is less."""
+    limit = total.budget.limit
+    by_slopes = passes_at(lambda fraction: _sum_at(total.known, fraction, known), limit)
+    seen = _seen_above((*total.known, *total.unknown), limit, known.planned)
     by_run = seen is not None and (by_slopes is None or seen < by_slopes)
     return Passing(
-        name=f"sum: {one.budget.name}",
-        budget=one.budget,
+        name=f"sum: {total.budget.name}",
+        budget=total.budget,
         fraction=seen if by_run else by_slopes,
-        share=None if by_run or one.value is None else one.value / limit,
-        mark=Mark.MEASURED if by_run else Mark.UNKNOWN if one.value is None else Mark.MODELLED,
-        fitted=not by_run and any(row.slopes for row in one.known),
+        share=None if by_run or total.value is None else total.value / limit,
+        mark=Mark.MEASURED if by_run else Mark.UNKNOWN if total.value is None else Mark.MODELLED,
+        fitted=not by_run and any(row.slopes for row in total.known),
     )
 
 
 def _seen_above(rows: Sequence[Row], limit: float, planned: Size) -> float | None:
-    """The least fraction of the plan at which the rows came to more than the limit in one run."""
+    """The least fraction of the plan at which the rows of one run exceeded the limit together."""
     totals: dict[tuple[Axis, Size], dict[str, float]] = {}
     for row in rows:
         for seen in row.observations:
@@ -189,6 +207,7 @@
 
 
 def _rank(passing: Passing) -> tuple[int, float, float]:
+    """Key of the order: passed, not passed, not known; then the fraction, then the share."""
     share = -(passing.share or 0.0)
     if passing.mark is Mark.UNKNOWN:
         return 2, 0.0, share
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -24,7 +24,6 @@
 from hazelhollow.scale import (
     budgets,
     fleet_comparison,
-    hollow,
     hollow_figures,
     real,
     real_commands,
@@ -33,6 +32,7 @@
 )
 from hazelhollow.scale.comparison_plan import FleetPlan
 from hazelhollow.scale.errors import BusyMachineError, LateClientError, MeasurementError
+from hazelhollow.scale.incarnation_scheduler import IncarnationScheduler
 from hazelhollow.scale.measure import Meter
 from hazelhollow.scale.real import LIMITER, SERVER, LatencyPlan, RequestRow
 from hazelhollow.scale.results import Latency, Size
@@ -383,6 +383,6 @@
 def test_a_hollow_limiter_asks_the_shared_loop_how_old_its_knowledge_is() -> None:
     now = [100.0]
     shared = scheduler.Scheduler(lambda: now[0])
-    own = hollow.IncarnationScheduler(shared, Meter())
+    own = IncarnationScheduler(shared, Meter())
     now[0] = 100.4
     assert own.time_since_poll() == shared.time_since_poll() == pytest.approx(0.4)
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -681,10 +681,10 @@
 
 @pytest.mark.parametrize("kind", report_documents.Routes)
 def test_a_document_has_its_routes_and_unlike_ones_take_more(kind: report_documents.Routes) -> None:
-    one, ten = (report_documents.measured(routes, kind) for routes in (100, 1_000))
+    one, ten = (report_documents.make_document(routes, kind) for routes in (100, 1_000))
     assert 9 < ten.size / one.size < 11 and one.travels
     assert one.pieces == -(-one.characters // codec.PIECE_CHARACTERS)
-    alike = report_documents.measured(1_000, report_documents.Routes.ALIKE)
+    alike = report_documents.make_document(1_000, report_documents.Routes.ALIKE)
     assert ten.characters >= alike.characters
 
 
@@ -693,8 +693,8 @@
     kind: report_documents.Routes,
 ) -> None:
     routes = report_documents.most(kind)
-    assert report_documents.measured(routes, kind).travels
-    assert not report_documents.measured(routes + report_documents.STEP, kind).travels
+    assert report_documents.make_document(routes, kind).travels
+    assert not report_documents.make_document(routes + report_documents.STEP, kind).travels
 
 
 def test_a_list_of_servers_grows_with_its_entries_and_is_taken_up_to_the_bound() -> None:
