--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -170,9 +170,9 @@
 def spend_in_vast(
     limiters: list[DecisionEngine], turns: int, dead: int = -1, **changes: Any
 ) -> int:
-    """A customer asks so often, each time at the next of 40 members.
+    """How many requests go out where a customer asks each time at the next of 40 members.
 
-    Everything is delivered at once. How much goes out.
+    Every datagram is delivered at once.
     """
     sent = 0
     for turn in range(turns):
@@ -299,7 +299,7 @@
     assert account.quota.level == pytest.approx(0.0)
 
 
-def test_gossip_stays_within_what_a_gateway_may_take_in() -> None:
+def test_gossip_stays_within_what_a_limiter_may_take_in() -> None:
     engine, told = make(0, limiter_count=FLEET), 0
     for i in range(4000):
         told += len(
