--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -47,7 +47,7 @@
     through: float = 0.002,
     outcome: str = "served",
 ) -> list[RequestRow]:
-    """Rows of both ways in turn, due each hundredth of a second from 0 on."""
+    """Requests of both ways in turn, due every hundredth of a second from 0 on."""
     found = []
     for number in range(count):
         due = number / 100
@@ -57,6 +57,7 @@
 
 
 def test_latency_counts_from_the_time_at_which_a_request_was_due() -> None:
+    """The client sends late. Counted from the sending, a slow limiter would look fast."""
     late = real.MAX_CLIENT_DELAY_P99_S / 2
     found = real.summarize(SIZE, client_rows(late=late), 0.0)
     assert found.limiter_median_s == pytest.approx(0.002) and found.limiter_p99_s == pytest.approx(
@@ -66,6 +67,7 @@
 
 
 def test_stretches_in_which_the_client_was_late_are_left_out() -> None:
+    """The client was late for two seconds. Its delay would be counted as the limiter's."""
     slow = [
         RequestRow(row.to, row.due, row.began + 0.02, row.end + 0.02, row.outcome)
         if row.due < 2.0
@@ -117,6 +119,7 @@
 def test_there_is_no_figure_where_it_would_mislead(
     rows: list[RequestRow], error: type[Exception], why: str
 ) -> None:
+    """The client or the machine was slow, or requests failed. There is an error, not a figure."""
     with pytest.raises(error, match=why):
         real.summarize(SIZE, rows, 0.0)
 
@@ -132,6 +135,7 @@
 
 
 def test_a_late_client_is_tried_again_and_at_the_end_there_is_no_figure() -> None:
+    """The client is late in some attempts. Another one follows, as often as allowed."""
     said: list[str] = []
     played: list[LatencyPlan] = []
     figure = real.summarize(SIZE, client_rows(), 0.0)
@@ -155,27 +159,28 @@
 
 
 def test_the_poller_never_wakes_before_its_time_and_tells_what_is_ready() -> None:
-    poller, (one, other) = real.MicrosecondPoller(), socket.socketpair()
-    with one, other:
-        poller.register(one.fileno(), select.POLLIN)
+    poller, (ours, other) = real.MicrosecondPoller(), socket.socketpair()
+    with ours, other:
+        poller.register(ours.fileno(), select.POLLIN)
         for wait_ms in (0.0, 0.3, 1.4, 5.2):
             began = time.monotonic()
             assert poller.poll(wait_ms) == []
             assert time.monotonic() - began >= wait_ms / 1000
         other.send(b"x")
-        assert poller.poll(1000.0) == [(one.fileno(), select.POLLIN)]
-        number = one.fileno()
-        one.close()
-        assert poller.poll(1000.0) == [(number, select.POLLNVAL)]  # closed and not forgotten
+        assert poller.poll(1000.0) == [(ours.fileno(), select.POLLIN)]
+        number = ours.fileno()
+        ours.close()
+        assert poller.poll(1000.0) == [(number, select.POLLNVAL)]  # closed and still registered
         poller.unregister(number)
         assert poller.poll(0.0) == []
 
 
 def test_the_poller_takes_descriptors_beyond_what_select_does() -> None:
+    """A descriptor above 1,023 makes select raise. The poller must fall back to poll."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(2048, hard)), hard))
-    poller, (one, other) = real.MicrosecondPoller(), socket.socketpair()
-    far = fcntl.fcntl(one.fileno(), fcntl.F_DUPFD, 1024)
+    poller, (ours, other) = real.MicrosecondPoller(), socket.socketpair()
+    far = fcntl.fcntl(ours.fileno(), fcntl.F_DUPFD, 1024)
     try:
         poller.register(far, select.POLLIN)
         assert poller.poll(0.0) == []
@@ -183,7 +188,7 @@
         assert poller.poll(1000.0) == [(far, select.POLLIN)]
     finally:
         os.close(far)
-        one.close()
+        ours.close()
         other.close()
 
 
@@ -213,7 +218,7 @@
         gaps = [b - a for a, b in zip(ways[LIMITER], ways[LIMITER][1:], strict=False)]
         assert gaps == pytest.approx(
             [1 / 50] * len(gaps)
-        )  # laid down ahead, whatever became of the ones before
+        )  # scheduled, whatever became of the earlier ones
         assert abs(ways[SERVER][0] - ways[LIMITER][0]) == pytest.approx(1 / 100)
     finally:
         run.close()
@@ -233,7 +238,7 @@
     assert max(grown) == 1
 
 
-def test_figures_are_added_to_those_that_the_file_has_and_a_size_without_one_is_told(
+def test_figures_are_added_to_those_in_the_file_and_a_size_without_one_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     figure = real.summarize(SIZE, client_rows(), 0.0)
@@ -245,15 +250,15 @@
 
     monkeypatch.setattr(real, "measure_again", play)
     file = tmp_path / "latency.json"
-    words = ["--json", str(file), "--size", "200", "1", "50"]
+    arguments = ["--json", str(file), "--size", "200", "1", "50"]
     for count in (1, 2):
-        assert CliRunner().invoke(real_commands.latency, words).exit_code == 0
+        assert CliRunner().invoke(real_commands.latency, arguments).exit_code == 0
         assert len(results.load(file).latencies) == count
-    result = CliRunner().invoke(real_commands.latency, [*words, "--size", "2000", "1", "50"])
+    result = CliRunner().invoke(real_commands.latency, [*arguments, "--size", "2000", "1", "50"])
     assert result.exit_code == 1 and "no figure: the client was late" in result.output
     assert len(results.load(file).latencies) == 3
     file.write_text("{}")
-    result = CliRunner().invoke(real_commands.latency, words)
+    result = CliRunner().invoke(real_commands.latency, arguments)
     assert result.exit_code == 2 and "Traceback" not in result.output
 
 
@@ -261,7 +266,7 @@
 
 
 def line(at: float, *states: str) -> dict[str, Any]:
-    """A line of a view: the states of members 0, 1, ..."""
+    """A line of a membership file: the states of members 0, 1, ..."""
     return {"t": at, "members": {str(number): [state, 1] for number, state in enumerate(states)}}
 
 
@@ -274,14 +279,17 @@
         ([line(1, "alive", "dead"), line(2, "alive", "alive"), line(3, "alive", "dead")], 3.0),
     ],
 )
-def test_a_view_is_settled_from_when_it_is_right_for_good(
+def test_a_membership_is_settled_from_when_it_is_right_for_good(
     lines: list[dict[str, Any]], since: float
 ) -> None:
     assert real_fleet.settled(lines, {"0": "alive", "1": "dead"}) == since
 
 
 @pytest.mark.parametrize("lines", [[], [line(1, "alive", "dead"), line(2, "alive", "suspect")]])
-def test_a_view_that_is_not_right_at_the_end_has_no_figure(lines: list[dict[str, Any]]) -> None:
+def test_a_membership_that_is_not_right_at_the_end_has_no_figure(
+    lines: list[dict[str, Any]],
+) -> None:
+    """A member still suspects another at the end. It has no time of agreement."""
     with pytest.raises(MeasurementError):
         real_fleet.settled(lines, {"0": "alive", "1": "dead"})
 
@@ -335,6 +343,7 @@
 
 
 def test_hollow_limiters_that_did_not_agree_give_no_figure() -> None:
+    """One of four members never agreed. Its seconds must not pass for a figure."""
     assert (
         hollow_figures.agreed(hollow_point(1.0), results.EventKind.START).until_agreed.worst == 3.0
     )
@@ -348,7 +357,7 @@
         {"bytes at rest, view": 100.0, "agreed after x": 1.0},
         {"bytes at rest, view": 90.0, "datagrams": 3.0},
     )
-    assert [(one.figure, one.unit, one.real, one.hollow, one.margin) for one in found] == [
+    assert [(each.figure, each.unit, each.real, each.hollow, each.margin) for each in found] == [
         ("bytes at rest, view", "B/s", 100.0, 90.0, fleet_comparison.MARGIN)
     ]
 
@@ -381,6 +390,7 @@
 
 
 def test_a_hollow_limiter_asks_the_shared_loop_how_old_its_knowledge_is() -> None:
+    """The scheduler of an incarnation has no loop of its own, so it asks the shared one."""
     now = [100.0]
     shared = scheduler.Scheduler(lambda: now[0])
     own = IncarnationScheduler(shared, Meter())
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -187,8 +187,8 @@
 
 
 def test_shares_and_bytes_are_of_one_limiter_and_count_headers() -> None:
-    one = point(Axis.ALL, budgets.PLANNED, role(cpu_s=2.0, bytes_out=2000, datagrams_out=100))
-    known = analyse([gathered(one)])
+    at_plan = point(Axis.ALL, budgets.PLANNED, role(cpu_s=2.0, bytes_out=2000, datagrams_out=100))
+    known = analyse([gathered(at_plan)])
     processor = known.row(role_quantity(Role.VIEW, Resource.PROCESSOR))
     sent = known.row(role_quantity(Role.VIEW, Resource.BYTES_SENT))
     assert processor and processor.figure.value == pytest.approx(2.0 / LIMITER_SECONDS)
@@ -282,8 +282,8 @@
     for row in known.rows:
         assert row.figure.value is None and row.figure.mark is Mark.UNKNOWN
     assert "0" not in shown(None, "s")
-    for one in order(known):
-        assert one.fraction is None and one.share is None and one.mark is Mark.UNKNOWN
+    for passing in order(known):
+        assert passing.fraction is None and passing.share is None and passing.mark is Mark.UNKNOWN
     for total in sums(known):
         assert total.value is None and total.left is None
 
@@ -297,9 +297,9 @@
     known = analyse([gathered(*points)])
     row = known.row(event_quantity(kind, field))
     assert row and row.figure.value == math.inf and row.never_from == pytest.approx(0.5)
-    passing = next(one for one in order(known) if one.name == row.quantity.name)
+    passing = next(each for each in order(known) if each.name == row.quantity.name)
     assert passing.fraction == pytest.approx(0.5, rel=1e-6)
-    change = next(one for one in sums(known) if one.budget is budgets.CHANGE_P99)
+    change = next(each for each in sums(known) if each.budget is budgets.CHANGE_P99)
     assert change.value == math.inf
     assert (
         shown(change.value, "s") == "not within the run"
@@ -327,7 +327,7 @@
     found = [latency(200, 1, 0.001), latency(14_000, 1, 0.003), latency(200, 1, 9.0, rate=50.0)]
     row = analyse([gathered(latencies=found)]).row(ADDED_P99)
     assert row and [slope.axis for slope in row.slopes] == [Axis.SERVERS]
-    assert max(one.value for one in row.observations) < 1.0 and row.slopes[0].curve.at(
+    assert max(each.value for each in row.observations) < 1.0 and row.slopes[0].curve.at(
         200
     ) == pytest.approx(0.001)
     assert row.figure.value == pytest.approx(0.003) and row.figure.without == (
@@ -370,10 +370,10 @@
     assert observed == {"requests", "list", "gossip", "timers", "process"}
     rates = {row.quantity for row in analyse([gathered(*few)]).rows if row.observations}
     assert (
-        not {role_quantity(Role.GOSSIP, one) for one in (Resource.PROCESSOR, Resource.BYTES_SENT)}
+        not {role_quantity(Role.GOSSIP, each) for each in (Resource.PROCESSOR, Resource.BYTES_SENT)}
         & rates
     )
-    whole = [msgspec.structs.replace(one, hollow=930) for one in few]
+    whole = [msgspec.structs.replace(each, hollow=930) for each in few]
     observed = {row.quantity.part for row in analyse([gathered(*whole)]).rows if row.observations}
     assert observed == {*Role, "process", EventKind.ZONE_LOST}
 
@@ -415,23 +415,23 @@
 def test_an_event_for_which_the_machine_was_too_slow_has_no_seconds() -> None:
     slow = (f"zone_lost: workers fell behind the clock: {results.NO_TIMES}",)
     events = (event(EventKind.ZONE_LOST, 2.0), event(EventKind.ZONE_BACK, 2.5))
-    one = gathered(point(Axis.LIMITERS, BASE, events=events, notes=slow))
-    known = analyse([one])
+    slow_run = gathered(point(Axis.LIMITERS, BASE, events=events, notes=slow))
+    known = analyse([slow_run])
     for kind, seconds in ((EventKind.ZONE_LOST, 0), (EventKind.ZONE_BACK, 1)):
         rows = [
             known.row(event_quantity(kind, resource))
             for resource in (Resource.SETTLED_P99, Resource.WORST_SECOND)
         ]
         assert [len(row.observations) for row in rows if row] == [seconds, 1]
-    shown_events = tables(Runs((Run("a", one),)))["events"]
+    shown_events = tables(Runs((Run("a", slow_run),)))["events"]
     assert shown_events.count("the machine was too slow") == 3
 
 
 def test_a_run_that_was_broken_off_has_turns_and_no_rates() -> None:
-    one = msgspec.structs.replace(
+    partial = msgspec.structs.replace(
         point(Axis.ALL, budgets.PLANNED, role(turn=0.3), role(Role.REQUESTS)), seconds=0.01
     )
-    known = analyse([gathered(one)])
+    known = analyse([gathered(partial)])
     for name in (Role.VIEW, Role.REQUESTS):
         processor = known.row(role_quantity(name, Resource.PROCESSOR))
         turn = known.row(role_quantity(name, Resource.LONGEST_TURN))
@@ -472,7 +472,7 @@
 # Sums and the order
 
 
-def test_roles_of_one_budget_are_added_and_what_is_left_is_told() -> None:
+def test_roles_of_one_budget_are_added_and_what_is_left_is_shown() -> None:
     whole = point(
         Axis.ALL,
         budgets.PLANNED,
@@ -480,7 +480,7 @@
         role(Role.GOSSIP, cpu_s=LIMITER_SECONDS * 0.02, bytes_out=LIMITER_SECONDS * 5000),
         role(Role.REQUESTS, cpu_s=LIMITER_SECONDS * 0.5),
     )
-    found = {one.budget.name: one for one in sums(analyse([gathered(whole)]))}
+    found = {each.budget.name: each for each in sums(analyse([gathered(whole)]))}
     processor, sent = found[budgets.CONTROL_CPU.name], found[budgets.CONTROL_BYTES.name]
     assert processor.value == pytest.approx(0.03) and processor.left == pytest.approx(-0.005)
     assert sent.value == pytest.approx(6000) and sent.left == pytest.approx(-2000)
@@ -513,7 +513,7 @@
         for limiters in (50, 100, 200)
     ]
     known = analyse([gathered(*points)])
-    found = {one.name: one for one in order(known)}
+    found = {each.name: each for each in order(known)}
     assert found["audit: processor"].fraction == 0.0
     assert found["gossip: bytes sent"].fraction == pytest.approx(100 / 930, rel=0.01)
     assert found["view: processor"].fraction == pytest.approx(250 / 930, rel=0.01)
@@ -534,17 +534,19 @@
     loud = msgspec.structs.replace(
         event(EventKind.ZONE_LOST, 2.0), worst_ten_seconds_bytes_mean=4_100.0
     )
-    one = gathered(
+    gathered_run = gathered(
         point(Axis.LIMITERS, size(limiters=93), events=(loud, event(EventKind.ZONE_BACK, 2.0)))
     )
-    found = {passing.name: passing for passing in order(analyse([one]))}
+    found = {passing.name: passing for passing in order(analyse([gathered_run]))}
     lost, back = (
         found[f"{kind}: {Resource.WORST_TEN_SECONDS}"]
         for kind in (EventKind.ZONE_LOST, EventKind.ZONE_BACK)
     )
     assert lost.fraction == pytest.approx(0.1) and lost.mark is Mark.MEASURED and lost.share is None
     assert back.fraction is None and back.mark is Mark.UNKNOWN
-    assert "10.0% of the plan or before; no slope" in tables(Runs((Run("a", one),)))["order"]
+    assert (
+        "10.0% of the plan or before; no slope" in tables(Runs((Run("a", gathered_run),)))["order"]
+    )
 
 
 def test_roles_that_together_pass_a_budget_in_one_run_say_where_at_the_latest() -> None:
@@ -557,7 +559,7 @@
         ),
         point(Axis.TENANTS, size(limiters=50, tenants=730), role(Role.GOSSIP, cpu_s=third)),
     ]
-    found = {one.name: one for one in order(analyse([gathered(*runs)]))}
+    found = {each.name: each for each in order(analyse([gathered(*runs)]))}
     total = found[f"sum: {budgets.CONTROL_CPU.name}"]
     assert total.fraction == pytest.approx(0.1) and total.mark is Mark.MEASURED and not total.fitted
     assert found["gossip: processor"].fraction is None
@@ -579,8 +581,10 @@
 def test_figures_of_real_and_hollow_are_apart_by_a_part_of_the_real(
     real: float, hollow: float, apart: float
 ) -> None:
-    one = results.Comparison(figure="bytes", unit="B/s", real=real, hollow=hollow, margin=0.25)
-    assert distance(one) == pytest.approx(apart)
+    comparison = results.Comparison(
+        figure="bytes", unit="B/s", real=real, hollow=hollow, margin=0.25
+    )
+    assert distance(comparison) == pytest.approx(apart)
 
 
 @pytest.mark.parametrize(
@@ -681,11 +685,11 @@
 
 @pytest.mark.parametrize("kind", report_documents.Routes)
 def test_a_document_has_its_routes_and_unlike_ones_take_more(kind: report_documents.Routes) -> None:
-    one, ten = (report_documents.make_document(routes, kind) for routes in (100, 1_000))
-    assert 9 < ten.size / one.size < 11 and one.travels
-    assert one.pieces == -(-one.characters // codec.PIECE_CHARACTERS)
+    hundred, thousand = (report_documents.make_document(routes, kind) for routes in (100, 1_000))
+    assert 9 < thousand.size / hundred.size < 11 and hundred.travels
+    assert hundred.pieces == -(-hundred.characters // codec.PIECE_CHARACTERS)
     alike = report_documents.make_document(1_000, report_documents.Routes.ALIKE)
-    assert ten.characters >= alike.characters
+    assert thousand.characters >= alike.characters
 
 
 @pytest.mark.parametrize("kind", report_documents.Routes)
@@ -699,15 +703,15 @@
 
 def test_a_list_of_servers_grows_with_its_entries_and_is_taken_up_to_the_bound() -> None:
     lists = report_documents.server_lists()
-    assert [one.servers for one in lists] == sorted(one.servers for one in lists)
-    each = {round(one.size / one.servers) for one in lists}
+    assert [each.servers for each in lists] == sorted(each.servers for each in lists)
+    each = {round(each.size / each.servers) for each in lists}
     assert max(each) - min(each) <= 1
     assert report_documents.ServerList(1, http1.MAX_BODY_BYTES).taken
     assert not report_documents.ServerList(1, http1.MAX_BODY_BYTES + 1).taken
 
 
 def test_a_document_that_cannot_be_handed_on_passes_its_budget_where_it_stops() -> None:
-    found = {one.name: one for one in order(analyse([]), document_passings(budgets.PLANNED))}
+    found = {each.name: each for each in order(analyse([]), document_passings(budgets.PLANNED))}
     unlike = found["settings document of unlike routes: handed on at all"]
     stops = report_documents.most(report_documents.Routes.UNLIKE)
     assert unlike.fraction == pytest.approx(stops / budgets.PLANNED.routes)
@@ -751,7 +755,7 @@
         ("<!-- table: nothing -->\n<!-- end: nothing -->", "no table 'nothing'"),
     ],
 )
-def test_markers_that_do_not_fit_are_told(text: str, why: str) -> None:
+def test_markers_that_do_not_fit_are_reported(text: str, why: str) -> None:
     with pytest.raises(PageError, match=why):
         render(text, {"sums": "", "order": ""})
 
@@ -770,17 +774,17 @@
         "after-a.json",
         gathered(*linear_points(Axis.LIMITERS, "limiters", (50, 930), 1e-5, 0.001)),
     )
-    words = [str(first), "--page", str(page)]
+    arguments = [str(first), "--page", str(page)]
     run = CliRunner().invoke
-    assert run(report_command, [*words, "--check"]).exit_code == 1 and page.read_text() == SMALL
-    assert run(report_command, words).exit_code == 0 and "timers: processor" in page.read_text()
-    assert run(report_command, [*words, "--check"]).exit_code == 0
+    assert run(report_command, [*arguments, "--check"]).exit_code == 1 and page.read_text() == SMALL
+    assert run(report_command, arguments).exit_code == 0 and "timers: processor" in page.read_text()
+    assert run(report_command, [*arguments, "--check"]).exit_code == 0
     other = saved(
         tmp_path,
         "after-b.json",
         gathered(*linear_points(Axis.SERVERS, "servers", (200, 14_000), 1e-5, 0.001)),
     )
-    assert run(report_command, [*words, str(other), "--check"]).exit_code == 1
+    assert run(report_command, [*arguments, str(other), "--check"]).exit_code == 1
     printed = run(report_command, [str(first)])
     assert printed.exit_code == 0 and "## order" in printed.output
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -1,7 +1,6 @@
-"""Scale runs.
+"""Scale runs: plans, the modelled load, partitions, meters and the facts they are judged by.
 
-Plans, the modelled load, faults by pair, meters and truth by tables; and the small plan from end to
-end.
+The last part runs the small plan from end to end, in real processes.
 """
 
 from __future__ import annotations
@@ -59,14 +58,14 @@
 
 def test_a_plan_grows_one_value_and_leaves_the_rest() -> None:
     points = list(plan.read(HEAD + AXIS, "here").points())
-    assert [(one.axis, one.size.servers, one.size.routes) for one in points] == [
+    assert [(point.axis, point.size.servers, point.size.routes) for point in points] == [
         (Axis.SERVERS, 2, 3),
         (Axis.SERVERS, 9, 3),
     ]
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         (HEAD + '[[axes]]\naxis = "hosts"\nvalues = [1]\n', "$.axes[0].axis"),
         (HEAD + '[[axes]]\naxis = "servers"\nvalues = ["many"]\n', "$.axes[0].values[0]"),
@@ -99,10 +98,10 @@
         ("name = ", "here:"),
     ],
 )
-def test_a_bad_plan_says_where(text: str, words: str) -> None:
+def test_a_bad_plan_says_where(text: str, message: str) -> None:
     with pytest.raises(PlanError) as found:
         plan.read(text, "here")
-    assert str(found.value).startswith("here:") and words in str(found.value)
+    assert str(found.value).startswith("here:") and message in str(found.value)
 
 
 def test_a_plan_that_is_not_there_names_those_that_are() -> None:
@@ -112,16 +111,16 @@
 
 @pytest.mark.parametrize("path", sorted(plan.FOLDER.glob("*.toml")), ids=lambda path: path.stem)
 def test_plans_that_come_with_the_program_can_be_read(path: Path) -> None:
-    one = plan.load(path.stem)
-    assert one.name == path.stem and list(one.points())
+    loaded = plan.load(path.stem)
+    assert loaded.name == path.stem and list(loaded.points())
 
 
 # The load
 
 
 def _requests(seed: int, limiter: int, here: tuple[int, ...]) -> list[load.DrawnRequest]:
-    people = load.populate(SIZE, FleetTerms(), seed)
-    parts = load.split(people, here, SIZE.limiters)
+    population = load.populate(SIZE, FleetTerms(), seed)
+    parts = load.split(population, here, SIZE.limiters)
     return list(islice(load.Requests(parts[limiter], SIZE.routes, limiter, seed), 300))
 
 
@@ -129,15 +128,15 @@
     assert _requests(3, 5, (5,)) == _requests(3, 5, tuple(range(40)))
     assert _requests(3, 5, (5,)) != _requests(4, 5, (5,))
     assert _requests(3, 5, (5,)) != _requests(3, 6, (5, 6))
-    people = load.populate(SIZE, FleetTerms(), 3)
-    parts = load.split(people, (5,), SIZE.limiters)[5]
-    one, other = (next(iter(load.Requests(parts, SIZE.routes, number, 3))) for number in (5, 6))
-    assert one != other, "limiters of the same tenants draw their own"
+    population = load.populate(SIZE, FleetTerms(), 3)
+    parts = load.split(population, (5,), SIZE.limiters)[5]
+    first, other = (next(iter(load.Requests(parts, SIZE.routes, number, 3))) for number in (5, 6))
+    assert first != other, "limiters of the same tenants draw their own"
 
 
 def test_a_tenants_requests_are_split_over_its_set_alone() -> None:
-    people = load.populate(SIZE, FleetTerms(spread_least=3, spread_most=9), 1)
-    for tenant in people.tenants:
+    population = load.populate(SIZE, FleetTerms(spread_least=3, spread_most=9), 1)
+    for tenant in population.tenants:
         parts = [load.weight(tenant, number, SIZE.limiters) for number in range(SIZE.limiters)]
         within = {(tenant.first + place) % SIZE.limiters for place in range(tenant.spread)}
         assert sum(parts) == pytest.approx(1.0)
@@ -145,41 +144,43 @@
 
 
 def test_tenants_ask_for_as_much_as_the_size_says() -> None:
-    people = load.populate(SIZE, FleetTerms(), 2)
-    parts = load.split(people, range(SIZE.limiters), SIZE.limiters)
+    population = load.populate(SIZE, FleetTerms(), 2)
+    parts = load.split(population, range(SIZE.limiters), SIZE.limiters)
     seconds, count = 60.0, 0
     for number in range(SIZE.limiters):
-        for one in load.Requests(parts[number], SIZE.routes, number, 2):
-            if one.at > seconds:
+        for request in load.Requests(parts[number], SIZE.routes, number, 2):
+            if request.at > seconds:
                 break
             count += 1
     assert count / seconds / SIZE.limiters == pytest.approx(SIZE.requests_per_s, rel=0.15)
-    assert {one.usage for one in people.tenants} == {way.name for way in load.USAGE_PATTERNS}
+    assert {tenant.usage for tenant in population.tenants} == {
+        pattern.name for pattern in load.USAGE_PATTERNS
+    }
 
 
 def test_nobody_asks_where_no_requests_are_planned() -> None:
     silent = msgspec.structs.replace(SIZE, requests_per_s=0.0)
-    people = load.populate(silent, FleetTerms(), 1)
-    assert all(quota.rate > 0.0 for quota in people.quotas)
-    parts = load.split(people, (0,), SIZE.limiters)
+    population = load.populate(silent, FleetTerms(), 1)
+    assert all(quota.rate > 0.0 for quota in population.quotas)
+    parts = load.split(population, (0,), SIZE.limiters)
     assert parts[0] and not list(load.Requests(parts[0], 3, 0, 1))
     assert not list(load.Requests([], 3, 0, 1))
 
 
-# Where limiters stand
+# Topology and partitions
 
 
 @given(st.integers(1, 200), st.integers(0, 199), st.integers(0, 199))
 def test_a_cut_region_is_cut_both_ways_and_from_the_others_alone(
-    limiters: int, one: int, other: int
+    limiters: int, source: int, target: int
 ) -> None:
-    one, other = one % limiters, other % limiters
+    source, target = source % limiters, target % limiters
     layout = topology.make_topology(limiters, FleetTerms())
     cut = topology.region_partition(layout, 0)
     assert (
-        cut(one, other)
-        == cut(other, one)
-        == ((layout.region(one) == 0) != (layout.region(other) == 0))
+        cut(source, target)
+        == cut(target, source)
+        == ((layout.region(source) == 0) != (layout.region(target) == 0))
     )
 
 
@@ -192,7 +193,7 @@
 # Meters
 
 
-def test_roles_add_up_and_a_turn_within_a_turn_is_part_of_it() -> None:
+def test_roles_add_up_and_a_call_within_a_call_is_part_of_it() -> None:
     ticks = iter(range(0, 1000, 10))
     meter = Meter(lambda: next(ticks))
     meter.measure_call(Role.VIEW, lambda: meter.measure_call(Role.GOSSIP, lambda: None))
@@ -206,7 +207,8 @@
     )
 
 
-def test_a_turn_that_fails_is_counted_and_the_next_one_too() -> None:
+def test_a_call_that_fails_is_counted_and_the_next_one_too() -> None:
+    """A measured call raises. If the meter stayed within it, no later call would be counted."""
     meter = Meter()
     with pytest.raises(ZeroDivisionError):
         meter.measure_call(Role.LIST, lambda: 1 / 0)
@@ -242,7 +244,7 @@
     assert whole.most == {0: 400, 1: 200, 3: 400}
 
 
-def test_a_clock_that_is_dilated_passes_slower_and_from_where_it_is_told() -> None:
+def test_a_clock_that_is_dilated_passes_slower_and_from_where_it_starts() -> None:
     now = [100.0]
     clock = DilatedClock(100.0, 5000.0, 4.0, lambda: now[0])
     assert clock() == 5000.0
@@ -250,14 +252,15 @@
     assert clock() == 5002.0
 
 
-# What is right
+# Agreement and quotas
 
 
 def _record(number: int, state: MemberState, began: float) -> Record:
     return Record(number, round(began * INCARNATIONS_PER_S), 0, state)
 
 
-def test_a_view_is_right_when_it_holds_what_is_so() -> None:
+def test_a_member_agrees_when_its_records_match_the_facts() -> None:
+    """A live member is held dead for a while: a false death, and agreement counts anew."""
     now, facts = [10.0], GroundTruth(3)
     facts.up_since = {0: 1.0, 1: 1.0, 2: 8.0}
     watcher = MembershipWatcher(0, facts, lambda: now[0])
@@ -268,7 +271,7 @@
             _record(2, MemberState.ALIVE, 3.0),
         ]
     )
-    assert watcher.wrong == {2}, "a record of an earlier life"
+    assert watcher.wrong == {2}, "a record of an earlier incarnation"
     watcher.record_changed(_record(2, MemberState.ALIVE, 8.1))
     assert watcher.right_since == 10.0
     now[0] = 11.0
@@ -281,7 +284,7 @@
     assert watcher.right_since == 12.0, "right for good from the last time on"
 
 
-def test_whom_a_cut_parts_is_rightly_dead() -> None:
+def test_limiters_beyond_a_partition_are_rightly_dead() -> None:
     facts = GroundTruth(4)
     facts.up_since = dict.fromkeys(range(4), 1.0)
     facts.is_cut = lambda source, target: (source < 2) != (target < 2)
@@ -292,8 +295,8 @@
     assert not watcher.wrong and not watcher.falsely_dead
 
 
-def test_quotas_are_held_against_one_store_by_tenant() -> None:
-    people = load.Population(
+def test_quotas_are_compared_with_one_token_bucket_by_tenant() -> None:
+    population = load.Population(
         (load.Tenant(0, 0, 0, 1, "calm", 1.0, 1.0, 1.0, (0.0, 1.0, 0.0)),),
         (load.Quota("one", 1.0, 4.0),),
     )
@@ -304,7 +307,7 @@
         truth.Row(1.0, 0, 3.0, False),
         truth.Row(9.0, 0, 1.0, True),
     ]
-    first, second = truth.judge(rows, people, [truth.Window(0.0, 2.0), truth.Window(2.0, 10.0)])
+    first, second = truth.judge(rows, population, [truth.Window(0.0, 2.0), truth.Window(2.0, 10.0)])
     assert (first.asked, first.let_in, first.beyond, first.refused_with_room) == (
         11.0,
         6.0,
@@ -331,8 +334,8 @@
 
 
 def test_a_change_of_one_route_changes_one_and_each_limiter_has_its_own_place() -> None:
-    people = load.populate(SIZE, FleetTerms(), 1)
-    before = settings.document(SIZE, people.quotas, FleetTerms())
+    population = load.populate(SIZE, FleetTerms(), 1)
+    before = settings.document(SIZE, population.quotas, FleetTerms())
     after = settings.changed(before, (4,), 1)
     pairs = zip(before["grades"], after["grades"], strict=True)
     assert [place for place, (old, new) in enumerate(pairs) if old != new] == [4]
@@ -353,9 +356,9 @@
 
 def test_reports_of_workers_become_one_point() -> None:
     planned = _tiny()
-    one = plan.read(HEAD + AXIS, "here")
+    small = plan.read(HEAD + AXIS, "here")
     reports = [_report(3, 8.0, 5), _report(1, 4.0, 7)]
-    point = point_assembly.assemble_point(one, planned, 2.0, reports, [])
+    point = point_assembly.assemble_point(small, planned, 2.0, reports, [])
     view = next(sums for sums in point.roles if sums.role is Role.VIEW)
     assert (view.calls, view.datagrams_out, view.bytes_out, view.longest_turn_s) == (
         12,
@@ -368,7 +371,7 @@
     reports[1].ledger.came -= 3
     assert [
         note
-        for note in point_assembly.assemble_point(one, planned, 2.0, reports, []).notes
+        for note in point_assembly.assemble_point(small, planned, 2.0, reports, []).notes
         if "3 datagrams are" in note
     ]
 
@@ -377,7 +380,7 @@
 
 
 def _processes(folder: Path) -> list[int]:
-    """Those that have the folder as their temporary one."""
+    """Processes whose folder for temporary files is that one."""
     found = list[int]()
     for process in Path("/proc").glob("[0-9]*"):
         try:
@@ -388,8 +391,8 @@
     return found
 
 
-def _run(folder: Path, *words: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "hazelhollow", "scale", "run", *words]
+def _run(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "hazelhollow", "scale", "run", *arguments]
     environment = {**os.environ, "TMPDIR": str(folder)}
     return subprocess.run(command, env=environment, capture_output=True, text=True, timeout=120)
 
@@ -405,7 +408,7 @@
         if role.role is not Role.TIMERS:
             assert role.calls and role.cpu_s > 0.0, role.role
         assert role.longest_turn_s >= role.turn_p99_s >= 0.0
-    assert sum(one.datagrams_out for one in point.roles) > 0 and point.memory_bytes > 0
+    assert sum(role.datagrams_out for role in point.roles) > 0 and point.memory_bytes > 0
     assert 0.0 < point.loop_s < 1.0
     assert not [note for note in point.notes if "not accounted for" in note], point.notes
     by_kind = {event.kind: event for event in point.events}
@@ -435,6 +438,7 @@
 
 
 def test_a_run_that_is_killed_leaves_nothing(tmp_path: Path) -> None:
+    """The run is killed while its workers play. They and the files must go without it."""
     out = tmp_path.parent / "killed.json"
     command = [sys.executable, "-m", "hazelhollow", "scale", "run", "small", "--json", str(out)]
     environment = {**os.environ, "TMPDIR": str(tmp_path)}
@@ -445,7 +449,7 @@
                 break
         started = [pid for pid in _processes(tmp_path) if pid != run.pid]
         run.kill()
-    assert len(started) == 3, "two workers and the janitor"
+    assert len(started) == 3, "two workers and the process sweeper"
     assert all([_wait_for_end(pid) for pid in started])
     assert not _processes(tmp_path) and not list(tmp_path.iterdir())
 
@@ -458,13 +462,14 @@
 
 
 def _play(point: plan.PlannedPoint) -> Point:
-    one = plan.read(HEAD + AXIS, "here")
-    return coordinator.Coordinator(one, lambda line: None).play(point)
+    small = plan.read(HEAD + AXIS, "here")
+    return coordinator.Coordinator(small, lambda line: None).play(point)
 
 
 def test_workers_that_grow_too_large_are_ended(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
+    """Workers use more than half of the memory. The point fails and no file is left."""
     monkeypatch.setattr(coordinator, "total_memory", lambda: 1 << 20)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(tempfile, "tempdir", None)
@@ -474,6 +479,7 @@
 
 
 def test_a_point_that_takes_too_long_ends_and_says_so() -> None:
+    """A point exceeds its real time. It ends with what was measured, and a note says so."""
     point = _play(_tiny(seconds=100.0, most_real_s=3.0))
     assert point.seconds < 100.0
     assert [note for note in point.notes if "ended after 3 s of real time" in note], point.notes
@@ -485,12 +491,13 @@
     played = _play(
         msgspec.structs.replace(point, size=size, fleet=FleetTerms(spread_least=2, spread_most=2))
     )
-    requests = next(one for one in played.roles if one.role is Role.REQUESTS)
+    requests = next(totals for totals in played.roles if totals.role is Role.REQUESTS)
     assert requests.calls < 150 and played.quotas
     assert [note for note in played.notes if note.startswith("refused")], "they came"
 
 
-def test_a_worker_that_fails_is_told_of_with_its_last_words() -> None:
+def test_a_worker_that_fails_is_reported_with_its_last_line() -> None:
+    """A worker cannot parse its settings. The error names the worker and the cause."""
     point = _tiny()
     broken = msgspec.structs.replace(
         point, size=msgspec.structs.replace(point.size, servers=-1, routes=0)
@@ -510,6 +517,7 @@
 
 
 def test_a_plan_that_cannot_be_read_ends_the_command_with_a_line(tmp_path: Path) -> None:
+    """A plan names an unknown axis. The command ends with its place and no traceback."""
     bad = tmp_path / "bad.toml"
     bad.write_text(HEAD + '[[axes]]\naxis = "hosts"\nvalues = [1]\n')
     done = _run(tmp_path, str(bad), "--json", str(tmp_path / "out.json"))
