--- a/hazelhollow/configuration/commands.py
+++ b/hazelhollow/configuration/commands.py
@@ -108,15 +108,15 @@
         click.echo(f"member {number}: order {member['order']} ({member['settings']}), {tried}")
 
 
-def _call(at: str, words: str) -> None:
-    answer = _ask(at, f"config {words}")
+def _call(at: str, arguments: str) -> None:
+    answer = _ask(at, f"config {arguments}")
     click.echo(answer.decode(errors="replace"), nl=False)
     sys.exit(0 if answer.startswith(b"done") else REFUSED_STATUS)
 
 
-def _ask(at: str, words: str) -> bytes:
+def _ask(at: str, arguments: str) -> bytes:
     try:
-        return operator_client.ask(at, words)
+        return operator_client.ask(at, arguments)
     except operator_client.NoAnswerError as error:
         _fail(str(error))
 
--- a/hazelhollow/configuration/operator_calls.py
+++ b/hazelhollow/configuration/operator_calls.py
@@ -36,28 +36,28 @@
     after: float
 
 
-def answer(rollouts: RolloutControl, folder: Path, words: tuple[str, ...]) -> str:
+def answer(rollouts: RolloutControl, folder: Path, arguments: tuple[str, ...]) -> str:
     """Carries a call out.
 
     Args:
         rollouts: of the limiter that is called.
         folder: of its operator file.
-        words: of the call, after `config`.
+        arguments: of the call, after `config`.
 
     Returns:
         One line, which begins with `done` or `error`.
     """
     try:
-        _carry_out(rollouts, folder, words)
+        _carry_out(rollouts, folder, arguments)
     except ConfigurationError as error:
         return f"error {error}"
-    return f"done config {words[0]}"
+    return f"done config {arguments[0]}"
 
 
-def _carry_out(rollouts: RolloutControl, folder: Path, words: tuple[str, ...]) -> None:
-    match words:
-        case ("push", *arguments):
-            push = parse_push(arguments)
+def _carry_out(rollouts: RolloutControl, folder: Path, arguments: tuple[str, ...]) -> None:
+    match arguments:
+        case ("push", *rest):
+            push = parse_push(rest)
             settings = read_settings(folder / push.file)
             rollouts.push(push.revision, push.canaries, push.after, settings)
         case ("hold",):
--- a/hazelhollow/membership/codec.py
+++ b/hazelhollow/membership/codec.py
@@ -115,12 +115,12 @@
         text += "-".join(map(base36, message.arguments))
     for count, record in enumerate(records):
         if relative:
-            word = _encode_relative(record, sender.incarnation, sender.versions)
+            item = _encode_relative(record, sender.incarnation, sender.versions)
         else:
-            word = _encode_record(record)
-        if len(text) + len(word) > max_bytes:
+            item = _encode_record(record)
+        if len(text) + len(item) > max_bytes:
             return text, count
-        text += word
+        text += item
     return text, len(records)
 
 
@@ -143,7 +143,7 @@
             number36(serial, _NUMBER_SPAN),
             number36(digest, DIGEST_SPAN),
             numbers,
-            tuple([_decode_reported(word, member_count, sender) for word in records]),
+            tuple([_decode_reported(item, member_count, sender) for item in records]),
         )
     except (ValueError, KeyError):
         return None
@@ -192,23 +192,23 @@
     return "".join(f".{part}" for part in (named, versions, address)).rstrip(".")
 
 
-def _decode_reported(word: str, member_count: int, sender: Record) -> Record:
+def _decode_reported(item: str, member_count: int, sender: Record) -> Record:
     """A record, full or relative to the sender's. Raises ValueError for what is none."""
-    if word[word.find(".") + 1 :].startswith(_SIGNS):
-        return _decode_relative(word, member_count, sender.incarnation, sender.versions)
-    return _decode_record(word, member_count)
+    if item[item.find(".") + 1 :].startswith(_SIGNS):
+        return _decode_relative(item, member_count, sender.incarnation, sender.versions)
+    return _decode_record(item, member_count)
 
 
 @lru_cache(CACHED_RECORDS)
-def _decode_relative(word: str, member_count: int, incarnation: int, versions: str) -> Record:
-    number, difference, record_version, state, *rest = word.split(".")
+def _decode_relative(item: str, member_count: int, incarnation: int, versions: str) -> Record:
+    number, difference, record_version, state, *rest = item.split(".")
     same_versions = state.endswith(_SAME_VERSIONS)
     if same_versions and (not versions or (len(rest) > 1 and rest[1])):
-        raise ValueError(f"{word}: the sender has no versions, or others stand there too")
+        raise ValueError(f"{item}: the sender has no versions, or others stand there too")
     later = number36(difference[1:], _INCARNATION_SPAN)
     own_incarnation = incarnation + (-later if difference[0] == "-" else later)
     if own_incarnation < 0:
-        raise ValueError(f"{word}: the incarnation is below 0")
+        raise ValueError(f"{item}: the incarnation is below 0")
     plain_state = state.removesuffix(_SAME_VERSIONS)
     full = ".".join((number, base36(own_incarnation), record_version, plain_state, *rest))
     record = _decode_record(full, member_count)
@@ -216,8 +216,8 @@
 
 
 @lru_cache(CACHED_RECORDS)
-def _decode_record(word: str, member_count: int) -> Record:
-    number, incarnation, record_version, state, *rest = word.split(".")
+def _decode_record(item: str, member_count: int) -> Record:
+    number, incarnation, record_version, state, *rest = item.split(".")
     unreachable: tuple[int, ...] = ()
     if rest and rest[0]:
         unreachable = tuple(number36(part, member_count) for part in rest[0].split("-"))
@@ -229,7 +229,7 @@
         or len(versions) > MAX_VERSIONS_BYTES
         or not plain
     ):
-        raise ValueError(f"{word} is no record")
+        raise ValueError(f"{item} is no record")
     if address:
         unpack_address(address)
     return Record(
--- a/hazelhollow/net/attachment.py
+++ b/hazelhollow/net/attachment.py
@@ -47,7 +47,7 @@
     def audit_entries(self) -> list[Any] | None:
         """The answer to `call audit`; None where that is switched off."""
 
-    def config_call(self, words: tuple[str, ...]) -> str | None:
+    def config_call(self, arguments: tuple[str, ...]) -> str | None:
         """The answer to `call config ...`; None where that is switched off."""
 
     def override_made(self, server: str, down: bool) -> None:
--- a/hazelhollow/net/attempts.py
+++ b/hazelhollow/net/attempts.py
@@ -52,11 +52,11 @@
         figures, report = (x if isinstance(x, bytes) else b"" for x in (answer + [None, None])[1:3])
         return AttemptResult("ok", answer[0], report, figures)
     if isinstance(answer, resp.ErrorReply):
-        word, _, rest = answer.partition(b" ")
+        code, _, rest = answer.partition(b" ")
         report = rest.rpartition(b" ")[2] if b"=" in rest else b""
-        if word == b"BUSY":
+        if code == b"BUSY":
             return AttemptResult("full", report=report)
-        if word != b"ERR":
+        if code != b"ERR":
             log.warning("an endpoint answered %r", bytes(answer[:MAX_LOGGED_ANSWER_BYTES]))
         return AttemptResult("error", report=report)
     raise EndpointError("neither an array nor an error line")
--- a/hazelhollow/net/command_reader.py
+++ b/hazelhollow/net/command_reader.py
@@ -117,12 +117,12 @@
                 elif self.awaiting_since is None:
                     self.awaiting_since = self._frontend.scheduler.clock()
                 return
-            words = _words(value)
+            arguments = _arguments(value)
             slot = AnswerSlot(session)
             session.slots.append(slot)
             self._frontend.command_came(session)
             self.awaiting_since, self.first_command_until, self.has_spoken = None, 0.0, True
-            self._act_on(words, slot)
+            self._act_on(arguments, slot)
             if self._bad_commands >= MAX_BAD_COMMANDS:
                 # Each has had its answer. An error for the end of the connection would be taken for
                 # the answer to the next.
@@ -131,16 +131,16 @@
                 return
         self.has_more = True
 
-    def _act_on(self, words: list[bytes], slot: AnswerSlot) -> None:
-        verb, frontend = words[0].upper(), self._frontend
+    def _act_on(self, arguments: list[bytes], slot: AnswerSlot) -> None:
+        verb, frontend = arguments[0].upper(), self._frontend
         if verb in REQUEST_COMMANDS:
             arrived_since = self.arrived_since
             if frontend.is_ready():
-                self._submit(words, slot, arrived_since)
+                self._submit(arguments, slot, arrived_since)
             else:
                 # The endpoint list of the start may be old: an endpoint on it may drain by now.
                 # Discovery's first answer comes within milliseconds, and requests wait for it here.
-                frontend.when_ready(lambda: self._submit(words, slot, arrived_since))
+                frontend.when_ready(lambda: self._submit(arguments, slot, arrived_since))
             return
         slot.session.fruitless_limit.spend()
         if verb == b"PING":
@@ -153,13 +153,13 @@
             self._bad_commands += 1
             slot.settle(b"-ERR unknown command\r\n")
 
-    def _submit(self, words: list[bytes], slot: AnswerSlot, arrived_since: float) -> None:
+    def _submit(self, arguments: list[bytes], slot: AnswerSlot, arrived_since: float) -> None:
         frontend = self._frontend
         if slot.session.is_closed():
             return  # the client has gone while it waited: nobody is owed anything
         waited = frontend.scheduler.clock() - arrived_since
         try:
-            parsed = ParsedRequest(words, frontend.request_limits.read(words, waited))
+            parsed = ParsedRequest(arguments, frontend.request_limits.read(arguments, waited))
         except BadCommandError as error:
             frontend.stats.bad += 1
             self._bad_commands += 1
@@ -170,8 +170,8 @@
         slot.open_request = frontend.engine_driver.submit(parsed, slot)
 
 
-def _words(value: resp.Value) -> list[bytes]:
-    """The words of a command; raises ProtocolError for a value that is none."""
+def _arguments(value: resp.Value) -> list[bytes]:
+    """The arguments of a command; raises ProtocolError for a value that is none."""
     if not isinstance(value, list) or not value or not all(isinstance(w, bytes) for w in value):
         raise ProtocolError("a command is an array of strings")
     return [w for w in value if isinstance(w, bytes)]
--- a/hazelhollow/net/http1.py
+++ b/hazelhollow/net/http1.py
@@ -109,8 +109,8 @@
         if at < 0:
             return False
         first, *lines = self.ring.take(at + 4)[:-4].split(b"\r\n")
-        words = first.split(b" ", 2)
-        if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
+        parts = first.split(b" ", 2)
+        if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or not parts[1].isdigit():
             raise ProtocolError("not an HTTP/1.1 answer")
         fields: dict[bytes, bytes] = {}
         for line in lines:
@@ -119,9 +119,9 @@
                 raise ProtocolError("a header without a colon")
             fields[name.strip().lower()] = value.strip()
         connection = fields.get(b"connection", b"").lower()
-        self._status = int(words[1])
+        self._status = int(parts[1])
         self._keep_alive = (
-            connection == b"keep-alive" if words[0] == b"HTTP/1.0" else connection != b"close"
+            connection == b"keep-alive" if parts[0] == b"HTTP/1.0" else connection != b"close"
         )
         self._chunked = fields.get(b"transfer-encoding", b"").lower() == b"chunked"
         bodiless = self._status < 200 or self._status in (204, 304)
--- a/hazelhollow/net/operator_calls.py
+++ b/hazelhollow/net/operator_calls.py
@@ -9,8 +9,8 @@
 
 MAX_LINE_BYTES = 256  # of a call with its end of line
 ENDPOINT_VERBS = ("set-down", "set-up")  # take an endpoint's name
-WORDS_VERBS = ("config",)  # take words that `hazelhollow.configuration.config_call` reads
-VERBS = ("check", "vars", "fleet", "audit", *ENDPOINT_VERBS, *WORDS_VERBS)
+ARGUMENT_VERBS = ("config",)  # take arguments that `hazelhollow.configuration.config_call` reads
+VERBS = ("check", "vars", "fleet", "audit", *ENDPOINT_VERBS, *ARGUMENT_VERBS)
 HELP = "calls: check, vars, set-down ID, set-up ID"
 _ENDPOINT_NAME = re.compile(r"[!-~]{1,128}")
 
@@ -21,12 +21,12 @@
     Attributes:
         verb: One of VERBS.
         server: The endpoint's name, for ENDPOINT_VERBS.
-        words: What follows the verb, for WORDS_VERBS.
+        arguments: What follows the verb, for ARGUMENT_VERBS.
     """
 
     verb: str
     server: str = ""
-    words: tuple[str, ...] = ()
+    arguments: tuple[str, ...] = ()
 
 
 class Parser:
@@ -73,14 +73,14 @@
         text = line.removesuffix(b"\r").decode("ascii")
     except UnicodeDecodeError:
         raise OperatorCallError("a call is plain ASCII") from None
-    words = text.split()
-    if not words:
+    parts = text.split()
+    if not parts:
         raise OperatorCallError(f"an empty line; {HELP}")
-    verb, arguments = words[0].lower(), words[1:]
+    verb, arguments = parts[0].lower(), parts[1:]
     if verb not in VERBS:
-        raise unknown(words[0])
-    if verb in WORDS_VERBS:
-        return OperatorCall(verb, words=tuple(arguments))
+        raise unknown(parts[0])
+    if verb in ARGUMENT_VERBS:
+        return OperatorCall(verb, arguments=tuple(arguments))
     if verb in ENDPOINT_VERBS:
         if len(arguments) != 1 or not _ENDPOINT_NAME.fullmatch(arguments[0]):
             raise OperatorCallError(f"{verb} takes one server id")
--- a/hazelhollow/net/operator_console.py
+++ b/hazelhollow/net/operator_console.py
@@ -63,7 +63,7 @@
         """Calls that an operator file switches on; without it they do not exist."""
         attachment = self._service.attachment
         if call.verb == "config":
-            text = attachment.config_call(call.words) if attachment else None
+            text = attachment.config_call(call.arguments) if attachment else None
             return _unknown(call.verb) if text is None else b"%b\n" % text.encode()
         document: Any = None
         if attachment:
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -1,4 +1,4 @@
-"""A request as a client words it: reading it, and wording it again for an endpoint.
+"""A request as a client sends it: reading it, and writing it again for an endpoint.
 
 `Q.ASK CUSTOMER ID FIELDS` for classes that are safe to repeat, `Q.DO CUSTOMER ID FIELDS BODY` for
 all others. FIELDS is a list of `name=value` with commas between them:
@@ -58,22 +58,22 @@
         self._plans = {plan.name for plan in settings.plans}
         self._limiter_count, self._max_units = settings.limiter_count, settings.max_units
 
-    def read(self, words: list[bytes], waited: float) -> api.RequestArrived:
+    def read(self, arguments: list[bytes], waited: float) -> api.RequestArrived:
         """Reads a command.
 
         Args:
-            words: Of the command, its name first.
+            arguments: Of the command, its name first.
             waited: Seconds for which it may have waited here unread; they are taken off its time.
 
         Raises:
             BadCommandError: It says something that is not allowed.
         """
-        if len(words) != (5 if words[0].upper() == b"Q.DO" else 4):
+        if len(arguments) != (5 if arguments[0].upper() == b"Q.DO" else 4):
             raise BadCommandError("wrong number of arguments")
-        if not _CUSTOMER.fullmatch(words[1]) or not _ID.fullmatch(words[2]):
+        if not _CUSTOMER.fullmatch(arguments[1]) or not _ID.fullmatch(arguments[2]):
             raise BadCommandError("no such customer, or no id")
         try:
-            items = [item.split("=", 1) for item in words[3].decode("ascii").split(",")]
+            items = [item.split("=", 1) for item in arguments[3].decode("ascii").split(",")]
             fields = dict(items)
             kind, plan = self.classes.get(fields["c"]), fields["t"]
             wait_ms, spread, first = fields["d"], fields["spread"], fields["first"]
@@ -84,17 +84,17 @@
             raise BadCommandError("a field comes twice")
         if kind is None or plan not in self._plans:
             raise BadCommandError("no such class or plan")
-        if (kind.effect == "safe") != (len(words) == 4) or (
+        if (kind.effect == "safe") != (len(arguments) == 4) or (
             kind.effect == "keyed" and not fields.get("k")
         ):
             raise BadCommandError("not the command for this class")
         self._check_numbers(kind.name, wait_ms, units)
         self._check_set(spread, first)
         return api.RequestArrived(
-            id=words[2].decode("ascii"),
+            id=arguments[2].decode("ascii"),
             class_name=kind.name,
             plan_name=plan,
-            customer=words[1].decode("ascii"),
+            customer=arguments[1].decode("ascii"),
             units=float(units),
             time_left=int(wait_ms) / 1000.0 - waited,
             set_start=int(first),
@@ -121,14 +121,14 @@
 
     Attributes:
         request: The event for the decision engine.
-        size: Bytes of its words.
+        size: Bytes of its arguments.
     """
 
-    __slots__ = ("request", "size", "_words", "_before_wait", "_after_wait")
+    __slots__ = ("request", "size", "_arguments", "_before_wait", "_after_wait")
 
-    def __init__(self, words: list[bytes], request: api.RequestArrived) -> None:
-        self.request, self._words, self.size = request, words, sum(map(len, words))
-        fields = words[3]
+    def __init__(self, arguments: list[bytes], request: api.RequestArrived) -> None:
+        self.request, self._arguments, self.size = request, arguments, sum(map(len, arguments))
+        fields = arguments[3]
         start = 0 if fields.startswith(b"d=") else fields.index(b",d=") + 1
         end = fields.find(b",", start)
         self._before_wait = fields[: start + 2]
@@ -136,6 +136,6 @@
 
     def command(self, wait_ms: int) -> bytes:
         """The command for an endpoint that is to answer within that time, encoded."""
-        words = self._words
+        arguments = self._arguments
         fields = b"%b%d%b" % (self._before_wait, wait_ms, self._after_wait)
-        return resp.encode_command([*words[:3], fields, *words[4:]])
+        return resp.encode_command([*arguments[:3], fields, *arguments[4:]])
--- a/hazelhollow/net/resp.py
+++ b/hazelhollow/net/resp.py
@@ -91,9 +91,9 @@
         if not self.ring:
             return NEED_MORE_DATA
         if self._string_length < 0 and not self._stack:
-            words = self._take_plain_array()
-            if words is not None:
-                return words
+            strings = self._take_plain_array()
+            if strings is not None:
+                return strings
         while True:
             value = self._take_line() if self._string_length < 0 else self._take_string()
             if isinstance(value, NeedMoreData):
@@ -121,15 +121,19 @@
         if size != len(self.ring) or size > MAX_LINE_BYTES or view[0] != _ASTERISK:
             return None
         parts = bytes(view).split(b"\r\n")
-        words = parts[2::2]
-        if parts[-1] or len(parts) != 2 * len(words) + 2 or not 0 < len(words) <= MAX_ARRAY_ITEMS:
+        strings = parts[2::2]
+        if (
+            parts[-1]
+            or len(parts) != 2 * len(strings) + 2
+            or not 0 < len(strings) <= MAX_ARRAY_ITEMS
+        ):
             return None
-        if parts[0] != b"*%d" % len(words) or parts[1:-1:2] != [
-            b"$%d" % len(word) for word in words
+        if parts[0] != b"*%d" % len(strings) or parts[1:-1:2] != [
+            b"$%d" % len(string) for string in strings
         ]:
             return None
         self.ring.clear()
-        return list(words)
+        return list(strings)
 
     def _take_string(self) -> bytes | NeedMoreData:
         if len(self.ring) < self._string_length + 2:
@@ -195,6 +199,8 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def encode_command(words: list[bytes]) -> bytes:
-    """An array of strings."""
-    return b"*%d\r\n" % len(words) + b"".join([b"$%d\r\n%b\r\n" % (len(w), w) for w in words])
+def encode_command(arguments: list[bytes]) -> bytes:
+    """An array of arguments."""
+    return b"*%d\r\n" % len(arguments) + b"".join(
+        [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
+    )
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -104,12 +104,12 @@
         configuration = self.fleet and self.fleet.configuration
         return configuration.record.newest() if configuration else None
 
-    def config_call(self, words: tuple[str, ...]) -> str | None:
+    def config_call(self, arguments: tuple[str, ...]) -> str | None:
         """What `call config ...` answers."""
         configuration = self.fleet and self.fleet.configuration
         if not configuration:
             return None
-        return operator_calls.answer(configuration.rollouts, Path(self.file).parent, words)
+        return operator_calls.answer(configuration.rollouts, Path(self.file).parent, arguments)
 
     def override_made(self, server: str, down: bool) -> None:
         """An operator has disabled or enabled an endpoint at this limiter."""
