--- a/hazelhollow/configuration/adoption.py
+++ b/hazelhollow/configuration/adoption.py
@@ -2,9 +2,11 @@
 
 | it arrives               | checked by                 | if it cannot be used                    |
 | ------------------------ | -------------------------- | --------------------------------------- |
-| in this limiter's file,  | `net.service`, at SIGHUP   | the service logs "the configuration     |
-| by an operator           |                            | stays as it was"; the revision that     |
-|                          |                            | goes with it is not taken over either   |
+| in this limiter's file,  | `net/settings_reload`, at  | it logs "the configuration stays as it  |
+| by an operator           | SIGHUP                     | was"; the revision that goes with it is |
+|                          |                            | not taken over either                   |
+| in the operator file     | `operator/attach`, at      | it logs "the operator file stays as it  |
+|                          | SIGHUP                     | was", a line for each problem           |
 | by `config push`         | `RolloutControl.push`      | the call is answered with the error     |
 | from members that have   | `SettingsAdoption.propose` | an error is logged; `AdmissionRule` has |
 | it in force              |                            | the reason, which `call fleet` shows as |
@@ -13,8 +15,8 @@
 | it                       |                            | event `refused`; the leader holds the   |
 |                          |                            | candidate when too few have tried it    |
 | in pieces that do not    | `DocumentFetch.put`        | they are requested anew; the verdict    |
-| make what was announced  |                            | says after FETCH_TIMEOUT_S that nobody  |
-|                          |                            | gave it                                 |
+| make what was announced  |                            | says that nobody gave it, FETCH_TIMEOUT_S|
+|                          |                            | after the last piece, MAX_FETCH_S at most|
 
 In each case the settings before stay in force, whole, under their own revision. Whether the member
 may go on taking work on them is decided in `admission_verdict` alone.
--- a/hazelhollow/configuration/distribution/codec.py
+++ b/hazelhollow/configuration/distribution/codec.py
@@ -1,12 +1,13 @@
 """The datagrams by which a settings document travels between members.
 
-    d1q 002 0-1-2                 asks for pieces 0, 1 and 2 of revision 2 (none named: the first,
-                                  which says how many there are)
-    d1q 002 0-1-2 a0x1            the same of its delta from the settings whose digest is a0x1
-    d1g 002 k3f9 3-12 TEXT        piece 3 of 12 of revision 2, whose digest is k3f9
-    d1g 002 k3f9 0-1 TEXT a0x1    piece 0 of 1 of its delta from those settings
-    d1n 002 a0x1                  the sender has no delta from those settings
-
+    d1q 2 0-1-2                 asks for pieces 0, 1 and 2 of revision 2 (none named: the first,
+                                which says how many there are)
+    d1q 2 0-1-2 a0x1            the same of its delta from the settings whose digest is a0x1
+    d1g 2 k3f9 3-c TEXT         piece 3, the fourth of 12, of revision 2, whose digest is k3f9
+    d1g 2 k3f9 0-1 TEXT a0x1    piece 0 of 1 of its delta from those settings
+    d1n 2 a0x1                  the sender has no delta from those settings
+
+Numbers are in base 36, and pieces count from 0.
 The first characters say that a datagram is one of these, and in which version of the format.
 """
 
--- a/hazelhollow/configuration/versions.py
+++ b/hazelhollow/configuration/versions.py
@@ -2,7 +2,7 @@
 
 Example, and what each part of it is:
 
-    i 4pz 002 k3f9 005w a1c z0q1 3b
+    i4pz002k3f9005wa1cz0q13b        (i 4pz 002 k3f9 005w a1c z0q1 3b)
 
     gossip dialect, program, revision, settings, endpoint list, discovery, administrative
     overrides; and while it tries settings as a canary, the number of canaries and the phase
--- a/hazelhollow/decisions/actions.py
+++ b/hazelhollow/decisions/actions.py
@@ -21,14 +21,14 @@
         id: The request. Its attempts are numbered from 0 on in the order of these actions.
         endpoint: Where it goes.
         timeout: Seconds after which it ends; 0 lets it run until the client gives up.
-        begin_by: The instant after which what has not been sent whole must never be sent: a
+        send_by: The instant after which what has not been sent whole must never be sent: a
             connection may come up after the time for which a repeat is dropped.
     """
 
     id: str
     endpoint: str
     timeout: float = 0.0
-    begin_by: float = math.inf
+    send_by: float = math.inf
 
 
 @dataclass(frozen=True)
--- a/hazelhollow/decisions/attempts.py
+++ b/hazelhollow/decisions/attempts.py
@@ -21,7 +21,7 @@
     OutlierDetection,
 )
 from hazelhollow.decisions.quota import Quota
-from hazelhollow.decisions.rejections import overload_wait, reject
+from hazelhollow.decisions.rejections import overload_retry_after, reject
 from hazelhollow.decisions.retry import (
     HANGING_FACTOR,
     NEVER_RAN,
@@ -63,16 +63,14 @@
     def start(self, request: PendingRequest, endpoint: Endpoint, work: float) -> None:
         """Starts an attempt of `work` seconds."""
         context, number = self._context, len(request.attempts)
-        begin_by = request.repeatable_until()
+        send_by = request.repeatable_until()
         backlog = endpoint.backlog(self._peer_loads.total())
         request.attempts.append(Attempt(endpoint, context.now, work, backlog))
         if not endpoint.in_flight:
             endpoint.last_progress_at = context.now
         endpoint.in_flight[request.event.id, number] = work
         self._slow_start.record_sent(endpoint, work)
-        context.actions.append(
-            StartAttempt(request.event.id, endpoint.entry.name, begin_by=begin_by)
-        )
+        context.actions.append(StartAttempt(request.event.id, endpoint.entry.name, send_by=send_by))
 
     def end(self, event: AttemptEnded) -> None:
         """An attempt has ended: settles the charge, and retries or gives up.
@@ -108,7 +106,7 @@
             return
         request.ended = True
         if may_reject(request):
-            wait = overload_wait(request.request_class)
+            wait = overload_retry_after(request.request_class)
             reject(context, request.event.id, wait, "given up")
         else:
             context.actions.append(FailRequest(request.event.id))
--- a/hazelhollow/decisions/load_shedding.py
+++ b/hazelhollow/decisions/load_shedding.py
@@ -19,7 +19,7 @@
 from hazelhollow.decisions.context import DecisionContext
 from hazelhollow.decisions.endpoint_selection import Choice
 from hazelhollow.decisions.load_estimate import OVERLOAD_WAIT_SHARE, LoadEstimate
-from hazelhollow.decisions.rejections import Reason, overload_wait, reject
+from hazelhollow.decisions.rejections import Reason, overload_retry_after, reject
 from hazelhollow.decisions.settings import RequestClass, Settings
 from hazelhollow.decisions.state.class_statistics import (
     RecentDemand,
@@ -76,7 +76,7 @@
         if endpoint is not None and wait <= share * limit:
             return False
         reason: Reason = "late" if late else "pressure" if endpoint else "no server"
-        reject(context, request.event.id, overload_wait(request_class), reason)
+        reject(context, request.event.id, overload_retry_after(request_class), reason)
         return True
 
     def _is_late_retry(self, request: PendingRequest) -> bool:
--- a/hazelhollow/decisions/outlier_detection.py
+++ b/hazelhollow/decisions/outlier_detection.py
@@ -7,13 +7,19 @@
 | serving  | `EJECTION_THRESHOLD` failures are counted   | ejected                           |
 | ejected  | its term is over and nothing is in flight   | on trial                          |
 | on trial | an attempt, one at a time, is answered well | serving, if below the threshold   |
-| on trial | an attempt fails                            | ejected, for twice as long        |
-
-A failure fades to nothing in `FAILURE_MEMORY_S`, and an answer in time halves all. The first term
-is `BASE_EJECTION_TIME_S`; each further one is twice as long, up to `MAX_EJECTION_TIME_S`, until an
-answer in time. While it is ejected an endpoint gets new work only if no other is left. One that has
-work and has answered nothing for `MAX_SILENCE_SHARE` of the tightest objective gets nothing new
-either.
+| on trial | an attempt fails, the threshold is reached  | ejected, for twice as long        |
+| on trial | an attempt fails, the threshold is not      | serving                           |
+
+What counts as a failure, and for which class, is in `attempts.py` (`_learn`, `_record_failure`): in
+a large fleet a refused connection counts as `EJECTION_THRESHOLD`, and what peers report counts as
+seen here (`gossip/receiver.py`). Failures fade linearly to nothing over `FAILURE_MEMORY_S`, which
+is reckoned when the next one is counted; an answer in time halves them. The first term is
+`BASE_EJECTION_TIME_S`; each further one is twice as long, up to `MAX_EJECTION_TIME_S`. An answer in
+time makes the next term the shortest again.
+
+One that has work and has answered nothing for `MAX_SILENCE_SHARE` of the tightest objective gets
+nothing new either. Where endpoint selection finds no other endpoint, or draws some in a large
+fleet, ejected and silent ones get work too (the table in `endpoint_selection.py`).
 """
 
 from __future__ import annotations
--- a/hazelhollow/decisions/quota.py
+++ b/hazelhollow/decisions/quota.py
@@ -7,13 +7,16 @@
 Beyond the quota, and when a limiter can't hear its peers:
 
 - A plan whose excess earns more than it costs lets a request beyond its quota through, while what
-  such requests used stays under `EXCESS_SHARE` of what was charged within quotas.
+  such requests used stays under `EXCESS_SHARE` of what was charged within quotas (saved up to a
+  burst).
 - Until membership says that a member can't be heard, or where no membership is kept, a limiter goes
   by its own charges and by what it heard last. The sides of a partition may then each use the level
   that they saw, and the rate.
 - Once it says so, the member's even part of the rate, the capacity and the level is left to it
-  (`state/accounts.py`, `reserve_for`): the sides together hold the quota. Not for a plan whose
-  excess earns more than it costs.
+  (`state/accounts.py`, `reserve_for`): the sides together hold the quota. Later the larger side
+  takes over what the smaller does not use (`membership/partition_quota.py`). Not for a plan whose
+  excess costs no more than it earns (`excess_cost <= excess_weight`, also where both are 0): there
+  each side goes on with the whole rate.
 - What was charged unheard becomes a debt once counts show it, beyond what was left to that member,
   and is paid with `DEBT_REPAYMENT_SHARE` of the rate.
 - A limiter that has just started begins with its part of the burst (`startup_quota.py`).
@@ -34,7 +37,7 @@
 from hazelhollow.decisions.state.pending_requests import PendingRequest
 from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 
-UNHEARD_S = 0.06  # seconds of peers' charges that are on their way
+UNHEARD_S = 0.06  # about one gossip round: peers' charges that were not received yet
 # Of the burst: while a level was announced, the last part of it in which requests are admitted by
 # chance, and the same in a set so large that one hub can't notify all of it in a second.
 ANNOUNCED_RESERVE = 1.0
@@ -123,9 +126,9 @@
         return plan.excess_weight > plan.excess_cost and self.excess_units >= request.event.units
 
     def rejects(self, request: PendingRequest) -> bool:
-        """Rejects a request that may not be charged; whether it did. Sets `within_quota`.
+        """Rejects a request that may not be charged; whether it did.
 
-        The wait is the time until the bucket has refilled.
+        Its Retry-After is the time in which the lacking units come in at the plan's rate.
         """
         account, plan, units = request.account, request.account.plan, request.event.units
         if plan.ceiling_rate and account.ceiling.refill(self._context.now) < units:
--- a/hazelhollow/decisions/rejections.py
+++ b/hazelhollow/decisions/rejections.py
@@ -1,20 +1,26 @@
-"""Rejections: every reason for one, and the wait that goes with it.
-
-The driver answers a rejection by `-BUSY` and the wait in milliseconds. Each rejection goes through
-`reject`, which holds the wait to `max_retry_after`.
-
-| reason      | rule                                                      | wait                |
-| ----------- | --------------------------------------------------------- | ------------------- |
-| `unknown`   | `admission`: class or plan unknown, or nothing asked for  | 0                   |
-| `away`      | `admission`: membership forbids new work                  | a period            |
-| `ceiling`   | `quota`: this limiter's part of the ceiling is used up    | until it is back    |
-| `quota`     | `quota`: the quota lacks units                            | until they are back |
-| `open`      | `quota`: too many requests are in flight                  | 0                   |
-| `reserve`   | `quota`: the quota's last units are left to peers         | 0                   |
-| `late`      | `load_shedding`: a retry past its objective would wait    | `overload_wait`     |
-| `pressure`  | `load_shedding`: the wait is too long for its class       | `overload_wait`     |
-| `no server` | `load_shedding`: no endpoint may get it                   | `overload_wait`     |
-| `given up`  | `attempts`: no further attempt is allowed                 | `overload_wait`     |
+"""Rejections: every reason for one, and the Retry-After that goes with it.
+
+The driver answers a rejection by `-BUSY` and the Retry-After in milliseconds, rounded up. Each
+rejection goes through `reject`, which caps it at `Settings.max_retry_after`; with that 0, its
+default, every rejection is `-BUSY` alone. The reason is counted (`refusals`), not sent.
+
+| reason      | rule                                                      | Retry-After            |
+| ----------- | --------------------------------------------------------- | ---------------------- |
+| `unknown`   | `admission`: class or plan unknown, no units, no time left | 0                     |
+| `away`      | `admission`: `MembershipChanged.may_admit` is off         | a period, 1 s          |
+| `ceiling`   | `quota`: this limiter's part of the ceiling is used up    | until it has refilled  |
+| `quota`     | `quota`: the quota lacks units                            | lacking units / rate   |
+| `quota`     | `quota`: a plan without a rate is at its `open_limit`     | a period, 1 s          |
+| `open`      | `quota`: units are there, the plan has an `open_limit`    | 0                      |
+| `reserve`   | `quota`: units are there, the plan has no `open_limit`    | 0                      |
+| `late`      | `load_shedding`: a retry past its objective would wait    | `overload_retry_after` |
+| `pressure`  | `load_shedding`: the wait is too long for its class       | `overload_retry_after` |
+| `no server` | `load_shedding`: no endpoint may get it                   | `overload_retry_after` |
+| `given up`  | `attempts`: no further attempt is allowed                 | `overload_retry_after` |
+
+For `quota` the rate is the plan's: while a debt is paid back or a part is left to members that
+can't be heard, the quota refills more slowly than that. Where units are there, either too many
+requests are in flight or the last units are left to peers; the reason goes by the plan alone.
 """
 
 from __future__ import annotations
@@ -42,12 +48,12 @@
 OVERLOAD_RETRY_AFTER_SHARE = 0.25
 
 
-def reject(context: DecisionContext, request_id: str, wait: float, reason: Reason) -> None:
-    """Rejects a request; `wait`: seconds until asking again may help, which bounds hold."""
-    retry_after = min(max(wait, 0.0), context.settings.max_retry_after)
+def reject(context: DecisionContext, request_id: str, seconds: float, reason: Reason) -> None:
+    """Rejects a request; `seconds` until asking again may help, capped by the settings."""
+    retry_after = min(max(seconds, 0.0), context.settings.max_retry_after)
     context.actions.append(RejectRequest(request_id, retry_after, reason))
 
 
-def overload_wait(request_class: RequestClass) -> float:
+def overload_retry_after(request_class: RequestClass) -> float:
     """Seconds for which a client is to stay away in an overload."""
     return OVERLOAD_RETRY_AFTER_SHARE * request_class.latency_objective
--- a/hazelhollow/decisions/retry.py
+++ b/hazelhollow/decisions/retry.py
@@ -6,14 +6,16 @@
 | effect   | another attempt                                                             |
 | -------- | --------------------------------------------------------------------------- |
 | `safe`   | at any endpoint                                                             |
-| `keyed`  | at an endpoint of the same `dedup_scope`, and only within `dedup_window` of |
-|          | the first attempt that may have run                                         |
+| `keyed`  | in the zone or cell (`dedup_scope`) of all that may have run, or anywhere   |
+|          | (`all`); before `dedup_window` after the start of the first of them is over |
 | `unsafe` | never                                                                       |
 
 Besides, the request must not have ended, its deadline must not have passed, `max_attempts` must not
-be used up, and none of its attempts may be in flight unless `hedging` is on. The retry budget must
-have room, and the attempt must be expected to end before the latency objective and the deadline.
-Else the request ends: by a rejection where asking again is harmless, else by a failure.
+be used up, and none of its attempts may be in flight. The retry budget must have room
+(`RETRIES_PER_REQUEST` for each admitted request), and the attempt must be expected to end before
+the latency objective and the deadline. Else the request ends: by a rejection where asking again is
+harmless, else by a failure. The driver withdraws an attempt of which not all was sent when the
+window ends (`StartAttempt.send_by`).
 """
 
 from __future__ import annotations
@@ -26,8 +28,8 @@
 # How an attempt ends of which the endpoint did nothing.
 NEVER_RAN: tuple[Status, ...] = ("full", "connect_failed", "never_sent")
 RETRIES_PER_REQUEST = 0.1  # retries cannot feed an overload
-# An attempt hangs after so many times its expected time; the least time for it is the silence of
-# outlier detection.
+# Times an attempt's expected time after which it hangs, but not before MAX_SILENCE_SHARE of the
+# tightest objective (outlier_detection.py).
 HANGING_FACTOR = 8.0
 
 
@@ -39,7 +41,7 @@
         request.ended
         or now >= request.deadline
         or len(request.attempts) >= request.max_attempts
-        or (request.has_attempt_in_flight() and not settings.hedging)
+        or request.has_attempt_in_flight()
     ):
         return False
     effect, scope = request.request_class.effect, request.request_class.dedup_scope
--- a/hazelhollow/decisions/slow_start.py
+++ b/hazelhollow/decisions/slow_start.py
@@ -8,8 +8,12 @@
     part  = min(1, min(MAX_SHARE_MULTIPLE, SAFE_PART_OF_MULTIPLE * overload_multiple) * share)
 
 Each limiter holds the ceiling for itself, with no message to the others: in any `overload_window`
-it sends such an endpoint at most `part` of what it sends a warm one of that weight itself. As each
-limiter keeps to its own, the sum over all limiters, however many, keeps to it, too.
+it sends such an endpoint `part` of what it sends a warm one of that weight itself. As each limiter
+keeps to its own, the sum over all limiters, however many, keeps to it, too. Where less than one
+request is left of a limiter's part it sends one by chance, so the sum holds in the mean;
+`SAFE_PART_OF_MULTIPLE` leaves room for chance.
+
+`warm_up_time` is 0 by default: no slow start. An endpoint whose start is unknown counts as warm.
 """
 
 from __future__ import annotations
@@ -19,9 +23,9 @@
 from hazelhollow.decisions.state.endpoint_table import EndpointTable
 from hazelhollow.decisions.state.sliding_window import SlidingWindow
 
-# Times its share of a warm endpoint's load, and of what it can bear: the lesser is sent.
+# Limits of the load, as multiples of the endpoint's share; the lower one holds.
 MAX_SHARE_MULTIPLE = 2.0
-SAFE_PART_OF_MULTIPLE = 0.75
+SAFE_PART_OF_MULTIPLE = 0.75  # of `overload_multiple`: a margin below the platform's limit
 
 
 class SlowStart:
--- a/hazelhollow/decisions/state/accounts.py
+++ b/hazelhollow/decisions/state/accounts.py
@@ -253,8 +253,8 @@
         """Leaves the even part of members that can't be heard to them.
 
         Their part is taken off the rate, the capacity and the level, so that the two sides of a
-        partition together admit no more than the quota. Not where a request beyond the quota earns
-        more than it costs.
+        partition together admit no more than the quota. Not where a request beyond the quota costs
+        no more than it earns.
         """
         if self.plan.excess_cost <= self.plan.excess_weight:
             unreachable = frozenset()
--- a/hazelhollow/fault_injection/plan.py
+++ b/hazelhollow/fault_injection/plan.py
@@ -57,10 +57,10 @@
     in `whom`), both ways unless `one_way`, which is from `whom` to `others`. `amount`: the share
     that is lost, doubled or overtaken, seconds of delay, datagrams a second that pass a thinned
     link. A killed process starts again when `lasts` is over, or never if that is 0. `settings`:
-    `whom` get the settings whose order is `amount`, and SIGHUP; from PLANS_FROM on they change a
-    plan, which a running limiter cannot take. `old`: killed, and back after `lasts` with the
-    settings that it had first. `z0`, `z1`, ... among `whom` and `others` stand for all limiters and
-    hosts of a zone. `repeat`: it comes again after so many seconds until `until`.
+    `whom` get the settings whose order is `amount`, and SIGHUP; from FIRST_PLAN_REVISION on they
+    change a plan, which a running limiter cannot take. `old`: killed, and back after `lasts` with
+    the settings that it had first. `z0`, `z1`, ... among `whom` and `others` stand for all limiters
+    and hosts of a zone. `repeat`: it comes again after so many seconds until `until`.
     """
 
     at: float
--- a/hazelhollow/fault_injection/supervisor.py
+++ b/hazelhollow/fault_injection/supervisor.py
@@ -44,7 +44,7 @@
         self.error: BaseException | None = None
 
     def run(self, ready: Callable[[LoopbackCluster], None]) -> None:
-        """Runs until `down`, SIGTERM or Ctrl-C; calls `ready` once all limiters are.
+        """Runs until `down`, SIGTERM, SIGHUP or Ctrl-C; calls `ready` once all limiters are.
 
         No process, socket or file is left at the end.
         """
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -32,7 +32,7 @@
 from hazelhollow.storage.append_file import AppendFile
 
 DATAGRAM_PREFIX = DIALECT[0]  # the other subsystems' datagrams begin with other letters
-YOUNG_S = 3.0  # from the start, while it is announced to the own address at each tick
+STARTUP_ANNOUNCE_S = 3.0  # from the start: it announces itself to its own address at each tick
 ANNOUNCE_EVERY_S = 2.0  # between announcements to the own address later
 GOSSIPS_EVERY_BEAT_MEMBERS = 8  # of the largest fleet in which gossip comes at every beat
 DROPPED_LOG_EVERY_S = 10.0  # between log lines about datagrams that were dropped
@@ -60,7 +60,10 @@
 
 
 class MembershipDriver:
-    """`peers`: the socket, whose datagrams it takes first and passes on what is not its own.
+    """Runs a member on the socket `peers`.
+
+    It handles datagrams that begin with `DATAGRAM_PREFIX`, and passes the others to the handler
+    that was set when it was made.
 
     `shut_out_rule`, where it is set: given the time, whether this member is shut out for its old
     settings. It is asked before the decision engine is notified of anything.
@@ -185,7 +188,7 @@
         if self._has_ended:
             return
         membership, now = self.membership, self._scheduler.clock()
-        is_young = now - membership.began < YOUNG_S
+        is_young = now - membership.began < STARTUP_ANNOUNCE_S
         next_in_s = PROBE_INTERVAL_S if is_young else ANNOUNCE_EVERY_S
         self._scheduler.at(now + next_in_s, self._announce_to_own_address)
         text = membership.own_announcement()
--- a/hazelhollow/membership/records.py
+++ b/hazelhollow/membership/records.py
@@ -70,7 +70,7 @@
 
 
 def merge(first: Record, second: Record) -> Record:
-    """The greater by incarnation, record version and state.
+    """The greater by incarnation, record version and state, then the remaining fields.
 
     Associative, commutative and idempotent: order, duplication and loss of records cannot matter.
     """
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -8,7 +8,7 @@
 
 - `-BUSY MS`: the engine rejected it (`RejectRequest`), and MS is `retry_after` of that action in
   milliseconds, rounded up: `_reject`. The reason is counted in `refusals` of the counters; which
-  rule set it, and why that long, is said in `decisions/`.
+  rule set it, and why that long, is said in `decisions/rejections.py`.
 - `-BUSY` without a time: the engine gave no time, or never saw the request because as many as
   `policy_limits.max_open` were open: `submit`. The latter has no entry in `refusals`.
 
@@ -298,9 +298,9 @@
             lambda: self._needs_no_answer(opened),
         )
         opened.attempts.append(attempt)
-        if action.begin_by < now + timeout:
+        if action.send_by < now + timeout:
             attempt.send_by_timer = self._scheduler.at(
-                action.begin_by, self._pool.withdraw, attempt, CloseReason.NEVER_UP
+                action.send_by, self._pool.withdraw, attempt, CloseReason.NEVER_UP
             )
         if now + timeout < opened.deadline:
             attempt.timeout_timer = self._scheduler.at(
--- a/hazelhollow/net/graceful_shutdown.py
+++ b/hazelhollow/net/graceful_shutdown.py
@@ -8,7 +8,7 @@
 | ANNOUNCED | 0.0 | accepted | taken | served | 0.5 s have passed |
 | DRAINING | 0.5 | accepted | taken until the connection has nothing open | served | 0.7 s |
 | CLOSING | 0.7 | refused | not taken | served until their deadline | all connections are closed |
-| STOPPED | | refused | not taken | none | |
+| STOPPED | step 5 | refused | not taken | none | |
 
 Step by step, for a request that is in flight when SIGTERM comes:
 
@@ -16,10 +16,10 @@
    and retries go on. `call check` at the operator address says `error not ready yet` from now on.
    Clients come for up to 0.4 s after the signal, so new connections are served as ever.
 2. DRAINING, up to 0.7 s (`STOP_ACCEPTING_AFTER_S`): `Frontend.finish` marks every connection that
-   is open to be closed between requests. One without an open request is closed now; one with
-   requests in flight once the last of them is answered. Its client reads its answers and then the
-   end of the stream. A client that has just connected has 0.25 s for its first command
-   (`session.FIRST_COMMAND_GRACE_S`).
+   is open then to be closed between requests; one that comes later, at 0.7 s. One without an open
+   request is closed now; one with requests in flight once the last of them is answered. Its client
+   reads its answers and then the end of the stream. A client that has just connected has 0.25 s
+   for its first command (`session.FIRST_COMMAND_GRACE_S`).
 3. CLOSING, from 0.7 s: the listening socket is closed. What waited in its queue is accepted once
    more and gets 0.25 s for a first command; else it would be reset. Of open connections no further
    command is read. Requests in flight go on: their attempts, retries and deadlines are as ever.
@@ -28,9 +28,10 @@
    sending side closed and waits up to 1 s (`session.LINGER_S`) for the client to close too, so that
    the last answer is not lost to a reset.
 5. STOPPED: all clients' connections are closed, or the longest deadline of any class and LINGER_S
-   have passed since 0.7 s. Only then do attached subsystems end and the connections to endpoints
-   close; attempts that are still out then were answered for, or their client did not take its
-   answer. The scheduler stops, the counters are printed, the exit status is 0.
+   have passed since 0.7 s. Only then do attached subsystems end, which may wait for the disk up to
+   1 s, and the connections to endpoints close; attempts that are still out then were answered for,
+   or their client did not take its answer. The scheduler stops, the counters are printed, the exit
+   status is 0.
 
 A second signal changes nothing. Requests are never cut short by the shutdown itself.
 """
--- a/hazelhollow/net/settings_reload.py
+++ b/hazelhollow/net/settings_reload.py
@@ -3,8 +3,9 @@
 New settings come from two sources:
 
 - SIGHUP: `reload` reads the platform's configuration file again. It takes its settings, its
-  timeouts towards endpoints and the address of discovery. Listening addresses, limits of memory and
-  sockets and the file's list of endpoints change with a restart only.
+  timeouts towards endpoints and the address of discovery. Plans, the position, the number of
+  limiters, listening addresses, limits of memory and sockets and the file's list of endpoints
+  change with a restart only. The operator file is read again too, also if this one can't be.
 - a peer, where an operator file distributes settings: `check` and `apply` take a settings document.
 
 Settings that cannot be read, or that a running limiter cannot take, change nothing: those in force
--- a/hazelhollow/operator/commands.py
+++ b/hazelhollow/operator/commands.py
@@ -28,7 +28,7 @@
 
 @config.command("check")
 @click.argument("file")
-@click.option("--json", "as_json", is_flag=True, help="Print the troubles as a JSON list.")
+@click.option("--json", "as_json", is_flag=True, help="Print the problems as a JSON list.")
 def check(file: str, as_json: bool) -> None:
     """Say what is wrong with FILE, all of it at once.
 
--- a/hazelhollow/operator/fleet_subsystems.py
+++ b/hazelhollow/operator/fleet_subsystems.py
@@ -104,6 +104,7 @@
     def _start_membership(self, peers: PeerSocket) -> MembershipDriver:
         service, settings = self._service, self._service.settings_reload.settings
         # Where the platform's configuration lists the peers, its addresses are the only ones used.
+        # Limiter 0, or 1 if this is 0: the configuration lists all peers or none.
         any_other_member = 1 - min(settings.limiter_id, 1)
         are_listed = peers.knows(any_other_member)
         uses_seeds = bool(self._settings.seeds) and not are_listed
--- a/hazelhollow/replication/anti_entropy.py
+++ b/hazelhollow/replication/anti_entropy.py
@@ -43,7 +43,7 @@
         self.new_rows: list[CountRow] = []
         self.new_overrides: list[Override] = []
         self._rounds = 0
-        self._returned: list[int] = []  # they lack most
+        self._returned: list[int] = []  # reachable again; first in line
         self._datagrams_left = MAX_DATAGRAMS_PER_ROUND
 
     def begin_round(self) -> None:
--- a/hazelhollow/replication/codec.py
+++ b/hazelhollow/replication/codec.py
@@ -2,12 +2,12 @@
 
 Translation only: knows no rule and no socket. The field names of `messages` are not in the text.
 
-    c1r 9k2/7 4f3k0 8tl2m:7kq:1:5:3.9k2.4.2.1c-1.8aa.4.2.7
+    c1r 9k2/t4f3k0  8tl2m:7kq:1:5:3.9k2.4.2.1c-1.8aa.4.2.7
 
 is dialect and kind; the sender's incarnation and the message's period; the numbers that the kind
-needs, joined by `-`; then items, each after a space. Numbers are in base 36, periods are told as
-so many before the message's. A text of which any part is wrong, or of another dialect, is no
-message at all.
+needs, joined by `-` (counts need none: two spaces); then items, each after a space. Numbers are in
+base 36, periods are written as so many before the message's. A text of which any part is wrong, or
+of another dialect, is no message at all.
 """
 
 from __future__ import annotations
@@ -35,7 +35,8 @@
 MAX_MESSAGE_BYTES = 256
 HEARSAY_SUFFIX = ".h"  # after a counter that is not first-hand
 FORGOTTEN = "-"  # in place of an account
-PIECE_NUMBERS_LIMIT = (36**4, 36**5, 36**5)  # the longest numbers of a transfer's piece
+# The longest numbers of a transfer's piece: they size its header for the worst case.
+PIECE_NUMBERS_LIMIT = (36**4, 36**5, 36**5)
 NUMBER_COUNTS = {
     Kind.DIGESTS: BUCKET_COUNT + 2,
     Kind.COUNTS: 0,
--- a/hazelhollow/replication/count_table.py
+++ b/hazelhollow/replication/count_table.py
@@ -1,6 +1,6 @@
 """The replicated counts of charges: a state-based CRDT of counters that only grow.
 
-No I/O, no clock. `Replica` owns the table of a member, `AntiEntropy` reads and merges it.
+No I/O, no clock. `AntiEntropy` owns, reads and merges the table of a member.
 
 One counter belongs to one customer, one member and one incarnation of that member. Only this member
 adds to it, once a period of one second is closed, so what was counted is never taken back.
--- a/hazelhollow/replication/overrides.py
+++ b/hazelhollow/replication/overrides.py
@@ -4,13 +4,18 @@
 
 The rule (`merge`), from the first that tells them apart:
 
-1. The greater `lamport_time`: one more than the greatest known where the override was made. So an
-   override that was made after the other had been seen holds, whatever the clocks say.
-2. Of two that were made without knowledge of each other, on two sides of a partition, say, the one
-   that disables the endpoint: sending it nothing harms nobody. Enabled once more afterwards, it is
+1. The greater `lamport_time`: one more than the greatest known, of any endpoint, where the override
+   was made. So an override that was made after the other had been seen holds, whatever the clocks
+   say.
+2. At equal Lamport times, so of two that were made without knowledge of each other, the one that
+   disables the endpoint: sending it nothing harms nobody. Enabled once more afterwards, it is
    enabled by 1.
 3. The later `made_at_ms`, then the greater `member`, so that all members choose the same one.
 
+Two sides of a partition have equal Lamport times as long as both made as many overrides, of
+whatever endpoints; the side that made more has the greater ones, and rule 1 decides for it. To
+enable what is enabled at that member makes no override.
+
 The rule is the order of the fields of `Override`, and a maximum is associative, commutative and
 idempotent: overrides may arrive late, twice or in any order.
 """
--- a/hazelhollow/replication/transfer.py
+++ b/hazelhollow/replication/transfer.py
@@ -28,8 +28,8 @@
         self.last_heard_at, self.attempts = now, 0  # attempts since the source was last heard
         self._next_place = 0  # the first that has not been asked for
         self._missing: dict[int, None] = {}  # asked for and not received, in order
-        self._awaited: set[int] = set()  # of those, what was asked for last
-        self._asked_last = 0  # how many that was
+        self._awaited: set[int] = set()  # places of the latest requests that have not arrived
+        self._asked_last = 0  # how many places the latest requests asked for
 
     def receive(self, first: int, count: int) -> set[int]:
         """Notes that places arrived; gives those that are new."""
--- a/hazelhollow/shared_store/lease_ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -38,15 +38,16 @@
     lease_arguments,
 )
 
-# Of the time that is leased ahead for: who got little of a low pool asks again no sooner. What
-# waits in the pool is not lost.
+# Share of `lease.ahead` to wait before a nearly empty pool is asked again. Units that stay in the
+# pool meanwhile are not lost.
 SCARCE_PAUSE_SHARE = 0.25
 IDLE_SHARE = 0.4  # of a lease's term: a customer without a request for so long does not need it
 RETURN_BEFORE_END_S = 0.1  # before a lease's end, when what is left of it goes back
 RETURN_SHARE = 0.1  # of the pool's burst: less than that on lease is not worth a call
 FORGET_AFTER_S = 30.0  # without a request, after which a customer's account is closed
 MAX_ACCOUNTS = 50_000  # past it the longest idle is closed
-# Shown to operators under these names: docs/operators/redis-store.md says what they mean.
+# Shown to operators under these names: docs/operators/redis-store.md says what they mean. `late`
+# counts both calls that ran after their deadline and answers to calls that were given up.
 COUNTERS = (
     "calls",
     "granted",
--- a/hazelhollow/shared_store/scripts.py
+++ b/hazelhollow/shared_store/scripts.py
@@ -56,7 +56,7 @@
 class PresenceAnswer:
     """The answer of `presence.lua`: the store's clock in seconds, and the limiters present.
 
-    `present` is None where the call's turn came after its deadline.
+    `present` is None where the call's turn came after its deadline, or after a newer heartbeat.
     """
 
     store_now: float
