--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -177,10 +177,10 @@
         self, membership: MembershipDriver, authenticator: MessageAuthenticator
     ) -> None:
         budget = self._role_budget(TrafficRole.REPLICATION)
-        most = max_text_bytes(authenticator)
+        max_bytes = max_text_bytes(authenticator)
         self.replication = ReplicationDriver(
             self.scheduler,
-            Network(self._peers, membership, authenticator, most, budget),
+            Network(self._peers, membership, authenticator, max_bytes, budget),
             EngineLink(
                 EngineAccounts(self.engine.replicated_accounts),
                 self.engine_driver.notify,
