--- a/hazelhollow/configuration/adoption.py
+++ b/hazelhollow/configuration/adoption.py
@@ -8,9 +8,11 @@
 | in the operator file     | `operator/attach`, at      | it logs "the operator file stays as it  |
 |                          | SIGHUP                     | was", a line for each problem           |
 | by `config push`         | `RolloutControl.push`      | the call is answered with the error     |
-| from members that have   | `SettingsAdoption.propose` | an error is logged; `AdmissionRule` has |
-| it in force              |                            | the reason, which `call fleet` shows as |
-|                          |                            | `why` and the record with the verdict   |
+| from members that have   | `SettingsAdoption.propose` | it logs "audit: order N cannot be       |
+| it in force              |                            | taken", N the revision; `AdmissionRule` |
+|                          |                            | has the reason, which `call fleet`      |
+|                          |                            | shows as `why`, and the record with the |
+|                          |                            | verdict                                 |
 | from canaries that try   | `SettingsAdoption.propose` | an error is logged; the record has the  |
 | it                       |                            | event `refused`; the leader holds the   |
 |                          |                            | candidate when too few have tried it    |
--- a/hazelhollow/decisions/outlier_detection.py
+++ b/hazelhollow/decisions/outlier_detection.py
@@ -5,8 +5,12 @@
 | state    | left when                                   | next                              |
 | -------- | ------------------------------------------- | --------------------------------- |
 | serving  | `EJECTION_THRESHOLD` failures are counted   | ejected                           |
-| ejected  | its term is over and nothing is in flight   | on trial                          |
-| on trial | an attempt, one at a time, is answered well | serving, if below the threshold   |
+| ejected  | its term is over and nothing of any class   | on trial                          |
+|          | is in flight                                |                                   |
+| ejected  | an answer in time halves the failures to    | serving, also within the term     |
+|          | below the threshold                         |                                   |
+| on trial | an attempt, one at a time, is answered well | serving if below the threshold,   |
+|          |                                             | else on trial                     |
 | on trial | an attempt fails, the threshold is reached  | ejected, for twice as long        |
 | on trial | an attempt fails, the threshold is not      | serving                           |
 
@@ -15,7 +19,7 @@
 seen here (`gossip/receiver.py`). Failures fade linearly to nothing over `FAILURE_MEMORY_S`, which
 is reckoned when the next one is counted; an answer in time halves them. The first term is
 `BASE_EJECTION_TIME_S`; each further one is twice as long, up to `MAX_EJECTION_TIME_S`. An answer in
-time makes the next term the shortest again.
+time makes the next term the shortest again. Only the first ejection in a row is logged.
 
 One that has work and has answered nothing for `MAX_SILENCE_SHARE` of the tightest objective gets
 nothing new either. Where endpoint selection finds no other endpoint, or draws some in a large
--- a/hazelhollow/decisions/quota.py
+++ b/hazelhollow/decisions/quota.py
@@ -14,9 +14,9 @@
   that they saw, and the rate.
 - Once it says so, the member's even part of the rate, the capacity and the level is left to it
   (`state/accounts.py`, `reserve_for`): the sides together hold the quota. Later the larger side
-  takes over what the smaller does not use (`membership/partition_quota.py`). Not for a plan whose
-  excess costs no more than it earns (`excess_cost <= excess_weight`, also where both are 0): there
-  each side goes on with the whole rate.
+  takes over what the smaller does not use (`membership/partition_quota.py`).
+- A plan whose excess costs no more than it earns (`excess_cost <= excess_weight`; both are 0 by
+  default) is not held in a partition: each side goes on with the whole rate.
 - What was charged unheard becomes a debt once counts show it, beyond what was left to that member,
   and is paid with `DEBT_REPAYMENT_SHARE` of the rate.
 - A limiter that has just started begins with its part of the burst (`startup_quota.py`).
--- a/hazelhollow/decisions/retry.py
+++ b/hazelhollow/decisions/retry.py
@@ -11,10 +11,11 @@
 | `unsafe` | never                                                                       |
 
 Besides, the request must not have ended, its deadline must not have passed, `max_attempts` must not
-be used up, and none of its attempts may be in flight. The retry budget must have room
-(`RETRIES_PER_REQUEST` for each admitted request), and the attempt must be expected to end before
-the latency objective and the deadline. Else the request ends: by a rejection where asking again is
-harmless, else by a failure. The driver withdraws an attempt of which not all was sent when the
+be used up, and none of its attempts may be in flight; one that hangs is cancelled for a retry only
+where the effect is `safe` (`attempts.py`). The retry budget must have room (`RETRIES_PER_REQUEST`
+for each admitted request), and the attempt must be expected to end before the latency objective and
+the deadline. Else the request ends: by a rejection where asking again is harmless, else by a
+failure. The driver withdraws an attempt of which not all was sent when the
 window ends (`StartAttempt.send_by`).
 """
 
--- a/hazelhollow/membership/timing.py
+++ b/hazelhollow/membership/timing.py
@@ -5,15 +5,16 @@
 | suspect | a probe and its indirect pings had no ack in `PROBE_TIMEOUT_S` | `failure_detector.py` |
 | suspect | another member reports it suspect | `reception.py` |
 | dead | suspect for `SUSPICION_TIMEOUT_S`, pinged meanwhile, not refuted | `suspicion.py` |
-| dead | reported dead, and `CONFIRMATION_ATTEMPTS` pings not acked | `death_confirmation.py` |
+| dead | reported, well here, `CONFIRMATION_ATTEMPTS` pings not acked | `death_confirmation.py` |
+| dead | reported, suspect or unknown here: at once | `reception.py` |
 | dead | never heard of, `NEVER_SEEN_TIMEOUT_S` after this member's start | `period.py` |
 
 Each member pings one other every `PROBE_INTERVAL_S`, all in turn in an order drawn by chance, and
 after `INDIRECT_PROBE_AFTER_S` without an ack asks `INDIRECT_PROBE_HELPERS` others to ping it too
 (`failure_detector.py`). After `MASS_FAILURE_SAMPLE` suspects in a row that did not answer the
 others die without a ping of their own. A datagram of a suspect that does not refute restarts its
-time. A member that may not admit suspects nobody. Ends of times are looked at once a protocol
-period, so each comes up to `PROBE_INTERVAL_S` later.
+time. A member that may not admit suspects nobody by its own probes. Ends of times are looked at
+once a protocol period, so each comes up to `PROBE_INTERVAL_S` later.
 
 A member that is itself slow waits longer. `LocalHealth` multiplies its probe's and its suspicion's
 times by 1 to 1 + `MAX_HEALTH_SCORE` * `HEALTH_STEP`; each tick that is `LATE_TICK_S` late adds a
--- a/hazelhollow/net/graceful_shutdown.py
+++ b/hazelhollow/net/graceful_shutdown.py
@@ -33,7 +33,8 @@
    or their client did not take its answer. The scheduler stops, the counters are printed, the exit
    status is 0.
 
-A second signal changes nothing. Requests are never cut short by the shutdown itself.
+A second signal changes nothing. Requests are never cut short by the shutdown itself, but for those
+of a class that a reload has removed and whose deadline is longer than all that are left.
 """
 
 from __future__ import annotations
--- a/hazelhollow/replication/overrides.py
+++ b/hazelhollow/replication/overrides.py
@@ -13,8 +13,13 @@
 3. The later `made_at_ms`, then the greater `member`, so that all members choose the same one.
 
 Two sides of a partition have equal Lamport times as long as both made as many overrides, of
-whatever endpoints; the side that made more has the greater ones, and rule 1 decides for it. To
-enable what is enabled at that member makes no override.
+whatever endpoints; the side that made more has the greater ones, and rule 1 decides for it.
+
+What changes nothing in that member's table makes no override: to disable what is disabled, or to
+enable what is enabled or has none. So if an endpoint was disabled before a partition, to disable it
+again on one side has no weight, and the other side's enabling holds. What only the file of
+overrides disables (`net/override_file.py`) is not in the table; to enable that holds at this member
+alone.
 
 The rule is the order of the fields of `Override`, and a maximum is associative, commutative and
 idempotent: overrides may arrive late, twice or in any order.
--- a/hazelhollow/simulator/settings_document.py
+++ b/hazelhollow/simulator/settings_document.py
@@ -7,7 +7,8 @@
 | `position`, `balancers`, `step`               | `limiter_id`, `limiter_count`, `tick`       |
 | `grades`                                      | `classes`                                   |
 | grade: `credit`, `late_share`                 | `priority_weight`, `late_weight`            |
-| grade: `window`                               | `dedup_window`                              |
+| grade: `window`, `objective`                  | `dedup_window`, `latency_objective`         |
+| grade: `effect` `pure`, `token`, `side_effect` | `effect` `safe`, `keyed`, `unsafe`         |
 | `tariffs`                                     | `plans`                                     |
 | tariff: `per_second`, `most_at_once`          | `rate`, `burst`                             |
 | tariff: `max_out`, `over_worth`, `hard_burst` | `open_limit`, `excess_weight`, `ceiling_burst` |
--- a/hazelhollow/storage/__init__.py
+++ b/hazelhollow/storage/__init__.py
@@ -1,7 +1,8 @@
 """Files that a running limiter writes without waiting for the disk.
 
-What is on disk, who writes it, and what happens if it is damaged. Paths come from the operator
-file (`operator/settings.py`); where one is empty there is no such file.
+What is on disk, who writes it, and what happens if it is damaged. Paths but that of the
+bans come from the operator file (`operator/settings.py`); where one is empty there is no such
+file.
 
 - `fleet.replicate.state_dir`/`replica-N`, a snapshot of accounts and overrides. Written by
   `replication.snapshot_saver`, completely and by rename. One that is damaged, of another format or
@@ -14,7 +15,7 @@
   completely and by rename. One that is damaged or foreign is logged and ignored, until it is
   written again.
 - `view_file` of the operator file, lines about the membership. Appended to by `membership`.
-  Limiters never read it; a torn line is skipped by those who do.
+  Limiters never read it; a torn line is skipped by those who do. Nothing bounds its size.
 
 The first, second and fourth go through `writer.BackgroundWriter`, which bounds what waits: a disk
 that is full or slow costs these files alone. The bans are written by the event loop at an
