--- a/hazelhollow/net/http1.py
+++ b/hazelhollow/net/http1.py
@@ -86,7 +86,7 @@
         """
         if not self._until_close:
             return None
-        self._body += self.ring.take(len(self.ring))
+        self._body += self.ring.consume(len(self.ring))
         if len(self._body) > MAX_BODY_BYTES:
             raise ProtocolError("too large a body")
         return self._finish()
@@ -100,7 +100,7 @@
         at = self.ring.find(b"\r\n")
         if at > MAX_HEAD_BYTES or (at < 0 and len(self.ring) > MAX_HEAD_BYTES):
             raise ProtocolError("too long a line")
-        return self.ring.take(at + 2)[:-2] if at >= 0 else None
+        return self.ring.consume(at + 2)[:-2] if at >= 0 else None
 
     def _read_head(self) -> bool:
         at = self.ring.find(b"\r\n\r\n")
@@ -108,7 +108,7 @@
             raise ProtocolError("too long a head")
         if at < 0:
             return False
-        first, *lines = self.ring.take(at + 4)[:-4].split(b"\r\n")
+        first, *lines = self.ring.consume(at + 4)[:-4].split(b"\r\n")
         parts = first.split(b" ", 2)
         if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or not parts[1].isdigit():
             raise ProtocolError("not an HTTP/1.1 answer")
@@ -136,7 +136,7 @@
     def _read_sized_body(self) -> bool:
         if len(self.ring) < self._left:
             return False
-        self._body += self.ring.take(self._left)
+        self._body += self.ring.consume(self._left)
         return True
 
     def _read_chunks(self) -> bool:
@@ -144,7 +144,7 @@
             if self._left >= 0:
                 if len(self.ring) < self._left + 2:
                     return False
-                self._body += self.ring.take(self._left + 2)[:-2]
+                self._body += self.ring.consume(self._left + 2)[:-2]
                 if len(self._body) > MAX_BODY_BYTES:
                     raise ProtocolError("too large a body")
                 self._left = -1
--- a/hazelhollow/net/resp.py
+++ b/hazelhollow/net/resp.py
@@ -138,7 +138,7 @@
     def _take_string(self) -> bytes | NeedMoreData:
         if len(self.ring) < self._string_length + 2:
             return NEED_MORE_DATA
-        data = self.ring.take(self._string_length + 2)
+        data = self.ring.consume(self._string_length + 2)
         if data[-2:] != b"\r\n":
             raise ProtocolError("a string without its end")
         self._string_length = -1
@@ -150,7 +150,7 @@
             return NEED_MORE_DATA
         if not 0 < at <= MAX_LINE_BYTES:
             raise ProtocolError("an empty line or too long a one")
-        line = self.ring.take(at + 2)[:-2]
+        line = self.ring.consume(at + 2)[:-2]
         kind = line[:1]
         if kind == b"$":
             return self._open_string(line)
--- a/hazelhollow/net/ring_buffer.py
+++ b/hazelhollow/net/ring_buffer.py
@@ -56,7 +56,7 @@
         else:
             self.clear()
 
-    def take(self, count: int) -> bytes:
+    def consume(self, count: int) -> bytes:
         """Removes that many bytes from the head and gives them; there must be so many."""
         if self._head + count > len(self._buffer):
             self._straighten(len(self._buffer))
--- a/tests/net/test_net_parts.py
+++ b/tests/net/test_net_parts.py
@@ -185,7 +185,7 @@
             model += data
         assert ring.find(b"\0") == model.find(b"\0") and model.startswith(bytes(ring.peek()))
         count = min(count, len(model))
-        assert ring.take(count) == model[:count]
+        assert ring.consume(count) == model[:count]
         model = model[count:]
         assert len(ring) == len(model)
 
