--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -176,7 +176,7 @@
 
     def _apply_addresses(self, config: PlatformConfig) -> None:
         """Takes what else a configuration that was read again may change."""
-        self.pool.retune(config.connect_timeout, config.conn_idle)
+        self.pool.set_timeouts(config.connect_timeout, config.conn_idle)
         log.info("reloaded: discovery at %s:%d", *config.discovery)
         self.discovery_watch.move(config.discovery)
 
