--- a/hazelhollow/net/connection_pool.py
+++ b/hazelhollow/net/connection_pool.py
@@ -61,7 +61,7 @@
         self._endpoints: dict[str, PoolEndpoint] = {}
         # all, also those to endpoints that are listed no more
         self._connections: set[PooledConnection] = set()
-        self.free_descriptor: Callable[[], bool] = self.close_idlest
+        self.free_descriptor: Callable[[], bool] = self.close_longest_idle
         scheduler.at(scheduler.clock() + SWEEP_INTERVAL_S, self._sweep)
 
     def set_timeouts(self, connect_timeout: float, endpoint_idle_timeout: float) -> None:
@@ -125,7 +125,7 @@
                 connection.send_request()
                 connection.stream.wake()
                 return attempt
-        if len(self._connections) >= self._max_connections and not self.close_idlest():
+        if len(self._connections) >= self._max_connections and not self.close_longest_idle():
             self._stats.no_descriptor += 1
             self._fail_later(attempt, CloseReason.NO_DESCRIPTOR)
             return attempt
@@ -193,7 +193,7 @@
         for connection in list(self._connections):
             self.close_connection(connection, CloseReason.SHUTDOWN)
 
-    def close_idlest(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Closes the connection that is idle longest; says whether there was one."""
         idle = [endpoint.idle[0] for endpoint in self._endpoints.values() if endpoint.idle]
         if not idle:
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -568,7 +568,7 @@
     idle_clients(stage, 10, 10)
     stage.listeners["disco"] = socket.create_server(address)  # it returns
     stage.listeners["disco"].setblocking(False)
-    while stage.service.pool.close_idlest():  # what could be had without any client
+    while stage.service.pool.close_longest_idle():  # what could be had without any client
         pass
     with no_descriptor_left():
         stage.play("wait 0.2")
