--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -50,7 +50,7 @@
         request_limits: What the settings allow a request to say; replaced with the settings.
         sessions: The clients' connections.
         address: Where it listens.
-        close_idlest_endpoint_connection: Frees a descriptor, if a connection to an endpoint is
+        close_idle_endpoint_connection: Frees a descriptor, if a connection to an endpoint is
             idle; says whether one was.
     """
 
@@ -71,7 +71,7 @@
         self.request_limits = request_limits
         self.sessions = SessionTable(limits.max_sessions, limits.max_used_sessions)
         self._max_held_bytes = limits.max_held_bytes
-        self.close_idlest_endpoint_connection: Callable[[], bool] = lambda: False
+        self.close_idle_endpoint_connection: Callable[[], bool] = lambda: False
         self._ready = False
         self._waiting_for_ready: list[Callable[[], None]] = []
         scheduler.at(scheduler.clock() + LOOK_INTERVAL_S, self._look_at_sessions)
@@ -154,7 +154,7 @@
 
         The first of: one that was closed here, an idle one to an endpoint, an idle client's.
         """
-        if self.sessions.stop_lingering_oldest() or self.close_idlest_endpoint_connection():
+        if self.sessions.stop_lingering_oldest() or self.close_idle_endpoint_connection():
             return True
         idlest = self.sessions.idlest()
         if idlest:
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -93,7 +93,7 @@
                 self.engine_driver.gossip_received,
             )
         self.frontend = self._build_frontend(config, descriptors)
-        self.frontend.close_idlest_endpoint_connection = self.pool.close_longest_idle
+        self.frontend.close_idle_endpoint_connection = self.pool.close_longest_idle
         # Endpoints and discovery serve all clients: for a connection to them an idle client may go.
         self.pool.free_descriptor = self.frontend.free_descriptor
         self.discovery_watch.free_descriptor = self.frontend.free_descriptor
