--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -184,13 +184,13 @@
 
     # Its end
 
-    def finish(self, taking_commands: bool = True) -> None:
+    def finish(self, accepting_commands: bool = True) -> None:
         """Closes every session between requests; new ones are still accepted.
 
-        `taking_commands`: whether those that have not ended yet read commands until then.
+        `accepting_commands`: whether those that have not ended yet read commands until then.
         """
         for session in list(self.sessions.sessions):
-            session.finish(taking_commands)
+            session.finish(accepting_commands)
 
     def stop_listening(self) -> None:
         """Accepts what waits in the listening socket's queue, then closes the socket.
--- a/hazelhollow/net/graceful_shutdown.py
+++ b/hazelhollow/net/graceful_shutdown.py
@@ -108,7 +108,7 @@
         longest_deadline = max(self._frontend.request_limits.longest_deadline.values(), default=0.0)
         until = began_at + STOP_ACCEPTING_AFTER_S + longest_deadline + LINGER_S
         while not self._frontend.sessions.is_empty() and self._scheduler.clock() < until:
-            self._frontend.finish(taking_commands=False)
+            self._frontend.finish(accepting_commands=False)
             self._scheduler.sleep(POLL_INTERVAL_S)
         self.state = ShutdownState.STOPPED
         if self._attachment:
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -3,7 +3,7 @@
 | state | fields | reads commands | left by |
 | --- | --- | --- | --- |
 | OPEN | | yes | `finish`: FINISHING. Malformed bytes: REJECTED. Client closes: CLOSED |
-| FINISHING | `finishing` | while `taking_commands` | nothing is open on it any more: LINGERING |
+| FINISHING | `finishing` | while `accepting_commands` | nothing is open on it any more: LINGERING |
 | REJECTED | `reader.stopped` | no | the error behind the last answer was sent: LINGERING |
 | LINGERING | `_lingering_for` | no: dropped | the client closes, 1 s or 1 MiB pass: CLOSED |
 | CLOSED | the stream's close reason | no | |
@@ -57,7 +57,7 @@
         fruitless_limit: Holds it back if too many of its commands come to nothing.
         idle_since: When its last answer was written.
         finishing: It is to be closed between requests.
-        taking_commands: While `finishing`: whether it reads commands until then.
+        accepting_commands: While `finishing`: whether it reads commands until then.
     """
 
     def __init__(self, frontend: Frontend, connection: stream.Stream) -> None:
@@ -69,7 +69,7 @@
         self._connected_at = self.idle_since = now
         self._progress = (0, 0.0)  # bytes taken by the client, and since when no more
         self.finishing = False
-        self.taking_commands = True
+        self.accepting_commands = True
         self._lingering_for: CloseReason | None = None  # why it was closed here
 
     def run(self) -> None:
@@ -120,15 +120,18 @@
         self._stream.close(self._lingering_for or CloseReason.SHUTDOWN)
         self._frontend.sessions.lingering.pop(self, None)
 
-    def finish(self, taking_commands: bool = True) -> None:
+    def finish(self, accepting_commands: bool = True) -> None:
         """Closes it between requests, now or after the last answer.
 
-        `taking_commands`: whether commands are read until then.
+        `accepting_commands`: whether commands are read until then.
         """
         if not self.finishing and not self.reader.has_spoken:
             # the client was accepted and may just be sending
             self.reader.first_command_until = self._connected_at + FIRST_COMMAND_GRACE_S
-        self.finishing, self.taking_commands = True, self.taking_commands and taking_commands
+        self.finishing, self.accepting_commands = (
+            True,
+            self.accepting_commands and accepting_commands,
+        )
         self._stream.wake()
 
     def reason_to_close(self, now: float) -> CloseReason | None:
@@ -186,7 +189,7 @@
     def _takes_commands(self) -> bool:
         if self.reader.stopped:
             return False
-        return self.taking_commands or self._awaits_first_command()
+        return self.accepting_commands or self._awaits_first_command()
 
     # Answers and commands
 
