--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -24,7 +24,7 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
 
-def to_the_end(stage: Stage, end: socket.socket) -> bytes:
+def read_until_closed(stage: Stage, end: socket.socket) -> bytes:
     """All that comes up to the orderly end of the connection.
 
     A reset is an error, and so is no end.
@@ -97,7 +97,7 @@
     end = answered(stage)
     say_after_the_look(monkeypatch, end, stage.bytes_of(ask(1)))
     CLOSES[why](stage)
-    assert to_the_end(stage, end) == b"+OK\r\n"
+    assert read_until_closed(stage, end) == b"+OK\r\n"
     assert (
         not stage.service.stats.requests
     )  # it is read after the end, and its client sends it again elsewhere
@@ -128,7 +128,7 @@
         sent += end.send(junk[sent : sent + 10_000])
         stage.settle(3)
     end.setblocking(False)
-    assert to_the_end(stage, end).startswith(b"+OK\r\n-ERR ")
+    assert read_until_closed(stage, end).startswith(b"+OK\r\n-ERR ")
 
 
 def test_junk_behind_a_request_that_takes_long_costs_it_no_answer() -> None:
@@ -141,7 +141,7 @@
         f"a send {ask(1, 2900)}\ns1 expect {ask(1, 2900)}\na send junk\nwait 2.6\na "
         f"expect nothing\ns1 send {VALUE}"
     )
-    assert to_the_end(stage, stage._end("a")).startswith(b"$2\r\nhi\r\n-ERR protocol error")
+    assert read_until_closed(stage, stage._end("a")).startswith(b"$2\r\nhi\r\n-ERR protocol error")
 
 
 def test_a_client_that_never_ends_its_side_holds_a_descriptor_for_a_bound_only() -> None:
@@ -199,7 +199,7 @@
         stage.service.stats.requests == 1
     )  # the others might not be answered before SIGKILL: nobody takes them
     stage.play(f"s1 send {VALUE}")
-    assert to_the_end(stage, stage._end("a")) == b"$2\r\nhi\r\n"
+    assert read_until_closed(stage, stage._end("a")) == b"$2\r\nhi\r\n"
     stage.play("a close\nwait 0.1")
     assert stage.scheduler._stopped
 
@@ -233,7 +233,7 @@
     assert stage.service.frontend.sessions.sessions  # the rest may come
     stage.play("wait 0.1")
     end.sendall(stage.bytes_of(ask(1))[30:])
-    assert to_the_end(stage, end) == b"+OK\r\n" and not stage.service.stats.requests
+    assert read_until_closed(stage, end) == b"+OK\r\n" and not stage.service.stats.requests
 
 
 def held(monkeypatch: pytest.MonkeyPatch, stage: Stage) -> None:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 from hazelhollow.net.graceful_shutdown import STOP_ACCEPTING_AFTER_S
 from hazelhollow.net.session import LINGER_S
 from tests.net.scenario import BUY, LOOK, Stage
-from tests.net.test_connection_ends import to_the_end, unanswering
+from tests.net.test_connection_ends import read_until_closed, unanswering
 from tests.net.test_scenarios import DO, GET, VALUE, ask
 
 
@@ -32,10 +32,10 @@
     stage.settle()
     assert stage.service.frontend._sock.fileno() < 0
     stage.play(f"s1 expect {ask(1, 950)}\ns1 send {VALUE}")
-    assert to_the_end(stage, ends[7]) == b"$2\r\nhi\r\n"
+    assert read_until_closed(stage, ends[7]) == b"$2\r\nhi\r\n"
     stage.play("wait 0.3")
     # an end, not a reset
-    assert all(to_the_end(stage, end) == b"" for end in ends if end is not ends[7])
+    assert all(read_until_closed(stage, end) == b"" for end in ends if end is not ends[7])
     for end in ends:
         end.close()
     stage.play("wait 0.1")
@@ -53,7 +53,7 @@
     stage.play("wait 0.9\na expect nothing")
     assert not ended(stage)
     stage.play("wait 0.2")
-    assert to_the_end(stage, stage._end("a")) == b"-ERR failed\r\n"
+    assert read_until_closed(stage, stage._end("a")) == b"-ERR failed\r\n"
     stage.play("a close\nwait 0.1")
     assert ended(stage)
 
@@ -134,7 +134,7 @@
     stage.play(f"a send {ask(1)}\na send [PING]\ns1 expect {ask(1)}")
     stage.service.shutdown.begin()
     stage.play(f"wait 0.8\ns1 send {VALUE}")
-    assert to_the_end(stage, stage._end("a")) == b"$2\r\nhi\r\n+PONG\r\n"
+    assert read_until_closed(stage, stage._end("a")) == b"$2\r\nhi\r\n+PONG\r\n"
 
 
 def test_a_request_of_which_half_has_come_by_the_end_is_taken_by_nobody_and_costs_no_answer() -> (
@@ -151,5 +151,5 @@
     stage.service.shutdown.begin()
     stage.play(f"wait {STOP_ACCEPTING_AFTER_S + 0.1}")
     stage._end("a").sendall(whole[40:])
-    assert to_the_end(stage, stage._end("a")) == b"+OK\r\n"
+    assert read_until_closed(stage, stage._end("a")) == b"+OK\r\n"
     assert not stage.service.stats.requests
