--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -284,7 +284,7 @@
     stage.settle()
 
 
-def unanswering(stage: Stage, name: str = "s1") -> list[socket.socket]:
+def block_connects(stage: Stage, name: str = "s1") -> list[socket.socket]:
     """The host's machine lets nobody in: a connection to it does not come up."""
     stage.listeners[name].listen(0)
     fillers = []
@@ -304,7 +304,7 @@
     The request must not be sent once it is up.
     """
     stage = Stage(hosts=1)
-    fillers = unanswering(stage)
+    fillers = block_connects(stage)
     stage.play(f"a send {ask(1)}")
     assert stage.service.stats.attempts == 1 and stage.service.stats.opened == 0
     leave(stage, "a", how)
@@ -341,7 +341,7 @@
     readiness. What had no attempt by then never gets one.
     """
     stage = Stage(hosts=2, heard=False)
-    fillers = unanswering(stage, "s1") + unanswering(stage, "s2")
+    fillers = block_connects(stage, "s1") + block_connects(stage, "s2")
     for number in range(10):
         stage.play(f"w{number} send {ask(number, 3000)}")  # for readiness
     for number in range(0, 10, 2):
@@ -446,7 +446,7 @@
     after it. Sent then, it might run twice.
     """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, WINDOW)), connect_timeout=2.0)
-    fillers = unanswering(stage, "s2")
+    fillers = block_connects(stage, "s2")
     stage.play(
         "disco expect "
         + GET
@@ -809,7 +809,7 @@
     The attempt goes to another endpoint.
     """
     stage = Stage(hosts=2)
-    fillers = unanswering(stage, "s1")
+    fillers = block_connects(stage, "s1")
     watched(stage)
     stage.service.engine_driver.notify(
         stage.service.endpoint_list.apply(stage.table("whole", 6, "s1:in_service"))
--- a/tests/net/test_endpoint_connections_end.py
+++ b/tests/net/test_endpoint_connections_end.py
@@ -12,7 +12,7 @@
 from hazelhollow.net import stream
 from hazelhollow.net.connection_pool import PARTIAL_ANSWER_TIMEOUT_S
 from tests.net.scenario import BUY, LOOK, SETTINGS, Stage
-from tests.net.test_connection_ends import RESET, leave, unanswering
+from tests.net.test_connection_ends import RESET, block_connects, leave
 from tests.net.test_scenarios import DO, GET, VALUE, ask
 
 UNSAFE = replace(BUY, effect="unsafe")
@@ -130,7 +130,7 @@
     Nothing is sent on it, and it is closed.
     """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)), connect_timeout=0.25)
-    fillers = unanswering(stage, "s1")
+    fillers = block_connects(stage, "s1")
     stage.service.engine_driver.notify(
         stage.service.endpoint_list.apply(stage.table("whole", 2, "s1:in_service"))
     )
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 from hazelhollow.net.graceful_shutdown import STOP_ACCEPTING_AFTER_S
 from hazelhollow.net.session import LINGER_S
 from tests.net.scenario import BUY, LOOK, Stage
-from tests.net.test_connection_ends import read_until_closed, unanswering
+from tests.net.test_connection_ends import block_connects, read_until_closed
 from tests.net.test_scenarios import DO, GET, VALUE, ask
 
 
@@ -107,7 +107,7 @@
     The limiter serves from the list of its configuration within the time allowed.
     """
     stage = Stage(hosts=2, heard=False)
-    fillers = unanswering(stage, "disco") if discovery == "never up" else []
+    fillers = block_connects(stage, "disco") if discovery == "never up" else []
     if discovery == "down":
         stage.listeners["disco"].close()
     stage.play("a send [PING]\na expect nothing\nwait 0.55\na expect +PONG")
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -28,10 +28,10 @@
     DEATHS,
     ENDLESS,
     RESET,
+    block_connects,
     drains,
     leave,
     s1_is_left,
-    unanswering,
     watched,
 )
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
@@ -101,7 +101,7 @@
         if mode == "refused":
             listeners["disco"].close()
         if mode == "never up":
-            self._fillers = unanswering(self.stage, "disco")
+            self._fillers = block_connects(self.stage, "disco")
         if mode == "moved away":  # to one that lets in and says nothing
             self.stage.play("disco2 reload")
         if mode == "silent":  # it never answers what came until then
@@ -373,7 +373,7 @@
     stage.play(
         f"b send {ask(9)}\ns2 expect {ask(9)}\ns2 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05"
     )
-    fillers = unanswering(stage, "s1")
+    fillers = block_connects(stage, "s1")
     changed, table = stage.service._endpoints_changed, stage.service.endpoint_list
     changed(table.apply(stage.table("whole", 3, "s1:in_service")))
     stage.play(f"a send {ask(1)}")
@@ -425,7 +425,7 @@
     Before it, perhaps, a request whose attempt waits.
     """
     stage = Stage(hosts=1)
-    fillers = unanswering(stage)
+    fillers = block_connects(stage)
     if whole:
         stage.play(f"a send {ask(1)}")
     words = stage.bytes_of(ask(2))
@@ -463,7 +463,7 @@
 def test_a_second_attempt_that_waits_for_its_connection_ends_with_its_client() -> None:
     """The first has failed while the client was there; its repeat's connection is not up yet."""
     stage = Stage(hosts=2)
-    fillers = unanswering(stage, "s2")
+    fillers = block_connects(stage, "s2")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s2:in_service\ns1 send -ERR failed")
     assert stage.service.stats.attempts == 2 and len(stage.service.pool._connections) == 1
@@ -482,7 +482,7 @@
 ) -> None:
     """A hedge: one host has the request whole, the connection to the other is not up yet."""
     stage = Stage(hosts=2)
-    fillers = unanswering(stage, "s2")
+    fillers = block_connects(stage, "s2")
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
         if isinstance(event, api.RequestArrived):
@@ -747,7 +747,7 @@
     The attempt goes to another.
     """
     stage = Stage(hosts=2)
-    fillers = unanswering(stage, "s1")
+    fillers = block_connects(stage, "s1")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {DO.format(1)}")
     assert len(stage.service.pool._connections) == 1 and len(fillers) == 2
     stage.play(f"disco send whole 3 s2:in_service\ns2 expect {DO.format(1)}")
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -17,7 +17,7 @@
 from hazelhollow.platform_config import PlatformConfigError
 from tests.decisions.helpers import answer, ask, make, only
 from tests.net.scenario import BUY, LOOK, Stage
-from tests.net.test_connection_ends import unanswering
+from tests.net.test_connection_ends import block_connects
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "example.json"
 
@@ -168,7 +168,7 @@
     The next connection is held to it.
     """
     stage = Stage(hosts=1, connect_timeout=2.0)
-    fillers = unanswering(stage)
+    fillers = block_connects(stage)
     stage.service.settings_reload.reload(lambda: replace(stage.config, connect_timeout=0.1))
     stage.play(
         "a send [Q.ASK 00000000b4d65521 r1 "
