--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -253,7 +253,7 @@
     held(monkeypatch, stage)
     for number in range(MAX_PIPELINED + 20):
         stage.play(f"a send {ask(number, 3000)}")
-    leave(stage, "a", how)
+    disconnect(stage, "a", how)
     assert (
         stage.service.stats.clients_gone == MAX_PIPELINED
         and not stage.service.engine_driver.open_requests
@@ -269,11 +269,11 @@
     for number in range(40):  # each is refused at once, so it soon has to wait
         stage._end("a").sendall(stage.bytes_of(ask(number, 0)) * 10)
         stage.settle(20)
-    leave(stage, "a", how)
+    disconnect(stage, "a", how)
     assert not stage.service.frontend.sessions.sessions
 
 
-def leave(stage: Stage, name: str, how: str) -> None:
+def disconnect(stage: Stage, name: str, how: str) -> None:
     end = stage._end(name)
     if how == "half":
         end.shutdown(socket.SHUT_WR)
@@ -307,7 +307,7 @@
     fillers = block_connects(stage)
     stage.play(f"a send {ask(1)}")
     assert stage.service.stats.attempts == 1 and stage.service.stats.opened == 0
-    leave(stage, "a", how)
+    disconnect(stage, "a", how)
     assert not stage.service.pool._connections and not stage.service.engine_driver.open_requests
     assert stage.service.stats.dispatches == 0 and len(fillers) == 2
 
@@ -332,7 +332,7 @@
         stage.play(f"b send {DO.format(2).replace('BODY', body)}")
     (line,) = stage.service.pool._endpoints["s1"].connections
     assert line.has_sent_any() and not line.has_sent_all()
-    leave(stage, "b", "close")
+    disconnect(stage, "b", "close")
     assert not stage.service.pool._connections and not stage.service.engine_driver.open_requests
 
 
@@ -345,7 +345,7 @@
     for number in range(10):
         stage.play(f"w{number} send {ask(number, 3000)}")  # for readiness
     for number in range(0, 10, 2):
-        leave(stage, f"w{number}", ("close", "half", "reset")[number % 3])
+        disconnect(stage, f"w{number}", ("close", "half", "reset")[number % 3])
     stage.service.frontend.set_ready()
     stage.settle()
     assert stage.service.stats.requests == 5
@@ -354,9 +354,9 @@
             stage._end(f"p{number}").sendall(stage.bytes_of(ask(10 * number + part, 3000)))
         stage.settle(2)
     for number in range(10, 30):
-        leave(stage, f"p{number}", ("close", "half", "reset")[number % 3])
+        disconnect(stage, f"p{number}", ("close", "half", "reset")[number % 3])
     for number in range(1, 10, 2):
-        leave(stage, f"w{number}", "close")
+        disconnect(stage, f"w{number}", "close")
     attempts = stage.service.stats.attempts
     stage.play("wait 3.5")
     assert stage.service.stats.attempts == attempts and stage.service.stats.dispatches == 0
@@ -396,7 +396,7 @@
     stage.service.engine_driver._decisions.handle = handle  # type: ignore[method-assign]
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     stage._end("s1").sendall(stage.bytes_of(VALUE))
-    leave(stage, "a", "close")
+    disconnect(stage, "a", "close")
     outcomes = [event for event in seen if isinstance(event, api.AttemptEnded)]
     assert len(outcomes) == 1 and not stage.service.engine_driver.open_requests
 
@@ -647,7 +647,7 @@
     end = stage._end("disco")
     end.sendall(ENDLESS.encode() + (drains(stage) if whole else drains(stage)[:40]))
     stage.settle()
-    leave(stage, "disco", "reset")
+    disconnect(stage, "disco", "reset")
     stage.ends["disco"].remove(end)
     assert not s1_is_left(stage)
     stage.play(f"wait 0.1\ndisco expect {GET}\ndisco send whole 7 s1:terminating s2:in_service")
--- a/tests/net/test_endpoint_connections_end.py
+++ b/tests/net/test_endpoint_connections_end.py
@@ -12,7 +12,7 @@
 from hazelhollow.net import stream
 from hazelhollow.net.connection_pool import PARTIAL_ANSWER_TIMEOUT_S
 from tests.net.scenario import BUY, LOOK, SETTINGS, Stage
-from tests.net.test_connection_ends import RESET, block_connects, leave
+from tests.net.test_connection_ends import RESET, block_connects, disconnect
 from tests.net.test_scenarios import DO, GET, VALUE, ask
 
 UNSAFE = replace(BUY, effect="unsafe")
@@ -60,7 +60,7 @@
     if how == "no answer of the protocol":
         stage.play("s1 send +what")
     else:
-        leave(stage, "s1", "reset" if how == "reset" else "close")
+        disconnect(stage, "s1", "reset" if how == "reset" else "close")
         stage.ends["s1"].clear()
     if again:
         stage.play(f"s1 expect {command(kind, 1, 650)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -29,8 +29,8 @@
     ENDLESS,
     RESET,
     block_connects,
+    disconnect,
     drains,
-    leave,
     s1_is_left,
     watched,
 )
@@ -359,7 +359,7 @@
         sent += 1
         stage.play(f"a send {ask(sent)}\ns1 expect {ask(sent)}\ns1 send {value}\nwait 0.04")
     stage._end("a").sendall(stage.bytes_of(ask(999)))
-    leave(stage, "a", "half")
+    disconnect(stage, "a", "half")
     assert stage.service.stats.requests == sent and not stage.service.frontend.sessions.sessions
 
 
@@ -433,7 +433,7 @@
         stage._end("a").sendall(part)
         stage.play("wait 0.05")
     assert len(stage.service.engine_driver.open_requests) == whole and len(fillers) == 2
-    leave(stage, "a", how)
+    disconnect(stage, "a", how)
     assert stage.service.stats.requests == whole == stage.service.stats.attempts
     assert not stage.service.engine_driver.open_requests and not stage.service.pool._connections
     assert not stage.service.frontend.sessions.sessions
@@ -442,7 +442,7 @@
 LATER: dict[str, Callable[[Stage], None]] = {
     "an error": lambda stage: stage.play("s1 send -ERR failed"),
     "turned away": lambda stage: stage.play("s1 send -BUSY"),
-    "a reset": lambda stage: leave(stage, "s1", "reset"),
+    "a reset": lambda stage: disconnect(stage, "s1", "reset"),
     "no answer": lambda stage: stage.play("wait 3"),
 }
 
@@ -454,7 +454,7 @@
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s1:in_service s2:in_service")
-    leave(stage, "a", how)
+    disconnect(stage, "a", how)
     LATER[later](stage)
     stage.play("wait 0.5")
     assert stage.service.stats.attempts == 1
@@ -467,7 +467,7 @@
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s2:in_service\ns1 send -ERR failed")
     assert stage.service.stats.attempts == 2 and len(stage.service.pool._connections) == 1
-    leave(stage, "a", "close")
+    disconnect(stage, "a", "close")
     assert (
         not stage.service.pool._connections
         and stage.service.stats.dispatches == 1
@@ -492,7 +492,7 @@
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", handle)
     stage.play(f"a send {ask(1, 3000)}\ns1 expect {ask(1, 3000)}")
     assert stage.service.stats.attempts == len(stage.service.pool._connections) == 2
-    leave(stage, "a", "close")
+    disconnect(stage, "a", "close")
     assert len(stage.service.pool._connections) == 1 and len(fillers) == 2
     stage.play(f"s1 send {VALUE}")
     assert not stage.service.engine_driver.open_requests and stage.service.stats.dispatches == 1
@@ -510,7 +510,7 @@
         stage.play(f"c{number} send {ask(number, 3000)}")
     assert len(stage.service.pool._connections) == 6 and stage.service.stats.no_descriptor
     for number in range(9):
-        leave(stage, f"c{number}", "close")
+        disconnect(stage, f"c{number}", "close")
     attempts = stage.service.stats.attempts
     for name in ("s1", "s2"):
         stage._end(name)
