--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -615,7 +615,7 @@
     return orjson.dumps(table, option=orjson.OPT_INDENT_2 if indent else None)
 
 
-def s1_is_left(stage: Stage) -> bool:
+def s1_is_dropped(stage: Stage) -> bool:
     return "s1" not in stage.service.pool._endpoints
 
 
@@ -629,10 +629,10 @@
     end = stage._end("disco")
     end.sendall(ENDLESS.encode() + drains(stage, indent=True))
     stage.settle()
-    assert not s1_is_left(stage)  # more may come
+    assert not s1_is_dropped(stage)  # more may come
     end.shutdown(socket.SHUT_WR)
     stage.settle()
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
     stage.play(f"wait 0.1\ndisco.2 expect {WATCH.format(6)}")
 
 
@@ -649,9 +649,9 @@
     stage.settle()
     disconnect(stage, "disco", "reset")
     stage.ends["disco"].remove(end)
-    assert not s1_is_left(stage)
+    assert not s1_is_dropped(stage)
     stage.play(f"wait 0.1\ndisco expect {GET}\ndisco send whole 7 s1:terminating s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 def asked_anew(stage: Stage) -> None:
@@ -694,7 +694,7 @@
     stage.play("wait 0.6")  # asked again meanwhile, twice at least, and not answered
     asked_anew(stage)
     stage.play("disco send whole 2 s1:terminating s2:in_service")
-    assert s1_is_left(stage) and len(stage.ends["disco"]) >= before + 2
+    assert s1_is_dropped(stage) and len(stage.ends["disco"]) >= before + 2
     stage.play(f"disco expect {WATCH.format(2)}")
 
 
@@ -716,7 +716,7 @@
             f"disco2 reload\nwait 0.15\ndisco2 expect {GET}\ndisco2 send whole 2 "
             "s1:terminating s2:in_service"
         )
-        assert s1_is_left(stage)
+        assert s1_is_dropped(stage)
 
 
 def test_a_list_that_lies_unread_as_its_time_is_over_is_read() -> None:
@@ -730,7 +730,7 @@
     stage.now += 0.3
     end.sendall(stage.bytes_of("whole 5 s1:terminating s2:in_service"))
     stage.settle()
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 def test_an_agent_that_is_slower_than_it_should_be_is_heard_all_the_same() -> None:
@@ -741,13 +741,13 @@
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\nwait 0.7")
     stage.play("disco.1 send whole 5 s1:terminating s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
     stage.play(
         "wait 1.0\ndisco2 reload\ndisco2 expect "
         + GET
         + "\nwait 0.7\ndisco2.1 send whole 2 s1:in_service s2:in_service"
     )
-    assert not s1_is_left(stage)
+    assert not s1_is_dropped(stage)
 
 
 def test_a_slow_list_changes_nothing_once_a_later_call_was_answered() -> None:
@@ -761,7 +761,7 @@
         "s1:terminating s2:in_service"
     )
     stage.play("disco.1 send whole 4 s1:in_service s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
     stage.play("disco.1 expect closed")
 
 
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -31,7 +31,7 @@
     block_connects,
     disconnect,
     drains,
-    s1_is_left,
+    s1_is_dropped,
     watched,
 )
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
@@ -207,7 +207,7 @@
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
         agent.run(0.5)
-        assert stage.service.discovery_watch.is_following and not s1_is_left(stage)
+        assert stage.service.discovery_watch.is_following and not s1_is_dropped(stage)
         for number, (mode, seconds) in enumerate(mix):
             if number == changed_at:
                 agent.change()
@@ -218,7 +218,7 @@
         agent.turn_to("well")
         if not agent.changed:
             agent.change()
-        took = agent.run(7.0, until=lambda: s1_is_left(stage))
+        took = agent.run(7.0, until=lambda: s1_is_dropped(stage))
         assert set(stage.service.pool._endpoints) == {"s2"}
         agent.close()
         STAGES.remove(stage)
@@ -265,7 +265,7 @@
         agent.turn_to(mode)
         agent.run(5.0)
         agent.change()
-        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= TOLD_WITHIN
+        assert agent.run(7.0, until=lambda: s1_is_dropped(stage)) <= TOLD_WITHIN
         agent.close()
 
 
@@ -281,7 +281,7 @@
         agent.run(2.3)  # the watch is given up, and the next call hangs
         agent.change()
         agent.turn_to("slow")
-        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= TOLD_WITHIN
+        assert agent.run(7.0, until=lambda: s1_is_dropped(stage)) <= TOLD_WITHIN
         agent.close()
 
 
@@ -298,7 +298,7 @@
         patch.setattr(stage.service.discovery_watch, "_on_change", lambda event: 1 / 0)
         stage.play("disco send table 6 s1:terminating")
     stage.play(f"wait 0.2\ndisco expect {GET}\ndisco send whole 6 s1:terminating s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 def test_a_change_that_cannot_be_read_is_no_drain_missed() -> None:
@@ -315,7 +315,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
     )
     stage.play(f"wait 0.2\ndisco expect {GET}\ndisco send whole 6 s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 @pytest.mark.parametrize("death", DEATHS)
@@ -336,7 +336,7 @@
         except AssertionError:
             pass
     stage.play("disco send whole 16 s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 # Clients that go
@@ -573,7 +573,7 @@
     with no_descriptor_left():
         stage.play("wait 0.2")
     stage.play(f"disco expect {GET}\ndisco send whole 6 s1:terminating")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 def test_a_descriptor_is_had_also_of_an_idle_client_that_breaks_its_connection_just_then(
