--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -600,7 +600,7 @@
 # The watch
 
 
-def watched(stage: Stage) -> None:
+def start_watch(stage: Stage) -> None:
     stage.play(
         f"disco expect {GET}\ndisco send whole 5 s1:in_service s2:in_service\ndisco "
         f"expect {WATCH.format(5)}"
@@ -625,7 +625,7 @@
     The list is taken, and the next call needs a new connection.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     end = stage._end("disco")
     end.sendall(ENDLESS.encode() + drains(stage, indent=True))
     stage.settle()
@@ -643,7 +643,7 @@
     What came may be a part that happens to read well, so the list is asked for anew.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     end = stage._end("disco")
     end.sendall(ENDLESS.encode() + (drains(stage) if whole else drains(stage)[:40]))
     stage.settle()
@@ -688,7 +688,7 @@
     silence; the page allows 6.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     stage.play(DEATHS[death])
     before = len(stage.ends["disco"])
     stage.play("wait 0.6")  # asked again meanwhile, twice at least, and not answered
@@ -707,7 +707,7 @@
     """
     for seconds in (0.0, 0.05, 0.12):
         stage = Stage(hosts=2)
-        watched(stage)
+        start_watch(stage)
         stage.listeners["disco"].close()
         stage.play("disco close")
         stage.now += seconds
@@ -795,7 +795,7 @@
     The list stays, and the whole of it is asked for.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     stage.play("disco send table 3 s2:terminating")
     assert (
         stage.service.endpoint_list.version == 5
@@ -810,7 +810,7 @@
     """
     stage = Stage(hosts=2)
     fillers = block_connects(stage, "s1")
-    watched(stage)
+    start_watch(stage)
     stage.service.engine_driver.notify(
         stage.service.endpoint_list.apply(stage.table("whole", 6, "s1:in_service"))
     )
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -32,7 +32,7 @@
     disconnect,
     drains,
     s1_is_dropped,
-    watched,
+    start_watch,
 )
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
@@ -293,7 +293,7 @@
     Only the whole list says it again.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     with monkeypatch.context() as patch:
         patch.setattr(stage.service.discovery_watch, "_on_change", lambda event: 1 / 0)
         stage.play("disco send table 6 s1:terminating")
@@ -307,7 +307,7 @@
     The whole list is asked for instead of skipping it.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     table = stage.table("table", 6, "s1:terminating")
     del table["endpoints"][0]["address"]
     body = orjson.dumps(table)
@@ -322,7 +322,7 @@
 def test_a_watch_that_dies_after_long_health_is_begun_anew(death: str) -> None:
     """Late: after 13 s and more of calls that each had their answer in time."""
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     for number in range(6, 16):
         stage.play(
             f"wait 1.4\ndisco send table {number} s2:in_service\ndisco expect "
