--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -610,7 +610,7 @@
 ENDLESS = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
 
 
-def drains(stage: Stage, version: int = 6, indent: bool = False) -> bytes:
+def list_with_s1_draining(stage: Stage, version: int = 6, indent: bool = False) -> bytes:
     table = stage.table("whole", version, "s1:terminating", "s2:in_service")
     return orjson.dumps(table, option=orjson.OPT_INDENT_2 if indent else None)
 
@@ -627,7 +627,7 @@
     stage = Stage(hosts=2)
     start_watch(stage)
     end = stage._end("disco")
-    end.sendall(ENDLESS.encode() + drains(stage, indent=True))
+    end.sendall(ENDLESS.encode() + list_with_s1_draining(stage, indent=True))
     stage.settle()
     assert not s1_is_dropped(stage)  # more may come
     end.shutdown(socket.SHUT_WR)
@@ -645,7 +645,10 @@
     stage = Stage(hosts=2)
     start_watch(stage)
     end = stage._end("disco")
-    end.sendall(ENDLESS.encode() + (drains(stage) if whole else drains(stage)[:40]))
+    end.sendall(
+        ENDLESS.encode()
+        + (list_with_s1_draining(stage) if whole else list_with_s1_draining(stage)[:40])
+    )
     stage.settle()
     disconnect(stage, "disco", "reset")
     stage.ends["disco"].remove(end)
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -30,7 +30,7 @@
     RESET,
     block_connects,
     disconnect,
-    drains,
+    list_with_s1_draining,
     s1_is_dropped,
     start_watch,
 )
@@ -164,7 +164,7 @@
 
     def _list(self) -> bytes:
         body = (
-            drains(self.stage, self.version)
+            list_with_s1_draining(self.stage, self.version)
             if self.changed
             else orjson.dumps(
                 self.stage.table("whole", self.version, "s1:in_service", "s2:in_service")
