--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -84,7 +84,11 @@
     """
 
     def __init__(
-        self, hosts: int = 2, attached: Attachment | None = None, heard: bool = True, **changes: Any
+        self,
+        hosts: int = 2,
+        attached: Attachment | None = None,
+        discovery_answered: bool = True,
+        **changes: Any,
     ) -> None:
         """`heard`: as if discovery had answered once, so that requests are taken at once."""
         STAGES.append(self)
@@ -111,7 +115,7 @@
         self.config = PlatformConfig(**values)
         self.service = Service(self.config, self.scheduler, attached)
         self.service.start()
-        if heard:
+        if discovery_answered:
             self.service.frontend.set_ready()
         self.settle()
 
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -340,7 +340,7 @@
     """Clients disconnect while they wait for a connection, behind pipelined requests or for
     readiness. What had no attempt by then never gets one.
     """
-    stage = Stage(hosts=2, heard=False)
+    stage = Stage(hosts=2, discovery_answered=False)
     fillers = block_connects(stage, "s1") + block_connects(stage, "s2")
     for number in range(10):
         stage.play(f"w{number} send {ask(number, 3000)}")  # for readiness
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -106,7 +106,7 @@
 
     The limiter serves from the list of its configuration within the time allowed.
     """
-    stage = Stage(hosts=2, heard=False)
+    stage = Stage(hosts=2, discovery_answered=False)
     fillers = block_connects(stage, "disco") if discovery == "never up" else []
     if discovery == "down":
         stage.listeners["disco"].close()
@@ -116,7 +116,7 @@
 
 def test_a_limiter_that_is_ready_leaves_a_host_at_once_that_a_late_first_list_says_drains() -> None:
     """The first list is late and says that an endpoint drains. New requests avoid it at once."""
-    stage = Stage(hosts=2, heard=False)
+    stage = Stage(hosts=2, discovery_answered=False)
     stage.play(
         f"disco expect {GET}\nwait 0.6\na send [PING]\na expect +PONG\nwait 0.3\ndisco expect {GET}"
     )
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -645,7 +645,7 @@
 
     Needed are READY_WITHOUT_DISCOVERY_AFTER_S and the time in which a command must come to its end.
     """
-    stage = Stage(hosts=2, heard=False, sockets=0)
+    stage = Stage(hosts=2, discovery_answered=False, sockets=0)
     agent = Agent(stage, monkeypatch)
     agent.turn_to(mode)
     if fill != "nobody":
@@ -671,7 +671,7 @@
 @pytest.mark.parametrize("seconds", [0.0, 0.1, 0.45, 0.55])
 def test_what_came_before_an_early_sigterm_is_answered_also_without_a_list(seconds: float) -> None:
     """SIGTERM before the first list, before it is ready, or in the very turn in which it is."""
-    stage = Stage(hosts=1, heard=False)
+    stage = Stage(hosts=1, discovery_answered=False)
     stage.play(f"a send {ask(1, 2000)}\nb send [PING]\nwait {seconds}")
     stage.service.shutdown.begin()
     stage.play("wait 0.3\nwait 0.3")
@@ -688,7 +688,7 @@
 
     The watch asks the new one, and readiness is not put off.
     """
-    stage = Stage(hosts=2, heard=False)
+    stage = Stage(hosts=2, discovery_answered=False)
     stage.play(
         f"a send [PING]\nb send {ask(1)}\nwait 0.2\ndisco2 reload\na expect nothing\nwait 0.1"
     )
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -298,7 +298,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_scenario(name: str) -> None:
-    Stage(hosts=1, heard=name not in BEFORE_DISCOVERY).play(SCENARIOS[name])
+    Stage(hosts=1, discovery_answered=name not in BEFORE_DISCOVERY).play(SCENARIOS[name])
 
 
 def test_a_client_that_leaves_is_told_to_the_module_and_its_attempt_is_read_to_the_end() -> None:
@@ -836,7 +836,7 @@
 
     Requests wait for discovery's first answer.
     """
-    stage = Stage(hosts=2, heard=False)
+    stage = Stage(hosts=2, discovery_answered=False)
     stage.play(f"a send {ask(1)}\nwait 0.1")
     assert stage.service.stats.requests == 0 and stage.service.stats.attempts == 0
     stage.play(
@@ -851,7 +851,7 @@
 
     After READY_WITHOUT_DISCOVERY_AFTER_S the list of the configuration serves.
     """
-    stage = Stage(hosts=1, heard=False)
+    stage = Stage(hosts=1, discovery_answered=False)
     stage.play(f"a send {ask(1)}\nwait 0.2")
     assert stage.service.stats.attempts == 0
     stage.play(f"wait 0.3\ns1 expect {ask(1, 500)}")  # what it waited is not the host's to spend
