--- a/hazelhollow/net/answer_slot.py
+++ b/hazelhollow/net/answer_slot.py
@@ -1,7 +1,8 @@
-"""The place of one command in the order of its connection's answers.
+"""The place of one command in the answer order of its connection.
 
-Commands of one connection are worked on at the same time, while RESP clients match answers to
-commands by their order: an answer waits in its slot until all before it have been written.
+The commands of one connection are processed concurrently, while RESP clients match answers to
+commands by their order. An answer therefore waits in its slot until all earlier answers of the
+connection have been written.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
     """The answer to one command, and the `Responder` of its request.
 
     Attributes:
-        answer: What goes to the client, encoded; None while it is not known.
-        open_request: The request that it waits for, if it does.
-        size: Bytes held for it: of the command, then of the answer.
+        answer: The encoded answer for the client; None until it is available.
+        open_request: The request whose answer is awaited; None if there is none.
+        size: Bytes held in memory: first those of the command, later those of the answer.
     """
 
     __slots__ = ("session", "answer", "open_request", "size")
@@ -31,31 +32,32 @@
         self.answer: bytes | None = None
         self.open_request: OpenRequest | None = None
 
-    def settle(self, answer: bytes) -> None:
-        """The answer is known, and is written once its turn has come."""
-        # `open_request` is let go of: it refers back to this slot, and the cycle would keep both,
-        # the session and its buffers in memory until the cycle collector came.
+    def set_answer(self, answer: bytes) -> None:
+        """Stores the answer; the session writes it once all earlier answers have been written."""
+        # The open request refers back to this slot. Dropping the reference breaks the cycle, which
+        # would otherwise keep both, the session and its buffers in memory until the cycle collector
+        # runs.
         self.answer, self.size, self.open_request = answer, len(answer), None
         self.session.write_answers()
 
     def send_value(self, value: bytes) -> None:
-        """Answers with what the endpoint gave."""
-        self.settle(resp.encode_bulk_string(value))
+        """Answers with the value that the endpoint returned."""
+        self.set_answer(resp.encode_bulk_string(value))
 
     def send_busy(self, retry_after_ms: int) -> None:
-        """Answers `-BUSY MS`, or `-BUSY` where the wait is 0; see `engine_driver` for why."""
+        """Answers `-BUSY MS`, or `-BUSY` if the wait is 0; `engine_driver` lists the reasons."""
         self.session.fruitless_limit.spend()
-        self.settle(b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n")
+        self.set_answer(b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n")
 
     def send_failure(self) -> None:
         """Answers `-ERR failed`."""
-        self.settle(b"-ERR failed\r\n")
+        self.set_answer(b"-ERR failed\r\n")
 
     def send_error(self, why: str) -> None:
-        """Answers a command that is not of the protocol."""
+        """Answers an invalid command with an error line that says why it is invalid."""
         self.session.fruitless_limit.spend()
-        self.settle(b"-ERR %b\r\n" % why.encode())
+        self.set_answer(b"-ERR %b\r\n" % why.encode())
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, asked of the system."""
+        """Whether the client has disconnected, according to the operating system."""
         return self.session.has_disconnected()
--- a/hazelhollow/net/command_reader.py
+++ b/hazelhollow/net/command_reader.py
@@ -1,17 +1,16 @@
-"""Reading one client's commands: from bytes to slots, and from there to the engine driver.
+"""Reading one client's commands: from bytes to answer slots, and from there to the engine driver.
 
-States of the reading, of which `stopped` ends it for good:
+States of the reader, of which STOPPED is final:
 
 | state | fields | left by |
 | --- | --- | --- |
-| FIRST | `awaiting_since` is the time of the connection | a whole command: BETWEEN |
-| BETWEEN | `awaiting_since` is None | a part of a command: PARTIAL. Too many bad ones: STOPPED |
+| FIRST | `awaiting_since` is the time of the connection | a complete command: BETWEEN |
+| BETWEEN | `awaiting_since` is None | a partial command: PARTIAL. Too many bad ones: STOPPED |
 | PARTIAL | `awaiting_since` is the time of that part | the rest of the command: BETWEEN |
 | STOPPED | `stopped` | |
 
-In FIRST and PARTIAL the session gives up after `session.COMMAND_TIMEOUT_S`. What is not of the
-protocol leads to STOPPED in every state: the client gets one error behind the answers that it is
-owed.
+In FIRST and PARTIAL the session gives up after `session.COMMAND_TIMEOUT_S`. Input that violates the
+protocol leads to STOPPED from every state: the client gets one error after its outstanding answers.
 """
 
 from __future__ import annotations
@@ -27,32 +26,32 @@
     from hazelhollow.net.frontend import Frontend
     from hazelhollow.net.session import Session
 
-MAX_PIPELINED = 64  # commands of one connection that are not answered; past it no more are read
-MAX_COMMANDS_PER_TURN = 16  # of one connection, before others get their turn
-MAX_BAD_COMMANDS = 16  # in a row, after which the connection ends
+MAX_PIPELINED = 64  # unanswered commands of one connection; at this number no more are read
+MAX_COMMANDS_PER_TURN = 16  # of one connection, before other connections are served
+MAX_BAD_COMMANDS = 16  # in a row, after which the connection is closed
 REQUEST_COMMANDS = (b"Q.ASK", b"Q.DO")
 
 
 class CommandReader:
     """Reads the commands of one session.
 
-    It is given the session with each call and does not keep it: the two would hold each other in
-    memory until the cycle collector came.
+    The session is passed with each call and not stored: a reference cycle between the two would
+    keep both in memory until the cycle collector runs.
 
     Attributes:
-        awaiting_since: Since when a whole command is awaited; None between commands.
-        has_more: Whether another whole command may lie among what was read.
-        arrived_since: What was read last has come at this time or later.
-        has_spoken: Whether any whole command has come.
-        first_command_until: Until when the first command is waited for although the limiter leaves.
-        stopped: No more commands are read; what is owed is still answered.
+        awaiting_since: When the reader began to wait for a complete command; None between commands.
+        has_more: Whether the bytes read so far may contain another complete command.
+        arrived_since: The earliest time at which the bytes read last can have arrived.
+        had_first_command: Whether a complete command has arrived.
+        first_command_until: Until when a limiter that is shutting down waits for the first command.
+        stopped: No more commands are read; outstanding ones are still answered.
     """
 
     __slots__ = (
         "awaiting_since",
         "has_more",
         "arrived_since",
-        "has_spoken",
+        "had_first_command",
         "first_command_until",
         "stopped",
         "_bad_commands",
@@ -66,25 +65,25 @@
         self.awaiting_since: float | None = now
         self.has_more = False
         self.arrived_since = now
-        self.has_spoken = False
+        self.had_first_command = False
         self.first_command_until = 0.0
         self.stopped = False
         self._bad_commands = 0  # in a row
 
     def room(self) -> int:
-        """Bytes that may be read now."""
+        """Returns how many bytes may be read now."""
         return self._parser.ring.room()
 
     def held_bytes(self) -> int:
-        """Bytes that were read and make no whole command yet."""
+        """Returns how many bytes were read that do not form a complete command yet."""
         return self._parser.pending_bytes()
 
     def is_between_commands(self) -> bool:
-        """Whether nothing of a next command has come."""
+        """Whether no part of a next command has arrived."""
         return self._parser.idle()
 
     def feed(self, session: Session, data: bytes) -> None:
-        """Takes bytes, or none to go on with what is there, and acts on the commands in them."""
+        """Takes received bytes, or none to continue with buffered ones, and executes commands."""
         try:
             if data:
                 self._parser.feed(data)
@@ -93,7 +92,7 @@
             self.reject_stream(session, str(error))
 
     def reject_stream(self, session: Session, why: str) -> None:
-        """Sends one plain error, behind the answers that are owed, and reads nothing more."""
+        """Sends one error after the outstanding answers, and stops reading."""
         self._frontend.stats.malformed += 1
         self.stopped = True
         slot = AnswerSlot(session)
@@ -101,7 +100,7 @@
         slot.send_error(f"protocol error: {why}")
 
     def discard(self) -> None:
-        """Drops what was read: the connection has ended."""
+        """Drops the bytes read so far, after the connection has ended."""
         self._parser = resp.Parser()
 
     def _read_commands(self, session: Session) -> None:
@@ -120,43 +119,44 @@
             arguments = _arguments(value)
             slot = AnswerSlot(session)
             session.slots.append(slot)
-            self._frontend.command_came(session)
-            self.awaiting_since, self.first_command_until, self.has_spoken = None, 0.0, True
-            self._act_on(arguments, slot)
+            self._frontend.command_received(session)
+            self.awaiting_since, self.first_command_until, self.had_first_command = None, 0.0, True
+            self._execute(arguments, slot)
             if self._bad_commands >= MAX_BAD_COMMANDS:
-                # Each has had its answer. An error for the end of the connection would be taken for
-                # the answer to the next.
+                # Each bad command has been answered. The client would take a further error about
+                # the end of the connection for the answer to its next command.
                 self._frontend.stats.malformed += 1
                 self.stopped = True
                 return
         self.has_more = True
 
-    def _act_on(self, arguments: list[bytes], slot: AnswerSlot) -> None:
+    def _execute(self, arguments: list[bytes], slot: AnswerSlot) -> None:
         verb, frontend = arguments[0].upper(), self._frontend
         if verb in REQUEST_COMMANDS:
             arrived_since = self.arrived_since
             if frontend.is_ready():
                 self._submit(arguments, slot, arrived_since)
             else:
-                # The endpoint list of the start may be old: an endpoint on it may drain by now.
-                # Discovery's first answer comes within milliseconds, and requests wait for it here.
+                # The endpoint list of the configuration may be outdated and contain endpoints that
+                # drain by now. Discovery's first answer arrives within milliseconds; requests wait
+                # for it here.
                 frontend.when_ready(lambda: self._submit(arguments, slot, arrived_since))
             return
         slot.session.fruitless_limit.spend()
         if verb == b"PING":
-            frontend.when_ready(lambda: slot.settle(b"+PONG\r\n"))
+            frontend.when_ready(lambda: slot.set_answer(b"+PONG\r\n"))
         elif verb in (b"CLIENT", b"SELECT"):
-            slot.settle(b"+OK\r\n")
+            slot.set_answer(b"+OK\r\n")
         elif verb == b"INFO":
-            slot.settle(resp.encode_bulk_string(frontend.stats.to_json().encode()))
+            slot.set_answer(resp.encode_bulk_string(frontend.stats.to_json().encode()))
         else:
             self._bad_commands += 1
-            slot.settle(b"-ERR unknown command\r\n")
+            slot.set_answer(b"-ERR unknown command\r\n")
 
     def _submit(self, arguments: list[bytes], slot: AnswerSlot, arrived_since: float) -> None:
         frontend = self._frontend
         if slot.session.is_closed():
-            return  # the client has gone while it waited: nobody is owed anything
+            return  # the client disconnected while the request waited: no answer is due
         waited = frontend.scheduler.clock() - arrived_since
         try:
             parsed = ParsedRequest(arguments, frontend.request_limits.read(arguments, waited))
@@ -171,7 +171,7 @@
 
 
 def _arguments(value: resp.Value) -> list[bytes]:
-    """The arguments of a command; raises ProtocolError for a value that is none."""
+    """Returns the arguments of a command; raises ProtocolError if the value is not a command."""
     if not isinstance(value, list) or not value or not all(isinstance(w, bytes) for w in value):
-        raise ProtocolError("a command is an array of strings")
+        raise ProtocolError("a command must be a non-empty array of strings")
     return [w for w in value if isinstance(w, bytes)]
--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -1,8 +1,8 @@
-"""The clients' side: the listening socket, the sessions on it, and the look at all of them.
+"""The client-facing side: the listening socket, its sessions, and their periodic check.
 
-Accepts clients as long as there is a place and a descriptor for them, holds requests back until the
-limiter is ready, and every quarter of a second ends sessions that are overdue or hold too much
-memory.
+The frontend accepts clients while the session limit and the descriptors allow it, holds requests
+back until the limiter is ready, and every quarter of a second ends sessions that have timed out or
+hold too much memory.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from hazelhollow.net.session_table import SessionTable
 from hazelhollow.net.stats import Stats
 
-MAX_ACCEPTS_PER_TURN = 16  # connections, before other tasks get their turn
+MAX_ACCEPTS_PER_TURN = 16  # connections, before other tasks run
 LISTEN_BACKLOG = 1024
-ACCEPT_PAUSE_S = 0.05  # when no place or no descriptor is left
-LOOK_INTERVAL_S = 0.25  # between looks at all sessions
+ACCEPT_PAUSE_S = 0.05  # when the session limit is reached or no descriptor is left
+SESSION_CHECK_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True)
 class FrontendLimits:
-    """Where clients connect, and how much they may take.
+    """Where clients connect, and which resources they may use.
 
     Attributes:
-        listen: The address; port 0 lets the system pick one.
-        max_sessions: Clients' connections at once.
-        max_used_sessions: Of those that have brought a command.
-        max_held_bytes: On the account of all clients together.
+        listen: The address; with port 0 the operating system picks a port.
+        max_sessions: The maximum number of concurrent client connections.
+        max_used_sessions: The maximum number of those that have sent a command.
+        max_held_bytes: The maximum memory held for all clients together.
     """
 
     listen: tuple[str, int]
@@ -44,14 +44,14 @@
 
 
 class Frontend:
-    """The listening socket and the sessions that it has brought.
+    """The listening socket and the sessions accepted on it.
 
     Attributes:
-        request_limits: What the settings allow a request to say; replaced with the settings.
+        request_limits: What the settings allow in a request; replaced when the settings change.
         sessions: The clients' connections.
-        address: Where it listens.
-        close_idle_endpoint_connection: Frees a descriptor, if a connection to an endpoint is
-            idle; says whether one was.
+        address: The address that the socket listens on.
+        close_idle_endpoint_connection: Frees a descriptor by closing an idle connection to an
+            endpoint; returns whether there was one.
     """
 
     def __init__(
@@ -62,10 +62,10 @@
         request_limits: RequestLimits,
         limits: FrontendLimits,
     ) -> None:
-        """Listens from now on; `run` accepts.
+        """Starts to listen; `run` accepts connections.
 
         Raises:
-            OSError: The address cannot be listened at.
+            OSError: The address cannot be bound or listened on.
         """
         self.scheduler, self.stats, self.engine_driver = scheduler, stats, engine_driver
         self.request_limits = request_limits
@@ -74,11 +74,11 @@
         self.close_idle_endpoint_connection: Callable[[], bool] = lambda: False
         self._ready = False
         self._waiting_for_ready: list[Callable[[], None]] = []
-        scheduler.at(scheduler.clock() + LOOK_INTERVAL_S, self._look_at_sessions)
+        scheduler.at(scheduler.clock() + SESSION_CHECK_INTERVAL_S, self._check_sessions)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # A new version is started beside this one, and listens at the same address before it
-        # leaves.
+        # During an upgrade the new process starts beside this one and listens on the same address
+        # before this one exits.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.setblocking(False)
         self._sock.bind(limits.listen)
@@ -88,18 +88,18 @@
     # Readiness
 
     def is_ready(self) -> bool:
-        """Whether requests are served: discovery has answered, or its time for that has passed."""
+        """Whether requests are served: discovery has answered or has timed out."""
         return self._ready
 
     def when_ready(self, call: Callable[[], None]) -> None:
-        """Calls now, or as soon as requests are served. `PING` is answered only then."""
+        """Makes the call as soon as requests are served. `PING` is answered only from then on."""
         if self._ready:
             call()
         else:
             self._waiting_for_ready.append(call)
 
     def set_ready(self) -> None:
-        """Requests are served from now on."""
+        """Starts to serve requests, including those that have waited."""
         self._ready = True
         waiting, self._waiting_for_ready = self._waiting_for_ready, []
         for call in waiting:
@@ -108,7 +108,7 @@
     # Connections
 
     def run(self) -> None:
-        """Accepts clients, for ever."""
+        """Accepts clients; never returns."""
         while True:
             self.scheduler.wait(self._sock.fileno(), READABLE)
             for _ in range(MAX_ACCEPTS_PER_TURN):
@@ -116,11 +116,11 @@
                     break
 
     def _accept(self) -> bool:
-        """Accepts one client; says whether another may be tried at once."""
-        to_close = None
+        """Accepts one client; returns whether the next accept may follow immediately."""
+        session_to_close = None
         if len(self.sessions.sessions) >= self.sessions.max_sessions:
-            to_close = self.sessions.idlest()
-            if to_close is None:
+            session_to_close = self.sessions.eviction_candidate()
+            if session_to_close is None:
                 self.scheduler.sleep(ACCEPT_PAUSE_S)
                 return False
         try:
@@ -128,13 +128,14 @@
         except OSError as error:
             out_of_descriptors = error.errno in stream.NO_DESCRIPTOR_ERRORS
             if out_of_descriptors and not self.free_descriptor():
-                # poll would say at once that a client waits
+                # without a pause poll would report the waiting client again immediately
                 self.scheduler.sleep(ACCEPT_PAUSE_S)
             return out_of_descriptors
         self.stats.accepted += 1
-        # Only now is it known that its place is needed, and the new one must not be the one to go.
-        if to_close:
-            to_close.end(CloseReason.NO_DESCRIPTOR)
+        # An idle session is closed only after a successful accept, and chosen before it, so that
+        # the new session cannot be the one that is closed.
+        if session_to_close:
+            session_to_close.end(CloseReason.NO_DESCRIPTOR)
         self._start_session(sock)
         return True
 
@@ -144,27 +145,29 @@
         self.scheduler.spawn(session.run, name="session")
         return session
 
-    def command_came(self, session: Session) -> None:
-        """A whole command has come on a session."""
+    def command_received(self, session: Session) -> None:
+        """Counts a complete command and marks its session as busy."""
         self.stats.commands += 1
         self.sessions.set_busy(session)
 
     def free_descriptor(self) -> bool:
-        """Closes a connection that nobody needs; says whether there was one.
+        """Closes a connection that is not in use; returns whether there was one.
 
-        The first of: one that was closed here, an idle one to an endpoint, an idle client's.
+        The order of preference: a lingering session, an idle connection to an endpoint, an idle
+        client session.
         """
         if self.sessions.stop_lingering_oldest() or self.close_idle_endpoint_connection():
             return True
-        idlest = self.sessions.idlest()
-        if idlest:
-            idlest.end(CloseReason.NO_DESCRIPTOR)
-            self.sessions.stop_lingering_oldest()  # that one, unless its client has just broken it
-        return idlest is not None
-
-    def _look_at_sessions(self) -> None:
+        candidate = self.sessions.eviction_candidate()
+        if candidate:
+            candidate.end(CloseReason.NO_DESCRIPTOR)
+            # Closes the candidate, unless its connection has broken meanwhile and does not linger.
+            self.sessions.stop_lingering_oldest()
+        return candidate is not None
+
+    def _check_sessions(self) -> None:
         now = self.scheduler.clock()
-        self.scheduler.at(now + LOOK_INTERVAL_S, self._look_at_sessions)
+        self.scheduler.at(now + SESSION_CHECK_INTERVAL_S, self._check_sessions)
         for session in list(self.sessions.sessions):
             reason = session.reason_to_close(now)
             if reason:
@@ -172,7 +175,10 @@
         self._limit_memory()
 
     def _limit_memory(self) -> None:
-        """Ends the largest sessions if all together hold too much, each within its own bounds."""
+        """Ends the largest sessions if all of them together hold too much memory.
+
+        Each session is within its own bounds, but their sum may exceed the total.
+        """
         held = {session: session.held_bytes() for session in self.sessions.sessions}
         total = sum(held.values())
         for session in sorted(held, key=held.__getitem__, reverse=True):
@@ -182,21 +188,21 @@
             self.stats.relieved += 1
             session.end(CloseReason.STALLED)
 
-    # Its end
+    # Shutdown
 
     def finish(self, accepting_commands: bool = True) -> None:
-        """Closes every session between requests; new ones are still accepted.
+        """Closes every session as soon as it is between requests; still accepts new ones.
 
-        `accepting_commands`: whether those that have not ended yet read commands until then.
+        `accepting_commands`: whether sessions that are still open read commands until then.
         """
         for session in list(self.sessions.sessions):
             session.finish(accepting_commands)
 
     def stop_listening(self) -> None:
-        """Accepts what waits in the listening socket's queue, then closes the socket.
+        """Accepts the connections in the listening socket's queue, then closes the socket.
 
-        Closed with the queue, those connections would be reset, though the system had accepted
-        them.
+        Closing the socket earlier would reset these connections, although the operating system has
+        already accepted them.
         """
         while len(self.sessions.sessions) < self.sessions.max_sessions + MAX_ACCEPTS_PER_TURN:
             try:
--- a/hazelhollow/net/fruitless_limit.py
+++ b/hazelhollow/net/fruitless_limit.py
@@ -1,8 +1,8 @@
-"""A token bucket for commands that come to nothing, one for each client's connection.
+"""A token bucket per client connection for commands that lead to no work at an endpoint.
 
-A client that asks again at once, however often it is rejected, must not take more than its share of
-the processor. Rejections, errors and commands that ask for no work each take a token; a connection
-that has none left is not read until it has one again.
+A client that retries immediately, however often it is rejected, must not use more than its share of
+the CPU. Rejections, errors and commands that are not requests each take one token; a connection
+without tokens is not read until the bucket has refilled.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class FruitlessLimit:
-    """The bucket.
+    """The token bucket of one connection.
 
     Attributes:
-        tokens: As of the last refill; below 0 the connection waits.
+        tokens: As of the last refill; the connection is not read while this is below 0.
     """
 
     __slots__ = ("tokens", "_clock", "_refilled_at")
@@ -26,16 +26,16 @@
         self.tokens, self._clock, self._refilled_at = BURST, clock, clock()
 
     def spend(self) -> None:
-        """A command has come to nothing."""
+        """Takes a token for a command that led to no work."""
         self.refill()
         self.tokens -= 1.0
 
     def refill(self) -> None:
-        """Brings `tokens` up to now."""
+        """Adds the tokens for the time since the last refill."""
         now = self._clock()
         self.tokens = min(BURST, self.tokens + TOKENS_PER_S * (now - self._refilled_at))
         self._refilled_at = now
 
     def available_at(self) -> float:
-        """When `tokens` will be 0 again, if they are below."""
+        """Returns when `tokens` will be back at 0, if it is negative."""
         return self._refilled_at - self.tokens / TOKENS_PER_S
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -1,19 +1,19 @@
-"""One client's connection: reading commands, answering in their order, and its end.
+"""One client's connection: reads commands, answers them in order, and ends in a controlled way.
 
 | state | fields | reads commands | left by |
 | --- | --- | --- | --- |
 | OPEN | | yes | `finish`: FINISHING. Malformed bytes: REJECTED. Client closes: CLOSED |
-| FINISHING | `finishing` | while `accepting_commands` | nothing is open on it any more: LINGERING |
-| REJECTED | `reader.stopped` | no | the error behind the last answer was sent: LINGERING |
-| LINGERING | `_lingering_for` | no: dropped | the client closes, 1 s or 1 MiB pass: CLOSED |
+| FINISHING | `finishing` | while `accepting_commands` | nothing is outstanding: LINGERING |
+| REJECTED | `reader.stopped` | no | the error after the last answer was sent: LINGERING |
+| LINGERING | `_linger_reason` | no: dropped | the client closes, 1 s or 1 MiB pass: CLOSED |
 | CLOSED | the stream's close reason | no | |
 
-From OPEN it also ends if it is idle or a command does not come to its end (LINGERING), or if its
-client does not take its answers (CLOSED). LINGERING exists because closing over unread bytes, or
-while some are on their way, resets the connection, and the client would lose its last answer.
+A session in OPEN also ends if it is idle or a command stays incomplete (LINGERING), or if its
+client does not read its answers (CLOSED). LINGERING exists because closing a socket while bytes are
+unread or still in transit resets the connection, and the client would lose its last answer.
 
-Its task runs `run`; `frontend` looks at it every quarter of a second (`reason_to_close`);
-`command_reader` reads its commands and `answer_slot` holds its answers.
+The session's task runs `run`; `frontend` checks the session every quarter of a second
+(`reason_to_close`); `command_reader` reads its commands and `answer_slot` holds its answers.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 if TYPE_CHECKING:
     from hazelhollow.net.frontend import Frontend
 
-MAX_UNSENT_BYTES = 4 * resp.MAX_STRING_BYTES  # answers that a client has not taken
+MAX_UNSENT_BYTES = 4 * resp.MAX_STRING_BYTES  # answers that the client has not read
 READ_CHUNK_BYTES = 16 * 1024
-STALL_TIMEOUT_S = 10.0  # without a byte taken by the client, while answers wait for it
-COMMAND_TIMEOUT_S = 2.0  # for the rest of a command, and for a connection's first one
+STALL_TIMEOUT_S = 10.0  # without a byte read by the client, while answers are pending
+COMMAND_TIMEOUT_S = 2.0  # for the rest of a command, and for the first one of a connection
 IDLE_TIMEOUT_S = 10.0
-LINGER_S = 1.0  # in which a client may close a connection that was closed here
-MAX_LINGER_BYTES = 1 << 20  # that it may still send meanwhile
-FIRST_COMMAND_GRACE_S = 0.25  # for a new connection's first command, to a limiter that leaves
-# Reasons after which nothing is owed but the client must be able to read the answers that it got.
+LINGER_S = 1.0  # for the client to close a connection whose sending side was closed here
+MAX_LINGER_BYTES = 1 << 20  # that the client may still send meanwhile
+FIRST_COMMAND_GRACE_S = 0.25  # for a new connection's first command during a shutdown
+# Reasons that leave no answer outstanding, but the client must be able to read those already sent.
 ORDERLY_REASONS = (
     CloseReason.IDLE,
     CloseReason.NO_DESCRIPTOR,
@@ -49,15 +49,15 @@
 
 
 class Session:
-    """One connection of a client.
+    """One client's connection.
 
     Attributes:
-        reader: Of its commands.
-        slots: Of commands whose answers were not written yet, in their order.
-        fruitless_limit: Holds it back if too many of its commands come to nothing.
-        idle_since: When its last answer was written.
-        finishing: It is to be closed between requests.
-        accepting_commands: While `finishing`: whether it reads commands until then.
+        reader: Reads the commands.
+        slots: The commands whose answers have not been written yet, in their order.
+        fruitless_limit: Throttles the connection if too many of its commands lead to no work.
+        idle_since: When the last answer was written.
+        finishing: Whether the session is to be closed as soon as it is between requests.
+        accepting_commands: While `finishing`: whether commands are still read until then.
     """
 
     def __init__(self, frontend: Frontend, connection: stream.Stream) -> None:
@@ -67,30 +67,31 @@
         self.slots: deque[AnswerSlot] = deque()
         self.fruitless_limit: FruitlessLimit = FruitlessLimit(frontend.scheduler.clock)
         self._connected_at = self.idle_since = now
-        self._progress = (0, 0.0)  # bytes taken by the client, and since when no more
+        self._send_progress = (0, 0.0)  # bytes sent, and since when no more
         self.finishing = False
         self.accepting_commands = True
-        self._lingering_for: CloseReason | None = None  # why it was closed here
+        self._linger_reason: CloseReason | None = None  # why the sending side was closed
 
     def run(self) -> None:
-        """Its task, from its first byte to its end."""
+        """Serves the session from its first byte to its end; the body of its task."""
         reason = CloseReason.BROKEN_HERE
         try:
             reason = self._serve()
         finally:
             self.end(reason)
-            if self._lingering_for:
+            if self._linger_reason:
                 self._linger()
 
-    # Its end
+    # Closing
 
     def end(self, reason: CloseReason) -> None:
-        """The only place in which a client's connection ends.
+        """Ends the session; a client's connection ends in no other place.
 
-        Where nothing more is owed only the sending side is closed, and the session's own task reads
-        on until the client closes too. Else the socket is closed, and open requests are given up.
+        If no answer is outstanding, only the sending side is closed, and the session's own task
+        keeps reading until the client closes too. Otherwise the socket is closed and open requests
+        are given up.
         """
-        if self._lingering_for:
+        if self._linger_reason:
             return
         frontend = self._frontend
         frontend.sessions.remove(self)
@@ -99,7 +100,7 @@
         if orderly:
             self._stream.shutdown_send()
         if orderly and self._stream.close_reason is None:
-            self._lingering_for = reason
+            self._linger_reason = reason
             frontend.sessions.add_lingering(self)
             self._stream.wake()
         else:
@@ -110,23 +111,26 @@
                 frontend.engine_driver.client_disconnected(opened)
 
     def _linger(self) -> None:
-        """Waits for the client to close. What it sends now it has to send again elsewhere."""
+        """Waits for the client to close.
+
+        Commands that arrive now are dropped; the client has to send them again elsewhere.
+        """
         self.reader.discard()
         self._stream.discard_until_closed(LINGER_S, MAX_LINGER_BYTES)
         self.stop_lingering()
 
     def stop_lingering(self) -> None:
-        """Closes the socket without waiting for the client any more."""
-        self._stream.close(self._lingering_for or CloseReason.SHUTDOWN)
+        """Closes the socket without waiting any longer for the client to close."""
+        self._stream.close(self._linger_reason or CloseReason.SHUTDOWN)
         self._frontend.sessions.lingering.pop(self, None)
 
     def finish(self, accepting_commands: bool = True) -> None:
-        """Closes it between requests, now or after the last answer.
+        """Closes the session between requests: now, or after the last outstanding answer.
 
-        `accepting_commands`: whether commands are read until then.
+        `accepting_commands`: whether commands are still read until then.
         """
-        if not self.finishing and not self.reader.has_spoken:
-            # the client was accepted and may just be sending
+        if not self.finishing and not self.reader.had_first_command:
+            # the client has just been accepted, and its first command may be in transit
             self.reader.first_command_until = self._connected_at + FIRST_COMMAND_GRACE_S
         self.finishing, self.accepting_commands = (
             True,
@@ -135,45 +139,48 @@
         self._stream.wake()
 
     def reason_to_close(self, now: float) -> CloseReason | None:
-        """Why it has to go, if it has: a slow or silent client must keep no place from others."""
+        """Returns why the session has to be closed now, or None.
+
+        A slow or silent client must not occupy a connection that other clients need.
+        """
         if self._stream.send_buffer:
-            if self._progress[0] != self._stream.bytes_sent or not self._progress[1]:
-                self._progress = self._stream.bytes_sent, now
-            if now - self._progress[1] >= STALL_TIMEOUT_S:
+            if self._send_progress[0] != self._stream.bytes_sent or not self._send_progress[1]:
+                self._send_progress = self._stream.bytes_sent, now
+            if now - self._send_progress[1] >= STALL_TIMEOUT_S:
                 return CloseReason.STALLED
         if self.reader.stopped:
-            return None  # each answer that it is owed has a deadline
+            return None  # each outstanding answer has a deadline of its own
         awaiting_since = self.reader.awaiting_since
         if awaiting_since is not None and now - awaiting_since >= COMMAND_TIMEOUT_S:
             if self.is_between_requests():
                 return CloseReason.IDLE
-            self.reader.reject_stream(self, "a command that does not come to its end")
+            self.reader.reject_stream(self, "incomplete command: the rest did not arrive in time")
             self._stream.wake()
         elif now - self.idle_since >= IDLE_TIMEOUT_S and self.is_between_requests():
             return CloseReason.IDLE
         return None
 
-    # What others ask of it
+    # State queries
 
     def is_closed(self) -> bool:
-        """Whether its socket is closed."""
+        """Whether the socket is closed."""
         return self._stream.close_reason is not None
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, asked of the system."""
+        """Whether the client has disconnected, according to the operating system."""
         return self._stream.peer_has_closed()
 
     def is_between_requests(self) -> bool:
-        """Whether it may be closed: nothing is owed, and no part of a command waits unread."""
+        """Whether it may be closed: no answer is outstanding and no part of a command unread."""
         return (
             not self._awaits_first_command()
-            and self._is_settled()
+            and self._has_sent_all_answers()
             and self.reader.is_between_commands()
             and self._stream.is_open_and_quiet()
         )
 
     def held_bytes(self) -> int:
-        """Bytes in memory on this client's account."""
+        """Returns how many bytes are held in memory for this client."""
         return (
             self.reader.held_bytes()
             + len(self._stream.send_buffer)
@@ -183,10 +190,10 @@
     def _awaits_first_command(self) -> bool:
         return self._frontend.scheduler.clock() < self.reader.first_command_until
 
-    def _is_settled(self) -> bool:
+    def _has_sent_all_answers(self) -> bool:
         return not self.slots and not self._stream.send_buffer
 
-    def _takes_commands(self) -> bool:
+    def _accepts_commands(self) -> bool:
         if self.reader.stopped:
             return False
         return self.accepting_commands or self._awaits_first_command()
@@ -194,7 +201,7 @@
     # Answers and commands
 
     def write_answers(self) -> None:
-        """Writes the answers whose turn has come, as far as the send buffer has room for them."""
+        """Writes the answers that are next in order, as far as the send buffer has room."""
         slots, send_buffer = self.slots, self._stream.send_buffer
         if not slots:
             return
@@ -208,24 +215,24 @@
         if not slots:
             self.idle_since = self._frontend.scheduler.clock()
             self._frontend.sessions.set_idle(self, self.idle_since)
-        has_place_again = was_full and len(slots) < MAX_PIPELINED
-        if self.finishing or self.reader.stopped or has_place_again:
+        has_free_slot = was_full and len(slots) < MAX_PIPELINED
+        if self.finishing or self.reader.stopped or has_free_slot:
             self._stream.wake()
 
     def _serve(self) -> CloseReason:
-        """Reads and acts on commands until the connection has to end; returns why it has."""
+        """Reads and executes commands until the connection has to end; returns the reason."""
         connection = self._stream
-        while connection.close_reason is None and not self._lingering_for:
+        while connection.close_reason is None and not self._linger_reason:
             if self.reader.stopped or self.finishing:
                 connection.flush()
-                reason = self._finished_reason()
+                reason = self._reason_if_finished()
                 if reason:
                     return reason
             until, events = self._next_wait()
-            # That the client has gone shows also while nothing is read, or behind unread bytes.
+            # PEER_CLOSED reports a disconnection also while nothing is read or bytes are unread.
             bits = connection.wait(until, events | PEER_CLOSED)
             self.write_answers()
-            if self._lingering_for:
+            if self._linger_reason:
                 break
             if bits == TIMED_OUT:
                 self.fruitless_limit.refill()
@@ -241,20 +248,21 @@
                     self.reader.feed(self, data)
         return connection.close_reason or CloseReason.SHUTDOWN
 
-    def _finished_reason(self) -> CloseReason | None:
-        """Why FINISHING or REJECTED is over, if it is."""
-        if self.reader.stopped and self._is_settled():
+    def _reason_if_finished(self) -> CloseReason | None:
+        """Returns the close reason if FINISHING or REJECTED is over, else None."""
+        if self.reader.stopped and self._has_sent_all_answers():
             return CloseReason.MALFORMED
         if self.finishing and (
-            self.is_between_requests() or (not self._takes_commands() and self._is_settled())
+            self.is_between_requests()
+            or (not self._accepts_commands() and self._has_sent_all_answers())
         ):
             return CloseReason.SHUTDOWN
         return None
 
     def _next_wait(self) -> tuple[float | None, int]:
-        """What its task waits for: a time at which to go on with what was read, and poll's bits."""
+        """Returns when to continue with bytes already read, and the poll events to wait for."""
         if (
-            not self._takes_commands()
+            not self._accepts_commands()
             or len(self.slots) >= MAX_PIPELINED
             or len(self._stream.send_buffer) > MAX_UNSENT_BYTES // 2
         ):
@@ -262,5 +270,5 @@
         if self.fruitless_limit.tokens < 0.0:
             return self.fruitless_limit.available_at(), 0
         if self.reader.has_more:
-            return self._frontend.scheduler.clock(), 0  # the next turn: others come first
+            return self._frontend.scheduler.clock(), 0  # next turn, after other connections
         return None, READABLE
--- a/hazelhollow/net/session_table.py
+++ b/hazelhollow/net/session_table.py
@@ -1,13 +1,13 @@
-"""The table of clients' connections: how many there may be, and which one is closed for another.
+"""The table of client sessions: how many may exist, and which one is closed to make room.
 
-| list | who is in it | who goes first |
+| list | sessions in it | closed first |
 | --- | --- | --- |
-| `sessions` | every open one | |
-| silent | those that have never sent a whole command | the longest silent, before any idle one |
+| `sessions` | all open ones | |
+| silent | those that have never sent a complete command | the longest silent, before any idle one |
 | idle | those whose last command is answered | the longest idle |
 | `lingering` | those closed here whose clients have not closed yet | the longest lingering |
 
-`frontend` owns the table; sessions report what happens to them.
+`frontend` owns the table; sessions report their state changes to it.
 """
 
 from __future__ import annotations
@@ -15,20 +15,19 @@
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.session import Session
 
-MIN_IDLE_S = (
-    0.1  # that a connection stays open after an answer, or its client could not use it again
-)
-MAX_LINGERING = 8  # beyond the clients' share of the descriptors
+# An idle session stays open at least this long, or its client could never reuse the connection.
+MIN_IDLE_S = 0.1
+MAX_LINGERING = 8  # lingering sessions allowed in addition to `max_sessions`
 
 
 class SessionTable:
-    """The clients' connections, and the order in which those that nobody needs are closed.
+    """The client sessions, and the order in which unused ones are closed.
 
     Attributes:
-        sessions: The open ones.
-        lingering: Those closed here and not yet by their clients, the oldest first.
-        max_sessions: How many there may be.
-        max_used: How many of those that have brought a command.
+        sessions: The open sessions.
+        lingering: Sessions closed here but not yet by their clients, the oldest first.
+        max_sessions: The maximum number of sessions.
+        max_used: The maximum number of sessions that have sent a command.
     """
 
     def __init__(self, max_sessions: int, max_used: int) -> None:
@@ -39,24 +38,27 @@
         self._idle: dict[Session, None] = {}
 
     def add(self, session: Session) -> None:
-        """A client has connected."""
+        """Adds the session of a client that has connected."""
         self.sessions.add(session)
         self._silent[session] = None
         self._limit_lingering()
 
     def remove(self, session: Session) -> None:
-        """It has ended."""
+        """Removes a session that has ended."""
         self.sessions.discard(session)
         self._silent.pop(session, None)
         self._idle.pop(session, None)
 
     def set_busy(self, session: Session) -> None:
-        """A command has come on it."""
+        """Marks a session as busy: a command has arrived on it."""
         self._silent.pop(session, None)
         self._idle.pop(session, None)
 
     def set_idle(self, session: Session, now: float) -> None:
-        """Its last answer is on its way. Closes the idlest if too many have brought a command."""
+        """Marks a session as idle after its last outstanding answer was written.
+
+        Closes the longest idle sessions if more than `max_used` have sent a command.
+        """
         if session not in self.sessions:
             return
         self._idle.pop(session, None)
@@ -71,7 +73,7 @@
                 self._idle.pop(oldest)
 
     def add_lingering(self, session: Session) -> None:
-        """It was closed here, and holds a descriptor until its client closes too."""
+        """Adds a session closed here; it holds a descriptor until its client closes too."""
         self.lingering[session] = None
         self._limit_lingering()
 
@@ -81,24 +83,25 @@
             self.stop_lingering_oldest()
 
     def stop_lingering_oldest(self) -> bool:
-        """Waits no more for the client of the oldest in `lingering`; says whether there was one."""
+        """Closes the socket of the oldest lingering session; returns whether there was one."""
         oldest = next(iter(self.lingering), None)
         if oldest:
             oldest.stop_lingering()
         return oldest is not None
 
-    def idlest(self) -> Session | None:
-        """The one to close where a place is needed, if any may be.
+    def eviction_candidate(self) -> Session | None:
+        """Returns the session to close when room is needed, or None if none may be closed.
 
-        Silent ones go first: a usual client speaks as soon as it is connected.
+        Silent sessions are preferred: a well-behaved client sends a command as soon as it is
+        connected.
         """
         for candidates in (self._silent, self._idle):
             for session in list(candidates):
                 if session.is_between_requests():
                     return session
-                candidates.pop(session)  # it has something to do, and comes back after that
+                candidates.pop(session)  # it is in use, and `set_idle` adds it again afterwards
         return None
 
     def is_empty(self) -> bool:
-        """Whether no client is owed an answer, and none is still reading one."""
+        """Whether no session is open or lingering, so that every client has its answers."""
         return not self.sessions and not self.lingering
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -70,7 +70,7 @@
 
 
 def in_need_of_room(stage: Stage) -> None:
-    session = stage.service.frontend.sessions.idlest()
+    session = stage.service.frontend.sessions.eviction_candidate()
     assert session
     session.end(CloseReason.NO_DESCRIPTOR)
 
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -168,7 +168,7 @@
         a expect +PONG
         wait 1.8
         b expect closed
-        c expect -ERR protocol error: a command that does not come to its end
+        c expect -ERR protocol error: incomplete command: the rest did not arrive in time
         c expect closed
         a expect nothing
         wait 9
