--- a/hazelhollow/net/answer_slot.py
+++ b/hazelhollow/net/answer_slot.py
@@ -54,7 +54,7 @@
         self.set_answer(b"-ERR failed\r\n")
 
     def send_error(self, why: str) -> None:
-        """Answers an invalid command with an error line that says why it is invalid."""
+        """Answers an invalid command with an error line that gives the reason."""
         self.session.fruitless_limit.spend()
         self.set_answer(b"-ERR %b\r\n" % why.encode())
 
--- a/hazelhollow/net/attempts.py
+++ b/hazelhollow/net/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts: one forwarding of a request to an endpoint, and how it ended.
+"""Attempts: each forwards a request to an endpoint once, and ends with one result.
 
-An attempt is made by `connection_pool.ConnectionPool.start`, which puts it on a connection, and
-ends with one `AttemptResult`. This module owns the attempt's record and the reading of an
-endpoint's answer.
+`connection_pool.ConnectionPool.start` creates an attempt and assigns it to a connection; it ends
+with one `AttemptResult`. This module owns the attempt's record and the parsing of an endpoint's
+answer.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """How an attempt ended, in the decision engine's words.
+    """How an attempt ended, in the terms of the decision engine.
 
     Attributes:
-        status: Of the attempt; `close_reason.attempt_status` gives it where no answer came.
-        value: What goes to the client; only with status "ok".
-        report: The endpoint's load report, unread.
-        figures: What the endpoint says that the request used, unread.
+        status: The status; `close_reason.attempt_status` determines it if no answer arrived.
+        value: The value for the client; only with status "ok".
+        report: The endpoint's load report, not parsed yet.
+        figures: The units that the request used according to the endpoint, not parsed yet.
     """
 
     status: Status
@@ -43,10 +43,10 @@
 
 
 def read_answer(answer: resp.Value) -> AttemptResult:
-    """Reads an endpoint's answer: `[VALUE, FIGURES, REPORT]`, `-BUSY ...` or `-ERR ...`.
+    """Parses an endpoint's answer: `[VALUE, FIGURES, REPORT]`, `-BUSY ...` or `-ERR ...`.
 
     Raises:
-        EndpointError: The value is none of these.
+        EndpointError: The answer has another form.
     """
     if isinstance(answer, list) and answer and isinstance(answer[0], bytes):
         figures, report = (x if isinstance(x, bytes) else b"" for x in (answer + [None, None])[1:3])
@@ -57,22 +57,27 @@
         if code == b"BUSY":
             return AttemptResult("full", report=report)
         if code != b"ERR":
-            log.warning("an endpoint answered %r", bytes(answer[:MAX_LOGGED_ANSWER_BYTES]))
+            log.warning(
+                "endpoint answered with an unknown error code, counted as an error: %r",
+                bytes(answer[:MAX_LOGGED_ANSWER_BYTES]),
+            )
         return AttemptResult("error", report=report)
-    raise EndpointError("neither an array nor an error line")
+    raise EndpointError("the answer is neither an array with a value nor an error line")
 
 
 class Attempt:
-    """One attempt, from `ConnectionPool.start` to its one result.
+    """One attempt, from `ConnectionPool.start` to its single result.
 
     Attributes:
         endpoint: The endpoint's name.
-        command: The request as it goes out.
+        command: The encoded request.
+        on_result: Receives the result; None once the attempt has ended.
         before_sending: Called once, when a new connection is up and before the request is written.
-        connection: The connection that carries it, or None if it never got one.
-        started_at: When it was asked for, by the scheduler's clock.
-        timeout_timer: At which it is aborted before its request's deadline, if it is.
-        send_by_timer: At which it is withdrawn unless its request has gone out completely.
+        connection: The connection that carries the attempt; None if it never got one.
+        started_at: When the attempt was started, by the scheduler's clock.
+        timeout_timer: Aborts the attempt at its own timeout; None if that is not before the
+            request's deadline.
+        send_by_timer: Withdraws the attempt unless its request has been sent completely by then.
     """
 
     __slots__ = (
@@ -102,10 +107,10 @@
         self.send_by_timer: Timer | None = None
 
     def finish(self, result: AttemptResult) -> None:
-        """Hands over the result; later calls do nothing."""
+        """Delivers the result; later calls have no effect."""
         on_result, self.on_result, self.before_sending = self.on_result, None, None
         for timer in (self.timeout_timer, self.send_by_timer):
             if timer:
-                timer.cancel()  # until then it would keep the attempt and its connection in memory
+                timer.cancel()  # a pending timer keeps the attempt and its connection in memory
         if on_result:
             on_result(result)
--- a/hazelhollow/net/close_reason.py
+++ b/hazelhollow/net/close_reason.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection ends, and what each means for the attempt that was out on it."""
+"""The reasons why a connection ends, and the resulting status of the attempt in flight on it."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class CloseReason(Enum):
-    """Why a connection is over."""
+    """Why a connection was closed."""
 
-    REFUSED = auto()  # nothing listens there
-    NEVER_UP = auto()  # it did not come up in time, or the way there failed
+    REFUSED = auto()  # nothing listens on the address
+    NEVER_UP = auto()  # it was not established in time, or the network failed meanwhile
     NO_DESCRIPTOR = auto()  # this process or machine has no socket left
     CLOSED = auto()  # the other side closed its sending side
-    ANSWERED = auto()  # the other side closed it with its answer, which is complete
-    RESET = auto()  # the other side, or the way there, broke it
-    MALFORMED = auto()  # what came is not of the protocol
-    TIMED_OUT = auto()  # no answer while we were willing to wait
-    CANCELLED = auto()  # we no longer want the answer
-    STALLED = auto()  # the other side stopped taking or sending half-way
-    UNLISTED = auto()  # the endpoint drains, is gone, or is disabled by hand
-    IDLE = auto()  # not used for too long
-    MOVED = auto()  # the configuration names another address now
-    SHUTDOWN = auto()  # this limiter is ending
-    BROKEN_HERE = auto()  # an error in our own code
+    ANSWERED = auto()  # the other side closed it after a complete answer
+    RESET = auto()  # the other side or the network reset it
+    MALFORMED = auto()  # the other side violated the protocol
+    TIMED_OUT = auto()  # no answer within the timeout
+    CANCELLED = auto()  # the answer is no longer needed
+    STALLED = auto()  # the other side stopped reading or sending in mid-transfer
+    UNLISTED = auto()  # the endpoint drains, is gone, or was disabled by an operator
+    IDLE = auto()  # unused for too long
+    MOVED = auto()  # the configuration now names another address
+    SHUTDOWN = auto()  # this limiter is shutting down
+    BROKEN_HERE = auto()  # an error in this process's own code
 
 
 _STATUS_IF_SENT: dict[CloseReason, Status] = {
@@ -34,13 +34,13 @@
 
 
 def attempt_status(reason: CloseReason, sent_all: bool) -> Status:
-    """The decision engine's word for an attempt whose connection ended without an answer.
+    """Returns the engine's status for an attempt whose connection ended without an answer.
 
     Args:
         reason: Why the connection ended.
-        sent_all: Whether the last byte of the request had been sent. Up to then no endpoint can
-            have begun it, and unsent bytes are dropped; from then on it may have run, whatever
-            ended the connection.
+        sent_all: Whether the last byte of the request had been sent. Before that, no endpoint can
+            have started the request, and unsent bytes are dropped; after that, the request may have
+            been executed, whatever ended the connection.
     """
     if sent_all:
         return _STATUS_IF_SENT.get(reason, "reset")
--- a/hazelhollow/net/connection_pool.py
+++ b/hazelhollow/net/connection_pool.py
@@ -1,8 +1,8 @@
 """The pool of connections to endpoints, and the attempts that go out on them.
 
-The only owner of these connections: it opens, reuses and closes them. `engine_driver` starts,
-aborts and withdraws attempts; `service` tells which endpoints are listed. `pooled_connection` has
-the states of a connection.
+The pool is the only owner of these connections: it opens, reuses and closes them. `engine_driver`
+starts, aborts and withdraws attempts; `service` sets which endpoints are listed.
+`pooled_connection` documents the states of a connection.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from hazelhollow.net.scheduler import WOKEN, Scheduler
 from hazelhollow.net.stats import Stats
 
-MAX_UNSENT_BYTES = resp.MAX_STRING_BYTES + 8 * 1024  # of one connection: one request
-# Part of the endpoint's own idle timeout after which a connection is not reused: near that timeout
-# the endpoint might close it while a request is on its way.
+MAX_UNSENT_BYTES = resp.MAX_STRING_BYTES + 8 * 1024  # per connection: one request
+# Fraction of the endpoint's own idle timeout after which a connection is not reused: near that
+# timeout the endpoint might close it while a request is in transit.
 IDLE_TIMEOUT_SHARE = 0.5
-SWEEP_INTERVAL_S = 0.25  # between looks for idle connections and for answers that stopped half-way
-# Without a byte in the middle of an answer: it is not expected to come to its end.
+SWEEP_INTERVAL_S = 0.25  # between checks for idle connections and incomplete answers
+# An incomplete answer without a further byte for this long is not expected to be completed.
 PARTIAL_ANSWER_TIMEOUT_S = 0.5
-# In which a second copy of an answer may still arrive: so long a connection is not reused.
+# A connection is not reused for this long after an answer, as a second copy may still arrive.
 SETTLE_TIME_S = 0.03
 
 log = logging.getLogger(__name__)
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True)
 class PoolSettings:
-    """What the platform's file says of connections to endpoints.
+    """The settings of the platform configuration for connections to endpoints.
 
     Attributes:
-        connect_timeout: Seconds in which a connection has to come up.
+        connect_timeout: Seconds within which a connection has to be established.
         endpoint_idle_timeout: Seconds after which an endpoint closes an idle connection.
-        max_connections: To all endpoints together.
+        max_connections: The maximum number of connections to all endpoints together.
     """
 
     connect_timeout: float
@@ -50,8 +50,9 @@
 class ConnectionPool:
     """All connections to endpoints.
 
-    `free_descriptor` frees one of this process's descriptors, where one can be had, and says
-    whether it did; it is replaced by one that also looks at clients' connections.
+    Attributes:
+        free_descriptor: Frees one of this process's descriptors, if possible, and returns whether
+            it did. `service` replaces it with a function that may also close client connections.
     """
 
     def __init__(self, scheduler: Scheduler, stats: Stats, settings: PoolSettings) -> None:
@@ -59,23 +60,24 @@
         self._max_connections = settings.max_connections
         self.set_timeouts(settings.connect_timeout, settings.endpoint_idle_timeout)
         self._endpoints: dict[str, PoolEndpoint] = {}
-        # all, also those to endpoints that are listed no more
+        # includes the connections to endpoints that are no longer listed
         self._connections: set[PooledConnection] = set()
         self.free_descriptor: Callable[[], bool] = self.close_longest_idle
         scheduler.at(scheduler.clock() + SWEEP_INTERVAL_S, self._sweep)
 
     def set_timeouts(self, connect_timeout: float, endpoint_idle_timeout: float) -> None:
-        """Takes new timeouts, in seconds; see `PoolSettings`."""
+        """Sets the timeouts, in seconds; see `PoolSettings`."""
         self._connect_timeout = connect_timeout
         self._idle_timeout = endpoint_idle_timeout * IDLE_TIMEOUT_SHARE
 
     # The endpoint list
 
     def set_endpoints(self, addresses: Mapping[str, tuple[str, int]]) -> None:
-        """Names the endpoints that may get new attempts from now on, and where they are.
+        """Sets the endpoints that may receive new attempts from now on, and their addresses.
 
-        An attempt whose first byte has not left must not reach an endpoint that drains or is gone:
-        it ends as `connect_failed`, and the decision engine may choose anew. Others go on.
+        An attempt of which no byte has been sent must not reach an endpoint that drains or is gone:
+        it ends as `connect_failed`, and the decision engine may choose another endpoint. Attempts
+        that have started to send continue.
         """
         for name, endpoint in list(self._endpoints.items()):
             if addresses.get(name) != endpoint.address:
@@ -100,24 +102,24 @@
         """Sends a request to the endpoint of that name, on an idle connection or a new one.
 
         Args:
-            name: Of the endpoint. If it is not listed, the attempt ends as `connect_failed`.
-            command: The request, encoded.
-            on_result: Called once, and never before this method returns.
-            before_sending: Called once a new connection is up and before anything is written. It
-                may withdraw the attempt, if nobody waits for it any more.
+            name: The endpoint's name. If it is not listed, the attempt ends as `connect_failed`.
+            command: The encoded request.
+            on_result: Called exactly once, and never before this method returns.
+            before_sending: Called when a new connection is up and before anything is written. It
+                may withdraw the attempt if its result is no longer needed.
         """
         now, endpoint = self._scheduler.clock(), self._endpoints.get(name)
         attempt = Attempt(name, command, on_result, before_sending, now)
         self._stats.attempts += 1
         if endpoint is None:
-            self._fail_later(attempt, CloseReason.UNLISTED)
+            self._fail_at_end_of_turn(attempt, CloseReason.UNLISTED)
             return attempt
-        while (place := self._newest_reusable(endpoint, now)) is not None:
-            connection = endpoint.idle.pop(place)
+        while (index := self._newest_reusable(endpoint, now)) is not None:
+            connection = endpoint.idle.pop(index)
             if now - connection.idle_since >= self._idle_timeout:
                 self.close_connection(connection, CloseReason.IDLE)
             elif not connection.stream or not connection.stream.is_open_and_quiet():
-                # a request written to it would be reset, and a reset request may have run
+                # A request written to it would be reset, and might have been executed all the same.
                 self.close_connection(connection, CloseReason.CLOSED)
             else:
                 connection.attempt, attempt.connection = attempt, connection
@@ -127,7 +129,7 @@
                 return attempt
         if len(self._connections) >= self._max_connections and not self.close_longest_idle():
             self._stats.no_descriptor += 1
-            self._fail_later(attempt, CloseReason.NO_DESCRIPTOR)
+            self._fail_at_end_of_turn(attempt, CloseReason.NO_DESCRIPTOR)
             return attempt
         connection = PooledConnection(endpoint)
         connection.attempt, attempt.connection = attempt, connection
@@ -137,34 +139,34 @@
         return attempt
 
     def abort(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Gives the attempt up, sent or not.
+        """Aborts the attempt, whether its request was sent or not.
 
-        The endpoint learns of it by the connection's end; bytes that are not written never will be.
+        The endpoint notices that its connection was closed; unsent bytes are dropped.
         """
         if attempt.on_result and attempt.connection:
             self.close_connection(attempt.connection, reason)
 
     def withdraw(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Gives the attempt up only if its request has not gone out completely.
+        """Aborts the attempt only if its request has not been sent completely.
 
-        Then no endpoint can have begun it.
+        In that case the endpoint cannot have started to execute it.
         """
         if attempt.on_result and attempt.connection and not attempt.connection.has_sent_all():
             self.close_connection(attempt.connection, reason)
 
-    def _fail_later(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Ends an attempt that got no connection, at the end of this turn."""
+    def _fail_at_end_of_turn(self, attempt: Attempt, reason: CloseReason) -> None:
+        """Ends an attempt that got no connection, at the end of the current turn."""
         self._scheduler.at_end_of_turn(
             lambda: attempt.finish(AttemptResult(attempt_status(reason, False)))
         )
 
     def _newest_reusable(self, endpoint: PoolEndpoint, now: float) -> int | None:
-        """The index of the connection in `idle` that was used last and has settled."""
+        """Returns the index of the most recently used connection in `idle` that may be reused."""
         return next(
             (
-                n
-                for n in range(len(endpoint.idle) - 1, -1, -1)
-                if endpoint.idle[n].reusable_from <= now
+                index
+                for index in range(len(endpoint.idle) - 1, -1, -1)
+                if endpoint.idle[index].reusable_from <= now
             ),
             None,
         )
@@ -172,7 +174,7 @@
     # Connections
 
     def close_connection(self, connection: PooledConnection, reason: CloseReason) -> None:
-        """The only place in which a connection ends, and its attempt with it."""
+        """Closes a connection and ends its attempt; the only place that does so."""
         endpoint, attempt = connection.endpoint, connection.attempt
         sent_all = connection.has_sent_all()
         if connection in endpoint.connections:
@@ -189,23 +191,23 @@
             attempt.finish(AttemptResult(attempt_status(reason, sent_all)))
 
     def close_all(self) -> None:
-        """Closes every connection, as the process is about to end."""
+        """Closes every connection, at the end of the process."""
         for connection in list(self._connections):
             self.close_connection(connection, CloseReason.SHUTDOWN)
 
     def close_longest_idle(self) -> bool:
-        """Closes the connection that is idle longest; says whether there was one."""
+        """Closes the connection that has been idle longest; returns whether there was one."""
         idle = [endpoint.idle[0] for endpoint in self._endpoints.values() if endpoint.idle]
         if not idle:
             return False
-        idlest = min(idle, key=lambda connection: connection.idle_since)
-        self.close_connection(idlest, CloseReason.IDLE)
+        longest_idle = min(idle, key=lambda connection: connection.idle_since)
+        self.close_connection(longest_idle, CloseReason.IDLE)
         return True
 
     def _run_connection(self, connection: PooledConnection) -> None:
-        """The task of one connection, from its opening to its end."""
+        """Runs one connection from its opening to its end; the body of its task."""
         if connection not in connection.endpoint.connections:
-            return  # closed in the turn that asked for it
+            return  # closed in the same turn in which it was created
         reason = CloseReason.BROKEN_HERE
         try:
             reason = self._open(connection) or self._read_answers(connection)
@@ -213,7 +215,7 @@
             self.close_connection(connection, reason)
 
     def _open(self, connection: PooledConnection) -> CloseReason | None:
-        """Connects and sends the first request; returns why that failed, if it did."""
+        """Connects and sends the first request; returns the reason if that failed, else None."""
         for attempt_number in (1, 2):
             result = stream.connect(
                 self._scheduler,
@@ -235,10 +237,10 @@
         return None
 
     def _read_answers(self, connection: PooledConnection) -> CloseReason:
-        """Reads one answer after another until the connection ends; returns why it did."""
+        """Reads answers until the connection ends; returns the reason."""
         assert connection.stream
         sock, parser = connection.stream, connection.parser
-        sock.on_broken = lambda reason: self.close_connection(connection, reason)
+        sock.on_send_failure = lambda reason: self.close_connection(connection, reason)
         while sock.close_reason is None:
             if connection.attempt is None:
                 sock.wait_unwatched()
@@ -258,7 +260,11 @@
                     continue
                 self._finish_attempt(connection, read_answer(answer))
             except (ProtocolError, EndpointError) as error:
-                log.info("%s: a malformed answer: %s", connection.endpoint.name, error)
+                log.info(
+                    "endpoint %s: closing a connection after a malformed answer: %s",
+                    connection.endpoint.name,
+                    error,
+                )
                 return CloseReason.MALFORMED
         return sock.close_reason
 
@@ -266,11 +272,11 @@
         """Ends the attempt with its answer and keeps the connection for the next one.
 
         Raises:
-            EndpointError: The answer came before its request was out. It answers nothing that was
-                asked, and what follows it could be taken for another request's answer.
+            EndpointError: The answer arrived before its request was sent completely. It cannot
+                belong to that request, and later bytes could be taken for another request's answer.
         """
         if not connection.has_sent_all():
-            raise EndpointError("an answer before its request")
+            raise EndpointError("the answer arrived before its request was sent")
         attempt, connection.attempt = connection.attempt, None
         assert attempt
         connection.partial_answer_at = 0.0
@@ -279,8 +285,8 @@
         if connection.parser.idle():
             self._make_idle(connection)
         else:
-            # The answer is whole and this attempt's own. The bytes behind it are no attempt's, and
-            # no later attempt must get them.
+            # The answer is complete and belongs to this attempt. The bytes after it belong to no
+            # attempt, and no later attempt may receive them.
             self.close_connection(connection, CloseReason.MALFORMED)
         attempt.finish(result)
 
@@ -292,19 +298,19 @@
             self.close_connection(connection, CloseReason.UNLISTED)
 
     def _sweep(self) -> None:
-        """Closes connections that are idle too long, and those whose answer stopped half-way."""
+        """Closes connections that are idle too long or whose answer stays incomplete."""
         self._scheduler.at(self._scheduler.clock() + SWEEP_INTERVAL_S, self._sweep)
         now = self._scheduler.clock()
         for endpoint in self._endpoints.values():
             while endpoint.idle and now - endpoint.idle[0].idle_since >= self._idle_timeout:
                 self.close_connection(endpoint.idle[0], CloseReason.IDLE)
-        stopped = [
+        stalled = [
             connection
             for connection in self._connections
             if connection.partial_answer_at
             and now - connection.partial_answer_at >= PARTIAL_ANSWER_TIMEOUT_S
         ]
-        for connection in stopped:
-            # The endpoint had done the work and was sending: waiting for the deadline gains
-            # nothing.
+        for connection in stalled:
+            # The endpoint has done the work and stopped while sending the answer; waiting for the
+            # deadline has no benefit.
             self.close_connection(connection, CloseReason.STALLED)
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -1,16 +1,16 @@
-"""Between the network and the decision engine: events in, actions out.
+"""The adapter between the network and the decision engine: events in, actions out.
 
-The only module that knows both. It turns what happens on sockets into the engine's events and
-performs the actions that come back; it decides nothing. It owns the open requests, and with them
-the rule that each gets exactly one final answer (see `open_request`).
+This is the only module that depends on both. It turns what happens on sockets into events for the
+engine and performs the actions that the engine returns; it makes no decisions. It owns the open
+requests and ensures that each gets exactly one final answer (see `open_request`).
 
-Why a request was answered with `-BUSY`, as far as the network code is concerned:
+The network code answers a request with `-BUSY` in two forms:
 
-- `-BUSY MS`: the engine rejected it (`RejectRequest`), and MS is `retry_after` of that action in
-  milliseconds, rounded up: `_reject`. The reason is counted in `refusals` of the counters; which
-  rule set it, and why that long, is said in `decisions/rejections.py`.
-- `-BUSY` without a time: the engine gave no time, or never saw the request because as many as
-  `policy_limits.max_open` were open: `submit`. The latter has no entry in `refusals`.
+- `-BUSY MS`: the engine rejected the request (`RejectRequest`), and MS is `retry_after` of that
+  action in milliseconds, rounded up (`_reject`). The reason is counted in the counter `refusals`;
+  `decisions/rejections.py` documents which rule sets the time, and why it is that long.
+- `-BUSY` without a time: the engine gave no time, or never received the request because the limit
+  `policy_limits.max_open` was reached (`submit`). The latter has no entry in `refusals`.
 
 No other path of the network code leads to `-BUSY`; `answer_slot.AnswerSlot.send_busy` writes it.
 """
@@ -36,33 +36,33 @@
 from hazelhollow.simulator.endpoint_reports import read_cost, read_report
 from hazelhollow.simulator.errors import WireError
 
-FAILED_TIMER_RETRY_S = 1.0  # until a timer at which the engine failed fires again
-# Since the last poll, past which a client's connection is looked at before an attempt starts for
-# it. A client that has gone must get no attempt that starts over 0.1 s later, also from a process
-# that was busy for longer than that.
+FAILED_TIMER_RETRY_S = 1.0  # until a timer whose handling failed in the engine fires again
+# If the last poll was longer ago than this, the client's connection is checked before an attempt
+# starts. No attempt may start more than 0.1 s after its client has disconnected, even if the
+# process was busy for longer than that.
 STALE_POLL_S = 0.03
 
 log = logging.getLogger(__name__)
 
 
 class Decisions(Protocol):
-    """The decision engine, or a decorator of it, as the network code sees it."""
+    """The interface of the decision engine, or of a decorator of it, to the network code."""
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Takes an event at the time `now`, and gives the actions that follow from it, in order."""
+        """Handles an event at the time `now`; returns the resulting actions in order."""
 
 
 class EngineDriver:
-    """Feeds the decision engine and performs its actions.
+    """Passes events to the decision engine and performs its actions.
 
     Attributes:
-        peers: Sends gossip; None where the configuration allows no datagrams between limiters.
-        on_count: Gets the engine's own counts of charges, if something replicates them.
-        max_settled_units: That an answer may settle; 0 where units are not settled afterwards.
-        open_requests: By their ids.
-        attempts_by_endpoint: Attempts started by endpoint, if something counts them.
-        sampled_ids: Ids of requests that were forwarded, at most `max_samples` until they are
-            taken.
+        peers: Sends gossip; None if the configuration allows no datagrams between limiters.
+        on_count: Receives the engine's own counts of charges; None if nothing replicates them.
+        max_settled_units: The most units that an answer may settle; 0 if units are not settled
+            after the answer.
+        open_requests: The open requests by their ids.
+        attempts_by_endpoint: Started attempts by endpoint; None if nothing uses these counts.
+        sampled_ids: Ids of forwarded requests, at most `max_samples` until they are collected.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         stats: Stats,
         max_open: int,
     ) -> None:
-        """`max_open`: requests at once; any more are rejected without asking the engine."""
+        """`max_open`: concurrent requests; any more are rejected without consulting the engine."""
         self._decisions, self._scheduler = decisions, scheduler
         self._pool, self._stats, self._max_open = pool, stats, max_open
         self.peers: PeerSocket | None = None
@@ -89,11 +89,11 @@
     # The client side
 
     def submit(self, parsed: Forwardable, responder: Responder) -> OpenRequest | None:
-        """Takes a request.
+        """Accepts a request.
 
         Returns:
-            Its record, to be given to `client_disconnected` if the client leaves; None if it was
-            answered at once.
+            The open request, to be passed to `client_disconnected` if the client disconnects; None
+            if it was answered immediately.
         """
         request = parsed.request
         self._stats.requests += 1
@@ -102,14 +102,15 @@
             self._stats.reply(request.class_name, "overload")
             responder.send_busy(0)
             return None
-        known = self.open_requests.get(request.id)
-        if known and known.parsed.request.customer != request.customer:
-            # Two customers may pick the same id: each is a request of its own.
+        duplicate = self.open_requests.get(request.id)
+        if duplicate and duplicate.parsed.request.customer != request.customer:
+            # Two customers may choose the same id; these are independent requests.
             request = parsed.request = replace(request, id=f"{request.id}/{request.customer}")
-            known = self.open_requests.get(request.id)
-        if known:
-            # Every request of a customer has an id of its own, a client's retry too. The first one
-            # gets the answer; the endpoint's answer to a second of that id would be nobody's.
+            duplicate = self.open_requests.get(request.id)
+        if duplicate:
+            # Every request of a customer has its own id, also a client's retry. The first request
+            # gets the answer; an endpoint's answer to a second one with that id could not be
+            # assigned.
             self._stats.failed += 1
             self._stats.reply(request.class_name, "error")
             responder.send_failure()
@@ -118,20 +119,20 @@
         opened = OpenRequest(request.id, parsed, responder, deadline)
         self.open_requests[request.id] = opened
         self._handle(request, opened)
-        if opened.answered:  # most rejections come at once and need no timer
+        if opened.answered:  # most rejections are immediate and need no timer
             return None
         opened.deadline_timer = self._scheduler.at(opened.deadline, self._expire, opened)
         return opened
 
     def concurrent(self) -> int:
-        """Requests taken and not answered yet."""
+        """Returns the number of accepted requests that are not answered yet."""
         return sum([not opened.answered for opened in self.open_requests.values()])
 
     def client_disconnected(self, opened: OpenRequest) -> None:
-        """The client has left: no answer is owed any more.
+        """Records that the client has disconnected and needs no answer any more.
 
-        A request that has not gone out completely can have been begun by no endpoint, however long
-        its connection takes to come up, and is withdrawn.
+        Attempts whose request has not been sent completely are withdrawn: no endpoint can have
+        started to execute it, however long the connection takes to come up.
         """
         if not opened.answered:
             self._stats.clients_gone += 1
@@ -140,25 +141,25 @@
             for attempt in opened.attempts:
                 self._pool.withdraw(attempt, CloseReason.CANCELLED)
 
-    # Everything else that happens
+    # Other events
 
     def notify(self, event: api.Event) -> None:
-        """Gives the engine an event that belongs to no open request."""
+        """Passes the engine an event that belongs to no open request."""
         self._handle(event)
 
     def gossip_received(self, sender: int, text: str) -> None:
-        """A gossip datagram has come from the limiter of that number."""
+        """Passes the engine a gossip datagram from the limiter with the number `sender`."""
         self._handle(api.GossipReceived(sender, text))
 
     def _timer_fired(self, name: str) -> None:
         self._handle(api.TimerFired(name))
 
     def _expire(self, opened: OpenRequest) -> None:
-        """The client stops waiting now: so do the attempts, and the answer is due."""
+        """Aborts all attempts at the deadline and answers if the engine has not done so."""
         for attempt in opened.attempts:
             self._pool.abort(attempt, CloseReason.TIMED_OUT)
         if not opened.answered and not self._in_engine:
-            self._fail_unanswered(opened, "no decision by its deadline")
+            self._fail_unanswered(opened, "no decision by its deadline, answering with an error")
         self._drop_if_ended(opened)
 
     def _attempt_ended(self, opened: OpenRequest, number: int, result: AttemptResult) -> None:
@@ -184,10 +185,11 @@
         self._handle(event, opened)
 
     def _settled_units(self, result: AttemptResult) -> float:
-        """Units that the endpoint says the request used, 0 if it does not say.
+        """Returns the units that the request used according to the endpoint, 0 if not given.
 
-        Read from every good answer, also where the client has left: the endpoint did the work.
-        Figures that cannot be true are left out; their value has been passed on all the same.
+        The units count for every successful answer, also if the client has disconnected, since the
+        endpoint did the work. Impossible figures are ignored; the value of such an answer has been
+        passed on to the client all the same.
         """
         if result.status != "ok" or not self.max_settled_units:
             return 0.0
@@ -200,13 +202,13 @@
         self._stats.settled += units > 0
         return units
 
-    # To the engine and back
+    # Events to the engine, actions from it
 
     def _handle(self, event: api.Event, opened: OpenRequest | None = None) -> None:
-        """Gives the engine an event and performs what follows.
+        """Passes the engine an event and performs the resulting actions.
 
-        An action may bring about another event at once. The engine gets it after this one, never
-        within it.
+        An action may cause another event immediately. That event is queued until the engine has
+        handled the current one, so that calls of the engine never nest.
         """
         self._events.append((event, opened))
         if self._in_engine:
@@ -222,18 +224,23 @@
         now, engine_failed = self._scheduler.clock(), False
         try:
             actions = self._decisions.handle(event, now)
-        except Exception:  # a fault in the engine costs this event, and no other request
-            log.exception("the decision engine failed at %s", type(event).__name__)
+        except (
+            Exception
+        ):  # an exception in the engine loses this event and affects no other request
+            log.exception(
+                "the decision engine raised an exception at event %s, which is lost",
+                type(event).__name__,
+            )
             self._stats.errors += 1
             actions, engine_failed = [], True
             if isinstance(event, api.TimerFired):
-                # the engine has not set its next timer, and would do nothing periodic any more
+                # the engine has not set the next timer, so its periodic work would stop
                 self._scheduler.at(now + FAILED_TIMER_RETRY_S, self._timer_fired, event.name)
         for action in actions:
             self._perform(action, now)
         if opened:
             if engine_failed and not opened.answered and not opened.attempts_out:
-                self._fail_unanswered(opened, "the decision engine failed")
+                self._fail_unanswered(opened, "the decision engine failed, answering with an error")
             self._drop_if_ended(opened)
 
     def _perform(self, action: api.Action, now: float) -> None:
@@ -254,7 +261,7 @@
             log.info("%s", action.text)
         elif isinstance(action, api.ReplicateCount) and self.on_count:
             self.on_count(action)
-        # SubscribeToEndpoints needs nothing: the watch on discovery always stands.
+        # SubscribeToEndpoints needs no action: the watch on discovery is always active.
 
     def _cancel(self, action: api.CancelAttempt) -> None:
         opened = self.open_requests.get(action.id)
@@ -262,7 +269,7 @@
             self._pool.abort(opened.attempts[action.attempt], CloseReason.CANCELLED)
 
     def _reject(self, action: api.RejectRequest) -> None:
-        opened = self._take_answer(action.id)
+        opened = self._mark_answered(action.id)
         if opened:
             self._stats.refused += 1
             self._stats.refusals[action.reason] += 1
@@ -270,7 +277,7 @@
             opened.responder.send_busy(math.ceil(action.retry_after * 1000))
 
     def _fail(self, action: api.FailRequest) -> None:
-        opened = self._take_answer(action.id)
+        opened = self._mark_answered(action.id)
         if opened:
             self._stats.failed += 1
             self._stats.reply(opened.parsed.request.class_name, "error")
@@ -308,9 +315,10 @@
             )
 
     def _check_no_answer_needed(self, opened: OpenRequest) -> bool:
-        """Whether the request is answered or its client has gone.
+        """Whether the request is answered or its client has disconnected.
 
-        Asks the system about the client where the sockets were polled too long ago to know.
+        If the sockets were last polled too long ago, the operating system is asked about the
+        client's connection.
         """
         if (
             not opened.answered
@@ -320,8 +328,8 @@
             self.client_disconnected(opened)
         return opened.answered
 
-    def _take_answer(self, request_id: str) -> OpenRequest | None:
-        """Marks a request as answered; None if it is unknown or was answered before."""
+    def _mark_answered(self, request_id: str) -> OpenRequest | None:
+        """Marks a request as answered; returns None if it is not open or already answered."""
         opened = self.open_requests.get(request_id)
         if opened is None or opened.answered:
             return None
@@ -329,7 +337,7 @@
         return opened
 
     def _fail_unanswered(self, opened: OpenRequest, why: str) -> None:
-        """Answers with an error a request that the engine leaves without an answer."""
+        """Answers a request that the engine left unanswered with an error."""
         log.error("request %s: %s", opened.id, why)
         self._stats.rescued += 1
         self._stats.reply(opened.parsed.request.class_name, "error")
--- a/hazelhollow/net/errors.py
+++ b/hazelhollow/net/errors.py
@@ -1,39 +1,39 @@
-"""The errors of the network code, by whose fault they are.
+"""The exceptions of the network code, grouped by the party that caused them.
 
-| class | whose fault | raised by | what follows |
+| class | caused by | raised by | consequence |
 | --- | --- | --- | --- |
-| `ProtocolError` | the other side's | `resp.Parser`, `http1.Parser` | the connection is closed |
-| `ClientError` | a client's | see its subclasses | the client is answered with an error line |
-| `EndpointError` | an endpoint's | `attempts.read_answer` | the connection is closed |
-| `DiscoveryError` | discovery's | `endpoint_list` | the whole list is asked for |
-| `RingBufferFullError` | ours | `ring_buffer.RingBuffer` | parsers turn it into a `ProtocolError` |
-
-A parser does not know whose bytes it reads, so `ProtocolError` stands above the division; the owner
-of the connection says who sent them. Ways in which a connection ends are no errors: see
-`close_reason`.
+| `ProtocolError` | the other side | `resp.Parser`, `http1.Parser` | the connection is closed |
+| `ClientError` | a client | see its subclasses | the client is answered with an error line |
+| `EndpointError` | an endpoint | `attempts.read_answer` | the connection is closed |
+| `DiscoveryError` | discovery | `endpoint_list` | the complete list is requested |
+| `RingBufferFullError` | this process | `ring_buffer.RingBuffer` | parsers raise `ProtocolError` |
+
+A parser does not know which party sent the bytes that it reads, so `ProtocolError` is independent
+of the party; the owner of the connection knows it. The ways in which a connection ends are not
+exceptions: see `close_reason`.
 """
 
 from __future__ import annotations
 
 
 class ProtocolError(Exception):
-    """What the other side sent is not of the protocol, or larger than it allows."""
+    """The other side violated the protocol or exceeded one of its size limits."""
 
 
 class ClientError(Exception):
-    """A client sent something that cannot be acted on; the text is the answer that it gets."""
+    """A client sent something that cannot be executed; the text is sent as its answer."""
 
 
 class BadCommandError(ClientError):
-    """A command that the protocol or the settings do not allow."""
+    """A command is not allowed by the protocol or the settings."""
 
 
 class OperatorCallError(ClientError):
-    """A call at the operator address that does not exist or has wrong arguments."""
+    """A call at the operator address does not exist or has invalid arguments."""
 
 
 class EndpointError(Exception):
-    """An endpoint sent a well-formed RESP value that is no answer of the platform."""
+    """An endpoint sent a well-formed RESP value that is not a valid answer."""
 
 
 class DiscoveryError(Exception):
@@ -41,8 +41,8 @@
 
 
 class EndpointListError(DiscoveryError):
-    """A list, or a change to one, that is not of discovery's form; the text says where."""
+    """An endpoint list, or a change to one, is malformed; the text says where."""
 
 
 class RingBufferFullError(Exception):
-    """More was written to a ring buffer than it may ever hold."""
+    """A write to a ring buffer exceeded its maximum size."""
--- a/hazelhollow/net/pooled_connection.py
+++ b/hazelhollow/net/pooled_connection.py
@@ -1,21 +1,23 @@
-"""One connection to an endpoint. It carries one attempt at a time.
+"""One connection to an endpoint, which carries one attempt at a time.
 
-States, and what moves a connection from one to the next:
+The states of a connection and its transitions:
 
 | state | attempt | in poll's list | left by |
 | --- | --- | --- | --- |
 | CONNECTING | yes | for writing | it is up: BUSY. Refused, or not up in time: CLOSED |
-| BUSY | yes | for reading | a whole answer: SETTLING. Timeout, cancellation, reset: CLOSED |
-| SETTLING | no | no | 0.03 s pass: IDLE. Bytes behind the answer: CLOSED |
-| IDLE | no | no | a new attempt: BUSY. Idle too long, or its place is needed: CLOSED |
+| BUSY | yes | for reading | a complete answer: SETTLING. Timeout, cancellation, reset: CLOSED |
+| SETTLING | no | no | 0.03 s pass: IDLE. Bytes after the answer: CLOSED |
+| IDLE | no | no | a new attempt: BUSY. Idle too long, or its descriptor is needed: CLOSED |
 | CLOSED | no | no | |
 
-In any state it is CLOSED when its endpoint is listed no more and nothing of a request has been
-sent. The states are not stored, they follow from the fields below; `connection_pool.ConnectionPool`
-makes every transition, and `ConnectionPool.close_connection` is the only way to CLOSED.
+In any state the connection is closed if its endpoint is no longer listed and no byte of a request
+has been sent. The states are not stored, but follow from the fields below;
+`connection_pool.ConnectionPool` makes every transition, and `ConnectionPool.close_connection` is
+the only way to CLOSED.
 
-SETTLING exists because an endpoint's second copy of an answer may still be on its way when the
-first has been read: a request sent at once would take it for its own answer.
+SETTLING exists because an endpoint may send an answer twice, and the second copy may still be in
+transit when the first has been read. It would be taken for the answer to a request that is sent
+immediately.
 """
 
 from __future__ import annotations
@@ -32,11 +34,11 @@
     """One connection to an endpoint, and the attempt that it carries.
 
     Attributes:
-        endpoint: Whose connection it is.
-        attempt: The attempt that is out on it; None in SETTLING and IDLE.
-        stream: Its socket; None until there is one.
-        idle_since: When its last attempt ended (clock).
-        partial_answer_at: When the latest bytes of an answer that is not whole yet came; 0 if none.
+        endpoint: The endpoint that the connection leads to.
+        attempt: The attempt in flight on the connection; None in SETTLING and IDLE.
+        stream: The socket; None until it has been created.
+        idle_since: When the last attempt ended (clock).
+        partial_answer_at: When the last bytes of an incomplete answer arrived (clock); 0 if none.
         reusable_from: When SETTLING ends (clock).
     """
 
@@ -60,38 +62,38 @@
         self.idle_since = 0.0
         self.partial_answer_at = 0.0
         self.reusable_from = 0.0
-        self._sent_before = 0  # bytes sent on the connection before this attempt's first
+        self._sent_before = 0  # bytes sent on the connection before this attempt
 
     def set_stream(self, new: stream.Stream) -> None:
-        """Called before the connection is up, so that it can be closed while it connects."""
+        """Sets the socket before it is connected, so that it can be closed while connecting."""
         self.stream = new
 
     def send_request(self) -> None:
-        """Writes the request of its attempt."""
+        """Writes the request of the current attempt."""
         if self.stream and self.attempt:
             self._sent_before = self.stream.bytes_sent
             self.stream.write(self.attempt.command)
 
     def has_sent_any(self) -> bool:
-        """Whether any byte of the attempt's request has left."""
+        """Whether any byte of the attempt's request has been sent."""
         return self.stream is not None and self.stream.bytes_sent > self._sent_before
 
     def has_sent_all(self) -> bool:
-        """Whether all of the request has left, so that the endpoint may have begun it."""
-        return self.attempt is not None and self.has_sent_any() and self._bytes_left() <= 0
+        """Whether the complete request was sent, so that the endpoint may have started it."""
+        return self.attempt is not None and self.has_sent_any() and self._unsent_bytes() <= 0
 
-    def _bytes_left(self) -> int:
+    def _unsent_bytes(self) -> int:
         assert self.stream and self.attempt
         return self._sent_before + len(self.attempt.command) - self.stream.bytes_sent
 
 
 class PoolEndpoint:
-    """One listed endpoint, and the connections to it.
+    """One endpoint, and the connections to it.
 
     Attributes:
-        connections: All of them.
-        idle: Those in SETTLING or IDLE, the most recently used last.
-        listed: Whether it may still get new attempts.
+        connections: All connections to the endpoint.
+        idle: The connections in SETTLING or IDLE, the most recently used last.
+        listed: Whether the endpoint may still receive new attempts.
     """
 
     __slots__ = ("name", "address", "connections", "idle", "listed")
--- a/hazelhollow/net/requests.py
+++ b/hazelhollow/net/requests.py
@@ -1,17 +1,17 @@
-"""A request as a client sends it: reading it, and writing it again for an endpoint.
+"""Requests as clients send them: parsing them, and encoding them again for endpoints.
 
-`Q.ASK CUSTOMER ID FIELDS` for classes that are safe to repeat, `Q.DO CUSTOMER ID FIELDS BODY` for
-all others. FIELDS is a list of `name=value` with commas between them:
+`Q.ASK CUSTOMER ID FIELDS` is for classes that are safe to repeat, `Q.DO CUSTOMER ID FIELDS BODY`
+for all others. FIELDS is a comma-separated list of `name=value`:
 
 | field | meaning | term in the code |
 | --- | --- | --- |
 | `c` | class | `class_name` |
 | `t` | plan | `plan_name` |
 | `d` | milliseconds that the client waits | `time_left`, in seconds |
-| `units` | what it draws from the quota | `units` |
-| `spread` | how many limiters the customer's requests come through | `set_size` |
+| `units` | units that the request takes from the quota | `units` |
+| `spread` | how many limiters the customer's requests are spread over | `set_size` |
 | `first` | the id of the first of these limiters | `set_start` |
-| `k` | idempotency key, for classes of effect `keyed` | passed on unread |
+| `k` | idempotency key, for classes of effect `keyed` | forwarded unchanged |
 | `r` | 1 for a client's retry | `is_retry` |
 """
 
@@ -27,31 +27,31 @@
 
 _CUSTOMER = re.compile(rb"0{7}[01][0-9a-f]{8}")  # 16 hex digits, a number below 2**33
 _ID = re.compile(rb"[!-~]{1,64}")
-_WHOLE_NUMBER = re.compile(r"[0-9]{1,9}")
+_INTEGER = re.compile(r"[0-9]{1,9}")
 _UNITS = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
 class RequestLimits:
-    """What the settings allow a request to say.
+    """The values that the settings allow in a request.
 
-    Nothing else may reach the decision engine or an endpoint: there a single `nan`, or a wait of
-    years, would spoil what is learned from all other requests.
+    Requests with other values must not reach the decision engine or an endpoint: a single `nan`, or
+    a wait of years, would corrupt the statistics that are collected from all other requests.
 
     Attributes:
-        classes: By name.
-        longest_deadline: Seconds that a client may wait, by class name.
+        classes: The request classes by name.
+        longest_deadline: The longest time in seconds that a client may wait, by class name.
     """
 
     def __init__(self, settings: api.Settings, previous: RequestLimits | None = None) -> None:
-        """`previous`: those in force until now, by which requests on their way were made.
+        """`previous`: the limits that applied until now, and to requests still in transit.
 
         A class whose deadline is shortened keeps the longer one as its limit.
         """
         self.classes = {kind.name: kind for kind in settings.classes}
-        known = previous.longest_deadline if previous else dict[str, float]()
+        previous_longest = previous.longest_deadline if previous else dict[str, float]()
         changed = changed_classes(previous.classes if previous else {}, settings.classes)
-        longest = known | {
-            kind.name: max(kind.deadline, known.get(kind.name, 0.0)) for kind in changed
+        longest = previous_longest | {
+            kind.name: max(kind.deadline, previous_longest.get(kind.name, 0.0)) for kind in changed
         }
         self.longest_deadline: dict[str, float] = {
             name: seconds for name, seconds in longest.items() if name in self.classes
@@ -60,14 +60,15 @@
         self._limiter_count, self._max_units = settings.limiter_count, settings.max_units
 
     def read(self, arguments: list[bytes], waited: float) -> api.RequestArrived:
-        """Reads a command.
+        """Parses a request command.
 
         Args:
-            arguments: Of the command, its name first.
-            waited: Seconds for which it may have waited here unread; they are taken off its time.
+            arguments: The arguments of the command, its name first.
+            waited: Seconds that the command may have waited here unread; they are subtracted from
+                the time that the client still waits.
 
         Raises:
-            BadCommandError: It says something that is not allowed.
+            BadCommandError: The command contains something that is not allowed.
         """
         if len(arguments) != (5 if arguments[0].upper() == b"Q.DO" else 4):
             raise BadCommandError("wrong number of arguments")
@@ -105,24 +106,24 @@
 
     def _check_numbers(self, class_name: str, wait_ms: str, units: str) -> None:
         longest_ms = math.ceil(self.longest_deadline[class_name] * 1000)
-        if not _WHOLE_NUMBER.fullmatch(wait_ms) or int(wait_ms) > longest_ms:
+        if not _INTEGER.fullmatch(wait_ms) or int(wait_ms) > longest_ms:
             raise BadCommandError("d out of range")
         if not _UNITS.fullmatch(units) or not 0 < float(units) <= self._max_units:
             raise BadCommandError("units out of range")
 
     def _check_set(self, spread: str, first: str) -> None:
-        if not (_WHOLE_NUMBER.fullmatch(spread) and _WHOLE_NUMBER.fullmatch(first)):
+        if not (_INTEGER.fullmatch(spread) and _INTEGER.fullmatch(first)):
             raise BadCommandError("set out of range")
         if not (0 < int(spread) <= self._limiter_count and int(first) < self._limiter_count):
             raise BadCommandError("set out of range")
 
 
 class ParsedRequest:
-    """A command that was read, and can be worded again with another wait and nothing else changed.
+    """A parsed request command, which can be encoded again with only the wait changed.
 
     Attributes:
         request: The event for the decision engine.
-        size: Bytes of its arguments.
+        size: The total size of the arguments in bytes.
     """
 
     __slots__ = ("request", "size", "_arguments", "_before_wait", "_after_wait")
@@ -136,7 +137,7 @@
         self._after_wait = fields[end:] if end >= 0 else b""
 
     def command(self, wait_ms: int) -> bytes:
-        """The command for an endpoint that is to answer within that time, encoded."""
+        """Returns the encoded command for an endpoint that has to answer within that time."""
         arguments = self._arguments
         fields = b"%b%d%b" % (self._before_wait, wait_ms, self._after_wait)
         return resp.encode_command([*arguments[:3], fields, *arguments[4:]])
--- a/hazelhollow/net/resp.py
+++ b/hazelhollow/net/resp.py
@@ -1,12 +1,14 @@
-"""RESP2, the protocol of Redis: a bounded incremental parser, and the encoders. No socket.
+"""RESP2, the protocol of Redis: an incremental parser with size limits, and encoders.
+
+The module is independent of sockets.
 
 | first byte | value | in Python |
 | --- | --- | --- |
 | `+` | status line | `SimpleString` |
 | `-` | error line | `ErrorReply` |
-| `:` | number | int; None if it cannot be read |
-| `$` | string with its length | bytes; None for the null string |
-| `*` | array with its length | list; None for the null array |
+| `:` | number | int; None if it is malformed |
+| `$` | length-prefixed string | bytes; None for the null string |
+| `*` | length-prefixed array | list; None for the null array |
 """
 
 from __future__ import annotations
@@ -18,11 +20,11 @@
 from hazelhollow.net.ring_buffer import RingBuffer
 
 MAX_STRING_BYTES = 64 * 1024
-MAX_VALUE_BYTES = MAX_STRING_BYTES + 8 * 1024  # of the strings of one command or answer together
-MAX_ARRAY_ITEMS = 64  # commands and answers have five at most
+MAX_VALUE_BYTES = MAX_STRING_BYTES + 8 * 1024  # all strings of one command or answer together
+MAX_ARRAY_ITEMS = 64  # commands and answers have at most five
 MAX_ARRAY_DEPTH = 4
 MAX_LINE_BYTES = 4 * 1024
-MAX_BUFFERED_BYTES = 2 * MAX_STRING_BYTES  # received and not parsed yet
+MAX_BUFFERED_BYTES = 2 * MAX_STRING_BYTES  # received but not parsed yet
 
 
 class SimpleString(bytes):
@@ -34,11 +36,11 @@
 
 
 class NeedMoreData:
-    """What the parser returns while no value is complete."""
+    """Returned by the parser while no value is complete."""
 
 
 class _Header:
-    """What a line stands for that is followed by a string or by the items of an array."""
+    """The result of a line that is followed by a string or by the items of an array."""
 
 
 Value = Union[bytes, int, None, list["Value"]]
@@ -49,53 +51,53 @@
 
 
 class Parser:
-    """Fed bytes as they come, split anywhere; returns complete values in their order.
+    """Parses bytes that arrive split at any point; returns complete values in order.
 
     Attributes:
-        ring: What was received and not parsed yet.
+        ring: Bytes received but not parsed yet.
     """
 
     __slots__ = ("ring", "_string_length", "_stack", "_string_bytes")
 
     def __init__(self) -> None:
         self.ring = RingBuffer(MAX_BUFFERED_BYTES)
-        self._string_length = -1  # of the string whose bytes come next; -1 if a line does
-        self._stack: list[tuple[list[Value], int]] = []  # open arrays and their lengths
-        self._string_bytes = 0  # of strings in them
+        self._string_length = -1  # of the string whose bytes follow; -1 if a line follows
+        self._stack: list[tuple[list[Value], int]] = []  # incomplete arrays and their lengths
+        self._string_bytes = 0  # total size of the strings in these arrays
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes.
+        """Buffers received bytes.
 
         Raises:
-            ProtocolError: Too much waits to be parsed.
+            ProtocolError: More than MAX_BUFFERED_BYTES wait to be parsed.
         """
         try:
             self.ring.write(data)
         except RingBufferFullError:
-            raise ProtocolError("too much at once") from None
+            raise ProtocolError("too many unparsed bytes") from None
 
     def pending_bytes(self) -> int:
-        """Bytes received that are no part of a complete value yet."""
+        """Returns how many bytes were received that do not belong to a complete value yet."""
         return len(self.ring) + self._string_bytes
 
     def idle(self) -> bool:
-        """Whether nothing of a next value has come."""
+        """Whether no part of a next value has been received."""
         return not self.ring and not self._stack and self._string_length < 0
 
     def next(self) -> Value | NeedMoreData:
-        """The next value, if it is complete.
+        """Returns the next value, or NEED_MORE_DATA if it is not complete.
 
         Raises:
-            ProtocolError: What came is not RESP, or too large; the parser is of no use then.
+            ProtocolError: The input is not RESP or too large; the parser cannot be used any more.
         """
         if not self.ring:
             return NEED_MORE_DATA
         if self._string_length < 0 and not self._stack:
-            strings = self._take_plain_array()
+            strings = self._parse_plain_array()
             if strings is not None:
                 return strings
         while True:
-            value = self._take_line() if self._string_length < 0 else self._take_string()
+            value = self._parse_line() if self._string_length < 0 else self._parse_string()
             if isinstance(value, NeedMoreData):
                 return value
             if isinstance(value, _Header):
@@ -111,10 +113,10 @@
                 self._string_bytes = 0
                 return value
 
-    def _take_plain_array(self) -> list[Value] | None:
-        """Takes everything that came, if it is one array of strings; else takes nothing.
+    def _parse_plain_array(self) -> list[Value] | None:
+        """Parses the buffered bytes if they are exactly one array of strings, else returns None.
 
-        That is the usual case for commands, and this needs a quarter of the steps.
+        This is the usual case for commands, and needs a quarter of the steps of the general parser.
         """
         view = self.ring.peek()
         size = len(view)
@@ -135,21 +137,21 @@
         self.ring.clear()
         return list(strings)
 
-    def _take_string(self) -> bytes | NeedMoreData:
+    def _parse_string(self) -> bytes | NeedMoreData:
         if len(self.ring) < self._string_length + 2:
             return NEED_MORE_DATA
         data = self.ring.consume(self._string_length + 2)
         if data[-2:] != b"\r\n":
-            raise ProtocolError("a string without its end")
+            raise ProtocolError("string not terminated by CRLF")
         self._string_length = -1
         return data[:-2]
 
-    def _take_line(self) -> Value | NeedMoreData | _Header:
+    def _parse_line(self) -> Value | NeedMoreData | _Header:
         at = self.ring.find(b"\r\n")
         if at < 0 and len(self.ring) <= MAX_LINE_BYTES:
             return NEED_MORE_DATA
         if not 0 < at <= MAX_LINE_BYTES:
-            raise ProtocolError("an empty line or too long a one")
+            raise ProtocolError("line empty or too long")
         line = self.ring.consume(at + 2)[:-2]
         kind = line[:1]
         if kind == b"$":
@@ -161,17 +163,17 @@
         if kind == b"-":
             return ErrorReply(line[1:])
         if kind == b":":
-            # One that cannot be read is complete on its line all the same, and spoils nothing
-            # beside it: no number.
+            # A malformed number still ends with its line, so it is returned as None and does not
+            # invalidate the values next to it.
             return int(line[1:]) if _NUMBER.fullmatch(line, 1) else None
-        raise ProtocolError("an unknown type")
+        raise ProtocolError(f"unknown type byte {kind!r}")
 
     def _open_string(self, line: bytes) -> None | _Header:
         self._string_length = _length(line, MAX_STRING_BYTES)
         if self._stack:
             self._string_bytes += max(self._string_length, 0)
-        if self._string_bytes > MAX_VALUE_BYTES:  # many strings, each of which may be large
-            raise ProtocolError("too much in one array")
+        if self._string_bytes > MAX_VALUE_BYTES:  # many strings within the limit of one string
+            raise ProtocolError("the strings of one array are too large in total")
         return _HEADER if self._string_length >= 0 else None
 
     def _open_array(self, line: bytes) -> list[Value] | None | _Header:
@@ -179,28 +181,28 @@
         if count <= 0:
             return [] if count == 0 else None
         if len(self._stack) == MAX_ARRAY_DEPTH:
-            raise ProtocolError("arrays too deep")
+            raise ProtocolError("arrays nested too deeply")
         self._stack.append(([], count))
         return _HEADER
 
 
-def _length(line: bytes, most: int) -> int:
-    """The length that a header gives; -1 stands for the null string or array."""
+def _length(line: bytes, max_length: int) -> int:
+    """Returns the length in a header line; -1 stands for the null string or array."""
     if not _NUMBER.fullmatch(line, 1):
-        raise ProtocolError("not a number")
+        raise ProtocolError("length is not a number")
     number = int(line[1:])
-    if not -1 <= number <= most:
-        raise ProtocolError("a length out of range")
+    if not -1 <= number <= max_length:
+        raise ProtocolError(f"length {number} out of range, at most {max_length}")
     return number
 
 
 def encode_bulk_string(value: bytes) -> bytes:
-    """A string with its length."""
+    """Encodes a length-prefixed string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def encode_command(arguments: list[bytes]) -> bytes:
-    """An array of arguments."""
+    """Encodes a command as an array of its arguments."""
     return b"*%d\r\n" % len(arguments) + b"".join(
         [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     )
--- a/hazelhollow/net/ring_buffer.py
+++ b/hazelhollow/net/ring_buffer.py
@@ -1,10 +1,10 @@
-"""A ring buffer of bytes: one for each direction of a connection."""
+"""A ring buffer of bytes, used for each direction of a connection."""
 
 from __future__ import annotations
 
 from hazelhollow.net.errors import RingBufferFullError
 
-INITIAL_CAPACITY = 2048  # bytes; a usual command or answer fits
+INITIAL_CAPACITY = 2048  # bytes; enough for a typical command or answer
 
 
 class RingBuffer:
@@ -13,7 +13,7 @@
     __slots__ = ("max_size", "_buffer", "_head", "_size")
 
     def __init__(self, max_size: int) -> None:
-        """`max_size`: bytes that it may hold at once."""
+        """`max_size`: the maximum number of bytes in the buffer."""
         self.max_size = max_size
         self._buffer = bytearray(min(INITIAL_CAPACITY, max_size))
         self._head = self._size = 0
@@ -22,14 +22,14 @@
         return self._size
 
     def room(self) -> int:
-        """Bytes that may still be written."""
+        """Returns how many bytes may still be written."""
         return self.max_size - self._size
 
     def write(self, data: bytes) -> None:
         """Appends bytes.
 
         Raises:
-            RingBufferFullError: They are more than `room`; nothing was written.
+            RingBufferFullError: There are more bytes than `room`; nothing was written.
         """
         size, need = len(data), self._size + len(data)
         if need > len(self._buffer):
@@ -43,13 +43,13 @@
         self._size = need
 
     def peek(self) -> memoryview:
-        """The bytes that lie in one piece from the head on: all of them unless the ring wraps."""
+        """Returns the contiguous bytes from the head on: all of them unless the buffer wraps."""
         return memoryview(self._buffer)[
             self._head : min(self._head + self._size, len(self._buffer))
         ]
 
     def drop(self, count: int) -> None:
-        """Removes that many bytes from the head; there must be so many."""
+        """Removes that many bytes from the head; the buffer must hold at least as many."""
         self._size -= count
         if self._size:
             self._head = (self._head + count) % len(self._buffer)
@@ -57,25 +57,25 @@
             self.clear()
 
     def consume(self, count: int) -> bytes:
-        """Removes that many bytes from the head and gives them; there must be so many."""
+        """Removes and returns that many bytes from the head; it must hold at least as many."""
         if self._head + count > len(self._buffer):
-            self._straighten(len(self._buffer))
+            self._linearize(len(self._buffer))
         data = bytes(memoryview(self._buffer)[self._head : self._head + count])
         self.drop(count)
         return data
 
     def find(self, pattern: bytes) -> int:
-        """How far behind the head `pattern` begins, or -1."""
+        """Returns the offset of `pattern` from the head, or -1."""
         if self._head + self._size > len(self._buffer):
-            self._straighten(len(self._buffer))
+            self._linearize(len(self._buffer))
         at = self._buffer.find(pattern, self._head, self._head + self._size)
         return at - self._head if at >= 0 else -1
 
     def clear(self) -> None:
-        """Drops everything."""
+        """Removes all bytes."""
         self._head = self._size = 0
         if len(self._buffer) > INITIAL_CAPACITY:
-            # one large value must not cost its memory for as long as the connection lasts
+            # one large value must not occupy its memory for the lifetime of the connection
             self._buffer = bytearray(INITIAL_CAPACITY)
 
     def _grow(self, need: int) -> None:
@@ -84,10 +84,10 @@
         capacity = len(self._buffer)
         while capacity < need:
             capacity *= 2
-        self._straighten(min(capacity, self.max_size))
+        self._linearize(min(capacity, self.max_size))
 
-    def _straighten(self, capacity: int) -> None:
-        """Moves the bytes to the start of a new buffer."""
+    def _linearize(self, capacity: int) -> None:
+        """Moves the bytes to the start of a new buffer of that capacity."""
         buffer, first = bytearray(capacity), self.peek()
         buffer[: len(first)] = first
         buffer[len(first) : self._size] = self._buffer[: self._size - len(first)]
--- a/hazelhollow/net/stream.py
+++ b/hazelhollow/net/stream.py
@@ -1,7 +1,7 @@
-"""A TCP socket with a send buffer. It reads, it writes, and it knows no protocol.
+"""A TCP socket with a send buffer, independent of the protocol.
 
 A `Stream` is used by one task at a time, which blocks in `wait`, `connect` and
-`discard_until_closed`. Failures are returned as a `CloseReason`, never raised.
+`discard_until_closed`. Connection failures are returned as a `CloseReason` and not raised.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
     """Opens a connection; blocks the current task until it is up or has failed.
 
     Args:
-        scheduler: Whose task it is.
-        address: Where to.
-        max_unsent: Bytes that the send buffer may hold.
-        timeout: Seconds in which it has to come up.
-        on_created: Gets the stream before it is up, so that it can be closed from elsewhere.
+        scheduler: The scheduler that runs the current task.
+        address: The address to connect to.
+        max_unsent: The maximum number of bytes in the send buffer.
+        timeout: Seconds within which the connection has to be established.
+        on_created: Receives the stream before it is connected, so that other tasks can close it.
     """
     stream = unconnected(scheduler, max_unsent)
     if isinstance(stream, CloseReason):
@@ -55,7 +55,7 @@
 
 
 def unconnected(scheduler: Scheduler, max_unsent: int) -> Stream | CloseReason:
-    """A stream that `Stream.connect` opens; NO_DESCRIPTOR where no socket is left."""
+    """Creates a stream for `Stream.connect`; returns NO_DESCRIPTOR if no socket is left."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
@@ -66,10 +66,11 @@
 def accept_connections(
     scheduler: Scheduler, listener: socket.socket, pause: float = ACCEPT_PAUSE_S
 ) -> Iterator[socket.socket]:
-    """Connections as they come to a listening socket; blocks the current task.
+    """Yields the connections that arrive on a listening socket; blocks the current task.
 
-    With no descriptor left it waits `pause` seconds: poll would say at once that a connection
-    waits, and the loop would take the processor from everything else.
+    If `accept` fails, for example because no descriptor is left, the task pauses for `pause`
+    seconds. Otherwise poll would report the waiting connection again immediately, and this loop
+    would use all of the CPU.
     """
     while True:
         scheduler.wait(listener.fileno(), READABLE)
@@ -85,10 +86,10 @@
     """One connection; one task at a time reads from it.
 
     Attributes:
-        send_buffer: What was written and not yet taken by the system.
-        bytes_sent: That the system has taken since the connection was opened.
-        close_reason: Why it is closed; None while it is open.
-        on_broken: Called in place of `close` when sending fails.
+        send_buffer: Bytes that were written but not yet accepted by the operating system.
+        bytes_sent: Bytes that the operating system has accepted since the connection was opened.
+        close_reason: Why the stream is closed; None while it is open.
+        on_send_failure: Called in place of `close` when sending fails.
     """
 
     __slots__ = (
@@ -96,34 +97,37 @@
         "send_buffer",
         "bytes_sent",
         "close_reason",
-        "on_broken",
+        "on_send_failure",
         "_sock",
         "_fd",
-        "_flush_planned",
+        "_flush_scheduled",
         "_task",
     )
 
     def __init__(self, scheduler: Scheduler, sock: socket.socket, max_unsent: int) -> None:
-        """`max_unsent`: bytes that the send buffer may hold."""
+        """`max_unsent`: the maximum number of bytes in the send buffer."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.scheduler, self._sock, self._fd = scheduler, sock, sock.fileno()
         self.send_buffer = RingBuffer(max_unsent)
         self.bytes_sent = 0
         self.close_reason: CloseReason | None = None
-        self.on_broken: Callable[[CloseReason], None] | None = None
-        self._flush_planned = False
+        self.on_send_failure: Callable[[CloseReason], None] | None = None
+        self._flush_scheduled = False
         self._task: Task | None = None
 
     def connect(self, address: tuple[str, int], until: float) -> CloseReason | None:
-        """Blocks the current task until the connection is up or has failed; gives why it has.
+        """Blocks the current task until the connection is up or has failed.
 
-        A stream that did not come up in time is not closed: `await_connected` may go on.
+        A stream that was not connected in time is not closed: `await_connected` may continue.
+
+        Returns:
+            Why it failed; None if the connection is up.
         """
         return self._finish_connecting(self._sock.connect_ex(address), until)
 
     def await_connected(self, until: float) -> CloseReason | None:
-        """Goes on with a `connect` that did not come up in time."""
+        """Continues a `connect` that was not finished in time; returns as `connect` does."""
         return self._finish_connecting(errno.EINPROGRESS, until)
 
     def _finish_connecting(self, code: int, until: float) -> CloseReason | None:
@@ -143,14 +147,14 @@
         return CloseReason.REFUSED if refused else CloseReason.NEVER_UP
 
     def wait(self, until: float | None = None, events: int = READABLE) -> int:
-        """Blocks the current task until there is something to read or a part was sent.
+        """Blocks the current task until the socket is readable or buffered bytes were sent.
 
         Returns:
-            As `Scheduler.wait`; WOKEN also if the stream is closed.
+            The result of `Scheduler.wait`; WOKEN also if the stream is closed.
         """
         self._task = self.scheduler.current()
-        if self._flush_planned:
-            # else poll would be asked for room to write, which there is, and come back at once
+        if self._flush_scheduled:
+            # otherwise poll would wait for WRITABLE, which usually holds, and return immediately
             self.flush()
         if self.close_reason:
             return WOKEN
@@ -160,11 +164,10 @@
         return bits
 
     def wait_unwatched(self) -> None:
-        """Blocks the current task until it is woken, and takes the socket out of poll's list.
+        """Blocks the current task until it is woken, and stops polling the socket.
 
-        Every poll costs CPU for each descriptor in its list, and most connections to endpoints are
-        idle. That the other side has closed one shows by `is_open_and_quiet` before it is used
-        again.
+        Every poll costs CPU for each registered descriptor, and most connections to endpoints are
+        idle. If the other side closes one, `is_open_and_quiet` detects it before the next use.
         """
         self._task = self.scheduler.current()
         self.scheduler.unregister(self._fd)
@@ -181,7 +184,7 @@
         return False
 
     def peer_has_closed(self) -> bool:
-        """Whether the other side has closed its sending side, also behind unread bytes."""
+        """Whether the other side has closed its sending side, even if bytes are still unread."""
         if self.close_reason is not None:
             return True
         poll = select.poll()
@@ -189,12 +192,12 @@
         return bool(poll.poll(0))
 
     def wake(self) -> None:
-        """Ends the wait of the task that uses this stream."""
+        """Wakes the task that uses this stream."""
         if self._task:
             self.scheduler.wake(self._task)
 
     def read(self, room: int) -> bytes | CloseReason | None:
-        """Up to `room` bytes that have come; None if there are none."""
+        """Returns up to `room` received bytes, None if there are none, or why reading failed."""
         if self.close_reason:
             return self.close_reason
         try:
@@ -205,20 +208,20 @@
             return CloseReason.RESET
 
     def write(self, data: bytes) -> None:
-        """Sends at the end of this turn, or as the other side takes it; dropped if it is closed.
+        """Buffers data to be sent from the end of this turn on; drops it if the stream is closed.
 
         Raises:
-            RingBufferFullError: The send buffer has no room for it.
+            RingBufferFullError: The send buffer has not enough room.
         """
         if self.close_reason is None:
             self.send_buffer.write(data)
-            if not self._flush_planned:
-                self._flush_planned = True
+            if not self._flush_scheduled:
+                self._flush_scheduled = True
                 self.scheduler.at_end_of_turn(self.flush)
 
     def flush(self) -> None:
-        """Sends now as much as the system takes."""
-        self._flush_planned = False
+        """Sends as much of the send buffer as the operating system accepts."""
+        self._flush_scheduled = False
         while self.send_buffer and self.close_reason is None:
             view = self.send_buffer.peek()
             try:
@@ -227,23 +230,23 @@
                 self.scheduler.watch_also_for(self._fd, WRITABLE)
                 return
             except OSError:
-                self._broken(CloseReason.RESET)
+                self._handle_send_failure(CloseReason.RESET)
                 return
             finally:
                 view.release()
             self.bytes_sent += sent
             self.send_buffer.drop(sent)
 
-    def _broken(self, reason: CloseReason) -> None:
-        if self.on_broken:
-            self.on_broken(reason)
+    def _handle_send_failure(self, reason: CloseReason) -> None:
+        if self.on_send_failure:
+            self.on_send_failure(reason)
         else:
             self.close(reason)
 
     def shutdown_send(self) -> None:
-        """Closes the sending side: the other side reads all that was sent, then the end.
+        """Closes the sending side: the other side reads all that was sent, then end-of-file.
 
-        What it sends meanwhile can still be read.
+        Bytes from the other side can still be read.
         """
         self.flush()
         if self.close_reason is None:
@@ -253,14 +256,14 @@
                 self.close(CloseReason.RESET)
 
     def discard_until_closed(self, timeout: float, max_bytes: int) -> None:
-        """Blocks the current task until the other side closes too, and drops what it sends.
+        """Blocks the current task until the other side closes too, and drops received bytes.
 
-        A connection that is closed over unread bytes is reset, and what the other side has not read
-        yet may be lost with it.
+        Closing a socket that has unread bytes resets the connection, and data that the other side
+        has not read yet may be lost.
 
         Args:
-            timeout: Seconds to wait at most.
-            max_bytes: To drop at most.
+            timeout: The maximum time to wait, in seconds.
+            max_bytes: The maximum number of bytes to drop.
         """
         until = self.scheduler.clock() + timeout
         while self.close_reason is None and max_bytes > 0 and self.wait(until) != TIMED_OUT:
@@ -270,10 +273,11 @@
             max_bytes -= len(data or b"")
 
     def close(self, reason: CloseReason) -> None:
-        """Closes the socket and drops what was not sent. Only the first reason counts."""
+        """Closes the socket and drops unsent bytes; later calls have no effect."""
         if self.close_reason is None:
-            # `on_broken` refers to an owner that refers to this stream: a cycle
-            self.close_reason, self.on_broken = reason, None
+            # `on_send_failure` refers to an owner that refers to this stream: dropping it breaks
+            # the reference cycle.
+            self.close_reason, self.on_send_failure = reason, None
             self.send_buffer.clear()
             self.scheduler.unregister(self._fd)
             self._sock.close()
--- a/hazelhollow/net/tls.py
+++ b/hazelhollow/net/tls.py
@@ -1,6 +1,6 @@
-"""TLS as a layer that is fed bytes: `ssl.MemoryBIO` in both directions, no socket.
+"""TLS without a socket: a layer on `ssl.MemoryBIO` objects, one for each direction.
 
-Used for the shared store, if an operator file asks for it; not imported otherwise.
+It is used for the shared store if the operator file configures TLS, and not imported otherwise.
 """
 
 from __future__ import annotations
@@ -11,72 +11,74 @@
 
 
 def client_context(ca_file: str, cert_file: str = "", key_file: str = "") -> ssl.SSLContext:
-    """The context of a client that checks the server's certificate. Reads the files each time.
+    """Creates the context of a client that verifies the server's certificate.
+
+    The files are read at each call.
 
     Args:
-        ca_file: Certificates of the authorities that are trusted.
+        ca_file: The certificates of the trusted authorities.
         cert_file: The client's own certificate, if it has one.
-        key_file: Its key, if that is not in `cert_file`.
+        key_file: The key of that certificate, if it is not in `cert_file`.
 
     Raises:
         OSError: A file cannot be read.
-        ssl.SSLError: A file is no certificate or key.
+        ssl.SSLError: A file is not a valid certificate or key.
     """
-    made = ssl.create_default_context(ssl.Purpose.SERVER_AUTH, cafile=ca_file)
-    made.minimum_version = ssl.TLSVersion.TLSv1_2
+    context = ssl.create_default_context(ssl.Purpose.SERVER_AUTH, cafile=ca_file)
+    context.minimum_version = ssl.TLSVersion.TLSv1_2
     if cert_file:
-        made.load_cert_chain(cert_file, key_file or None)
-    return made
+        context.load_cert_chain(cert_file, key_file or None)
+    return context
 
 
 def server_context(cert_file: str, key_file: str = "") -> ssl.SSLContext:
-    """The context of a server with that certificate.
+    """Creates the context of a server with that certificate.
 
     Raises:
         OSError: A file cannot be read.
-        ssl.SSLError: A file is no certificate or key.
+        ssl.SSLError: A file is not a valid certificate or key.
     """
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    made.minimum_version = ssl.TLSVersion.TLSv1_2
-    made.load_cert_chain(cert_file, key_file or None)
-    return made
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    context.minimum_version = ssl.TLSVersion.TLSv1_2
+    context.load_cert_chain(cert_file, key_file or None)
+    return context
 
 
 class Layer:
-    """Stands between plain bytes and the bytes on a socket; for a server without `server_name`."""
+    """Converts between plaintext and the bytes on the socket; a server gives no `server_name`."""
 
-    def __init__(self, made: ssl.SSLContext, server_name: str = "") -> None:
+    def __init__(self, context: ssl.SSLContext, server_name: str = "") -> None:
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        side = made.protocol == ssl.PROTOCOL_TLS_SERVER
-        self._tls = made.wrap_bio(
+        side = context.protocol == ssl.PROTOCOL_TLS_SERVER
+        self._tls = context.wrap_bio(
             self._in, self._out, server_side=side, server_hostname=server_name or None
         )
         self._handshake_done = False
-        self._waiting = bytearray()  # plain bytes that wait for the handshake
+        self._pending_plaintext = bytearray()  # to be sent after the handshake
 
     def begin(self) -> bytes:
-        """The first bytes for the other side."""
+        """Starts the handshake; returns the first bytes for the other side."""
         self._continue_handshake()
         return self._out.read()
 
-    def write(self, plain: bytes) -> bytes:
-        """What goes to the other side now; plain bytes wait until the handshake is done."""
-        self._waiting += plain
-        if self._handshake_done and self._waiting:
-            self._tls.write(bytes(self._waiting))
-            self._waiting.clear()
+    def write(self, plaintext: bytes) -> bytes:
+        """Returns the bytes to send now; plaintext waits until the handshake is complete."""
+        self._pending_plaintext += plaintext
+        if self._handshake_done and self._pending_plaintext:
+            self._tls.write(bytes(self._pending_plaintext))
+            self._pending_plaintext.clear()
         return self._out.read()
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """Takes bytes from the other side; gives the plain ones in them, and bytes to be sent.
+        """Processes received bytes; returns the plaintext in them, and bytes to send.
 
         Raises:
-            ssl.SSLError: The handshake failed, or what came is not TLS.
+            ssl.SSLError: The handshake failed, or the input is not valid TLS.
         """
         self._in.write(data)
         if not self._handshake_done:
             self._continue_handshake()
-        plain = bytearray()
+        plaintext = bytearray()
         while self._handshake_done:
             try:
                 part = self._tls.read(READ_CHUNK_BYTES)
@@ -84,8 +86,8 @@
                 break
             if not part:
                 break
-            plain += part
-        return bytes(plain), self.write(b"")
+            plaintext += part
+        return bytes(plaintext), self.write(b"")
 
     def _continue_handshake(self) -> None:
         try:
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -179,7 +179,7 @@
         a send junk
         a expect nothing
         s1 send {VALUE}
-        a expect $2\\r\\nhi\\r\\n-ERR protocol error: an unknown type
+        a expect $2\\r\\nhi\\r\\n-ERR protocol error: unknown type byte b'j'
         a expect closed""",
     "an idle connection that the host has closed is not used": f"""
         a send {ask(1)}
@@ -236,10 +236,10 @@
     "malformed input costs its sender an error and the connection, and nobody else": f"""
         b send {ask(1)}
         a send GET / HTTP/1.1
-        a expect -ERR protocol error: an unknown type
+        a expect -ERR protocol error: unknown type byte b'G'
         a expect closed
         c send *1\\r\\n$99999999
-        c expect -ERR protocol error: a length out of range
+        c expect -ERR protocol error: length 99999999 out of range, at most 65536
         s1 expect {ask(1)}
         s1 send {VALUE}
         b expect $2\\r\\nhi""",
