--- a/hazelhollow/net/connection_pool.py
+++ b/hazelhollow/net/connection_pool.py
@@ -114,8 +114,8 @@
         if endpoint is None:
             self._fail_at_end_of_turn(attempt, CloseReason.UNLISTED)
             return attempt
-        while (index := self._newest_reusable(endpoint, now)) is not None:
-            connection = endpoint.idle.pop(index)
+        while (position := self._newest_reusable(endpoint, now)) is not None:
+            connection = endpoint.idle.pop(position)
             if now - connection.idle_since >= self._idle_timeout:
                 self.close_connection(connection, CloseReason.IDLE)
             elif not connection.stream or not connection.stream.is_open_and_quiet():
@@ -164,9 +164,9 @@
         """Returns the index of the most recently used connection in `idle` that may be reused."""
         return next(
             (
-                index
-                for index in range(len(endpoint.idle) - 1, -1, -1)
-                if endpoint.idle[index].reusable_from <= now
+                position
+                for position in range(len(endpoint.idle) - 1, -1, -1)
+                if endpoint.idle[position].reusable_from <= now
             ),
             None,
         )
--- a/tests/net/scenario.py
+++ b/tests/net/scenario.py
@@ -1,21 +1,22 @@
-"""The scenario language, and the stage that plays it: a whole limiter and all the parties round it.
+"""The scenario language, and the stage that plays it: a limiter and all parties it talks to.
 
-A scenario is a text of lines `WHO VERB WORDS`; blank lines and those after `#` are skipped.
+A scenario is a text of lines `WHO VERB WORDS`; blank lines and lines that begin with `#` are
+skipped.
 
 | line | meaning |
 | --- | --- |
 | `a send [PING]` | client `a` (any name; it connects when first named) sends a command |
-| `s1 expect [Q.ASK ...]` | endpoint s1 gets just this on its newest connection, `s1.2` on its 2nd |
-| `s1 send -BUSY` | a line; `\\r\\n` in the words and `[..]` commands are taken as they are |
-| `a expect nothing` | so far; `a expect closed`: the connection is over |
-| `s1 close` | its end of the connection; `s1 stop`: it accepts no new ones from then on |
+| `s1 expect [Q.ASK ...]` | s1 receives exactly this on its newest connection, `s1.2` on its 2nd |
+| `s1 send -BUSY` | sends a line; `\\r\\n` is unescaped, and `[..]` is encoded as a command |
+| `a expect nothing` | nothing has arrived so far; `a expect closed`: the connection has ended |
+| `s1 close` | closes this side of the connection; `s1 stop`: accepts no new connections |
 | `disco send table 7 s1:terminating` | discovery answers with a change; `whole 7 ...`: a list |
-| `disco2 reload` | the new configuration names this one as discovery |
-| `p1 send TEXT` | a datagram from the limiter numbered 1 |
-| `wait 0.5` | the clock, which nothing else moves, goes on by half a second |
+| `disco2 reload` | a reload makes `disco2` the discovery address |
+| `p1 send TEXT` | limiter 1 sends a datagram |
+| `wait 0.5` | advances the clock, which nothing else moves, by 0.5 seconds |
 
-Sockets are real, on ports that the system picks; `expect` gives the kernel a moment, and nothing
-sleeps.
+Sockets are real, on ports that the operating system picks. `expect` waits briefly for the kernel;
+nothing sleeps.
 """
 
 from __future__ import annotations
@@ -59,28 +60,28 @@
     max_units=500.0,
 )
 START = 1_000_000.0
-# of the loop, for what is under way to settle; each lets the kernel have a moment at need
+# Turns of the event loop, enough for all pending work to finish; each may wait for the kernel.
 TURNS = 60
 HEAD = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
 
 
-def moment(sock: socket.socket) -> None:
-    """For the kernel.
+def wait_for_kernel(sock: socket.socket) -> None:
+    """Waits up to 2 ms until the socket is readable.
 
-    Not select(): a run of many stages may hold more descriptors than that can name.
+    poll() and not select(): a run with many stages may hold descriptors above select's limit.
     """
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     poll.poll(2)
 
 
-STAGES: list[Stage] = []  # of the test that runs
+STAGES: list[Stage] = []  # of the current test
 
 
 class Stage:
-    """A whole limiter with a clock of its own, and all the parties round it.
+    """A complete limiter with its own clock, and all parties that it talks to.
 
-    Closed after its test (conftest).
+    The fixture `stages_end` in conftest.py closes it after the test.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         discovery_answered: bool = True,
         **changes: Any,
     ) -> None:
-        """`heard`: as if discovery had answered once, so that requests are taken at once."""
+        """`discovery_answered`: whether requests are served from the start, without discovery."""
         STAGES.append(self)
         self.now = START
         self.scheduler = Scheduler(lambda: self.now)
@@ -120,7 +121,7 @@
         self.settle()
 
     def close(self) -> None:
-        """Every descriptor: else a run of hundreds of stages would hold thousands."""
+        """Closes every descriptor, or a run of hundreds of stages would hold thousands."""
         for sock in (
             self.peer,
             *self.listeners.values(),
@@ -130,9 +131,9 @@
         service = self.service
         for session in [*service.frontend.sessions.sessions, *service.frontend.sessions.lingering]:
             session._stream.close(CloseReason.SHUTDOWN)
-        for driver in (service.discovery_watch._stream, service.discovery_watch._slow_stream):
-            if driver:
-                driver.close(CloseReason.SHUTDOWN)
+        for watch_stream in (service.discovery_watch._stream, service.discovery_watch._slow_stream):
+            if watch_stream:
+                watch_stream.close(CloseReason.SHUTDOWN)
         service.pool.close_all()
         for open_socket in (
             service.frontend,
@@ -182,7 +183,7 @@
         self.settle()
 
     def _end(self, who: str) -> socket.socket:
-        """The test's end of a connection."""
+        """Returns the test's side of a connection; a client connects if it has none."""
         name, _, number = who.partition(".")
         ends = self.ends.setdefault(name, [])
         if name in self.listeners and self.listeners[name].fileno() >= 0:
@@ -194,7 +195,7 @@
                 except BlockingIOError:
                     if len(ends) >= int(number or 1):
                         break
-                    moment(self.listeners[name])
+                    wait_for_kernel(self.listeners[name])
         elif not ends:
             operator = self.service.operator_address
             address = (
@@ -242,7 +243,7 @@
                 over, got = not data, got + data
             except BlockingIOError:
                 if turn < 5 or words != "nothing":
-                    moment(end)
+                    wait_for_kernel(end)
             except ConnectionResetError:
                 over = True
             if over or (pattern and re.fullmatch(pattern, got, re.S)):
@@ -250,7 +251,7 @@
         if words == "closed":
             assert over and not got, got
         else:
-            assert not over and re.fullmatch(pattern, got, re.S), got or "nothing came"
+            assert not over and re.fullmatch(pattern, got, re.S), got or "nothing was received"
 
     def _reload(self, who: str, words: str) -> None:
         self.service.settings_reload.reload(
--- a/tests/net/test_client_floods.py
+++ b/tests/net/test_client_floods.py
@@ -1,4 +1,4 @@
-"""Clients that send too much: others are still answered, and memory is bounded."""
+"""Clients that send too much: other clients are still answered, and memory stays bounded."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from tests.net.test_scenarios import VALUE, ask
 
 
-def test_others_are_answered_beside_a_pipelined_flood_which_keeps_to_its_places() -> None:
+def test_pipelined_flood_stays_within_its_limit_and_others_are_answered() -> None:
     """One client pipelines thousands of requests.
 
-    Others are still answered, and the flood never has more than MAX_PIPELINED requests open.
+    It must never have more than MAX_PIPELINED requests open, and others must still be answered.
     """
     stage = Stage(hosts=1)
     flood = stage._end("a")
-    words = b"".join(stage.bytes_of(ask(1000 + number)) for number in range(2000))
+    commands = b"".join(stage.bytes_of(ask(1000 + number)) for number in range(2000))
     sent = 0
     for _ in range(30):
         with suppress(BlockingIOError):
-            sent += flood.send(words[sent : sent + 65536])
+            sent += flood.send(commands[sent : sent + 65536])
         stage.settle(2)
         assert len(stage.service.engine_driver.open_requests) <= MAX_PIPELINED + 1
     assert (
         stage.service.stats.requests and stage.service.stats.attempts <= MAX_PIPELINED
-    )  # of which no host answers one
+    )  # none of which an endpoint answers
     other = stage._end("b")
     other.sendall(stage.bytes_of(ask(1)))
     stage.play("wait 0.1")
-    # nor would the hosts take another: it is told so at once
+    # the endpoints have no capacity for another request, which is rejected immediately
     assert other.recv(99) == b"-BUSY 250\r\n"
     flood.close()
     stage.play("wait 1.1")
@@ -43,15 +43,15 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half a command", "junk"])
-def test_hundreds_of_short_connections_keep_nobody_from_an_answer_and_leave_nothing(
+def test_hundreds_of_short_connections_block_no_client_and_leave_nothing(
     how: str,
 ) -> None:
-    """Hundreds of clients connect, ask once and go.
+    """Hundreds of clients connect and disconnect after at most one command.
 
-    Others are answered meanwhile, and no session or request is left behind.
+    Other clients must be answered meanwhile, and no session or request may remain.
     """
     stage = Stage(hosts=1, sockets=96)
-    most = stage.service.frontend.sessions.max_sessions + MAX_LINGERING
+    max_total = stage.service.frontend.sessions.max_sessions + MAX_LINGERING
     for number in range(400):
         sock = socket.create_connection(stage.service.frontend.address)
         if how == "half a command":
@@ -63,8 +63,8 @@
         sock.close()
         stage.settle(2)
         frontend = stage.service.frontend
-        # as many are let in at a time
-        assert len(frontend.sessions.sessions) + len(frontend.sessions.lingering) <= most + 16
+        # up to 16 clients are accepted per turn
+        assert len(frontend.sessions.sessions) + len(frontend.sessions.lingering) <= max_total + 16
         if number % 100 == 50:
             stage.play(
                 f"b{number} send {ask(number)}\ns1 expect {ask(number)}\ns1 send "
@@ -79,10 +79,10 @@
     assert stage.service.stats.requests == 4 == stage.service.stats.dispatches
 
 
-def test_a_flood_of_calls_that_ask_for_no_work_is_held_back_and_bounded() -> None:
-    """A client sends PINGs without end and reads nothing.
+def test_flood_of_non_request_commands_is_throttled_and_bounded() -> None:
+    """A client keeps sending INFO commands and reads no answers.
 
-    It is slowed down, and what is held for it stays within its bound.
+    It must be throttled, and the memory held for it must stay within its bound.
     """
     stage = Stage(hosts=1)
     flood = stage._end("a")
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""What is owed when a connection or a request ends at a bad moment, each forced on real sockets."""
+"""Connections and requests that end at a critical moment, each case forced on real sockets."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from tests.net.scenario import BUY, LOOK, SETTINGS, Stage
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which close() resets the connection
 
 
 def read_until_closed(stage: Stage, end: socket.socket) -> bytes:
-    """All that comes up to the orderly end of the connection.
+    """Returns all bytes up to the orderly end of the connection.
 
-    A reset is an error, and so is no end.
+    A reset raises an error, and so does a connection that stays open.
     """
     got = b""
     for _ in range(200):
@@ -39,68 +39,68 @@
         if not data:
             return got
         got += data
-    raise AssertionError(f"no end after {got!r}")
+    raise AssertionError(f"the connection was not closed after {got!r}")
 
 
-def say_after_the_look(monkeypatch: pytest.MonkeyPatch, end: socket.socket, words: bytes) -> None:
-    """What the client sends comes between the limiter's look at the socket and its act."""
-    whole = stream.Stream.is_open_and_quiet
+def send_after_check(monkeypatch: pytest.MonkeyPatch, end: socket.socket, data: bytes) -> None:
+    """Makes the client send data between the limiter's check of its socket and the next step."""
+    original = stream.Stream.is_open_and_quiet
 
-    def alive(self: stream.Stream) -> bool:
-        found = whole(self)
+    def check_then_send(self: stream.Stream) -> bool:
+        found = original(self)
         if found and self._sock.getpeername() == end.getsockname():
-            end.sendall(words)
+            end.sendall(data)
         return found
 
-    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", alive)
+    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_send)
 
 
-def answered(stage: Stage, name: str = "a") -> socket.socket:
-    """A client that has had an answer it has not read yet."""
+def client_with_unread_answer(stage: Stage, name: str = "a") -> socket.socket:
+    """Returns a client that was sent an answer and has not read it yet."""
     stage.play(f"{name} send [SELECT 0]")
     return stage._end(name)
 
 
 CLOSES: dict[str, Callable[[Stage], object]] = {
     "idle": lambda stage: stage.play("wait 11"),
-    "room": lambda stage: in_need_of_room(stage),
-    "kept": lambda stage: keep_none(stage),
-    "sigterm": lambda stage: told_to_end(stage, 0.6),
+    "room": lambda stage: evict_session(stage),
+    "kept": lambda stage: allow_no_used_session(stage),
+    "sigterm": lambda stage: begin_shutdown(stage, 0.6),
 }
 
 
-def in_need_of_room(stage: Stage) -> None:
+def evict_session(stage: Stage) -> None:
     session = stage.service.frontend.sessions.eviction_candidate()
     assert session
     session.end(CloseReason.NO_DESCRIPTOR)
 
 
-def keep_none(stage: Stage) -> None:
+def allow_no_used_session(stage: Stage) -> None:
     stage.service.frontend.sessions.max_used = 0
     stage.play("wait 0.2\nb send [SELECT 0]")
 
 
-def told_to_end(stage: Stage, seconds: float) -> None:
+def begin_shutdown(stage: Stage, seconds: float) -> None:
     stage.service.shutdown.begin()
     stage.play(f"wait {seconds}")
 
 
 @pytest.mark.parametrize("why", CLOSES)
-def test_a_request_that_crosses_the_end_of_a_resting_connection_takes_no_answer_along(
+def test_request_crossing_an_idle_close_loses_no_earlier_answer(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The limiter closes an idle connection while the client's next command is on its way.
+    """The limiter closes an idle connection while the client's next command is in transit.
 
-    A plain close would reset the connection, and the last answer would be lost with it.
+    A plain close would reset the connection, and the client would lose its last answer.
     """
     stage = Stage(hosts=1)
-    end = answered(stage)
-    say_after_the_look(monkeypatch, end, stage.bytes_of(ask(1)))
+    end = client_with_unread_answer(stage)
+    send_after_check(monkeypatch, end, stage.bytes_of(ask(1)))
     CLOSES[why](stage)
     assert read_until_closed(stage, end) == b"+OK\r\n"
     assert (
         not stage.service.stats.requests
-    )  # it is read after the end, and its client sends it again elsewhere
+    )  # it arrived after the close, so the client has to send it again elsewhere
     end.close()
     stage.settle()
     assert not stage.service.frontend.sessions.lingering
@@ -114,13 +114,13 @@
 
 
 @pytest.mark.parametrize("junk", JUNK.values(), ids=JUNK.keys())
-def test_malformed_input_with_more_behind_it_gets_its_error_and_an_orderly_end(junk: bytes) -> None:
-    """Malformed bytes come with more behind them.
+def test_malformed_input_followed_by_more_gets_error_and_orderly_close(junk: bytes) -> None:
+    """Malformed bytes arrive with more bytes after them.
 
-    The client must still be able to read its error, not meet a reset.
+    The client must be able to read its error, and must not get a reset instead.
     """
     stage = Stage(hosts=1)
-    end = answered(stage)
+    end = client_with_unread_answer(stage)
     end.setblocking(True)
     end.settimeout(5)
     sent = 0
@@ -131,10 +131,10 @@
     assert read_until_closed(stage, end).startswith(b"+OK\r\n-ERR ")
 
 
-def test_junk_behind_a_request_that_takes_long_costs_it_no_answer() -> None:
+def test_malformed_bytes_after_a_slow_request_do_not_cost_its_answer() -> None:
     """Malformed bytes follow a request that is in flight.
 
-    The request still gets its answer before the connection ends.
+    The request must still be answered before the connection is closed.
     """
     stage = Stage(hosts=1)
     stage.play(
@@ -144,24 +144,24 @@
     assert read_until_closed(stage, stage._end("a")).startswith(b"$2\r\nhi\r\n-ERR protocol error")
 
 
-def test_a_client_that_never_ends_its_side_holds_a_descriptor_for_a_bound_only() -> None:
-    """A connection was closed here and its client never closes.
+def test_client_never_closes_lingering_session_ends_after_linger_time() -> None:
+    """The limiter has closed a connection, and its client never does.
 
-    After LINGER_S its descriptor is free again.
+    After LINGER_S its descriptor must be free again.
     """
     stage = Stage(hosts=1)
-    answered(stage)
+    client_with_unread_answer(stage)
     stage.play("wait 11")
     stage.play(f"wait {LINGER_S + 0.1}")
     assert stage.service.frontend.sessions.is_empty()
 
 
-def test_connections_ended_here_hold_no_more_than_so_many_descriptors() -> None:
-    """Many clients never close connections that were closed here.
+def test_number_of_lingering_sessions_is_bounded() -> None:
+    """Many clients never close connections that the limiter has closed.
 
-    Only so many of them may hold a descriptor at once.
+    At most MAX_LINGERING of them, beyond the clients' own limit, may hold a descriptor.
     """
-    stage = Stage(hosts=1, sockets=0)  # room for nine clients
+    stage = Stage(hosts=1, sockets=0)  # allows nine clients
     for number in range(60):
         stage.play(f"c{number} send [SELECT 0]\nc{number} expect +OK")
         frontend = stage.service.frontend
@@ -171,25 +171,23 @@
     assert frontend.sessions.lingering
 
 
-def test_who_lingers_goes_first_when_a_descriptor_is_needed() -> None:
+def test_descriptor_needed_lingering_session_is_closed_first() -> None:
     """No descriptor is left.
 
-    A connection that only waits for its client to close goes before any that is in use.
+    A session that only waits for its client to close must be closed before one that is in use.
     """
     stage = Stage(hosts=1)
-    answered(stage)
+    client_with_unread_answer(stage)
     stage.play("wait 10.2\nb send [CLIENT]\nb expect +OK")
     assert stage.service.frontend.sessions.lingering and stage.service.frontend.free_descriptor()
     assert not stage.service.frontend.sessions.lingering
     stage.play("b send [CLIENT]\nb expect +OK")
 
 
-def test_after_sigterm_a_client_that_never_stops_asking_has_each_answer_and_the_limiter_ends() -> (
-    None
-):
-    """A client pipelines requests without end while the limiter shuts down.
+def test_pipelining_client_at_sigterm_gets_its_answers_and_limiter_exits() -> None:
+    """A client keeps pipelining requests while the limiter shuts down.
 
-    Each that was taken is answered, and the limiter still ends.
+    Each accepted request must be answered, and the limiter must still exit.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1, 2500)}\ns1 expect {ask(1, 2500)}")
@@ -197,17 +195,17 @@
     stage.play(f"wait 0.8\na send {ask(2)}\na send {ask(3)}")
     assert (
         stage.service.stats.requests == 1
-    )  # the others might not be answered before SIGKILL: nobody takes them
+    )  # the others are not accepted, as they might not be answered before SIGKILL
     stage.play(f"s1 send {VALUE}")
     assert read_until_closed(stage, stage._end("a")) == b"$2\r\nhi\r\n"
     stage.play("a close\nwait 0.1")
     assert stage.scheduler._stopped
 
 
-def test_a_connection_let_in_just_before_the_end_has_its_request_answered() -> None:
-    """A client connects just before the listening socket closes, and asks a moment later.
+def test_connection_accepted_just_before_close_has_its_request_answered() -> None:
+    """A client connects just before the listening socket closes, and sends a request after that.
 
-    Its request is answered, not reset.
+    The request must be answered; the connection must not be reset.
     """
     stage = Stage(hosts=1)
     stage.service.shutdown.begin()
@@ -220,37 +218,37 @@
     )
 
 
-def test_half_a_request_does_not_keep_a_limiter_that_leaves() -> None:
+def test_half_a_request_does_not_delay_the_shutdown() -> None:
     """A client has sent half a command and nothing more.
 
-    The shutdown does not wait for the rest.
+    The shutdown must not wait for the rest.
     """
     stage = Stage(hosts=1)
-    end = answered(stage)
+    end = client_with_unread_answer(stage)
     end.sendall(stage.bytes_of(ask(1))[:30])
     stage.service.shutdown.begin()
     stage.play("wait 0.65")
-    assert stage.service.frontend.sessions.sessions  # the rest may come
+    assert stage.service.frontend.sessions.sessions  # the rest may still arrive
     stage.play("wait 0.1")
     end.sendall(stage.bytes_of(ask(1))[30:])
     assert read_until_closed(stage, end) == b"+OK\r\n" and not stage.service.stats.requests
 
 
-def held(monkeypatch: pytest.MonkeyPatch, stage: Stage) -> None:
-    """The module keeps every request waiting for its first attempt."""
+def never_decide(monkeypatch: pytest.MonkeyPatch, stage: Stage) -> None:
+    """Makes the engine keep every request waiting for its first attempt."""
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_a_client_that_goes_is_seen_behind_its_own_unread_commands(
+def test_disconnection_behind_unread_commands_is_noticed(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A client has filled all its places, so nothing more is read from it, and disconnects.
+    """A client has reached its pipeline limit, so nothing more is read from it, and disconnects.
 
-    Its end lies behind unread commands and must be seen all the same.
+    The end of its stream lies behind unread commands, and must be noticed all the same.
     """
     stage = Stage(hosts=1)
-    held(monkeypatch, stage)
+    never_decide(monkeypatch, stage)
     for number in range(MAX_PIPELINED + 20):
         stage.play(f"a send {ask(number, 3000)}")
     disconnect(stage, "a", how)
@@ -261,12 +259,13 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_a_client_that_goes_while_it_waits_its_turn_is_seen(how: str) -> None:
-    """A client that was held back for fruitless commands disconnects while nothing is read from it.
-    That must be seen all the same.
+def test_disconnection_of_a_throttled_client_is_noticed(how: str) -> None:
+    """A client throttled for fruitless commands disconnects while nothing is read from it.
+
+    The disconnection must be noticed all the same.
     """
     stage = Stage(hosts=1)
-    for number in range(40):  # each is refused at once, so it soon has to wait
+    for number in range(40):  # each is rejected immediately, so the client is soon throttled
         stage._end("a").sendall(stage.bytes_of(ask(number, 0)) * 10)
         stage.settle(20)
     disconnect(stage, "a", how)
@@ -285,7 +284,7 @@
 
 
 def block_connects(stage: Stage, name: str = "s1") -> list[socket.socket]:
-    """The host's machine lets nobody in: a connection to it does not come up."""
+    """Fills the accept queue of an endpoint, so that further connections do not come up."""
     stage.listeners[name].listen(0)
     fillers = []
     for _ in range(2):
@@ -296,12 +295,12 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_a_request_whose_client_goes_while_the_connection_to_its_host_comes_up_is_never_sent(
+def test_client_disconnects_while_endpoint_connects_request_is_never_sent(
     how: str,
 ) -> None:
-    """The client disconnects while the connection to the endpoint is being opened.
+    """The client disconnects while the connection to the endpoint is being established.
 
-    The request must not be sent once it is up.
+    The request must not be sent once the connection is up.
     """
     stage = Stage(hosts=1)
     fillers = block_connects(stage)
@@ -312,38 +311,39 @@
     assert stage.service.stats.dispatches == 0 and len(fillers) == 2
 
 
-def test_a_request_partly_written_as_its_client_goes_is_not_finished() -> None:
+def test_client_disconnects_while_request_half_sent_rest_is_not_sent() -> None:
     """The client disconnects while a large request is half sent.
 
-    The endpoint cannot have begun it, so the rest is never sent.
+    The endpoint cannot have started to execute it, so the rest must never be sent.
     """
     stage, body = Stage(hosts=1), "B" * 65536
     stage.listeners["s1"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     connect = stream.connect
 
-    def narrow(*words: Any) -> Any:
-        made: Any = connect(*words)
-        # the system takes a part only
-        made._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        return made
+    def connect_with_small_buffer(*arguments: Any) -> Any:
+        connected: Any = connect(*arguments)
+        # the operating system accepts only a part of the request
+        connected._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return connected
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(stream, "connect", narrow)
+        patch.setattr(stream, "connect", connect_with_small_buffer)
         stage.play(f"b send {DO.format(2).replace('BODY', body)}")
-    (line,) = stage.service.pool._endpoints["s1"].connections
-    assert line.has_sent_any() and not line.has_sent_all()
+    (connection,) = stage.service.pool._endpoints["s1"].connections
+    assert connection.has_sent_any() and not connection.has_sent_all()
     disconnect(stage, "b", "close")
     assert not stage.service.pool._connections and not stage.service.engine_driver.open_requests
 
 
-def test_of_many_that_leave_at_mixed_stages_nothing_is_sent_on_later() -> None:
-    """Clients disconnect while they wait for a connection, behind pipelined requests or for
-    readiness. What had no attempt by then never gets one.
+def test_clients_disconnect_at_mixed_stages_nothing_is_sent_later() -> None:
+    """Clients disconnect while requests wait for a connection, in a pipeline or for readiness.
+
+    Requests without an attempt at that time must never get one.
     """
     stage = Stage(hosts=2, discovery_answered=False)
     fillers = block_connects(stage, "s1") + block_connects(stage, "s2")
     for number in range(10):
-        stage.play(f"w{number} send {ask(number, 3000)}")  # for readiness
+        stage.play(f"w{number} send {ask(number, 3000)}")  # waits for readiness
     for number in range(0, 10, 2):
         disconnect(stage, f"w{number}", ("close", "half", "reset")[number % 3])
     stage.service.frontend.set_ready()
@@ -367,10 +367,10 @@
     )
 
 
-def test_a_flood_whose_client_has_gone_by_the_time_it_is_read_costs_no_attempt() -> None:
-    """A client sends many requests and closes before they are read.
+def test_requests_of_a_disconnected_client_cause_no_attempts() -> None:
+    """A client sends many requests and disconnects before they are read.
 
-    None of them may cost an endpoint an attempt.
+    None of them may cause an attempt.
     """
     stage = Stage(hosts=1)
     end = stage._end("a")
@@ -381,17 +381,17 @@
     assert stage.service.stats.requests == 1 == stage.service.stats.attempts
 
 
-def test_an_answer_is_told_to_the_module_once_also_when_the_client_goes_in_the_same_turn() -> None:
-    """An answer and the client's disconnection arrive in one turn.
+def test_answer_and_disconnection_in_one_turn_end_the_attempt_once() -> None:
+    """An answer and the client's disconnection arrive in the same turn.
 
-    The engine gets the attempt's end exactly once.
+    The engine must be notified of the attempt's end exactly once.
     """
     stage, seen = Stage(hosts=1), list[api.Event]()
-    whole = stage.service.engine_driver._decisions.handle
+    original_handle = stage.service.engine_driver._decisions.handle
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
         seen.append(event)
-        return whole(event, now)
+        return original_handle(event, now)
 
     stage.service.engine_driver._decisions.handle = handle  # type: ignore[method-assign]
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
@@ -401,13 +401,13 @@
     assert len(outcomes) == 1 and not stage.service.engine_driver.open_requests
 
 
-# Hosts
+# Endpoints
 
 
-def test_a_second_copy_some_milliseconds_late_is_no_other_requests_answer() -> None:
-    """An endpoint sends its answer twice.
+def test_late_second_copy_of_an_answer_goes_to_no_other_request() -> None:
+    """An endpoint sends its answer twice, the second copy some milliseconds late.
 
-    The late copy must not be taken for the answer to the next request on that connection.
+    The copy must not be taken for the answer to the next request on that connection.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
@@ -420,10 +420,10 @@
     )
 
 
-def test_half_an_answer_of_a_host_that_is_listed_no_more_is_given_up_too() -> None:
-    """An endpoint that was dropped from the list stops in the middle of an answer.
+def test_incomplete_answer_of_an_unlisted_endpoint_times_out() -> None:
+    """An endpoint that was removed from the list stops in the middle of an answer.
 
-    The attempt ends after PARTIAL_ANSWER_TIMEOUT_S as on any other.
+    The attempt must end after PARTIAL_ANSWER_TIMEOUT_S, as with a listed endpoint.
     """
     stage = Stage(hosts=2)
     stage.play(
@@ -441,9 +441,10 @@
 
 
 @pytest.mark.parametrize("left", [0.0, 0.2])
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_never_sent(left: float) -> None:
-    """A retry begins within the window in which endpoints drop repeats, and its connection comes up
-    after it. Sent then, it might run twice.
+def test_retry_connected_after_the_dedup_window_is_never_sent(left: float) -> None:
+    """A retry starts within the deduplication window, and its connection comes up after it.
+
+    If it were sent then, the request might be executed twice.
     """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, WINDOW)), connect_timeout=2.0)
     fillers = block_connects(stage, "s2")
@@ -456,17 +457,17 @@
     stage.play("disco expect " + WATCH.format(1) + "\ndisco send whole 2 s2:in_service\n")
     stage.now += 0.3 - left - 0.05
     stage.play("s1 close")
-    (one,) = stage.service.engine_driver.open_requests.values()
-    assert len(one.attempts) == 2 and one.attempts_out == 1
+    (opened,) = stage.service.engine_driver.open_requests.values()
+    assert len(opened.attempts) == 2 and opened.attempts_out == 1
     stage.play(f"wait {left + 0.05}")
-    assert not one.attempts_out and not stage.service.pool._connections and len(fillers) == 2
-    stage.play("a expect -BUSY 250")  # all hosts know its key, so it may be tried anew
+    assert not opened.attempts_out and not stage.service.pool._connections and len(fillers) == 2
+    stage.play("a expect -BUSY 250")  # all endpoints know its key, so the client may retry
 
 
-def test_a_request_that_is_unsafe_to_repeat_is_sent_again_only_if_it_never_ran() -> None:
+def test_unsafe_request_is_retried_only_if_it_cannot_have_run() -> None:
     """An attempt of a request that is not idempotent ends without an answer.
 
-    It is sent again only if the first cannot have run.
+    The request may be sent again only if that attempt cannot have run.
     """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE), hedging=True))
     order = DO.format(1)
@@ -478,11 +479,8 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "deadline"])
-def test_an_answer_and_the_deadline_in_one_turn_give_one_answer(first: str) -> None:
-    """The answer arrives in the turn in which the deadline passes.
-
-    The client gets exactly one answer.
-    """
+def test_answer_and_deadline_in_one_turn_give_exactly_one_answer(first: str) -> None:
+    """The answer arrives in the turn in which the deadline passes."""
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     host = stage._end("s1")
@@ -503,18 +501,18 @@
 
 
 @pytest.mark.parametrize("order", ["cancel first", "answer first"])
-def test_a_cancelled_attempt_and_its_answer_in_one_turn_end_once_and_the_line_serves_nobody_else(
+def test_cancellation_and_answer_in_one_turn_end_the_attempt_once(
     order: str,
 ) -> None:
     """An attempt is cancelled in the turn in which its answer arrives.
 
-    It ends once, and its connection carries no other request.
+    It must end once, and its connection must not carry another request.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     pool = stage.service.pool
-    (one,) = stage.service.engine_driver.open_requests.values()
-    (attempt,) = one.attempts
+    (opened,) = stage.service.engine_driver.open_requests.values()
+    (attempt,) = opened.attempts
     stage._end("s1").sendall(stage.bytes_of(VALUE))
     if order == "answer first":
         stage.settle()
@@ -525,23 +523,20 @@
     if order == "answer first":
         assert (
             stage.service.stats.outcomes["ok"] == 1
-            and not one.attempts_out
+            and not opened.attempts_out
             and len(pool._connections) == 1
         )
-    else:  # the module tries again, on another connection
+    else:  # the engine retries, on another connection
         stage.play(
             f"s1.1 expect closed\ns1.2 expect {ask(1)}\ns1.2 send {VALUE}\na expect $2\\r\\nhi"
         )
 
 
-def test_an_attempt_given_up_in_the_turn_in_which_its_connection_comes_up_is_not_sent() -> None:
-    """An attempt is aborted in the turn in which its connection comes up.
-
-    Its request is not sent.
-    """
+def test_attempt_aborted_as_its_connection_comes_up_is_not_sent() -> None:
+    """An attempt is aborted in the turn in which its connection comes up."""
     stage = Stage(hosts=1)
     attempt = stage.service.pool.start("s1", b"x" * 10, lambda result: None)
-    stage.scheduler._run()  # its connection is begun, and up by now; that it is has not been read
+    stage.scheduler._run()  # the connection is up by now, but the task has not noticed it yet
     stage.service.pool.abort(attempt, CloseReason.CANCELLED)
     stage.settle()
     end = stage._end("s1")
@@ -551,8 +546,8 @@
 # Ids and settings
 
 
-def test_equal_ids_of_two_customers_are_two_requests() -> None:
-    """Two customers pick the same request id. Each gets the answer to its own request."""
+def test_equal_request_ids_of_two_customers_are_independent() -> None:
+    """Two customers choose the same request id; each must get the answer to its own request."""
     stage = Stage(hosts=1)
     other = ask(1).replace("b4d65521", "0badcafe")
     stage.play(f"a send {ask(1)}\ns1.1 expect {ask(1)}\nb send {other}\ns1.2 expect {other}")
@@ -563,10 +558,10 @@
     assert not stage.service.engine_driver.open_requests
 
 
-def test_an_id_whose_first_owner_has_gone_while_its_attempt_is_out_is_anothers_too() -> None:
-    """A client has gone, its attempt is still out, and another customer uses the same id.
+def test_id_of_a_disconnected_client_is_usable_by_another_customer() -> None:
+    """A client has disconnected, its attempt is in flight, and another customer uses the same id.
 
-    The second request is served as its own.
+    The second request must be served as an independent one.
     """
     stage = Stage(hosts=1)
     other = ask(1).replace("b4d65521", "0badcafe")
@@ -577,8 +572,8 @@
     stage.play(f"s1.2 send {VALUE.replace('hi', 'no')}\nb expect $2\\r\\nno")
 
 
-def test_a_customer_does_not_go_by_the_plan_of_another_that_has_its_key_in_messages() -> None:
-    """Two customers share the short key of gossip messages.
+def test_customers_with_equal_gossip_keys_keep_their_own_plans() -> None:
+    """Two customers share the short key that identifies them in gossip messages.
 
     Neither may be limited by the plan of the other.
     """
@@ -597,7 +592,7 @@
     stage.play(f"a send {lean}\ns1 expect {lean}\na send {full}\ns1.2 expect {full}")
 
 
-# The watch
+# The watch on discovery
 
 
 def start_watch(stage: Stage) -> None:
@@ -619,35 +614,35 @@
     return "s1" not in stage.service.pool._endpoints
 
 
-def test_an_answer_without_a_length_ends_with_its_connection() -> None:
-    """Discovery answers without a length and closes.
+def test_response_without_length_is_complete_at_connection_close() -> None:
+    """Discovery answers without a length and closes the connection.
 
-    The list is taken, and the next call needs a new connection.
+    The list must be applied then, and the next call must use a new connection.
     """
     stage = Stage(hosts=2)
     start_watch(stage)
     end = stage._end("disco")
     end.sendall(ENDLESS.encode() + list_with_s1_draining(stage, indent=True))
     stage.settle()
-    assert not s1_is_dropped(stage)  # more may come
+    assert not s1_is_dropped(stage)  # more may arrive
     end.shutdown(socket.SHUT_WR)
     stage.settle()
     assert s1_is_dropped(stage)
     stage.play(f"wait 0.1\ndisco.2 expect {WATCH.format(6)}")
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_a_reset_is_no_end_of_an_answer_without_a_length(whole: bool) -> None:
-    """A connection is reset within a response without a length.
+@pytest.mark.parametrize("complete", [True, False])
+def test_response_without_length_cut_by_a_reset_is_discarded(complete: bool) -> None:
+    """A connection is reset during a response without a length.
 
-    What came may be a part that happens to read well, so the list is asked for anew.
+    The received part may happen to be valid, so the list must be requested again.
     """
     stage = Stage(hosts=2)
     start_watch(stage)
     end = stage._end("disco")
     end.sendall(
         ENDLESS.encode()
-        + (list_with_s1_draining(stage) if whole else list_with_s1_draining(stage)[:40])
+        + (list_with_s1_draining(stage) if complete else list_with_s1_draining(stage)[:40])
     )
     stage.settle()
     disconnect(stage, "disco", "reset")
@@ -657,20 +652,20 @@
     assert s1_is_dropped(stage)
 
 
-def asked_anew(stage: Stage) -> None:
-    """Up to the next call, since the one before may be given up by now."""
+def expect_new_call(stage: Stage) -> None:
+    """Waits for the next call for the complete list, as the previous one may have timed out."""
     for _ in range(10):
         try:
             stage.play(f"wait 0.05\ndisco expect {GET}")
             return
         except AssertionError:
             pass
-    raise AssertionError("not asked again")
+    raise AssertionError("discovery was not called again")
 
 
 DEATHS: dict[str, str] = {
-    "silent while it waits": "wait 2.0",
-    "silent in mid-answer": (
+    "silent while waiting": "wait 2.0",
+    "silent in mid-response": (
         "disco send HTTP/1.1 200 OK\\r\\nContent-Length: 400\\r\\n\\r\\n{\n" "wait 2.0"
     ),
     "trickling": (
@@ -678,35 +673,33 @@
     ),
     "closed": "disco close",
     "not JSON": "disco send HTTP/1.1 200 OK\\r\\nContent-Length: 3\\r\\n\\r\\nno",
-    "a change that goes back": "disco send table 3 s2:in_service",
+    "a change to an older version": "disco send table 3 s2:in_service",
     "an error": "disco send HTTP/1.1 503 Busy\\r\\nContent-Length: 0\\r\\n",
 }
 
 
 @pytest.mark.parametrize("death", DEATHS)
-def test_after_a_watch_has_died_the_whole_list_is_asked_for_and_obeyed(death: str) -> None:
-    """The watch on discovery breaks.
+def test_watch_fails_complete_list_is_requested_and_applied(death: str) -> None:
+    """The watch on discovery fails.
 
-    The whole list is asked for and obeyed within 2.6 s, also where the first tries are met with
-    silence; the page allows 6.
+    The complete list must be requested and applied within 2.6 s, even if the first calls are not
+    answered; the operators' page allows 6 s.
     """
     stage = Stage(hosts=2)
     start_watch(stage)
     stage.play(DEATHS[death])
     before = len(stage.ends["disco"])
-    stage.play("wait 0.6")  # asked again meanwhile, twice at least, and not answered
-    asked_anew(stage)
+    stage.play("wait 0.6")  # at least two calls meanwhile, which are not answered
+    expect_new_call(stage)
     stage.play("disco send whole 2 s1:terminating s2:in_service")
     assert s1_is_dropped(stage) and len(stage.ends["disco"]) >= before + 2
     stage.play(f"disco expect {WATCH.format(2)}")
 
 
-def test_a_watch_moved_while_it_connects_or_rests_between_two_calls_asks_the_new_one_for_all() -> (
-    None
-):
-    """The configuration moves discovery while the watch connects or pauses.
+def test_discovery_moved_between_calls_complete_list_is_requested() -> None:
+    """A reload changes the discovery address while the watch connects or pauses between calls.
 
-    It must ask the new one for the whole list, not go on with the old one's version.
+    It must request the complete list, and not continue from the version of the old discovery.
     """
     for seconds in (0.0, 0.05, 0.12):
         stage = Stage(hosts=2)
@@ -722,10 +715,10 @@
         assert s1_is_dropped(stage)
 
 
-def test_a_list_that_lies_unread_as_its_time_is_over_is_read() -> None:
-    """The limiter was the late one: the list lay in the socket when its time was over.
+def test_list_received_before_its_timeout_but_unread_is_applied() -> None:
+    """The limiter is late, and the list is already in the socket when the timeout passes.
 
-    A watch given up for that would be given up each time.
+    A limiter that is always late would otherwise give up every call.
     """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}")
@@ -736,10 +729,10 @@
     assert s1_is_dropped(stage)
 
 
-def test_an_agent_that_is_slower_than_it_should_be_is_heard_all_the_same() -> None:
-    """Discovery answers each call after the next one was made.
+def test_discovery_answering_after_the_timeout_is_still_used() -> None:
+    """Discovery answers each call only after the next one was made.
 
-    It is heard all the same, also after a move.
+    Its answers must be used all the same, also after its address has changed.
     """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\nwait 0.7")
@@ -753,10 +746,10 @@
     assert not s1_is_dropped(stage)
 
 
-def test_a_slow_list_changes_nothing_once_a_later_call_was_answered() -> None:
-    """A call that was late is answered after a newer one.
+def test_late_list_is_ignored_once_a_newer_call_was_answered() -> None:
+    """A late call is answered after a newer one.
 
-    Its list is older and must not replace the newer.
+    Its list is older and must not replace the newer list.
     """
     stage = Stage(hosts=2)
     stage.play(
@@ -768,11 +761,8 @@
     stage.play("disco.1 expect closed")
 
 
-def test_a_slow_list_of_a_discovery_that_was_moved_from_is_nobodys() -> None:
-    """Discovery was moved while a slow call to the old one was out.
-
-    What that one answers is not taken.
-    """
+def test_late_list_of_the_previous_discovery_is_ignored() -> None:
+    """The discovery address changes while a slow call to the previous one is in flight."""
     stage = Stage(hosts=2)
     stage.play(
         f"disco expect {GET}\nwait 0.3\ndisco2 reload\ndisco2 expect {GET}\ndisco.1 expect closed"
@@ -780,10 +770,10 @@
     assert stage.service.stats.tables == 0
 
 
-def test_no_more_than_one_slow_call_is_waited_for() -> None:
-    """An agent answers every call late.
+def test_at_most_one_late_discovery_call_is_kept() -> None:
+    """Discovery answers every call late.
 
-    Only one late call is waited for at a time, or descriptors would run out.
+    Only one late call may be kept open at a time, or descriptors would run out.
     """
     stage = Stage(hosts=2)
     stage.play(
@@ -792,10 +782,10 @@
     )
 
 
-def test_a_change_that_goes_back_leaves_the_list_as_it_was() -> None:
-    """Discovery sends a change with an older version than the list's.
+def test_change_with_an_older_version_is_not_applied() -> None:
+    """Discovery sends a change whose version is older than that of the list.
 
-    The list stays, and the whole of it is asked for.
+    The list must remain unchanged, and the complete list must be requested.
     """
     stage = Stage(hosts=2)
     start_watch(stage)
@@ -806,10 +796,10 @@
     )
 
 
-def test_an_attempt_that_has_not_left_for_a_host_put_out_by_hand_goes_elsewhere() -> None:
+def test_endpoint_disabled_before_sending_attempt_goes_to_another() -> None:
     """An operator disables an endpoint while an attempt to it waits for its connection.
 
-    The attempt goes to another endpoint.
+    The request must go to another endpoint.
     """
     stage = Stage(hosts=2)
     fillers = block_connects(stage, "s1")
--- a/tests/net/test_endpoint_connections_end.py
+++ b/tests/net/test_endpoint_connections_end.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that end at a bad moment: may the attempt have run, and what follows."""
+"""Connections to endpoints that end at a critical moment, and whether the attempt may have run."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 CELL = replace(BUY, dedup_scope="cell", dedup_window=5.0)
 ANY = replace(BUY, dedup_scope="all", dedup_window=5.0)
 SHORT = replace(BUY, dedup_scope="all", dedup_window=0.3)
-# By class: what the client gets once the only attempt may have run, and whether another attempt is
-# made.
+# By kind of class: the class, what the client gets once the only attempt may have run, and whether
+# another attempt is made.
 MAY_HAVE_RUN = {
     "safe": (LOOK, None, True),
     "unsafe": (UNSAFE, "-ERR failed", False),
@@ -46,12 +46,12 @@
 
 @pytest.mark.parametrize("case", MAY_HAVE_RUN)
 @pytest.mark.parametrize("how", ["reset", "close", "half an answer", "no answer of the protocol"])
-def test_a_connection_that_ends_long_after_its_request_may_have_run_it(case: str, how: str) -> None:
-    """A connection breaks long after the whole request was sent.
+def test_connection_ends_long_after_sending_request_may_have_run(case: str, how: str) -> None:
+    """A connection ends long after the complete request was sent.
 
-    It may have run, so only a class that allows it is sent again.
+    The request may have run, so it is retried only if its class allows that.
     """
-    kind, said, again = MAY_HAVE_RUN[case]
+    kind, answer, retried = MAY_HAVE_RUN[case]
     stage = stage_of(kind)
     stage.play(f"a send {command(kind, 1)}\ns1 expect {command(kind, 1)}\nwait 0.35")
     if how == "half an answer":
@@ -62,57 +62,58 @@
     else:
         disconnect(stage, "s1", "reset" if how == "reset" else "close")
         stage.ends["s1"].clear()
-    if again:
+    if retried:
         stage.play(f"s1 expect {command(kind, 1, 650)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
     else:
-        stage.play(f"a expect {said}")
+        stage.play(f"a expect {answer}")
     assert (
-        stage.service.stats.attempts == 1 + again and not stage.service.engine_driver.open_requests
+        stage.service.stats.attempts == 1 + retried
+        and not stage.service.engine_driver.open_requests
     )
 
 
 @pytest.mark.parametrize("case", MAY_HAVE_RUN)
-def test_a_connection_that_its_host_resets_just_as_it_is_used_again_may_have_run(
+def test_endpoint_resets_connection_on_reuse_request_may_have_run(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The endpoint closes an idle connection between the limiter's look and its write.
+    """The endpoint resets an idle connection between the limiter's check and its write.
 
-    The request was sent completely, so nobody can tell whether it ran.
+    If the request was sent completely, it is unknown whether it ran.
     """
-    kind, said, again = MAY_HAVE_RUN[case]
+    kind, answer, retried = MAY_HAVE_RUN[case]
     stage = stage_of(kind)
     stage.play(
         f"b send {ask(9)}\ns1 expect {ask(9)}\ns1 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.35"
     )
-    (line,) = stage.service.pool._endpoints["s1"].idle
-    end, whole = stage.ends["s1"].pop(), stream.Stream.is_open_and_quiet
+    (connection,) = stage.service.pool._endpoints["s1"].idle
+    end, original = stage.ends["s1"].pop(), stream.Stream.is_open_and_quiet
 
-    def alive(self: stream.Stream) -> bool:
-        found = whole(self)
-        if self is line.stream and found:
+    def check_then_reset(self: stream.Stream) -> bool:
+        found = original(self)
+        if self is connection.stream and found:
             end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             end.close()
         return found
 
-    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", alive)
+    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_reset)
     stage.play(f"a send {command(kind, 1)}")
-    whole_written = stage.service.stats.dispatches > 1
-    if again or not whole_written:  # a write that failed outright has left nothing with the host
+    fully_sent = stage.service.stats.dispatches > 1
+    if retried or not fully_sent:  # after a failed write the endpoint has nothing
         stage.play(f"s1 expect {command(kind, 1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
     else:
-        stage.play(f"a expect {said}")
+        stage.play(f"a expect {answer}")
     assert not stage.service.engine_driver.open_requests
 
 
-def test_an_answer_that_trickles_without_end_is_given_up_at_the_deadline_at_the_latest() -> None:
-    """An endpoint sends its answer byte by byte without end.
+def test_answer_trickling_forever_is_given_up_at_the_deadline() -> None:
+    """An endpoint sends its answer byte by byte and never completes it.
 
-    The client has its answer at its deadline.
+    The client must be answered at its deadline.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send *3\\r\\n$9000")
     end = stage._end("s1")
-    for _ in range(9):  # never PARTIAL_ANSWER_TIMEOUT_S without a byte
+    for _ in range(9):  # no gap reaches PARTIAL_ANSWER_TIMEOUT_S
         stage.play("wait 0.1\na expect nothing")
         end.sendall(b"x")
         stage.settle()
@@ -124,10 +125,10 @@
     )
 
 
-def test_a_connection_that_comes_up_after_it_was_given_up_carries_nothing_and_is_closed() -> None:
+def test_connection_up_after_its_attempt_was_given_up_carries_nothing() -> None:
     """A connection comes up after its attempt was given up.
 
-    Nothing is sent on it, and it is closed.
+    Nothing may be sent on it, and it must be closed.
     """
     stage = Stage(hosts=2, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)), connect_timeout=0.25)
     fillers = block_connects(stage, "s1")
@@ -142,7 +143,7 @@
     stage.play("wait 0.3")
     assert (
         stage.service.stats.outcomes["connect_failed"] == 1
-    )  # it never ran, so that even this class goes on
+    )  # it never ran, so even a request of this class is retried
     stage.play(
         f"s2 expect {DO.format(1).replace('d=1000', 'd=750')}\ns2 send {VALUE}\na expect $2\\r\\nhi"
     )
@@ -162,26 +163,26 @@
     assert not got and stage.service.stats.dispatches == 1
 
 
-def test_a_request_that_has_begun_to_leave_for_a_host_that_drains_goes_on_to_its_answer() -> None:
+def test_endpoint_drains_while_request_half_sent_request_is_answered() -> None:
     """An endpoint starts to drain while a request to it is half sent.
 
-    That request goes on and is answered.
+    That request must be sent completely and answered.
     """
     stage, body = Stage(hosts=2), "B" * 65536
     stage.listeners["s1"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     connect = stream.connect
 
-    def narrow(*words: object) -> object:
-        made = connect(*words)  # type: ignore[arg-type]
+    def connect_with_small_buffer(*arguments: object) -> object:
+        made = connect(*arguments)  # type: ignore[arg-type]
         made._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # type: ignore[union-attr]
         return made
 
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service")
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(stream, "connect", narrow)
+        patch.setattr(stream, "connect", connect_with_small_buffer)
         stage.play(f"a send {DO.format(1).replace('BODY', body)}")
-    (line,) = stage.service.pool._endpoints["s1"].connections
-    assert line.has_sent_any() and not line.has_sent_all()
+    (connection,) = stage.service.pool._endpoints["s1"].connections
+    assert connection.has_sent_any() and not connection.has_sent_all()
     stage.service._endpoints_changed(
         stage.service.endpoint_list.apply(
             stage.table("whole", 3, "s1:terminating", "s2:in_service")
@@ -193,23 +194,23 @@
     assert stage.service.stats.attempts == 1
 
 
-def test_a_class_made_safe_by_reload_does_not_reach_back_to_what_may_have_run() -> None:
-    """A reload makes a class idempotent while one of its requests is out.
+def test_reload_makes_class_safe_request_in_flight_keeps_its_rule() -> None:
+    """A reload makes a class safe to repeat while one of its requests is in flight.
 
-    That request keeps the rule that it came with.
+    That request may have run, and must keep the rule under which it arrived.
     """
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, UNSAFE)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
-    harmless = replace(SETTINGS, classes=(LOOK, replace(BUY, effect="safe")), max_attempts=9)
-    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=harmless))
+    safe_settings = replace(SETTINGS, classes=(LOOK, replace(BUY, effect="safe")), max_attempts=9)
+    stage.service.settings_reload.reload(lambda: replace(stage.config, settings=safe_settings))
     stage.play("s1 close\na expect -ERR failed")
     assert stage.service.stats.attempts == 1
 
 
-def test_a_window_that_grows_by_name_does_not_reach_back_to_an_order_that_may_have_run() -> None:
-    """A reload lengthens the window in which endpoints drop repeats.
+def test_reload_extends_dedup_window_request_in_flight_keeps_its_own() -> None:
+    """A reload extends the deduplication window while a request is in flight.
 
-    A request from before it keeps the shorter one.
+    That request may have run, and must keep the shorter window.
     """
     stage = Stage(hosts=1, settings=replace(SETTINGS, classes=(LOOK, SHORT)))
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
--- a/tests/net/test_net_parts.py
+++ b/tests/net/test_net_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the network code that know no socket: parsers, buffers, loop, configuration."""
+"""The parts of the network code without sockets: parsers, buffers, event loop, configuration."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from hazelhollow.net.scheduler import Clock, Scheduler
 
 
-def test_no_pass_of_the_collector_goes_through_more_than_the_young_objects() -> None:
-    """In a process of its own, whose collector it is.
+def test_collector_passes_visit_only_young_objects() -> None:
+    """Records how many objects each collector pass visits while long-lived objects are created.
 
-    The sizes of what each pass looks at, while much that incarnations long is made.
+    It runs in a separate process, as the collector's settings apply to the whole process.
     """
     script = """
 import gc
@@ -45,9 +45,7 @@
 
 
 class ReadablePoller:
-    """A poll that finds something readable each time, `late` seconds after it should have come
-    back.
-    """
+    """A poll object that always finds readable descriptors, `late` seconds after the timeout."""
 
     def __init__(self) -> None:
         self.now, self.late = 1000.0, 0.0
@@ -59,44 +57,45 @@
         return [(7, 1), (8, 1)]
 
 
-@pytest.mark.parametrize("stopped_in", ["poll", "timer", "another task", "the end of a turn"])
-def test_after_a_time_in_which_the_process_stood_still_that_is_said_before_anything_is_read(
-    stopped_in: str,
+@pytest.mark.parametrize("paused_in", ["poll", "timer", "another task", "the end of a turn"])
+def test_process_pause_is_reported_before_anything_is_read(
+    paused_in: str,
 ) -> None:
-    """The process was paused in the middle of a turn.
+    """The process is paused in the middle of a turn.
 
-    Whoever judges silence by the clock must be told before what came meanwhile is read.
+    Code that detects silence by the clock must be notified before data that arrived meanwhile is
+    read.
     """
     poller, seen = ReadablePoller(), list[str]()
-    one = Scheduler(lambda: poller.now, poller)
-    one.on_process_pause = lambda: seen.append("stood still")
+    event_loop = Scheduler(lambda: poller.now, poller)
+    event_loop.on_process_pause = lambda: seen.append("process pause")
 
-    def stop() -> None:
+    def pause() -> None:
         poller.now += 3.0
 
-    def is_stopped_once() -> None:
-        one.wait(7, 1)
-        if stopped_in == "another task":
-            stop()
+    def pauses_once() -> None:
+        event_loop.wait(7, 1)
+        if paused_in == "another task":
+            pause()
 
     def reads() -> None:
         while True:
-            one.wait(8, 1)
+            event_loop.wait(8, 1)
             seen.append("read")
 
-    one.spawn(is_stopped_once)
-    one.spawn(reads)
-    if stopped_in == "poll":
+    event_loop.spawn(pauses_once)
+    event_loop.spawn(reads)
+    if paused_in == "poll":
         poller.late = 3.0
-    elif stopped_in == "timer":
-        one.at(poller.now, stop)
-    elif stopped_in == "the end of a turn":
-        one.at_end_of_turn(stop)
-    one.turn()
-    assert seen == ["stood still", "read"]
+    elif paused_in == "timer":
+        event_loop.at(poller.now, pause)
+    elif paused_in == "the end of a turn":
+        event_loop.at_end_of_turn(pause)
+    event_loop.turn()
+    assert seen == ["process pause", "read"]
     poller.late = 0.0
-    one.turn()
-    assert seen == ["stood still", "read", "read"]
+    event_loop.turn()
+    assert seen == ["process pause", "read", "read"]
 
 
 STREAM = (
@@ -116,12 +115,12 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
-def test_resp_may_be_split_at_any_byte(cuts: list[int]) -> None:
+def test_resp_split_at_any_byte_gives_the_same_values(cuts: list[int]) -> None:
     edges = [0, *sorted(cuts), len(STREAM)]
     assert values([STREAM[a:b] for a, b in zip(edges, edges[1:], strict=False)]) == VALUES
 
 
-def test_resp_by_single_bytes_and_with_the_largest_value() -> None:
+def test_resp_in_single_bytes_and_with_the_largest_value_is_parsed() -> None:
     assert values([STREAM[i : i + 1] for i in range(len(STREAM))]) == VALUES
     large = b"\r\n" * (resp.MAX_STRING_BYTES // 2)
     assert values([resp.encode_bulk_string(large)[:7], resp.encode_bulk_string(large)[7:]]) == [
@@ -129,8 +128,8 @@
     ]
 
 
-def test_a_number_that_cannot_be_read_is_none_and_ruins_nothing_beside_it() -> None:
-    """An answer holds a number that is none. The value beside it must still reach its client."""
+def test_malformed_resp_number_is_none_and_other_values_are_kept() -> None:
+    """An answer contains a malformed number; the value next to it must still reach its client."""
     assert values([b"*2\r\n$1\r\nx\r\n:1.5\r\n:--1\r\n:7\r\n"]) == [[b"x", None], None, 7]
 
 
@@ -152,18 +151,18 @@
         b"*2\r\n" + resp.encode_bulk_string(b"x" * 65000) * 2,
     ],
 )
-def test_resp_that_is_malformed_or_too_large_is_an_error(junk: bytes) -> None:
-    """A peer sends bytes that are not RESP, or more than the bounds allow.
+def test_malformed_or_too_large_resp_raises_protocol_error(junk: bytes) -> None:
+    """The other side sends bytes that are not RESP, or more than the limits allow.
 
-    The parser says so and does not guess.
+    The parser must raise an error and not guess a value.
     """
     with pytest.raises(ProtocolError):
         values([junk])
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_make_the_parsers_fail_otherwise(junk: bytes) -> None:
-    """Whatever bytes come, the parsers raise ProtocolError or nothing."""
+def test_arbitrary_bytes_raise_nothing_but_protocol_error(junk: bytes) -> None:
+    """Any other exception would escape the handling of malformed input."""
     http = http1.Parser()
     http.feed(junk)
     for read in (lambda: values([junk]), http.next):
@@ -174,7 +173,7 @@
 
 
 @given(st.lists(st.tuples(st.binary(max_size=3000), st.integers(0, 3000))))
-def test_a_ring_gives_what_was_written_in_its_order(steps: list[tuple[bytes, int]]) -> None:
+def test_ring_buffer_returns_written_bytes_in_order(steps: list[tuple[bytes, int]]) -> None:
     ring, model = RingBuffer(8192), b""
     for data, count in steps:
         if len(data) > ring.room():
@@ -191,7 +190,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 1000])
-def test_http_answers_by_length_and_in_chunks(step: int) -> None:
+def test_http_responses_with_length_and_in_chunks_are_parsed(step: int) -> None:
     stream = (
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
         b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\nConnection: "
@@ -214,20 +213,18 @@
         (b"HTTP/1.0 200 OK\r\nContent-Length: 2\r\nConnection: Keep-Alive\r\n\r\n", True),
     ],
 )
-def test_whether_another_call_may_follow_an_answer_on_its_connection(
-    head: bytes, keeps: bool
-) -> None:
-    """A server that closes after its response must not get another request on that connection."""
+def test_http_keep_alive_follows_version_and_connection_header(head: bytes, keeps: bool) -> None:
+    """A connection that the server closes after its response must not be reused."""
     parser = http1.Parser()
     parser.feed(head + b"{}")
     answer = parser.next()
     assert answer and (answer.body, answer.keep_alive) == (b"{}", keeps)
 
 
-def test_an_answer_without_a_length_is_whole_at_the_end_only_and_in_parts_has_none() -> None:
+def test_http_response_without_length_is_complete_only_at_the_end() -> None:
     """A body without a length is complete when the connection ends.
 
-    A part of it must never be taken for the whole.
+    A part of a response must never be taken for a complete one.
     """
     parser = http1.Parser()
     parser.feed(b"HTTP/1.1 200 OK\r\n\r\n{}")
@@ -244,16 +241,17 @@
         assert parser.next() is None and parser.end() is None
 
 
-def test_every_ending_has_its_outcome_and_none_after_the_last_byte_says_never_ran() -> None:
-    """Whatever ends a connection after the whole request was sent, the request may have run, and
-    the status must not deny it.
+def test_connection_ends_after_last_byte_status_never_denies_execution() -> None:
+    """Every close reason has a status.
+
+    Once the complete request was sent, it may have run, and no status may say that it did not.
     """
-    never = {"connect_failed", "full", "never_sent"}
-    assert all(attempt_status(ending, sent_all=True) not in never for ending in CloseReason)
+    not_run = {"connect_failed", "full", "never_sent"}
+    assert all(attempt_status(reason, sent_all=True) not in not_run for reason in CloseReason)
     assert all(
-        attempt_status(e, sent_all=False) == "connect_failed"
-        for e in CloseReason
-        if e is not CloseReason.CANCELLED
+        attempt_status(reason, sent_all=False) == "connect_failed"
+        for reason in CloseReason
+        if reason is not CloseReason.CANCELLED
     )
     assert (
         attempt_status(CloseReason.CLOSED, sent_all=False) == "connect_failed"
@@ -261,15 +259,15 @@
     )
 
 
-def test_the_clock_is_unix_time_and_never_goes_back() -> None:
-    """The wall clock is set back while the limiter runs. The engine must not see time go back."""
+def test_wall_clock_set_back_clock_never_goes_back() -> None:
+    """The wall clock is set back while the limiter runs; the engine must not see time go back."""
     wall, steady = iter([5000.0, 10.0]), iter([7.0, 7.5, 8.0])
     clock = Clock(lambda: next(wall), lambda: next(steady))
-    assert [clock(), clock()] == [5000.5, 5001.0]  # though the wall's clock was set back
+    assert [clock(), clock()] == [5000.5, 5001.0]  # although the wall clock was set back
 
 
-def test_timers_run_in_their_order_and_an_error_ends_one_task_only() -> None:
-    """One timer raises an error. Those after it still run, in the order of their times."""
+def test_timers_run_in_order_and_an_error_ends_only_its_task() -> None:
+    """One task raises an exception; timers and other tasks must still run, in order of time."""
     now, seen = [0.0], [""]
     scheduler = Scheduler(lambda: now[0])
     scheduler.at(2.0, seen.append, "second")
@@ -316,12 +314,12 @@
         (None, "No such file"),
     ],
 )
-def test_a_bad_configuration_ends_with_one_plain_line(
+def test_invalid_configuration_exits_with_a_one_line_message(
     tmp_path: Path, change: object, word: str
 ) -> None:
-    """The configuration cannot be used.
+    """The configuration is invalid.
 
-    The program ends with status 2 and one line that says why, not a traceback.
+    The program must exit with status 2 and one line with the reason, not a traceback.
     """
     path = tmp_path / "config.json"
     if isinstance(change, dict):
@@ -333,26 +331,26 @@
     assert run.returncode == 2 and len(run.stderr.splitlines()) == 1 and word in run.stderr
 
 
-def test_a_good_configuration_is_read_and_the_variables_come_first(tmp_path: Path) -> None:
+def test_environment_variables_override_the_configuration_at_start(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(GOOD))
-    told = platform_config.load({"RELAY_CONFIG": str(path), "RELAY_LISTEN": "127.0.0.9:7"})
-    assert (told.listen, told.seed, told.conn_idle, told.sockets) == (
+    loaded = platform_config.load({"RELAY_CONFIG": str(path), "RELAY_LISTEN": "127.0.0.9:7"})
+    assert (loaded.listen, loaded.seed, loaded.conn_idle, loaded.sockets) == (
         ("127.0.0.9", 7),
         255,
         12.0,
         99,
     )
-    assert told.peers == (("127.0.0.1", 3),) and told.settings.limiter_count == 1
+    assert loaded.peers == (("127.0.0.1", 3),) and loaded.settings.limiter_count == 1
     variables = {"RELAY_CONFIG": str(path), "RELAY_DISCOVERY": "127.0.0.1:9"}
     assert platform_config.load(variables).discovery == ("127.0.0.1", 9)
     assert platform_config.load(variables, again=True).discovery == (
         "127.0.0.1",
         2,
-    )  # the file is the newer of the two
+    )  # at a reload the file is newer than the variables
 
 
-def test_the_program_serves_until_sigterm_and_prints_its_counters(tmp_path: Path) -> None:
+def test_program_serves_until_sigterm_and_prints_its_counters(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps({**GOOD, "listen": "127.0.0.1:0"}))
     command = [sys.executable, "-m", "hazelhollow", "serve"]
@@ -365,7 +363,7 @@
             ("127.0.0.1", int(line.rpartition(":")[2])), timeout=30
         ) as client:
             client.sendall(resp.encode_command([b"PING"]))
-            assert client.recv(99) == b"+PONG\r\n"  # though no discovery answers
+            assert client.recv(99) == b"+PONG\r\n"  # although discovery does not answer
             program.send_signal(signal.SIGUSR1)
             program.send_signal(signal.SIGHUP)
             assert any("discovery at 127.0.0.1:2" in line for line in program.stderr)
@@ -382,16 +380,16 @@
         assert program.stderr.read().count('"accepted":1') == 2
 
 
-def test_the_platforms_path_imports_nothing_of_the_operators() -> None:
-    """Off means: not imported.
+def test_serving_without_operator_file_imports_no_operator_modules() -> None:
+    """Features that are switched off must not be imported.
 
-    The libraries of the operator file would cost each limiter some 10 MB.
+    The libraries for the operator file would cost each limiter some 10 MB.
     """
     code = "import sys, hazelhollow.cli, hazelhollow.net.service; print(*sys.modules)"
     names = subprocess.run(
         [sys.executable, "-c", code], text=True, capture_output=True, timeout=60
     ).stdout.split()
-    foreign = (
+    operator_modules = (
         "lark",
         "msgspec",
         "structlog",
@@ -403,5 +401,5 @@
         "hazelhollow.standins",
     )
     assert "hazelhollow.decisions.engine" in names and not [
-        n for n in names if n.startswith(foreign)
+        n for n in names if n.startswith(operator_modules)
     ]
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -1,4 +1,4 @@
-"""What a whole limiter does on its sockets, in the language of tests/net/scenario.py."""
+"""The behaviour of a complete limiter on its sockets, in the language of tests/net/scenario.py."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 SCENARIOS = {
-    "a request passes unchanged but for its wait, and its value comes back": f"""
+    "a request is forwarded with only its wait changed, and its value returned": f"""
         a send {DO.format(1).replace("d=1000", "d=700")}
         s1 expect {DO.format(1).replace("d=1000", "d=700")}
         s1 send {VALUE}
         a expect $2\\r\\nhi""",
-    "an answer that is split at odd places is one answer": f"""
+    "an answer that arrives in pieces is forwarded as one answer": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send *3
@@ -53,7 +53,7 @@
         s1 send hi\\r\\n$-1
         s1 send $-1
         a expect $2\\r\\nhi""",
-    "a connection is used again, one attempt at a time": f"""
+    "a connection is reused and carries one attempt at a time": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         b send {ask(2)}
@@ -64,7 +64,7 @@
         b send {ask(3)}
         s1.2 expect {ask(3)}
         s1.1 expect nothing""",
-    "pipelined requests are answered in their order": f"""
+    "pipelined requests are answered in order": f"""
         wait 0.6
         a send {ask(1)}
         a send {ask(2)}
@@ -75,34 +75,34 @@
         a expect nothing
         s1.1 send {VALUE}
         a expect $2\\r\\nhi\\r\\n$2\\r\\nno\\r\\n+PONG""",
-    "a host's BUSY is the module's to judge, not the client's": f"""
+    "an endpoint's BUSY goes to the engine, not to the client": f"""
         a send {DO.format(1)}
         s1 expect {DO.format(1)}
         s1 send -BUSY inflight=3
         s1 expect {DO.format(1)}
         s1 send {VALUE}
         a expect $2\\r\\nhi""",
-    "an error of a safe class is tried again": f"""
+    "an error on a request of a safe class is retried": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send -ERR failed
         s1 expect {ask(1)}
         s1 send {VALUE}
         a expect $2\\r\\nhi""",
-    "a keyed attempt that may have run bars a refusal": f"""
+    "a keyed request whose attempt may have run is not rejected but fails": f"""
         a send {DO.format(1)}
         s1 expect {DO.format(1)}
         s1 stop
         s1 close
         a expect -ERR failed""",
-    "an attempt that never ran may be refused, with a time to come back": f"""
+    "a request whose attempt never ran is rejected with a Retry-After time": f"""
         s1 stop
         a send {DO.format(1)}
         a expect -BUSY 250""",
-    "a refusal names its wait": """
+    "a rejection contains the Retry-After time": """
         a send [Q.ASK 00000000b4d65521 r1 c=look,t=basic,d=900,units=500,spread=2,first=0]
         a expect -BUSY 1000""",
-    "at the deadline the attempt is given up and the client has its answer": f"""
+    "at the deadline the attempt is aborted and the client answered": f"""
         a send {DO.format(1)}
         s1 expect {DO.format(1)}
         wait 0.9
@@ -110,18 +110,18 @@
         wait 0.15
         a expect -ERR failed
         s1 expect closed""",
-    "a null value is none": f"""
+    "an answer with a null value is malformed": f"""
         a send {DO.format(1)}
         s1 expect {DO.format(1)}
         s1 send *3\\r\\n$-1\\r\\n$-1\\r\\n$-1
         s1.1 expect closed""",
-    "what comes behind a good answer ends the connection, not the answer": f"""
+    "bytes after a complete answer close the connection, not the request": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send {VALUE}\\r\\n{VALUE}
         a expect $2\\r\\nhi
         s1.1 expect closed""",
-    "what was on its way behind a good answer is not the next attempt's": f"""
+    "a late second copy of an answer is not given to the next attempt": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send {VALUE}
@@ -140,12 +140,12 @@
         s1.3 expect {ask(4)}
         a expect nothing
         b expect nothing""",
-    "figures that can't be read spoil no answer": f"""
+    "unreadable figures do not invalidate the answer": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send *3\\r\\n$2\\r\\nhi\\r\\n:many\\r\\n$17\\r\\ninflight=nan,=,,1
         a expect $2\\r\\nhi""",
-    "an answer that stops half-way is given up long before the deadline": f"""
+    "an incomplete answer is given up long before the deadline": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send *3\\r\\n$20\\r\\nhi
@@ -154,12 +154,12 @@
         s1.2 expect {ask(1, 500)}
         s1.2 send {VALUE}
         a expect $2\\r\\nhi""",
-    "an answer said to be huge is given up at its head": f"""
+    "an answer with a huge announced length is rejected at its header": f"""
         a send {DO.format(1)}
         s1 expect {DO.format(1)}
         s1 send *3\\r\\n$3000000000
         s1.1 expect closed""",
-    "a client that says nothing, or half a command, goes before 3 s": """
+    "a client that sends nothing or half a command is closed before 3 s": """
         a send [PING]
         a expect nothing
         b expect nothing
@@ -173,7 +173,7 @@
         a expect nothing
         wait 9
         a expect closed""",
-    "junk behind an open request costs no answer": f"""
+    "malformed bytes after an open request do not cost its answer": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         a send junk
@@ -181,7 +181,7 @@
         s1 send {VALUE}
         a expect $2\\r\\nhi\\r\\n-ERR protocol error: unknown type byte b'j'
         a expect closed""",
-    "an idle connection that the host has closed is not used": f"""
+    "an idle connection that the endpoint has closed is not reused": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send {VALUE}
@@ -189,14 +189,14 @@
         s1 close
         a send {ask(2)}
         s1 expect {ask(2)}""",
-    "an idle connection is closed long before the host would": f"""
+    "an idle connection is closed long before the endpoint would close it": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         s1 send {VALUE}
         a expect $2\\r\\nhi
         wait 17
         s1 expect closed""",
-    "a draining host gets nothing new but finishes what it has": f"""
+    "a draining endpoint gets no new requests and finishes its current ones": f"""
         disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
         {READY}
         a send {ask(1)}
@@ -208,7 +208,7 @@
         s1 send {VALUE}
         a expect $2\\r\\nhi
         s1 expect closed""",
-    "a silent discovery is asked again on a new connection": f"""
+    "an unanswered discovery call is repeated on a new connection": f"""
         disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
         wait 0.3
         disco.2 expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
@@ -221,19 +221,19 @@
         disco.4 expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
         a send {ask(1)}
         s1 expect {ask(1)}""",
-    "PING waits until the limiter is ready": f"""
+    "PING is answered once the limiter is ready": f"""
         a send [PING]
         a expect nothing
         disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n
         {READY}
         a expect +PONG""",
-    "without discovery it is ready with the list that it knows": f"""
+    "without discovery the limiter is ready with its configured list": f"""
         a send [PING]
         wait 0.6
         a expect +PONG
         a send {ask(1)}
         s1 expect {ask(1)}""",
-    "malformed input costs its sender an error and the connection, and nobody else": f"""
+    "malformed input ends its sender's connection with an error, no other": f"""
         b send {ask(1)}
         a send GET / HTTP/1.1
         a expect -ERR protocol error: unknown type byte b'G'
@@ -243,7 +243,7 @@
         s1 expect {ask(1)}
         s1 send {VALUE}
         b expect $2\\r\\nhi""",
-    "an id of another's open request is an error, and the owner gets its answer": f"""
+    "an id of an open request is an error, and the first request is answered": f"""
         a send {ask(1)}
         s1 expect {ask(1)}
         b send {ask(1)}
@@ -251,7 +251,7 @@
         s1.1 expect nothing
         s1.1 send {VALUE}
         a expect $2\\r\\nhi""",
-    "a bad request is an error, and the connection goes on": """
+    "a bad request is an error and the connection stays open": """
         a send [Q.ASK 00000000b4d65521 r1 c=look,d=soon]
         a expect -ERR unreadable request
         a send [Q.ASK x]
@@ -261,8 +261,8 @@
         a send [CLIENT SETNAME x]
         a expect +OK""",
     (
-        "a reload moves the watch at once, asks for the whole list and keeps clients, "
-        "attempts and hosts"
+        "a reload moves the watch immediately, requests the complete list and keeps clients, "
+        "attempts and endpoints"
     ): f"""
         disco expect {GET}
         {READY}
@@ -281,7 +281,7 @@
         s1.1 expect {ask(2)}
         disco2 reload
         disco2 expect nothing""",
-    "junk from peers changes nothing": f"""
+    "malformed datagrams from peers have no effect": f"""
         p1 send \x00\x01
         p1 send {"h" * 300}
         a send {ask(1)}
@@ -289,10 +289,10 @@
 }
 
 
-BEFORE_DISCOVERY = {  # played from the start, before discovery has answered
-    "a client that says nothing, or half a command, goes before 3 s",
-    "PING waits until the limiter is ready",
-    "without discovery it is ready with the list that it knows",
+BEFORE_DISCOVERY = {  # played from the start of the limiter, before discovery has answered
+    "a client that sends nothing or half a command is closed before 3 s",
+    "PING is answered once the limiter is ready",
+    "without discovery the limiter is ready with its configured list",
 }
 
 
@@ -301,11 +301,11 @@
     Stage(hosts=1, discovery_answered=name not in BEFORE_DISCOVERY).play(SCENARIOS[name])
 
 
-def test_a_client_that_leaves_is_told_to_the_module_and_its_attempt_is_read_to_the_end() -> None:
-    """A client disconnects while its attempt is out.
+def test_client_disconnects_engine_is_notified_and_answer_still_read() -> None:
+    """A client disconnects while its attempt is in flight.
 
-    The engine is told, and the endpoint's answer is still read, so that its connection can be used
-    again.
+    The engine must be notified, and the endpoint's answer read, so that the connection can be
+    reused.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\na close")
@@ -319,40 +319,40 @@
     ]
 
 
-def test_sessions_lines_and_requests_go_without_the_cycle_collector() -> None:
-    """A session, a request or a connection that ended was kept alive by a reference cycle.
+def test_ended_sessions_connections_and_requests_are_freed_without_gc() -> None:
+    """Guards against reference cycles that keep an ended session, request or connection alive.
 
-    Memory would grow until the collector runs, which a busy limiter seldom does.
+    Memory would grow until the cycle collector runs, which is rare on a busy limiter.
     """
     stage = Stage(hosts=1)
     gc.collect()
     gc.disable()
     try:
         stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
-        (session,), (one,) = (
+        (session,), (opened,) = (
             stage.service.frontend.sessions.sessions,
             stage.service.engine_driver.open_requests.values(),
         )
-        (line,) = stage.service.pool._endpoints["s1"].connections
+        (connection,) = stage.service.pool._endpoints["s1"].connections
         ended: list[Callable[[], object]] = [
             weakref.ref(session),
-            weakref.ref(one),
-            weakref.ref(line),
+            weakref.ref(opened),
+            weakref.ref(connection),
         ]
         stage.play(
             f"s1 send {VALUE}\na expect $2\\r\\nhi\na send {ask(2, 0)}\na expect -BUSY\na "
             "close\ns1 close\nwait 17"
         )
-        del session, one, line
+        del session, opened, connection
         assert [ref() for ref in ended] == [None, None, None]
     finally:
         gc.enable()
 
 
-def test_a_refused_connection_never_ran_and_another_host_is_tried() -> None:
+def test_connection_refused_request_goes_to_another_endpoint() -> None:
     """An endpoint refuses the connection.
 
-    The request cannot have run, so also one that is not idempotent goes to another endpoint.
+    The request cannot have run, so it goes to another endpoint even if it is not idempotent.
     """
     stage = Stage(hosts=2)
     stage.play(
@@ -362,10 +362,10 @@
     assert set(stage.service.stats.outcomes) <= {"ok", "connect_failed"}
 
 
-def test_an_attempt_that_has_not_left_for_a_host_that_drains_goes_to_another() -> None:
+def test_endpoint_drains_before_sending_attempt_ends_as_connect_failed() -> None:
     """A connection comes up after its endpoint has started to drain.
 
-    The request goes to another endpoint, as the drain must be kept within 250 ms.
+    The drain must take effect within 250 ms, so the request must go to another endpoint.
     """
     stage = Stage(hosts=2)
     stage.play("disco expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n")
@@ -380,19 +380,19 @@
     assert done == ["connect_failed"]
 
 
-def test_poll_is_asked_only_about_connections_on_which_something_is_expected() -> None:
-    """A needless place in its list, or a needless look, costs CPU at every request."""
+def test_idle_endpoint_connection_is_not_polled() -> None:
+    """Each needlessly polled descriptor, and each needless poll, costs CPU on every request."""
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     turns: list[int] = []
     before = len(stage.scheduler._interest)
-    stage.scheduler._poll = Counted(stage.scheduler._poll, turns)
+    stage.scheduler._poll = CountingPoller(stage.scheduler._poll, turns)
     stage.play(f"s1 send {VALUE}\na expect $2\\r\\nhi\na send {ask(2, 0)}\na expect -BUSY")
     assert len(stage.scheduler._interest) == before - 1 and sum(turns) == 2
 
 
-class Counted:
-    """A poll that keeps how many descriptors were ready each time."""
+class CountingPoller:
+    """A poll object that records how many descriptors were ready at each call."""
 
     def __init__(self, inner: Poller, ready: list[int]) -> None:
         self.register, self.unregister = inner.register, inner.unregister
@@ -404,28 +404,28 @@
         return found
 
 
-def test_an_error_in_the_module_costs_one_request_its_answer_and_no_more(
+def test_engine_raises_at_one_request_only_that_request_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The decision engine raises an error at one request. That one fails, the others are served."""
+    """The engine raises an exception at one request; later requests must still be served."""
     stage, seen = Stage(hosts=1), []
-    whole = stage.service.engine_driver._decisions.handle
+    original_handle = stage.service.engine_driver._decisions.handle
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
         seen.append(now)
         if isinstance(event, api.RequestArrived) and event.id == "r1":
             raise RuntimeError("broken")
-        return whole(event, now)
+        return original_handle(event, now)
 
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", handle)
     stage.play(f"a send {ask(1)}\na expect -ERR failed\na send {ask(2)}\ns1 expect {ask(2)}")
     assert stage.service.stats.errors == 1 and seen == sorted(seen)
 
 
-def test_a_timer_at_which_the_module_fails_comes_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The decision engine raises an error at a timer, before it has set the next.
+def test_engine_raises_at_timer_timer_fires_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The engine raises an exception at a timer, before it has set the next one.
 
-    The timer fires again, or everything periodic would stop.
+    Without another call of that timer, all periodic work would stop.
     """
     stage, timers = Stage(hosts=1), []
 
@@ -438,12 +438,12 @@
     assert len(timers) >= 3 and all(isinstance(event, api.TimerFired) for event in timers)
 
 
-def test_an_odd_entry_hides_no_other_and_an_error_does_not_end_the_watch(
+def test_unreadable_list_entry_is_skipped_and_errors_keep_the_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A whole list holds one entry that cannot be read, and then taking in a list fails.
+    """A complete list contains unreadable entries, and then applying a list raises an exception.
 
-    The other entries are taken, and the watch goes on.
+    The other entries must be applied, and the watch must continue.
     """
     stage = Stage(hosts=1)
     table = stage.table("whole", 3, "s1:in_service")
@@ -466,20 +466,20 @@
         disco.2 expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n""")
 
 
-def test_a_request_that_the_module_forgets_is_answered_at_its_deadline(
+def test_engine_never_decides_request_fails_at_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The decision engine never answers a request. At the deadline the client gets an error."""
+    """The engine never decides on a request; the client must get an error at the deadline."""
     stage = Stage(hosts=1)
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
     stage.play(f"a send {ask(1)}\na expect nothing\nwait 1.01\na expect -ERR failed")
     assert not stage.service.engine_driver.open_requests and stage.service.stats.rescued == 1
 
 
-def test_at_sigterm_it_serves_on_and_leaves_once_all_is_answered() -> None:
-    """SIGTERM comes with a request in flight.
+def test_sigterm_serves_on_and_exits_once_all_is_answered() -> None:
+    """SIGTERM arrives while a request is in flight.
 
-    New ones are served for a while, everything taken is answered, then the process ends.
+    New requests are served for a while, all accepted ones are answered, then the process ends.
     """
     stage = Stage(hosts=1)
     stage.play(
@@ -502,15 +502,15 @@
         a expect closed""")
     assert (
         not stage.service.frontend.sessions.sessions and not stage.scheduler._stopped
-    )  # the clients have not ended theirs
+    )  # the clients have not closed their side
     stage.play("a close\nb close\nc close\nwait 0.1")
     assert stage.scheduler._stopped
 
 
-def test_a_new_configuration_that_cannot_be_read_changes_nothing() -> None:
-    """SIGHUP finds a configuration that cannot be read.
+def test_reload_with_unreadable_configuration_changes_nothing() -> None:
+    """The configuration cannot be read at SIGHUP.
 
-    The old one stays in force, and requests are served.
+    The old one must remain in force, and requests must still be served.
     """
 
     def unreadable() -> PlatformConfig:
@@ -522,12 +522,12 @@
     stage.play(f"disco expect nothing\na send {ask(1)}\ns1 expect {ask(1)}")
 
 
-def test_a_limiter_out_of_descriptors_gives_up_idle_connections_first() -> None:
-    """Clients take all places.
+def test_session_limit_reached_longest_idle_session_is_closed() -> None:
+    """Clients have reached the session limit.
 
-    A new one gets the place of the connection that is idle longest, never one in use.
+    A new client must replace the connection that has been idle longest, never one in use.
     """
-    stage = Stage(hosts=2, sockets=0)  # leaves room for 6 to backend hosts and 9 from clients
+    stage = Stage(hosts=2, sockets=0)  # allows 6 connections to endpoints and 9 from clients
     for number in range(8):
         stage.play(f"c{number} send {ask(number)}")
     stage.settle()
@@ -569,10 +569,10 @@
         "c=buy",
     ],
 )
-def test_a_request_that_the_settings_rule_out_is_an_error_and_reaches_nobody(change: str) -> None:
-    """A request says something that the settings do not allow.
+def test_field_not_allowed_by_settings_is_an_error_and_not_forwarded(change: str) -> None:
+    """A request contains a value that the settings do not allow.
 
-    It gets an error and reaches neither the engine nor an endpoint.
+    It must get an error and reach neither the engine nor an endpoint.
     """
     stage, name = Stage(hosts=1), change.partition("=")[0]
     fields = re.sub(rf"\b{name}=[^,]*", change, FIELDS)
@@ -593,15 +593,15 @@
         "00000000b4d65521 " + "r" * 65,
     ],
 )
-def test_a_customer_or_an_id_that_cannot_be_is_an_error(words: str) -> None:
-    """A request names a customer or an id that the protocol does not allow. It gets an error."""
+def test_invalid_customer_or_request_id_is_an_error(words: str) -> None:
+    """A request contains a customer or an id that the protocol does not allow."""
     Stage(hosts=1).play(
         f"a send [Q.ASK {words} {FIELDS}]\na expect -ERR no such customer, or no id"
     )
 
 
-def test_bad_commands_without_end_end_the_connection() -> None:
-    """A client sends one bad command after another. After MAX_BAD_COMMANDS the connection ends."""
+def test_too_many_bad_commands_close_the_connection() -> None:
+    """A client keeps sending bad commands; MAX_BAD_COMMANDS of them end its connection."""
     stage = Stage(hosts=1)
     stage.play("a send " + "[Q.ASK x]".join([""] * 2))
     stage._end("a").sendall(resp.encode_command([b"Q.ASK", b"x"]) * 100)
@@ -611,27 +611,29 @@
     )
 
 
-def test_who_is_turned_away_and_asks_again_at_once_waits_its_turn() -> None:
-    """A client that is rejected asks again at once.
+def test_client_retrying_rejections_immediately_is_throttled() -> None:
+    """A client retries each rejected request immediately.
 
-    It is slowed down, or it would take the processor from all others.
+    Without throttling it would take the CPU from all other clients.
     """
     stage = Stage(hosts=1)
     for number in range(40):
         stage._end("a").sendall(stage.bytes_of(ask(number, 0)) * 10)
         stage.settle(20)
-    taken = stage.service.stats.requests
-    assert BURST <= taken <= BURST + 2
+    accepted = stage.service.stats.requests
+    assert BURST <= accepted <= BURST + 2
     stage.play(f"b send {ask(1)}\ns1 expect {ask(1)}\nwait 1")
     assert (
-        taken + 0.9 * TOKENS_PER_S <= stage.service.stats.requests <= taken + 1.1 * TOKENS_PER_S + 1
+        accepted + 0.9 * TOKENS_PER_S
+        <= stage.service.stats.requests
+        <= accepted + 1.1 * TOKENS_PER_S + 1
     )
 
 
-def test_many_commands_at_once_let_others_have_their_turn_and_are_all_answered() -> None:
-    """One client sends many commands at once.
+def test_burst_of_commands_lets_others_run_and_is_fully_answered() -> None:
+    """One client sends many commands in one burst.
 
-    Others get their turn in between, and all are answered.
+    Other clients must be served in between, and all commands must be answered.
     """
     stage = Stage(hosts=1)
     stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 300)
@@ -641,24 +643,24 @@
     assert stage.service.stats.commands == 301
 
 
-def test_a_command_that_waited_for_its_turn_has_so_much_less_time() -> None:
-    """A command waited in the connection for its turn.
+def test_command_waiting_unread_has_that_time_subtracted() -> None:
+    """A command waits in the connection because its client is throttled.
 
-    That time is taken off what its client still waits.
+    That time must be subtracted from the time that the client still waits.
     """
     stage = Stage(hosts=1)
     stage._end("a").sendall(resp.encode_command([b"SELECT", b"0"]) * 250 + stage.bytes_of(ask(1)))
     stage.play(f"wait 0.55\ns1 expect {ask(1, 500)}")
-    (one,) = stage.service.engine_driver.open_requests.values()
-    assert one.parsed.request.time_left <= 0.55
+    (opened,) = stage.service.engine_driver.open_requests.values()
+    assert opened.parsed.request.time_left <= 0.55
 
 
-def test_connections_of_clients_that_ask_once_and_stay_go_before_others_find_none_left() -> None:
-    """Many clients ask once and keep their connections for good.
+def test_sessions_kept_after_one_command_are_closed_longest_idle_first() -> None:
+    """Many clients send one command and keep their connections open forever.
 
-    The idlest are closed, or new clients would find no place.
+    The longest idle ones must be closed, or new clients could not connect.
     """
-    stage = Stage(hosts=1, sockets=80)  # room for 28 clients, of which 20 that have asked are kept
+    stage = Stage(hosts=1, sockets=80)  # allows 28 clients, of which 20 may have sent a command
     for number in range(25):
         stage.play(
             f"c{number} send [SELECT 0]\nc{number} expect +OK\nc0 send [SELECT 0]\nc0 "
@@ -671,11 +673,11 @@
     )
 
 
-def test_of_idle_connections_those_that_never_spoke_go_first(
+def test_session_limit_reached_silent_sessions_are_closed_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A place is needed. Connections that never brought a command go before those that did."""
-    stage = Stage(hosts=1, sockets=0)  # room for nine clients
+    """Sessions without a command are closed before those that have sent one."""
+    stage = Stage(hosts=1, sockets=0)  # allows nine clients
     stage.play("a send [SELECT 0]\na expect +OK\nwait 0.1")
     for number in range(20):
         stage._end(f"silent{number}")
@@ -688,10 +690,10 @@
     raise OSError(errno.EMFILE, "none left")
 
 
-def test_an_attempt_for_which_no_descriptor_is_left_never_ran(
+def test_no_descriptor_for_attempt_counts_as_connect_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """No descriptor is left for a connection to an endpoint. The attempt counts as never sent."""
+    """No descriptor is left for a connection to an endpoint, so the request cannot have run."""
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
     monkeypatch.setattr("socket.socket", no_descriptor)
@@ -699,12 +701,12 @@
     assert set(stage.service.stats.outcomes) == {"connect_failed"}
 
 
-def test_accepting_without_a_descriptor_costs_an_idle_connection(
+def test_no_descriptor_for_accept_closes_an_idle_session(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The system has no descriptor for a client that connects.
+    """The operating system has no descriptor left for a client that connects.
 
-    An idle connection is closed for it.
+    An idle connection must be closed to free one.
     """
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
@@ -715,12 +717,12 @@
     stage.play("a expect closed\nwait 0.1\nb send [CLIENT]\nb expect +OK")
 
 
-def test_a_client_that_takes_nothing_is_given_up_and_holds_no_more_than_its_ring(
+def test_client_reading_no_answers_is_closed_and_its_memory_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client asks for large values and reads none.
+    """A client requests large answers and reads none.
 
-    It is closed after STALL_TIMEOUT_S and holds no more than its buffers.
+    It must be closed after STALL_TIMEOUT_S and hold no more memory than its buffers.
     """
     monkeypatch.setattr("hazelhollow.net.fruitless_limit.BURST", 1e6)
     stage = Stage(hosts=1)
@@ -739,12 +741,12 @@
     assert not stage.service.frontend.sessions.sessions
 
 
-def test_the_commands_of_a_greedy_client_wait_in_its_own_connection(
+def test_commands_beyond_pipeline_limit_wait_unread(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client sends more commands than may be open at once.
+    """A client sends more commands than may be open at the same time.
 
-    The rest is not read until there is room.
+    The rest must not be read until earlier ones are answered.
     """
     stage = Stage(hosts=1)
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
@@ -759,14 +761,11 @@
     assert stage.service.stats.requests == MAX_PIPELINED + 20
 
 
-def test_of_clients_that_hold_too_much_together_the_largest_goes(
+def test_total_client_memory_exceeded_closes_the_largest_session(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Slow clients together hold more memory than there is, each within its bound.
-
-    The largest is closed.
-    """
-    stage = Stage(hosts=1, memory_mb=1)  # a quarter of it for clients
+    """Slow clients are each within their bound but exceed the total together."""
+    stage = Stage(hosts=1, memory_mb=1)  # a quarter of which is for clients
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", lambda event, now: [])
     for number in range(9):
         stage.play(f"c{number} send {DO.format(number).replace('BODY', 'B' * (8000 * number + 1))}")
@@ -775,7 +774,7 @@
     assert stage.service.stats.relieved == stage.service.stats.clients_gone == 1
 
 
-def test_a_large_body_and_value_pass_through_in_parts() -> None:
+def test_large_body_and_value_are_forwarded_in_parts() -> None:
     stage, body = Stage(hosts=1), "B" * 65536
     stage.play(
         f"a send {DO.format(1).replace('BODY', body)}\ns1 expect "
@@ -784,10 +783,10 @@
     stage.play(f"s1 send *1\\r\\n$65536\\r\\n{body}\na expect $65536\\r\\n{body}")
 
 
-def test_the_remaining_wait_runs_from_when_the_request_may_have_come() -> None:
-    """The loop was busy and reads a request late.
+def test_request_read_late_has_that_time_subtracted() -> None:
+    """The event loop was busy and reads a request late.
 
-    The time that it waited unread is taken off what its client still waits.
+    The time since the request may have arrived must be subtracted from the client's wait.
     """
     stage = Stage(hosts=1)
     stage.play("a send [CLIENT]\na expect +OK")
@@ -796,11 +795,11 @@
     stage.play(f"s1 expect {ask(1, 800)}\nwait 0.81\ns1 expect closed")
 
 
-def test_counters_are_printed_at_whole_seconds_with_refusals_by_reason(
+def test_periodic_counters_print_on_full_seconds_with_refusal_reasons(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     stage = Stage(hosts=1)
-    print_counters_every(stage.service, 1.0)  # its clock starts on a whole second
+    print_counters_every(stage.service, 1.0)  # the stage's clock starts on a full second
     stage.play(f"a send {ask(1).replace('units=1', 'units=400')}\nwait 1.1")
     lines = [
         orjson.loads(line) for line in capsys.readouterr().err.splitlines() if line.startswith("{")
@@ -810,10 +809,10 @@
     }
 
 
-def test_bad_commands_in_a_row_get_one_answer_each_and_no_more() -> None:
-    """A client sends bad commands until its connection ends.
+def test_bad_commands_until_close_get_exactly_one_answer_each() -> None:
+    """A client sends bad commands until its connection is closed.
 
-    Each gets one answer; one more would be taken for the answer to the client's next command.
+    An additional error would be taken for the answer to the client's next command.
     """
     stage = Stage(hosts=1)
     end = stage._end("a")
@@ -831,10 +830,10 @@
     assert got.count(b"\r\n") == MAX_BAD_COMMANDS and not stage.service.frontend.sessions.sessions
 
 
-def test_requests_wait_for_discoverys_first_list_before_they_are_sent() -> None:
-    """The list of the configuration may be old, and an endpoint on it may drain by now.
+def test_requests_before_discovery_wait_for_its_first_list() -> None:
+    """The configured list may be outdated and contain an endpoint that drains by now.
 
-    Requests wait for discovery's first answer.
+    Requests must therefore wait for discovery's first answer.
     """
     stage = Stage(hosts=2, discovery_answered=False)
     stage.play(f"a send {ask(1)}\nwait 0.1")
@@ -846,12 +845,12 @@
     assert stage.service.stats.requests == 1
 
 
-def test_without_discovery_the_list_it_was_given_serves_after_a_while() -> None:
+def test_discovery_never_answers_configured_list_is_used_after_timeout() -> None:
     """Discovery never answers.
 
-    After READY_WITHOUT_DISCOVERY_AFTER_S the list of the configuration serves.
+    After READY_WITHOUT_DISCOVERY_AFTER_S the configured list is used.
     """
     stage = Stage(hosts=1, discovery_answered=False)
     stage.play(f"a send {ask(1)}\nwait 0.2")
     assert stage.service.stats.attempts == 0
-    stage.play(f"wait 0.3\ns1 expect {ask(1, 500)}")  # what it waited is not the host's to spend
+    stage.play(f"wait 0.3\ns1 expect {ask(1, 500)}")  # the wait is subtracted
