--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -42,14 +42,14 @@
     raise AssertionError(f"the connection was not closed after {got!r}")
 
 
-def send_after_check(monkeypatch: pytest.MonkeyPatch, end: socket.socket, data: bytes) -> None:
+def send_after_check(monkeypatch: pytest.MonkeyPatch, end: socket.socket, payload: bytes) -> None:
     """Makes the client send data between the limiter's check of its socket and the next step."""
     original = stream.Stream.is_open_and_quiet
 
     def check_then_send(self: stream.Stream) -> bool:
         found = original(self)
         if found and self._sock.getpeername() == end.getsockname():
-            end.sendall(data)
+            end.sendall(payload)
         return found
 
     monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_send)
@@ -457,10 +457,12 @@
     stage.play("disco expect " + WATCH.format(1) + "\ndisco send whole 2 s2:in_service\n")
     stage.now += 0.3 - left - 0.05
     stage.play("s1 close")
-    (opened,) = stage.service.engine_driver.open_requests.values()
-    assert len(opened.attempts) == 2 and opened.attempts_out == 1
+    (open_request,) = stage.service.engine_driver.open_requests.values()
+    assert len(open_request.attempts) == 2 and open_request.attempts_out == 1
     stage.play(f"wait {left + 0.05}")
-    assert not opened.attempts_out and not stage.service.pool._connections and len(fillers) == 2
+    assert (
+        not open_request.attempts_out and not stage.service.pool._connections and len(fillers) == 2
+    )
     stage.play("a expect -BUSY 250")  # all endpoints know its key, so the client may retry
 
 
@@ -511,8 +513,8 @@
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
     pool = stage.service.pool
-    (opened,) = stage.service.engine_driver.open_requests.values()
-    (attempt,) = opened.attempts
+    (open_request,) = stage.service.engine_driver.open_requests.values()
+    (attempt,) = open_request.attempts
     stage._end("s1").sendall(stage.bytes_of(VALUE))
     if order == "answer first":
         stage.settle()
@@ -523,7 +525,7 @@
     if order == "answer first":
         assert (
             stage.service.stats.outcomes["ok"] == 1
-            and not opened.attempts_out
+            and not open_request.attempts_out
             and len(pool._connections) == 1
         )
     else:  # the engine retries, on another connection
@@ -631,8 +633,8 @@
     stage.play(f"wait 0.1\ndisco.2 expect {WATCH.format(6)}")
 
 
-@pytest.mark.parametrize("complete", [True, False])
-def test_response_without_length_cut_by_a_reset_is_discarded(complete: bool) -> None:
+@pytest.mark.parametrize("whole", [True, False])
+def test_response_without_length_cut_by_a_reset_is_discarded(whole: bool) -> None:
     """A connection is reset during a response without a length.
 
     The received part may happen to be valid, so the list must be requested again.
@@ -642,7 +644,7 @@
     end = stage._end("disco")
     end.sendall(
         ENDLESS.encode()
-        + (list_with_s1_draining(stage) if complete else list_with_s1_draining(stage)[:40])
+        + (list_with_s1_draining(stage) if whole else list_with_s1_draining(stage)[:40])
     )
     stage.settle()
     disconnect(stage, "disco", "reset")
--- a/tests/net/test_net_parts.py
+++ b/tests/net/test_net_parts.py
@@ -57,9 +57,9 @@
         return [(7, 1), (8, 1)]
 
 
-@pytest.mark.parametrize("paused_in", ["poll", "timer", "another task", "the end of a turn"])
+@pytest.mark.parametrize("stopped_in", ["poll", "timer", "another task", "the end of a turn"])
 def test_process_pause_is_reported_before_anything_is_read(
-    paused_in: str,
+    stopped_in: str,
 ) -> None:
     """The process is paused in the middle of a turn.
 
@@ -75,7 +75,7 @@
 
     def pauses_once() -> None:
         event_loop.wait(7, 1)
-        if paused_in == "another task":
+        if stopped_in == "another task":
             pause()
 
     def reads() -> None:
@@ -85,11 +85,11 @@
 
     event_loop.spawn(pauses_once)
     event_loop.spawn(reads)
-    if paused_in == "poll":
+    if stopped_in == "poll":
         poller.late = 3.0
-    elif paused_in == "timer":
+    elif stopped_in == "timer":
         event_loop.at(poller.now, pause)
-    elif paused_in == "the end of a turn":
+    elif stopped_in == "the end of a turn":
         event_loop.at_end_of_turn(pause)
     event_loop.turn()
     assert seen == ["process pause", "read"]
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -333,17 +333,17 @@
             stage.service.frontend.sessions.sessions,
             stage.service.engine_driver.open_requests.values(),
         )
-        (connection,) = stage.service.pool._endpoints["s1"].connections
+        (endpoint_connection,) = stage.service.pool._endpoints["s1"].connections
         ended: list[Callable[[], object]] = [
             weakref.ref(session),
             weakref.ref(opened),
-            weakref.ref(connection),
+            weakref.ref(endpoint_connection),
         ]
         stage.play(
             f"s1 send {VALUE}\na expect $2\\r\\nhi\na send {ask(2, 0)}\na expect -BUSY\na "
             "close\ns1 close\nwait 17"
         )
-        del session, opened, connection
+        del session, opened, endpoint_connection
         assert [ref() for ref in ended] == [None, None, None]
     finally:
         gc.enable()
