--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -665,7 +665,7 @@
     raise AssertionError("discovery was not called again")
 
 
-DEATHS: dict[str, str] = {
+WATCH_FAILURES: dict[str, str] = {
     "silent while waiting": "wait 2.0",
     "silent in mid-response": (
         "disco send HTTP/1.1 200 OK\\r\\nContent-Length: 400\\r\\n\\r\\n{\n" "wait 2.0"
@@ -680,7 +680,7 @@
 }
 
 
-@pytest.mark.parametrize("death", DEATHS)
+@pytest.mark.parametrize("death", WATCH_FAILURES)
 def test_watch_fails_complete_list_is_requested_and_applied(death: str) -> None:
     """The watch on discovery fails.
 
@@ -689,7 +689,7 @@
     """
     stage = Stage(hosts=2)
     start_watch(stage)
-    stage.play(DEATHS[death])
+    stage.play(WATCH_FAILURES[death])
     before = len(stage.ends["disco"])
     stage.play("wait 0.6")  # at least two calls meanwhile, which are not answered
     expect_new_call(stage)
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -25,9 +25,9 @@
 from hazelhollow.platform_config import PlatformConfig
 from tests.net.scenario import SETTINGS, STAGES, Stage
 from tests.net.test_connection_ends import (
-    DEATHS,
     ENDLESS,
     RESET,
+    WATCH_FAILURES,
     block_connects,
     disconnect,
     list_with_s1_draining,
@@ -318,7 +318,7 @@
     assert s1_is_dropped(stage)
 
 
-@pytest.mark.parametrize("death", DEATHS)
+@pytest.mark.parametrize("death", WATCH_FAILURES)
 def test_a_watch_that_dies_after_long_health_is_begun_anew(death: str) -> None:
     """Late: after 13 s and more of calls that each had their answer in time."""
     stage = Stage(hosts=2)
@@ -328,7 +328,7 @@
             f"wait 1.4\ndisco send table {number} s2:in_service\ndisco expect "
             f"{WATCH.format(number)}"
         )
-    stage.play(DEATHS[death])
+    stage.play(WATCH_FAILURES[death])
     for _ in range(10):
         try:
             stage.play(f"wait 0.05\ndisco expect {GET}")
