--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -1,6 +1,6 @@
 """The adapter between the network and the decision engine: events in, actions out.
 
-This is the only module that depends on both. It turns what happens on sockets into events for the
+This is the only module that connects the two. It turns what happens on sockets into events for the
 engine and performs the actions that the engine returns; it makes no decisions. It owns the open
 requests and ensures that each gets exactly one final answer (see `open_request`).
 
@@ -224,9 +224,7 @@
         now, engine_failed = self._scheduler.clock(), False
         try:
             actions = self._decisions.handle(event, now)
-        except (
-            Exception
-        ):  # an exception in the engine loses this event and affects no other request
+        except Exception:  # the engine loses this event; no other request is affected
             log.exception(
                 "the decision engine raised an exception at event %s, which is lost",
                 type(event).__name__,
@@ -337,7 +335,7 @@
         return opened
 
     def _fail_unanswered(self, opened: OpenRequest, why: str) -> None:
-        """Answers a request that the engine left unanswered with an error."""
+        """Sends an error for a request that the engine left unanswered."""
         log.error("request %s: %s", opened.id, why)
         self._stats.rescued += 1
         self._stats.reply(opened.parsed.request.class_name, "error")
--- a/hazelhollow/net/tls.py
+++ b/hazelhollow/net/tls.py
@@ -49,9 +49,9 @@
 
     def __init__(self, context: ssl.SSLContext, server_name: str = "") -> None:
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        side = context.protocol == ssl.PROTOCOL_TLS_SERVER
+        is_server = context.protocol == ssl.PROTOCOL_TLS_SERVER
         self._tls = context.wrap_bio(
-            self._in, self._out, server_side=side, server_hostname=server_name or None
+            self._in, self._out, server_side=is_server, server_hostname=server_name or None
         )
         self._handshake_done = False
         self._pending_plaintext = bytearray()  # to be sent after the handshake
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -485,15 +485,15 @@
     """The answer arrives in the turn in which the deadline passes."""
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
-    host = stage._end("s1")
+    endpoint = stage._end("s1")
     if first == "answer":
         stage.now += 0.9999
-        host.sendall(stage.bytes_of(VALUE))
+        endpoint.sendall(stage.bytes_of(VALUE))
         stage.settle(3)
         stage.now += 0.01
     else:
         stage.now += 1.01
-        host.sendall(stage.bytes_of(VALUE))
+        endpoint.sendall(stage.bytes_of(VALUE))
     stage.settle()
     assert stage._end("a").recv(99) in (
         (b"$2\r\nhi\r\n",) if first == "answer" else (b"-BUSY 250\r\n", b"-ERR failed\r\n")
