--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -93,7 +93,7 @@
                 self.engine_driver.gossip_received,
             )
         self.frontend = self._build_frontend(config, descriptors)
-        self.frontend.close_idlest_endpoint_connection = self.pool.close_idlest
+        self.frontend.close_idle_endpoint_connection = self.pool.close_longest_idle
         # Endpoints and discovery serve all clients: for a connection to them an idle client may go.
         self.pool.free_descriptor = self.frontend.free_descriptor
         self.discovery_watch.free_descriptor = self.frontend.free_descriptor
@@ -176,7 +176,7 @@
 
     def _apply_addresses(self, config: PlatformConfig) -> None:
         """Takes what else a configuration that was read again may change."""
-        self.pool.retune(config.connect_timeout, config.conn_idle)
+        self.pool.set_timeouts(config.connect_timeout, config.conn_idle)
         log.info("reloaded: discovery at %s:%d", *config.discovery)
         self.discovery_watch.move(config.discovery)
 
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -25,14 +25,14 @@
 from hazelhollow.platform_config import PlatformConfig
 from tests.net.scenario import SETTINGS, STAGES, Stage
 from tests.net.test_connection_ends import (
-    DEATHS,
     ENDLESS,
     RESET,
-    drains,
-    leave,
-    s1_is_left,
-    unanswering,
-    watched,
+    WATCH_FAILURES,
+    block_connects,
+    disconnect,
+    list_with_s1_draining,
+    s1_is_dropped,
+    start_watch,
 )
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
@@ -101,7 +101,7 @@
         if mode == "refused":
             listeners["disco"].close()
         if mode == "never up":
-            self._fillers = unanswering(self.stage, "disco")
+            self._fillers = block_connects(self.stage, "disco")
         if mode == "moved away":  # to one that lets in and says nothing
             self.stage.play("disco2 reload")
         if mode == "silent":  # it never answers what came until then
@@ -164,7 +164,7 @@
 
     def _list(self) -> bytes:
         body = (
-            drains(self.stage, self.version)
+            list_with_s1_draining(self.stage, self.version)
             if self.changed
             else orjson.dumps(
                 self.stage.table("whole", self.version, "s1:in_service", "s2:in_service")
@@ -207,7 +207,7 @@
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
         agent.run(0.5)
-        assert stage.service.discovery_watch.is_following and not s1_is_left(stage)
+        assert stage.service.discovery_watch.is_following and not s1_is_dropped(stage)
         for number, (mode, seconds) in enumerate(mix):
             if number == changed_at:
                 agent.change()
@@ -218,7 +218,7 @@
         agent.turn_to("well")
         if not agent.changed:
             agent.change()
-        took = agent.run(7.0, until=lambda: s1_is_left(stage))
+        took = agent.run(7.0, until=lambda: s1_is_dropped(stage))
         assert set(stage.service.pool._endpoints) == {"s2"}
         agent.close()
         STAGES.remove(stage)
@@ -265,7 +265,7 @@
         agent.turn_to(mode)
         agent.run(5.0)
         agent.change()
-        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= TOLD_WITHIN
+        assert agent.run(7.0, until=lambda: s1_is_dropped(stage)) <= TOLD_WITHIN
         agent.close()
 
 
@@ -281,7 +281,7 @@
         agent.run(2.3)  # the watch is given up, and the next call hangs
         agent.change()
         agent.turn_to("slow")
-        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= TOLD_WITHIN
+        assert agent.run(7.0, until=lambda: s1_is_dropped(stage)) <= TOLD_WITHIN
         agent.close()
 
 
@@ -293,12 +293,12 @@
     Only the whole list says it again.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     with monkeypatch.context() as patch:
         patch.setattr(stage.service.discovery_watch, "_on_change", lambda event: 1 / 0)
         stage.play("disco send table 6 s1:terminating")
     stage.play(f"wait 0.2\ndisco expect {GET}\ndisco send whole 6 s1:terminating s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 def test_a_change_that_cannot_be_read_is_no_drain_missed() -> None:
@@ -307,7 +307,7 @@
     The whole list is asked for instead of skipping it.
     """
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     table = stage.table("table", 6, "s1:terminating")
     del table["endpoints"][0]["address"]
     body = orjson.dumps(table)
@@ -315,20 +315,20 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
     )
     stage.play(f"wait 0.2\ndisco expect {GET}\ndisco send whole 6 s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
-@pytest.mark.parametrize("death", DEATHS)
+@pytest.mark.parametrize("death", WATCH_FAILURES)
 def test_a_watch_that_dies_after_long_health_is_begun_anew(death: str) -> None:
     """Late: after 13 s and more of calls that each had their answer in time."""
     stage = Stage(hosts=2)
-    watched(stage)
+    start_watch(stage)
     for number in range(6, 16):
         stage.play(
             f"wait 1.4\ndisco send table {number} s2:in_service\ndisco expect "
             f"{WATCH.format(number)}"
         )
-    stage.play(DEATHS[death])
+    stage.play(WATCH_FAILURES[death])
     for _ in range(10):
         try:
             stage.play(f"wait 0.05\ndisco expect {GET}")
@@ -336,7 +336,7 @@
         except AssertionError:
             pass
     stage.play("disco send whole 16 s2:in_service")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 # Clients that go
@@ -359,7 +359,7 @@
         sent += 1
         stage.play(f"a send {ask(sent)}\ns1 expect {ask(sent)}\ns1 send {value}\nwait 0.04")
     stage._end("a").sendall(stage.bytes_of(ask(999)))
-    leave(stage, "a", "half")
+    disconnect(stage, "a", "half")
     assert stage.service.stats.requests == sent and not stage.service.frontend.sessions.sessions
 
 
@@ -373,7 +373,7 @@
     stage.play(
         f"b send {ask(9)}\ns2 expect {ask(9)}\ns2 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05"
     )
-    fillers = unanswering(stage, "s1")
+    fillers = block_connects(stage, "s1")
     changed, table = stage.service._endpoints_changed, stage.service.endpoint_list
     changed(table.apply(stage.table("whole", 3, "s1:in_service")))
     stage.play(f"a send {ask(1)}")
@@ -425,7 +425,7 @@
     Before it, perhaps, a request whose attempt waits.
     """
     stage = Stage(hosts=1)
-    fillers = unanswering(stage)
+    fillers = block_connects(stage)
     if whole:
         stage.play(f"a send {ask(1)}")
     words = stage.bytes_of(ask(2))
@@ -433,7 +433,7 @@
         stage._end("a").sendall(part)
         stage.play("wait 0.05")
     assert len(stage.service.engine_driver.open_requests) == whole and len(fillers) == 2
-    leave(stage, "a", how)
+    disconnect(stage, "a", how)
     assert stage.service.stats.requests == whole == stage.service.stats.attempts
     assert not stage.service.engine_driver.open_requests and not stage.service.pool._connections
     assert not stage.service.frontend.sessions.sessions
@@ -442,7 +442,7 @@
 LATER: dict[str, Callable[[Stage], None]] = {
     "an error": lambda stage: stage.play("s1 send -ERR failed"),
     "turned away": lambda stage: stage.play("s1 send -BUSY"),
-    "a reset": lambda stage: leave(stage, "s1", "reset"),
+    "a reset": lambda stage: disconnect(stage, "s1", "reset"),
     "no answer": lambda stage: stage.play("wait 3"),
 }
 
@@ -454,7 +454,7 @@
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s1:in_service s2:in_service")
-    leave(stage, "a", how)
+    disconnect(stage, "a", how)
     LATER[later](stage)
     stage.play("wait 0.5")
     assert stage.service.stats.attempts == 1
@@ -463,11 +463,11 @@
 def test_a_second_attempt_that_waits_for_its_connection_ends_with_its_client() -> None:
     """The first has failed while the client was there; its repeat's connection is not up yet."""
     stage = Stage(hosts=2)
-    fillers = unanswering(stage, "s2")
+    fillers = block_connects(stage, "s2")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s2:in_service\ns1 send -ERR failed")
     assert stage.service.stats.attempts == 2 and len(stage.service.pool._connections) == 1
-    leave(stage, "a", "close")
+    disconnect(stage, "a", "close")
     assert (
         not stage.service.pool._connections
         and stage.service.stats.dispatches == 1
@@ -482,7 +482,7 @@
 ) -> None:
     """A hedge: one host has the request whole, the connection to the other is not up yet."""
     stage = Stage(hosts=2)
-    fillers = unanswering(stage, "s2")
+    fillers = block_connects(stage, "s2")
 
     def handle(event: api.Event, now: float) -> list[api.Action]:
         if isinstance(event, api.RequestArrived):
@@ -492,7 +492,7 @@
     monkeypatch.setattr(stage.service.engine_driver._decisions, "handle", handle)
     stage.play(f"a send {ask(1, 3000)}\ns1 expect {ask(1, 3000)}")
     assert stage.service.stats.attempts == len(stage.service.pool._connections) == 2
-    leave(stage, "a", "close")
+    disconnect(stage, "a", "close")
     assert len(stage.service.pool._connections) == 1 and len(fillers) == 2
     stage.play(f"s1 send {VALUE}")
     assert not stage.service.engine_driver.open_requests and stage.service.stats.dispatches == 1
@@ -510,7 +510,7 @@
         stage.play(f"c{number} send {ask(number, 3000)}")
     assert len(stage.service.pool._connections) == 6 and stage.service.stats.no_descriptor
     for number in range(9):
-        leave(stage, f"c{number}", "close")
+        disconnect(stage, f"c{number}", "close")
     attempts = stage.service.stats.attempts
     for name in ("s1", "s2"):
         stage._end(name)
@@ -568,12 +568,12 @@
     idle_clients(stage, 10, 10)
     stage.listeners["disco"] = socket.create_server(address)  # it returns
     stage.listeners["disco"].setblocking(False)
-    while stage.service.pool.close_idlest():  # what could be had without any client
+    while stage.service.pool.close_longest_idle():  # what could be had without any client
         pass
     with no_descriptor_left():
         stage.play("wait 0.2")
     stage.play(f"disco expect {GET}\ndisco send whole 6 s1:terminating")
-    assert s1_is_left(stage)
+    assert s1_is_dropped(stage)
 
 
 def test_a_descriptor_is_had_also_of_an_idle_client_that_breaks_its_connection_just_then(
@@ -645,7 +645,7 @@
 
     Needed are READY_WITHOUT_DISCOVERY_AFTER_S and the time in which a command must come to its end.
     """
-    stage = Stage(hosts=2, heard=False, sockets=0)
+    stage = Stage(hosts=2, discovery_answered=False, sockets=0)
     agent = Agent(stage, monkeypatch)
     agent.turn_to(mode)
     if fill != "nobody":
@@ -671,7 +671,7 @@
 @pytest.mark.parametrize("seconds", [0.0, 0.1, 0.45, 0.55])
 def test_what_came_before_an_early_sigterm_is_answered_also_without_a_list(seconds: float) -> None:
     """SIGTERM before the first list, before it is ready, or in the very turn in which it is."""
-    stage = Stage(hosts=1, heard=False)
+    stage = Stage(hosts=1, discovery_answered=False)
     stage.play(f"a send {ask(1, 2000)}\nb send [PING]\nwait {seconds}")
     stage.service.shutdown.begin()
     stage.play("wait 0.3\nwait 0.3")
@@ -688,7 +688,7 @@
 
     The watch asks the new one, and readiness is not put off.
     """
-    stage = Stage(hosts=2, heard=False)
+    stage = Stage(hosts=2, discovery_answered=False)
     stage.play(
         f"a send [PING]\nb send {ask(1)}\nwait 0.2\ndisco2 reload\na expect nothing\nwait 0.1"
     )
@@ -747,7 +747,7 @@
     The attempt goes to another.
     """
     stage = Stage(hosts=2)
-    fillers = unanswering(stage, "s1")
+    fillers = block_connects(stage, "s1")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {DO.format(1)}")
     assert len(stage.service.pool._connections) == 1 and len(fillers) == 2
     stage.play(f"disco send whole 3 s2:in_service\ns2 expect {DO.format(1)}")
