--- a/hazelhollow/net/peer_socket.py
+++ b/hazelhollow/net/peer_socket.py
@@ -93,9 +93,9 @@
                     data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except OSError:  # no more of them, or an ICMP error for one that was sent earlier
                     break
-                self._take(data, sender)
+                self._handle_datagram(data, sender)
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
         number = self._numbers.get(sender)
         try:
             text = data.decode()
--- a/hazelhollow/scale/network.py
+++ b/hazelhollow/scale/network.py
@@ -132,12 +132,12 @@
         self._network.ledger.to_dead += address is not None and address[1] == ABSENT_PORT
         self.bytes_by_second[self._current_second()] += size_on_wire(size)
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
         network, role = self._network, datagram_role(data[:1].decode("latin-1"))
         # Membership's message to a process that may have the same number.
         if sender[0] == self.address[0]:
             if not self.dead:
-                network.meter.measure_call(Role.VIEW, super()._take, data, sender)
+                network.meter.measure_call(Role.VIEW, super()._handle_datagram, data, sender)
             return
         number = self._numbers.get(sender, -1)
         if self.dead:
@@ -147,7 +147,7 @@
         else:
             network.ledger.came += 1
             network.meter.record_received(role, len(data))
-            network.meter.measure_call(role, super()._take, data, sender)
+            network.meter.measure_call(role, super()._handle_datagram, data, sender)
 
     def inode(self) -> int:
         """The inode by which the system's table of sockets names this one."""
