--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -174,7 +174,7 @@
 
     def _send(self, datagram: Datagram) -> None:
         text = self._authenticator.sign(datagram.text)
-        if not self._options.seeds or self._peers.knows(datagram.recipient):
+        if not self._options.seeds or self._peers.has_address(datagram.recipient):
             self._peers.send_to(datagram.recipient, text)
         else:  # whichever seed gets it answers with the members that it knows
             self._peers.send(self._random.choice(self._options.seeds), text)
--- a/hazelhollow/net/peer_socket.py
+++ b/hazelhollow/net/peer_socket.py
@@ -57,7 +57,7 @@
         self._numbers.pop(self._peers.get(number, address), None)
         self._peers[number], self._numbers[address] = address, number
 
-    def knows(self, number: int) -> bool:
+    def has_address(self, number: int) -> bool:
         """Whether the address of that peer is known."""
         return number in self._peers
 
--- a/hazelhollow/operator/fleet_subsystems.py
+++ b/hazelhollow/operator/fleet_subsystems.py
@@ -106,7 +106,7 @@
         # Where the platform's configuration lists the peers, its addresses are the only ones used.
         # Limiter 0, or 1 if this is 0: the configuration lists all peers or none.
         any_other_member = 1 - min(settings.limiter_id, 1)
-        are_listed = peers.knows(any_other_member)
+        are_listed = peers.has_address(any_other_member)
         uses_seeds = bool(self._settings.seeds) and not are_listed
         other_seeds = tuple(seed for seed in self._settings.seeds if seed != peers.address)
         membership = Membership(
