--- a/hazelhollow/net/scheduler.py
+++ b/hazelhollow/net/scheduler.py
@@ -177,7 +177,7 @@
             task.waiting, task.result = False, result
             self._ready.append(task)
 
-    def watch_also_for(self, fd: int, events: int) -> None:
+    def add_interest(self, fd: int, events: int) -> None:
         """Adds to what a waiting task waits for, and takes nothing from it."""
         known = self._interest.get(fd, 0)
         if fd in self._waiters and known | events != known:
--- a/hazelhollow/net/stream.py
+++ b/hazelhollow/net/stream.py
@@ -224,7 +224,7 @@
             try:
                 sent = self._sock.send(view)
             except (BlockingIOError, InterruptedError):
-                self.scheduler.watch_also_for(self._fd, WRITABLE)
+                self.scheduler.add_interest(self._fd, WRITABLE)
                 return
             except OSError:
                 self._broken(CloseReason.RESET)
