--- a/hazelhollow/net/endpoint_list.py
+++ b/hazelhollow/net/endpoint_list.py
@@ -87,7 +87,7 @@
         kind: api.ListKind = "cached" if cached else "full" if whole else "change"
         return api.EndpointsUpdated(kind, tuple(entry for entry, _ in read))
 
-    def open_addresses(self) -> dict[str, tuple[str, int]]:
+    def in_service_addresses(self) -> dict[str, tuple[str, int]]:
         """The addresses of the endpoints that may get new work."""
         return {
             name: self.addresses[name]
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -80,7 +80,7 @@
         self.endpoint_list = EndpointList()
         if config.known is not None:
             self.engine_driver.notify(self.endpoint_list.apply(config.known, cached=True))
-            self.pool.set_endpoints(self.endpoint_list.open_addresses())
+            self.pool.set_endpoints(self.endpoint_list.in_service_addresses())
         self.discovery_watch = DiscoveryWatch(
             scheduler, self.stats, config.discovery, self.endpoint_list, self._endpoints_changed
         )
@@ -163,7 +163,7 @@
         self.pool.set_endpoints(
             {
                 name: address
-                for name, address in self.endpoint_list.open_addresses().items()
+                for name, address in self.endpoint_list.in_service_addresses().items()
                 if name not in self.overrides.disabled
             }
         )
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -799,7 +799,7 @@
     stage.play("disco send table 3 s2:terminating")
     assert (
         stage.service.endpoint_list.version == 5
-        and "s2" in stage.service.endpoint_list.open_addresses()
+        and "s2" in stage.service.endpoint_list.in_service_addresses()
     )
 
 
