--- a/hazelhollow/net/attachment.py
+++ b/hazelhollow/net/attachment.py
@@ -35,7 +35,7 @@
     def reload(self, taken: bool) -> None:
         """SIGHUP came; `taken`: whether the platform's configuration could be read."""
 
-    def settings_in_force(self) -> None:
+    def settings_applied(self) -> None:
         """Settings of a reload are in force, and no request was served by them yet."""
 
     def ready(self) -> bool:
--- a/hazelhollow/net/settings_reload.py
+++ b/hazelhollow/net/settings_reload.py
@@ -86,7 +86,7 @@
         self._stats.reload_success += 1
         self._put_in_force(config.settings, config.document)
         if self._attachment:
-            self._attachment.settings_in_force()
+            self._attachment.settings_applied()
         self._apply_addresses(config)
 
     # Settings from a peer
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -118,7 +118,7 @@
 
     # Reload and end
 
-    def settings_in_force(self) -> None:
+    def settings_applied(self) -> None:
         """A reload's settings are in force, and no request was served by them yet."""
         configuration = self.fleet and self.fleet.configuration
         if configuration:
