--- a/hazelhollow/net/attachment.py
+++ b/hazelhollow/net/attachment.py
@@ -32,8 +32,8 @@
     def start(self, service: Service) -> None:
         """The limiter is about to serve."""
 
-    def reload(self, taken: bool) -> None:
-        """SIGHUP came; `taken`: whether the platform's configuration could be read."""
+    def reload(self, config_accepted: bool) -> None:
+        """SIGHUP came; `config_accepted`: whether the platform's configuration could be read."""
 
     def settings_applied(self) -> None:
         """Settings of a reload are in force, and no request was served by them yet."""
--- a/hazelhollow/net/settings_reload.py
+++ b/hazelhollow/net/settings_reload.py
@@ -79,10 +79,10 @@
             self._stats.reload_failure += 1
             log.error("the configuration stays as it was: %s", error)
             if self._attachment:
-                self._attachment.reload(taken=False)
+                self._attachment.reload(config_accepted=False)
             return
         if self._attachment:
-            self._attachment.reload(taken=True)
+            self._attachment.reload(config_accepted=True)
         self._stats.reload_success += 1
         self._put_in_force(config.settings, config.document)
         if self._attachment:
--- a/hazelhollow/operator/attach.py
+++ b/hazelhollow/operator/attach.py
@@ -124,11 +124,11 @@
         if configuration:
             configuration.settings_reloaded()
 
-    def reload(self, taken: bool) -> None:
+    def reload(self, config_accepted: bool) -> None:
         """Reads the operator file again and takes what needs no restart.
 
-        A file with problems changes nothing. If the platform's configuration was not `taken`, the
-        file's revision is not this limiter's yet, since it goes with that configuration.
+        A file with problems changes nothing. Without `config_accepted` the file's
+        revision is not this limiter's yet, since it goes with the platform's configuration.
         """
         try:
             new = load.load(self.file)
@@ -140,7 +140,7 @@
         if restart:
             log.warning("these settings need a restart and stay as they were", settings=restart)
         self._apply(new, live)
-        if taken:
+        if config_accepted:
             self.revision = self._revision_of_file()
 
     def _apply(self, new: OperatorSettings, live: list[str]) -> None:
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -100,10 +100,10 @@
     handlers = logging.getLogger().handlers[:]
     try:
         file.write_text('log: level: "wrong"')
-        attached.reload(taken=True)
+        attached.reload(config_accepted=True)
         assert str(attached.operator.log.level) == "info"
         file.write_text('log: level: "warning"')
-        attached.reload(taken=True)
+        attached.reload(config_accepted=True)
         assert attached.operator.log.level == "warning"
     finally:
         logging.getLogger().handlers = handlers
--- a/tests/shared_store/test_limiter.py
+++ b/tests/shared_store/test_limiter.py
@@ -38,7 +38,7 @@
     server = Server(stage.scheduler, Node(lambda: stage.now, 1, "open sesame"), ("127.0.0.1", 0))
     server.start()
     file.write_text(file.read_text().replace("127.0.0.1:1", f"127.0.0.1:{server.address[1]}"))
-    attached.reload(taken=True)
+    attached.reload(config_accepted=True)
     stage.play("wait 4")
     assert (
         attached.ledger
