--- a/hazelhollow/net/attachment.py
+++ b/hazelhollow/net/attachment.py
@@ -1,7 +1,7 @@
-"""What an operator file adds to a limiter, as the limiter sees it.
+"""The interface between a limiter and the subsystems that an operator file enables.
 
-`hazelhollow.operator.attach.Attached` implements it. Without an operator file there is none, and
-nothing of its packages is imported.
+`hazelhollow.operator.attach.Attached` implements it. Without an operator file there is no
+attachment, and the packages of those subsystems are not imported.
 """
 
 from __future__ import annotations
@@ -16,42 +16,45 @@
 
 
 class Attachment(Protocol):
-    """The subsystems of one limiter, from its start to its end.
+    """The operator-file subsystems of one limiter, from its start to its end.
 
-    Every call comes from the limiter's own thread.
+    Every method is called from the limiter's own thread.
     """
 
     def settings(self, settings: api.Settings) -> api.Settings:
-        """The platform's settings with what the operator file changes in them."""
+        """Returns the platform's settings with the operator file's changes applied."""
 
     def wrap_engine(
         self, inner: Decisions, settings: api.Settings, seed: int, now: float
     ) -> Decisions:
-        """The decision engine, with what the operator file puts in front of it."""
+        """Returns the decision engine, wrapped in the layers that the operator file enables."""
 
     def start(self, service: Service) -> None:
-        """The limiter is about to serve."""
+        """Called when the limiter is about to serve."""
 
     def reload(self, config_accepted: bool) -> None:
-        """SIGHUP came; `config_accepted`: whether the platform's configuration could be read."""
+        """Called on SIGHUP.
+
+        `config_accepted`: whether the platform's configuration was read and accepted.
+        """
 
     def settings_applied(self) -> None:
-        """Settings of a reload are in force, and no request was served by them yet."""
+        """Called when a reload's settings are in force, before a request is served under them."""
 
     def ready(self) -> bool:
-        """Whether this limiter may be given work."""
+        """Whether this limiter may receive requests."""
 
     def fleet_document(self) -> dict[str, Any] | None:
-        """The answer to `call fleet`; None where that is switched off."""
+        """Returns the answer to `call fleet`, or None if that call is disabled."""
 
     def audit_entries(self) -> list[Any] | None:
-        """The answer to `call audit`; None where that is switched off."""
+        """Returns the answer to `call audit`, or None if that call is disabled."""
 
     def config_call(self, arguments: tuple[str, ...]) -> str | None:
-        """The answer to `call config ...`; None where that is switched off."""
+        """Returns the answer to `call config ...`, or None if that call is disabled."""
 
     def override_set(self, endpoint: str, disabled: bool) -> None:
-        """An operator has disabled or enabled an endpoint at this limiter."""
+        """Called when an operator has disabled or enabled an endpoint at this limiter."""
 
     def stop(self) -> None:
-        """Every request is answered, and the limiter ends."""
+        """Called in the last step of the graceful shutdown, after requests have been answered."""
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -1,19 +1,19 @@
-"""One limiter, put together from its parts.
+"""Assembles one limiter from its parts.
 
-`Service` creates the parts in order, connects them and starts their tasks; it has no rule of its
-own. Who does what:
+`Service` creates the parts in order, connects them and starts their tasks; it implements no policy
+of its own. The parts:
 
-| attribute | part | its task |
+| attribute | part | responsibility |
 | --- | --- | --- |
-| `frontend` | `frontend.Frontend` | clients' connections, on the address of the configuration |
+| `frontend` | `frontend.Frontend` | clients' connections, on the configured address |
 | `engine_driver` | `engine_driver.EngineDriver` | open requests, the engine's events and actions |
-| `engine` | `decisions.engine.DecisionEngine` | every decision |
+| `engine` | `decisions.engine.DecisionEngine` | all rate-limiting and routing decisions |
 | `pool` | `connection_pool.ConnectionPool` | connections to endpoints and the attempts on them |
-| `endpoint_list`, `discovery_watch` | the modules of these names | which endpoints there are |
-| `settings_reload` | `settings_reload.SettingsReload` | settings in force, and their change |
-| `overrides` | `administrative_overrides.AdministrativeOverrides` | endpoints disabled by hand |
-| `shutdown` | `graceful_shutdown.GracefulShutdown` | the end |
-| `operator_address` | `operator_address.OperatorAddress` | calls of operators, if there is one |
+| `endpoint_list`, `discovery_watch` | the modules of these names | the current endpoints |
+| `settings_reload` | `settings_reload.SettingsReload` | the settings in force and changes to them |
+| `overrides` | `administrative_overrides.AdministrativeOverrides` | operator-disabled endpoints |
+| `shutdown` | `graceful_shutdown.GracefulShutdown` | the steps of the shutdown |
+| `operator_address` | `operator_address.OperatorAddress` | operators' calls, if one is configured |
 """
 
 from __future__ import annotations
@@ -40,30 +40,30 @@
 from hazelhollow.net.stats import Stats
 from hazelhollow.platform_config import PlatformConfig
 
-# From the start: then it serves from the list that the configuration gave, though discovery has not
-# answered yet.
+# Seconds from the start. If discovery has not answered by then, the limiter serves from the
+# endpoint list of its configuration.
 READY_WITHOUT_DISCOVERY_AFTER_S = 0.5
-RESERVED_DESCRIPTORS = 32  # for all that is neither a client's nor an endpoint's
+RESERVED_DESCRIPTORS = 32  # for everything but connections to clients and endpoints
 MIN_USABLE_DESCRIPTORS = 16
-ENDPOINTS_DESCRIPTOR_SHARE = (2, 5)  # of the usable descriptors: for connections to endpoints
-CLIENTS_DESCRIPTOR_SHARE = (3, 5)  # for clients' connections
-# Part of all descriptors for clients' connections that have brought a command. Many clients ask
-# once and keep their connection for good: past this the idlest are closed, or new clients would
-# find none.
+ENDPOINTS_DESCRIPTOR_SHARE = (2, 5)  # of the usable descriptors, for connections to endpoints
+CLIENTS_DESCRIPTOR_SHARE = (3, 5)  # of the usable descriptors, for clients' connections
+# Share of all descriptors for clients' connections on which a command was received. Many clients
+# send one request and then keep their connection open indefinitely; above this share the longest
+# idle ones are closed, so that descriptors remain for new clients.
 USED_SESSIONS_SHARE = 0.25
 MIN_USED_SESSIONS = 4
-CLIENT_MEMORY_SHARE = 0.25  # of the memory limit: what clients' connections may hold together
+CLIENT_MEMORY_SHARE = 0.25  # of the memory limit, for all clients' connections together
 
 log = logging.getLogger(__name__)
 
 
 class Service:
-    """The parts of one limiter; the module's table has them."""
+    """The parts of one limiter; see the table in the module's doc comment."""
 
     def __init__(
         self, config: PlatformConfig, scheduler: Scheduler, attachment: Attachment | None = None
     ) -> None:
-        """Binds the addresses of the configuration, and serves nothing before `start`."""
+        """Binds the configured addresses. Nothing is served before `start`."""
         self.scheduler, self.stats, self.attachment = scheduler, Stats(), attachment
         descriptors = max(MIN_USABLE_DESCRIPTORS, config.sockets - RESERVED_DESCRIPTORS)
         pool_settings = PoolSettings(
@@ -94,7 +94,8 @@
             )
         self.frontend = self._build_frontend(config, descriptors)
         self.frontend.close_idlest_endpoint_connection = self.pool.close_idlest
-        # Endpoints and discovery serve all clients: for a connection to them an idle client may go.
+        # Connections to endpoints and discovery serve all clients, so an idle client's connection
+        # may be closed to free a descriptor for one.
         self.pool.free_descriptor = self.frontend.free_descriptor
         self.discovery_watch.free_descriptor = self.frontend.free_descriptor
         self.started_at, self._has_first_list = scheduler.clock(), False
@@ -111,7 +112,7 @@
         )
 
     def start(self) -> None:
-        """Starts the tasks; the scheduler then runs them."""
+        """Starts the tasks, which the scheduler then runs."""
         if self.attachment:
             self.attachment.start(self)
         self.scheduler.spawn_supervised(self.discovery_watch.run, "watch")
@@ -144,7 +145,7 @@
         return Frontend(self.scheduler, self.stats, self.engine_driver, request_limits, limits)
 
     def _endpoints_changed(self, event: api.EndpointsUpdated) -> None:
-        """Discovery has changed the list."""
+        """Handles a change of the endpoint list by discovery."""
         if not self._has_first_list:
             self._has_first_list = True
             log.info(
@@ -152,14 +153,14 @@
                 self.scheduler.clock() - self.started_at,
                 self.stats.requests,
             )
-        # The engine first: an attempt that has not left for an endpoint that goes ends in
-        # `_update_pool`, and the engine then chooses anew from the list as it stands.
+        # The engine is notified first: `_update_pool` ends attempts that were not yet sent to an
+        # endpoint that is removed, and the engine must then choose again from the new list.
         self.engine_driver.notify(event)
         self._update_pool()
         self.frontend.set_ready()
 
     def _update_pool(self) -> None:
-        """Lets new attempts go only to endpoints that are in service and not disabled by hand."""
+        """Limits new attempts to endpoints that are in service and not disabled by an operator."""
         self.pool.set_endpoints(
             {
                 name: address
@@ -169,13 +170,13 @@
         )
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Puts settings in force, for requests that come from now on."""
+        """Puts settings in force for requests that arrive from now on."""
         self.engine.retune(settings)
         self.frontend.request_limits = RequestLimits(settings, self.frontend.request_limits)
         self.engine_driver.max_settled_units = _max_settled_units(settings)
 
     def _apply_addresses(self, config: PlatformConfig) -> None:
-        """Takes what else a configuration that was read again may change."""
+        """Applies the timeouts and the discovery address of a reloaded configuration."""
         self.pool.retune(config.connect_timeout, config.conn_idle)
         log.info("reloaded: discovery at %s:%d", *config.discovery)
         self.discovery_watch.move(config.discovery)
