--- a/hazelhollow/net/lifecycle.py
+++ b/hazelhollow/net/lifecycle.py
@@ -1,14 +1,14 @@
-"""The limiter's process: its start, its signals, its end.
+"""The start, signal handling and exit of the limiter's process.
 
-`serve` is what the command line calls. It builds the parts (`service.Service`), takes over the
-signals that `early_signals` has held since the first line of the program, runs the scheduler, and
-returns when `graceful_shutdown` has stopped it.
+The command line calls `serve`. It builds the parts (`service.Service`), takes over the signals that
+`early_signals` has recorded since the start of the program, runs the scheduler, and returns when
+`graceful_shutdown` has stopped the scheduler.
 
 | signal | effect |
 | --- | --- |
 | SIGTERM, SIGINT | graceful shutdown, see `graceful_shutdown` |
-| SIGHUP | the configuration is read again, see `settings_reload` |
-| SIGUSR1 | the counters go to standard error |
+| SIGHUP | the configuration is reloaded, see `settings_reload` |
+| SIGUSR1 | the counters are printed to standard error |
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
     attachment: Attachment | None = None,
     counters_interval: float | None = None,
 ) -> None:
-    """Serves until SIGTERM or SIGINT.
+    """Serves until the graceful shutdown after SIGTERM or SIGINT is complete.
 
     Args:
-        config: What the platform gives at the start.
-        reread: Reads it again, for SIGHUP; raises PlatformConfigError.
-        attachment: What an operator file adds.
-        counters_interval: Seconds between prints of the counters, at whole multiples of that on the
-            clock, so that the lines of several limiters belong together. None prints them on
-            SIGUSR1 and at the end only.
+        config: The platform's configuration at the start.
+        reread: Reads the configuration again, for SIGHUP; raises PlatformConfigError.
+        attachment: The subsystems that an operator file enables.
+        counters_interval: Seconds between prints of the counters. They are printed when the clock
+            is at a multiple of it, so that the lines of several limiters can be matched by time.
+            With None they are printed only on SIGUSR1 and at the end.
 
     Raises:
-        OSError: An address that the configuration names cannot be listened at.
+        OSError: A configured listening address cannot be bound.
     """
     scheduler = Scheduler(Clock())
     service = Service(config, scheduler, attachment)
@@ -57,8 +57,9 @@
         end.setblocking(False)
     signal.set_wakeup_fd(wakeup.fileno(), warn_on_full_buffer=False)
     for number in early_signals.NUMBERS:
-        signal.signal(number, lambda *_: None)  # the number comes through the socket pair
-    # Those that came before. One that comes in between is acted on twice, which changes nothing.
+        signal.signal(number, lambda *_: None)  # the wakeup descriptor delivers the number
+    # Signals received before this point. One that arrives between the handover and this line is
+    # handled twice, which is harmless.
     wakeup.send(early_signals.take_received())
     scheduler.spawn_supervised(lambda: watch_signals(service, signal_numbers, reread), "signals")
     service.start()
@@ -73,15 +74,15 @@
 def watch_signals(
     service: Service, signal_numbers: socket.socket, reread: Callable[[], PlatformConfig]
 ) -> None:
-    """Acts on the signals whose numbers come as bytes from a socket, for ever."""
+    """Handles, without end, the signals whose numbers arrive as bytes on a socket."""
     while True:
         service.scheduler.wait(signal_numbers.fileno(), READABLE)
         for number in signal_numbers.recv(MAX_SIGNALS_PER_READ):
-            # Each in a task of its own: where one fails, those that came with it still take effect.
-            service.scheduler.spawn(_act_on_signal, number, service, reread, name="signal")
+            # Each signal has its own task: if handling one fails, the others still take effect.
+            service.scheduler.spawn(_handle_signal, number, service, reread, name="signal")
 
 
-def _act_on_signal(number: int, service: Service, reread: Callable[[], PlatformConfig]) -> None:
+def _handle_signal(number: int, service: Service, reread: Callable[[], PlatformConfig]) -> None:
     if number == signal.SIGUSR1:
         _print_counters(service)
     elif number == signal.SIGHUP:
@@ -91,7 +92,7 @@
 
 
 def print_counters_every(service: Service, seconds: float) -> None:
-    """Prints the counters at whole multiples of that time on the clock, for ever."""
+    """Prints the counters, without end, when the clock is at a multiple of `seconds`."""
 
     def run() -> None:
         clock = service.scheduler.clock
--- a/tests/net/test_early_signals.py
+++ b/tests/net/test_early_signals.py
@@ -62,4 +62,6 @@
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             program.send_signal(number)
         rest = list(lines)
-        assert program.wait(30) == 0 and sum("left after" in line for line in rest) == 1
+        assert (
+            program.wait(30) == 0 and sum("shutdown complete after" in line for line in rest) == 1
+        )
