--- a/hazelhollow/net/discovery_watch.py
+++ b/hazelhollow/net/discovery_watch.py
@@ -1,20 +1,21 @@
-"""The watch on discovery: keeps the endpoint list as discovery has it, and never gives up.
+"""The watch on discovery: keeps the endpoint list current by long polling, and always retries.
 
-Discovery's agent is on this machine. Each call asks for changes after the version that is known and
-is answered at once or after `LONG_POLL_S` without any. States of the watch, and what it asks for:
+Discovery's agent is on this machine. Each call asks for the changes since the last version and is
+answered when there are changes, or after `LONG_POLL_S` without any. The states of the watch:
 
-| state | call | waits for the answer | left by |
+| state | call | timeout | next state |
 | --- | --- | --- | --- |
-| CONNECTING | | 0.15 s for the connection | up: SNAPSHOT. Not in time: RETRY, and SLOW beside it |
-| SNAPSHOT | the whole list | 0.15 s | a list: FOLLOWING. Late: RETRY, and SLOW beside it |
+| CONNECTING | | 0.15 s to connect | connected: SNAPSHOT. Timeout: RETRY, plus SLOW in parallel |
+| SNAPSHOT | full list | 0.15 s | a list: FOLLOWING. Timeout: RETRY, plus SLOW in parallel |
 | FOLLOWING | changes, held for 1.5 s | 2.0 s | an answer: FOLLOWING. Anything else: RETRY |
-| RETRY | | 0.1 s | CONNECTING |
-| SLOW | the one that was late | 2.0 s more | an answer or the end of its time: it ends |
-
-After a failure the next call is for the whole list: which changes discovery counts as told is not
-known. The pause before it is fixed and short, because a drain that discovery counts as told must be
-kept within 0.3 s. SLOW runs beside the others, at most once: an answer of an agent that is slow,
-but not dead, still counts, unless a newer list has come meanwhile.
+| RETRY | | 0.1 s pause | CONNECTING |
+| SLOW | the call that timed out | 2.0 s more | an answer or timeout: it ends |
+
+After a failure the next call asks for the full list, because it is not known which changes
+discovery regards as delivered. The pause before it is fixed and short, because a drain that
+discovery regards as delivered must be obeyed within 0.3 s. At most one SLOW runs in parallel to the
+other states: the answer of an agent that is slow but alive is still used, unless a newer list has
+arrived in the meantime.
 """
 
 from __future__ import annotations
@@ -35,27 +36,26 @@
 from hazelhollow.net.stats import Stats
 
 PATH = "/discovery/hosts"
-LONG_POLL_S = 1.5  # that discovery may hold a call without changes; the time in which silence shows
-SILENCE_TIMEOUT_S = 0.5  # past LONG_POLL_S: then the call counts as lost
-# The agent accepts and answers at once; one that takes longer is asked again, and heard all the
-# same up to SLOW_ANSWER_TIMEOUT_S.
+LONG_POLL_S = 1.5  # for which discovery may hold a call; bounds how late its silence is noticed
+SILENCE_TIMEOUT_S = 0.5  # after LONG_POLL_S; the call then counts as lost
+# The agent normally accepts and answers at once. After these timeouts it is asked again, while a
+# late answer to the first call is still accepted for SLOW_ANSWER_TIMEOUT_S.
 CONNECT_TIMEOUT_S = 0.15
 SNAPSHOT_TIMEOUT_S = 0.15
 SLOW_ANSWER_TIMEOUT_S = 2.0
-RETRY_PAUSE_S = 0.1  # the platform asks that a watch goes on within 0.2 s
+RETRY_PAUSE_S = 0.1  # the platform requires that a watch resumes within 0.2 s
 
 log = logging.getLogger(__name__)
 
 
 class DiscoveryWatch:
-    """Asks discovery again and again, and applies its answers to the endpoint list.
+    """Polls discovery without end and applies its answers to the endpoint list.
 
     Attributes:
-        address: Where discovery is.
-        is_following: Whether the list that stands is one that this watch has heard, so that the
-            next call asks for changes to it.
-        free_descriptor: Frees a descriptor for the connection, where one can be had, and says
-            whether it did.
+        address: Discovery's address.
+        is_following: Whether the current list came from this watch, so that the next call asks only
+            for changes to it.
+        free_descriptor: Frees a descriptor for the connection if possible; returns whether it did.
     """
 
     def __init__(
@@ -66,20 +66,20 @@
         endpoint_list: EndpointList,
         on_change: Callable[[api.EndpointsUpdated], None],
     ) -> None:
-        """`on_change`: called with each list, and each change that has entries."""
+        """`on_change`: called with each full list, and with each change that has entries."""
         self._scheduler, self._stats, self.address = scheduler, stats, address
         self._endpoint_list, self._on_change = endpoint_list, on_change
         self.free_descriptor: Callable[[], bool] = lambda: False
         self.is_following = False
         self._log = RateLimitedLog(log, scheduler.clock)
         self._stream: stream.Stream | None = None
-        self._slow_stream: stream.Stream | None = None  # on which a late answer may still come
+        self._slow_stream: stream.Stream | None = None  # on which a late answer may still arrive
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is at that address from now on.
+        """Changes discovery's address.
 
-        Takes effect at once, not when the call that is out ends. The new one's versions need not be
-        the old one's, so it is asked for the whole list first.
+        The change takes effect at once: calls in flight are closed. The versions at the new address
+        may differ from those at the old one, so the full list is requested first.
         """
         if address != self.address:
             self.address, self.is_following = address, False
@@ -88,7 +88,7 @@
                     connection.close(CloseReason.MOVED)
 
     def run(self) -> None:
-        """Watches, for ever."""
+        """Polls discovery without end."""
         while True:
             reason = CloseReason.BROKEN_HERE
             try:
@@ -102,7 +102,7 @@
                 self._scheduler.sleep(RETRY_PAUSE_S)
 
     def _run_connection(self) -> CloseReason:
-        """One connection and the calls on it; returns why it ended."""
+        """Makes the calls on one connection; returns why the connection ended."""
         connection = self._new_stream()
         if isinstance(connection, CloseReason):
             return connection
@@ -111,28 +111,28 @@
         try:
             failure = connection.connect(self.address, self._scheduler.clock() + CONNECT_TIMEOUT_S)
             is_up = failure is None
-            reason = failure or self._checked(self._make_calls, connection, parser)
+            reason = failure or self._run_checked(self._make_calls, connection, parser)
         finally:
             is_late = reason in (CloseReason.NEVER_UP, CloseReason.TIMED_OUT)
             if is_late and not self.is_following and self._slow_stream is None:
                 self._slow_stream = connection
-                lists_heard = self._stats.tables
+                lists_received = self._stats.tables
                 self._scheduler.spawn(
-                    self._run_slow, connection, parser, is_up, lists_heard, name="slow discovery"
+                    self._run_slow, connection, parser, is_up, lists_received, name="slow discovery"
                 )
             else:
                 connection.close(reason)
         return reason
 
     def _new_stream(self) -> stream.Stream | CloseReason:
-        """A socket; where clients hold all descriptors, one of theirs goes for it."""
+        """Returns a new socket; if no descriptor is left, one is freed for it if possible."""
         connection = stream.unconnected(self._scheduler, http1.MAX_HEAD_BYTES)
         if connection is CloseReason.NO_DESCRIPTOR and self.free_descriptor():
             connection = stream.unconnected(self._scheduler, http1.MAX_HEAD_BYTES)
         return connection
 
-    def _checked(self, run: Callable[..., CloseReason], *args: Any) -> CloseReason:
-        """Runs a part of the protocol; what discovery gets wrong in it ends the connection."""
+    def _run_checked(self, run: Callable[..., CloseReason], *args: Any) -> CloseReason:
+        """Runs a part of the protocol; a malformed answer from discovery ends the connection."""
         try:
             return run(*args)
         except (ProtocolError, DiscoveryError, orjson.JSONDecodeError) as error:
@@ -140,27 +140,29 @@
             return CloseReason.MALFORMED
 
     def _run_slow(
-        self, connection: stream.Stream, parser: http1.Parser, is_up: bool, lists_heard: int
+        self, connection: stream.Stream, parser: http1.Parser, is_up: bool, lists_received: int
     ) -> None:
-        """The state SLOW."""
+        """Runs the state SLOW."""
         reason = CloseReason.BROKEN_HERE
         try:
-            reason = self._checked(self._hear_slow, connection, parser, is_up, lists_heard)
+            reason = self._run_checked(
+                self._await_late_answer, connection, parser, is_up, lists_received
+            )
         finally:
             connection.close(reason)
             self._slow_stream = None
 
-    def _hear_slow(
-        self, connection: stream.Stream, parser: http1.Parser, is_up: bool, lists_heard: int
+    def _await_late_answer(
+        self, connection: stream.Stream, parser: http1.Parser, is_up: bool, lists_received: int
     ) -> CloseReason:
         """Waits for a late answer.
 
         Args:
-            connection: Where it may come.
-            parser: With what has come of it.
-            is_up: Whether the connection was up in time, so that the call has been sent.
-            lists_heard: How many lists had been heard when this state began; where one has come
-                since, the late one is older.
+            connection: The connection on which it may arrive.
+            parser: The parser, with the part of the answer that has already arrived.
+            is_up: Whether the connection was established in time, so that the call has been sent.
+            lists_received: The number of lists received when this state began. If another list has
+                arrived since, the late one is older and is ignored.
         """
         until = self._scheduler.clock() + SLOW_ANSWER_TIMEOUT_S
         if not is_up:
@@ -171,15 +173,15 @@
         response = self._await_response(connection, parser, until)
         if isinstance(response, CloseReason):
             return response
-        if response.status == 200 and lists_heard == self._stats.tables:
-            self._take_list(response.body)
+        if response.status == 200 and lists_received == self._stats.tables:
+            self._apply_list(response.body)
         return CloseReason.ANSWERED
 
     def _send_call(self, connection: stream.Stream, target: str) -> None:
         connection.write(http1.get(target, f"{self.address[0]}:{self.address[1]}"))
 
     def _make_calls(self, connection: stream.Stream, parser: http1.Parser) -> CloseReason:
-        """SNAPSHOT and FOLLOWING, on one connection."""
+        """Runs the states SNAPSHOT and FOLLOWING on one connection."""
         while True:
             query, timeout = "", SNAPSHOT_TIMEOUT_S
             if self.is_following:
@@ -192,7 +194,7 @@
             if response.status != 200:
                 self._log.warning("discovery: status %d", response.status)
                 return CloseReason.MALFORMED
-            self._take_list(response.body)
+            self._apply_list(response.body)
             if not response.keep_alive:
                 return CloseReason.ANSWERED
 
@@ -202,7 +204,7 @@
         response = parser.next()
         while response is None:
             is_late = connection.wait(until) == TIMED_OUT
-            # Read also when the time is over: this process may have been the late one.
+            # Read even after the timeout, because this process itself may have been delayed.
             data = connection.read(stream.READ_CHUNK_BYTES)
             if data is None and is_late:
                 return CloseReason.TIMED_OUT
@@ -214,7 +216,7 @@
                 response = parser.next()
         return response
 
-    def _take_list(self, body: bytes) -> None:
+    def _apply_list(self, body: bytes) -> None:
         min_version = self._endpoint_list.version if self.is_following else 0
         event = self._endpoint_list.apply(orjson.loads(body), min_version=min_version)
         self._stats.tables += 1
