--- a/hazelhollow/net/endpoint_list.py
+++ b/hazelhollow/net/endpoint_list.py
@@ -1,13 +1,13 @@
-"""The endpoint list: reading what discovery gives, whole or as a change, into the list that stands.
+"""The endpoint list: applies discovery's full lists and changes to the current list.
 
-No I/O. `discovery_watch` feeds it; `service` passes its events on to the decision engine and its
-addresses to the connection pool.
+This module does no I/O. `discovery_watch` feeds it; `service` passes its events to the decision
+engine and its addresses to the connection pool.
 
-| discovery's `status` | state of the entry | new work | requests in flight |
+| discovery's `status` | state of the entry | new requests | requests in flight |
 | --- | --- | --- | --- |
-| `in_service` | up | yes | go on |
-| `terminating` | draining | no | go on |
-| `terminated` | gone: the entry is dropped | no | go on until their connections end |
+| `in_service` | up | yes | continue |
+| `terminating` | draining | no | continue |
+| `terminated` | gone: the entry is removed | no | continue until their connections end |
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 class EndpointList:
-    """The list as it stands.
+    """The current endpoint list.
 
     Attributes:
-        version: Discovery's number of it.
-        entries: By endpoint name; those that are gone are left out.
-        addresses: Of the same endpoints.
-        ever_listed: The names that any list of this process has held.
+        version: Discovery's version number of the list.
+        entries: The entries by endpoint name, without endpoints that are gone.
+        addresses: The addresses of the same endpoints.
+        ever_listed: All endpoint names that were ever listed in this process.
     """
 
     def __init__(self) -> None:
@@ -47,48 +47,48 @@
     def apply(
         self, document: Any, cached: bool = False, min_version: int = 0
     ) -> api.EndpointsUpdated:
-        """Takes in a whole list or the changes to it. All is read before any of it is applied.
+        """Applies a full list or a change. The document is parsed completely before it is applied.
 
-        An entry of a whole list that cannot be read is left out: asked again, discovery would say
-        the same, and one odd entry must not hide all others. Among changes it may be a drain that
-        would be missed, so there it is an error, after which the whole list is asked for.
+        In a full list an unreadable entry is skipped: discovery would return the same entry again,
+        and one bad entry must not hide all others. In a change an unreadable entry may be a drain,
+        which must not be missed, so it is an error, after which the full list is requested.
 
         Args:
-            document: Discovery's JSON, decoded.
-            cached: It is the list of the configuration file, which may be old.
-            min_version: Changes of an earlier version than this are an error.
+            document: Discovery's decoded JSON.
+            cached: Whether this is the list of the configuration file, which may be outdated.
+            min_version: A change with a lower version is an error.
 
         Returns:
             The event for the decision engine.
 
         Raises:
-            EndpointListError: It is not of discovery's form; nothing has changed.
+            EndpointListError: The document is malformed or outdated; the list is unchanged.
         """
         try:
-            version, whole = int(document["index"]), bool(document["snapshot"])
+            version, is_snapshot = int(document["index"]), bool(document["snapshot"])
             raw_entries = list(document["endpoints"])
         except (KeyError, TypeError, ValueError) as error:
             raise EndpointListError(f"not a routing table: {error!r}") from None
-        if not whole and version < min_version:
+        if not is_snapshot and version < min_version:
             raise EndpointListError(
-                f"a change to version {version}, older than the list's {min_version}"
+                f"change to version {version} is older than the list's version {min_version}"
             )
-        read = _read_entries(raw_entries, skip_unreadable=whole or not min_version)
+        parsed = _parse_entries(raw_entries, skip_unreadable=is_snapshot or not min_version)
         self.version = version
-        if whole:
+        if is_snapshot:
             self.entries, self.addresses = {}, {}
-        for entry, address in read:
+        for entry, address in parsed:
             self.ever_listed.add(entry.name)
             if entry.state == "gone":
                 self.entries.pop(entry.name, None)
                 self.addresses.pop(entry.name, None)
             else:
                 self.entries[entry.name], self.addresses[entry.name] = entry, address
-        kind: api.ListKind = "cached" if cached else "full" if whole else "change"
-        return api.EndpointsUpdated(kind, tuple(entry for entry, _ in read))
+        kind: api.ListKind = "cached" if cached else "full" if is_snapshot else "change"
+        return api.EndpointsUpdated(kind, tuple(entry for entry, _ in parsed))
 
     def in_service_addresses(self) -> dict[str, tuple[str, int]]:
-        """The addresses of the endpoints that may get new work."""
+        """Returns the addresses of the endpoints that may receive new requests."""
         return {
             name: self.addresses[name]
             for name, entry in self.entries.items()
@@ -96,21 +96,21 @@
         }
 
 
-def _read_entries(
+def _parse_entries(
     raw_entries: list[Any], skip_unreadable: bool
 ) -> list[tuple[api.EndpointEntry, tuple[str, int]]]:
-    read = []
+    parsed = []
     for raw in raw_entries:
         try:
-            read.append((_read_entry(raw), parse_address(raw["address"])))
+            parsed.append((_parse_entry(raw), parse_address(raw["address"])))
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.warning("discovery: an unreadable entry: %r", error)
+            log.warning("discovery: cannot read an entry of the endpoint list: %r", error)
             if not skip_unreadable:
-                raise EndpointListError(f"a change that cannot be read: {error!r}") from None
-    return read
+                raise EndpointListError(f"cannot read an entry of a change: {error!r}") from None
+    return parsed
 
 
-def _read_entry(raw: Any) -> api.EndpointEntry:
+def _parse_entry(raw: Any) -> api.EndpointEntry:
     return api.EndpointEntry(
         name=str(raw["name"]),
         state=_STATES[raw["status"]],
--- a/hazelhollow/net/gc_pauses.py
+++ b/hazelhollow/net/gc_pauses.py
@@ -1,25 +1,24 @@
-"""Keeps the passes of Python's cycle collector so short that no request waits for one.
+"""Keeps the passes of Python's cycle collector short, so that they do not delay requests.
 
-Nearly everything that a limiter lets go of is freed by its reference count; the collector finds the
-rare cycles. A pass holds up the event loop while it goes through every object of its generation, so
-the young generations are kept small, and what lives as long as the process is collected once before
-serving and then left out of all passes.
+Nearly all of a limiter's garbage is freed by reference counting; the collector only finds the rare
+cycles. A pass blocks the event loop while it traverses every object of its generation. Therefore
+the young generations are kept small, and the objects that live as long as the process are frozen
+before serving, which excludes them from all passes.
 """
 
 from __future__ import annotations
 
 import gc
 
-# More objects allocated than freed, after which the youngest generation is collected.
+# Surplus of allocated over freed objects at which the youngest generation is collected.
 YOUNG_THRESHOLD = 500
-MIDDLE_THRESHOLD = 8  # passes of the youngest, after which the middle generation is collected too
-# Passes of the middle one, after which everything since the start is: later than a limiter ever
-# gets.
+MIDDLE_THRESHOLD = 8  # passes of the youngest generation per pass of the middle one
+# Passes of the middle generation per full pass: so many that a limiter never reaches a full pass.
 OLD_THRESHOLD = 10_000
 
 
 def shorten_collector_pauses() -> None:
-    """To be called once, when everything that lives as long as the process has been made."""
+    """Must be called once, after all objects that live as long as the process were created."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
