--- a/hazelhollow/net/administrative_overrides.py
+++ b/hazelhollow/net/administrative_overrides.py
@@ -1,7 +1,7 @@
-"""Endpoints that an operator has disabled: they get nothing new, whatever discovery says.
+"""Endpoints that an operator has disabled; they receive no new requests, whatever discovery says.
 
-Three sources change the set: a call at the operator address, a call at a peer (where an operator
-file replicates them), and the override file, which a second process of this limiter may have
+Three sources change the set: a call at the operator address, a call at a peer (if an operator file
+enables their replication), and the override file, which a second process of this limiter may have
 written during an upgrade. Every change is written to the file, except one that was read from it.
 """
 
@@ -20,10 +20,10 @@
 
 
 class AdministrativeOverrides:
-    """The endpoints that are disabled by hand.
+    """The set of endpoints that operators have disabled.
 
     Attributes:
-        disabled: Their names.
+        disabled: The names of the disabled endpoints.
     """
 
     def __init__(
@@ -33,32 +33,32 @@
         notify: Callable[[api.EndpointOverridden], None],
         on_change: Callable[[], None],
     ) -> None:
-        """Does not read the file yet: see `poll_file`.
+        """Does not read the file yet; see `poll_file`.
 
         Args:
-            scheduler: For the poll of the file.
-            file: Where the overrides are kept.
-            notify: Tells the decision engine of one endpoint.
-            on_change: Called when the set has changed and the engine knows.
+            scheduler: Runs the polling of the file.
+            file: Stores the overrides.
+            notify: Notifies the decision engine of a change for one endpoint.
+            on_change: Called after the set has changed and the engine has been notified.
         """
         self._scheduler, self._file = scheduler, file
         self._notify, self._on_change = notify, on_change
         self.disabled = set[str]()
 
     def poll_file(self) -> None:
-        """Takes what the file says now, and looks again every FILE_POLL_INTERVAL_S."""
+        """Applies the file if it has changed, now and then every FILE_POLL_INTERVAL_S."""
         self._scheduler.at(self._scheduler.clock() + FILE_POLL_INTERVAL_S, self.poll_file)
         found = self._file.read()
         if found is not None and found != self.disabled:
             self._replace(found)
 
     def replace(self, disabled: set[str]) -> None:
-        """Makes `disabled` the set of endpoints that get nothing new, and writes it to the file."""
+        """Replaces the set of disabled endpoints and writes it to the file."""
         self._replace(disabled)
         self._file.write(self.disabled)
 
     def apply(self, changes: dict[str, bool]) -> None:
-        """Takes overrides made here or at a peer: endpoint to whether it is disabled."""
+        """Applies overrides made here or at a peer, by endpoint name: whether it is disabled."""
         unchanged = {name for name in self.disabled if name not in changes}
         disabled = unchanged | {name for name, is_disabled in changes.items() if is_disabled}
         if disabled != self.disabled:
@@ -66,10 +66,13 @@
 
     def _replace(self, disabled: set[str]) -> None:
         for name in sorted(disabled - self.disabled):
-            log.warning("server %s is left out by hand", name)
+            log.warning("server %s disabled by operator override; it gets no new requests", name)
             self._notify(api.EndpointOverridden(name, True))
         for name in sorted(self.disabled - disabled):
-            log.warning("server %s is put back by hand", name)
+            log.warning(
+                "server %s enabled by operator override; it gets new requests if it is in service",
+                name,
+            )
             self._notify(api.EndpointOverridden(name, False))
         self.disabled = set(disabled)
         self._on_change()
--- a/hazelhollow/net/override_file.py
+++ b/hazelhollow/net/override_file.py
@@ -1,11 +1,12 @@
-"""The file of administrative overrides: which endpoints an operator has disabled.
+"""The file of administrative overrides, which lists the endpoints that an operator has disabled.
 
-It lies in `$TMPDIR`, so that a restart, or a new version started beside this process, keeps them.
-It is written completely and then put in place, so that a reader meets the old or the new file,
-never a part. A file that cannot be read, or is of another format or version, changes nothing: the
-limiter logs that once and goes on with the overrides that it has.
+It is stored in `$TMPDIR`, so that the overrides survive a restart and are shared with a new version
+that runs in parallel during an upgrade. It is written to a temporary file and then renamed, so that
+a reader sees either the old or the new file, never a partial one. A file that is unreadable or has
+another format or version changes nothing: the limiter logs the problem once and keeps its current
+overrides.
 
-The form is `{"format": "hazelhollow-bans", "version": 1, "down": [NAME, ...]}`.
+The format is `{"format": "hazelhollow-bans", "version": 1, "down": [NAME, ...]}`.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 
 def path_for(limiter_name: str, directory: str | None = None) -> Path:
-    """Where the limiter of that name keeps its overrides.
+    """Returns the path of the override file of the limiter with that name.
 
-    `directory` is `$TMPDIR` by default, which the processes of one upgrade share.
+    `directory` defaults to `$TMPDIR`, which the old and the new process share during an upgrade.
     """
     folder = Path(directory or os.environ.get("TMPDIR") or tempfile.gettempdir())
     safe_name = "".join(c if c.isalnum() or c in "-_." else "_" for c in limiter_name) or "limiter"
@@ -33,56 +34,59 @@
 
 
 class OverrideFile:
-    """The names of the disabled endpoints on disk."""
+    """Reads and writes the names of the disabled endpoints on disk."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._version_seen: tuple[int, int] | None = None  # size and time of the one read last
-        self._last_complaint = ""
+        # size and mtime of the file last read or written
+        self._last_signature: tuple[int, int] | None = None
+        self._last_problem = ""
 
     def read(self) -> set[str] | None:
-        """The names, if the file has changed since it was read or written here.
+        """Returns the names if the file has changed since it was last read or written here.
 
-        None if it has not, is absent or cannot be used.
+        Returns None if it is unchanged, absent or unusable.
         """
         try:
             status = self.path.stat()
-            version = (status.st_size, status.st_mtime_ns)
-            if version == self._version_seen:
+            signature = (status.st_size, status.st_mtime_ns)
+            if signature == self._last_signature:
                 return None
-            self._version_seen = version
+            self._last_signature = signature
             document = orjson.loads(self.path.read_bytes())
         except FileNotFoundError:
             return None
         except (OSError, orjson.JSONDecodeError) as error:
             return self._reject(f"cannot be read: {error}")
         if not isinstance(document, dict) or document.get("format") != FORMAT:
-            return self._reject("is not a file of bans")
+            return self._reject("is not an override file")
         if document.get("version") != VERSION:
             return self._reject(
-                f"is of version {document.get('version')!r}, this one reads {VERSION}"
+                f"has version {document.get('version')!r}, and this limiter reads only {VERSION}"
             )
         disabled = document.get("down")
         if not isinstance(disabled, list) or not all(isinstance(name, str) for name in disabled):
-            return self._reject("'down' is not a list of server ids")
+            return self._reject("has a 'down' that is not a list of server ids")
         return set(disabled)
 
     def write(self, disabled: set[str]) -> None:
-        """Replaces the file. An error is logged: the overrides then hold in this process alone."""
+        """Replaces the file. On an error, which is logged, only this process has the overrides."""
         document = {"format": FORMAT, "version": VERSION, "down": sorted(disabled)}
-        part = self.path.with_name(f"{self.path.name}.{os.getpid()}.part")
+        temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}.part")
         try:
-            part.write_bytes(orjson.dumps(document))
-            os.replace(part, self.path)
+            temporary.write_bytes(orjson.dumps(document))
+            os.replace(temporary, self.path)
             status = self.path.stat()
-            self._version_seen = (status.st_size, status.st_mtime_ns)
+            self._last_signature = (status.st_size, status.st_mtime_ns)
         except OSError as error:
             log.error(
-                "bans: %s cannot be written, they hold in this process alone: %s", self.path, error
+                "override file %s cannot be written; the overrides hold in this process only: %s",
+                self.path,
+                error,
             )
 
-    def _reject(self, why: str) -> set[str] | None:
-        if why != self._last_complaint:
-            log.warning("bans: %s %s; it is not taken", self.path, why)
-            self._last_complaint = why
+    def _reject(self, problem: str) -> set[str] | None:
+        if problem != self._last_problem:
+            log.warning("override file %s %s; it is not taken", self.path, problem)
+            self._last_problem = problem
         return None
