--- a/hazelhollow/net/http1.py
+++ b/hazelhollow/net/http1.py
@@ -1,4 +1,4 @@
-"""The little of HTTP/1.1 that discovery needs: a request out, complete responses in. No socket."""
+"""The subset of HTTP/1.1 that discovery needs: GET requests and complete responses. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def get(target: str, host: str) -> bytes:
-    """A GET request, encoded."""
+    """Returns an encoded GET request."""
     return f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
 
 
@@ -18,8 +18,8 @@
     """One complete response.
 
     Attributes:
-        status: Of its first line.
-        body: Without its framing.
+        status: The status code.
+        body: The body without its framing.
         keep_alive: Whether another request may be sent on the connection.
     """
 
@@ -30,9 +30,9 @@
 
 
 class Parser:
-    """Fed bytes as they come; returns complete responses.
+    """An incremental parser: accepts bytes as they arrive and returns complete responses.
 
-    Reads bodies with a length, in chunks, or up to the end of the connection.
+    Supports bodies with a content length, chunked bodies, and bodies that end with the connection.
     """
 
     def __init__(self) -> None:
@@ -40,35 +40,37 @@
         self._restart()
 
     def _restart(self) -> None:
-        self._status = 0  # 0 while the head has not come
+        self._status = 0  # 0 until the head has been read
         self._keep_alive = True
-        # Bytes of the body, or of this chunk, still to come; -1: a chunk's size comes next.
-        self._left = -1
+        # Remaining bytes of the body or of the current chunk; -1: the next line is a chunk's size.
+        self._bytes_left = -1
         self._chunked = self._until_close = False
         self._in_trailer = False
         self._body = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes.
+        """Adds received bytes.
 
         Raises:
-            ProtocolError: Too much waits to be parsed.
+            ProtocolError: The buffer of unparsed bytes is full.
         """
         try:
             self.ring.write(data)
         except RingBufferFullError:
-            raise ProtocolError("too much at once") from None
+            raise ProtocolError(
+                f"no room to buffer {len(data)} more bytes of an HTTP response"
+            ) from None
 
     def next(self) -> Response | None:
-        """The next response, if it is complete.
+        """Returns the next response, or None if it is not complete yet.
 
         Raises:
-            ProtocolError: It is not HTTP/1.1, or too large; the parser is of no use then.
+            ProtocolError: The response is not HTTP/1.1 or too large; the parser is then unusable.
         """
         while not self._status:
             if not self._read_head():
                 return None
-            if 100 <= self._status < 200:  # informational: the response is still to come
+            if 100 <= self._status < 200:  # informational: the actual response follows
                 self._restart()
         if self._until_close or not (
             self._read_chunks() if self._chunked else self._read_sized_body()
@@ -77,9 +79,9 @@
         return self._finish()
 
     def end(self) -> Response | None:
-        """The other side has closed the connection: the response that ends with it, if any.
+        """Handles the end of the connection; returns the response that ends with it, if any.
 
-        Not to be called after a reset: what came before that may be incomplete.
+        Must not be called after a reset, because the data received before it may be incomplete.
 
         Raises:
             ProtocolError: The body is too large.
@@ -88,7 +90,7 @@
             return None
         self._body += self.ring.take(len(self.ring))
         if len(self._body) > MAX_BODY_BYTES:
-            raise ProtocolError("too large a body")
+            raise ProtocolError(f"HTTP body longer than {MAX_BODY_BYTES} bytes")
         return self._finish()
 
     def _finish(self) -> Response:
@@ -96,27 +98,27 @@
         self._restart()
         return response
 
-    def _take_line(self) -> bytes | None:
+    def _read_line(self) -> bytes | None:
         at = self.ring.find(b"\r\n")
         if at > MAX_HEAD_BYTES or (at < 0 and len(self.ring) > MAX_HEAD_BYTES):
-            raise ProtocolError("too long a line")
+            raise ProtocolError(f"HTTP line longer than {MAX_HEAD_BYTES} bytes")
         return self.ring.take(at + 2)[:-2] if at >= 0 else None
 
     def _read_head(self) -> bool:
         at = self.ring.find(b"\r\n\r\n")
         if at > MAX_HEAD_BYTES or (at < 0 and len(self.ring) > MAX_HEAD_BYTES):
-            raise ProtocolError("too long a head")
+            raise ProtocolError(f"HTTP response head longer than {MAX_HEAD_BYTES} bytes")
         if at < 0:
             return False
         first, *lines = self.ring.take(at + 4)[:-4].split(b"\r\n")
         parts = first.split(b" ", 2)
         if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or not parts[1].isdigit():
-            raise ProtocolError("not an HTTP/1.1 answer")
+            raise ProtocolError("malformed HTTP/1.1 status line")
         fields: dict[bytes, bytes] = {}
         for line in lines:
             name, colon, value = line.partition(b":")
             if not colon:
-                raise ProtocolError("a header without a colon")
+                raise ProtocolError("HTTP header without a colon")
             fields[name.strip().lower()] = value.strip()
         connection = fields.get(b"connection", b"").lower()
         self._status = int(parts[1])
@@ -129,27 +131,27 @@
         self._keep_alive = self._keep_alive and not self._until_close
         length = fields.get(b"content-length", b"0")
         if not length.isdigit() or int(length) > MAX_BODY_BYTES:
-            raise ProtocolError("a length out of range")
-        self._left = -1 if self._chunked else int(length)
+            raise ProtocolError(f"Content-Length is not a number up to {MAX_BODY_BYTES}")
+        self._bytes_left = -1 if self._chunked else int(length)
         return True
 
     def _read_sized_body(self) -> bool:
-        if len(self.ring) < self._left:
+        if len(self.ring) < self._bytes_left:
             return False
-        self._body += self.ring.take(self._left)
+        self._body += self.ring.take(self._bytes_left)
         return True
 
     def _read_chunks(self) -> bool:
         while True:
-            if self._left >= 0:
-                if len(self.ring) < self._left + 2:
+            if self._bytes_left >= 0:
+                if len(self.ring) < self._bytes_left + 2:
                     return False
-                self._body += self.ring.take(self._left + 2)[:-2]
+                self._body += self.ring.take(self._bytes_left + 2)[:-2]
                 if len(self._body) > MAX_BODY_BYTES:
-                    raise ProtocolError("too large a body")
-                self._left = -1
+                    raise ProtocolError(f"HTTP body longer than {MAX_BODY_BYTES} bytes")
+                self._bytes_left = -1
                 continue
-            line = self._take_line()
+            line = self._read_line()
             if line is None:
                 return False
             if self._in_trailer:
@@ -159,7 +161,7 @@
             try:
                 size = int(line.split(b";")[0], 16)
             except ValueError:
-                raise ProtocolError("not a chunk's size") from None
+                raise ProtocolError("malformed HTTP chunk size") from None
             if not 0 <= size <= MAX_BODY_BYTES:
-                raise ProtocolError("a length out of range")
-            self._left, self._in_trailer = (size, False) if size else (-1, True)
+                raise ProtocolError(f"HTTP chunk size is not between 0 and {MAX_BODY_BYTES} bytes")
+            self._bytes_left, self._in_trailer = (size, False) if size else (-1, True)
