--- a/hazelhollow/net/operator_address.py
+++ b/hazelhollow/net/operator_address.py
@@ -1,12 +1,12 @@
-"""The operator address: one call a connection, answered at once or given up within a bound.
+"""The operator address: one call per connection, answered at once or timed out.
 
-A connection that brings no whole call, or does not take its answer, is closed within a second, so
-that it cannot keep others out. The states of a connection:
+A connection that sends no complete call, or does not read its answer, is closed within a second, so
+that it cannot block other callers. The states of a connection:
 
-| state | left by |
+| state | transitions |
 | --- | --- |
-| READING | a whole call, a bad one, or 0.5 s without one: ANSWERING. The caller closes: CLOSED |
-| ANSWERING | the caller has taken the answer: DRAINING. 0.4 s pass: CLOSED |
+| READING | a complete call, an invalid one, or 0.5 s: ANSWERING. The caller closes: CLOSED |
+| ANSWERING | the answer is sent: DRAINING. 0.4 s pass: CLOSED |
 | DRAINING | the caller closes, 0.4 s pass, or it sends 64 KiB more: CLOSED |
 """
 
@@ -23,11 +23,11 @@
 from hazelhollow.net.scheduler import READABLE, TIMED_OUT, Scheduler
 from hazelhollow.net.stats import Stats
 
-CALL_TIMEOUT_S = 0.5  # from a connection to its whole call; the page promises answers within 1 s
-ANSWER_TIMEOUT_S = 0.4  # in which the caller is to take the answer, and then to close
-MAX_CALLERS = 32  # connections at once; one more closes the oldest
+CALL_TIMEOUT_S = 0.5  # from connection to complete call; answers are promised within 1 s
+ANSWER_TIMEOUT_S = 0.4  # for the caller to read the answer, and again for it to close
+MAX_CALLERS = 32  # concurrent connections; one more closes the oldest
 MAX_ANSWER_BYTES = 1 << 20
-MAX_DISCARDED_BYTES = 1 << 16  # behind the call, which nobody reads
+MAX_DISCARDED_BYTES = 1 << 16  # received after the call and ignored
 LISTEN_BACKLOG = 64
 
 log = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
     """The listening socket and its callers.
 
     Attributes:
-        address: Where it listens.
+        address: The address on which it listens.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         listen: tuple[str, int],
     ) -> None:
         self._scheduler, self._stats, self._console = scheduler, stats, console
-        self._callers: dict[stream.Stream, None] = {}  # the oldest first
+        self._callers: dict[stream.Stream, None] = {}  # in order of connection
         self._log = RateLimitedLog(log, scheduler.clock)
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -58,7 +58,7 @@
         self.address: tuple[str, int] = self._sock.getsockname()
 
     def run(self) -> None:
-        """Accepts callers, for ever."""
+        """Accepts callers without end."""
         for sock in stream.accept_connections(self._scheduler, self._sock):
             if len(self._callers) >= MAX_CALLERS:
                 oldest = next(iter(self._callers))
@@ -71,22 +71,22 @@
     def _run_caller(self, caller: stream.Stream) -> None:
         reason = CloseReason.BROKEN_HERE
         try:
-            reason = self._serve(caller)
+            reason = self._answer_call(caller)
         finally:
             self._stats.operator_endings[reason] += 1
             if caller.close_reason is None and not caller.send_buffer:
-                # it may have sent more than its call: closed over that, it would lose the answer
+                # Closing a socket with unread input resets it, and the answer could be lost.
                 caller.shutdown_send()
                 caller.discard_until_closed(ANSWER_TIMEOUT_S, MAX_DISCARDED_BYTES)
             caller.close(reason)
             self._callers.pop(caller, None)
 
-    def _serve(self, caller: stream.Stream) -> CloseReason:
-        until, parser = self._scheduler.clock() + CALL_TIMEOUT_S, operator_calls.Parser()
+    def _answer_call(self, caller: stream.Stream) -> CloseReason:
+        deadline, parser = self._scheduler.clock() + CALL_TIMEOUT_S, operator_calls.Parser()
         call = None
         try:
             while call is None:
-                bits = caller.wait(until, READABLE)
+                bits = caller.wait(deadline, READABLE)
                 if caller.close_reason:
                     return caller.close_reason
                 if bits == TIMED_OUT:
@@ -101,15 +101,15 @@
             return self._send_error(caller, str(error), CloseReason.MALFORMED)
         self._stats.operator_calls[call.verb] += 1
         caller.write(self._console.answer(call))
-        return self._send_rest(caller, CloseReason.CLOSED)
+        return self._finish_sending(caller, CloseReason.CLOSED)
 
     def _send_error(self, caller: stream.Stream, why: str, reason: CloseReason) -> CloseReason:
         self._log.warning("operator address: %s", why)
         caller.write(b"error %b\n" % why.encode())
-        return self._send_rest(caller, reason)
+        return self._finish_sending(caller, reason)
 
-    def _send_rest(self, caller: stream.Stream, reason: CloseReason) -> CloseReason:
-        """Waits until the answer has gone out; what the caller sends meanwhile is not read."""
+    def _finish_sending(self, caller: stream.Stream, reason: CloseReason) -> CloseReason:
+        """Waits until the answer has been sent; input that arrives meanwhile is not read."""
         until = self._scheduler.clock() + ANSWER_TIMEOUT_S
         caller.flush()
         while caller.send_buffer and caller.close_reason is None:
@@ -118,6 +118,6 @@
         return reason
 
     def close(self) -> None:
-        """Listens no more."""
+        """Closes the listening socket."""
         self._scheduler.unregister(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/net/operator_calls.py
+++ b/hazelhollow/net/operator_calls.py
@@ -1,4 +1,4 @@
-"""The calls of the operator address: one line each, read from bytes fed in. No socket, no clock."""
+"""Parses the calls of the operator address, which are one line each. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from hazelhollow.net.errors import OperatorCallError
 
-MAX_LINE_BYTES = 256  # of a call with its end of line
-ENDPOINT_VERBS = ("set-down", "set-up")  # take an endpoint's name
-ARGUMENT_VERBS = ("config",)  # take arguments that `hazelhollow.configuration.config_call` reads
+MAX_LINE_BYTES = 256  # including the end of the line
+ENDPOINT_VERBS = ("set-down", "set-up")  # with an endpoint's name as argument
+ARGUMENT_VERBS = ("config",)  # with arguments that `Attachment.config_call` parses
 VERBS = ("check", "vars", "fleet", "audit", *ENDPOINT_VERBS, *ARGUMENT_VERBS)
 HELP = "calls: check, vars, set-down ID, set-up ID"
 _ENDPOINT_NAME = re.compile(r"[!-~]{1,128}")
@@ -20,27 +20,27 @@
 
     Attributes:
         verb: One of VERBS.
-        server: The endpoint's name, for ENDPOINT_VERBS.
-        arguments: What follows the verb, for ARGUMENT_VERBS.
+        endpoint: The endpoint's name, for ENDPOINT_VERBS.
+        arguments: The words after the verb, for ARGUMENT_VERBS.
     """
 
     verb: str
-    server: str = ""
+    endpoint: str = ""
     arguments: tuple[str, ...] = ()
 
 
 class Parser:
-    """Collects bytes up to the first end of line and reads the call; what follows is not read."""
+    """Collects bytes up to the first end of line and parses the call; later bytes are ignored."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._call: OperatorCall | None = None
 
     def feed(self, data: bytes) -> OperatorCall | None:
-        """Takes bytes as they come; gives the call once its line is complete.
+        """Adds received bytes; returns the call once its line is complete.
 
         Raises:
-            OperatorCallError: There is no such call.
+            OperatorCallError: The line is not a valid call.
         """
         if self._call is not None:
             return self._call
@@ -50,24 +50,24 @@
             raise OperatorCallError(f"a line longer than {MAX_LINE_BYTES} bytes")
         if end < 0:
             return None
-        self._call = read(bytes(self._buffer[:end]))
+        self._call = parse_line(bytes(self._buffer[:end]))
         return self._call
 
     def partial(self) -> bool:
-        """Whether a part of a line has come."""
+        """Whether an incomplete line has been received."""
         return bool(self._buffer) and self._call is None
 
 
-def unknown(verb: str) -> OperatorCallError:
-    """The error for a call that does not exist, or that is switched off."""
+def unknown_call_error(verb: str) -> OperatorCallError:
+    """Returns the error for a call that does not exist or is disabled."""
     return OperatorCallError(f"no call '{verb[:32]}'; {HELP}")
 
 
-def read(line: bytes) -> OperatorCall:
-    """Reads one line without its newline; a carriage return before that is allowed.
+def parse_line(line: bytes) -> OperatorCall:
+    """Parses one line without its newline; a trailing carriage return is allowed.
 
     Raises:
-        OperatorCallError: There is no such call.
+        OperatorCallError: The line is not a valid call.
     """
     try:
         text = line.removesuffix(b"\r").decode("ascii")
@@ -78,7 +78,7 @@
         raise OperatorCallError(f"an empty line; {HELP}")
     verb, arguments = parts[0].lower(), parts[1:]
     if verb not in VERBS:
-        raise unknown(parts[0])
+        raise unknown_call_error(parts[0])
     if verb in ARGUMENT_VERBS:
         return OperatorCall(verb, arguments=tuple(arguments))
     if verb in ENDPOINT_VERBS:
--- a/hazelhollow/net/operator_client.py
+++ b/hazelhollow/net/operator_client.py
@@ -1,4 +1,4 @@
-"""One call at a limiter's operator address, for command lines: it blocks."""
+"""A blocking client for a limiter's operator address, for use by command-line tools."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from hazelhollow.platform_config import parse_address
 
-TIMEOUT_S = 2.0  # to connect, and between two parts of the answer
+TIMEOUT_S = 2.0  # to connect, and for each read of the answer
 READ_CHUNK_BYTES = 1 << 16
 
 
 class NoAnswerError(Exception):
-    """Nobody answered at that address; the text is one plain line that says why."""
+    """A call got no answer; the message is one line that gives the address and the reason."""
 
 
 def ask(host_and_port: str, call: str) -> bytes:
-    """The complete answer to one call.
+    """Makes one call and returns the complete answer.
 
     Raises:
-        NoAnswerError: Nobody answered, or the address is none.
+        NoAnswerError: There was no answer, or the address is invalid.
     """
     try:
         with socket.create_connection(parse_address(host_and_port), timeout=TIMEOUT_S) as sock:
@@ -27,5 +27,5 @@
     except (OSError, ValueError) as error:
         raise NoAnswerError(f"{host_and_port}: {error}") from None
     if not answer:
-        raise NoAnswerError(f"{host_and_port}: an empty answer")
+        raise NoAnswerError(f"{host_and_port}: the limiter closed the connection without an answer")
     return answer
--- a/hazelhollow/net/operator_console.py
+++ b/hazelhollow/net/operator_console.py
@@ -1,7 +1,7 @@
-"""What the calls of the operator address do, and their answers.
+"""Executes the calls of the operator address and builds their answers.
 
-`operator_calls` reads a call, this module carries it out, `operator_address` moves the bytes. The
-figures' names and the answers are fixed by docs/operators/days-of-service.md.
+`operator_calls` parses a call, this module executes it, and `operator_address` handles the
+connection. docs/operators/days-of-service.md specifies the figures' names and the answers.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 
 class OperatorConsole:
-    """Carries out operators' calls at one limiter."""
+    """Executes operators' calls at one limiter."""
 
     def __init__(self, service: Service) -> None:
         self._service = service
 
     def answer(self, call: operator_calls.OperatorCall) -> bytes:
-        """The whole answer to one call."""
+        """Executes a call and returns its complete answer."""
         if call.verb == "check":
             return b"done ready\n" if self.is_ready() else b"error not ready yet\n"
         if call.verb == "vars":
-            return _document(self.figures())
+            return _encode_document(self.figures())
         if call.verb in ("fleet", "audit", "config"):
-            return self._ask_attachment(call)
-        why_not = self._set_disabled(call.server, call.verb == "set-down")
-        if why_not:
-            return b"error %b\n" % why_not.encode()
-        return b"done %b %b\n" % (call.verb.encode(), call.server.encode())
+            return self._call_attachment(call)
+        error = self._set_disabled(call.endpoint, call.verb == "set-down")
+        if error:
+            return b"error %b\n" % error.encode()
+        return b"done %b %b\n" % (call.verb.encode(), call.endpoint.encode())
 
     def is_ready(self) -> bool:
-        """Whether this limiter may be given work."""
+        """Whether this limiter may receive requests."""
         service = self._service
         return (
             service.frontend.is_ready()
@@ -45,7 +45,7 @@
         )
 
     def figures(self) -> dict[str, Any]:
-        """The figures as of now, counted since the start of this process."""
+        """Returns the current figures; counters start at the start of this process."""
         service = self._service
         stats, listed = service.stats, service.endpoint_list.entries
         targets = {name for name, entry in listed.items() if entry.state != "gone"}
@@ -59,37 +59,39 @@
             "reload_failure": stats.reload_failure,
         }
 
-    def _ask_attachment(self, call: operator_calls.OperatorCall) -> bytes:
-        """Calls that an operator file switches on; without it they do not exist."""
+    def _call_attachment(self, call: operator_calls.OperatorCall) -> bytes:
+        """Answers the calls that exist only if an operator file enables them."""
         attachment = self._service.attachment
         if call.verb == "config":
             text = attachment.config_call(call.arguments) if attachment else None
-            return _unknown(call.verb) if text is None else b"%b\n" % text.encode()
+            return _unknown_call(call.verb) if text is None else b"%b\n" % text.encode()
         document: Any = None
         if attachment:
             document = (
                 attachment.fleet_document() if call.verb == "fleet" else attachment.audit_entries()
             )
-        return _unknown(call.verb) if document is None else _document(document)
+        return _unknown_call(call.verb) if document is None else _encode_document(document)
 
     def _set_disabled(self, name: str, disabled: bool) -> str | None:
-        """Disables or enables an endpoint; returns why that cannot be done, if it cannot.
+        """Disables or enables an endpoint; returns the error message if that is impossible.
 
-        Done again, it changes nothing.
+        The call is idempotent.
         """
         service = self._service
-        before = service.overrides.disabled
-        if name not in service.endpoint_list.ever_listed and name not in before:
+        disabled_before = service.overrides.disabled
+        if name not in service.endpoint_list.ever_listed and name not in disabled_before:
             return f"no server '{name}' has been listed"
-        service.overrides.replace(before | {name} if disabled else before - {name})
+        service.overrides.replace(
+            disabled_before | {name} if disabled else disabled_before - {name}
+        )
         if service.attachment:
             service.attachment.override_set(name, disabled)
         return None
 
 
-def _document(value: Any) -> bytes:
+def _encode_document(value: Any) -> bytes:
     return orjson.dumps(value) + b"\nend\n"
 
 
-def _unknown(verb: str) -> bytes:
-    return b"error %b\n" % str(operator_calls.unknown(verb)).encode()
+def _unknown_call(verb: str) -> bytes:
+    return b"error %b\n" % str(operator_calls.unknown_call_error(verb)).encode()
