--- a/hazelhollow/net/rate_limited_log.py
+++ b/hazelhollow/net/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""A log that stays small however often others cause it to be written."""
+"""A rate limit for log lines that clients, peers or discovery can cause."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class RateLimitedLog:
-    """Passes on so many lines a second, and says with the next one how many it left out.
+    """Limits log lines per second; the next line that is written reports how many were dropped.
 
     Attributes:
-        suppressed: Lines left out since the last one that was written.
+        suppressed: The number of lines dropped since the last line that was written.
     """
 
     def __init__(
@@ -22,11 +22,11 @@
         self._allowed, self._refilled_at, self.suppressed = per_second, clock(), 0
 
     def warning(self, text: str, *args: object) -> bool:
-        """As `log`, at level WARNING."""
+        """Calls `log` at level WARNING."""
         return self.log(logging.WARNING, text, *args)
 
     def log(self, level: int, text: str, *args: object) -> bool:
-        """Writes the line, if the rate allows it; says whether it did."""
+        """Writes the line if the rate allows it; returns whether it did."""
         now = self._clock()
         refill = (now - self._refilled_at) * self._rate
         self._allowed = min(self._rate, self._allowed + refill)
