--- a/hazelhollow/net/settings_reload.py
+++ b/hazelhollow/net/settings_reload.py
@@ -1,17 +1,19 @@
-"""The settings in force, and how new ones take their place while the limiter serves.
+"""The settings in force, and their replacement while the limiter serves.
 
 New settings come from two sources:
 
-- SIGHUP: `reload` reads the platform's configuration file again. It takes its settings, its
-  timeouts towards endpoints and the address of discovery. Plans, the position, the number of
-  limiters, listening addresses, limits of memory and sockets and the file's list of endpoints
-  change with a restart only. The operator file is read again too, also if this one can't be.
-- a peer, where an operator file distributes settings: `check` and `apply` take a settings document.
-
-Settings that cannot be read, or that a running limiter cannot take, change nothing: those in force
-stay in force as a whole. For SIGHUP this module logs `the configuration stays as it was: WHY` and
-counts `reload_failure` (the figures of the operator address); for a peer's settings the text goes
-back to the caller. Open requests keep the class and the attempts that they came with.
+- SIGHUP: `reload` reads the platform's configuration file again and applies its settings, its
+  timeouts for endpoints and the address of discovery. Plans, the position, the number of limiters,
+  listening addresses, memory and socket limits and the file's list of endpoints change only with a
+  restart. The operator file is reloaded too, even if the configuration file cannot be read.
+- A peer, if an operator file enables the distribution of settings: `check` and `apply` accept a
+  settings document.
+
+Settings that cannot be read, or that a running limiter cannot apply, change nothing: all settings
+in force stay in force. For SIGHUP this module logs `the configuration stays as it was: WHY` and
+counts `reload_failure` (among the figures of the operator address); for a peer's settings it
+returns the reason to the caller. Open requests keep the class and the number of attempts with which
+they arrived.
 """
 
 from __future__ import annotations
@@ -31,18 +33,18 @@
     from hazelhollow.net.attachment import Attachment
 
 MAX_LOGGED_CLASSES = 8
-# Parts of the settings that are each limiter's own: a peer's document does not replace them.
+# Settings that are specific to each limiter; a peer's document does not replace them.
 OWN_SETTINGS = ("position", "zone")
 
-log = logging.getLogger("hazelhollow.net.service")  # the name that docs/operators show
+log = logging.getLogger("hazelhollow.net.service")  # the logger name in docs/operators
 
 
 class SettingsReload:
     """The settings in force, and the only way to change them.
 
     Attributes:
-        settings: In force, with what the operator file changes in them.
-        document: What they were read from.
+        settings: The settings in force, including the operator file's changes.
+        document: The document from which they were parsed.
     """
 
     def __init__(
@@ -53,25 +55,25 @@
         apply_settings: Callable[[api.Settings], None],
         apply_addresses: Callable[[PlatformConfig], None],
     ) -> None:
-        """Takes the settings of the start as they are.
+        """Adopts the settings of the initial configuration without a check.
 
         Args:
-            config: What the platform gave at the start.
-            stats: For the count of reloads.
-            attachment: What the operator file adds.
-            apply_settings: Puts settings in force; called only for such as differ from the last.
-            apply_addresses: Takes the rest of a configuration that was read again.
+            config: The platform's configuration at the start.
+            stats: Counts the reloads.
+            attachment: The subsystems that an operator file enables.
+            apply_settings: Puts settings in force; called only if they differ from the last ones.
+            apply_addresses: Applies the rest of a reloaded configuration.
         """
         self._stats, self._attachment = stats, attachment
         self._apply_settings, self._apply_addresses = apply_settings, apply_addresses
         self.settings, self.document = self._with_operator_file(config.settings), config.document
-        # The document that was found to be sound last, and the settings that were read from it.
-        self._checked: tuple[Mapping[str, Any] | None, api.Settings] = (None, self.settings)
+        # The document that was last found valid, and the settings parsed from it.
+        self._last_checked: tuple[Mapping[str, Any] | None, api.Settings] = (None, self.settings)
 
     # SIGHUP
 
     def reload(self, reread: Callable[[], PlatformConfig]) -> None:
-        """Takes the configuration file anew. Clients, attempts and budgets stay."""
+        """Reloads the configuration file. Clients, attempts and budgets are kept."""
         try:
             config = reread()
             _raise_if_fixed_parts_differ(self.settings, config.settings)
@@ -92,19 +94,19 @@
     # Settings from a peer
 
     def check(self, document: Mapping[str, Any]) -> str:
-        """Says what is wrong with a settings document, or nothing if it could be put in force."""
+        """Returns what is wrong with a settings document, or "" if it could be put in force."""
         try:
-            self._checked = document, self._read(self._with_own(document))
+            self._last_checked = document, self._parse(self._with_own_settings(document))
         except (WireError, PlatformConfigError, ValueError) as error:
             return str(error)
         return ""
 
     def apply(self, document: Mapping[str, Any]) -> str:
-        """Puts a settings document in force, or says what is wrong with it and changes nothing."""
-        error = self.check(document) if document is not self._checked[0] else ""
-        settings, self._checked = self._checked[1], (None, self.settings)
+        """Puts a settings document in force, or returns what is wrong and changes nothing."""
+        error = self.check(document) if document is not self._last_checked[0] else ""
+        settings, self._last_checked = self._last_checked[1], (None, self.settings)
         if not error:
-            self._put_in_force(settings, self._with_own(document))
+            self._put_in_force(settings, self._with_own_settings(document))
         return error
 
     def _put_in_force(self, platform_settings: api.Settings, document: Mapping[str, Any]) -> None:
@@ -118,12 +120,12 @@
     def _with_operator_file(self, settings: api.Settings) -> api.Settings:
         return self._attachment.settings(settings) if self._attachment else settings
 
-    def _with_own(self, document: Mapping[str, Any]) -> dict[str, Any]:
+    def _with_own_settings(self, document: Mapping[str, Any]) -> dict[str, Any]:
         own = {name: self.document[name] for name in OWN_SETTINGS if name in self.document}
         return {**document, **own}
 
-    def _read(self, document: Mapping[str, Any]) -> api.Settings:
-        """Raises WireError, PlatformConfigError or ValueError for what cannot be put in force."""
+    def _parse(self, document: Mapping[str, Any]) -> api.Settings:
+        """Parses a document; raises WireError, PlatformConfigError or ValueError."""
         known = KnownSettings(self.document, self.settings)
         settings = parse_settings(Fields("settings", document), known)
         _raise_if_fixed_parts_differ(self.settings, settings)
@@ -131,9 +133,9 @@
 
 
 def _raise_if_fixed_parts_differ(old: api.Settings, new: api.Settings) -> None:
-    """Raises PlatformConfigError for a change that a running limiter cannot take.
+    """Raises PlatformConfigError for a change that a running limiter cannot apply.
 
-    It cannot become another limiter of the set, and its budgets belong to the plans that it has.
+    A running limiter cannot become another one of the set, and its budgets belong to its plans.
     """
     if (old.limiter_id, old.limiter_count, old.plans) != (
         new.limiter_id,
--- a/hazelhollow/net/stats.py
+++ b/hazelhollow/net/stats.py
@@ -1,7 +1,7 @@
-"""The counters: what the limiter takes in, sends and answers, since the start of the process.
+"""The counters of received, sent and answered traffic since the start of the process.
 
-They are printed on SIGUSR1, by `serve --counters`, to a client's INFO and at the end. The names of
-the attributes are the names in that output, which the operators' pages fix.
+They are printed on SIGUSR1, by `serve --counters`, in reply to a client's INFO, and at the end. The
+names of the attributes are the names in that output, which the operators' pages specify.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 
 class Stats:
-    """One limiter's counters. Their order here is their order in the output."""
+    """One limiter's counters. The order of the attributes is the order of the output."""
 
     def __init__(self) -> None:
-        self.at = 0.0  # Unix time in seconds, of a line of `--counters`
+        self.at = 0.0  # Unix time in seconds of a line of `--counters`
         # Clients' connections
         self.accepted = 0
         self.commands = 0
-        self.malformed = 0  # connections that sent what is not of the protocol
+        self.malformed = 0  # connections that violated the protocol
         self.bad = 0  # requests that the settings do not allow
-        self.relieved = 0  # connections closed because all together held too much memory
+        self.relieved = 0  # connections closed because all clients together held too much memory
         # Requests
         self.requests = 0
         self.served = 0
@@ -35,45 +35,48 @@
         self.rescued = 0  # answered with an error because the engine had not answered
         # Attempts
         self.attempts = 0
-        self.reused = 0  # on a connection that was open
+        self.reused = 0  # on an open connection
         self.opened = 0  # on a new connection
         self.no_descriptor = 0
-        self.ok_seconds = 0.0  # that successful attempts took together
-        self.settled = 0  # answers with the units that were used
-        self.figures_bad = 0  # answers with figures that cannot be true
+        self.ok_seconds = 0.0  # total duration of successful attempts
+        self.settled = 0  # answers that reported the units used
+        self.figures_bad = 0  # answers with impossible figures
         self.outcomes: Counter[str] = Counter()
         self.endings: Counter[CloseReason] = Counter()
         # Discovery
-        self.tables = 0  # lists and changes heard
+        self.tables = 0  # lists and changes received
         self.watches_lost = 0
         # Datagrams between limiters
         self.told = 0  # sent
         self.heard = 0
-        self.junk = 0  # from no peer, or not text
-        self.untold = 0  # that could not be sent
+        self.junk = 0  # received, but from no peer or not text
+        self.untold = 0  # could not be sent
         self.errors = 0  # of the decision engine
         # Figures of the operator address
-        self.replies: dict[str, Counter[str]] = {}  # by class: success, overload, error
-        self.dispatches = 0  # attempts whose request went out completely
+        self.replies: dict[str, Counter[str]] = {}  # by class and result: success, overload, error
+        self.dispatches = 0  # attempts whose request was sent completely
         self.reload_success = 0
         self.reload_failure = 0
         self.operator_calls: Counter[str] = Counter()
         self.operator_endings: Counter[CloseReason] = Counter()
-        # What an operator file switches on
+        # Subsystems that an operator file enables
         self.view: Counter[str] = Counter()  # membership
         self.replica: Counter[str] = Counter()  # replication
         self.control: dict[str, Any] = {}  # the control budget, by role
         self.store: dict[str, dict[str, Any]] = {}  # the shared store
 
-    def reply(self, kind: str, what: str) -> None:
-        """A final answer to a request of that class: `success`, `overload` or `error`."""
+    def reply(self, kind: str, result: str) -> None:
+        """Counts a final answer to a request by class and result.
+
+        `result` is `success`, `overload` or `error`.
+        """
         counts = self.replies.get(kind)
         if counts is None:
             counts = self.replies[kind] = Counter(success=0, overload=0, error=0)
-        counts[what] += 1
+        counts[result] += 1
 
     def to_json(self) -> str:
-        """All counters as one line; close reasons in lower case."""
+        """Returns all counters as one line of JSON, with close reasons in lower case."""
         values: dict[str, Any] = {}
         for name, value in vars(self).items():
             if name == "control" and not value:
