--- a/tests/net/test_administrative_overrides.py
+++ b/tests/net/test_administrative_overrides.py
@@ -1,4 +1,4 @@
-"""Endpoints disabled by an operator: nothing new for them, also after a restart."""
+"""Endpoints disabled by an operator get no new requests, even after a restart."""
 
 from __future__ import annotations
 
@@ -11,65 +11,72 @@
 from hazelhollow.net.override_file import OverrideFile, path_for
 from tests.decisions.helpers import ask, entry, make, only, servers
 from tests.net.scenario import Stage
-from tests.net.test_operator_address import call, figures, stage
+from tests.net.test_operator_address import call, figures, operator_stage
 
 
-def test_a_banned_server_gets_nothing_even_when_all_others_fail() -> None:
-    """An operator disables an endpoint.
+def test_disabled_endpoint_gets_no_attempts_when_all_others_drain() -> None:
+    """The only other endpoint drains, and a list says that the disabled endpoint is up.
 
-    Neither a drain of the only other one nor a list that says it is up may bring it a request.
+    Neither may cause a request to the disabled endpoint.
     """
-    gateway = make(0, limiter_count=1)
-    gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
-    gateway.handle(api.EndpointOverridden("s1", True), 100.0)
+    engine = make(0, limiter_count=1)
+    engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    engine.handle(api.EndpointOverridden("s1", True), 100.0)
     sent = {
         s.endpoint
         for i in range(40)
-        for s in only(ask(gateway, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
+        for s in only(ask(engine, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
     }
     assert sent == {"s2"}
-    gateway.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
-    # the list says it is up: the ban holds all the same
-    assert not only(ask(gateway, 101.1), api.StartAttempt)
+    engine.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
+    # The list says that s1 is up, but the override still applies.
+    assert not only(ask(engine, 101.1), api.StartAttempt)
 
 
-def test_a_server_put_back_is_cold() -> None:
-    """An endpoint that was disabled for a while has empty caches.
+def test_reenabled_endpoint_warms_up_again() -> None:
+    """An endpoint that was disabled for a while has cold caches, so it must warm up again.
 
-    It starts slowly again, and a list with an old start time does not change that.
+    A list with an old start time must not end the warm-up.
     """
-    gateway = make(0, limiter_count=1)
-    gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
-    gateway.handle(api.EndpointOverridden("s1", True), 100.0)
-    gateway.handle(api.EndpointOverridden("s1", False), 105.0)
-    assert gateway.endpoints["s1"].is_warming_up(105.5, gateway.settings)
-    gateway.handle(
+    engine = make(0, limiter_count=1)
+    engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    engine.handle(api.EndpointOverridden("s1", True), 100.0)
+    engine.handle(api.EndpointOverridden("s1", False), 105.0)
+    assert engine.endpoints["s1"].is_warming_up(105.5, engine.settings)
+    engine.handle(
         servers("full", entry("s1"), entry("s2")), 106.0
-    )  # a list that says it is old does not warm it
-    assert gateway.endpoints["s1"].is_warming_up(106.0, gateway.settings) and not gateway.endpoints[
+    )  # A start time long ago does not end the warm-up.
+    assert engine.endpoints["s1"].is_warming_up(106.0, engine.settings) and not engine.endpoints[
         "s2"
-    ].is_warming_up(106.0, gateway.settings)
+    ].is_warming_up(106.0, engine.settings)
 
 
-def test_set_down_and_up_by_the_operator_address() -> None:
-    one = stage()
-    assert call(one, b"set-down s1\n") == b"done set-down s1\n"
-    assert call(one, b"set-down s1\n") == b"done set-down s1\n"  # said again, nothing more changes
-    assert one.service.engine.table.disabled == {"s1"} and figures(one)["targets_disabled"] == 1
-    assert call(one, b"set-up s1\n") == b"done set-up s1\n"
-    assert not one.service.engine.table.disabled and figures(one)["targets_disabled"] == 0
+def test_set_down_and_set_up_calls_change_the_disabled_endpoints() -> None:
+    limiter = operator_stage()
+    assert call(limiter, b"set-down s1\n") == b"done set-down s1\n"
+    assert (
+        call(limiter, b"set-down s1\n") == b"done set-down s1\n"
+    )  # a repeated call changes nothing
+    assert (
+        limiter.service.engine.table.disabled == {"s1"}
+        and figures(limiter)["targets_disabled"] == 1
+    )
+    assert call(limiter, b"set-up s1\n") == b"done set-up s1\n"
+    assert not limiter.service.engine.table.disabled and figures(limiter)["targets_disabled"] == 0
 
 
-def test_an_id_never_listed_is_owed_a_no() -> None:
-    assert call(stage(), b"set-down s-unknown\n").startswith(b"error no server 's-unknown'")
+def test_set_down_of_a_never_listed_endpoint_is_an_error() -> None:
+    assert call(operator_stage(), b"set-down s-unknown\n").startswith(
+        b"error no server 's-unknown'"
+    )
 
 
-def test_bans_hold_over_a_restart_and_reach_a_process_beside() -> None:
-    """During an upgrade two processes serve under one name.
+def test_overrides_survive_a_restart_and_reach_a_parallel_process() -> None:
+    """During an upgrade two processes serve under one limiter name.
 
-    What an operator says to one of them must hold in the other, and after a restart.
+    An override made in one of them must apply in the other and after a restart.
     """
-    first = stage()
+    first = operator_stage()
     call(first, b"set-down s1\n")
     second = Stage(hosts=1)
     assert second.service.engine.table.disabled == {"s1"}
@@ -78,7 +85,7 @@
     first.settle()
     assert (
         not first.service.engine.table.disabled
-    )  # what the other one put back, this one puts back too
+    )  # The endpoint that the other process enabled is enabled in this one too.
 
 
 @pytest.mark.parametrize(
@@ -92,10 +99,10 @@
         b'{"format": "hazelhollow-bans", "version": 1, "down": [1]}',
     ],
 )
-def test_a_broken_or_foreign_file_is_not_taken(text: bytes, tmp_path: Path) -> None:
-    """The override file was damaged, or is another program's.
+def test_invalid_or_foreign_override_file_is_ignored(text: bytes, tmp_path: Path) -> None:
+    """The override file is damaged or belongs to another program.
 
-    The limiter starts all the same and disables nothing.
+    The limiter must start anyway and disable nothing.
     """
     path = path_for("n0", str(tmp_path))
     path.write_bytes(text)
@@ -103,9 +110,9 @@
     assert not Stage(hosts=1).service.engine.table.disabled
 
 
-def test_the_file_is_written_whole_and_read_back(tmp_path: Path) -> None:
-    keeper = OverrideFile(path_for("n0", str(tmp_path)))
-    keeper.write({"s2", "s1"})
-    assert orjson.loads(keeper.path.read_bytes())["down"] == ["s1", "s2"]
-    assert OverrideFile(keeper.path).read() == {"s1", "s2"}
+def test_override_file_is_replaced_atomically_and_read_back(tmp_path: Path) -> None:
+    override_file = OverrideFile(path_for("n0", str(tmp_path)))
+    override_file.write({"s2", "s1"})
+    assert orjson.loads(override_file.path.read_bytes())["down"] == ["s1", "s2"]
+    assert OverrideFile(override_file.path).read() == {"s1", "s2"}
     assert not list(tmp_path.glob("*.part"))
--- a/tests/net/test_operator_address.py
+++ b/tests/net/test_operator_address.py
@@ -1,4 +1,4 @@
-"""The operator address: its calls, and callers that are slow, silent or wrong."""
+"""The operator address: its calls, and callers that are slow, silent or send invalid calls."""
 
 from __future__ import annotations
 
@@ -36,50 +36,54 @@
 
 
 @pytest.mark.parametrize(("line", "call"), GOOD)
-def test_calls_are_read(line: bytes, call: operator_calls.OperatorCall) -> None:
+def test_valid_line_is_parsed(line: bytes, call: operator_calls.OperatorCall) -> None:
     assert operator_calls.Parser().feed(line) == call
 
 
 @pytest.mark.parametrize(("line", "why"), BAD)
-def test_what_is_no_call_is_named(line: bytes, why: str) -> None:
+def test_invalid_line_raises_an_error_with_the_reason(line: bytes, why: str) -> None:
     with pytest.raises(OperatorCallError, match=why):
         operator_calls.Parser().feed(line)
 
 
 @given(st.sampled_from(GOOD), st.lists(st.integers(0, 40), max_size=6), st.binary(max_size=30))
-def test_every_cut_of_a_call_is_the_same_call(
+def test_call_split_at_any_places_is_parsed_the_same(
     good: tuple[bytes, operator_calls.OperatorCall], cuts: list[int], after: bytes
 ) -> None:
     line, call = good
-    parser, found, places = operator_calls.Parser(), None, sorted({min(c, len(line)) for c in cuts})
-    for start, end in zip([0, *places], [*places, len(line)], strict=True):
+    parser, found, offsets = (
+        operator_calls.Parser(),
+        None,
+        sorted({min(c, len(line)) for c in cuts}),
+    )
+    for start, end in zip([0, *offsets], [*offsets, len(line)], strict=True):
         found = parser.feed(line[start:end])
         assert found is None or end == len(line)
     assert found == call
-    assert parser.feed(after) == call  # what comes after the line is not read
+    assert parser.feed(after) == call  # bytes after the line are ignored
 
 
-def test_a_part_of_a_line_is_no_call_yet() -> None:
+def test_incomplete_line_is_partial_and_no_call() -> None:
     parser = operator_calls.Parser()
     assert parser.feed(b"set-do") is None and parser.partial()
 
 
-def stage() -> Stage:
-    one = Stage(hosts=1, operator=("127.0.0.1", 0))
-    one.play("wait 0.6")  # then it serves from the list that it was given
-    return one
+def operator_stage() -> Stage:
+    limiter = Stage(hosts=1, operator=("127.0.0.1", 0))
+    limiter.play("wait 0.6")  # after that it serves from the list of its configuration
+    return limiter
 
 
 def call(stage: Stage, line: bytes, advance: float = 0.0) -> bytes:
-    """The whole answer, up to the end of the connection."""
+    """Makes one call; returns the complete answer, up to the end of the connection."""
     assert stage.service.operator_address
     end = socket.create_connection(stage.service.operator_address.address)
     end.setblocking(False)
     end.sendall(line)
-    return drain(stage, end, advance)
+    return read_until_closed(stage, end, advance)
 
 
-def drain(stage: Stage, end: socket.socket, advance: float = 0.0) -> bytes:
+def read_until_closed(stage: Stage, end: socket.socket, advance: float = 0.0) -> bytes:
     got = b""
     for turn in range(400):
         if advance and turn == 20:
@@ -105,12 +109,12 @@
     return found
 
 
-def test_check_says_yes_once_the_limiter_serves() -> None:
-    assert call(stage(), b"check\n") == b"done ready\n"
+def test_check_answers_ready_when_the_limiter_serves() -> None:
+    assert call(operator_stage(), b"check\n") == b"done ready\n"
 
 
-def test_vars_gives_every_figure_of_the_page() -> None:
-    found = figures(stage())
+def test_vars_returns_exactly_the_documented_figures() -> None:
+    found = figures(operator_stage())
     assert set(found) == {
         "replies",
         "dispatches",
@@ -123,12 +127,12 @@
     assert found["targets"] == 1 and found["concurrent"] == found["dispatches"] == 0
 
 
-def test_a_request_served_is_counted_by_class_and_its_dispatch() -> None:
+def test_served_request_is_counted_by_class_and_as_a_dispatch() -> None:
     from tests.net.test_scenarios import VALUE, ask
 
-    one = stage()
-    one.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
-    found = figures(one)
+    limiter = operator_stage()
+    limiter.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
+    found = figures(limiter)
     assert found["replies"]["look"] == {"success": 1, "overload": 0, "error": 0}
     assert found["dispatches"] == 1
 
@@ -136,41 +140,41 @@
 @pytest.mark.parametrize(
     ("line", "answer"), [(b"", b"error no call"), (b"chec", b"error half a call")]
 )
-def test_a_caller_that_does_not_finish_is_told_and_closed(line: bytes, answer: bytes) -> None:
-    """A caller sends no call, or half of one. It is told so and closed after CALL_TIMEOUT_S."""
-    assert call(stage(), line, advance=CALL_TIMEOUT_S).startswith(answer)
+def test_incomplete_call_gets_an_error_and_is_closed(line: bytes, answer: bytes) -> None:
+    """A caller sends no call or a partial one. It gets an error and is closed at CALL_TIMEOUT_S."""
+    assert call(operator_stage(), line, advance=CALL_TIMEOUT_S).startswith(answer)
 
 
-def test_a_wrong_call_is_told_at_once() -> None:
-    """A caller makes a call that does not exist. It gets an error at once."""
-    assert call(stage(), b"reboot\n").startswith(b"error no call 'reboot'")
+def test_unknown_call_gets_an_error_at_once() -> None:
+    """A caller makes a call that does not exist. It must get an error at once."""
+    assert call(operator_stage(), b"reboot\n").startswith(b"error no call 'reboot'")
 
 
-def test_silent_callers_do_not_hold_back_a_check() -> None:
-    """All places at the operator address are held by callers that say nothing.
+def test_silent_callers_do_not_block_a_check() -> None:
+    """Silent callers occupy all connections of the operator address.
 
-    A new caller is still answered.
+    A new caller must still be answered.
     """
-    one = stage()
-    assert one.service.operator_address
+    limiter = operator_stage()
+    assert limiter.service.operator_address
     silent = [
-        socket.create_connection(one.service.operator_address.address)
+        socket.create_connection(limiter.service.operator_address.address)
         for _ in range(MAX_CALLERS + 8)
     ]
-    one.settle()
-    assert call(one, b"check\n") == b"done ready\n"
+    limiter.settle()
+    assert call(limiter, b"check\n") == b"done ready\n"
     for end in silent:
         end.close()
 
 
-def test_the_log_of_troubles_has_a_bound() -> None:
-    """Others cause errors by the hundred.
+def test_rate_limited_log_drops_lines_above_its_rate() -> None:
+    """Callers cause hundreds of errors.
 
-    The log gets so many lines a second and a count of the rest.
+    The log must write only the allowed number of lines per second.
     """
     now = [0.0]
     limited = RateLimitedLog(logging.getLogger("test"), lambda: now[0], per_second=5.0)
-    said = sum(limited.warning("x") for _ in range(100))
+    written = sum(limited.warning("x") for _ in range(100))
     now[0] = 1.0
-    said_later = sum(limited.warning("x") for _ in range(100))
-    assert said == 5 and said_later == 5
+    written_later = sum(limited.warning("x") for _ in range(100))
+    assert written == 5 and written_later == 5
