--- a/tests/net/test_early_signals.py
+++ b/tests/net/test_early_signals.py
@@ -1,6 +1,6 @@
-"""Signals that come before the limiter has its handlers.
+"""Signals that arrive before the limiter has installed its handlers, or during the shutdown.
 
-Each test holds the program at its configuration, a named pipe.
+To send a signal early, the configuration is a named pipe, on which the program blocks at its start.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1])
-def test_a_signal_during_the_start_is_acted_on_once_there_is_something_to_act_on(
+def test_signal_during_the_start_is_handled_when_the_limiter_runs(
     number: int, tmp_path: Path
 ) -> None:
-    """A signal comes while the program reads its configuration.
+    """A signal arrives while the program reads its configuration.
 
     It must neither end the process nor be lost.
     """
-    pipe, whole = tmp_path / "config.json", orjson.dumps({**GOOD, "listen": "127.0.0.1:0"})
+    pipe, document = tmp_path / "config.json", orjson.dumps({**GOOD, "listen": "127.0.0.1:0"})
     os.mkfifo(pipe)
     command = [sys.executable, "-m", "hazelhollow", "serve"]
     with subprocess.Popen(
         command, env={"RELAY_CONFIG": str(pipe)}, text=True, stderr=subprocess.PIPE
     ) as program:
         assert program.stderr
-        with open(pipe, "wb") as writing:  # opens once the program has come so far as to read
+        with open(pipe, "wb") as writing:  # blocks until the program opens the pipe
             program.send_signal(number)
-            (tmp_path / "new").write_bytes(whole)
-            os.replace(tmp_path / "new", pipe)  # for the next reading
-            writing.write(whole)
+            (tmp_path / "new").write_bytes(document)
+            os.replace(tmp_path / "new", pipe)  # for the reload
+            writing.write(document)
         lines = iter(program.stderr)
         assert any("listens at" in line for line in lines)
         if number == signal.SIGHUP:
@@ -48,8 +48,8 @@
         assert program.wait(30) == 0
 
 
-def test_a_second_sigterm_and_a_sighup_while_it_leaves_change_nothing(tmp_path: Path) -> None:
-    """More signals come during the shutdown. It goes on, and ends with status 0."""
+def test_signals_during_the_shutdown_do_not_interrupt_it(tmp_path: Path) -> None:
+    """More signals arrive during the shutdown. It continues and ends with exit status 0."""
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps({**GOOD, "listen": "127.0.0.1:0"}))
     command = [sys.executable, "-m", "hazelhollow", "serve"]
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Start and shutdown: what a limiter owes from its first moment, and from SIGTERM to its exit."""
+"""Readiness after the start, and requests in flight from SIGTERM to the exit."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from tests.net.test_scenarios import DO, GET, VALUE, ask
 
 
-def ended(stage: Stage) -> bool:
+def has_stopped(stage: Stage) -> bool:
     return stage.scheduler._stopped
 
 
-def test_who_waits_in_the_listeners_queue_as_it_closes_is_let_in_and_answered() -> None:
-    """Clients wait in the listening socket's queue, and one has asked, in the turn in which it
-    closes. Closed with the queue they would be reset; they are accepted and answered.
+def test_clients_in_the_accept_queue_at_the_close_are_answered() -> None:
+    """Clients wait in the accept queue, one of them with a request, when the listener closes.
+
+    The close would reset them, so they must be accepted first and the request answered.
     """
     stage = Stage(hosts=1)
     stage.service.shutdown.begin()
@@ -34,34 +35,34 @@
     stage.play(f"s1 expect {ask(1, 950)}\ns1 send {VALUE}")
     assert to_the_end(stage, ends[7]) == b"$2\r\nhi\r\n"
     stage.play("wait 0.3")
-    # an end, not a reset
+    # the end of the stream, not a reset
     assert all(to_the_end(stage, end) == b"" for end in ends if end is not ends[7])
     for end in ends:
         end.close()
     stage.play("wait 0.1")
-    assert ended(stage)
+    assert has_stopped(stage)
 
 
-def test_an_order_at_a_host_that_hangs_has_its_answer_before_the_limiter_ends() -> None:
-    """SIGTERM comes while an endpoint hangs.
+def test_request_at_a_hanging_endpoint_is_answered_before_the_exit() -> None:
+    """SIGTERM arrives while an endpoint does not answer.
 
-    The client still gets its answer at the deadline, before the process ends.
+    The client must still get its answer at the deadline, before the process ends.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {DO.format(1)}\ns1 expect {DO.format(1)}")
     stage.service.shutdown.begin()
     stage.play("wait 0.9\na expect nothing")
-    assert not ended(stage)
+    assert not has_stopped(stage)
     stage.play("wait 0.2")
     assert to_the_end(stage, stage._end("a")) == b"-ERR failed\r\n"
     stage.play("a close\nwait 0.1")
-    assert ended(stage)
+    assert has_stopped(stage)
 
 
-def test_a_client_that_does_not_take_its_answer_keeps_no_limiter_from_its_end() -> None:
+def test_client_that_does_not_read_its_answer_does_not_block_the_exit() -> None:
     """A client never reads its answer.
 
-    The shutdown waits for it no longer than the longest deadline and LINGER_S.
+    The shutdown must not wait for it longer than the longest deadline plus LINGER_S.
     """
     stage = Stage(hosts=1)
     end = socket.socket()
@@ -70,7 +71,7 @@
     value = VALUE.replace(r"$2\r\nhi", "$65536\\r\\n" + "v" * 65536)
     stage.settle()
     (session,) = stage.service.frontend.sessions.sessions
-    for number in range(1, 200):  # more than the system holds for it
+    for number in range(1, 200):  # more than the system buffers for it
         if session._stream.send_buffer:
             break
         end.sendall(stage.bytes_of(ask(number)))
@@ -79,15 +80,15 @@
     stage.service.shutdown.begin()
     longest = max(c.deadline for c in (LOOK, BUY))
     stage.play(f"wait {STOP_ACCEPTING_AFTER_S + longest - 0.1}")
-    assert not ended(stage)  # it may take it yet
+    assert not has_stopped(stage)  # the client may still read its answer
     stage.play(f"wait {LINGER_S + 0.3}")
-    assert ended(stage)
+    assert has_stopped(stage)
 
 
-def test_what_was_begun_before_a_second_leave_and_a_reload_goes_on() -> None:
-    """A second SIGTERM and a SIGHUP come while requests are in flight.
+def test_request_in_flight_survives_a_reload_and_a_second_sigterm() -> None:
+    """A SIGHUP and a second SIGTERM arrive while a request is in flight.
 
-    They go on to their answers.
+    The request must still be answered.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}")
@@ -97,14 +98,14 @@
     stage.play(
         f"wait 0.3\ns1 send {VALUE}\na expect $2\\r\\nhi\na expect closed\na close\nwait 0.2"
     )
-    assert ended(stage)
+    assert has_stopped(stage)
 
 
 @pytest.mark.parametrize("discovery", ["silent", "down", "never up"])
-def test_a_limiter_says_that_it_is_ready_in_time_whatever_discovery_does(discovery: str) -> None:
+def test_limiter_is_ready_in_time_without_discovery(discovery: str) -> None:
     """Discovery does not answer at the start.
 
-    The limiter serves from the list of its configuration within the time allowed.
+    The limiter must serve from the list of its configuration within the allowed time.
     """
     stage = Stage(hosts=2, heard=False)
     fillers = unanswering(stage, "disco") if discovery == "never up" else []
@@ -114,8 +115,8 @@
     assert fillers or discovery != "never up"
 
 
-def test_a_limiter_that_is_ready_leaves_a_host_at_once_that_a_late_first_list_says_drains() -> None:
-    """The first list is late and says that an endpoint drains. New requests avoid it at once."""
+def test_late_first_list_with_a_draining_endpoint_is_obeyed_at_once() -> None:
+    """The first list arrives late and says that an endpoint drains; new requests must avoid it."""
     stage = Stage(hosts=2, heard=False)
     stage.play(
         f"disco expect {GET}\nwait 0.6\na send [PING]\na expect +PONG\nwait 0.3\ndisco expect {GET}"
@@ -125,10 +126,10 @@
     )
 
 
-def test_a_ping_behind_a_request_in_flight_is_answered_in_turn_during_shutdown() -> None:
+def test_ping_behind_a_request_is_answered_in_order_during_shutdown() -> None:
     """A PING waits behind a request while the limiter shuts down.
 
-    Both are answered, in their order.
+    Both must be answered in order.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\na send [PING]\ns1 expect {ask(1)}")
@@ -137,19 +138,17 @@
     assert to_the_end(stage, stage._end("a")) == b"$2\r\nhi\r\n+PONG\r\n"
 
 
-def test_a_request_of_which_half_has_come_by_the_end_is_taken_by_nobody_and_costs_no_answer() -> (
-    None
-):
-    """Half a command has come when the limiter stops taking any.
+def test_partial_command_at_the_shutdown_is_ignored_and_loses_no_answer() -> None:
+    """A partial command has arrived when the limiter stops reading commands.
 
-    It is not acted on, and the answers before it are not lost.
+    It must not be executed, and the answers to earlier commands must not be lost.
     """
     stage = Stage(hosts=1)
     stage.play("a send [SELECT 0]")
-    whole = stage.bytes_of(ask(1))
-    stage._end("a").sendall(whole[:40])
+    command = stage.bytes_of(ask(1))
+    stage._end("a").sendall(command[:40])
     stage.service.shutdown.begin()
     stage.play(f"wait {STOP_ACCEPTING_AFTER_S + 0.1}")
-    stage._end("a").sendall(whole[40:])
+    stage._end("a").sendall(command[40:])
     assert to_the_end(stage, stage._end("a")) == b"+OK\r\n"
     assert not stage.service.stats.requests
