--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -1,4 +1,4 @@
-"""Terms of the standing test (docs/design/standing-test.md), each with its bad order forced."""
+"""Conditions of docs/design/standing-test.md, each with an unfavourable order of events forced."""
 
 from __future__ import annotations
 
@@ -36,58 +36,64 @@
 )
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
-STEP = 0.05  # seconds by which the clock goes on
-TOLD_WITHIN = 3.0  # seconds; the operators' page allows 6
-OLD_LIST = orjson.dumps(
+STEP_S = 0.05  # by which the clock advances
+MAX_DRAIN_DELAY_S = 3.0  # the operators' page allows 6
+EMPTY_LIST = orjson.dumps(
     {"index": 1, "snapshot": True, "endpoints": []}
-)  # a part that happens to read well, and is none
+)  # parses as a complete list, but after a reset it may be only a part of the body
 
 
 class Agent:
-    """Discovery's agent.
+    """A fake of discovery's agent.
 
-    It answers at once with what it has, and holds a watch, or it fails as it is told to.
+    It answers at once with its list and holds long polls, or it fails in the way that `mode` names.
     """
 
     def __init__(self, stage: Stage, patch: pytest.MonkeyPatch) -> None:
         self.stage, self.mode, self.version, self.changed = stage, "well", 1, False
         self.address = stage.listeners["disco"].getsockname()
-        # not answered: connection, call, since when
+        # unanswered calls: connection, target, time of arrival
         self._calls: list[tuple[socket.socket, str, float]] = []
         self._open: list[socket.socket] = []
         self._fillers: list[socket.socket] = []
-        self._late_up: dict[stream.Stream, float] = {}
+        self._up_at: dict[stream.Stream, float] = {}
         self._patch_connecting(patch)
 
     def _patch_connecting(self, patch: pytest.MonkeyPatch) -> None:
-        """On loopback no connection comes up late; here it does, by the stage's clock."""
-        establish, go_on = stream.Stream.connect, stream.Stream.await_connected
+        """Delays connections by the stage's clock, because on loopback none is established late."""
+        real_connect, real_await = stream.Stream.connect, stream.Stream.await_connected
 
-        def begin(one: stream.Stream, address: tuple[str, int], until: float) -> CloseReason | None:
+        def connect(
+            connection: stream.Stream, address: tuple[str, int], until: float
+        ) -> CloseReason | None:
             if address != self.address or self.mode != "late up":
-                return establish(one, address, until)
-            self._late_up[one] = self.stage.now + 0.4
-            return wait(one, until)
-
-        def more(one: stream.Stream, until: float) -> CloseReason | None:
-            return wait(one, until) if one in self._late_up else go_on(one, until)
+                return real_connect(connection, address, until)
+            self._up_at[connection] = self.stage.now + 0.4
+            return wait(connection, until)
+
+        def await_connected(connection: stream.Stream, until: float) -> CloseReason | None:
+            return (
+                wait(connection, until)
+                if connection in self._up_at
+                else real_await(connection, until)
+            )
 
-        def wait(one: stream.Stream, until: float) -> CloseReason | None:
-            one._task = one.scheduler.current()
-            one.scheduler.wait(until=min(until, self._late_up[one]))
-            if one.close_reason or self.stage.now < self._late_up[one]:
-                return one.close_reason or CloseReason.NEVER_UP
-            del self._late_up[one]
-            return establish(one, self.address, until)
+        def wait(connection: stream.Stream, until: float) -> CloseReason | None:
+            connection._task = connection.scheduler.current()
+            connection.scheduler.wait(until=min(until, self._up_at[connection]))
+            if connection.close_reason or self.stage.now < self._up_at[connection]:
+                return connection.close_reason or CloseReason.NEVER_UP
+            del self._up_at[connection]
+            return real_connect(connection, self.address, until)
 
-        patch.setattr(stream.Stream, "connect", begin)
-        patch.setattr(stream.Stream, "await_connected", more)
+        patch.setattr(stream.Stream, "connect", connect)
+        patch.setattr(stream.Stream, "await_connected", await_connected)
 
     def change(self) -> None:
-        """Discovery has it from now on: s1 drains."""
+        """Makes discovery's list say from now on that s1 drains."""
         self.changed, self.version = True, self.version + 1
 
-    def turn_to(self, mode: str) -> None:
+    def set_mode(self, mode: str) -> None:
         listeners, before, self.mode = self.stage.listeners, self.mode, mode
         if before == "refused":
             listeners["disco"] = socket.create_server(self.address)
@@ -102,16 +108,16 @@
             listeners["disco"].close()
         if mode == "never up":
             self._fillers = unanswering(self.stage, "disco")
-        if mode == "moved away":  # to one that lets in and says nothing
+        if mode == "moved away":  # to an agent that accepts connections but does not answer
             self.stage.play("disco2 reload")
-        if mode == "silent":  # it never answers what came until then
+        if mode == "silent":  # earlier calls are never answered
             self._calls.clear()
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        """Seconds that it took."""
+        """Advances the clock until `until` or for `seconds`; returns the time that passed."""
         began = self.stage.now
         while self.stage.now - began < seconds and not until():
-            self.stage.now += STEP
+            self.stage.now += STEP_S
             for _ in range(3):
                 self.stage.settle(2)
                 self._step()
@@ -132,29 +138,29 @@
             self._open.append(end)
         for end in list(self._open):
             try:
-                words = end.recv(1 << 16)
+                data = end.recv(1 << 16)
             except BlockingIOError:
                 continue
             except ConnectionResetError:
-                words = b""
-            if not words:
+                data = b""
+            if not data:
                 self._end(end)
             elif self.mode != "silent":
-                self._calls.append((end, words.split(b" ")[1].decode(), self.stage.now))
+                self._calls.append((end, data.split(b" ")[1].decode(), self.stage.now))
         for call in list(self._calls):
             if self._answer(*call) and call in self._calls:
                 self._calls.remove(call)
 
     def _answer(self, end: socket.socket, target: str, since: float) -> bool:
-        """Whether there is no more to be said to that call."""
+        """Answers a call if the mode and the time allow; returns whether the call is finished."""
         if self.mode in ("well", "late up"):
-            is_news = "from=" not in target or f"from={self.version}&" not in target
-            return (is_news or self.stage.now - since >= 1.5) and self._say(end, self._list())
+            has_changes = "from=" not in target or f"from={self.version}&" not in target
+            return (has_changes or self.stage.now - since >= 1.5) and self._send(end, self._list())
         if self.mode == "slow":
-            return self.stage.now - since >= 0.4 and self._say(end, self._list())
+            return self.stage.now - since >= 0.4 and self._send(end, self._list())
         if self.mode in FAILED_ANSWERS:
-            words, ending = FAILED_ANSWERS[self.mode]
-            self._say(end, words)
+            data, ending = FAILED_ANSWERS[self.mode]
+            self._send(end, data)
             if ending == "reset":
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             if ending:
@@ -172,9 +178,9 @@
         )
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
-    def _say(self, end: socket.socket, words: bytes) -> bool:
+    def _send(self, end: socket.socket, data: bytes) -> bool:
         try:
-            end.sendall(words)
+            end.sendall(data)
         except OSError:
             self._end(end)
         return True
@@ -192,48 +198,49 @@
     "half": (b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{", ""),
     "half and close": (b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{", "close"),
     "half and reset": (b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{", "reset"),
-    "no length and a reset": (ENDLESS.encode() + OLD_LIST, "reset"),
+    "no length and a reset": (ENDLESS.encode() + EMPTY_LIST, "reset"),
     "not JSON": (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nno!", ""),
     "not HTTP": (b"-ERR what\r\n\r\n", ""),
 }
 FAILURES = (*FAILED_ANSWERS, "silent", "refused", "never up", "late up", "slow", "moved away")
 
 
-def told_after(mix: list[tuple[str, float]], changed_at: int) -> float:
-    """Seconds from when discovery has the change and can be reached to when the limiter keeps to
-    it.
+def drain_delay(failures: list[tuple[str, float]], changed_at: int) -> float:
+    """Plays the failures; returns the seconds that the limiter then takes to obey a drain.
+
+    The time starts when discovery has the drain in its list and works again.
     """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
         agent.run(0.5)
         assert stage.service.discovery_watch.is_following and not s1_is_left(stage)
-        for number, (mode, seconds) in enumerate(mix):
+        for number, (mode, seconds) in enumerate(failures):
             if number == changed_at:
                 agent.change()
-            agent.turn_to(mode)
+            agent.set_mode(mode)
             agent.run(seconds)
-            # nothing but a whole answer is taken for a list
+            # only a complete answer may be applied as a list
             assert "s2" in stage.service.pool._endpoints
-        agent.turn_to("well")
+        agent.set_mode("well")
         if not agent.changed:
             agent.change()
-        took = agent.run(7.0, until=lambda: s1_is_left(stage))
+        delay = agent.run(7.0, until=lambda: s1_is_left(stage))
         assert set(stage.service.pool._endpoints) == {"s2"}
         agent.close()
         STAGES.remove(stage)
         stage.close()
-    return took
+    return delay
 
 
 @pytest.mark.parametrize("failure", FAILURES)
 @pytest.mark.parametrize("seconds", [0.1, 1.0, 5.0])
-def test_a_change_is_told_in_time_after_any_failure(failure: str, seconds: float) -> None:
-    """A call to discovery fails in one of several ways as an endpoint starts to drain.
+def test_drain_is_obeyed_in_time_after_any_single_failure(failure: str, seconds: float) -> None:
+    """A call to discovery fails in one of several ways before an endpoint starts to drain.
 
-    The change arrives in time all the same.
+    The drain must still be obeyed in time.
     """
-    assert told_after([(failure, seconds)], changed_at=9) <= TOLD_WITHIN
+    assert drain_delay([(failure, seconds)], changed_at=9) <= MAX_DRAIN_DELAY_S
 
 
 @settings(max_examples=60)
@@ -241,56 +248,56 @@
     st.lists(st.tuples(st.sampled_from(FAILURES), st.floats(0.05, 2.6)), min_size=2, max_size=6),
     st.integers(0, 9),
 )
-def test_a_change_is_told_in_time_after_any_mix_of_failures(
-    mix: list[tuple[str, float]], changed_at: int
+def test_drain_is_obeyed_in_time_after_any_sequence_of_failures(
+    failures: list[tuple[str, float]], changed_at: int
 ) -> None:
     """Calls to discovery fail one after another in different ways.
 
-    A change still arrives in time.
+    A drain must still be obeyed in time.
     """
-    assert told_after(mix, changed_at) <= TOLD_WITHIN
+    assert drain_delay(failures, changed_at) <= MAX_DRAIN_DELAY_S
 
 
 @pytest.mark.parametrize("mode", ["late up", "slow"])
-def test_an_agent_that_is_late_with_all_that_it_does_is_heard_in_time(mode: str) -> None:
-    """Each of its connections comes up.
+def test_drain_is_obeyed_in_time_when_the_agent_is_always_late(mode: str) -> None:
+    """Each connection to the agent is established, or each of its answers arrives, too late.
 
-    Or each of its answers comes, after another call has been begun.
+    By then the watch has begun another call, so the late answer to the earlier one must be used.
     """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
-        agent.turn_to("closes")
+        agent.set_mode("closes")
         agent.run(0.5)
-        agent.turn_to(mode)
+        agent.set_mode(mode)
         agent.run(5.0)
         agent.change()
-        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= TOLD_WITHIN
+        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= MAX_DRAIN_DELAY_S
         agent.close()
 
 
-def test_a_call_that_hangs_does_not_keep_a_later_slow_one_from_being_heard() -> None:
-    """One slow call at a time is waited for.
+def test_hanging_call_does_not_block_a_later_slow_answer() -> None:
+    """The watch waits for one slow call at a time.
 
-    The first, which is never answered, must make room for it soon.
+    A slow call that is never answered must be given up soon enough for a later one.
     """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
         agent = Agent(stage, patch)
-        agent.turn_to("silent")
-        agent.run(2.3)  # the watch is given up, and the next call hangs
+        agent.set_mode("silent")
+        agent.run(2.3)  # the watch times out, and the next call hangs
         agent.change()
-        agent.turn_to("slow")
-        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= TOLD_WITHIN
+        agent.set_mode("slow")
+        assert agent.run(7.0, until=lambda: s1_is_left(stage)) <= MAX_DRAIN_DELAY_S
         agent.close()
 
 
-def test_a_failure_of_our_own_as_a_list_is_taken_in_costs_no_change(
+def test_internal_error_while_applying_a_list_loses_no_change(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The version is known by then, and the module has not been told.
+    """An error occurs when the list has the new version, but the engine was not notified of it.
 
-    Only the whole list says it again.
+    Discovery repeats the change only in the full list, which must therefore be requested.
     """
     stage = Stage(hosts=2)
     watched(stage)
@@ -301,10 +308,10 @@
     assert s1_is_left(stage)
 
 
-def test_a_change_that_cannot_be_read_is_no_drain_missed() -> None:
-    """A change holds an entry that cannot be read, which may be a drain.
+def test_unreadable_change_causes_a_request_for_the_full_list() -> None:
+    """A change contains an unreadable entry, which may be a drain.
 
-    The whole list is asked for instead of skipping it.
+    The entry must not be skipped; the full list must be requested instead.
     """
     stage = Stage(hosts=2)
     watched(stage)
@@ -319,8 +326,8 @@
 
 
 @pytest.mark.parametrize("death", DEATHS)
-def test_a_watch_that_dies_after_long_health_is_begun_anew(death: str) -> None:
-    """Late: after 13 s and more of calls that each had their answer in time."""
+def test_watch_that_fails_after_many_answers_is_restarted(death: str) -> None:
+    """The watch fails after more than 13 s in which every call was answered in time."""
     stage = Stage(hosts=2)
     watched(stage)
     for number in range(6, 16):
@@ -339,15 +346,13 @@
     assert s1_is_left(stage)
 
 
-# Clients that go
+# Clients that disconnect
 
 
-def test_what_waits_behind_answers_that_a_client_does_not_take_is_not_begun_once_it_has_gone() -> (
-    None
-):
-    """Back pressure.
+def test_command_behind_unread_answers_is_dropped_on_disconnect() -> None:
+    """The client does not read its answers, and the system buffers no more of them.
 
-    The system takes no more of an answer while the limiter waits for the client's next command.
+    The command that waits behind them must not be started if the client then disconnects.
     """
     stage = Stage(hosts=1)
     stage._end("a").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -363,10 +368,10 @@
     assert stage.service.stats.requests == sent and not stage.service.frontend.sessions.sessions
 
 
-def test_an_attempt_does_not_begin_for_a_client_that_left_while_the_limiter_was_busy() -> None:
-    """What is due by then comes before the next look at the sockets.
+def test_no_attempt_starts_after_a_disconnect_while_limiter_was_busy() -> None:
+    """The limiter is busy, so timers that are due run before the poll that reports the disconnect.
 
-    And a connection to a host lies ready for it.
+    The connect timeout is due, and an idle connection to another endpoint is ready for a retry.
     """
     stage = Stage(hosts=2, connect_timeout=0.25)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s2:in_service")
@@ -379,7 +384,7 @@
     stage.play(f"a send {ask(1)}")
     assert stage.service.stats.attempts == 2 and len(fillers) == 2
     changed(table.apply(stage.table("whole", 4, "s1:in_service", "s2:in_service")))
-    stage.play(f"c send {ask(8)}")  # a connection to s2 that is warm
+    stage.play(f"c send {ask(8)}")  # leaves an idle connection to s2
     stage.play(f"s2 expect {ask(8)}\ns2 send {VALUE}\nc expect $2\\r\\nhi\nwait 0.05")
     attempts = stage.service.stats.attempts
     stage._end("a").close()
@@ -390,16 +395,18 @@
     assert not stage.service.engine_driver.open_requests and stage.service.stats.clients_gone == 1
 
 
-def test_a_connection_that_comes_up_at_a_busy_limiter_carries_nothing_for_a_client_that_has_left(
+def test_connection_established_after_a_disconnect_carries_no_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client leaves and the connection comes up between two looks at the sockets.
+    """The client disconnects and the connection to the endpoint is established between two polls.
 
-    The connection is seen first.
+    The connection is handled before the disconnect.
     """
     stage = Stage(hosts=1)
 
-    def late(self: stream.Stream, address: tuple[str, int], until: float) -> CloseReason | None:
+    def connect_late(
+        self: stream.Stream, address: tuple[str, int], until: float
+    ) -> CloseReason | None:
         self._task = self.scheduler.current()
         self.scheduler.wait(until=stage.now + 0.2)
         self._sock.setblocking(True)
@@ -407,7 +414,7 @@
         self._sock.setblocking(False)
         return None
 
-    monkeypatch.setattr(stream.Stream, "connect", late)
+    monkeypatch.setattr(stream.Stream, "connect", connect_late)
     stage.play(f"a send {ask(1)}")
     assert stage.service.stats.attempts == 1 and stage.service.stats.opened == 0
     stage._end("a").close()
@@ -419,17 +426,17 @@
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 @pytest.mark.parametrize("whole", [False, True])
-def test_a_close_behind_a_part_of_a_command_is_seen(how: str, whole: bool) -> None:
-    """A client that cancels in the middle of what it sends.
+def test_disconnect_after_a_partial_command_is_detected(how: str, whole: bool) -> None:
+    """A client disconnects in the middle of a command.
 
-    Before it, perhaps, a request whose attempt waits.
+    With `whole`, a complete request precedes it, whose attempt waits for a connection.
     """
     stage = Stage(hosts=1)
     fillers = unanswering(stage)
     if whole:
         stage.play(f"a send {ask(1)}")
-    words = stage.bytes_of(ask(2))
-    for part in (words[:20], words[20:40]):
+    data = stage.bytes_of(ask(2))
+    for part in (data[:20], data[20:40]):
         stage._end("a").sendall(part)
         stage.play("wait 0.05")
     assert len(stage.service.engine_driver.open_requests) == whole and len(fillers) == 2
@@ -439,7 +446,7 @@
     assert not stage.service.frontend.sessions.sessions
 
 
-LATER: dict[str, Callable[[Stage], None]] = {
+FIRST_ATTEMPT_FAILURES: dict[str, Callable[[Stage], None]] = {
     "an error": lambda stage: stage.play("s1 send -ERR failed"),
     "turned away": lambda stage: stage.play("s1 send -BUSY"),
     "a reset": lambda stage: leave(stage, "s1", "reset"),
@@ -448,20 +455,20 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-@pytest.mark.parametrize("later", LATER)
-def test_no_further_attempt_is_made_for_a_client_that_has_gone(how: str, later: str) -> None:
-    """Its first attempt is out, and gives cause for another after the client has left."""
+@pytest.mark.parametrize("later", FIRST_ATTEMPT_FAILURES)
+def test_failed_attempt_is_not_retried_after_a_disconnect(how: str, later: str) -> None:
+    """The first attempt is in flight and fails after the client has disconnected."""
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
     stage.play(f"s1 expect {ask(1, 3000)}\ndisco send whole 3 s1:in_service s2:in_service")
     leave(stage, "a", how)
-    LATER[later](stage)
+    FIRST_ATTEMPT_FAILURES[later](stage)
     stage.play("wait 0.5")
     assert stage.service.stats.attempts == 1
 
 
-def test_a_second_attempt_that_waits_for_its_connection_ends_with_its_client() -> None:
-    """The first has failed while the client was there; its repeat's connection is not up yet."""
+def test_retry_that_waits_for_its_connection_ends_on_disconnect() -> None:
+    """The first attempt failed before the client left; the retry still waits for its connection."""
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s2")
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service\na send {ask(1, 3000)}")
@@ -477,10 +484,10 @@
     assert stage.service.stats.attempts == 2 and not stage.service.engine_driver.open_requests
 
 
-def test_of_two_attempts_out_at_once_the_one_that_has_not_left_never_does_once_the_client_has_gone(
+def test_unsent_hedge_is_dropped_on_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A hedge: one host has the request whole, the connection to the other is not up yet."""
+    """One endpoint has the complete request; the hedge's connection is not established yet."""
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s2")
 
@@ -498,14 +505,12 @@
     assert not stage.service.engine_driver.open_requests and stage.service.stats.dispatches == 1
 
 
-def test_who_leaves_while_all_connections_to_hosts_are_taken_gets_no_attempt_once_one_is_free() -> (
-    None
-):
-    """All connections to endpoints are taken, and a client that waits for one disconnects.
+def test_request_that_waits_for_a_free_connection_ends_on_disconnect() -> None:
+    """All connections to endpoints are in use, and clients whose requests wait for one disconnect.
 
-    It gets no attempt when one is free.
+    Their requests must get no attempt when a connection is free.
     """
-    stage = Stage(hosts=2, sockets=0)  # room for six connections to hosts
+    stage = Stage(hosts=2, sockets=0)  # allows six connections to endpoints
     for number in range(9):
         stage.play(f"c{number} send {ask(number, 3000)}")
     assert len(stage.service.pool._connections) == 6 and stage.service.stats.no_descriptor
@@ -521,37 +526,37 @@
     assert not stage.service.engine_driver.open_requests
 
 
-# Descriptors that idle clients fill
+# Idle clients that hold all descriptors
 
 
 @contextmanager
 def no_descriptor_left() -> Iterator[None]:
-    """Of this process, for real: whoever wants one has to end something."""
+    """Uses up all descriptors of this process, so that a new one requires closing another."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     most = 1 + max(int(name) for name in os.listdir("/proc/self/fd"))
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    taken = list[int]()
+    held = list[int]()
     try:
         while True:
             try:
-                taken.append(os.dup(0))
+                held.append(os.dup(0))
             except OSError:
                 break
         yield
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        for number in taken:
+        for number in held:
             os.close(number)
 
 
 def idle_clients(stage: Stage, first: int, count: int) -> None:
-    """They have said something once, and keep their connections."""
+    """Connects clients that send one command and then keep their connections open."""
     for number in range(first, first + count):
         stage.play(f"i{number} send [SELECT 0]\ni{number} expect +OK")
 
 
-def test_requests_and_discovery_get_descriptors_though_idle_clients_hold_all() -> None:
-    """Idle clients hold every descriptor. Attempts and the watch on discovery still get one."""
+def test_idle_clients_yield_descriptors_to_attempts_and_discovery() -> None:
+    """Idle clients hold all descriptors. Attempts and the watch on discovery must still get one."""
     stage = Stage(hosts=1)
     watched_once = (
         f"disco expect {GET}\ndisco send whole 5 s1:in_service\ndisco expect {WATCH.format(5)}"
@@ -566,9 +571,9 @@
     stage.play(f"s1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
     assert len(stage.service.frontend.sessions.sessions) == 10
     idle_clients(stage, 10, 10)
-    stage.listeners["disco"] = socket.create_server(address)  # it returns
+    stage.listeners["disco"] = socket.create_server(address)  # discovery is up again
     stage.listeners["disco"].setblocking(False)
-    while stage.service.pool.close_idlest():  # what could be had without any client
+    while stage.service.pool.close_idlest():  # descriptors that can be freed without a client
         pass
     with no_descriptor_left():
         stage.play("wait 0.2")
@@ -576,22 +581,25 @@
     assert s1_is_left(stage)
 
 
-def test_a_descriptor_is_had_also_of_an_idle_client_that_breaks_its_connection_just_then(
+def test_descriptor_is_freed_when_the_idle_client_resets_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Between the look at it and its end, so that there is nothing left to linger for."""
+    """The client resets its connection between the check of it and its close.
+
+    The connection then does not linger, and its descriptor is free already.
+    """
     stage = Stage(hosts=1)
     idle_clients(stage, 0, 1)
-    whole = stream.Stream.is_open_and_quiet
+    real_check = stream.Stream.is_open_and_quiet
 
-    def alive(self: stream.Stream) -> bool:
-        found = whole(self)
+    def check_then_reset(self: stream.Stream) -> bool:
+        is_open = real_check(self)
         if stage.ends["i0"]:
             stage._end("i0").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             stage.ends["i0"].pop().close()
-        return found
+        return is_open
 
-    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", alive)
+    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_reset)
     assert stage.service.frontend.free_descriptor()
     assert (
         not stage.service.frontend.sessions.sessions
@@ -599,10 +607,10 @@
     )
 
 
-def test_clients_that_hold_half_a_command_each_take_no_more_than_the_clients_share() -> None:
-    """None of them rests, so none of them may be ended to let in another.
+def test_clients_with_partial_commands_stay_within_the_session_limit() -> None:
+    """None of the clients is idle, so none may be closed to accept another.
 
-    The others wait in the queue.
+    The others must wait in the accept queue.
     """
     stage = Stage(hosts=1, sockets=96)
     frontend = stage.service.frontend
@@ -638,55 +646,55 @@
 
 @pytest.mark.parametrize("fill", FILLS)
 @pytest.mark.parametrize("mode", AGENTS)
-def test_a_limiter_is_ready_within_seconds_whatever_discovery_and_clients_do(
+def test_limiter_is_ready_in_time_whatever_discovery_and_clients_do(
     mode: str, fill: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The page allows 10 s to be ready, also where discovery is ill and clients hold all places.
+    """Discovery fails and clients occupy all sessions; 10 s are allowed until the limiter is ready.
 
-    Needed are READY_WITHOUT_DISCOVERY_AFTER_S and the time in which a command must come to its end.
+    The limiter needs READY_WITHOUT_DISCOVERY_AFTER_S and the timeout of partial commands.
     """
     stage = Stage(hosts=2, heard=False, sockets=0)
     agent = Agent(stage, monkeypatch)
-    agent.turn_to(mode)
+    agent.set_mode(mode)
     if fill != "nobody":
         for number in range(30):
             stage._end(f"f{number}").sendall(FILLS[fill])
-    front = socket.create_connection(stage.service.frontend.address)
-    front.setblocking(False)
-    front.sendall(stage.bytes_of("[PING]"))
+    client = socket.create_connection(stage.service.frontend.address)
+    client.setblocking(False)
+    client.sendall(stage.bytes_of("[PING]"))
     got = list[bytes]()
 
     def is_answered() -> bool:
         with suppress(BlockingIOError):
-            got.append(front.recv(99))
+            got.append(client.recv(99))
         return bool(got)
 
-    took = agent.run(30.0, until=is_answered)
-    front.close()
+    delay = agent.run(30.0, until=is_answered)
+    client.close()
     agent.close()
-    rounds = 4 if fill == "clients with half a command" else 0  # 30 clients in nine places
-    assert got == [b"+PONG\r\n"] and took <= 0.6 + rounds * (COMMAND_TIMEOUT_S + 0.3)
+    rounds = 4 if fill == "clients with half a command" else 0  # 30 clients share nine sessions
+    assert got == [b"+PONG\r\n"] and delay <= 0.6 + rounds * (COMMAND_TIMEOUT_S + 0.3)
 
 
 @pytest.mark.parametrize("seconds", [0.0, 0.1, 0.45, 0.55])
-def test_what_came_before_an_early_sigterm_is_answered_also_without_a_list(seconds: float) -> None:
-    """SIGTERM before the first list, before it is ready, or in the very turn in which it is."""
+def test_requests_before_an_early_sigterm_are_answered_without_a_list(seconds: float) -> None:
+    """SIGTERM arrives before the first list, before the limiter is ready or in the same turn."""
     stage = Stage(hosts=1, heard=False)
     stage.play(f"a send {ask(1, 2000)}\nb send [PING]\nwait {seconds}")
     stage.service.shutdown.begin()
     stage.play("wait 0.3\nwait 0.3")
-    left = 1500
+    time_left_ms = 1500
     stage.play(
-        f"b expect +PONG\ns1 expect {ask(1, left)}\ns1 send {VALUE}\na expect "
+        f"b expect +PONG\ns1 expect {ask(1, time_left_ms)}\ns1 send {VALUE}\na expect "
         "$2\\r\\nhi\na close\nb close\nwait 1"
     )
     assert stage.scheduler._stopped
 
 
-def test_a_sighup_before_the_first_list_moves_the_watch_and_delays_no_readiness() -> None:
-    """SIGHUP moves discovery before its first list has come.
+def test_sighup_before_the_first_list_moves_the_watch_without_delay() -> None:
+    """SIGHUP changes discovery's address before the first list has arrived.
 
-    The watch asks the new one, and readiness is not put off.
+    The watch must ask the new address, and readiness must not be delayed.
     """
     stage = Stage(hosts=2, heard=False)
     stage.play(
@@ -698,10 +706,10 @@
     stage.play(f"s2 expect {ask(1, 700)}")
 
 
-def test_a_reload_that_fails_in_an_odd_way_loses_no_sigterm_that_came_with_it() -> None:
-    """A reload raises an error that nobody foresaw, and a SIGTERM came in the same read.
+def test_unexpected_reload_error_does_not_lose_a_sigterm() -> None:
+    """A reload raises an unexpected error, and a SIGTERM was received in the same read.
 
-    The shutdown still begins.
+    The shutdown must still begin.
     """
 
     def reread() -> PlatformConfig:
@@ -720,31 +728,29 @@
         stage.scheduler.unregister(inner.fileno())
 
 
-# Whole lists that leave out what drains
+# Full lists that omit draining endpoints
 
 
-def test_a_host_that_a_whole_list_leaves_out_is_gone_though_it_still_answers() -> None:
-    """A whole list does not name an endpoint any more.
+def test_endpoint_missing_from_a_full_list_gets_no_new_requests() -> None:
+    """A full list no longer contains an endpoint.
 
-    It gets nothing new, while its requests in flight go on.
+    The endpoint must get no new requests, while its requests in flight continue.
     """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\ndisco send whole 2 s1:in_service")
     stage.play(f"a send {ask(1)}\ns1.1 expect {ask(1)}\nb send {ask(2)}\ns1.2 expect {ask(2)}")
     stage.play(f"disco send whole 3 s2:in_service\ns1.1 send {VALUE}\na expect $2\\r\\nhi")
-    stage.play("s1.1 expect closed\ns1.2 expect nothing")  # the other goes on
-    stage.play("s1.2 send -ERR failed")  # and its repeat goes elsewhere
+    stage.play("s1.1 expect closed\ns1.2 expect nothing")  # the other request in flight continues
+    stage.play("s1.2 send -ERR failed")  # its retry goes to the other endpoint
     stage.play(f"s2.1 expect {ask(2)}\ns2 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.05")
     stage.play(f"c send {ask(3)}\ns2.1 expect {ask(3)}")
     assert stage.service.stats.outcomes["ok"] == 2 and set(stage.service.pool._endpoints) == {"s2"}
 
 
-def test_an_attempt_that_has_not_left_for_a_host_that_a_whole_list_leaves_out_goes_to_another() -> (
-    None
-):
-    """A whole list leaves out an endpoint while an attempt to it waits for its connection.
+def test_unsent_attempt_to_an_endpoint_missing_from_a_list_is_rerouted() -> None:
+    """A full list omits an endpoint while an attempt to it waits for its connection.
 
-    The attempt goes to another.
+    The request must be sent to another endpoint.
     """
     stage = Stage(hosts=2)
     fillers = unanswering(stage, "s1")
@@ -753,8 +759,8 @@
     stage.play(f"disco send whole 3 s2:in_service\ns2 expect {DO.format(1)}")
 
 
-def test_a_host_that_was_left_out_and_is_named_again_serves_again() -> None:
-    """An endpoint vanishes from one list and is back in the next. It serves again."""
+def test_endpoint_that_is_listed_again_serves_again() -> None:
+    """An endpoint is missing from one list and back in the next. It must serve again."""
     stage = Stage(hosts=1)
     stage.play(
         f"disco expect {GET}\ndisco send whole 2 s1:in_service\ndisco expect {WATCH.format(2)}"
@@ -765,14 +771,14 @@
     stage.play(f"disco send whole 4 s1:in_service\na send {ask(2)}\ns1 expect {ask(2)}")
 
 
-def test_half_a_request_keeps_no_other_from_its_answer_and_is_whole_in_any_pieces() -> None:
-    """A byte at a time, as slow clients write, beside one that is served meanwhile."""
+def test_request_sent_byte_by_byte_is_served_and_blocks_no_other() -> None:
+    """A slow client sends its request byte by byte, while another client is served."""
     stage = Stage(hosts=1, settings=replace(SETTINGS, hedging=True))
-    words = stage.bytes_of(DO.format(1))
-    for number in range(len(words)):
-        stage._end("a").sendall(words[number : number + 1])
+    data = stage.bytes_of(DO.format(1))
+    for number in range(len(data)):
+        stage._end("a").sendall(data[number : number + 1])
         stage.settle(2)
-        if number == len(words) // 2:
+        if number == len(data) // 2:
             stage.play(
                 f"b send {ask(2)}\ns1.1 expect {ask(2)}\ns1 send {VALUE}\nb expect "
                 "$2\\r\\nhi\nwait 0.05"
