--- a/tests/net/test_administrative_overrides.py
+++ b/tests/net/test_administrative_overrides.py
@@ -19,18 +19,18 @@
 
     Neither may cause a request to the disabled endpoint.
     """
-    engine = make(0, limiter_count=1)
-    engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
-    engine.handle(api.EndpointOverridden("s1", True), 100.0)
+    decision_engine = make(0, limiter_count=1)
+    decision_engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    decision_engine.handle(api.EndpointOverridden("s1", True), 100.0)
     sent = {
         s.endpoint
         for i in range(40)
-        for s in only(ask(engine, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
+        for s in only(ask(decision_engine, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
     }
     assert sent == {"s2"}
-    engine.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
+    decision_engine.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
     # The list says that s1 is up, but the override still applies.
-    assert not only(ask(engine, 101.1), api.StartAttempt)
+    assert not only(ask(decision_engine, 101.1), api.StartAttempt)
 
 
 def test_reenabled_endpoint_warms_up_again() -> None:
@@ -38,17 +38,17 @@
 
     A list with an old start time must not end the warm-up.
     """
-    engine = make(0, limiter_count=1)
-    engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
-    engine.handle(api.EndpointOverridden("s1", True), 100.0)
-    engine.handle(api.EndpointOverridden("s1", False), 105.0)
-    assert engine.endpoints["s1"].is_warming_up(105.5, engine.settings)
-    engine.handle(
+    decision_engine = make(0, limiter_count=1)
+    decision_engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    decision_engine.handle(api.EndpointOverridden("s1", True), 100.0)
+    decision_engine.handle(api.EndpointOverridden("s1", False), 105.0)
+    assert decision_engine.endpoints["s1"].is_warming_up(105.5, decision_engine.settings)
+    decision_engine.handle(
         servers("full", entry("s1"), entry("s2")), 106.0
     )  # A start time long ago does not end the warm-up.
-    assert engine.endpoints["s1"].is_warming_up(106.0, engine.settings) and not engine.endpoints[
-        "s2"
-    ].is_warming_up(106.0, engine.settings)
+    assert decision_engine.endpoints["s1"].is_warming_up(
+        106.0, decision_engine.settings
+    ) and not decision_engine.endpoints["s2"].is_warming_up(106.0, decision_engine.settings)
 
 
 def test_set_down_and_set_up_calls_change_the_disabled_endpoints() -> None:
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -63,7 +63,7 @@
         """Delays connections by the stage's clock, because on loopback none is established late."""
         real_connect, real_await = stream.Stream.connect, stream.Stream.await_connected
 
-        def connect(
+        def delayed_connect(
             connection: stream.Stream, address: tuple[str, int], until: float
         ) -> CloseReason | None:
             if address != self.address or self.mode != "late up":
@@ -71,7 +71,7 @@
             self._up_at[connection] = self.stage.now + 0.4
             return wait(connection, until)
 
-        def await_connected(connection: stream.Stream, until: float) -> CloseReason | None:
+        def delayed_await(connection: stream.Stream, until: float) -> CloseReason | None:
             return (
                 wait(connection, until)
                 if connection in self._up_at
@@ -86,8 +86,8 @@
             del self._up_at[connection]
             return real_connect(connection, self.address, until)
 
-        patch.setattr(stream.Stream, "connect", connect)
-        patch.setattr(stream.Stream, "await_connected", await_connected)
+        patch.setattr(stream.Stream, "connect", delayed_connect)
+        patch.setattr(stream.Stream, "await_connected", delayed_await)
 
     def change(self) -> None:
         """Makes discovery's list say from now on that s1 drains."""
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -29,14 +29,14 @@
 
 def damaged_config(kind: str) -> str:
     """Returns the text of a configuration file that a reload must reject."""
-    config = document()
-    grades = config["settings"]["grades"]
+    config_document = document()
+    grades = config_document["settings"]["grades"]
     if kind == "empty":
         return ""
     if kind == "cut off":
-        return json.dumps(config)[:200]
+        return json.dumps(config_document)[:200]
     if kind == "no settings":
-        del config["settings"]
+        del config_document["settings"]
     elif kind == "a class without deadline":
         del grades[0]["deadline"]
     elif kind == "deadline zero":
@@ -44,12 +44,12 @@
     elif kind == "deadline below zero":
         grades[0]["deadline"] = -1.5
     elif kind == "attempts zero":
-        config["settings"]["policy_limits"]["max_attempts"] = 0
+        config_document["settings"]["policy_limits"]["max_attempts"] = 0
     elif kind == "deadline a text":
         grades[0]["deadline"] = "3"
     elif kind == "not an object":
         return "[1, 2]"
-    return json.dumps(config)
+    return json.dumps(config_document)
 
 
 KINDS = [
@@ -125,25 +125,29 @@
 
     The request must keep the number with which it arrived.
     """
-    engine = make(0, limiter_count=1, max_attempts=3)
-    (first,) = only(ask(engine, 100.0, id="r1"), api.StartAttempt)
-    engine.retune(replace(engine.settings, max_attempts=1))
+    decision_engine = make(0, limiter_count=1, max_attempts=3)
+    (first,) = only(ask(decision_engine, 100.0, id="r1"), api.StartAttempt)
+    decision_engine.retune(replace(decision_engine.settings, max_attempts=1))
     assert only(
-        answer(engine, first, 100.1, "error"), api.StartAttempt
+        answer(decision_engine, first, 100.1, "error"), api.StartAttempt
     ), "an open request lost its further attempts"
-    (later,) = only(ask(engine, 100.2, id="r2"), api.StartAttempt)
-    assert not only(answer(engine, later, 100.3, "error"), api.StartAttempt)
+    (later,) = only(ask(decision_engine, 100.2, id="r2"), api.StartAttempt)
+    assert not only(answer(decision_engine, later, 100.3, "error"), api.StartAttempt)
 
 
 def test_open_request_of_a_removed_class_still_ends() -> None:
     """A reload removes the class of an open request. The request must still complete."""
-    engine = make(0, limiter_count=1, max_attempts=3)
-    (first,) = only(ask(engine, 100.0, id="r1", kind="issue"), api.StartAttempt)
-    engine.retune(replace(engine.settings, classes=engine.settings.classes[:1]))
-    answer(engine, first, 100.1, "ok")  # its class was removed, but the request still ends
-    assert "r1" not in engine.pending_requests or engine.pending_requests["r1"].ended
+    decision_engine = make(0, limiter_count=1, max_attempts=3)
+    (first,) = only(ask(decision_engine, 100.0, id="r1", kind="issue"), api.StartAttempt)
+    decision_engine.retune(
+        replace(decision_engine.settings, classes=decision_engine.settings.classes[:1])
+    )
+    answer(decision_engine, first, 100.1, "ok")  # its class was removed, but the request still ends
+    assert (
+        "r1" not in decision_engine.pending_requests or decision_engine.pending_requests["r1"].ended
+    )
     # a request of a removed class is not sent
-    assert not only(ask(engine, 100.2, kind="issue"), api.StartAttempt)
+    assert not only(ask(decision_engine, 100.2, kind="issue"), api.StartAttempt)
 
 
 def test_changed_deadline_resets_the_time_left_statistics() -> None:
@@ -151,13 +155,17 @@
 
     The time-left statistics collected under the old deadline must not be used with the new one.
     """
-    engine = make(0, limiter_count=20)
-    statistics = {name: engine.load_shedding.time_left[name] for name in ("lookup", "issue")}
+    decision_engine = make(0, limiter_count=20)
+    statistics = {
+        name: decision_engine.load_shedding.time_left[name] for name in ("lookup", "issue")
+    }
     for class_statistics in statistics.values():
         assert class_statistics.is_longest(3.0)
-    lookup, *rest = engine.settings.classes
-    engine.retune(
-        replace(engine.settings, classes=(replace(lookup, deadline=lookup.deadline / 2), *rest))
+    lookup, *rest = decision_engine.settings.classes
+    decision_engine.retune(
+        replace(
+            decision_engine.settings, classes=(replace(lookup, deadline=lookup.deadline / 2), *rest)
+        )
     )
     assert statistics["lookup"].is_longest(1.5) and not statistics["issue"].is_longest(1.5)
 
