--- a/hazelhollow/net/discovery_watch.py
+++ b/hazelhollow/net/discovery_watch.py
@@ -75,7 +75,7 @@
         self._stream: stream.Stream | None = None
         self._slow_stream: stream.Stream | None = None  # on which a late answer may still arrive
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Changes discovery's address.
 
         The change takes effect at once: calls in flight are closed. The versions at the new address
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -179,7 +179,7 @@
         """Applies the timeouts and the discovery address of a reloaded configuration."""
         self.pool.retune(config.connect_timeout, config.conn_idle)
         log.info("reloaded: discovery at %s:%d", *config.discovery)
-        self.discovery_watch.move(config.discovery)
+        self.discovery_watch.change_address(config.discovery)
 
 
 def _share(count: int, share: tuple[int, int]) -> int:
