--- a/hazelhollow/net/gc_pauses.py
+++ b/hazelhollow/net/gc_pauses.py
@@ -2,8 +2,8 @@
 
 Nearly all of a limiter's garbage is freed by reference counting; the collector only finds the rare
 cycles. A pass blocks the event loop while it traverses every object of its generation. Therefore
-the young generations are kept small, and the objects that live as long as the process are frozen
-before serving, which excludes them from all passes.
+the young generations are kept small. Before serving, garbage is collected once and the remaining
+objects, which live as long as the process, are frozen, which excludes them from all passes.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/operator_address.py
+++ b/hazelhollow/net/operator_address.py
@@ -75,7 +75,8 @@
         finally:
             self._stats.operator_endings[reason] += 1
             if caller.close_reason is None and not caller.send_buffer:
-                # Closing a socket with unread input resets it, and the answer could be lost.
+                # The caller may have sent more than its call. Closing a socket with unread input
+                # resets the connection, and the answer could be lost.
                 caller.shutdown_send()
                 caller.discard_until_closed(ANSWER_TIMEOUT_S, MAX_DISCARDED_BYTES)
             caller.close(reason)
