--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -794,7 +794,7 @@
     stage.play("disco send table 3 s2:terminating")
     assert (
         stage.service.endpoint_list.version == 5
-        and "s2" in stage.service.endpoint_list.open_addresses()
+        and "s2" in stage.service.endpoint_list.in_service_addresses()
     )
 
 
