--- a/hazelhollow/bench/count_model/member.py
+++ b/hazelhollow/bench/count_model/member.py
@@ -83,7 +83,7 @@
         """Move its clock; counts of periods that closed enter its table."""
         self.context.now, self.context.period = float(period), period
         self.counts.advance(period)
-        for action in self._replicated.take_closed(MAX_CLOSED_COUNTS):
+        for action in self._replicated.drain_grown_counts(MAX_CLOSED_COUNTS):
             if isinstance(action, api.ReplicateCount):
                 self._store_count(action.replicated_count, action.set_size)
 
--- a/hazelhollow/decisions/engine.py
+++ b/hazelhollow/decisions/engine.py
@@ -225,7 +225,7 @@
         if self._round_period < context.period:
             self._round_period = context.period
             self.gossip.begin_period()
-        context.actions += self.replicated_accounts.take_closed()
+        context.actions += self.replicated_accounts.drain_grown_counts()
         self.customer_accounts.forget_idle()
         self.gossip.enqueue_final_charges()
         self.gossip.announce_overdue(self._round_interval)
--- a/hazelhollow/decisions/state/replicated_accounts.py
+++ b/hazelhollow/decisions/state/replicated_accounts.py
@@ -112,7 +112,7 @@
         if account.charges.closed_counts is not None:
             self.unclosed[account.name] = None
 
-    def take_closed(self, limit: int = MAX_COUNTS_A_ROUND) -> list[Action]:
+    def drain_grown_counts(self, limit: int = MAX_COUNTS_A_ROUND) -> list[Action]:
         """The counts that have grown by periods that are closed now.
 
         Each account is looked at once a period, those that waited longest first, and no more of
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -221,7 +221,7 @@
     engine = charged_by_many(customers)
     engine.context.now, engine.context.period = 102.0, 102
     while counts := only(
-        engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
+        engine.replicated_accounts.drain_grown_counts(MAX_COUNTS_A_ROUND), api.ReplicateCount
     ):
         assert len(counts) <= MAX_COUNTS_A_ROUND + len(
             INCARNATIONS
@@ -235,11 +235,11 @@
     engine = charged_by_many(3 * MAX_COUNTS_A_ROUND)
     engine.context.now, engine.context.period = 101.0, 101
     for _ in range(3):
-        assert engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND) == []
+        assert engine.replicated_accounts.drain_grown_counts(MAX_COUNTS_A_ROUND) == []
     before = list(engine.replicated_accounts.unclosed)
     assert len(before) == 3 * MAX_COUNTS_A_ROUND
     assert (
-        engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND) == []
+        engine.replicated_accounts.drain_grown_counts(MAX_COUNTS_A_ROUND) == []
         and list(engine.replicated_accounts.unclosed) == before
     )
 
@@ -256,7 +256,8 @@
         told |= {
             count.key
             for count in only(
-                engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
+                engine.replicated_accounts.drain_grown_counts(MAX_COUNTS_A_ROUND),
+                api.ReplicateCount,
             )
         }
     assert len(told) == 2 * MAX_COUNTS_A_ROUND
@@ -277,7 +278,7 @@
         closed: list[api.Action] = []
         for now in (101.0, 102.0, 103.0, 104.0):
             engine.context.now, engine.context.period = now, int(now)
-            take = engine.replicated_accounts.take_closed
+            take = engine.replicated_accounts.drain_grown_counts
             costs.append(bytecodes(partial(_take_all, take, closed)))
         assert [c.replicated_count.total for c in only(closed, api.ReplicateCount)] == [
             1.0
