--- a/hazelhollow/decisions/gossip/scheduler.py
+++ b/hazelhollow/decisions/gossip/scheduler.py
@@ -83,7 +83,7 @@
 
     # What is to be sent
 
-    def charged(self, account: Account, period: int) -> None:
+    def report_charge(self, account: Account, period: int) -> None:
         """This limiter charged an account."""
         self.charged_this_period[account.name] = None
         self.enqueue(account.hubs, account.name, period)
--- a/hazelhollow/decisions/quota.py
+++ b/hazelhollow/decisions/quota.py
@@ -167,7 +167,7 @@
         """Takes units off an account, and hands the charge to gossip."""
         account.quota.level -= account.charges.charge(units, period)
         self._replicated.mark_charged(account)
-        self._gossip.charged(account, period)
+        self._gossip.report_charge(account, period)
 
 
 def probability_at_least(count: int, mean: float) -> float:
