--- a/hazelhollow/decisions/state/customer_accounts.py
+++ b/hazelhollow/decisions/state/customer_accounts.py
@@ -1,4 +1,4 @@
-"""The accounts of customers seen lately: found, opened, and forgotten when they are idle."""
+"""The accounts of recently seen customers: lookup, opening, and removal when they are idle."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     members_mask,
 )
 
-KEY_COUNT = 36**5  # how many keys there are for customers in messages
-MIN_IDLE_S = 2.0 * PERIOD_S  # an account is kept at least so long after its last use
-# Seconds after which members that can be heard again have replicated what they charged.
+KEY_COUNT = 36**5  # number of distinct customer keys in messages
+MIN_IDLE_S = 2.0 * PERIOD_S  # least time that an account is kept after its last use
+# Time after which members that are reachable again have replicated their charges.
 COUNT_SETTLE_S = 4.0 * PERIOD_S
-MAX_FORGET_CHECKS = 60  # accounts looked at in one gossip round, whether to forget them
+MAX_FORGET_CHECKS = 60  # accounts checked for removal in one gossip round
 
 
 class CustomerAccounts:
     """All accounts of one limiter.
 
     Attributes:
-        by_name: The accounts, by name.
-        checks: A heap: when accounts are looked at whether they may be forgotten. The number tells
-            apart those of one instant.
+        by_name: The accounts by name.
+        checks: A heap of the times at which accounts are checked for removal. A sequence number
+            orders checks that are due at the same time.
     """
 
     def __init__(self, context: DecisionContext, startup: StartupQuota) -> None:
@@ -38,32 +38,35 @@
         self.by_name: dict[str, Account] = {}
         self.checks: list[tuple[float, int, Account]] = []
         self._check_number = 0
-        self._latest_key = ("", "")  # a customer's name and key
+        self._latest_key = ("", "")  # the customer looked up last, and its key
 
     # Names
 
     def key_of_customer(self, customer: str) -> str:
-        """The key under which limiters tell each other of a customer."""
+        """Returns the key that stands for a customer in messages between limiters."""
         if customer != self._latest_key[0]:
             self._latest_key = customer, codec.base36(crc32(customer.encode()) % KEY_COUNT)
         return self._latest_key[1]
 
     def name_of(self, key: str, plan: Plan) -> str:
-        """The name of the account of that key and plan.
+        """Returns the name of the account with that key and plan.
 
-        Two customers may have one key, and one may change its plan: neither goes by the other's
-        plan, so the second plan's account has a name of its own.
+        Two customers may share a key, and a customer may change its plan. Each plan needs an
+        account of its own, so the name of the second plan's account also contains the plan's tag.
         """
-        known = self.by_name.get(key)
-        if known and known.plan is plan:
+        first = self.by_name.get(key)
+        if first and first.plan is plan:
             return key
-        other = f"{key}.{codec.name_tag(plan.name)}"
-        return other if known or other in self.by_name else key
+        name_with_tag = f"{key}.{codec.name_tag(plan.name)}"
+        return name_with_tag if first or name_with_tag in self.by_name else key
 
     # Opening
 
     def get(self, key: str, plan: Plan, set_start: int, set_size: int) -> Account:
-        """The account, refilled; opened where there is none. `set_size` 0: the set is not known."""
+        """Returns the refilled account, and opens it if there is none.
+
+        A `set_size` of 0 means that the set is not known.
+        """
         context = self._context
         account = self.by_name.get(name := self.name_of(key, plan))
         if account is None:
@@ -73,9 +76,9 @@
             self.reserve_for_unreachable(account)
             large, limiter_id = set_size > MAX_DIRECT_SET, context.settings.limiter_id
             if large and limiter_id in account.hubs and not account.has_announcement:
-                # A hub hears what is charged from now on, and of the other hub what was before.
+                # A hub receives the charges from now on, and the level before from the other hub.
                 account.quota.level = plan.burst
-            account.share_ceiling()
+            account.set_ceiling_share()
         account.refill(context.now, context.period)
         return account
 
@@ -92,12 +95,12 @@
         self._schedule_check(account, context.now + MIN_IDLE_S)
         return account
 
-    # Members that can't be heard
+    # Unreachable members
 
     def apply_membership(
         self, event: MembershipChanged, unreachable_before: frozenset[int]
     ) -> None:
-        """Takes over who can be heard, in the accounts of sets in which that has changed."""
+        """Updates the accounts of sets in which the reachable members have changed."""
         context = self._context
         changed = members_mask(context.unreachable ^ unreachable_before)
         changed |= members_mask(member for member, _ in event.unused)
@@ -113,19 +116,20 @@
             account.quota.level += account.reclaim(event.unused, context.settings.limiter_count)
 
     def reserve_for_unreachable(self, account: Account) -> None:
-        """Leaves the even part of the members that can't be heard to them."""
+        """Reserves the equal shares of unreachable members in an account for them."""
         context = self._context
         account.reserve_for(context.unreachable, context.settings.limiter_count, context.now)
-        if account.returning:  # what they did not use is given back soon
+        if account.returning:  # the check releases the reserves that they did not use
             self._schedule_check(account, context.now)
 
     # Forgetting
 
     def forget_idle(self) -> None:
-        """Forgets accounts that a new account would equal by now.
+        """Removes idle accounts whose state equals that of a new account.
 
-        Looks at some of them only, so that no round is long. Reports of peers count as use, too: a
-        total that is reported again would count as a new charge to an account opened anew.
+        At most `MAX_FORGET_CHECKS` accounts are checked, which bounds the duration of a round.
+        Reports of peers count as use: if the account were removed and opened again, a repeated
+        report of a total would be charged a second time.
         """
         context, checks = self._context, MAX_FORGET_CHECKS
         while checks and self.checks and self.checks[0][0] <= context.now:
@@ -135,12 +139,12 @@
             checks -= 1
             if account.returning:
                 account.release_returned(context.now, COUNT_SETTLE_S, context.away)
-            again = account.next_forget_check(context.now, MIN_IDLE_S)
-            if again <= context.now:
+            recheck_at = account.next_forget_check(context.now, MIN_IDLE_S)
+            if recheck_at <= context.now:
                 del self.by_name[account.name]
             else:
-                self._schedule_check(account, again)
+                self._schedule_check(account, recheck_at)
 
-    def _schedule_check(self, account: Account, when: float) -> None:
-        account.next_check_at, self._check_number = when, self._check_number + 1
-        heapq.heappush(self.checks, (when, self._check_number, account))
+    def _schedule_check(self, account: Account, check_at: float) -> None:
+        account.next_check_at, self._check_number = check_at, self._check_number + 1
+        heapq.heappush(self.checks, (check_at, self._check_number, account))
--- a/hazelhollow/decisions/state/period_charges.py
+++ b/hazelhollow/decisions/state/period_charges.py
@@ -1,18 +1,20 @@
-"""What one customer was charged, by period and by the limiter that charged it.
-
-Time is cut into periods of a second. The current period and the one before it are open: they may
-still get charges, by this limiter or by reports of others. Older ones are closed. Where counts are
-replicated, a closed period's charges go into a running count for each incarnation of a limiter, so
-that what a lost report would have said can be made up for; else they are dropped.
-
-A charge must count once, whatever way and however often it is heard of:
-
-| heard by               | counted as                                                            |
-| ---------------------- | --------------------------------------------------------------------- |
-| own charge             | added to `own`                                                        |
-| report of a peer       | replaces the peer's total for that period; the difference is charged  |
-| replicated count       | what it has beyond the known count and the reports of its periods     |
-| any, of a closed count | nothing                                                               |
+"""Charges of one customer, by period and by the limiter that made them.
+
+Time is divided into one-second periods. The current period and the one before it are open: this
+limiter and the reports of its peers may still add charges to them. Older periods are closed. Where
+counts are replicated, the charges of a closed period are added to a running count for each
+incarnation of a limiter, which later makes up for lost reports; otherwise they are dropped.
+
+Each charge is counted exactly once, however often and by whatever path it is reported:
+
+| source                                | effect                                                   |
+| ------------------------------------- | -------------------------------------------------------- |
+| charge by this limiter                | is added to `own`                                        |
+| report of a peer                      | replaces the peer's total of the period; the difference  |
+|                                       | is charged                                               |
+| replicated count                      | charges what it has beyond the stored count and the      |
+|                                       | reports of the same periods                              |
+| report of a period already in a count | is ignored                                               |
 """
 
 from __future__ import annotations
@@ -21,12 +23,12 @@
 
 
 class ClosedCount(NamedTuple):
-    """What an incarnation of a limiter charged in closed periods.
+    """The charges of one incarnation of a limiter in closed periods.
 
     Attributes:
-        since: The period from which on it counts; 0 is not known.
-        through: The last period that it has charges of.
-        total: Units.
+        since: The first period that the count covers; 0 if it is not known.
+        through: The last period with charges in the count.
+        total: Units charged.
     """
 
     since: int = 0
@@ -42,15 +44,15 @@
 
     Attributes:
         period: The current period, as of the last `advance`.
-        since: The first period in which this limiter knew the customer; 0 before any.
-        complete_since: The period from which on all charges are known here.
-        own: This limiter's charges by open period, in units.
-        own_closed: The same of all closed periods together.
+        since: The first period in which this limiter had the customer's account; 0 before that.
+        complete_since: The first period from which this limiter has every charge.
+        own: Units that this limiter charged, by open period.
+        own_closed: Units that this limiter charged in all closed periods together.
         own_last_period: The last closed period in which this limiter charged.
-        newly_closed: Incarnations, "" for this limiter's own, whose closed count has grown since
-            this was last emptied.
-        reported: Units by a peer's incarnation (`number.incarnation`) and open period.
-        closed_counts: The same of closed periods, by incarnation; None where counts are not
+        newly_closed: Incarnations whose closed count has grown since this set was last emptied; ""
+            stands for this limiter's own count.
+        reported: Units that peers charged, by incarnation (`number.incarnation`) and open period.
+        closed_counts: Counts of closed periods by a peer's incarnation; None where counts are not
             replicated.
     """
 
@@ -76,7 +78,7 @@
         self.closed_counts: dict[str, ClosedCount] | None = None
 
     def advance(self, period: int) -> None:
-        """Closes the periods before the one before `period`."""
+        """Makes `period` the current one and closes the periods older than its predecessor."""
         if period > self.period:
             self.period = period
             self.since, self.complete_since = self.since or period, self.complete_since or period
@@ -93,23 +95,24 @@
                 self.newly_closed.add("")
         for (incarnation, period), total in self.reported.items():
             if period < oldest_open and total:
-                since, through, known = counts.get(incarnation, _NOTHING_COUNTED)
-                counts[incarnation] = ClosedCount(since, max(through, period), known + total)
+                since, through, closed = counts.get(incarnation, _NOTHING_COUNTED)
+                counts[incarnation] = ClosedCount(since, max(through, period), closed + total)
                 self.newly_closed.add(incarnation)
 
     def charge(self, units: float, period: int) -> float:
-        """Charges units, or refunds them if they are below zero; returns what was charged.
+        """Charges units, or refunds them if they are negative, and returns the change of the total.
 
-        A refund belongs to the period of its charge: no period's total falls below zero.
+        A refund belongs to the period of its charge, so that no period's total falls below zero.
         """
         before = self.own.get(period, 0.0)
         self.own[period] = max(before + units, 0.0)
         return self.own[period] - before
 
     def merge_report(self, incarnation: str, period: int, total: float) -> float:
-        """Takes a peer's total for an open period; returns the units that it adds.
+        """Stores a peer's total for an open period and returns the units that this adds.
 
-        A repeated report adds nothing, and the next report makes up for a lost one.
+        Reports carry totals, so that a repeated report adds nothing and the next report makes up
+        for a lost one.
         """
         if period < self.period - 1 or (
             self.closed_counts
@@ -121,23 +124,24 @@
         return total - before
 
     def merge_count(self, incarnation: str, count: ClosedCount) -> float:
-        """Takes a replicated count of closed periods; returns the units that it adds.
+        """Merges a replicated count of closed periods and returns the units that this adds.
 
-        Reports of those periods are part of it. The first count of an incarnation that began
-        before this limiter knew the customer adds nothing: it was taken into account then.
+        The count includes the reports of its periods. The first count received of an incarnation
+        adds nothing if it starts before this limiter knew the customer: the level with which the
+        account was opened already reflects it.
         """
         assert self.closed_counts is not None
-        known = self.closed_counts.get(incarnation)
-        if known and count.since < known.since:
-            return 0.0  # it counts from an earlier period: older than what is known
-        began, through, counted = known or _NOTHING_COUNTED
+        stored = self.closed_counts.get(incarnation)
+        if stored and count.since < stored.since:
+            return 0.0  # the stored count started later and has replaced this one
+        stored_since, through, counted = stored or _NOTHING_COUNTED
         reported = sum(
             units
             for (peer, period), units in self.reported.items()
             if peer == incarnation and period <= count.through
         )
-        if began and count.since > began:
-            counted, through = 0.0, 0  # the peer had forgotten the customer and counts anew
+        if stored_since and count.since > stored_since:
+            counted, through = 0.0, 0  # the peer forgot the customer and restarted its count
         added = count.total - counted - reported
         self.reported = {
             k: v for k, v in self.reported.items() if k[0] != incarnation or k[1] > count.through
@@ -145,12 +149,15 @@
         self.closed_counts[incarnation] = ClosedCount(
             count.since, max(count.through, through), max(count.total, counted + reported)
         )
-        return max(added, 0.0) if began or count.since >= self.complete_since else 0.0
+        return max(added, 0.0) if stored_since or count.since >= self.complete_since else 0.0
 
     def reported_rate(self, span: float) -> float:
-        """Units a second that peers charged in the open periods, which `span` seconds lie in."""
+        """Returns the units per second that peers charged in the open periods.
+
+        `span` is the time in seconds that the open periods cover so far.
+        """
         return sum(self.reported.values()) / span if self.reported else 0.0
 
     def open_total(self) -> float:
-        """Units of the open periods, by all limiters."""
+        """Returns the units that all limiters charged in the open periods."""
         return sum(self.own.values()) + sum(self.reported.values())
--- a/tests/decisions/test_replicated_accounts.py
+++ b/tests/decisions/test_replicated_accounts.py
@@ -316,7 +316,7 @@
         one.ask(number)
     one.beat(1.0)
     account = next(iter(one.all[0].accounts.values()))
-    account.charge_unheard(1, 30.0)
+    account.charge_unreported(1, 30.0)
     account.quota.level, account.quota.updated_at = 0.0, one.now
     served = 0
     for _ in range(40):  # four seconds in which all that can be had is asked for
