--- a/hazelhollow/decisions/gossip/__init__.py
+++ b/hazelhollow/decisions/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""How limiters tell each other what they charged, and what they saw of endpoints."""
+"""Gossip between limiters: charges, levels of quotas, and observations of endpoints."""
--- a/hazelhollow/decisions/gossip/codec.py
+++ b/hazelhollow/decisions/gossip/codec.py
@@ -1,6 +1,6 @@
-"""The format of gossip datagrams: values to a few bytes of text and back.
+"""Encodes and decodes gossip datagrams, a compact text format.
 
-A datagram is a header and items, each with a space before it:
+A datagram is a header followed by items, each preceded by a space:
 
 | part            | text                                              |
 | --------------- | ------------------------------------------------- |
@@ -10,10 +10,10 @@
 | `LoadReport`    | `endpoint=work`                                   |
 | `FailureReport` | `endpoint!class`                                  |
 
-Numbers are in base 36, amounts in tenths of a unit, work in hundredths of a second. Plans, classes
-and endpoints go by tags of their names, so that a datagram means the same under settings that list
-others beside them. The dialect before this one named places in the sender's settings in place
-of tags, and is still read.
+Numbers are in base 36, amounts in tenths of a unit, work in hundredths of a second. Tags, which are
+hashes of names, identify plans, classes and endpoints, so that a datagram has the same meaning for
+limiters whose settings list different ones. The previous dialect identified plans and classes by
+their index in the sender's settings; it is still decoded.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 
 MAX_DATAGRAM_BYTES = 256
 DIALECT, PREVIOUS_DIALECT = "i", "h"
-PERIODS = 36  # a datagram tells its period modulo this
-EVERY_CLASS_TAG = "0"  # in place of a class's tag
+PERIODS = 36  # the header holds the period modulo this number
+EVERY_CLASS_TAG = "0"  # stands for all classes
 TENTHS = 10
 _TAG_COUNT = 36**3
-_INCARNATION_TENTHS = 36**3  # tenths of a second after which the names of incarnations come again
+_INCARNATION_TENTHS = 36**3  # names of incarnations repeat after this many tenths of a second
 _MAX_WAIT_DIGIT = 35
 _DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
 
 
 class ChargeReport(NamedTuple):
-    """What the sender charged a customer in one period.
+    """The sender's charges to a customer in one period.
 
     Attributes:
         key: The customer's key.
         plan: The plan's tag.
-        set_start: The first limiter of the customer's set.
-        set_size: How many limiters there are in it.
-        age: Periods that the charged one lies before the datagram's.
-        total: Units, of the whole period so far.
-        open_requests: Requests in flight for the customer, where the plan limits them.
+        set_start: The number of the first limiter of the customer's set.
+        set_size: The number of limiters in the set.
+        age: The number of periods from the charged period to the datagram's.
+        total: Units charged since the start of the charged period.
+        open_requests: The customer's requests in flight at the sender, if the plan limits them.
     """
 
     key: str
@@ -56,7 +56,7 @@
 
 
 class SpentReport(NamedTuple):
-    """How many units of a customer's burst are spent, by all limiters together."""
+    """The units of a customer's burst that all limiters together have spent."""
 
     key: str
     plan: str
@@ -71,7 +71,7 @@
 
 
 class FailureReport(NamedTuple):
-    """An endpoint failed the sender lately, for one class or for `EVERY_CLASS_TAG`."""
+    """A recent failure of an endpoint at the sender, for one class or for `EVERY_CLASS_TAG`."""
 
     endpoint: str
     request_class: str
@@ -81,29 +81,31 @@
 
 
 class GossipMessage(NamedTuple):
-    """A datagram that was read.
+    """A decoded datagram.
 
     Attributes:
-        period: The sender's, modulo 36.
-        queue_wait: How long answers have waited at the sender lately, in tightest objectives.
-        incarnation: The sender's.
-        reports: In their order.
-        unknown: How many were about plans and classes that these settings don't have.
+        period: The sender's current period, modulo 36.
+        queue_wait: The recent waiting time of answers at the sender, as a multiple of the tightest
+            latency objective.
+        incarnation: The name of the sender's incarnation.
+        reports: The reports in the order of the datagram.
+        unknown_tags: The number of reports left out because their plan or class is not in the
+            receiver's settings.
     """
 
     period: int
     queue_wait: float
     incarnation: str
     reports: tuple[Report, ...]
-    unknown: int = 0
+    unknown_tags: int = 0
 
 
 class _UnknownTagError(Exception):
-    """A report is sound and of no use here: these settings don't have its plan or class."""
+    """A report is well-formed, but its plan or class is not in the receiver's settings."""
 
 
 def base36(number: int) -> str:
-    """A number of 0 or more in base 36."""
+    """Returns a non-negative number in base 36."""
     if number < 36:
         return _DIGITS[number]
     text = ""
@@ -114,11 +116,11 @@
 
 
 def number36(text: str, most: int) -> int:
-    """The number that `base36` wrote.
+    """Parses a number written by `base36`.
 
     Raises:
-        ValueError: It is not one, or not below `most`; int() would read signs, spaces and
-            underscores too.
+        ValueError: The text is not such a number, or the number is not below `most`. The text is
+            checked first because int() also accepts signs, spaces and underscores.
     """
     if not (text.isascii() and text.isalnum() and text == text.lower()):
         raise ValueError(text)
@@ -129,29 +131,32 @@
 
 
 def name_tag(name: str) -> str:
-    """The tag of a plan or a class; never `EVERY_CLASS_TAG`."""
+    """Returns the tag of a plan or a class, which is never `EVERY_CLASS_TAG`."""
     return base36(crc32(name.encode()) % (_TAG_COUNT - 1) + 1)
 
 
 def incarnation_name(started_at: float) -> str:
-    """The name of an incarnation that started at that instant."""
+    """Returns the name of an incarnation that started at the given time."""
     return base36(int(started_at * TENTHS) % _INCARNATION_TENTHS)
 
 
 def seconds_between(incarnation: str, other: str) -> float:
-    """Seconds between the starts of two incarnations."""
-    behind = (int(incarnation, 36) - int(other, 36)) % _INCARNATION_TENTHS
-    return min(behind, _INCARNATION_TENTHS - behind) / TENTHS
+    """Returns the seconds between the starts of two incarnations."""
+    gap = (int(incarnation, 36) - int(other, 36)) % _INCARNATION_TENTHS
+    return min(gap, _INCARNATION_TENTHS - gap) / TENTHS
 
 
 def encode_header(period: int, queue_wait: float, incarnation: str) -> str:
-    """The beginning of a datagram; `queue_wait` in tightest objectives, up to 3.5."""
+    """Returns the header of a datagram.
+
+    `queue_wait` is a multiple of the tightest latency objective and is capped at 3.5.
+    """
     wait = min(_MAX_WAIT_DIGIT, round(TENTHS * queue_wait))
     return f"{DIALECT}{base36(period % PERIODS)}{base36(wait)}{incarnation}"
 
 
 def encode(report: Report) -> str:
-    """One report, with the space before it."""
+    """Returns the item of a report, with the space that precedes it."""
     if isinstance(report, ChargeReport):
         numbers = [base36(n) for n in (report.set_start, report.set_size, report.age)]
         open_requests = f":{base36(report.open_requests)}" if report.open_requests else ""
@@ -165,7 +170,10 @@
 
 
 def append_that_fit(datagram: str, items: Sequence[str]) -> tuple[str, int]:
-    """The datagram with as many of the items, in their order, as it holds, and their number."""
+    """Appends items to a datagram, in their order, until one does not fit.
+
+    Returns the datagram and the number of items appended.
+    """
     for number, item in enumerate(items):
         if len(datagram) + len(item) > MAX_DATAGRAM_BYTES:
             return datagram, number
@@ -174,12 +182,12 @@
 
 
 class GossipDecoder:
-    """Reads datagrams under one limiter's settings.
+    """Decodes datagrams under one limiter's settings.
 
     Attributes:
-        plan_tags: The tags of its plans, in the order of the settings.
+        plan_tags: The tags of the plans, in the order of the settings.
         limiter_count: The number of limiters.
-        class_tags: The tags of its classes, in the order of the settings.
+        class_tags: The tags of the classes, in the order of the settings.
     """
 
     __slots__ = ("plan_tags", "limiter_count", "class_tags")
@@ -190,10 +198,10 @@
         self.plan_tags, self.limiter_count, self.class_tags = plan_tags, limiter_count, class_tags
 
     def decode(self, text: str) -> GossipMessage | None:
-        """The datagram, or None where any part of it can't be.
+        """Decodes a datagram; returns None if any part of it is invalid.
 
-        That is too long, of an unknown dialect, garbled or out of range. A report of a plan or a
-        class that these settings don't have is counted and left out.
+        A datagram is invalid if it is too long, of an unknown dialect, malformed or out of range.
+        Reports about a plan or class that is not in the settings are counted and left out.
         """
         try:
             header, *items = text.split(" ")
@@ -203,48 +211,48 @@
                 or not header.isalnum()
             ):
                 return None
-            by_place = header[0] == PREVIOUS_DIALECT
+            by_index = header[0] == PREVIOUS_DIALECT
             period, wait, _ = [int(part, 36) for part in (header[1], header[2], header[3:] or "0")]
-            reports, unknown = list[Report](), 0
+            reports, unknown_tags = list[Report](), 0
             for item in items:
                 try:
-                    reports.append(self._report(item, by_place))
+                    reports.append(self._decode_report(item, by_index))
                 except _UnknownTagError:
-                    unknown += 1
-            return GossipMessage(period, wait / TENTHS, header[3:], tuple(reports), unknown)
+                    unknown_tags += 1
+            return GossipMessage(period, wait / TENTHS, header[3:], tuple(reports), unknown_tags)
         except (ValueError, IndexError):
             return None
 
-    def _report(self, text: str, by_place: bool) -> Report:
+    def _decode_report(self, text: str, by_index: bool) -> Report:
         separator = ":" if ":" in text else "/" if "/" in text else "!" if "!" in text else "="
         name, *rest = text.split(separator)
-        if not text.replace(separator, "").isalnum():  # int() would read signs and spaces too
+        if not text.replace(separator, "").isalnum():  # int() also accepts signs and spaces
             raise ValueError(text)
         int(name, 36)
         numbers = [int(part, 36) for part in rest]
         if separator == ":" and len(numbers) in (5, 6):
             _, set_start, set_size, age, total, *open_requests = numbers
             if set_start < self.limiter_count and 0 < set_size <= self.limiter_count:
-                plan = _known_tag(rest[0], self.plan_tags, by_place)
+                plan = _resolve_tag(rest[0], self.plan_tags, by_index)
                 return ChargeReport(
                     name, plan, set_start, set_size, age, total / TENTHS, sum(open_requests)
                 )
         elif separator == "/" and len(numbers) == 2:
-            plan = _known_tag(rest[0], self.plan_tags, by_place)
+            plan = _resolve_tag(rest[0], self.plan_tags, by_index)
             return SpentReport(name, plan, numbers[1] / TENTHS)
         elif separator == "=" and len(numbers) == 1:
             return LoadReport(name, numbers[0] / TENTHS**2)
         elif separator == "!" and len(numbers) == 1:
-            return FailureReport(name, self._class_tag(rest[0], by_place))
+            return FailureReport(name, self._class_tag(rest[0], by_index))
         raise ValueError(text)
 
-    def _class_tag(self, text: str, by_place: bool) -> str:
-        if by_place:
-            return _known_tag(text, [*self.class_tags, EVERY_CLASS_TAG], by_place)
+    def _class_tag(self, text: str, by_index: bool) -> str:
+        if by_index:
+            return _resolve_tag(text, [*self.class_tags, EVERY_CLASS_TAG], by_index)
         return (
             EVERY_CLASS_TAG
             if text == EVERY_CLASS_TAG
-            else _known_tag(text, self.class_tags, by_place)
+            else _resolve_tag(text, self.class_tags, by_index)
         )
 
 
@@ -252,9 +260,9 @@
     return base36(round(TENTHS * value))
 
 
-def _known_tag(text: str, tags: Collection[str], by_place: bool) -> str:
-    """A tag of these settings, which the previous dialect named by its place in the sender's."""
-    if by_place:
+def _resolve_tag(text: str, tags: Collection[str], by_index: bool) -> str:
+    """Returns one of `tags`, given as itself or, in the previous dialect, as its index."""
+    if by_index:
         return list(tags)[int(text, 36)]
     if text not in tags:
         raise _UnknownTagError(text)
--- a/hazelhollow/decisions/gossip/composer.py
+++ b/hazelhollow/decisions/gossip/composer.py
@@ -1,8 +1,8 @@
-"""What goes into one gossip datagram: its header, the updates, and what goes along with them.
+"""Composes gossip datagrams from a header, updates, and observations where there is room.
 
-Along with updates go, as far as there is room: in a small fleet the work in flight at endpoints; in
-a large one failures of endpoints, of which each limiter sees too few, and levels that hubs
-announced lately, for members that no hub has notified yet.
+In a small fleet the observations are the work in flight at endpoints. In a large fleet they are
+failures of endpoints, of which each limiter alone sees too few, and levels that hubs announced
+recently, for members that no hub has notified yet.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from hazelhollow.decisions.state.endpoint_table import EndpointTable
 from hazelhollow.decisions.state.pending_requests import PendingRequests
 
-MAX_UPDATES_LOOKED_AT = 500  # of those that wait for a peer, for one datagram: most may be too old
-RELAY_AGE_S = 0.5  # for which an announced level is passed on
+MAX_UPDATES_EXAMINED = 500  # waiting updates examined for one datagram; most may be too old to send
+RELAY_AGE_S = 0.5  # time for which an announced level is relayed
 MAX_RELAYED = 5  # announced levels in one datagram
-MAX_FAILURES = 2  # in one datagram
-FAILURE_AGE_S = 2.0 * PERIOD_S  # up to which a failure is reported
-MAX_LOADS = 64  # endpoints in one datagram
+MAX_FAILURES = 2  # failures in one datagram
+FAILURE_AGE_S = 2.0 * PERIOD_S  # oldest failure that is reported
+MAX_LOADS = 64  # endpoints whose load is in one datagram
 
 
 class GossipComposer:
-    """Writes datagrams of what this limiter knows.
+    """Writes datagrams with the state of this limiter.
 
     Attributes:
-        relayed: Announced levels to be passed on, by account's name: when they came, and the text.
-            The latest stands last.
+        relayed: Announced levels to relay, by account name: the time of arrival and the item. The
+            most recent is last.
     """
 
     def __init__(
@@ -44,19 +44,22 @@
         self._context, self._load, self._accounts = context, load, accounts
         self._pending, (self._table, self._outliers) = pending, endpoints
         self.relayed: dict[str, tuple[float, str]] = {}
-        # The instant, header and observations of the last datagram.
+        # The time, header and observations of the last datagram.
         self._latest: tuple[float, str, list[str]] = (-1.0, "", [])
 
     def header(self) -> str:
-        """The beginning of a datagram."""
+        """Returns the header of a datagram."""
         return self._header_and_observations()[0]
 
     def observations(self, peer: int) -> list[str]:
-        """What goes along with updates to a peer."""
+        """Returns the items that accompany updates to a peer."""
         return self._header_and_observations()[1] + self._relayed_to(peer)
 
     def charge_report(self, name: str, period: int) -> str:
-        """The report of an account's charges in a period; "" once it is too old for peers."""
+        """Returns the item for an account's charges in a period.
+
+        It is "" if the account is gone or the period is too old for peers to accept.
+        """
         context = self._context
         account = self._accounts.by_name.get(name) if period >= context.period - 1 else None
         if not account:
@@ -73,27 +76,30 @@
         return codec.encode(report)
 
     def fill_datagram(self, datagram: str, waiting: dict[PendingUpdate, str]) -> str:
-        """The datagram with as many updates, in their order, as it holds; these wait no more."""
-        taken = list[PendingUpdate]()
+        """Appends waiting updates, in their order, until one does not fit.
+
+        Removes the updates from `waiting` and returns the datagram.
+        """
+        processed = list[PendingUpdate]()
         for update, text in waiting.items():
-            if not text and update[1] >= self._context.period - 1:  # else it is too old for peers
+            if not text and update[1] >= self._context.period - 1:  # older ones are dropped
                 text = self.charge_report(*update)
             too_long = len(datagram) + len(text) > codec.MAX_DATAGRAM_BYTES
-            if too_long or len(taken) >= MAX_UPDATES_LOOKED_AT:
+            if too_long or len(processed) >= MAX_UPDATES_EXAMINED:
                 break
             datagram += text
-            taken.append(update)
-        for update in taken:
+            processed.append(update)
+        for update in processed:
             del waiting[update]
         return datagram
 
     def relay(self, name: str, report: codec.SpentReport) -> None:
-        """Passes an announced level on with datagrams to come."""
+        """Adds an announced level to later datagrams."""
         self.relayed.pop(name, None)
         self.relayed[name] = self._context.now, codec.encode(report)
 
     def _header_and_observations(self) -> tuple[str, list[str]]:
-        """The same for all datagrams of one instant."""
+        """Returns the header and the observations, which all datagrams of one event share."""
         context, load = self._context, self._load
         if self._latest[0] != context.now:
             objectives = load.queue_wait / load.tightest_objective
@@ -102,7 +108,7 @@
         return self._latest[1], self._latest[2]
 
     def _own_observations(self) -> list[str]:
-        """Endpoints' loads, the busiest first, or their latest failures."""
+        """Returns the loads of endpoints, the busiest first, or their most recent failures."""
         if self._context.small_fleet:
             work = self._pending.work_in_flight(self._table.endpoints)
             loads = sorted([(work, tag) for tag, work in work.items()], reverse=True)
@@ -111,13 +117,13 @@
         return [codec.encode(codec.FailureReport(*failure)) for failure in failures]
 
     def _relayed_to(self, peer: int) -> list[str]:
-        """Some of the levels announced here lately, of customers that may come to the peer, too."""
+        """Returns a random choice of recently announced levels whose set includes the peer."""
         context = self._context
         while self.relayed and context.now - next(iter(self.relayed.values()))[0] >= RELAY_AGE_S:
             del self.relayed[next(iter(self.relayed))]
-        found, limiter_count = list[str](), context.settings.limiter_count
+        texts, limiter_count = list[str](), context.settings.limiter_count
         for name, (_, text) in self.relayed.items():
             account = self._accounts.by_name.get(name)
             if account is not None and account.includes(peer, limiter_count):
-                found.append(text)
-        return context.random.sample(found, min(len(found), MAX_RELAYED))
+                texts.append(text)
+        return context.random.sample(texts, min(len(texts), MAX_RELAYED))
--- a/hazelhollow/decisions/gossip/receiver.py
+++ b/hazelhollow/decisions/gossip/receiver.py
@@ -1,7 +1,7 @@
-"""What is done with a gossip datagram from a peer.
+"""Applies gossip datagrams from peers.
 
-Garbled, foreign and stale datagrams change nothing: a datagram is read as a whole before any of it
-is applied.
+Malformed, foreign and stale datagrams have no effect: a datagram is decoded completely before any
+part of it is applied.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from hazelhollow.decisions.state.peer_loads import PeerLoads
 from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 
-MAX_AGE_PERIODS = 1  # of what a datagram tells: the current period and the one before are open
-LOGGED_CHARACTERS = 40  # of a datagram that can't be used
+MAX_AGE_PERIODS = 1  # age of a report that is applied: the current and the previous period are open
+LOGGED_CHARACTERS = 40  # length of the quoted text of an unusable datagram
 
 
 class AccountReportTargets(NamedTuple):
-    """What reports of charges and levels go into."""
+    """The state that reports of charges and levels update."""
 
     accounts: CustomerAccounts
     replicated: ReplicatedAccounts
@@ -37,7 +37,7 @@
 
 
 class EndpointReportTargets(NamedTuple):
-    """What reports of loads and failures go into."""
+    """The state that reports of loads and failures update."""
 
     table: EndpointTable
     outliers: OutlierDetection
@@ -46,10 +46,10 @@
 
 
 class GossipReceiver:
-    """Applies datagrams.
+    """Applies datagrams to the state of this limiter.
 
     Attributes:
-        unusable: What could not be used, counted by kind.
+        unusable: The number of unusable datagrams and reports, by reason.
         plan_of: The plans by tag.
         class_of: The names of classes by tag.
     """
@@ -72,13 +72,13 @@
         self._decoder = codec.GossipDecoder(self.plan_of, settings.limiter_count, self.class_of)
 
     def retune(self, before: Settings, settings: Settings) -> None:
-        """Takes over other classes."""
+        """Applies changed settings: the classes may be different."""
         if {c.name for c in before.classes} != {c.name for c in settings.classes}:
             self.class_of = _names_by_tag(settings)
             self._decoder.class_tags = self.class_of
 
     def receive(self, event: GossipReceived) -> None:
-        """A datagram has come."""
+        """Applies a datagram from a peer."""
         context, settings = self._context, self._context.settings
         message = self._decode(event)
         if message is None:
@@ -98,35 +98,37 @@
                 if endpoint := self._table.by_tag(report.endpoint):
                     self._outliers.record_failure(endpoint, class_name)
             elif isinstance(report, codec.SpentReport):
-                self._take_level(report, event.sender)
+                self._apply_level(report, event.sender)
             elif isinstance(report, codec.LoadReport):
                 loads[report.endpoint] = report.work
             elif age + report.age <= MAX_AGE_PERIODS:
                 incarnation = f"{event.sender}.{message.incarnation}"
-                self._take_charge(report, event.sender, incarnation, age)
+                self._apply_charge(report, event.sender, incarnation, age)
         self._peer_loads.record(event.sender, loads)
         self._load.learn_peer_wait(message.queue_wait)
 
     def _decode(self, event: GossipReceived) -> codec.GossipMessage | None:
-        """Counts what can't be used, and logs each kind of it once."""
+        """Decodes a datagram, counts unusable content and logs the first case of each kind."""
         message = self._decoder.decode(event.text)
-        if message is not None and not message.unknown:
+        if message is not None and not message.unknown_tags:
             return message
-        what = (
-            "message of another dialect or garbled"
+        reason = (
+            "datagram ignored, its dialect is unknown or it is malformed"
             if message is None
-            else "plan or class that these settings do not have"
+            else "reports ignored, they name a plan or class that these settings do not have"
         )
-        if not self.unusable[what]:
+        if not self.unusable[reason]:
             text = event.text[:LOGGED_CHARACTERS]
-            self._context.actions.append(WriteLog(f"limiter {event.sender} sent a {what}: {text}"))
-        self.unusable[what] += 1 if message is None else message.unknown
+            self._context.actions.append(
+                WriteLog(f"gossip from limiter {event.sender}: {reason}: {text}")
+            )
+        self.unusable[reason] += 1 if message is None else message.unknown_tags
         return message
 
-    def _take_charge(
+    def _apply_charge(
         self, report: codec.ChargeReport, sender: int, incarnation: str, age: int
     ) -> None:
-        """A peer's charges of an open period."""
+        """Applies a peer's report of its charges in an open period."""
         context = self._context
         plan = self.plan_of[report.plan]
         account = self._accounts.get(report.key, plan, report.set_start, report.set_size)
@@ -135,14 +137,15 @@
         account.last_used_at = context.now
         account.record_peer_open(sender, context.now, report.open_requests)
         self._replicated.mark_charged(account)
-        self._scheduler.charge_known(account)
+        self._scheduler.schedule_announcement(account)
 
-    def _take_level(self, report: codec.SpentReport, sender: int) -> None:
-        """A level that a hub announced, or another member passes on.
+    def _apply_level(self, report: codec.SpentReport, sender: int) -> None:
+        """Applies a level that a hub announced or another member relayed.
 
-        A hub goes by its own sum; but one that started lately doesn't know what was used before.
-        In a set so large that one hub can't notify all of it, members pass on what a hub announced
-        to them, but not what was passed on to them: that grows old.
+        A hub keeps its own sum of the charges, unless it started recently and the announced level
+        is lower: it does not know the charges before its start. In a set so large that one hub
+        cannot notify every member, members relay the levels that a hub announced to them, but not
+        levels relayed to them, which would be outdated.
         """
         context = self._context
         account = self._accounts.get(report.key, self.plan_of[report.plan], 0, 0)
@@ -152,9 +155,9 @@
         if sender in account.hubs and account.set_size > self._scheduler.max_announced_members:
             self._composer.relay(account.name, report)
         refill_time = account.plan.burst / (account.plan.rate or 1.0)
-        started_lately = context.now - context.started_at < refill_time
+        started_recently = context.now - context.started_at < refill_time
         if context.settings.limiter_id not in account.hubs or (
-            started_lately and account.announced.level < account.quota.level
+            started_recently and account.announced.level < account.quota.level
         ):
             account.quota.level = account.announced.level
 
--- a/hazelhollow/decisions/gossip/scheduler.py
+++ b/hazelhollow/decisions/gossip/scheduler.py
@@ -1,15 +1,15 @@
-"""Which updates go to which limiter, and when.
-
-- A charge of a small set goes to its members: in a small fleet with the next round, in a large one
-  at once.
-- A charge of a large set goes to its hubs, at once.
-- The level of a large set goes to its members, or the busiest of them, when it changes what they
-  would decide. The first hub announces it; another does if the first is late.
-- The final charges of a period go the same way as the charges, in the rounds after its end.
-
-No limiter sends more datagrams than `SENT_SHARE` of what one takes in, so that the mean one hears
-no more than that. What finds no room waits. Under a byte budget (`gossip_bytes_per_s`) updates wait
-in a `GossipOutbox`, and the most useful ones are sent.
+"""Decides which gossip updates are sent to which limiter, and when.
+
+- A charge of a small set is sent to its members: in a small fleet with the next round, in a large
+  fleet at once.
+- A charge of a large set is sent to its hubs at once.
+- The level of a large set is sent to its members, or to the busiest of them, when it changes their
+  decisions. The first hub announces it; another hub does if the first is late.
+- The final charges of a period are sent to the same limiters in the rounds after its end.
+
+A limiter sends at most `SENT_SHARE` of the datagrams that one limiter can take in, so that the
+average limiter receives no more than that. Updates beyond the limit wait. Under a byte budget
+(`gossip_bytes_per_s`) updates wait in a `GossipOutbox`, and the most useful ones are sent first.
 """
 
 from __future__ import annotations
@@ -28,28 +28,29 @@
 from hazelhollow.decisions.state.token_bucket import TokenBucket
 
 ROUNDS_PER_PERIOD = 15
-SENT_SHARE = 0.8  # of the datagrams that a limiter takes in: what one sends at most
-LEVEL = -1  # in place of a period: the level of the account, for its set
-BUSY_SHARE = 0.6  # of its rate: a customer that uses less is not announced
-# Of the burst: a level is announced while it, or what members believe, is below the first, and
-# differs from what they believe by the second.
+SENT_SHARE = 0.8  # highest send rate, as a share of the datagrams that one limiter can take in
+LEVEL = -1  # stands for a period in updates that announce an account's level
+BUSY_SHARE = 0.6  # share of its rate that a customer must use for its level to be announced
+# Shares of the burst: a level is announced if it, or the level that members assume, is below the
+# first, and the two differ by the second or more.
 ANNOUNCED_BELOW = 1.0
 ANNOUNCED_CHANGE = 0.6
-MIN_LEVEL_SHARE = 0.05  # of the burst: levels below count as this for how useful an update is
+MIN_LEVEL_SHARE = 0.05  # share of the burst; lower levels do not make an update more useful
 MAX_FINAL_CHARGES = 256  # accounts whose final charges are enqueued in one round
-MAX_AWAY_PEERS = 64  # peers that are away whose updates are gone through in one round
+MAX_AWAY_PEERS = 64  # away peers whose waiting updates are pruned in one round
 
 
 class GossipScheduler:
-    """Keeps the updates that are still to be sent, and sends them.
+    """Queues updates and sends them.
 
     Attributes:
-        messages: Datagrams that may be sent.
-        max_announced_members: Members that one hub can notify within a period.
-        unsent: Updates that wait for each peer, where there is no byte budget.
-        outbox: The same under a byte budget; None without one.
-        charged_this_period: Names of accounts charged in the current period.
-        overdue: Accounts that the first hub should have announced, and since when.
+        messages: A token bucket of the datagrams that may be sent.
+        max_announced_members: The number of members that one hub can notify within a period.
+        unsent: The updates that wait for each peer, if there is no byte budget.
+        outbox: The updates that wait for each peer under a byte budget; None without one.
+        charged_this_period: The names of accounts charged in the current period.
+        overdue: Accounts whose level is still to be announced, and since when.
+        final_due: Accounts charged in the previous period whose final charges are not sent yet.
     """
 
     def __init__(
@@ -76,35 +77,36 @@
         )
         self.charged_this_period: dict[str, None] = {}
         self.overdue: dict[str, float] = {}
-        # Accounts charged in the period before, whose final charges are due.
         self.final_due: Iterator[str] = iter(())
-        # Peers that were away when the period began.
+        # Peers that were away at the start of the period.
         self._away_peers: Iterator[int] = iter(())
 
-    # What is to be sent
+    # Queueing updates
 
     def report_charge(self, account: Account, period: int) -> None:
-        """This limiter charged an account."""
+        """Queues a report of this limiter's charges to an account."""
         self.charged_this_period[account.name] = None
         self.enqueue(account.hubs, account.name, period)
-        self.charge_known(account)
+        self.schedule_announcement(account)
 
-    def charge_known(self, account: Account) -> None:
-        """A charge is known here: a hub of a large set may have to announce the level.
+    def schedule_announcement(self, account: Account) -> None:
+        """Lets a hub of a large set announce the level after a charge.
 
-        The first hub does, or each where one can't notify the whole set within a period.
+        The first hub announces at once, and so does every hub if one hub cannot notify the complete
+        set within a period. The others only mark the announcement as due.
         """
         limiter_id = self._context.settings.limiter_id
         if account.set_size > MAX_DIRECT_SET and limiter_id in account.hubs:
             self.overdue.setdefault(account.name, self._context.now)
-            alone = account.set_size <= self.max_announced_members
-            if account.hubs[0] == limiter_id or not alone:
+            one_hub_suffices = account.set_size <= self.max_announced_members
+            if account.hubs[0] == limiter_id or not one_hub_suffices:
                 self._announce(account.name)
 
     def enqueue(self, peers: list[int], name: str, period: int, text: str = "") -> None:
-        """Enqueues an account's charges in a period for peers, or, with a `text`, that.
+        """Enqueues an account's charges in a period, or the given `text`, for peers.
 
-        At the next round; in a large fleet at once, where two charges seldom go the same way.
+        In a small fleet they are sent in the next round. In a large fleet they are sent at once,
+        since two charges seldom have the same recipients and could not share a datagram.
         """
         context = self._context
         for peer in [peer for peer in peers if peer != context.settings.limiter_id]:
@@ -118,16 +120,21 @@
     def _enqueue_under_budget(
         self, outbox: GossipOutbox, peer: int, update: PendingUpdate, text: str
     ) -> None:
-        """Sent in a round; in a large fleet at once while there is plenty of the budget."""
+        """Enqueues an update under a byte budget.
+
+        It is sent in the next round, or at once in a large fleet while at least half of the burst
+        is left.
+        """
         outbox.bytes.refill(self._context.now)
         useful = outbox.put(peer, update, text)
         if useful and not self._context.small_fleet and outbox.has_plenty():
             self._send_most_useful(at_once=True)
 
     def _announce(self, name: str) -> None:
-        """Announces an account's level to its set, or the busiest of it, if that is of use.
+        """Announces an account's level to its set, or to its busiest members, if this is useful.
 
-        It is if the customer is busy, near its limit, and the members believe otherwise by enough.
+        It is useful if the customer is busy and near its limit, and the level that the members
+        assume, which is the last announced one, differs enough from the actual level.
         """
         self.overdue.pop(name, None)
         context, account = self._context, self._accounts.by_name.get(name)
@@ -135,12 +142,12 @@
         if not account:
             return
         plan, charges = account.plan, account.charges
-        level, believed = account.quota.refill(context.now), account.announced.refill(context.now)
+        level, assumed = account.quota.refill(context.now), account.announced.refill(context.now)
         span = context.now - (charges.period - 1) * PERIOD_S
         busy = charges.open_total() >= BUSY_SHARE * plan.rate * span
-        near = min(level, believed) < mean_units + ANNOUNCED_BELOW * plan.burst
-        change = max(mean_units / 2, ANNOUNCED_CHANGE * plan.burst)
-        if busy and near and abs(believed - level) >= change:
+        near_limit = min(level, assumed) < mean_units + ANNOUNCED_BELOW * plan.burst
+        min_change = max(mean_units / 2, ANNOUNCED_CHANGE * plan.burst)
+        if busy and near_limit and abs(assumed - level) >= min_change:
             account.announced.level, account.has_announcement = level, True
             report = codec.SpentReport(
                 key_of(name), codec.name_tag(plan.name), max(plan.burst - level, 0.0)
@@ -153,7 +160,7 @@
     # Rounds
 
     def begin_period(self) -> None:
-        """A period has begun: final charges of the one before are due."""
+        """Starts a period: the final charges of the previous one become due."""
         context = self._context
         self.final_due, self.charged_this_period = iter(self.charged_this_period), {}
         self._away_peers = iter([peer for peer in self.unsent if peer in context.away])
@@ -161,9 +168,10 @@
             self.outbox.begin_period(context.period)
 
     def enqueue_final_charges(self) -> None:
-        """Enqueues some of the final charges, except of a large set that nothing was announced of.
+        """Enqueues some of the final charges of the previous period.
 
-        Nobody waits for these.
+        Accounts of large sets without an announced level are left out, since no member waits for
+        their final charges.
         """
         by_name = self._accounts.by_name
         names = list(islice(self.final_due, MAX_FINAL_CHARGES))
@@ -172,14 +180,18 @@
                 self.enqueue(account.hubs, account.name, self._context.period - 1)
 
     def announce_overdue(self, max_delay: float) -> None:
-        """Announces what the first hub should have announced for `max_delay` seconds."""
+        """Announces the levels that the first hub has not announced within `max_delay` seconds."""
         now = self._context.now
         overdue = takewhile(lambda item: now - item[1] >= max_delay, self.overdue.items())
         for name in [name for name, _ in overdue]:
             self._announce(name)
 
     def send_waiting(self) -> None:
-        """Sends what waits: the most useful, and then each peer's in turn, the longest first."""
+        """Sends the waiting updates.
+
+        Under a byte budget the most useful updates are sent first; without one, the peers are
+        visited in turn, the one that has waited longest first.
+        """
         self._send_most_useful()
         if self.messages.refill(self._context.now) >= 1.0:
             for peer in list(self.unsent):
@@ -187,9 +199,9 @@
                     self._send_waiting_to(peer)
 
     def drop_old_updates(self) -> None:
-        """Drops updates for some peers that are away.
+        """Drops outdated updates for some of the peers that are away.
 
-        What is of use to them when they are back is of the current period or the last.
+        When they are back, only updates of the current and the previous period are useful to them.
         """
         oldest = self._context.period - 1
         for peer in islice(self._away_peers, MAX_AWAY_PEERS):
@@ -203,10 +215,10 @@
     # Sending
 
     def _send_waiting_to(self, peer: int) -> None:
-        """Sends a peer what waits for it, as far as there is room.
+        """Sends a peer its waiting updates, up to the limit on datagrams.
 
-        In a small fleet a datagram goes out even if nothing waits, for the loads in it; these are
-        in the first datagram only, so that they don't crowd out charges.
+        In a small fleet a datagram is sent even if no update waits, since it also reports loads.
+        Only the first datagram holds loads, so that they do not displace charges.
         """
         small_fleet, composer = self._context.small_fleet, self._composer
         waiting, sent = self.unsent[peer], 0
@@ -223,9 +235,9 @@
             del self.unsent[peer]
 
     def _send_most_useful(self, at_once: bool = False) -> None:
-        """Under a byte budget: sends to the peers that miss most, as far as the budget goes.
+        """Sends to the peers with the most useful updates, as far as the byte budget allows.
 
-        `at_once`: only as long as there is plenty of it.
+        With `at_once`, it stops when less than half of the burst is left.
         """
         outbox, composer, context = self.outbox, self._composer, self._context
         while (
@@ -252,20 +264,20 @@
     # Usefulness, under a byte budget
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """Of telling a peer an update: the nearer the customer is to its limit, the more.
+        """Returns how useful an update is to a peer: more if the customer is nearer to its limit.
 
-        0 if all of it has been sent to the peer.
+        0 if the peer has been sent the same amount.
         """
         account = self._accounts.by_name.get(update[0])
         if not account or self.unreported(account, peer, update) <= 0:
             return 0.0
-        left = account.quota.refill(self._context.now) / (account.plan.burst or 1.0)
-        return 1.0 / max(left, MIN_LEVEL_SHARE)
+        level_share = account.quota.refill(self._context.now) / (account.plan.burst or 1.0)
+        return 1.0 / max(level_share, MIN_LEVEL_SHARE)
 
     def unreported(self, account: Account, peer: int, update: PendingUpdate) -> float:
-        """The share of the burst that was charged since the last report to a peer; 1 for a level.
+        """Returns the units charged since the last report to a peer, as a share of the burst.
 
-        0 for periods that nobody takes reports of any more.
+        1 for an announcement of a level, and 0 for closed periods, whose reports peers ignore.
         """
         period = update[1]
         if period == LEVEL:
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -195,6 +195,6 @@
     text = gossip.encode_header(5, 0.0, "abc") + "".join(gossip.encode(word) for word in said)
     for plans in (["p1", "p2"], ["p2", "x", "p1"]):
         message = gossip.GossipDecoder(plans, 3, ["c0", "c1"]).decode(text)
-        assert message is not None and list(message.reports) == said and message.unknown == 0
+        assert message is not None and list(message.reports) == said and message.unknown_tags == 0
     fewer = gossip.GossipDecoder(["p1"], 3, ["c1"]).decode(text)
-    assert fewer is not None and len(fewer.reports) + fewer.unknown == len(said)
+    assert fewer is not None and len(fewer.reports) + fewer.unknown_tags == len(said)
