--- a/hazelhollow/decisions/state/__init__.py
+++ b/hazelhollow/decisions/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a limiter remembers: customer accounts, pending requests, endpoints, class statistics."""
+"""The state of a limiter: customer accounts, pending requests, endpoints, class statistics."""
--- a/hazelhollow/decisions/state/class_statistics.py
+++ b/hazelhollow/decisions/state/class_statistics.py
@@ -1,7 +1,7 @@
-"""What is learned of request classes: units, work, value, demand, how long clients wait.
+"""Learned statistics of request classes: units, work, value, demand and the patience of clients.
 
-Work is measured in seconds that an endpoint takes for a request. A class's value is its priority
-weight for a second of work. No request costs a pass over all classes.
+Work is the time in seconds that an endpoint takes for a request. The value of a class is its
+priority weight per second of work. No request requires an iteration over all classes.
 """
 
 from __future__ import annotations
@@ -12,45 +12,45 @@
 from hazelhollow.decisions.settings import RequestClass
 from hazelhollow.decisions.state.max_tree import MaxTree
 
-INITIAL_WORK_DIVISOR = 6  # work of a class not learned of yet: its objective divided by this
+INITIAL_WORK_DIVISOR = 6  # the initial work of a class is its latency objective divided by this
 
 
 def changed_classes(
     before: Mapping[str, RequestClass], after: Iterable[RequestClass]
 ) -> list[RequestClass]:
-    """Classes that are new, or not as they were under that name.
+    """Returns the classes that are new or differ from the class of the same name in `before`.
 
-    One that is the same object needs no comparison.
+    Identical objects are not compared.
     """
-    return [c for c in after if (known := before.get(c.name)) is not c and known != c]
+    return [c for c in after if (previous := before.get(c.name)) is not c and previous != c]
 
 
 class RecentDemand:
-    """What was asked for lately, by class: weighted units and seconds of work.
+    """Recent demand by class: weighted units and seconds of work.
 
-    Each request makes all before it count less.
+    The weight of earlier requests decays exponentially with each request.
     """
 
     def __init__(self, span: float) -> None:
-        """`span`: requests after which one counts for about a third."""
+        """Starts without demand; after `span` requests, one counts for about a third."""
         self._decay, self._number = 1.0 - 1.0 / span, 0
-        # Weight, and the number of the request as of which it is reckoned.
+        # Weight by class, and the number of the request up to which it has decayed.
         self._by_class: dict[str, tuple[float, int]] = {}
         self._weight = self._work = 0.0
 
     def add(self, class_name: str, weight: float, work: float) -> None:
-        """One more request of that class."""
+        """Adds a request of a class."""
         self._number += 1
         self._by_class[class_name] = self._weight_of(class_name) + weight, self._number
         self._weight = self._weight * self._decay + weight
         self._work = self._work * self._decay + work
 
     def mean_value(self) -> float:
-        """Weight for a second of work; 0 before any request."""
+        """Returns the weight per second of work; 0 before the first request."""
         return self._weight / self._work if self._work else 0.0
 
     def share_of(self, class_name: str) -> float:
-        """The class's share of all weight, from 0 to 1."""
+        """Returns the class's share of the total weight, from 0 to 1."""
         return self._weight_of(class_name) / self._weight if self._weight else 0.0
 
     def _weight_of(self, class_name: str) -> float:
@@ -59,28 +59,28 @@
 
 
 class TimeLeftStatistics:
-    """How much time clients of a class leave for an answer when they ask.
+    """The time that clients of a class leave for an answer when they send a request.
 
-    The few values that most requests come with are found by votes that cancel out (the algorithm
-    of Misra and Gries).
+    The few values that most requests have are found with the Misra-Gries algorithm, in which votes
+    for different values cancel each other out.
     """
 
     __slots__ = ("votes", "longest")
     MAX_VALUES = 3
-    COMMON_VOTES = 5  # from so many votes on a value is common
+    COMMON_VOTES = 5  # least number of votes of a common value
     MAX_VOTES = 1000
-    SAME_TIME_S = 0.001  # times that differ by less are the same
+    SAME_TIME_S = 0.001  # times that differ by no more count as equal
 
     def __init__(self) -> None:
         self.votes: dict[float, int] = {}
         self.longest = 0.0
 
     def reset(self) -> None:
-        """Forgets everything: the deadline of the class has changed."""
+        """Clears the statistics after a change of the class's deadline."""
         self.votes, self.longest = {}, 0.0
 
     def is_common(self, time_left: float, tolerance: float) -> bool:
-        """Counts one more request; whether many come with that much time, within `tolerance`."""
+        """Counts a request; returns whether its time left, within `tolerance`, is a common one."""
         for value in self.votes:
             if abs(value - time_left) <= tolerance:
                 self.votes[value] = min(self.votes[value] + 1, self.MAX_VOTES)
@@ -92,18 +92,19 @@
         return False
 
     def is_longest(self, time_left: float) -> bool:
-        """Whether no request has come with more time."""
+        """Records a time left; returns whether no earlier request had more."""
         self.longest = max(self.longest, time_left)
         return time_left >= self.longest - self.SAME_TIME_S
 
 
 class ClassStatistics:
-    """What is learned of each class: mean units, mean work, and its value.
+    """Learned statistics of each class: mean units, mean work, and value.
 
     Attributes:
-        units: Units of a mean request, by class.
-        work: Seconds of work of a mean request, by class.
-        size_factors: Times that work that a request of a class and size turned out to be.
+        units: The mean units of a request, by class.
+        work: The mean work of a request in seconds, by class.
+        size_factors: The observed work of requests relative to the expected work, by class and
+            size.
     """
 
     def __init__(self, classes: Sequence[RequestClass]) -> None:
@@ -112,16 +113,16 @@
         self.size_factors: dict[tuple[str, int], float] = {}
         self._sum_of_units = 0.0
         self._by_name = dict[str, RequestClass]()
-        self._place = dict[str, int]()
+        self._position = dict[str, int]()
         self.retune(classes)
 
     def retune(self, classes: Sequence[RequestClass]) -> None:
-        """Takes over other classes. What was learned of one that stays, or comes back, is kept."""
+        """Applies changed classes. Statistics of classes that remain or return are kept."""
         changed = changed_classes(self._by_name, classes)
         self._by_name = {request_class.name: request_class for request_class in classes}
-        if list(self._by_name) == list(self._place):
+        if list(self._by_name) == list(self._position):
             for request_class in changed:
-                self._replace(request_class)
+                self._replace_class(request_class)
         else:
             self._place_all(classes)
 
@@ -136,47 +137,54 @@
             list(classes),
             sorted(classes, key=lambda c: c.latency_objective),
         )
-        self._place = {c.name: number for number, c in enumerate(self._classes)}
-        self._place_by_objective = {c.name: number for number, c in enumerate(self._by_objective)}
+        self._position = {c.name: number for number, c in enumerate(self._classes)}
+        self._position_by_objective = {
+            c.name: number for number, c in enumerate(self._by_objective)
+        }
         values = {c.name: self._value(c) for c in classes}
         self._values = MaxTree([values[c.name] for c in self._by_objective])
         self._negative = MaxTree([-value for value in values.values()])
 
-    def _replace(self, request_class: RequestClass) -> None:
-        """Takes over one changed class; its name, and all others, are as they were."""
-        place, place_by_objective = (
-            self._place[request_class.name],
-            self._place_by_objective[request_class.name],
+    def _replace_class(self, request_class: RequestClass) -> None:
+        """Replaces one class, if neither the names nor the order of the classes have changed."""
+        position, position_by_objective = (
+            self._position[request_class.name],
+            self._position_by_objective[request_class.name],
         )
-        before, self._classes[place] = self._classes[place], request_class
+        before, self._classes[position] = self._classes[position], request_class
         if request_class.latency_objective == before.latency_objective:
-            self._by_objective[place_by_objective] = request_class
+            self._by_objective[position_by_objective] = request_class
             self._update_value(request_class.name)
             return
-        del self._by_objective[place_by_objective]
-        now = bisect_left(self._by_objective, self._rank(request_class), key=self._rank)
-        self._by_objective.insert(now, request_class)
-        first, behind = min(now, place_by_objective), max(now, place_by_objective) + 1
-        moved = self._by_objective[first:behind]
-        self._place_by_objective.update({c.name: first + number for number, c in enumerate(moved)})
+        del self._by_objective[position_by_objective]
+        new_position = bisect_left(self._by_objective, self._rank(request_class), key=self._rank)
+        self._by_objective.insert(new_position, request_class)
+        first, end = (
+            min(new_position, position_by_objective),
+            max(new_position, position_by_objective) + 1,
+        )
+        moved = self._by_objective[first:end]
+        self._position_by_objective.update(
+            {c.name: first + number for number, c in enumerate(moved)}
+        )
         self._values.put_all(first, [self._value(c) for c in moved])
-        self._negative.put(place, -self._value(request_class))
+        self._negative.put(position, -self._value(request_class))
 
     def _rank(self, request_class: RequestClass) -> tuple[float, int]:
-        """By objective; classes of one objective stay in the order of the settings."""
-        return request_class.latency_objective, self._place[request_class.name]
+        """Returns the sort key: the objective, then the order of the settings."""
+        return request_class.latency_objective, self._position[request_class.name]
 
     def learn_units(self, request_class: RequestClass, units: float, gain: float) -> None:
-        """Takes a request's units into the mean; `gain`: the weight of the newest."""
-        more = gain * (units - self.units[request_class.name])
-        self.units[request_class.name] += more
-        self._sum_of_units += more
+        """Updates the mean units with those of a request, which are weighted with `gain`."""
+        change = gain * (units - self.units[request_class.name])
+        self.units[request_class.name] += change
+        self._sum_of_units += change
         self._update_value(request_class.name)
 
     def learn_work(
         self, request_class: RequestClass, size: int, by_class: float, by_size: float
     ) -> None:
-        """Takes the factors by which a request turned out to be more work than was expected."""
+        """Multiplies the learned work of a class, and of one size in it, by the given factors."""
         self.work[request_class.name] *= by_class
         self.size_factors[request_class.name, size] = (
             self.size_factors.get((request_class.name, size), 1.0) * by_size
@@ -184,35 +192,39 @@
         self._update_value(request_class.name)
 
     def work_of(self, class_name: str, units: float, size: int) -> float:
-        """Seconds of work that a request is expected to be.
+        """Returns the expected work of a request in seconds.
 
-        Half of the class's mean, half in proportion to its units, times what its size showed.
+        Half of the class's mean work is fixed, half is proportional to the units. The sum is
+        multiplied by the factor learned for the size.
         """
         usual = self.work[class_name] * 0.5 * (1.0 + units / self.units[class_name])
         return usual * self.size_factors.get((class_name, size), 1.0)
 
     def mean_units(self) -> float:
-        """The mean over all classes of their mean units, whether they are asked for or not."""
+        """Returns the mean over all classes of their mean units, regardless of demand."""
         return self._sum_of_units / len(self.units)
 
     def value(self, class_name: str) -> float:
-        """Priority weight for a second of work."""
-        return self._values.value(self._place_by_objective[class_name])
+        """Returns the priority weight of a class per second of work."""
+        return self._values.value(self._position_by_objective[class_name])
 
     def highest_value(self) -> float:
-        """The value of the most valuable class."""
+        """Returns the value of the most valuable class."""
         return self._values.max()
 
     def tightest_objective(self) -> float:
-        """The shortest latency objective of all classes."""
+        """Returns the shortest latency objective of all classes."""
         return self._by_objective[0].latency_objective
 
     def least_valuable(self) -> str:
-        """The class of the least value; of several the first in the settings."""
+        """Returns the class with the least value; if several have it, the first in the settings."""
         return self._classes[self._negative.first_at_least(self._negative.max())].name
 
     def tightest_objective_from(self, value: float) -> float:
-        """The shortest objective among the classes of at least that value. There must be one."""
+        """Returns the shortest objective of the classes with at least the given value.
+
+        There must be such a class.
+        """
         return self._by_objective[self._values.first_at_least(value)].latency_objective
 
     def _value(self, request_class: RequestClass) -> float:
@@ -223,8 +235,8 @@
         )
 
     def _update_value(self, name: str) -> None:
-        place = self._place.get(name)
-        if place is not None:  # else the class has gone while requests of it are in flight
-            value = self._value(self._classes[place])
-            self._values.put(self._place_by_objective[name], value)
-            self._negative.put(place, -value)
+        position = self._position.get(name)
+        if position is not None:  # None: the class was removed while its requests were in flight
+            value = self._value(self._classes[position])
+            self._values.put(self._position_by_objective[name], value)
+            self._negative.put(position, -value)
--- a/hazelhollow/decisions/state/endpoint.py
+++ b/hazelhollow/decisions/state/endpoint.py
@@ -1,4 +1,4 @@
-"""What this limiter knows of one endpoint."""
+"""The state of one endpoint at this limiter."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 if TYPE_CHECKING:
     from hazelhollow.decisions.outlier_detection import OutlierRecord
 
-TAG_COUNT = 36**3  # how many tags there are for the names of endpoints in messages
-# Requests that an endpoint of mean weight is taken to work on at once, and one of little weight at
-# least, as a part of that.
+TAG_COUNT = 36**3  # number of distinct endpoint tags in messages
+# Requests that an endpoint of mean weight is assumed to process concurrently, and the lower bound
+# for endpoints of low weight.
 MEAN_CONCURRENCY = 2.0
 MIN_CONCURRENCY = MEAN_CONCURRENCY / 4
 
 
 class EndpointWeights:
-    """The weights of many endpoints, of which few differ.
+    """The weights of many endpoints, with few distinct values.
 
     Attributes:
-        counts: Endpoints by weight.
-        total: Their number.
-        mean: Their mean weight as of the last `settle`; 1 where there are none.
+        counts: The number of endpoints by weight.
+        total: The number of all endpoints.
+        mean: The mean weight as of the last `settle`; 1 if there are no endpoints or it is 0.
     """
 
     __slots__ = ("counts", "total", "mean")
@@ -37,31 +37,33 @@
         self.total, self.mean = 0, 1.0
 
     def add(self, weight: float, count: int = 1) -> None:
-        """Adds endpoints of a weight; a `count` of -1 takes one away."""
+        """Adds endpoints of one weight; a `count` of -1 removes one."""
         self.counts[weight] += count
         if not self.counts[weight]:
             del self.counts[weight]
         self.total += count
 
     def replace(self, weights: list[float]) -> None:
-        """These in place of all."""
+        """Replaces all weights."""
         self.counts, self.total = Counter(weights), len(weights)
 
     def settle(self) -> None:
-        """Reckons the mean after changes."""
+        """Updates the mean after changes."""
         self.mean = sum([w * n for w, n in self.counts.items()]) / max(1, self.total) or 1.0
 
 
 class Endpoint:
-    """One listed endpoint, from the time it is listed until it goes or starts anew.
+    """One listed endpoint, from its listing until it is removed or restarts.
 
     Attributes:
-        entry: What the endpoint list says of it.
-        work_factor: Time that its work takes, against what is learned for the class.
-        tag: Its name in messages; several endpoints may share one.
-        in_flight: Seconds of work of each attempt in flight, by request and attempt number.
-        last_progress_at: When it answered last, or got work while it had none in flight.
-        outlier_records: How it failed lately, by class; under "" for every class.
+        entry: The endpoint's entry in the endpoint list.
+        work_factor: The time that the endpoint takes for its work, relative to the class's mean.
+        tag: The hash of its name that stands for it in messages; several endpoints may share one.
+        in_flight: Seconds of work of each attempt in flight, by request id and attempt number.
+        last_progress_at: The time of its last answer, or of the last attempt that started while
+            none was in flight.
+        outlier_records: Its recent failures by class, and under "" those that count for every
+            class.
     """
 
     __slots__ = (
@@ -77,12 +79,12 @@
     )
 
     def __init__(self, entry: EndpointEntry, window_span: float, weights: EndpointWeights) -> None:
-        """Begins with nothing known.
+        """Creates an endpoint without any history.
 
         Args:
-            entry: What the endpoint list says of it.
-            window_span: Seconds over which work sent to it counts while it is warming up.
-            weights: Those of all listed endpoints.
+            entry: The endpoint's entry in the endpoint list.
+            window_span: Seconds for which work sent to it counts as recent while it is warming up.
+            weights: The weights of all listed endpoints.
         """
         self.entry, self.work_factor = entry, 1.0
         self.tag = base36(crc32(entry.name.encode()) % TAG_COUNT)
@@ -95,24 +97,24 @@
 
     @property
     def concurrency(self) -> float:
-        """Requests that it is taken to work on at once, in proportion to its weight."""
+        """The requests that it is assumed to process concurrently, in proportion to its weight."""
         return max(MEAN_CONCURRENCY * self.entry.weight / self._weights.mean, MIN_CONCURRENCY)
 
     @property
     def recent_work(self) -> SlidingWindow:
-        """Seconds of work sent to it lately, while it is warming up."""
+        """Seconds of work sent to it recently, while it is warming up."""
         if self._recent_work is None:
             self._recent_work = SlidingWindow(self._window_span)
         return self._recent_work
 
     def is_silent(self, now: float, span: float) -> bool:
-        """Whether it has work and has not answered anything for longer than `span` seconds."""
+        """Whether it has work in flight and has not answered for more than `span` seconds."""
         return bool(self.in_flight) and now - self.last_progress_at > span
 
     def is_warming_up(self, now: float, settings: Settings) -> bool:
-        """Whether it started so lately that it must be spared."""
+        """Whether it started so recently that its load must be limited."""
         return 0 < self.entry.started > now - settings.warm_up_time
 
     def backlog(self, peer_loads: dict[str, float]) -> float:
-        """Seconds of work in flight there, by this limiter and, as they said, by its peers."""
+        """Returns the seconds of work that this limiter and its peers have in flight there."""
         return sum(self.in_flight.values()) + peer_loads.get(self.tag, 0.0)
--- a/hazelhollow/decisions/state/endpoint_ring.py
+++ b/hazelhollow/decisions/state/endpoint_ring.py
@@ -7,45 +7,45 @@
 
 from hazelhollow.decisions.state.endpoint import Endpoint
 
-MAX_CHANGES_IN_PLACE = 64  # from so many changes between two reads on it is cheaper to sort anew
+MAX_CHANGES_IN_PLACE = 64  # beyond this many changes between two reads, sorting again is cheaper
 
 
 class EndpointRing:
-    """Endpoints in the order of their tags, kept up change by change.
+    """Endpoints in the order of their tags, updated incrementally.
 
-    Many changes between two reads are sorted at once when it is next read.
+    After many changes between two reads, the next read sorts all endpoints instead.
     """
 
     def __init__(self, endpoints: Sequence[Endpoint] = ()) -> None:
         self._members = {e.entry.name: (e.tag, e.entry.name) for e in endpoints}
-        self._order: list[tuple[str, str]] | None = None  # None: to be sorted at the next read
+        self._order: list[tuple[str, str]] | None = None  # None: the next read sorts it
         self._changes = 0
 
     def read(self) -> list[tuple[str, str]]:
-        """Tag and name of each. Not to be changed."""
+        """Returns the tag and the name of each endpoint. Callers must not modify the result."""
         if self._order is None:
             self._order = sorted(self._members.values())
         self._changes = 0
         return self._order
 
     def add(self, endpoint: Endpoint) -> None:
-        """Adds an endpoint, if it isn't there."""
+        """Adds an endpoint if it is not present."""
         name = endpoint.entry.name
         if name not in self._members:
             self._members[name] = key = endpoint.tag, name
-            order = self._order_to_change()
+            order = self._order_to_update()
             if order is not None:
                 insort(order, key)
 
     def remove(self, name: str) -> None:
-        """Removes an endpoint, if it is there."""
+        """Removes an endpoint if it is present."""
         key = self._members.pop(name, None)
-        order = self._order_to_change() if key else None
+        order = self._order_to_update() if key else None
         if key and order is not None:
             del order[bisect_left(order, key)]
 
-    def _order_to_change(self) -> list[tuple[str, str]] | None:
-        """The order, if it is to be kept up for this change."""
+    def _order_to_update(self) -> list[tuple[str, str]] | None:
+        """Counts a change; returns the order if it is to be updated in place, else None."""
         self._changes += 1
         if self._changes > MAX_CHANGES_IN_PLACE:
             self._order = None
--- a/hazelhollow/decisions/state/endpoint_table.py
+++ b/hazelhollow/decisions/state/endpoint_table.py
@@ -1,11 +1,11 @@
-"""The listed endpoints and what follows from all of them, kept up change by change.
+"""The listed endpoints and values derived from all of them, updated incrementally.
 
-A change to the list costs what it changes, and a whole list that says what is known costs a
-comparison for each entry: the mean weight, the tags, the endpoints that are up and those that are
-warming up are kept beside the endpoints.
+The mean weight, the tags, the endpoints that are up and those that are warming up are stored beside
+the endpoints. The cost of a change to the list therefore depends on the number of changed entries,
+and a full list without changes costs one comparison per entry.
 
-An endpoint is one `Endpoint` from its listing until it goes or starts anew (its entry then has
-another `started`); everything learned of it lasts as long.
+An endpoint is represented by one `Endpoint` from its listing until it is removed or restarts (its
+entry then has another `started`), and everything learned about it is kept for that time.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 )
 from hazelhollow.decisions.state.endpoint_ring import EndpointRing
 
-MAX_CHANGES_IN_PLACE = 64  # from so many changes in one list on it is cheaper to build all anew
-EndpointGroup = tuple[str, str | int]  # "zone" or "cell", and which
+MAX_CHANGES_IN_PLACE = 64  # beyond this many changes in one list, a complete rebuild is cheaper
+EndpointGroup = tuple[str, str | int]  # "zone" or "cell", and its name or number
 
 
 class EndpointTable:
     """The listed endpoints.
 
     Attributes:
-        endpoints: By name, in the order of the list.
-        disabled: Names of those that an operator disabled, listed or not.
-        up: Those that may get something new, by name.
-        weights: The weights of all.
+        endpoints: All endpoints by name, in the order of the list.
+        disabled: The names of endpoints that an operator disabled, listed or not.
+        up: The endpoints that may get new work, by name.
+        weights: The weights of all endpoints.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -43,42 +43,42 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.disabled: set[str] = set()
         self.up: dict[str, Endpoint] = {}
-        # `up` by zone and by cell, once asked for.
+        # `up` by zone and by cell; built at the first use.
         self._groups: dict[EndpointGroup, dict[str, Endpoint]] | None = None
         self.weights, self._warm_weights = EndpointWeights(), EndpointWeights()
         self._warming: set[str] = set()
-        self._starts: list[tuple[float, str]] = []  # a heap: the starts of those warming up
-        # Of `up`, by whether they are warming up.
+        self._starts: list[tuple[float, str]] = []  # a heap of the start times of those warming up
+        # The endpoints of `up`, by whether they are warming up.
         self._rings = {False: EndpointRing(), True: EndpointRing()}
         self._by_tag: dict[str, Endpoint] = {}
-        # Where several endpoints share a tag.
+        # Endpoints by tag and name, for tags that several endpoints share.
         self._same_tag: dict[str, dict[str, Endpoint]] = {}
         self._warm_concurrency: float | None = None
         self._all: list[Endpoint] | None = None
         self._all_up: list[Endpoint] | None = None
-        # Endpoints that an operator enabled again, and when.
+        # The times at which an operator enabled endpoints again, by name.
         self._enabled_at: dict[str, float] = {}
 
     # Reading
 
     def by_tag(self, tag: str) -> Endpoint | None:
-        """The endpoint of that tag; of several the last listed."""
+        """Returns the endpoint with a tag; if several share it, the last in the list."""
         return self._by_tag.get(tag)
 
     def all(self) -> list[Endpoint]:
-        """All, in the order of the list. Not to be changed."""
+        """Returns all endpoints in the order of the list. Callers must not modify the result."""
         if self._all is None:
             self._all = list(self.endpoints.values())
         return self._all
 
     def all_up(self) -> list[Endpoint]:
-        """Those that may get something new. Not to be changed."""
+        """Returns the endpoints that may get new work. Callers must not modify the result."""
         if self._all_up is None:
             self._all_up = list(self.up.values())
         return self._all_up
 
     def all_of(self, group: EndpointGroup) -> list[Endpoint]:
-        """Those of a zone or a cell that may get something new."""
+        """Returns the endpoints of a zone or a cell that may get new work."""
         if self._groups is None:
             self._groups = {}
             for endpoint in self.up.values():
@@ -86,12 +86,15 @@
         return list(self._groups.get(group, {}).values())
 
     def ring(self, warming_up: bool, now: float) -> list[tuple[str, str]]:
-        """Tag and name of those that are up, warming up or not, in an order all limiters share."""
+        """Returns the tags and names of the endpoints that are up, in an order all limiters share.
+
+        `warming_up` selects those that are warming up or those that are not.
+        """
         self._end_warm_ups(now)
         return self._rings[warming_up].read()
 
     def warm_concurrency(self, now: float) -> float:
-        """The concurrency of all that are not warming up together."""
+        """Returns the total concurrency of the endpoints that are not warming up."""
         self._end_warm_ups(now)
         if self._warm_concurrency is None:
             mean = self.weights.mean
@@ -102,38 +105,38 @@
         return self._warm_concurrency
 
     def may_get_new_work(self, endpoint: Endpoint) -> bool:
-        """Whether it is up and no operator disabled it."""
+        """Whether an endpoint is up and not disabled by an operator."""
         return endpoint.entry.state == "up" and endpoint.entry.name not in self.disabled
 
     # Changes
 
     def apply(self, event: EndpointsUpdated, now: float) -> None:
-        """Takes over a list or a change to it."""
+        """Applies an endpoint list or a change to it."""
         self._apply_list(event, now)
         self._restart_enabled(now)
 
     def override(self, name: str, disabled: bool, now: float) -> None:
-        """An operator disables an endpoint, or enables it again.
+        """Applies an operator's decision to disable an endpoint or to enable it again.
 
-        One that is enabled again was restarted meanwhile, whatever the list says, and warms up.
+        An endpoint that is enabled again counts as restarted, whatever the list says, and warms up.
         """
         if not disabled and name not in self.disabled:
             return
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
-            self._leave(endpoint)
+            self._remove_from_index(endpoint)
         if disabled:
             self.disabled.add(name)
         else:
             self.disabled.discard(name)
             self._enabled_at[name] = now
         if endpoint is not None:
-            self._enter(endpoint, now)
+            self._add_to_index(endpoint, now)
         self.weights.settle()
         self._restart_enabled(now)
 
     def retune(self, settings: Settings, now: float) -> None:
-        """Takes over other settings: endpoints may warm up for longer or shorter."""
+        """Applies changed settings: the duration of the warm-up may be different."""
         before, self._settings = self._settings, settings
         if before.warm_up_time != settings.warm_up_time:
             self._rebuild(now)
@@ -143,35 +146,36 @@
         if event.kind in ("change", "failed") or names == list(self.endpoints):
             gone = list[str]()
         else:
-            gone = self._put_in_order(names)
-        named_twice = len(set(names)) < len(names)  # then each entry in its turn
-        changed = list(event.entries) if named_twice else self._changed_entries(event.entries)
+            gone = self._reorder(names)
+        has_duplicates = len(set(names)) < len(names)  # then all entries are applied in turn
+        changed = list(event.entries) if has_duplicates else self._changed_entries(event.entries)
         if len(gone) + len(changed) > MAX_CHANGES_IN_PLACE:
-            self._apply_at_once(gone, changed, now)
+            self._apply_in_bulk(gone, changed, now)
         else:
             for name in gone:
                 self._remove(name)
             for entry in changed:
-                self._put(entry, now)
+                self._apply_entry(entry, now)
         self.weights.settle()
 
     def _restart_enabled(self, now: float) -> None:
-        """Endpoints that an operator enabled again count as started then.
+        """Sets the start of endpoints that an operator enabled again to the time of enabling.
 
-        The list may not know of it, or say an older start again.
+        The list may lack this start, or a later list may repeat an older one.
         """
         for name, at in list(self._enabled_at.items()):
             if at < now - self._settings.warm_up_time:
                 del self._enabled_at[name]
             elif name in self.endpoints and self.endpoints[name].entry.started < at:
                 endpoint = self.endpoints[name]
-                self._change(endpoint, replace(endpoint.entry, started=at), now)
+                self._replace_entry(endpoint, replace(endpoint.entry, started=at), now)
         self.weights.settle()
 
     def _changed_entries(self, entries: tuple[EndpointEntry, ...]) -> list[EndpointEntry]:
-        """Those that say something new.
+        """Returns the entries that differ from the table.
 
-        A dataclass's own comparison takes twice the time, and a whole list may be long.
+        The attributes are compared directly, since a dataclass's own comparison takes twice the
+        time and a full list may be long.
         """
         changed, endpoints = list[EndpointEntry](), self.endpoints
         for entry in entries:
@@ -180,10 +184,10 @@
                 changed.append(entry)
         return changed
 
-    def _put_in_order(self, names: list[str]) -> list[str]:
-        """Puts the endpoints in the order of a whole list; those that it does not name come last.
+    def _reorder(self, names: list[str]) -> list[str]:
+        """Sorts the endpoints into the order of a full list, with unlisted endpoints last.
 
-        Returns the names of the latter.
+        Returns the names of the unlisted endpoints.
         """
         listed = dict.fromkeys(names)
         gone = [name for name in self.endpoints if name not in listed]
@@ -196,26 +200,26 @@
             self._rebuild_tags()
         return gone
 
-    def _put(self, entry: EndpointEntry, now: float) -> None:
-        """Takes over one entry."""
+    def _apply_entry(self, entry: EndpointEntry, now: float) -> None:
+        """Applies one entry of a list."""
         known = self.endpoints.get(entry.name)
         if entry.state == "gone":
             self._remove(entry.name)
         elif known is not None and known.entry.started == entry.started:
-            self._change(known, entry, now)
+            self._replace_entry(known, entry, now)
         else:
             if known is not None:
-                self._leave(known)
-            endpoint = self.endpoints[entry.name] = self._new(entry)
+                self._remove_from_index(known)
+            endpoint = self.endpoints[entry.name] = self._create_endpoint(entry)
             self._all = None
             self._add_tag(endpoint)
-            self._enter(endpoint, now)
+            self._add_to_index(endpoint, now)
 
-    def _new(self, entry: EndpointEntry) -> Endpoint:
+    def _create_endpoint(self, entry: EndpointEntry) -> Endpoint:
         return Endpoint(entry, self._settings.overload_window, self.weights)
 
-    def _apply_at_once(self, gone: list[str], changed: list[EndpointEntry], now: float) -> None:
-        """The same as one by one, where it is cheaper to build anew all that follows."""
+    def _apply_in_bulk(self, gone: list[str], changed: list[EndpointEntry], now: float) -> None:
+        """Applies many changes, followed by one rebuild of all derived values."""
         for name in gone:
             del self.endpoints[name]
         for entry in changed:
@@ -225,11 +229,11 @@
             elif known is not None and known.entry.started == entry.started:
                 known.entry = entry
             else:
-                self.endpoints[entry.name] = self._new(entry)
+                self.endpoints[entry.name] = self._create_endpoint(entry)
         self._rebuild(now)
 
     def _rebuild(self, now: float) -> None:
-        """Builds anew all that follows from the endpoints."""
+        """Rebuilds all values derived from the endpoints."""
         endpoints = self.endpoints.values()
         warming = [e for e in endpoints if e.is_warming_up(now, self._settings)]
         self._warming = {e.entry.name for e in warming}
@@ -261,7 +265,7 @@
                 self._same_tag.setdefault(endpoint.tag, {})[name] = endpoint
 
     def _add_tag(self, endpoint: Endpoint) -> None:
-        """Registers the tag of an endpoint that has just been listed."""
+        """Registers the tag of a newly listed endpoint."""
         name = endpoint.entry.name
         first = self._by_tag.setdefault(endpoint.tag, endpoint)
         if first.entry.name == name and endpoint.tag not in self._same_tag:
@@ -271,18 +275,18 @@
         same[name] = endpoint
         self._by_tag[endpoint.tag] = _last_listed(same)
 
-    def _change(self, endpoint: Endpoint, entry: EndpointEntry, now: float) -> None:
-        """Replaces the entry of an endpoint that goes on."""
-        self._leave(endpoint)
+    def _replace_entry(self, endpoint: Endpoint, entry: EndpointEntry, now: float) -> None:
+        """Replaces the entry of an endpoint that has not restarted."""
+        self._remove_from_index(endpoint)
         endpoint.entry = entry
-        self._enter(endpoint, now)
+        self._add_to_index(endpoint, now)
 
     def _remove(self, name: str) -> None:
         endpoint = self.endpoints.pop(name, None)
         if endpoint is None:
             return
         self._all = None
-        self._leave(endpoint)
+        self._remove_from_index(endpoint)
         same = self._same_tag.get(endpoint.tag)
         if same is None:
             del self._by_tag[endpoint.tag]
@@ -292,8 +296,8 @@
         if len(same) == 1:
             del self._same_tag[endpoint.tag]
 
-    def _enter(self, endpoint: Endpoint, now: float) -> None:
-        """Adds one endpoint to all that follows from the entries."""
+    def _add_to_index(self, endpoint: Endpoint, now: float) -> None:
+        """Adds an endpoint to all values derived from the entries."""
         entry, self._warm_concurrency = endpoint.entry, None
         self.weights.add(entry.weight)
         warming_up = endpoint.is_warming_up(now, self._settings)
@@ -308,8 +312,8 @@
                 _add_to_groups(self._groups, endpoint)
             self._rings[warming_up].add(endpoint)
 
-    def _leave(self, endpoint: Endpoint) -> None:
-        """Takes one endpoint out of the same, before its entry changes."""
+    def _remove_from_index(self, endpoint: Endpoint) -> None:
+        """Removes an endpoint from the values derived from entries, before its entry changes."""
         entry, self._warm_concurrency = endpoint.entry, None
         self.weights.add(entry.weight, -1)
         warming_up = entry.name in self._warming
@@ -324,12 +328,12 @@
             self._rings[warming_up].remove(entry.name)
 
     def _end_warm_ups(self, now: float) -> None:
-        """Endpoints that have been up for long enough are no longer warming up."""
+        """Ends the warm-up of endpoints that have been up for long enough."""
         while self._starts and self._starts[0][0] <= now - self._settings.warm_up_time:
             started, name = heapq.heappop(self._starts)
             if name in self._warming and self.endpoints[name].entry.started == started:
-                self._leave(self.endpoints[name])
-                self._enter(self.endpoints[name], now)
+                self._remove_from_index(self.endpoints[name])
+                self._add_to_index(self.endpoints[name], now)
 
 
 def _groups_of(endpoint: Endpoint) -> tuple[EndpointGroup, EndpointGroup]:
--- a/hazelhollow/decisions/state/max_tree.py
+++ b/hazelhollow/decisions/state/max_tree.py
@@ -1,4 +1,4 @@
-"""A segment tree over numbers: their maximum, and the first that reaches a bound."""
+"""A segment tree that finds the maximum of its values and the first value to reach a bound."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class MaxTree:
-    """Numbers at places from 0 on.
+    """Numbers at positions from 0 on.
 
-    A change and a search take time that grows with the logarithm of their number.
+    An update and a search take time logarithmic in the number of values.
     """
 
     def __init__(self, values: Sequence[float]) -> None:
@@ -18,9 +18,9 @@
         self.put_all(0, values)
 
     def put_all(self, first: int, values: Sequence[float]) -> None:
-        """Sets the values at the places from `first` on."""
+        """Sets consecutive values, starting at position `first`."""
         nodes, low = self._nodes, first + self._leaves
-        high = low + len(values)  # behind the last node of a level that has changed
+        high = low + len(values)  # one past the last changed node of a level
         nodes[low:high] = values
         while low > 1:
             low, high = low >> 1, (high + 1) >> 1
@@ -28,9 +28,9 @@
                 max, nodes[2 * low : 2 * high : 2], nodes[2 * low + 1 : 2 * high : 2]
             )
 
-    def put(self, place: int, value: float) -> None:
-        """Sets the value at one place."""
-        nodes, node = self._nodes, place + self._leaves
+    def put(self, position: int, value: float) -> None:
+        """Sets the value at a position."""
+        nodes, node = self._nodes, position + self._leaves
         nodes[node] = value
         while node > 1:
             node >>= 1
@@ -40,16 +40,16 @@
                 return
             nodes[node] = higher
 
-    def value(self, place: int) -> float:
-        """The value at one place."""
-        return self._nodes[place + self._leaves]
+    def value(self, position: int) -> float:
+        """Returns the value at a position."""
+        return self._nodes[position + self._leaves]
 
     def max(self) -> float:
-        """The greatest value."""
+        """Returns the greatest value."""
         return self._nodes[1]
 
     def first_at_least(self, bound: float) -> int:
-        """The first place whose value is `bound` or more. There must be one."""
+        """Returns the first position with a value of at least `bound`, which must exist."""
         node = 1
         while node < self._leaves:
             node = 2 * node if self._nodes[2 * node] >= bound else 2 * node + 1
--- a/hazelhollow/decisions/state/pending_requests.py
+++ b/hazelhollow/decisions/state/pending_requests.py
@@ -1,11 +1,11 @@
-"""Requests without their final answer, and their attempts.
+"""Requests without a final answer, and their attempts.
 
-A request's states, and what leads from one to the next:
+The states of a request and their transitions:
 
-| state      | what happens                                          | next state |
+| state      | event                                                 | next state |
 | ---------- | ----------------------------------------------------- | ---------- |
 | arrived    | a rule of `admission` rejects it                      | answered   |
-| arrived    | admitted: it is charged, an attempt starts            | attempting |
+| arrived    | it is admitted and charged, and an attempt starts     | attempting |
 | attempting | `AttemptEnded`, final: the client has its answer      | ended      |
 | attempting | `AttemptEnded`, another attempt is in flight          | attempting |
 | attempting | `AttemptEnded`, `retry` allows another attempt        | attempting |
@@ -14,8 +14,9 @@
 | attempting | `ClientDisconnected`                                  | ended      |
 | ended      | the last attempt in flight ends                       | forgotten  |
 
-A pending request is kept while it is attempting, and while it is ended and an attempt is still in
-flight: the account counts it as open until then, and the attempt's end still teaches.
+A pending request is kept while it is attempting, and while it is ended but an attempt is still in
+flight: until then the account counts it as open, and the end of the attempt still updates the
+statistics.
 """
 
 from __future__ import annotations
@@ -28,19 +29,19 @@
 from hazelhollow.decisions.state.endpoint import Endpoint
 from hazelhollow.decisions.state.endpoint_table import EndpointGroup
 
-MAX_LEARNED_SIZE = 8  # units up to which work is learned for each number of them
+MAX_LEARNED_SIZE = 8  # largest size in units for which work is learned separately
 
 
 class Attempt:
     """One forwarding of a request to an endpoint.
 
     Attributes:
-        endpoint: Where it went.
-        started_at: When.
-        work: Seconds of work that it was expected to be.
-        backlog: Seconds of work in flight there when it started.
-        in_flight: It has not ended.
-        may_have_run: The endpoint may have acted on it.
+        endpoint: The endpoint that it was sent to.
+        started_at: The time of its start.
+        work: Its expected work, in seconds.
+        backlog: Seconds of work in flight at the endpoint when it started.
+        in_flight: Whether it has not ended yet.
+        may_have_run: Whether the endpoint may have executed it.
     """
 
     __slots__ = ("endpoint", "started_at", "work", "backlog", "in_flight", "may_have_run")
@@ -55,27 +56,27 @@
         self.in_flight = self.may_have_run = True
 
     def expected_time(self) -> float:
-        """Seconds from its start to its end, as expected of its endpoint."""
+        """Returns its expected duration in seconds."""
         endpoint = self.endpoint
         return endpoint.work_factor * (self.work + self.backlog / endpoint.concurrency)
 
 
 class PendingRequest:
-    """A request that is owed its final answer, or whose attempts are still in flight.
+    """A request without a final answer, or with attempts that are still in flight.
 
     Attributes:
-        event: As it arrived.
-        request_class: Its class.
-        account: Who is charged.
-        max_attempts: As the settings said when it arrived; they may say fewer later.
-        arrived_at: The instant of its arrival.
-        objective_at: The instant of its latency objective.
-        deadline: The instant at which the client gives up.
-        attempts: In the order of their start; an attempt's number is its place.
-        size: Units in whole numbers, up to `MAX_LEARNED_SIZE`.
-        within_quota: The quota has room for it, and is charged if it is admitted.
-        ended: The final answer was given, or the client has gone.
-        settled: The true units were charged in place of the estimated ones.
+        event: The request as it arrived.
+        request_class: The class of the request.
+        account: The account that is charged.
+        max_attempts: The limit in the settings at its arrival; later settings may have a lower one.
+        arrived_at: The time of its arrival.
+        objective_at: The time at which its latency objective ends.
+        deadline: The time at which the client gives up.
+        attempts: The attempts in the order of their start; an attempt's number is its index.
+        size: Its units, rounded and limited to `MAX_LEARNED_SIZE`.
+        within_quota: Whether the quota has room for it and is charged if it is admitted.
+        ended: Whether the final answer was sent or the client has disconnected.
+        settled: Whether the true units were charged in place of the estimated ones.
     """
 
     __slots__ = (
@@ -115,18 +116,18 @@
         return any([a.in_flight for a in self.attempts])
 
     def first_that_may_have_run(self) -> Attempt | None:
-        """The first attempt that the endpoint may have acted on."""
+        """Returns the first attempt that its endpoint may have executed."""
         return next((a for a in self.attempts if a.may_have_run), None)
 
     def attempts_at(self, endpoint: Endpoint) -> int:
-        """How many attempts have gone to an endpoint."""
+        """Returns the number of attempts that were sent to an endpoint."""
         return sum([a.endpoint is endpoint for a in self.attempts]) if self.attempts else 0
 
     def repeatable_until(self) -> float:
-        """The instant from which on what may have run may not run again.
+        """Returns the time until which the request may be repeated.
 
-        Endpoints drop a repeat for `dedup_window` seconds, counted from the first attempt that may
-        have run. Infinite where nothing has run, or repeating is safe.
+        Endpoints drop a repeated request for `dedup_window` seconds after the first attempt that
+        may have run. The time is infinite if nothing has run or if repeating is safe.
         """
         ran = self.first_that_may_have_run()
         if ran is None or self.request_class.effect == "safe":
@@ -134,9 +135,9 @@
         return ran.started_at + self.request_class.dedup_window
 
     def required_group(self) -> EndpointGroup | None:
-        """The zone or cell that a further attempt has to go to, if any.
+        """Returns the zone or cell that another attempt must be sent to, if there is one.
 
-        Only its endpoints know the idempotency key of what may have run.
+        Only the endpoints there know the idempotency key of the attempt that may have run.
         """
         scope = self.request_class.dedup_scope
         if self.request_class.effect != "keyed" or scope == "all":
@@ -152,29 +153,29 @@
         self.by_id: dict[str, PendingRequest] = {}
 
     def end(self, request_id: str) -> None:
-        """Nothing more is owed: the client has gone."""
+        """Ends a request whose client has disconnected, so that it needs no answer."""
         if request_id in self.by_id:
             self.by_id[request_id].ended = True
             self.forget_if_done(request_id)
 
     def forget_if_done(self, request_id: str) -> None:
-        """Forgets a request that has ended, once none of its attempts is in flight."""
+        """Removes a request that has ended if none of its attempts is in flight."""
         request = self.by_id[request_id]
         if request.ended and not request.has_attempt_in_flight():
             del self.by_id[request_id]
             request.account.open_requests -= 1
 
     def attempts_in_flight_since(self, start: float) -> list[Attempt]:
-        """Attempts in flight that started after `start`."""
+        """Returns the attempts in flight that started after `start`."""
         requests = self.by_id.values()
         return [a for r in requests for a in r.attempts if a.in_flight and a.started_at > start]
 
     def hanging_attempts(
         self, now: float, factor: float, min_time: float
     ) -> list[tuple[PendingRequest, int]]:
-        """Attempts, by request and number, that are in flight for too long.
+        """Returns the requests and numbers of attempts that have been in flight for too long.
 
-        That is `factor` times what was expected of them, and `min_time` seconds.
+        That is longer than both `factor` times the expected duration and `min_time` seconds.
         """
         return [
             (request, number)
@@ -186,6 +187,6 @@
         ]
 
     def work_in_flight(self, endpoints: dict[str, Endpoint]) -> dict[str, float]:
-        """Seconds of work that this limiter has in flight at the given endpoints, by their tags."""
+        """Returns the seconds of work in flight at the given endpoints, by their tags."""
         busy = {a.endpoint for r in self.by_id.values() for a in r.attempts if a.in_flight}
         return {e.tag: sum(e.in_flight.values()) for e in busy if endpoints.get(e.entry.name) is e}
--- a/hazelhollow/decisions/state/sliding_window.py
+++ b/hazelhollow/decisions/state/sliding_window.py
@@ -1,4 +1,4 @@
-"""A sum over the latest stretch of time."""
+"""A sum over a sliding time window."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
         self._items: deque[tuple[float, float]] = deque()
 
     def add(self, now: float, amount: float) -> None:
-        """Adds an amount at this instant."""
+        """Adds an amount at time `now`."""
         self._items.append((now, amount))
         self._total += amount
         self._trim(now)
 
     def sum(self, now: float) -> float:
-        """The sum as of this instant."""
+        """Returns the sum of the window that ends at `now`."""
         self._trim(now)
         return self._total
 
@@ -29,4 +29,4 @@
         while self._items and self._items[0][0] <= now - self.span:
             self._total -= self._items.popleft()[1]
         if not self._items:
-            self._total = 0.0  # the rounding errors of the subtractions go, too
+            self._total = 0.0  # discards the rounding errors of the subtractions
--- a/hazelhollow/decisions/state/token_bucket.py
+++ b/hazelhollow/decisions/state/token_bucket.py
@@ -1,18 +1,18 @@
-"""A token bucket: units that come in at a rate, up to a capacity."""
+"""A token bucket, which refills at a constant rate up to its capacity."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Units that come in evenly; the level may go below zero.
+    """A bucket whose level may be negative.
 
-    `level` is as old as `updated_at`; call `refill` before it is read.
+    `level` is the value at `updated_at`: call `refill` before reading it.
 
     Attributes:
-        rate: Units a second.
-        capacity: The most units that it holds.
-        level: Units, at `updated_at`.
-        updated_at: The instant of the last refill.
+        rate: Units added per second.
+        capacity: The highest level that a refill reaches.
+        level: Units at `updated_at`.
+        updated_at: The time of the last refill.
     """
 
     __slots__ = ("rate", "capacity", "level", "updated_at")
@@ -21,7 +21,10 @@
         self.rate, self.capacity, self.level, self.updated_at = rate, capacity, level, now
 
     def refill(self, now: float) -> float:
-        """Adds what has come in until now, and returns the level. An earlier `now` adds nothing."""
+        """Adds the units accrued until `now` and returns the level.
+
+        A `now` before the last refill adds nothing.
+        """
         self.level = min(self.capacity, self.level + self.rate * max(0.0, now - self.updated_at))
         self.updated_at = now
         return self.level
