--- a/hazelhollow/simulator/__init__.py
+++ b/hazelhollow/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire and the adapter that hosts decision engines on it."""
+"""The simulator's wire format and the adapter that hosts decision engines for it."""
--- a/hazelhollow/simulator/adapter.py
+++ b/hazelhollow/simulator/adapter.py
@@ -1,8 +1,8 @@
-"""Hosts decision engines on the simulator's wire: lines in, lines out.
+"""Hosts decision engines for the simulator, which exchanges lines with them on standard streams.
 
 The simulator sends messages in batches, each of which begins with the clock (`frame`) and ends with
-`eof_batch`, and waits for the whole reply. An engine that breaks says so on the wire; a line that
-is not of the wire ends the program with exit status 2.
+`eof_batch`, and waits for the complete reply. An exception in an engine is reported on the wire. A
+line that violates the wire format ends the program with exit status 2.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 Message = tuple[str, Fields]  # its name and its fields
 
 
-class Host:
-    """The engines, by the simulator's number for each."""
+class EngineHost:
+    """Holds the engines by the number that the simulator assigned to each."""
 
     def __init__(self) -> None:
         self._engines: dict[int, DecisionEngine] = {}
 
     def answer(self, batch: list[Message]) -> str:
-        """The whole reply to one batch.
+        """Returns the complete reply to one batch.
 
         Raises:
-            WireError: A message is not of the wire, or the clock doesn't come first.
+            WireError: A message violates the wire format, or the first one is not the clock.
         """
         if not batch or batch[0][0] != "frame":
             raise WireError("batch does not begin with 'frame'")
@@ -39,7 +39,7 @@
         return "".join(lines) + wire.end_line()
 
     def _handle(self, name: str, fields: Fields, now: float) -> list[str]:
-        """The lines that answer one message."""
+        """Returns the lines that answer one message."""
         instance = fields.integer("who")
         if name == "halt":
             self._engines.pop(instance, None)
@@ -55,13 +55,13 @@
             return [wire.action_line(instance, action) for action in actions]
         except WireError:
             raise
-        except Exception as error:  # a broken engine must not end the others
+        except Exception as error:  # a fault in one engine must not stop the others
             return [wire.fault_line(instance, f"{type(error).__name__}: {error}")]
 
 
 def run(source: TextIO, sink: TextIO) -> None:
-    """Answers batches until the source ends; empty lines are ignored."""
-    host = Host()
+    """Answers batches until the source ends. Empty lines are ignored."""
+    host = EngineHost()
     batch: list[Message] = []
     for line in source:
         if not line.strip():
@@ -76,7 +76,7 @@
 
 
 def main() -> int:
-    """Runs on the standard streams; the exit status."""
+    """Runs the adapter on the standard streams and returns the exit status."""
     try:
         run(sys.stdin, sys.stdout)
     except (WireError, UnicodeDecodeError) as error:
--- a/hazelhollow/simulator/errors.py
+++ b/hazelhollow/simulator/errors.py
@@ -1,7 +1,7 @@
-"""What is wrong with a message: always the fault of whoever wrote it."""
+"""The error for messages that violate the wire format, which is always their sender's fault."""
 
 from __future__ import annotations
 
 
 class WireError(Exception):
-    """A message is not of this wire; the text names the message and the field."""
+    """A message violates the wire format; the text names the message and the field."""
--- a/hazelhollow/simulator/fields.py
+++ b/hazelhollow/simulator/fields.py
@@ -1,4 +1,4 @@
-"""Typed reading of a message's fields."""
+"""Typed access to the fields of a message."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 from hazelhollow.simulator.errors import WireError
 
-# An endpoint's load report: the wire's names, and ours, which real endpoints use.
+# Names of the figures in an endpoint's load report: those of the simulator's wire, and those of the
+# decision engine, which real endpoints use.
 REPORT_FIGURES = {
     "busy_reqs": "inflight",
     "pending": "queue",
@@ -19,17 +20,17 @@
 
 
 class Fields:
-    """The fields of one message or document, or of an object in it.
+    """The fields of a message or a document, or of an object in one.
 
-    Fields that are not asked for are ignored. A method without a default raises where the field is
-    missing or null; with one it returns that.
+    Fields that are not read are ignored. If a field is missing or null, a method returns its
+    default value or, if it has none, raises an error.
 
     Raises:
-        WireError: A field is missing or has a wrong type; each text names the message.
+        WireError: A field is missing or has a wrong type. The text names the message.
     """
 
     def __init__(self, name: str, values: Any) -> None:
-        """Takes the values of a message; `name` is what errors call it."""
+        """Wraps the values of a message; `name` stands for it in error texts."""
         if not isinstance(values, dict):
             raise WireError(f"{name}: the fields are not an object")
         self.name = name
@@ -46,59 +47,59 @@
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string."""
+        """Returns a string."""
         return str(self._checked(key, str, default))
 
     def number(self, key: str, default: float | None = None) -> float:
-        """A number."""
+        """Returns a number."""
         return float(self._checked(key, (int, float), default))
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """A number, without its fraction."""
+        """Returns a number truncated to an integer."""
         return int(self._checked(key, (int, float), default))
 
     def flag(self, key: str) -> bool:
-        """A boolean; false by default."""
+        """Returns a boolean; false by default."""
         return bool(self._checked(key, bool, False))
 
     def one_of(self, key: str, table: Mapping[str, str]) -> Any:
-        """The entry of a table that the field names."""
+        """Returns the entry of a table whose key is the value of the field."""
         name = self.text(key)
         if name not in table:
-            raise WireError(f"{self.name}: field '{key}' is '{name}', which is unknown")
+            raise WireError(f"{self.name}: field '{key}' has the unknown value '{name}'")
         return table[name]
 
     def part(self, key: str, needed: bool = False) -> Fields:
-        """An object; empty by default, unless it is `needed`."""
+        """Returns an object; empty by default, unless it is `needed`."""
         return Fields(f"{self.name}.{key}", self._checked(key, dict, None if needed else {}))
 
     def parts(self, key: str) -> list[Fields]:
-        """A list of objects; empty by default."""
+        """Returns a list of objects; empty by default."""
         return [self.entry(key, item) for item in self.items(key)]
 
     def items(self, key: str) -> list[Any]:
-        """A list of anything; empty by default."""
-        found: list[Any] = self._checked(key, list, [])
-        return found
+        """Returns a list of arbitrary items; empty by default."""
+        entries: list[Any] = self._checked(key, list, [])
+        return entries
 
     def entry(self, key: str, item: Any) -> Fields:
-        """An object that is an item of the list of that name."""
+        """Returns an item of the list `key`, which must be an object."""
         return Fields(f"{self.name}.{key}", item)
 
     def texts(self, key: str) -> list[str]:
-        """A list of strings; empty by default."""
+        """Returns a list of strings; empty by default."""
         items = self._checked(key, list, [])
         if not all(isinstance(item, str) for item in items):
             raise WireError(f"{self.name}: field '{key}' has a wrong type")
         return list(items)
 
     def raw(self, key: str) -> dict[str, Any] | None:
-        """An object whose form is another module's concern; None where it is empty."""
+        """Returns an object that another module parses; None if it is empty."""
         value: dict[str, Any] = self._checked(key, dict, {})
         return value or None
 
     def report(self) -> dict[str, float]:
-        """The load report in the field `metrics`, in our names; what is unknown is left out."""
+        """Returns the load report of the field `metrics`, without unknown and invalid figures."""
         values = self._checked("metrics", dict, {})
         return {
             REPORT_FIGURES[name]: float(value)
--- a/hazelhollow/simulator/settings_document.py
+++ b/hazelhollow/simulator/settings_document.py
@@ -1,8 +1,8 @@
-"""The settings as the platform words them: the simulator's start, and a limiter's settings file.
+"""Parses the platform's settings document: the simulator's `hello`, or a limiter's settings file.
 
-This is the only place where their names are mapped to ours:
+This is the only place where the platform's names are mapped to those of `Settings`:
 
-| theirs                                        | ours                                        |
+| platform                                      | `Settings`                                  |
 | --------------------------------------------- | ------------------------------------------- |
 | `position`, `balancers`, `step`               | `limiter_id`, `limiter_count`, `tick`       |
 | `grades`                                      | `classes`                                   |
@@ -28,31 +28,31 @@
 from hazelhollow.simulator.fields import Fields
 
 _EFFECTS = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
-_MIN_GOAL = 1e-6  # the weight of all classes together counts as at least this
+_MIN_GOAL = 1e-6  # lower bound of the weight of all classes together, which is a divisor
 
 
 class KnownSettings(NamedTuple):
-    """A document that was parsed before, and its settings."""
+    """A document that was parsed earlier, and its settings."""
 
     document: Mapping[str, Any]
     settings: Settings
 
 
-def parse_settings(params: Fields, before: KnownSettings | None = None) -> Settings:
-    """The settings of a document.
+def parse_settings(params: Fields, previous: KnownSettings | None = None) -> Settings:
+    """Returns the settings of a document.
 
-    Classes that are the same objects as in the document `before` are not parsed again.
+    Classes that are the same objects as in the `previous` document are not parsed again.
 
     Raises:
-        WireError: The document is not of this form.
-        ValueError: The settings can't be acted on.
+        WireError: A field is missing or has a wrong type or value.
+        ValueError: The settings are inconsistent or out of range.
     """
     info, limits = params.part("family_info"), params.part("policy_limits")
     safety, costs, goal = params.part("safety"), params.part("costs"), params.part("goal")
     return Settings(
         limiter_id=params.integer("position"),
         limiter_count=params.integer("balancers"),
-        classes=_request_classes(params, before),
+        classes=_request_classes(params, previous),
         plans=tuple(_plan(item) for item in params.parts("tariffs")),
         zone=params.text("zone", ""),
         tick=params.number("step", 0.001),
@@ -63,8 +63,8 @@
         cancellation=limits.flag("cancelling"),
         peers=limits.flag("peers"),
         gossip_messages_per_s=info.number("inbox_per_s", 60.0),
-        # Also where `retry_after` is false: the simulator drops the advice then, but `-BUSY MS`
-        # costs nothing and a client that reads it need not guess when to come back.
+        # This applies even if `retry_after` is false. The simulator then drops the advice, but real
+        # clients can use it: `-BUSY MS` costs nothing and saves them from guessing a delay.
         max_retry_after=limits.number("max_retry_after", 0.0),
         clients_mark_retries=params.part("clients").flag("marks_retry"),
         warm_up_time=safety.number("cold", 0.0),
@@ -78,19 +78,19 @@
 
 
 def _class_weight(goal: Fields) -> float:
-    """The goal's weight of the worst-served class against that of all classes together."""
+    """Returns the goal's weight of the worst-served class relative to that of all classes."""
     all_classes = goal.number("whole", 1.0) + goal.number("worst_window", 0.0)
     return goal.number("worst_class", 0.0) / max(all_classes, _MIN_GOAL)
 
 
-def _request_classes(params: Fields, before: KnownSettings | None) -> tuple[RequestClass, ...]:
-    if before is None:
+def _request_classes(params: Fields, previous: KnownSettings | None) -> tuple[RequestClass, ...]:
+    if previous is None:
         return tuple(_request_class(item) for item in params.parts("grades"))
-    known_items: Sequence[Any] = before.document.get("grades") or ()
-    known = dict(zip(map(id, known_items), before.settings.classes, strict=True))
+    parsed_items: Sequence[Any] = previous.document.get("grades") or ()
+    class_by_id = dict(zip(map(id, parsed_items), previous.settings.classes, strict=True))
     items = params.items("grades")
     return tuple(
-        known.get(id(item)) or _request_class(params.entry("grades", item)) for item in items
+        class_by_id.get(id(item)) or _request_class(params.entry("grades", item)) for item in items
     )
 
 
--- a/hazelhollow/simulator/wire.py
+++ b/hazelhollow/simulator/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: JSON lines to events, actions to JSON lines.
+"""The simulator's wire format: converts JSON lines to events and actions to JSON lines.
 
-A line is an object with a single key, the message's name, and its fields. Here the names of the
-wire are mapped to ours, once:
+A line is an object with a single key, the name of the message, whose value holds the fields. This
+is the only place where the names of the wire are mapped to those of events and actions:
 
 | message in     | event                | message out     | action                 |
 | -------------- | -------------------- | --------------- | ---------------------- |
@@ -15,8 +15,8 @@
 | `whisper`      | `GossipReceived`     | `print`         | `WriteLog`             |
 | `sum`          | `SharedCountRead`    |                 |                        |
 
-`hello` starts an instance with its settings (`settings_document.py`), `halt` ends it. The clock
-(`frame`) and the end of a batch are the adapter's concern.
+`hello` starts an instance with its settings (`settings_document.py`), `halt` ends it. The adapter
+handles the clock (`frame`) and the end of a batch.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 }
 _ENDPOINT_STATES = {"live": "up", "quiescing": "draining", "dead": "gone"}
 _LIST_KINDS = {"patch": "change", "whole": "full", "stale_copy": "cached", "broken": "failed"}
-_RETRY_BIT = 2  # of the field `opts`: the client says that it asks again
-_QUOTED_CHARACTERS = 60  # of a line that can't be read
+_RETRY_BIT = 2  # bit of the field `opts` with which a client marks a retry
+_QUOTED_CHARACTERS = 60  # length of the quoted text of an invalid line
 
 
 def parse_line(line: str) -> tuple[str, Fields]:
-    """The name and the fields of one message.
+    """Returns the name and the fields of a message.
 
     Raises:
         WireError: The line is not a message.
@@ -65,15 +65,15 @@
 
 
 def parse_hello(fields: Fields) -> tuple[Settings, int]:
-    """The settings and the seed of an instance that starts."""
+    """Returns the settings and the seed of an instance that starts."""
     return parse_settings(fields.part("params", needed=True)), fields.integer("rng_seed")
 
 
 def parse_event(name: str, fields: Fields) -> events.Event:
-    """The event of one message that is for a running instance.
+    """Returns the event of a message to a running instance.
 
     Raises:
-        WireError: There is no such message, or a field is wrong.
+        WireError: The message is unknown, or a field is missing or invalid.
     """
     if name not in _EVENTS:
         raise WireError(f"{name}: unknown event")
@@ -81,18 +81,18 @@
 
 
 def action_line(instance: int, action: actions.Action) -> str:
-    """The line of an action of an instance."""
+    """Returns the line for an action of an instance."""
     name, fields = _ACTIONS[type(action)]
     return _line(name, {"who": instance, **fields(action)})
 
 
 def fault_line(instance: int, text: str) -> str:
-    """The line by which an instance says that it is broken."""
+    """Returns the line that reports a fault of an instance."""
     return _line("give_in", {"who": instance, "msg": text})
 
 
 def end_line() -> str:
-    """The line that ends the reply to a batch."""
+    """Returns the line that ends the reply to a batch."""
     return _line("ack", {})
 
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: translation, bad input, and that hosting changes nothing."""
+"""The adapter: translation of messages, invalid input, and hosting of engines."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     return [{"frame": {"t": at}}, *messages, {"eof_batch": {}}]
 
 
-def test_a_request_is_sent_answered_and_ends_cleanly() -> None:
+def test_answered_request_produces_send_line_and_clean_exit() -> None:
     done = {
         "who": 0,
         "tid": "t1",
@@ -83,15 +83,15 @@
     assert sum("ack" in r for r in replies) == 3
 
 
-def test_hash_seeds_change_nothing() -> None:
-    story = [*START]
+def test_replies_do_not_depend_on_the_hash_seed() -> None:
+    script = [*START]
     for i in range(30):
-        story += batch(
+        script += batch(
             8.1 + i / 10,
             {"demand": {**DEMAND, "tid": f"t{i}", "holder": f"{i % 4:x}"}},
             {"wakeup": {"who": 0, "token": "beat"}},
         )
-    assert play(story, "1").stdout == play(story, "2").stdout
+    assert play(script, "1").stdout == play(script, "2").stdout
 
 
 @pytest.mark.parametrize(
@@ -111,25 +111,27 @@
         ({"demand": 3}, ["demand", "not an object"]),
     ],
 )
-def test_bad_lines_end_the_adapter_with_one_plain_line(message: object, words: list[str]) -> None:
+def test_invalid_line_ends_the_adapter_with_one_line_error(
+    message: object, words: list[str]
+) -> None:
     run = play([*START, *batch(8.1, message)])
     assert run.returncode != 0 and len(run.stderr.splitlines()) == 1
     assert all(word in run.stderr for word in words)
     assert run.stdout.endswith('{"ack":{}}\n') and run.stdout.count("ack") == 1
 
 
-def test_a_fault_of_the_module_is_reported_with_its_text() -> None:
+def test_engine_fault_is_reported_with_its_text() -> None:
     hello = {"hello": {"who": 0, "rng_seed": 5, "params": {**PARAMS, "position": 9}}}
     run = play(batch(8.0, hello))
     assert "give_in" in run.stdout and "limiter_id: not one" in run.stdout and run.returncode == 0
 
 
-def test_events_for_a_stopped_instance_are_dropped() -> None:
+def test_event_for_stopped_instance_is_dropped() -> None:
     run = play([*START, *batch(8.1, {"halt": {"who": 0}}, {"demand": DEMAND})])
     assert run.stdout.splitlines()[-1] == '{"ack":{}}' and "send" not in run.stdout
 
 
-def test_every_action_has_its_line() -> None:
+def test_every_action_has_a_line() -> None:
     for action in (
         api.StartAttempt("i", "s"),
         api.CancelAttempt("i", 0),
@@ -144,7 +146,7 @@
         assert fields["who"] == 3 and name
 
 
-def test_the_readme_example_runs() -> None:
+def test_readme_example_runs() -> None:
     text = (ROOT / "README.md").read_text()
     code = text.split("```python\n")[1].split("```")[0]
     run = subprocess.run(
@@ -153,7 +155,7 @@
     assert run.returncode == 0 and "StartAttempt" in run.stdout, run.stderr
 
 
-def test_the_deploy_file_lists_every_module_that_decides() -> None:
+def test_deploy_file_lists_every_decision_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     modules = (ROOT / "hazelhollow" / "decisions").rglob("*.py")
     assert sorted(deploy["policy"]) == sorted(str(path.relative_to(ROOT)) for path in modules)
