--- a/tests/decisions/test_class_statistics.py
+++ b/tests/decisions/test_class_statistics.py
@@ -1,4 +1,4 @@
-"""What is learned of classes, against the plain definitions."""
+"""Class statistics, compared with straightforward reference computations."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 )
 
 
-def plain_limit(
-    engine: DecisionEngine, kind: api.RequestClass, worth: dict[str, float], work: float
+def reference_limit(
+    engine: DecisionEngine, kind: api.RequestClass, weight_by_class: dict[str, float], work: float
 ) -> float:
-    """As it was reckoned for each request, over all classes.
+    """Returns the limit on the wait of a class, computed from all classes.
 
-    `worth`, `work`: what was asked for lately.
+    `weight_by_class` and `work` are the recent demand.
     """
     learned = engine.load.classes
     value = {
@@ -41,14 +41,18 @@
     }
     if not engine.context.small_fleet:
         return engine.load.tightest_objective * value[kind.name] / max(value.values())
-    longest = min(
+    objective = min(
         c.latency_objective for c in engine.settings.classes if value[c.name] >= value[kind.name]
     )
     cheapest = min(value, key=value.__getitem__)
-    part = worth.get(cheapest, 0.0) / sum(worth.values()) if worth else 0.0
-    value[cheapest] *= 1.0 + engine.settings.class_weight / max(part, 0.01)
-    mean = (sum(worth.values()) / work if work else 0.0) or value[kind.name]
-    return float(longest * min(1.0, value[kind.name] / mean) ** YIELD_POWER)
+    demand_share = (
+        weight_by_class.get(cheapest, 0.0) / sum(weight_by_class.values())
+        if weight_by_class
+        else 0.0
+    )
+    value[cheapest] *= 1.0 + engine.settings.class_weight / max(demand_share, 0.01)
+    mean = (sum(weight_by_class.values()) / work if work else 0.0) or value[kind.name]
+    return float(objective * min(1.0, value[kind.name] / mean) ** YIELD_POWER)
 
 
 class_lists = st.lists(
@@ -57,12 +61,13 @@
     max_size=9,
 ).map(
     lambda pairs: tuple(
-        api.RequestClass(f"c{n}", aim, 20.0, worth, "safe") for n, (aim, worth) in enumerate(pairs)
+        api.RequestClass(f"c{n}", objective, 20.0, priority, "safe")
+        for n, (objective, priority) in enumerate(pairs)
     )
 )
 
 
-lessons = st.lists(
+observations = st.lists(
     st.tuples(
         st.integers(0, 8), st.sampled_from([1.0, 2.0, 5.0]), st.sampled_from([0.9, 1.0, 1.1, 1.5])
     ),
@@ -71,31 +76,37 @@
 
 
 @hyp(max_examples=150, deadline=None)
-@given(class_lists, class_lists, lessons, st.sampled_from([1, 3, 40]), st.sampled_from([0.0, 0.5]))
-def test_the_limit_of_a_class_is_what_a_look_at_all_classes_says(
+@given(
+    class_lists, class_lists, observations, st.sampled_from([1, 3, 40]), st.sampled_from([0.0, 0.5])
+)
+def test_wait_limit_equals_reference_computed_from_all_classes(
     classes: tuple[api.RequestClass, ...],
-    later: tuple[api.RequestClass, ...],
+    changed_classes: tuple[api.RequestClass, ...],
     learned: list[tuple[int, float, float]],
     limiters: int,
     weight: float,
 ) -> None:
     engine = make(0, limiter_count=limiters, classes=classes, class_weight=weight)
-    worth, work = dict[str, float](), 0.0
+    weight_by_class, work = dict[str, float](), 0.0
     for turn, (number, units, factor) in enumerate(learned):
         if turn == 20:
-            engine.retune(replace(engine.settings, classes=later))
+            engine.retune(replace(engine.settings, classes=changed_classes))
         kind = engine.settings.classes[number % len(engine.settings.classes)]
         engine.load.classes.learn_units(kind, units, LEARNING_RATE)
         engine.load.classes.learn_work(kind, 1, factor, 1.0)
         engine.load_shedding.demand.add(
             kind.name, kind.priority_weight * units, engine.load.classes.work[kind.name]
         )
-        worth = {name: amount * (1.0 - 1.0 / DEMAND_SPAN) for name, amount in worth.items()}
-        worth[kind.name] = worth.get(kind.name, 0.0) + kind.priority_weight * units
+        weight_by_class = {
+            name: amount * (1.0 - 1.0 / DEMAND_SPAN) for name, amount in weight_by_class.items()
+        }
+        weight_by_class[kind.name] = (
+            weight_by_class.get(kind.name, 0.0) + kind.priority_weight * units
+        )
         work = work * (1.0 - 1.0 / DEMAND_SPAN) + engine.load.classes.work[kind.name]
         for one in engine.settings.classes:
             assert engine.load_shedding.wait_limit(one) == pytest.approx(
-                plain_limit(engine, one, worth, work), rel=1e-9
+                reference_limit(engine, one, weight_by_class, work), rel=1e-9
             )
     means = engine.load.classes.units
     assert engine.load.classes.mean_units() == pytest.approx(sum(means.values()) / len(means))
@@ -105,16 +116,18 @@
     st.lists(st.floats(0, 9), min_size=1, max_size=20),
     st.lists(st.tuples(st.integers(0, 19), st.floats(0, 9))),
 )
-def test_a_tree_finds_the_maximum_and_the_first_that_reaches_a_bound(
-    start: list[float], puts: list[tuple[int, float]]
+def test_max_tree_finds_maximum_and_first_value_to_reach_a_bound(
+    initial: list[float], puts: list[tuple[int, float]]
 ) -> None:
-    tree, plain = MaxTree(start), list(start)
-    for place, value in puts:
-        plain[place % len(plain)] = value
-        tree.put(place % len(plain), value)
-        assert tree.max() == max(plain)
-        for least in plain:
-            assert tree.first_at_least(least) == next(n for n, v in enumerate(plain) if v >= least)
+    tree, reference = MaxTree(initial), list(initial)
+    for position, value in puts:
+        reference[position % len(reference)] = value
+        tree.put(position % len(reference), value)
+        assert tree.max() == max(reference)
+        for bound in reference:
+            assert tree.first_at_least(bound) == next(
+                n for n, v in enumerate(reference) if v >= bound
+            )
 
 
 @given(
@@ -122,19 +135,19 @@
     st.integers(0, 39),
     st.lists(st.floats(0, 9)),
 )
-def test_numbers_put_at_many_places_at_once_are_as_those_put_one_by_one(
-    start: list[float], first: int, values: list[float]
+def test_max_tree_put_all_equals_single_puts(
+    initial: list[float], first: int, values: list[float]
 ) -> None:
-    first %= len(start)
-    values = values[: len(start) - first]
-    at_once, one_by_one = MaxTree(start), MaxTree(start)
+    first %= len(initial)
+    values = values[: len(initial) - first]
+    at_once, one_by_one = MaxTree(initial), MaxTree(initial)
     at_once.put_all(first, values)
-    for place, value in enumerate(values, first):
-        one_by_one.put(place, value)
+    for position, value in enumerate(values, first):
+        one_by_one.put(position, value)
     assert at_once._nodes == one_by_one._nodes
 
 
-told_classes = st.lists(
+named_class_lists = st.lists(
     st.builds(
         api.RequestClass,
         name=st.sampled_from("abcdef"),
@@ -148,10 +161,16 @@
 )
 
 
-def shown(stats: ClassStatistics, kinds: Sequence[api.RequestClass]) -> list[Any]:
+def all_results(stats: ClassStatistics, kinds: Sequence[api.RequestClass]) -> list[Any]:
     values = [stats.value(kind.name) for kind in kinds]
-    aims = [stats.tightest_objective_from(value) for value in values]
-    return [values, aims, stats.highest_value(), stats.least_valuable(), stats.tightest_objective()]
+    objectives = [stats.tightest_objective_from(value) for value in values]
+    return [
+        values,
+        objectives,
+        stats.highest_value(),
+        stats.least_valuable(),
+        stats.tightest_objective(),
+    ]
 
 
 changes_of_a_class = st.tuples(
@@ -162,30 +181,30 @@
 )
 
 
-@given(told_classes, told_classes, st.lists(changes_of_a_class, max_size=6))
-def test_settings_changed_class_by_class_are_as_if_all_were_new(
+@given(named_class_lists, named_class_lists, st.lists(changes_of_a_class, max_size=6))
+def test_incremental_class_changes_equal_a_complete_rebuild(
     first: list[api.RequestClass],
     last: list[api.RequestClass],
     changes: list[tuple[int, float, float, float]],
 ) -> None:
-    told = [(first, 1.0)]
-    for number, aim, worth, factor in changes:
-        kinds = list(told[-1][0])
+    versions = [(first, 1.0)]
+    for number, objective, priority, factor in changes:
+        kinds = list(versions[-1][0])
         kinds[number % len(kinds)] = replace(
-            kinds[number % len(kinds)], latency_objective=aim, priority_weight=worth
+            kinds[number % len(kinds)], latency_objective=objective, priority_weight=priority
         )
-        told.append((kinds, factor))
+        versions.append((kinds, factor))
     stats = ClassStatistics(first)
-    for kinds, factor in [*told, (last, 1.0), (first, 1.0)]:
+    for kinds, factor in [*versions, (last, 1.0), (first, 1.0)]:
         stats.retune(kinds)
-        plain = ClassStatistics(kinds)
-        plain.units, plain.work = dict(stats.units), dict(stats.work)
-        plain._place_all(kinds)
-        assert shown(stats, kinds) == shown(plain, kinds)
+        rebuilt = ClassStatistics(kinds)
+        rebuilt.units, rebuilt.work = dict(stats.units), dict(stats.work)
+        rebuilt._place_all(kinds)
+        assert all_results(stats, kinds) == all_results(rebuilt, kinds)
         stats.learn_work(kinds[0], 1, factor, 1.0)
 
 
-def test_one_changed_class_of_many_is_parsed_and_placed_alone(
+def test_change_of_one_class_parses_and_places_only_that_class(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     grades = [
@@ -201,12 +220,12 @@
     after = parse_settings(Fields("settings", changed), before)
     assert after == parse_settings(Fields("settings", changed))
     assert [n for n in range(50) if after.classes[n] is not before.settings.classes[n]] == [7]
-    monkeypatch.setattr(ClassStatistics, "_place_all", None)  # what costs as much as all classes
+    monkeypatch.setattr(ClassStatistics, "_place_all", None)  # its cost grows with all classes
     engine.retune(after)
     assert engine.load.classes.tightest_objective() == engine.load.tightest_objective == 0.4
 
 
-def test_gossip_names_classes_that_came_with_a_change() -> None:
+def test_gossip_resolves_tags_of_classes_added_by_a_change() -> None:
     one, two, three = kinds(3)
     engine = make(1, classes=(one, two))
     engine.retune(replace(engine.settings, classes=(two, three)))
@@ -215,29 +234,31 @@
     }
 
 
-def test_an_entry_that_only_looks_the_same_is_parsed_again() -> None:
+def test_equal_class_entry_that_is_another_object_is_parsed_again() -> None:
     grade = {"name": "c", "objective": 1, "deadline": 1.0, "effect": "pure"}
     document = {"position": 0, "balancers": 1, "grades": [grade]}
     before = KnownSettings(document, parse_settings(Fields("settings", document)))
-    wrong = {**document, "grades": [{**grade, "objective": True}]}  # which is equal to 1
+    wrong = {**document, "grades": [{**grade, "objective": True}]}  # True == 1 in Python
     with pytest.raises(WireError, match="objective"):
         parse_settings(Fields("settings", wrong), before)
 
 
-def test_a_class_that_is_listed_no_more_is_learned_of_and_counts_no_more() -> None:
+def test_removed_class_still_learns_but_does_not_count() -> None:
     one, two = kinds(2)
     stats = ClassStatistics((one, two))
     stats.retune((two,))
-    stats.learn_work(one, 1, 0.001, 1.0)  # a request of it was still out
+    stats.learn_work(one, 1, 0.001, 1.0)  # a request of the removed class was in flight
     assert stats.highest_value() == stats.value("c1") and stats.least_valuable() == "c1"
     stats.retune((one, two))
     assert stats.highest_value() == stats.value("c0")
 
 
-def test_what_was_asked_for_lately_fades() -> None:
-    asked = RecentDemand(10.0)
-    asked.add("a", 4.0, 2.0)
-    assert asked.mean_value() == 2.0 and asked.share_of("a") == 1.0 and asked.share_of("b") == 0.0
+def test_recent_demand_of_a_class_decays_with_later_requests() -> None:
+    recent = RecentDemand(10.0)
+    recent.add("a", 4.0, 2.0)
+    assert (
+        recent.mean_value() == 2.0 and recent.share_of("a") == 1.0 and recent.share_of("b") == 0.0
+    )
     for _ in range(200):
-        asked.add("b", 1.0, 1.0)
-    assert asked.share_of("a") < 1e-6 and asked.mean_value() == pytest.approx(1.0)
+        recent.add("b", 1.0, 1.0)
+    assert recent.share_of("a") < 1e-6 and recent.mean_value() == pytest.approx(1.0)
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint table, kept up change by change, against a plain one."""
+"""The incrementally updated endpoint table, compared with a simple reference table."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 )
 
 
-class PlainTable:
-    """The list as it was kept: every change a pass over all endpoints."""
+class ReferenceTable:
+    """An endpoint table that computes all values from the entries."""
 
-    def __init__(self, told: api.Settings) -> None:
-        self.told, self.entries, self.incarnations = (
-            told,
+    def __init__(self, settings: api.Settings) -> None:
+        self.settings, self.entries, self.incarnations = (
+            settings,
             dict[str, api.EndpointEntry](),
             Counter[str](),
         )
-        self.banned: set[str] = set()
+        self.disabled: set[str] = set()
 
     def apply(self, event: api.EndpointsUpdated) -> None:
         if event.kind not in ("change", "failed"):
@@ -47,15 +47,15 @@
                 self.incarnations[one.name] += known is None or known.started != one.started
                 self.entries[one.name] = one
 
-    def cold(self, one: api.EndpointEntry, now: float) -> bool:
-        return 0 < one.started > now - self.told.warm_up_time
+    def is_warming_up(self, one: api.EndpointEntry, now: float) -> bool:
+        return 0 < one.started > now - self.settings.warm_up_time
 
-    def width(self, one: api.EndpointEntry) -> float:
+    def expected_concurrency(self, one: api.EndpointEntry) -> float:
         mean = sum(e.weight for e in self.entries.values()) / len(self.entries) or 1.0
         return max(MEAN_CONCURRENCY * one.weight / mean, MEAN_CONCURRENCY / 4)
 
     def up(self) -> list[api.EndpointEntry]:
-        return [e for e in self.entries.values() if e.state == "up" and e.name not in self.banned]
+        return [e for e in self.entries.values() if e.state == "up" and e.name not in self.disabled]
 
 
 names = st.integers(0, 9).map(lambda n: f"s{n}")
@@ -84,61 +84,75 @@
 
 
 @pytest.mark.parametrize("bulk", [0, 64])
-def test_the_table_is_what_a_look_at_all_endpoints_says(
+def test_table_equals_reference_after_any_changes(
     bulk: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """`bulk` 0: each list is taken as one that changes much."""
+    """A `bulk` of 0 makes each list trigger a complete rebuild."""
     for module in ("endpoint_table", "endpoint_ring"):
         monkeypatch.setattr(f"hazelhollow.decisions.state.{module}.MAX_CHANGES_IN_PLACE", bulk)
-    # so that names in messages collide
+    # Only five tags exist, so that several endpoints share one.
     monkeypatch.setattr("hazelhollow.decisions.state.endpoint.TAG_COUNT", 5)
 
     @hyp(max_examples=60, deadline=None)
     @given(steps)
-    def check(some: list[tuple[str, Any]]) -> None:
-        table, plain, now = EndpointTable(ENGINE_SETTINGS), PlainTable(ENGINE_SETTINGS), 100.0
+    def check(events: list[tuple[str, Any]]) -> None:
+        table, reference, now = (
+            EndpointTable(ENGINE_SETTINGS),
+            ReferenceTable(ENGINE_SETTINGS),
+            100.0,
+        )
         incarnations: dict[str, tuple[int, Endpoint]] = {}
-        for what, words in some:
-            if what == "wait":
+        for action, argument in events:
+            if action == "wait":
                 now += 3.0
-            elif what in ("ban", "unban"):
-                table.override(words, what == "ban", now)
-                plain.banned = plain.banned | {words} if what == "ban" else plain.banned - {words}
+            elif action in ("ban", "unban"):
+                table.override(argument, action == "ban", now)
+                reference.disabled = (
+                    reference.disabled | {argument}
+                    if action == "ban"
+                    else reference.disabled - {argument}
+                )
             else:
-                table.apply(servers(what, *words), now)
-                plain.apply(servers(what, *words))
-            same_as(table, plain, now)
-            for name, endpoint in table.endpoints.items():  # the same one until it has started anew
+                table.apply(servers(action, *argument), now)
+                reference.apply(servers(action, *argument))
+            assert_equal(table, reference, now)
+            for name, endpoint in table.endpoints.items():  # the same object until a restart
                 incarnation, before = incarnations.get(name, (0, endpoint))
                 assert (endpoint is before) == (
-                    incarnation == plain.incarnations[name]
+                    incarnation == reference.incarnations[name]
                 ) or not incarnation
-                incarnations[name] = plain.incarnations[name], endpoint
+                incarnations[name] = reference.incarnations[name], endpoint
 
     check()
 
 
-def same_as(table: EndpointTable, plain: PlainTable, now: float) -> None:
-    known = list(plain.entries.values())
-    assert [s.entry for s in table.endpoints.values()] == known == [s.entry for s in table.all()]
-    assert [s.concurrency for s in table.all()] == pytest.approx([plain.width(e) for e in known])
-    assert {s.entry.name for s in table.all_up()} == {e.name for e in plain.up()}
-    warm = [plain.width(e) for e in known if not plain.cold(e, now)]
+def assert_equal(table: EndpointTable, reference: ReferenceTable, now: float) -> None:
+    expected = list(reference.entries.values())
+    assert [s.entry for s in table.endpoints.values()] == expected == [s.entry for s in table.all()]
+    assert [s.concurrency for s in table.all()] == pytest.approx(
+        [reference.expected_concurrency(e) for e in expected]
+    )
+    assert {s.entry.name for s in table.all_up()} == {e.name for e in reference.up()}
+    warm = [
+        reference.expected_concurrency(e) for e in expected if not reference.is_warming_up(e, now)
+    ]
     assert table.warm_concurrency(now) == pytest.approx(sum(warm))
-    for cold in (False, True):
+    for warming_up in (False, True):
         ring = sorted(
-            (table.endpoints[e.name].tag, e.name) for e in plain.up() if plain.cold(e, now) == cold
+            (table.endpoints[e.name].tag, e.name)
+            for e in reference.up()
+            if reference.is_warming_up(e, now) == warming_up
         )
-        assert table.ring(cold, now) == ring
+        assert table.ring(warming_up, now) == ring
     for zone in "ab":
-        in_zone = {e.name for e in plain.up() if e.zone == zone}
+        in_zone = {e.name for e in reference.up() if e.zone == zone}
         assert {s.entry.name for s in table.all_of(("zone", zone))} == in_zone
     tagged = {endpoint.tag: endpoint for endpoint in table.endpoints.values()}
     assert all(table.by_tag(tag) is endpoint for tag, endpoint in tagged.items())
     assert not [tag for tag in gossip._DIGITS if tag not in tagged and table.by_tag(tag)]
 
 
-def test_lists_of_endpoints_are_cached_until_a_change_and_the_order_of_tags_beyond_it() -> None:
+def test_endpoint_lists_are_cached_and_tag_order_is_updated_in_place() -> None:
     table = table_of(*listed(200))
     assert table.all() is table.all() and table.all_up() is table.all_up()
     order = table.ring(False, 100.0)
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: charges that peers report, and datagrams that cannot be used."""
+"""Gossip: charges reported by peers, and unusable datagrams."""
 
 from __future__ import annotations
 
@@ -17,71 +17,71 @@
 )
 
 
-def tell(source: DecisionEngine, now: float, to: int) -> list[api.GossipReceived]:
-    told = only(source.handle(api.TimerFired("beat"), now), api.SendGossip)
+def gossip_round(source: DecisionEngine, now: float, to: int) -> list[api.GossipReceived]:
+    sends = only(source.handle(api.TimerFired("beat"), now), api.SendGossip)
     return [
-        api.GossipReceived(source.settings.limiter_id, t.text) for t in told if t.limiter_id == to
+        api.GossipReceived(source.settings.limiter_id, t.text) for t in sends if t.limiter_id == to
     ]
 
 
-def test_reports_add_up_and_a_repeated_datagram_changes_nothing() -> None:
-    """The network delivers a datagram twice.
+def test_repeated_datagram_is_charged_once() -> None:
+    """The network delivers a datagram several times.
 
-    A charge counted twice would reject customers with units left.
+    If its charges counted each time, requests of customers with units left would be rejected.
     """
     one, other = make(0), make(1)
     assert spend(one, 100.0, 9) == 9
-    for message in tell(one, 100.1, to=1) * 3:
+    for message in gossip_round(one, 100.1, to=1) * 3:
         other.handle(message, 100.2)
-    assert spend(other, 100.2, 30) == 2  # of 3: some more may be on its way
+    assert spend(other, 100.2, 30) == 2  # of 3 units left: more charges may be in transit
 
 
-def test_a_lost_datagram_is_made_up_for_by_the_next_and_by_the_final_charges() -> None:
+def test_lost_datagram_is_made_up_for_by_the_next_and_final_charges() -> None:
     """A datagram is lost.
 
-    Its charges must show up with the next one, or a peer would admit them again.
+    The next one must include its charges, or a peer would admit the same units again.
     """
     one, other = make(0), make(1)
     spend(one, 100.0, 5)
-    tell(one, 100.1, to=1)  # lost
+    gossip_round(one, 100.1, to=1)  # lost
     spend(one, 100.2, 4)
-    for message in tell(one, 101.1, to=1):
+    for message in gossip_round(one, 101.1, to=1):
         other.handle(message, 101.2)
     assert spend(other, 101.2, 30) <= 3 + 4
 
 
 def test_reports_of_closed_periods_are_dropped() -> None:
-    """A datagram comes seconds late.
+    """A datagram arrives seconds late.
 
-    The period it tells of is closed, and it must change nothing.
+    The period that it reports is closed, so it must have no effect.
     """
     one, other = make(0), make(1)
     spend(one, 100.0, 9)
-    messages = tell(one, 100.1, to=1)
+    messages = gossip_round(one, 100.1, to=1)
     for message in messages:
         other.handle(message, 103.0)
     assert spend(other, 103.0, 30) == 12
 
 
-def test_only_the_other_members_of_a_set_are_told_its_charges() -> None:
+def test_charges_are_sent_only_to_other_members_of_the_set() -> None:
     one = make(0)
     spend(one, 100.0, 3, set_size=2)
-    told = only(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
-    assert [t.limiter_id for t in told if ":" in t.text] == [1]
+    sends = only(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
+    assert [t.limiter_id for t in sends if ":" in t.text] == [1]
 
 
-def test_charges_find_room_beside_the_loads_of_a_large_fleet() -> None:
-    """A load map that fills the message must not crowd out the charges."""
+def test_loads_that_fill_a_datagram_do_not_displace_charges() -> None:
+    """Loads of many endpoints can fill a datagram, but all charges must still be sent."""
     one = make(0, limiter_count=8)
     one.handle(servers("full", *(entry(f"x{i}") for i in range(80))), 99.0)
     for i in range(60):
         ask(one, 100.0, customer=f"k{i}")
-    told: set[str] = set()
+    reported: set[str] = set()
     for flush in range(8):
-        for message in tell(one, 100.1 + flush / 100, to=1):
+        for message in gossip_round(one, 100.1 + flush / 100, to=1):
             assert len(message.text) <= MAX_DATAGRAM_BYTES
-            told |= {word.split(":")[0] for word in message.text.split() if ":" in word}
-    assert len(told) == 60
+            reported |= {item.split(":")[0] for item in message.text.split() if ":" in item}
+    assert len(reported) == 60
 
 
 @pytest.mark.parametrize(
@@ -111,10 +111,10 @@
         "h{p}0aa {k}:0:0:3:0:2i" + " s!0" * 99,
     ],
 )
-def test_a_datagram_that_cannot_be_read_changes_nothing(text: str) -> None:
-    """A datagram is cut, garbled or of a foreign program.
+def test_invalid_datagram_has_no_effect(text: str) -> None:
+    """A datagram is truncated, malformed or from a foreign program.
 
-    None of it may be applied, not even the sound part.
+    No part of it may be applied, not even the valid reports.
     """
     engine = make(0)
     fields = {"k": _key_of("c"), "p": base36(100 % 36), "old": base36(97 % 36)}
@@ -123,13 +123,15 @@
 
 
 @pytest.mark.parametrize("sender", [7, -1, 0])
-def test_a_datagram_of_an_unknown_sender_or_of_oneself_changes_nothing(sender: int) -> None:
-    """A datagram claims a number that no peer has. Its charges must not be taken for anybody's."""
+def test_datagram_with_a_sender_that_is_no_peer_has_no_effect(sender: int) -> None:
+    """The sender's number is not that of a peer, so its charges must not be applied."""
     engine = make(0)
     text = f"h{base36(100 % 36)}0aa {_key_of('c')}:0:0:3:0:2i"
     engine.handle(api.GossipReceived(sender, text), 100.0)
     assert spend(engine, 100.0, 30) == 12
-    engine.handle(api.GossipReceived(1, text), 100.0)  # the same from a peer counts: 9 units
+    engine.handle(
+        api.GossipReceived(1, text), 100.0
+    )  # the same datagram from a peer charges 9 units
     assert spend(engine, 102.25, 30) == 0 and spend(engine, 102.5, 30) == 1
 
 
--- a/tests/decisions/test_unreachable_members.py
+++ b/tests/decisions/test_unreachable_members.py
@@ -1,4 +1,4 @@
-"""Quotas of members that cannot be heard."""
+"""Quotas of sets with unreachable members."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     make,
 )
 
-RING = 12  # limiters
+RING = 12  # number of limiters
 
 
 changes_of_view = st.lists(
     st.tuples(
-        st.floats(0.01, 3.0),  # seconds since the one before
-        st.frozensets(st.integers(0, RING - 1), max_size=5),  # who cannot be heard
+        st.floats(0.01, 3.0),  # seconds since the previous change
+        st.frozensets(st.integers(0, RING - 1), max_size=5),  # unreachable members
         st.lists(
             st.tuples(st.integers(0, RING - 1), st.floats(0.0, 2.0)), max_size=2
-        ),  # parts that nobody used
+        ),  # members and seconds of their share that nobody used
     ),
     min_size=1,
     max_size=8,
@@ -36,19 +36,19 @@
 )
 
 
-def kept_apart(
-    sets: list[tuple[int, int]], told: list[tuple[float, frozenset[int], list[tuple[int, float]]]]
+def accounts_after(
+    sets: list[tuple[int, int]], views: list[tuple[float, frozenset[int], list[tuple[int, float]]]]
 ) -> list[Any]:
-    """What an engine knows of customers of these sets, after these changes to who can be heard."""
+    """Returns the accounts of customers with these sets after changes of the reachable members."""
     plan = api.Plan("basic", 10.0, 40.0, excess_cost=1.0)
     engine = make(1, limiter_count=RING, plans=(plan,), gossip_messages_per_s=60.0)
-    everybody, now = tuple(range(RING)), 100.0
-    engine.handle(api.MembershipChanged(True, everybody, counts_replicated=True), now)
+    all_members, now = tuple(range(RING)), 100.0
+    engine.handle(api.MembershipChanged(True, all_members, counts_replicated=True), now)
     for number, (first, spread) in enumerate(sets):
         engine.customer_accounts.get(gossip.base36(number), plan, first, spread)
-    for passed, lost, unused in told:
-        now += passed
-        present = tuple(n for n in everybody if n not in lost)
+    for elapsed, lost, unused in views:
+        now += elapsed
+        present = tuple(n for n in all_members if n not in lost)
         engine.handle(
             api.MembershipChanged(
                 True,
@@ -60,54 +60,53 @@
             now,
         )
     engine.context.now = now + 0.5
-    found = []
+    states = []
     for account in engine.accounts.values():
         account.quota.refill(engine.context.now)
-        engine.customer_accounts.reserve_for_unreachable(
-            account
-        )  # what is left to others is reckoned up to now
-        aside = {
+        engine.customer_accounts.reserve_for_unreachable(account)  # accrues the reserves up to now
+        reserved = {
             number: pytest.approx(units)
             for number, units in account.reserved_for_unreachable.items()
         }
-        found.append(
+        states.append(
             (
                 pytest.approx(account.quota.level),
                 account.quota.rate,
                 account.hubs,
-                aside,
+                reserved,
                 account.unreachable,
             )
         )
-    return found
+    return states
 
 
 @given(sets_of_customers, changes_of_view)
-def test_a_change_of_who_can_be_heard_is_taken_as_if_all_customers_were_gone_through(
-    sets: list[tuple[int, int]], told: list[tuple[float, frozenset[int], list[tuple[int, float]]]]
+def test_reachability_change_equals_an_update_of_all_accounts(
+    sets: list[tuple[int, int]], views: list[tuple[float, frozenset[int], list[tuple[int, float]]]]
 ) -> None:
-    quick = kept_apart(sets, told)
+    """The membership update skips accounts by their set mask, which must not change the result."""
+    selective = accounts_after(sets, views)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
             "hazelhollow.decisions.state.accounts._set_mask",
             lambda first, spread, limiters: (1 << limiters) - 1,
         )
-        assert quick == kept_apart(sets, told)
+        assert selective == accounts_after(sets, views)
 
 
-def test_of_many_customers_those_are_looked_at_whose_members_cannot_be_heard() -> None:
+def test_unreachable_member_updates_only_accounts_of_its_sets() -> None:
     engine = make(1, limiter_count=LIMITERS, gossip_messages_per_s=60.0)
     engine.handle(api.MembershipChanged(True, tuple(range(LIMITERS))), 100.0)
     for number in range(LIMITERS):
         engine.customer_accounts.get(
             gossip.base36(number), engine.context.plans["basic"], number, 40
         )
-    looked_at = list[Any]()
-    engine.customer_accounts.reserve_for_unreachable = looked_at.append  # type: ignore[method-assign, assignment]
+    updated = list[Any]()
+    engine.customer_accounts.reserve_for_unreachable = updated.append  # type: ignore[method-assign, assignment]
     engine.handle(
         api.MembershipChanged(True, tuple(range(1, LIMITERS)), unreachable_but_serving=(0,)), 101.0
     )
-    assert {account.set_start for account in looked_at} == {
+    assert {account.set_start for account in updated} == {
         0,
         *range(LIMITERS - 39, LIMITERS),
-    } and len(looked_at) == 40
+    } and len(updated) == 40
