--- a/tests/decisions/test_gossip_byte_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -1,4 +1,4 @@
-"""Gossip under a budget of bytes."""
+"""Gossip under a byte budget."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     spend,
 )
 
-BUDGET = 600.0  # bytes a second
+BUDGET = 600.0  # bytes per second
 
 
 def budgeted(limiters: int = 3, budget: float = BUDGET, **changes: float) -> DecisionEngine:
@@ -37,18 +37,18 @@
     return engine
 
 
-def told(actions: list[api.Action]) -> list[api.SendGossip]:
+def sent_gossip(actions: list[api.Action]) -> list[api.SendGossip]:
     return only(actions, api.SendGossip)
 
 
-def words(texts: list[api.SendGossip], peer: int) -> list[str]:
-    """Customers' keys, in the order in which the peer is told."""
+def reported_keys(sends: list[api.SendGossip], peer: int) -> list[str]:
+    """Returns customers' keys in the order in which their charges are sent to the peer."""
     return [
-        word.split(":")[0]
-        for t in texts
+        item.split(":")[0]
+        for t in sends
         if t.limiter_id == peer
-        for word in t.text.split()
-        if ":" in word
+        for item in t.text.split()
+        if ":" in item
     ]
 
 
@@ -61,20 +61,20 @@
     st.lists(st.tuples(st.floats(0.0, 0.4), st.integers(0, 40), st.integers(1, 4)), max_size=120),
     st.sampled_from([3, 40]),
 )
-def test_over_no_window_is_more_sent_than_the_budget_and_its_burst(
-    asked: list[tuple[float, int, int]], limiters: int
+def test_bytes_sent_in_any_window_stay_within_budget_and_burst(
+    requests: list[tuple[float, int, int]], limiters: int
 ) -> None:
     engine, now, sent = budgeted(limiters), 100.0, list[tuple[float, int]]()
-    for wait, customer, units in asked:
+    for wait, customer, units in requests:
         now += wait
         for event in (None, api.TimerFired("beat")):
-            spread = 3 if limiters == 3 else 30
+            members = 3 if limiters == 3 else 30
             actions = (
                 engine.handle(event, now)
                 if event
-                else ask(engine, now, customer=f"{customer}", units=float(units), set_size=spread)
+                else ask(engine, now, customer=f"{customer}", units=float(units), set_size=members)
             )
-            sent += [(now, len(t.text) + HEADER_BYTES) for t in told(actions)]
+            sent += [(now, len(t.text) + HEADER_BYTES) for t in sent_gossip(actions)]
             for send in only(actions, api.StartAttempt):
                 answer(engine, send, now)
     for first in range(len(sent)):
@@ -84,43 +84,43 @@
             assert total <= BUDGET * (1.0 + at - sent[first][0]) + 1e-6
 
 
-def test_updates_of_one_customer_are_told_once_with_the_newest_total() -> None:
+def test_charges_of_one_customer_are_sent_once_with_the_latest_total() -> None:
     engine = budgeted()
     for _ in range(5):
         ask(engine, 101.1, units=2.0)
-    texts = told(engine.handle(api.TimerFired("beat"), 101.5))
-    assert words(texts, 1) == [key(engine, "c")] == words(texts, 2)
-    assert all(gossip._tenths(10.0) in t.text for t in texts)
-    assert not told(engine.handle(api.TimerFired("beat"), 101.9))  # nothing is told again
-    assert not words(
-        told(engine.handle(api.TimerFired("beat"), 102.1)), 1
-    )  # nor the final figure, which is known
+    sends = sent_gossip(engine.handle(api.TimerFired("beat"), 101.5))
+    assert reported_keys(sends, 1) == [key(engine, "c")] == reported_keys(sends, 2)
+    assert all(gossip._tenths(10.0) in t.text for t in sends)
+    assert not sent_gossip(engine.handle(api.TimerFired("beat"), 101.9))  # nothing is sent twice
+    assert not reported_keys(
+        sent_gossip(engine.handle(api.TimerFired("beat"), 102.1)), 1
+    )  # the final total has been sent already
 
 
-def test_who_is_near_its_limit_is_told_before_the_calm() -> None:
+def test_customer_near_its_limit_is_reported_before_others() -> None:
     engine = budgeted(2, 400.0)
     for number in range(60):
         assert spend(engine, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
     assert spend(engine, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
-    (text, *_) = told(engine.handle(api.TimerFired("beat"), 100.6))
-    assert words([text], 1)[0] == key(engine, "near")
+    (first_send, *_) = sent_gossip(engine.handle(api.TimerFired("beat"), 100.6))
+    assert reported_keys([first_send], 1)[0] == key(engine, "near")
 
 
-def test_small_charges_of_a_calm_customer_are_told_each_round_and_only_what_is_new() -> None:
+def test_each_round_reports_small_charges_only_if_they_are_new() -> None:
     engine = budgeted()
-    engine.gossip.outbox.bytes.capacity = 100 * BUDGET  # type: ignore[union-attr]  # so that there is not plenty
+    engine.gossip.outbox.bytes.capacity = 100 * BUDGET  # type: ignore[union-attr]  # keeps the level below half of the burst
     for now in (101.1, 101.4, 101.7):
         ask(engine, now, units=1.0)
-        assert words(told(engine.handle(api.TimerFired("beat"), now + 0.1)), 1) == [
+        assert reported_keys(sent_gossip(engine.handle(api.TimerFired("beat"), now + 0.1)), 1) == [
             key(engine, "c")
         ]
-        assert not told(engine.handle(api.TimerFired("beat"), now + 0.2))
-    assert not words(
-        told(engine.handle(api.TimerFired("beat"), 102.1)), 1
-    )  # the final figure is known
+        assert not sent_gossip(engine.handle(api.TimerFired("beat"), now + 0.2))
+    assert not reported_keys(
+        sent_gossip(engine.handle(api.TimerFired("beat"), 102.1)), 1
+    )  # the final total has been sent already
 
 
-def test_updates_that_nobody_can_use_any_more_are_dropped_and_not_written() -> None:
+def test_updates_of_closed_periods_are_dropped_without_rendering() -> None:
     engine = budgeted()
     engine.gossip.outbox.bytes.rate = 0.0  # type: ignore[union-attr]
     engine.gossip.outbox.bytes.level = 0.0  # type: ignore[union-attr]
@@ -132,27 +132,30 @@
     assert not rendered and not engine.gossip.outbox.waiting  # type: ignore[union-attr]
 
 
-def test_updates_that_became_useless_while_they_waited_are_neither_written_nor_told() -> None:
-    worth = {"kept": 1.0, "gone": 1.0}
-    outbox, rendered = GossipOutbox(BUDGET, lambda peer, news: worth[news[0]]), list[str]()
-    for name in worth:
+def test_update_that_became_useless_while_waiting_is_not_sent() -> None:
+    usefulness_by_name = {"kept": 1.0, "gone": 1.0}
+    outbox, rendered = (
+        GossipOutbox(BUDGET, lambda peer, pending: usefulness_by_name[pending[0]]),
+        list[str](),
+    )
+    for name in usefulness_by_name:
         assert outbox.put(1, (name, 5), "")
-    worth["gone"] = 0.0
+    usefulness_by_name["gone"] = 0.0
 
     def render(name: str, period: int) -> str:
         rendered.append(name)
         return f" {name}"
 
-    line = outbox.fill_datagram(1, "head", render, lambda news: 1.0)
-    assert line == "head kept" and rendered == ["kept"]
+    datagram = outbox.fill_datagram(1, "head", render, lambda pending: 1.0)
+    assert datagram == "head kept" and rendered == ["kept"]
     assert list(outbox.sent_units) == [(1, "kept", 5)] and not outbox.waiting
 
 
-def test_what_was_told_and_what_waits_of_old_periods_is_forgotten() -> None:
+def test_outbox_forgets_amounts_and_updates_of_closed_periods() -> None:
     engine = budgeted()
     assert engine.gossip.outbox
     ask(engine, 101.1, units=2.0)
-    assert told(engine.handle(api.TimerFired("beat"), 101.2))
+    assert sent_gossip(engine.handle(api.TimerFired("beat"), 101.2))
     assert engine.gossip.outbox.sent_units
     engine.gossip.outbox.bytes.rate = engine.gossip.outbox.bytes.level = 0.0
     ask(engine, 101.3, units=2.0)
@@ -161,52 +164,57 @@
     assert not engine.gossip.outbox.sent_units and not engine.gossip.outbox.waiting
 
 
-def test_what_waits_is_bounded_and_the_most_useful_stays() -> None:
-    outbox = GossipOutbox(BUDGET, lambda peer, news: 1.0 + news[1])
+def test_outbox_is_bounded_and_keeps_the_most_useful_updates() -> None:
+    outbox = GossipOutbox(BUDGET, lambda peer, pending: 1.0 + pending[1])
     for number in range(10 * MAX_WAITING):
         outbox.put(1, (f"k{number}", number % 977), "")
     assert len(outbox.waiting[1]) <= MAX_WAITING
     assert max(period for _, period in outbox.waiting[1]) == 976
 
 
-def test_without_a_budget_nothing_is_held_back_and_a_large_fleet_is_told_at_once() -> None:
+def test_large_fleet_sends_at_once_unless_the_budget_is_low() -> None:
+    """Without a byte budget there is no outbox, and updates are always sent at once."""
     assert make(0).gossip.outbox is None
-    assert told(ask(make(0, limiter_count=40), 100.0, set_size=30))
-    scarce = budgeted(40)
-    assert told(ask(scarce, 100.1, set_size=30, units=4.0))  # there is plenty
-    scarce.gossip.outbox.bytes.level = scarce.gossip.outbox.bytes.capacity / 2 - 1.0  # type: ignore[union-attr]
-    assert not told(ask(scarce, 100.1, set_size=30, units=4.0, customer="d"))
-    # by then there is room for a whole datagram
-    assert told(scarce.handle(api.TimerFired("beat"), 100.4))
+    assert sent_gossip(ask(make(0, limiter_count=40), 100.0, set_size=30))
+    low_engine = budgeted(40)
+    # More than half of the burst is left.
+    assert sent_gossip(ask(low_engine, 100.1, set_size=30, units=4.0))
+    low_engine.gossip.outbox.bytes.level = low_engine.gossip.outbox.bytes.capacity / 2 - 1.0  # type: ignore[union-attr]
+    assert not sent_gossip(ask(low_engine, 100.1, set_size=30, units=4.0, customer="d"))
+    # By the next round the budget allows a full datagram.
+    assert sent_gossip(low_engine.handle(api.TimerFired("beat"), 100.4))
 
 
 @pytest.mark.parametrize("value", [-1.0, float("nan")])
-def test_a_budget_that_cannot_be_is_named(value: float) -> None:
+def test_invalid_budget_error_names_the_setting(value: float) -> None:
     with pytest.raises(ValueError, match="gossip_bytes_per_s"):
         replace(make().settings, gossip_bytes_per_s=value)
 
 
-def drawn_run(
-    engine: DecisionEngine, events: list[tuple[float, int, int, int]], spread: int
+def run_events(
+    engine: DecisionEngine, events: list[tuple[float, int, int, int]], members: int
 ) -> list[api.Action]:
-    """All actions of a run of requests (ids are the run's own), answers, gossip and rounds."""
+    """Returns all actions of a run of requests, answers, gossip and rounds.
+
+    Request ids are numbered per run, so that the actions of two runs can be compared.
+    """
     actions, now = list[api.Action](), 100.0
     for number, (wait, customer, units, sender) in enumerate(events):
         now += wait
-        asked = ask(
+        arrival_actions = ask(
             engine,
             now,
             id=f"q{number}",
             customer=f"{customer}",
             units=float(units),
-            set_size=spread,
+            set_size=members,
         )
-        actions += asked
-        for send in only(asked, api.StartAttempt):
+        actions += arrival_actions
+        for send in only(arrival_actions, api.StartAttempt):
             actions += answer(engine, send, now + 0.01)
         text = gossip.encode_header(int(now) % 36, 0.1, "abc") + gossip.encode(
             gossip.ChargeReport(
-                key(engine, f"{customer}"), gossip.name_tag("basic"), 0, spread, 0, float(units)
+                key(engine, f"{customer}"), gossip.name_tag("basic"), 0, members, 0, float(units)
             )
         )
         actions += engine.handle(api.GossipReceived(sender, text), now + 0.01)
@@ -223,11 +231,11 @@
     ),
     st.sampled_from([(3, 3), (40, 30)]),
 )
-def test_a_budget_of_zero_changes_no_action(
+def test_budget_of_zero_changes_no_action(
     events: list[tuple[float, int, int, int]], size: tuple[int, int]
 ) -> None:
-    """Against an engine whose code for the budget is not there at all."""
-    limiters, spread = size
+    """Compares the actions with those of an engine without any code for the budget."""
+    limiters, members = size
 
     class WithoutBudget(GossipScheduler):
         def _enqueue_under_budget(
@@ -246,33 +254,34 @@
         make(0, limiter_count=limiters, gossip_bytes_per_s=0.0),
     )
     without.gossip.__class__ = WithoutBudget
-    expected = drawn_run(without, events, spread)
-    assert drawn_run(with_field, events, spread) == expected
+    expected = run_events(without, events, members)
+    assert run_events(with_field, events, members) == expected
     if events:
-        assert told(expected)  # the run gossips
+        assert sent_gossip(expected)  # the run must send gossip for the comparison to be meaningful
 
 
-def test_a_round_looks_at_no_more_than_it_may_send_and_a_bounded_number_beside() -> None:
-    """Counted, with ten thousand customers waiting for each of four peers, and a hundred."""
-    looked_at = {}
+def test_updates_examined_per_datagram_are_bounded() -> None:
+    """Counts the updates examined with 100 and with 10,000 customers waiting for 4 peers each."""
+    examined = {}
     for customers in (100, 10_000):
         engine = budgeted(40)
         assert engine.gossip.outbox
-        engine.gossip.outbox.bytes.rate = engine.gossip.outbox.bytes.level = 0.0  # all of it waits
+        # All updates wait.
+        engine.gossip.outbox.bytes.rate = engine.gossip.outbox.bytes.level = 0.0
         engine.handle(api.TimerFired("beat"), 100.5)
         for number in range(customers):
             engine.gossip.enqueue([1, 2, 3, 4], account_of(engine, number), engine.context.period)
         engine.gossip.outbox.bytes.rate, engine.gossip.outbox.bytes.level = BUDGET, BUDGET
-        worth = Mock(side_effect=engine.gossip.outbox._usefulness)
-        engine.gossip.outbox._usefulness = worth
-        datagrams = len(told(engine.handle(api.TimerFired("beat"), 100.6)))
+        usefulness_calls = Mock(side_effect=engine.gossip.outbox._usefulness)
+        engine.gossip.outbox._usefulness = usefulness_calls
+        datagrams = len(sent_gossip(engine.handle(api.TimerFired("beat"), 100.6)))
         assert datagrams >= 1
-        looked_at[customers] = worth.call_count / datagrams
-    assert looked_at[10_000] <= MAX_WAITING and looked_at[100] <= 100
+        examined[customers] = usefulness_calls.call_count / datagrams
+    assert examined[10_000] <= MAX_WAITING and examined[100] <= 100
 
 
 def account_of(engine: DecisionEngine, number: int) -> str:
-    """Of a customer that was charged something in this period."""
+    """Returns the name of an account with charges in the current period."""
     account = engine.customer_accounts.get(
         gossip.base36(number), engine.context.plans["basic"], 0, 30
     )
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -25,52 +25,58 @@
 
 
 def engine(
-    me: int, *plans: api.Plan, classes: tuple[api.RequestClass, ...] = (LOOK,), limiters: int = 2
+    number: int,
+    *plans: api.Plan,
+    classes: tuple[api.RequestClass, ...] = (LOOK,),
+    limiters: int = 2,
 ) -> DecisionEngine:
     one = DecisionEngine(
         replace(
             SETTINGS,
-            limiter_id=me,
+            limiter_id=number,
             limiter_count=limiters,
             plans=plans,
             classes=classes,
             gossip_messages_per_s=1000.0,
         ),
-        seed=me,
+        seed=number,
     )
     one.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
     return one
 
 
-def told(source: DecisionEngine, target: DecisionEngine, now: float) -> list[api.Action]:
-    """What the target does with all that the source says at its next round."""
-    found = []
+def gossip_round(source: DecisionEngine, target: DecisionEngine, now: float) -> list[api.Action]:
+    """Delivers the datagrams of the source's next round to the target; returns its actions."""
+    actions = []
     for action in source.handle(api.TimerFired("beat"), now):
         if isinstance(action, api.SendGossip):
-            found += target.handle(api.GossipReceived(source.settings.limiter_id, action.text), now)
-    return found
+            actions += target.handle(
+                api.GossipReceived(source.settings.limiter_id, action.text), now
+            )
+    return actions
 
 
-def test_a_charge_on_one_plan_is_not_taken_for_one_on_another_that_stands_at_its_place() -> None:
+def test_charge_applies_to_its_plan_if_settings_order_differs() -> None:
+    """Limiters with different settings have different plans at the same index."""
     old, new = engine(0, GOLD), engine(1, BRONZE, GOLD)
     ask(old, 1000.1, "look", plan_name="gold", set_size=2, units=5.0)
-    told(old, new, 1000.2)
+    gossip_round(old, new, 1000.2)
     (account,) = new.accounts.values()
     assert account.plan == GOLD and sum(account.charges.reported.values()) == 5.0
-    # And the other way, where its place is beyond the end of the list.
+    # In the other direction, the plan's index is beyond the end of the receiver's list.
     ask(new, 1000.3, "look", plan_name="gold", set_size=2, units=7.0, customer="d")
-    told(new, old, 1000.4)
+    gossip_round(new, old, 1000.4)
     assert [a.plan.name for a in old.accounts.values()] == ["gold", "gold"]
     assert sum(list(old.accounts.values())[1].charges.reported.values()) == 7.0
 
 
-def test_two_customers_of_one_key_do_not_go_by_each_others_plan() -> None:
+def test_two_customers_with_one_key_keep_separate_plans() -> None:
     one, peer = engine(0, BRONZE, GOLD), engine(1, BRONZE, GOLD)
     bronze, gold = same_key(one)
     ask(one, 1000.1, "look", plan_name="bronze", set_size=2, customer=bronze)
     ask(one, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
     ask(one, 1000.3, "look", plan_name="bronze", set_size=2, customer=bronze)
-    told(one, peer, 1000.4)
+    gossip_round(one, peer, 1000.4)
     assert {(a.plan.name, a.charges.open_total()) for a in one.accounts.values()} == {
         ("bronze", 2.0),
         ("gold", 5.0),
@@ -81,7 +87,7 @@
     }
 
 
-def test_a_changed_plan_holds_also_after_the_old_account_is_forgotten() -> None:
+def test_changed_plan_is_kept_after_the_old_account_is_removed() -> None:
     one = engine(0, BRONZE, GOLD)
     ask(one, 1000.1, "look", plan_name="bronze", set_size=2)
     ask(one, 1000.2, "look", plan_name="gold", set_size=2)
@@ -91,24 +97,24 @@
     assert account.plan == GOLD and account.charges.open_total() == 2.0
 
 
-def test_a_report_of_a_plan_that_these_settings_do_not_have_is_left_out_and_logged_once() -> None:
+def test_report_of_a_missing_plan_is_ignored_and_logged_once() -> None:
     old, new = engine(0, GOLD), engine(1, BRONZE, GOLD)
     for customer in "abc":
         ask(new, 1000.1, "look", plan_name="bronze", set_size=2, customer=customer)
     ask(new, 1000.1, "look", plan_name="gold", set_size=2, customer="d")
-    said = [
+    logs = [
         a.text
         for now in (1000.2, 1000.3)
-        for a in told(new, old, now)
+        for a in gossip_round(new, old, now)
         if isinstance(a, api.WriteLog)
     ]
     assert [a.plan.name for a in old.accounts.values()] == ["gold"]
-    assert len(said) == 1 and "do not have" in said[0]
+    assert len(logs) == 1 and "do not have" in logs[0]
     assert sum(old.receiver.unusable.values()) >= 3
 
 
-def test_the_dialect_before_this_one_is_understood() -> None:
-    """Words kept on file: a program of the release before wrote them."""
+def test_previous_dialect_is_decoded() -> None:
+    """The datagram was written by a limiter of the previous release."""
     one = engine(0, BRONZE, GOLD)
     incarnation = gossip.incarnation_name(1000.0)
     one.handle(
@@ -126,19 +132,19 @@
 @pytest.mark.parametrize(
     "text", ["j{period}0{life} 1abcd:7kq:0:2:0:1e", "j{period}0{life}", "{period}", ""]
 )
-def test_a_dialect_that_is_newer_is_refused_whole_counted_and_said_once(text: str) -> None:
+def test_newer_dialect_is_rejected_counted_and_logged_once(text: str) -> None:
     one = engine(0, GOLD)
     text = text.format(period=gossip.base36(1000 % 36), life=gossip.incarnation_name(1000.0))
-    said = [
+    logs = [
         a
         for _ in range(3)
         for a in one.handle(api.GossipReceived(1, text), 1000.1)
         if isinstance(a, api.WriteLog)
     ]
-    assert not one.accounts and sum(one.receiver.unusable.values()) == 3 and len(said) == 1
+    assert not one.accounts and sum(one.receiver.unusable.values()) == 3 and len(logs) == 1
 
 
-def test_a_failure_of_one_class_is_not_taken_for_another_at_its_place() -> None:
+def test_failure_report_applies_to_its_class_if_order_differs() -> None:
     old, new = (
         engine(0, GOLD, classes=(SLOW,), limiters=12),
         engine(1, GOLD, classes=(LOOK, SLOW), limiters=12),
@@ -155,7 +161,7 @@
         )
 
 
-def test_classes_read_again_are_told_by_their_new_names() -> None:
+def test_reports_of_classes_added_by_new_settings_are_applied() -> None:
     one = engine(0, GOLD, limiters=12)
     one.retune(replace(one.settings, classes=(LOOK, SLOW)))
     text = gossip.encode_header(1000, 0.0, gossip.incarnation_name(1000.0)) + gossip.encode(
@@ -165,7 +171,7 @@
     assert "slow" in one.endpoints["s1"].outlier_records and not one.receiver.unusable
 
 
-words = st.one_of(
+report_strategy = st.one_of(
     st.builds(
         gossip.ChargeReport,
         st.just("1abcd"),
@@ -188,13 +194,13 @@
 )
 
 
-@given(st.lists(words, max_size=6))
-def test_whatever_is_written_is_read_by_its_names_under_any_order_of_settings(
-    said: list[gossip.Report],
+@given(st.lists(report_strategy, max_size=6))
+def test_encoded_reports_decode_under_any_order_of_settings(
+    sent: list[gossip.Report],
 ) -> None:
-    text = gossip.encode_header(5, 0.0, "abc") + "".join(gossip.encode(word) for word in said)
+    text = gossip.encode_header(5, 0.0, "abc") + "".join(gossip.encode(report) for report in sent)
     for plans in (["p1", "p2"], ["p2", "x", "p1"]):
         message = gossip.GossipDecoder(plans, 3, ["c0", "c1"]).decode(text)
-        assert message is not None and list(message.reports) == said and message.unknown_tags == 0
+        assert message is not None and list(message.reports) == sent and message.unknown_tags == 0
     fewer = gossip.GossipDecoder(["p1"], 3, ["c1"]).decode(text)
-    assert fewer is not None and len(fewer.reports) + fewer.unknown_tags == len(said)
+    assert fewer is not None and len(fewer.reports) + fewer.unknown_tags == len(sent)
--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -1,4 +1,4 @@
-"""Sets and fleets so large that hubs sum up the charges."""
+"""Sets and fleets so large that hubs collect the charges."""
 
 from __future__ import annotations
 
@@ -29,33 +29,33 @@
 
 
 def hubs_of(engine: DecisionEngine, now: float, **changes: Any) -> list[int]:
-    """Where a charge is told."""
+    """Returns the limiters that a charge is reported to."""
     return [
         t.limiter_id for t in only(ask(engine, now, set_size=SPREAD, **changes), api.SendGossip)
     ]
 
 
 def deliver(limiters: list[DecisionEngine], me: int, actions: list[api.Action], now: float) -> None:
-    """Every message at once, and what it leads to."""
-    for tell in only(actions, api.SendGossip):
-        more = limiters[tell.limiter_id].handle(api.GossipReceived(me, tell.text), now)
-        deliver(limiters, tell.limiter_id, more, now)
+    """Delivers every datagram at once, and the datagrams sent in response."""
+    for datagram in only(actions, api.SendGossip):
+        more = limiters[datagram.limiter_id].handle(api.GossipReceived(me, datagram.text), now)
+        deliver(limiters, datagram.limiter_id, more, now)
 
 
-def test_a_charge_in_a_large_set_is_told_to_its_hubs_alone_and_at_once() -> None:
-    told = [hubs_of(engine, 100.0) for engine in fleet()[:SPREAD]]
-    hubs = sorted({n for some in told for n in some})
+def test_charge_in_a_large_set_is_sent_at_once_to_its_hubs_only() -> None:
+    recipients = [hubs_of(engine, 100.0) for engine in fleet()[:SPREAD]]
+    hubs = sorted({n for some in recipients for n in some})
     assert len(hubs) == 2 and max(hubs) < SPREAD
-    assert all(set(some) == set(hubs) - {me} for me, some in enumerate(told))
+    assert all(set(some) == set(hubs) - {me} for me, some in enumerate(recipients))
 
 
-def test_a_quiet_customer_is_not_rejected_at_the_start_of_a_large_set() -> None:
+def test_first_request_in_a_large_set_is_admitted() -> None:
     assert only(
         ask(make(3, limiter_count=FLEET), 0.0, set_size=SPREAD, units=4.0), api.StartAttempt
     )
 
 
-def test_the_set_is_told_when_a_busy_customer_is_spent_and_not_before() -> None:
+def test_level_is_announced_once_a_busy_customer_is_near_its_limit() -> None:
     limiters = fleet()
     sent = 0
     for turn in range(3 * SPREAD):
@@ -65,14 +65,14 @@
         deliver(limiters, me, actions, 100.0 + turn / 100)
         if turn == 0:
             assert not any(a.has_announcement for g in limiters for a in g.accounts.values())
-    assert 4 <= sent <= 8  # 12 of burst and 4 a second, 2 a request
+    assert 4 <= sent <= 8  # burst 12, rate 4 per second, 2 units per request
     assert sum(a.has_announcement for g in limiters for a in g.accounts.values()) >= SPREAD - 1
 
 
-def test_a_large_set_tells_two_customers_of_one_key_apart_by_their_plans() -> None:
+def test_large_set_separates_two_customers_of_one_key_by_plan() -> None:
     limiters = fleet(plans=(BASIC, replace(BASIC, name="other")))
     other, busy = same_key(limiters[0])
-    for me in range(SPREAD):  # has the key's own name everywhere
+    for me in range(SPREAD):  # this account gets the name without a tag everywhere
         deliver(
             limiters,
             me,
@@ -86,15 +86,18 @@
         sent += len(only(actions, api.StartAttempt))
         deliver(limiters, me, actions, now)
     assert 4 <= sent <= 8
-    telling = [a.plan.name for g in limiters for a in g.accounts.values() if a.has_announcement]
-    assert len(telling) >= SPREAD - 1 and set(telling) == {"basic"}
+    announced = [a.plan.name for g in limiters for a in g.accounts.values() if a.has_announcement]
+    assert len(announced) >= SPREAD - 1 and set(announced) == {"basic"}
     assert not any(g.receiver.unusable for g in limiters)
 
 
 @pytest.mark.parametrize("run", range(4))
-def test_summed_admission_holds_through_loss_delay_repeats_and_restarts(run: int) -> None:
-    """A customer that asks three times its rate through thirty limiters gets its quota and a
-    quarter at most.
+def test_total_admission_is_bounded_under_loss_delay_repeats_and_restarts(
+    run: int,
+) -> None:
+    """A customer sends three times its rate through thirty limiters.
+
+    It may get at most 1.25 times its quota in total.
     """
     chance, limiters, waiting = random.Random(run), fleet(), list[tuple[float, int, int, str]]()
     beats, admitted, now, end = [i / FLEET / 10 + 100.0 for i in range(FLEET)], 0.0, 100.0, 130.0
@@ -126,29 +129,31 @@
 def _posted(
     chance: random.Random, now: float, me: int, actions: list[api.Action]
 ) -> list[tuple[float, int, int, str]]:
-    post = []
-    for tell in only(actions, api.SendGossip):
+    in_transit = []
+    for datagram in only(actions, api.SendGossip):
         for _ in range(chance.choices((0, 1, 2), (0.07, 0.9, 0.03))[0]):
-            post.append((now + chance.uniform(0.001, 0.03), me, tell.limiter_id, tell.text))
-    return post
+            in_transit.append(
+                (now + chance.uniform(0.001, 0.03), me, datagram.limiter_id, datagram.text)
+            )
+    return in_transit
 
 
-def test_a_second_hub_announces_when_the_first_is_silent() -> None:
+def test_second_hub_announces_if_the_first_is_silent() -> None:
     """The first hub dies.
 
-    Another must announce that the customer is spent, or the set admits beyond the quota.
+    Another hub must announce that the quota is spent, or the set admits more than the quota.
     """
     limiters = fleet()
     first, second = hubs_of(make(39, limiter_count=FLEET), 100.0)
-    told = 0
-    for turn in range(60):  # the second hub hears all, the first nothing
+    announcements = 0
+    for turn in range(60):  # the second hub receives all datagrams, the first none
         now = 100.0 + turn / 50
-        for tell in only(
+        for datagram in only(
             ask(limiters[turn % SPREAD], now, set_size=SPREAD, units=2.0), api.SendGossip
         ):
-            if tell.limiter_id == second:
-                limiters[second].handle(api.GossipReceived(turn % SPREAD, tell.text), now)
-        told += len(
+            if datagram.limiter_id == second:
+                limiters[second].handle(api.GossipReceived(turn % SPREAD, datagram.text), now)
+        announcements += len(
             [
                 t
                 for t in only(
@@ -157,20 +162,20 @@
                 if "/" in t.text
             ]
         )
-    assert told >= SPREAD - 1
+    assert announcements >= SPREAD - 1
 
 
-VAST, WIDE = 150, 120  # a fleet, and a set that no hub can tell within a second
+VAST, WIDE = 150, 120  # a fleet, and a set that no hub can notify within a second
 
 
-def told_of(engine: DecisionEngine) -> bool:
+def has_announced_level(engine: DecisionEngine) -> bool:
     return any(a.has_announcement for a in engine.accounts.values())
 
 
 def spend_in_vast(
     limiters: list[DecisionEngine], turns: int, dead: int = -1, **changes: Any
 ) -> int:
-    """How many requests go out where a customer asks each time at the next of 40 members.
+    """Returns how many requests are admitted if a customer sends them to 40 members in turn.
 
     Every datagram is delivered at once.
     """
@@ -181,10 +186,12 @@
         sent += len(only(actions, api.StartAttempt))
         queue = [(me, a) for a in only(actions, api.SendGossip)]
         while queue:
-            sender, tell = queue.pop()
-            if tell.limiter_id != dead:
-                more = limiters[tell.limiter_id].handle(api.GossipReceived(sender, tell.text), now)
-                queue += [(tell.limiter_id, a) for a in only(more, api.SendGossip)]
+            sender, datagram = queue.pop()
+            if datagram.limiter_id != dead:
+                more = limiters[datagram.limiter_id].handle(
+                    api.GossipReceived(sender, datagram.text), now
+                )
+                queue += [(datagram.limiter_id, a) for a in only(more, api.SendGossip)]
     return sent
 
 
@@ -199,94 +206,99 @@
     ]
 
 
-def test_of_a_set_too_large_to_tell_the_members_that_charge_are_told_first_by_each_hub() -> None:
+def test_each_hub_of_a_very_large_set_notifies_active_members_first() -> None:
     hubs = hubs_in_vast()
     for dead in (-1, *hubs):
         limiters = vast()
         sent = spend_in_vast(limiters, 300, dead)
         active = [g for g in limiters[:40] if g.settings.limiter_id != dead]
-        assert all(told_of(g) for g in active) and sent <= 95, (
+        assert all(has_announced_level(g) for g in active) and sent <= 95, (
             dead,
             sent,
-        )  # 112 where one hub tells members in their order
-        assert sum(told_of(g) for g in limiters) < WIDE  # not all: one hub has a second's datagrams
+        )  # 112 if one hub notifies the members in the order of their numbers
+        # Not all members are notified: a hub may send the datagrams of one second.
+        assert sum(has_announced_level(g) for g in limiters) < WIDE
 
 
-def test_what_a_hub_told_goes_on_with_other_messages_for_a_while_and_from_its_hearer_alone() -> (
-    None
-):
+def test_level_is_relayed_for_a_while_by_its_direct_receiver_only() -> None:
+    """Members relay a level that a hub announced to them, but not a level relayed to them."""
     first, second = hubs_in_vast()
     me, other = [n for n in range(4) if n not in (first, second)][:2]
     one, two = make(me, limiter_count=VAST), make(other, limiter_count=VAST)
     for engine in (one, two):
-        ask(engine, 100.0, set_size=WIDE, customer="c")  # it knows the set now, and so the hubs
+        # From here on the engine knows the set, and therefore its hubs.
+        ask(engine, 100.0, set_size=WIDE, customer="c")
     (name,) = one.accounts
-    word = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 12.0))
-    one.handle(api.GossipReceived(first, gossip.encode_header(100, 0.0, "aa") + word), 100.1)
+    report = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 12.0))
+    one.handle(api.GossipReceived(first, gossip.encode_header(100, 0.0, "aa") + report), 100.1)
     soon = only(ask(one, 100.2, set_size=WIDE, customer="d"), api.SendGossip)
-    assert soon and all(word in t.text for t in soon)
+    assert soon and all(report in t.text for t in soon)
     elsewhere = only(
         ask(one, 100.3, set_size=9, set_start=WIDE + 5, customer="f"), api.SendGossip
-    )  # not of the set
-    assert elsewhere and not any(word in t.text for t in elsewhere)
+    )  # to limiters outside the set
+    assert elsewhere and not any(report in t.text for t in elsewhere)
     late = only(ask(one, 100.1 + RELAY_AGE_S, set_size=WIDE, customer="e"), api.SendGossip)
-    assert late and not any(word in t.text for t in late)
-    two.handle(api.GossipReceived(me, gossip.encode_header(100, 0.0, "aa") + word), 100.2)
-    assert told_of(two)
-    onward = only(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
-    assert onward and not any(word in t.text for t in onward)
+    assert late and not any(report in t.text for t in late)
+    two.handle(api.GossipReceived(me, gossip.encode_header(100, 0.0, "aa") + report), 100.2)
+    assert has_announced_level(two)
+    second_hand = only(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
+    assert second_hand and not any(report in t.text for t in second_hand)
 
 
-def test_what_a_hub_told_of_a_customer_that_is_forgotten_since_is_passed_on_no_more() -> None:
+def test_level_of_a_removed_account_is_not_relayed() -> None:
     first, second = hubs_in_vast()
     one = make(next(n for n in range(4) if n not in (first, second)), limiter_count=VAST)
     (send,) = only(ask(one, 100.0, set_size=WIDE, customer="c"), api.StartAttempt)
     answer(one, send, 100.1)
     (name,) = one.accounts
-    word = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 0.0))
-    one.handle(api.GossipReceived(first, gossip.encode_header(110, 0.0, "aa") + word), 110.8)
+    report = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 0.0))
+    one.handle(api.GossipReceived(first, gossip.encode_header(110, 0.0, "aa") + report), 110.8)
     one.handle(api.TimerFired("beat"), 111.0)
     assert not one.accounts
-    told = only(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
-    assert told and not any(word in t.text for t in told)
+    later_sends = only(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
+    assert later_sends and not any(report in t.text for t in later_sends)
 
 
-def test_a_set_that_is_told_late_keeps_more_back_than_one_that_is_told_in_a_second() -> None:
-    """Told of three quarters of the burst each time, it lets in so many of a hundred."""
-    let_in = {}
-    for spread in (WIDE, 40):
+def test_set_too_large_to_notify_in_a_second_admits_less() -> None:
+    """Counts the admitted requests of 100, each after an announcement that 3 units are spent.
+
+    The level is then three quarters of the burst. Announcements reach a very large set late, so it
+    must admit less at the same level.
+    """
+    admissions = {}
+    for size_of_set in (WIDE, 40):
         one = make(3, limiter_count=VAST, gossip_messages_per_s=60.0)
-        ask(one, 100.0, set_size=spread)
+        ask(one, 100.0, set_size=size_of_set)
         (name,) = one.accounts
         text = gossip.encode_header(100, 0.0, "aa") + gossip.encode(
             gossip.SpentReport(name, gossip.name_tag("basic"), 3.0)
         )
-        let_in[spread] = 0
+        admissions[size_of_set] = 0
         for _ in range(100):
             one.handle(api.GossipReceived(VAST - 1, text), 100.1)
-            sends = only(ask(one, 100.1, set_size=spread), api.StartAttempt)
-            let_in[spread] += len(sends)
+            sends = only(ask(one, 100.1, set_size=size_of_set), api.StartAttempt)
+            admissions[size_of_set] += len(sends)
             for send in sends:
                 answer(one, send, 100.1)
-    assert let_in[WIDE] < 45 and 55 < let_in[40] < 80
+    assert admissions[WIDE] < 45 and 55 < admissions[40] < 80
 
 
-def test_a_set_that_its_hub_can_tell_hears_nothing_second_hand() -> None:
+def test_level_is_not_relayed_if_one_hub_can_notify_the_set() -> None:
     limiters = fleet(gossip_messages_per_s=60.0)
     ask(limiters[5], 100.0, set_size=SPREAD)
     (account,) = limiters[5].accounts.values()
-    word = gossip.encode(gossip.SpentReport(account.name, gossip.name_tag("basic"), 12.0))
+    report = gossip.encode(gossip.SpentReport(account.name, gossip.name_tag("basic"), 12.0))
     limiters[5].handle(
-        api.GossipReceived(account.hubs[0], gossip.encode_header(100, 0.0, "aa") + word), 100.1
+        api.GossipReceived(account.hubs[0], gossip.encode_header(100, 0.0, "aa") + report), 100.1
     )
     assert not any(
-        word in t.text
+        report in t.text
         for t in only(ask(limiters[5], 100.2, set_size=SPREAD, customer="d"), api.SendGossip)
     )
 
 
-def test_a_restarted_hub_takes_the_level_from_the_other() -> None:
-    """A hub is restarted and knows nothing of what was charged before. The other hub tells it."""
+def test_restarted_hub_adopts_the_level_of_the_other_hub() -> None:
+    """A restarted hub does not know the earlier charges, but the other hub announces the level."""
     hub = make(hubs_of(make(39, limiter_count=FLEET), 100.0)[0], limiter_count=FLEET)
     hub.context.started_at = 100.0
     ask(hub, 100.0, set_size=SPREAD)
@@ -299,16 +311,16 @@
     assert account.quota.level == pytest.approx(0.0)
 
 
-def test_gossip_stays_within_what_a_limiter_may_take_in() -> None:
-    engine, told = make(0, limiter_count=FLEET), 0
+def test_gossip_sent_stays_within_the_share_of_the_intake() -> None:
+    engine, datagrams = make(0, limiter_count=FLEET), 0
     for i in range(4000):
-        told += len(
+        datagrams += len(
             only(ask(engine, 100.0 + i / 1000, set_size=SPREAD, customer=f"{i}"), api.SendGossip)
         )
-    assert told <= 100 * 0.8 * 5
+    assert datagrams <= 100 * 0.8 * 5
 
 
-def test_nothing_grows_with_one_request_customers_of_a_large_fleet() -> None:
+def test_customers_with_a_single_request_leave_no_state_in_a_large_fleet() -> None:
     engine = make(0, limiter_count=FLEET)
     for i in range(3000):
         for send in only(
--- a/tests/decisions/test_replicated_accounts.py
+++ b/tests/decisions/test_replicated_accounts.py
@@ -1,4 +1,4 @@
-"""Replicated counts: each charge counts once, whatever is lost."""
+"""Replicated counts: each charge is counted once, whatever messages are lost."""
 
 from __future__ import annotations
 
@@ -21,38 +21,37 @@
 )
 from tests.net.scenario import PLAN, SETTINGS
 
-SLOW = replace(
-    PLAN, name="slow", rate=0.001, burst=1000.0, excess_cost=1.0
-)  # nothing comes in while a test lasts
+# The refill of this plan is negligible during a test.
+SLOW = replace(PLAN, name="slow", rate=0.001, burst=1000.0, excess_cost=1.0)
 FAST = replace(PLAN, name="fast", rate=20.0, burst=40.0, excess_cost=1.0)
-BEAT = 0.1
+ROUND_S = 0.1
 
 
 class Cluster:
-    """Real modules on a clock set by hand.
+    """Decision engines with a simulated clock.
 
-    Each datagram is delivered at once or lost, as the test says; the counts that they close are
-    kept, to be told when the test says.
+    Each datagram is delivered at once, or lost if the test has removed the link. The counts of
+    closed periods are collected and delivered when the test asks for it.
     """
 
     def __init__(self, members: int = 3, plan: str = "slow") -> None:
         self.now, self.plan, self.charged = 1000.0, plan, 0.0
-        self.all = [self._gateway(n, members) for n in range(members)]
+        self.all = [self.new_engine(n, members) for n in range(members)]
         self.closed: dict[tuple[str, int, str], api.ReplicateCount] = {}
-        self.heard: set[tuple[int, int]] = {(a, b) for a in range(members) for b in range(members)}
+        self.links: set[tuple[int, int]] = {(a, b) for a in range(members) for b in range(members)}
         for one in self.all:
             one.handle(api.AccountReplicated(""), self.now)
 
-    def _gateway(self, me: int, members: int) -> DecisionEngine:
+    def new_engine(self, engine_number: int, members: int) -> DecisionEngine:
         settings_ = replace(
             SETTINGS,
-            limiter_id=me,
+            limiter_id=engine_number,
             limiter_count=members,
             plans=(SLOW, FAST),
             peers=True,
             gossip_messages_per_s=1000.0,
         )
-        one = DecisionEngine(settings_, seed=me)
+        one = DecisionEngine(settings_, seed=engine_number)
         one.handle(servers("full", *(entry(f"s{n}") for n in range(6))), self.now)
         one.handle(self.view(members), self.now)
         return one
@@ -86,12 +85,12 @@
 
     def carry(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.SendGossip) and (number, action.limiter_id) in self.heard:
+            if isinstance(action, api.SendGossip) and (number, action.limiter_id) in self.links:
                 self.all[action.limiter_id].handle(
                     api.GossipReceived(number, action.text), self.now
                 )
             elif isinstance(action, api.ReplicateCount):
-                known = self.closed.setdefault(
+                latest = self.closed.setdefault(
                     (
                         action.key,
                         action.replicated_count.member,
@@ -99,22 +98,22 @@
                     ),
                     action,
                 )
-                if action.replicated_count.total > known.replicated_count.total:
+                if action.replicated_count.total > latest.replicated_count.total:
                     self.closed[
                         action.key,
                         action.replicated_count.member,
                         action.replicated_count.incarnation,
                     ] = action
 
-    def beat(self, seconds: float = BEAT) -> None:
+    def run_rounds(self, seconds: float = ROUND_S) -> None:
         until = self.now + seconds
         while self.now < until:
-            self.now += BEAT
+            self.now += ROUND_S
             for number, one in enumerate(self.all):
                 self.carry(number, one.handle(api.TimerFired("beat"), self.now))
 
-    def tell(self, number: int) -> None:
-        """All that others have closed."""
+    def deliver_counts(self, number: int) -> None:
+        """Delivers the closed counts of all other members to one member."""
         for (_, member, incarnation), action in list(self.closed.items()):
             if (member, incarnation) != (number, self.all[number].context.incarnation):
                 event = api.AccountReplicated(
@@ -126,7 +125,7 @@
                 )
                 self.all[number].handle(event, self.now)
 
-    def left(self, number: int) -> float:
+    def units_left(self, number: int) -> float:
         account = next(iter(self.all[number].accounts.values()))
         return account.quota.level - account.debt
 
@@ -143,53 +142,53 @@
 
 @settings(max_examples=120, deadline=None)
 @given(steps)
-def test_whatever_is_lost_or_told_again_each_charge_counts_once_in_the_end(
+def test_each_charge_is_counted_once_despite_loss_and_repetition(
     plan: list[tuple[str, int, int]],
 ) -> None:
-    """Gossip is lost, doubled and late between three members.
+    """Gossip between three members is lost, repeated and late.
 
-    Once counts have come, each charge counts once.
+    After the counts have been delivered, each charge must be counted exactly once.
     """
     one = Cluster()
     for number in range(3):
-        one.ask(number)  # all know the customer from here on
-    for what, a, b in plan:
-        if what == "ask":
+        one.ask(number)  # from here on all members have the account
+    for step, a, b in plan:
+        if step == "ask":
             one.ask(a)
-        elif what == "beat":
-            one.beat()
-        elif what == "second":
-            one.beat(1.0)
-        elif what == "tell":
-            one.tell(a)
-        elif what == "cut":
-            one.heard -= {(a, b)}
+        elif step == "beat":
+            one.run_rounds()
+        elif step == "second":
+            one.run_rounds(1.0)
+        elif step == "tell":
+            one.deliver_counts(a)
+        elif step == "cut":
+            one.links -= {(a, b)}
         else:
-            one.heard |= {(a, b)}
-        for number in range(3):  # never more than what was charged in all
-            assert one.left(number) >= 1000.0 - one.charged - 0.1
-    one.heard = set()  # gossip tells nothing any more: the counts must do
-    one.beat(4.0)
+            one.links |= {(a, b)}
+        for number in range(3):  # no member counts more than all charges together
+            assert one.units_left(number) >= 1000.0 - one.charged - 0.1
+    one.links = set()  # without gossip, the counts alone must be sufficient
+    one.run_rounds(4.0)
     for number in range(3):
-        one.tell(number)
-        one.tell(number)
-        assert one.left(number) == pytest.approx(1000.0 - one.charged, abs=0.1)
+        one.deliver_counts(number)
+        one.deliver_counts(number)
+        assert one.units_left(number) == pytest.approx(1000.0 - one.charged, abs=0.1)
 
 
-def test_without_the_counts_what_was_lost_stays_lost() -> None:
-    """The check above can fail."""
+def test_lost_charges_are_missing_until_counts_are_delivered() -> None:
+    """Shows that the previous test fails without the counts."""
     one = Cluster()
-    one.heard = set()
+    one.links = set()
     for number in (0, 1, 1):
         one.ask(number)
-    one.beat(4.0)
-    assert one.left(0) == pytest.approx(999.0, abs=0.1)
-    one.tell(0)
-    assert one.left(0) == pytest.approx(997.0, abs=0.1)
+    one.run_rounds(4.0)
+    assert one.units_left(0) == pytest.approx(999.0, abs=0.1)
+    one.deliver_counts(0)
+    assert one.units_left(0) == pytest.approx(997.0, abs=0.1)
 
 
-def newcomer(one: Cluster, number: int) -> DecisionEngine:
-    one.all[number] = one._gateway(number, len(one.all))
+def restart(one: Cluster, number: int) -> DecisionEngine:
+    one.all[number] = one.new_engine(number, len(one.all))
     return one.all[number]
 
 
@@ -201,62 +200,62 @@
     st.booleans(),
     st.sampled_from([0.1, 0.6, 1.1, 2.5]),
 )
-def test_a_member_that_starts_anew_takes_over_what_a_peer_knows_while_charges_go_on(
+def test_restarted_member_catches_up_while_charges_continue(
     before: int, between: int, after: int, own: bool, wait: float
 ) -> None:
-    """A member is killed and starts again with nothing, while others go on charging."""
+    """A member is killed and restarts without state while the others continue to charge."""
     one = Cluster()
     for number in (0, 1, 2):
         one.ask(number)
     for _ in range(before):
         one.ask(1)
-    one.beat(wait)
-    new = newcomer(one, 2)
+    one.run_rounds(wait)
+    new = restart(one, 2)
     if own:
-        one.ask(2)  # of its cautious share
+        one.ask(2)  # admitted from its reduced initial level
     for _ in range(between):
         one.ask(0)
-    one.beat()
-    whole = one.all[1].replicated_accounts.copy_of(next(iter(one.all[1].accounts)))
+    one.run_rounds()
+    account_copy = one.all[1].replicated_accounts.copy_of(next(iter(one.all[1].accounts)))
     for _ in range(after):
         one.ask(0)
-    one.beat()  # gossip goes on while the piece is on its way
-    assert whole is not None and whole.level is not None
-    new.handle(whole, one.now)
-    new.handle(whole, one.now)  # doubled
-    assert one.left(2) == pytest.approx(1000.0 - one.charged, abs=0.1)
+    one.run_rounds()  # gossip continues while the copy is in transit
+    assert account_copy is not None and account_copy.level is not None
+    new.handle(account_copy, one.now)
+    new.handle(account_copy, one.now)  # delivered twice
+    assert one.units_left(2) == pytest.approx(1000.0 - one.charged, abs=0.1)
     one.ask(0)
-    one.heard = set()
-    one.beat(4.0)
-    one.tell(2)
-    new.handle(whole._replace(level=500.0), one.now)  # another giver's word, late
-    assert one.left(2) == pytest.approx(1000.0 - one.charged, abs=0.1)
+    one.links = set()
+    one.run_rounds(4.0)
+    one.deliver_counts(2)
+    new.handle(account_copy._replace(level=500.0), one.now)  # late copy from another peer
+    assert one.units_left(2) == pytest.approx(1000.0 - one.charged, abs=0.1)
 
 
-def test_what_one_that_died_had_charged_is_told_by_those_who_heard_it() -> None:
+def test_counts_of_a_dead_member_come_from_receivers_of_its_reports() -> None:
     """A member charges and dies before its counts are replicated.
 
-    Those who heard its reports tell them.
+    The members that received its reports must replicate them.
     """
     one = Cluster()
     for number in range(3):
         one.ask(number)
-    one.beat(3.0)
-    one.tell(0)  # the count itself, by which it is known since when it runs
-    one.heard -= {(1, 2)}
+    one.run_rounds(3.0)
+    one.deliver_counts(0)  # this count says in which period it starts
+    one.links -= {(1, 2)}
     one.ask(1)
-    one.beat()
-    one.all[1] = one._gateway(1, 3)  # its own count dies with it
+    one.run_rounds()
+    one.all[1] = one.new_engine(1, 3)  # its own count is lost
     one.all[1].context.incarnation = "zzz"
-    one.beat(4.0)
-    assert one.left(2) == pytest.approx(997.0, abs=0.1)
-    one.tell(2)
-    assert one.left(2) == pytest.approx(996.0, abs=0.1)
+    one.run_rounds(4.0)
+    assert one.units_left(2) == pytest.approx(997.0, abs=0.1)
+    one.deliver_counts(2)
+    assert one.units_left(2) == pytest.approx(996.0, abs=0.1)
 
 
-def test_a_customer_that_no_peer_knew_of_has_its_whole_burst_once_one_is_whole() -> None:
+def test_customer_unknown_to_peers_gets_full_burst_after_catch_up() -> None:
     one = Cluster(plan="fast")
-    new = newcomer(one, 2)
+    new = restart(one, 2)
     assert one.ask(2, "early")
     account = next(iter(new.accounts.values()))
     assert account.quota.level < 40.0 / 3
@@ -265,72 +264,75 @@
     assert list(new.accounts.values())[1].quota.level == 39.0
 
 
-def test_what_a_member_used_of_what_was_left_to_it_is_not_taken_again_and_the_rest_comes_back() -> (
-    None
-):
+def test_used_reserve_is_not_charged_again_and_the_rest_is_returned() -> None:
     """A partition ends.
 
-    What the other side used of its part must not be charged again, and the rest comes back.
+    Units that the other side used of its reserve must not be charged again, and the rest of the
+    reserve must return to the quota.
     """
     one = Cluster(plan="fast")
     for number in range(3):
         one.ask(number)
-    one.beat()
+    one.run_rounds()
     key = next(iter(one.all[0].accounts))
     account = one.all[0].accounts[key]
     level = account.quota.level
-    one.heard = set()
+    one.links = set()
     one.all[0].handle(one.view(3, lost=(2,)), one.now)
     assert account.reserved_for_unreachable == {2: pytest.approx(level / 3, abs=0.1)}
-    one.beat(3.0)
+    one.run_rounds(3.0)
     one.all[0].handle(one.view(3), one.now)
-    kept = account.reserved_for_unreachable[2]
-    assert kept == pytest.approx(level / 3 + 20.0 / 3 * 3.0, abs=1.0)
+    reserve = account.reserved_for_unreachable[2]
+    assert reserve == pytest.approx(level / 3 + 20.0 / 3 * 3.0, abs=1.0)
     incarnation, through = one.all[2].context.incarnation, one.all[0].context.period - 2
-    heard = sum(v for (who, _), v in account.charges.reported.items() if who == f"2.{incarnation}")
-    known = heard + account.charges.closed_counts[f"2.{incarnation}"][2]  # type: ignore[index]
+    reported_units = sum(
+        v for (reporter, _), v in account.charges.reported.items() if reporter == f"2.{incarnation}"
+    )
+    counted = reported_units + account.charges.closed_counts[f"2.{incarnation}"][2]  # type: ignore[index]
     one.all[0].handle(
         api.AccountReplicated(
-            key, "fast", 0, 3, (api.ReplicatedCount(2, incarnation, 1000, through, known + 10.0),)
+            key, "fast", 0, 3, (api.ReplicatedCount(2, incarnation, 1000, through, counted + 10.0),)
         ),
         one.now,
     )
-    assert account.reserved_for_unreachable[2] == pytest.approx(kept - 10.0) and account.debt == 0.0
-    one.beat(1.0)
-    assert account.reserved_for_unreachable  # more counts may be on their way
+    assert (
+        account.reserved_for_unreachable[2] == pytest.approx(reserve - 10.0) and account.debt == 0.0
+    )
+    one.run_rounds(1.0)
+    assert account.reserved_for_unreachable  # more counts may be in transit
     account.quota.level = 0.0
-    one.beat(COUNT_SETTLE_S + 1.0)
+    one.run_rounds(COUNT_SETTLE_S + 1.0)
     assert not account.reserved_for_unreachable and not account.returning
     assert account.quota.level == pytest.approx(
         40.0, abs=0.1
-    )  # what came in, and what was left aside, to the burst
+    )  # the refill and the returned reserve, limited to the burst
 
 
-def test_units_charged_unheard_are_paid_back_over_time() -> None:
+def test_debt_is_repaid_gradually_while_requests_are_admitted() -> None:
     """After a partition more was charged than the quota.
 
-    Customers must not be shut out until it is paid.
+    Customers must not be rejected until all of the debt is repaid.
     """
     one = Cluster(plan="fast")
     for number in range(3):
         one.ask(number)
-    one.beat(1.0)
+    one.run_rounds(1.0)
     account = next(iter(one.all[0].accounts.values()))
     account.charge_unreported(1, 30.0)
     account.quota.level, account.quota.updated_at = 0.0, one.now
     served = 0
-    for _ in range(40):  # four seconds in which all that can be had is asked for
-        one.now += BEAT
+    for _ in range(40):  # four seconds of demand above the rate
+        one.now += ROUND_S
         served += sum(one.ask(0) for _ in range(5))
     assert account.debt == 0.0
     assert served == pytest.approx(4.0 * 20.0 - 30.0, abs=2.0)
     assert DEBT_REPAYMENT_SHARE < 1.0
 
 
-def test_what_is_credited_of_a_dead_members_part_is_no_more_than_was_left_to_it() -> None:
-    """A member that could not be heard turns out dead.
+def test_credit_for_a_dead_member_is_limited_to_its_reserve() -> None:
+    """An unreachable member turns out to be dead.
 
-    No more of its part comes back than was left to it.
+    No more units may be returned than were reserved for it.
     """
     one = Cluster(plan="fast")
     one.ask(0)
@@ -343,26 +345,26 @@
     assert account.quota.level == 3.0 and account.reserved_for_unreachable[2] == 0.0
 
 
-def test_a_member_that_dies_for_good_takes_no_more_than_its_part_with_it() -> None:
-    """A member dies and never comes back. Only its own part of the quota may be lost with it."""
+def test_permanently_dead_member_costs_no_more_than_its_reserve() -> None:
+    """A member dies and never returns. No more than its own share of the quota may be lost."""
     one = Cluster(plan="fast")
     one.ask(0)
     account = next(iter(one.all[0].accounts.values()))
     one.all[0].handle(one.view(3, lost=(2,)), one.now)
     one.all[0].handle(
         api.MembershipChanged(True, (0, 1), counts_replicated=True), one.now + 5.0
-    )  # taken over: it is not there, and not lost
+    )  # taken over: the member is neither present nor unreachable
     one.now += 5.0
-    one.beat(COUNT_SETTLE_S + 1.0)
+    one.run_rounds(COUNT_SETTLE_S + 1.0)
     assert (
         account.reserved_for_unreachable and account.returning
-    )  # not given back while nobody has heard what it used
+    )  # kept until the member's use is known
     one.all[0].handle(one.view(3), one.now)
-    one.beat(1.0)
+    one.run_rounds(1.0)
     assert not account.reserved_for_unreachable
 
 
-def test_counts_of_an_unknown_customer_matter_only_until_its_burst_is_full() -> None:
+def test_count_of_an_unknown_customer_is_ignored_once_burst_is_refilled() -> None:
     one = Cluster(plan="fast")
     for age, total, left in ((10, 30.0, None), (1, 35.0, 25.0)):
         key, since = gossip.base36(36**4 + age), int(one.now) - age
@@ -379,7 +381,7 @@
 
 
 @pytest.mark.parametrize("change", [{"plan_name": "gone"}, {"set_size": 0}, {"set_size": 9}])
-def test_a_copy_that_these_settings_do_not_know_changes_nothing(change: dict[str, object]) -> None:
+def test_account_that_does_not_match_the_settings_has_no_effect(change: dict[str, object]) -> None:
     one = Cluster()
     event = api.AccountReplicated(
         "abc", "slow", 0, 3, (api.ReplicatedCount(1, "xy", 999, 999, 10.0),), 5.0
@@ -388,7 +390,7 @@
     assert not one.all[0].accounts
 
 
-def test_in_a_large_set_the_hubs_reckon_and_the_others_go_by_what_they_are_told() -> None:
+def test_large_set_hubs_merge_counts_and_others_adopt_announced_level() -> None:
     one = Cluster(12, "fast")
     one.ask(0)
     key = next(iter(one.all[0].accounts))
@@ -396,7 +398,7 @@
     hub, other = hubs[0], next(n for n in range(12) if n not in hubs)
     for number in (hub, other):
         one.ask(number)
-        before = one.left(number) if number == hub else 0.0
+        before = one.units_left(number) if number == hub else 0.0
         one.all[number].handle(
             api.AccountReplicated(
                 key, "fast", 0, 12, (api.ReplicatedCount(11, "xy", 1000, 1000, 9.0),)
@@ -408,12 +410,12 @@
             assert account.quota.level - account.debt == pytest.approx(before - 9.0)
         else:
             assert account.debt == 0.0
-    new = newcomer(one, other)
+    new = restart(one, other)
     new.handle(api.AccountReplicated(key, "fast", 0, 12, (), 5.0), one.now)
     assert new.accounts[key].quota.level == 5.0 and new.accounts[key].has_announcement
 
 
-def test_the_platforms_own_path_keeps_no_counts() -> None:
+def test_engine_without_replication_keeps_no_counts() -> None:
     one = DecisionEngine(replace(SETTINGS, plans=(SLOW, FAST)), seed=1)
     one.handle(servers("full", entry("s1")), 1000.0)
     ask(one, 1000.1, "look", plan_name="slow")
@@ -431,37 +433,39 @@
     )
 
 
-def test_a_count_that_is_older_than_what_is_known_changes_nothing() -> None:
-    totals = PeriodCharges(0)
-    totals.closed_counts = {}
-    totals.advance(100)
-    assert totals.merge_count("1.x", ClosedCount(100, 104, 9.0)) == 9.0
+def test_count_older_than_the_stored_count_adds_nothing() -> None:
+    period_charges = PeriodCharges(0)
+    period_charges.closed_counts = {}
+    period_charges.advance(100)
+    assert period_charges.merge_count("1.x", ClosedCount(100, 104, 9.0)) == 9.0
     assert (
-        totals.merge_count("1.x", ClosedCount(100, 103, 7.0)) == 0.0
-        and totals.merge_count("1.x", ClosedCount(99, 110, 50.0)) == 0.0
+        period_charges.merge_count("1.x", ClosedCount(100, 103, 7.0)) == 0.0
+        and period_charges.merge_count("1.x", ClosedCount(99, 110, 50.0)) == 0.0
     )
-    assert totals.merge_count("1.x", ClosedCount(100, 105, 11.0)) == 2.0
-    assert totals.merge_count("1.x", ClosedCount(108, 108, 1.0)) == 1.0  # counted anew
-    # Of one that began before this engine knew the customer the first word adds nothing: it is
-    # part of the beginning.
+    assert period_charges.merge_count("1.x", ClosedCount(100, 105, 11.0)) == 2.0
+    assert (
+        period_charges.merge_count("1.x", ClosedCount(108, 108, 1.0)) == 1.0
+    )  # the peer restarted its count
+    # The first count received of an incarnation that started before this engine knew the customer
+    # adds nothing: it is part of the initial level.
     assert (
-        totals.merge_count("2.y", ClosedCount(50, 101, 30.0)) == 0.0
-        and totals.merge_count("2.y", ClosedCount(50, 105, 33.0)) == 3.0
+        period_charges.merge_count("2.y", ClosedCount(50, 101, 30.0)) == 0.0
+        and period_charges.merge_count("2.y", ClosedCount(50, 105, 33.0)) == 3.0
     )
-    totals.advance(109)
-    # gossip that comes after the count that it is part of
-    assert totals.merge_report("1.x", 108, 1.0) == 0.0
-    assert totals.merge_report("1.x", 109, 1.0) == 1.0
+    period_charges.advance(109)
+    # This report arrives after the count that includes it.
+    assert period_charges.merge_report("1.x", 108, 1.0) == 0.0
+    assert period_charges.merge_report("1.x", 109, 1.0) == 1.0
 
 
-def test_an_account_that_owes_or_has_something_aside_is_not_let_go() -> None:
+def test_account_with_a_reserve_is_not_removed() -> None:
     one = Cluster(plan="fast")
     one.ask(0)
     account: Account = next(iter(one.all[0].accounts.values()))
     account.reserved_for_unreachable[1] = 3.0
     one.now += 30.0
-    one.beat(2.0)
+    one.run_rounds(2.0)
     assert one.all[0].accounts
     account.reserved_for_unreachable = {}
-    one.beat(2.0)
+    one.run_rounds(2.0)
     assert not one.all[0].accounts
