--- a/hazelhollow/decisions/state/endpoint_table.py
+++ b/hazelhollow/decisions/state/endpoint_table.py
@@ -179,8 +179,8 @@
         """
         changed, endpoints = list[EndpointEntry](), self.endpoints
         for entry in entries:
-            known = endpoints.get(entry.name)
-            if known is None or vars(known.entry) != vars(entry):
+            current = endpoints.get(entry.name)
+            if current is None or vars(current.entry) != vars(entry):
                 changed.append(entry)
         return changed
 
@@ -202,14 +202,14 @@
 
     def _apply_entry(self, entry: EndpointEntry, now: float) -> None:
         """Applies one entry of a list."""
-        known = self.endpoints.get(entry.name)
+        current = self.endpoints.get(entry.name)
         if entry.state == "gone":
             self._remove(entry.name)
-        elif known is not None and known.entry.started == entry.started:
-            self._replace_entry(known, entry, now)
+        elif current is not None and current.entry.started == entry.started:
+            self._replace_entry(current, entry, now)
         else:
-            if known is not None:
-                self._remove_from_index(known)
+            if current is not None:
+                self._remove_from_index(current)
             endpoint = self.endpoints[entry.name] = self._create_endpoint(entry)
             self._all = None
             self._add_tag(endpoint)
@@ -223,11 +223,11 @@
         for name in gone:
             del self.endpoints[name]
         for entry in changed:
-            known = self.endpoints.get(entry.name)
+            current = self.endpoints.get(entry.name)
             if entry.state == "gone":
                 self.endpoints.pop(entry.name, None)
-            elif known is not None and known.entry.started == entry.started:
-                known.entry = entry
+            elif current is not None and current.entry.started == entry.started:
+                current.entry = entry
             else:
                 self.endpoints[entry.name] = self._create_endpoint(entry)
         self._rebuild(now)
--- a/hazelhollow/decisions/state/period_charges.py
+++ b/hazelhollow/decisions/state/period_charges.py
@@ -7,14 +7,12 @@
 
 Each charge is counted exactly once, however often and by whatever path it is reported:
 
-| source                                | effect                                                   |
-| ------------------------------------- | -------------------------------------------------------- |
-| charge by this limiter                | is added to `own`                                        |
-| report of a peer                      | replaces the peer's total of the period; the difference  |
-|                                       | is charged                                               |
-| replicated count                      | charges what it has beyond the stored count and the      |
-|                                       | reports of the same periods                              |
-| report of a period already in a count | is ignored                                               |
+| source                 | effect                                                              |
+| ---------------------- | ------------------------------------------------------------------- |
+| charge by this limiter | is added to `own`                                                   |
+| report of a peer       | replaces the peer's total of the period and charges the difference  |
+| replicated count       | charges its excess over the stored count and reports of its periods |
+| report already counted | is ignored                                                          |
 """
 
 from __future__ import annotations
--- a/tests/decisions/test_replicated_accounts.py
+++ b/tests/decisions/test_replicated_accounts.py
@@ -241,7 +241,7 @@
     for number in range(3):
         one.ask(number)
     one.run_rounds(3.0)
-    one.deliver_counts(0)  # this count says in which period it starts
+    one.deliver_counts(0)  # tells member 0 the period in which the count of member 1 starts
     one.links -= {(1, 2)}
     one.ask(1)
     one.run_rounds()
