--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -84,7 +84,7 @@
     return engine.handle(api.RequestArrived(**{**values, **changes}), now)
 
 
-def only(actions: Sequence[api.Action], kind: type[T]) -> list[T]:
+def actions_of(actions: Sequence[api.Action], kind: type[T]) -> list[T]:
     return [a for a in actions if isinstance(a, kind)]
 
 
@@ -100,7 +100,7 @@
     """How many of so many requests go out, each answered at once."""
     sent = 0
     for _ in range(tries):
-        for send in only(ask(engine, now, **changes), api.StartAttempt):
+        for send in actions_of(ask(engine, now, **changes), api.StartAttempt):
             answer(engine, send, now)
             sent += 1
     return sent
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -26,6 +26,7 @@
     LIMITERS,
     MARGIN,
     SERVERS,
+    actions_of,
     answer,
     ask,
     bytecodes,
@@ -34,7 +35,6 @@
     entry,
     listed,
     make,
-    only,
     servers,
     table_of,
 )
@@ -67,7 +67,7 @@
         actions: list[api.Action] = []
         request = partial(ask_into, actions, engine, now, kind, customer)
         costs.append(cost(request))
-        for send in only(actions, api.StartAttempt):
+        for send in actions_of(actions, api.StartAttempt):
             answer(engine, send, now)
     return costs
 
@@ -220,7 +220,7 @@
     customers, told = 3 * MAX_COUNTS_A_ROUND + 5, list[str]()
     engine = charged_by_many(customers)
     engine.context.now, engine.context.period = 102.0, 102
-    while counts := only(
+    while counts := actions_of(
         engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
     ):
         assert len(counts) <= MAX_COUNTS_A_ROUND + len(
@@ -255,7 +255,7 @@
             engine.replicated_accounts.mark_charged(account)
         told |= {
             count.key
-            for count in only(
+            for count in actions_of(
                 engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
             )
         }
@@ -273,13 +273,13 @@
         engine.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
         for number in range(idle):
             engine.customer_accounts.get(gossip.base36(number), engine.context.plans["basic"], 0, 3)
-        only(ask(engine, 100.0), api.StartAttempt)
+        actions_of(ask(engine, 100.0), api.StartAttempt)
         closed: list[api.Action] = []
         for now in (101.0, 102.0, 103.0, 104.0):
             engine.context.now, engine.context.period = now, int(now)
             take = engine.replicated_accounts.take_closed
             costs.append(bytecodes(partial(_take_all, take, closed)))
-        assert [c.replicated_count.total for c in only(closed, api.ReplicateCount)] == [
+        assert [c.replicated_count.total for c in actions_of(closed, api.ReplicateCount)] == [
             1.0
         ] and not engine.replicated_accounts.unclosed
     assert sum(costs[4:]) <= MARGIN * sum(costs[:4])
--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -8,14 +8,14 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.endpoint_selection import MAX_COMPARED
-from tests.decisions.helpers import LIMITERS, answer, ask, entry, listed, make, only, servers
+from tests.decisions.helpers import LIMITERS, actions_of, answer, ask, entry, listed, make, servers
 
 
 def test_without_a_usable_endpoint_a_request_is_rejected() -> None:
     """All endpoints are gone or draining. The client must get its answer at once."""
     engine = make()
     engine.handle(servers("full"), 99.0)
-    assert len(only(ask(engine, 100.0), api.RejectRequest)) == 1
+    assert len(actions_of(ask(engine, 100.0), api.RejectRequest)) == 1
 
 
 def test_a_draining_or_gone_endpoint_gets_nothing_new() -> None:
@@ -25,7 +25,7 @@
     used = {
         s.endpoint
         for _ in range(9)
-        for s in only(ask(engine, 100.0, customer=f"{_}"), api.StartAttempt)
+        for s in actions_of(ask(engine, 100.0, customer=f"{_}"), api.StartAttempt)
     }
     assert used == {"s3"}
 
@@ -36,12 +36,12 @@
     It must get nothing new until it answers.
     """
     engine = make()
-    (hangs,) = only(ask(engine, 1.0), api.StartAttempt)
+    (hangs,) = actions_of(ask(engine, 1.0), api.StartAttempt)
     for name, endpoint in engine.endpoints.items():
         endpoint.work_factor = 1.0 if name == hangs.endpoint else 5.0  # else it would be the best
     later = set()
     for number in range(40):
-        (send,) = only(ask(engine, 1.9, customer=str(number)), api.StartAttempt)
+        (send,) = actions_of(ask(engine, 1.9, customer=str(number)), api.StartAttempt)
         engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.05, True), 1.9)
         later.add(send.endpoint)
     assert later and hangs.endpoint not in later
@@ -62,7 +62,7 @@
     engine.handle(
         servers("full", *(replace(e, state="draining") for e in listed(500)), entry("last")), 100.0
     )
-    assert [send.endpoint for send in only(ask(engine, 100.1), api.StartAttempt)] == ["last"]
+    assert [send.endpoint for send in actions_of(ask(engine, 100.1), api.StartAttempt)] == ["last"]
     assert engine.unavailable_endpoints() == {f"s{n}" for n in range(500)}
 
 
@@ -80,8 +80,8 @@
     for turn in range(10):
         engine = make(turn % 3, limiter_count=limiters, classes=(order,))
         engine.handle(servers("full", *listed(500)), 100.0)
-        (send,) = only(ask(engine, 100.0, "order"), api.StartAttempt)
-        (again,) = only(answer(engine, send, 100.1, "reset"), api.StartAttempt)
+        (send,) = actions_of(ask(engine, 100.0, "order"), api.StartAttempt)
+        (again,) = actions_of(answer(engine, send, 100.1, "reset"), api.StartAttempt)
         assert (
             engine.endpoints[again.endpoint].entry.cell
             == engine.endpoints[send.endpoint].entry.cell
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -7,11 +7,11 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.gossip.codec import base36
 from tests.decisions.helpers import (
+    actions_of,
     answer,
     ask,
     entry,
     make,
-    only,
     servers,
 )
 
@@ -19,13 +19,13 @@
 def test_odd_requests_get_their_one_answer_at_once() -> None:
     engine = make()
     for odd in ({"class_name": "x"}, {"plan_name": "x"}, {"units": 0.0}, {"time_left": 0.0}):
-        assert len(only(ask(engine, 100.0, **odd), api.RejectRequest)) == 1
+        assert len(actions_of(ask(engine, 100.0, **odd), api.RejectRequest)) == 1
 
 
 def test_nothing_grows_with_customers_that_never_come_back() -> None:
     engine = make()
     for i in range(2000):
-        for send in only(ask(engine, 100.0 + i * 0.01, customer=f"k{i}"), api.StartAttempt):
+        for send in actions_of(ask(engine, 100.0 + i * 0.01, customer=f"k{i}"), api.StartAttempt):
             answer(engine, send, 100.0 + i * 0.01)
     for i in range(200):
         engine.handle(api.TimerFired("beat"), 130.0 + i / 10)
@@ -66,7 +66,9 @@
     for second in range(1, 60):
         engine.handle(api.TimerFired("beat"), float(second))
         for n in range(20):
-            (send,) = only(ask(engine, second + 0.1, customer=f"{second}-{n}"), api.StartAttempt)
+            (send,) = actions_of(
+                ask(engine, second + 0.1, customer=f"{second}-{n}"), api.StartAttempt
+            )
             status: api.Status = "error" if n % 5 == 0 else "ok"
             engine.handle(
                 api.AttemptEnded(send.id, 0, send.endpoint, status, 0.1, True), second + 0.2
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -8,17 +8,17 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip.codec import MAX_DATAGRAM_BYTES, base36
 from tests.decisions.helpers import (
+    actions_of,
     ask,
     entry,
     make,
-    only,
     servers,
     spend,
 )
 
 
 def tell(source: DecisionEngine, now: float, to: int) -> list[api.GossipReceived]:
-    told = only(source.handle(api.TimerFired("beat"), now), api.SendGossip)
+    told = actions_of(source.handle(api.TimerFired("beat"), now), api.SendGossip)
     return [
         api.GossipReceived(source.settings.limiter_id, t.text) for t in told if t.limiter_id == to
     ]
@@ -66,7 +66,7 @@
 def test_only_the_other_members_of_a_set_are_told_its_charges() -> None:
     one = make(0)
     spend(one, 100.0, 3, set_size=2)
-    told = only(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
+    told = actions_of(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
     assert [t.limiter_id for t in told if ":" in t.text] == [1]
 
 
--- a/tests/decisions/test_gossip_byte_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -21,10 +21,10 @@
 )
 from hazelhollow.decisions.gossip.scheduler import GossipScheduler
 from tests.decisions.helpers import (
+    actions_of,
     answer,
     ask,
     make,
-    only,
     spend,
 )
 
@@ -38,7 +38,7 @@
 
 
 def told(actions: list[api.Action]) -> list[api.SendGossip]:
-    return only(actions, api.SendGossip)
+    return actions_of(actions, api.SendGossip)
 
 
 def words(texts: list[api.SendGossip], peer: int) -> list[str]:
@@ -75,7 +75,7 @@
                 else ask(engine, now, customer=f"{customer}", units=float(units), set_size=spread)
             )
             sent += [(now, len(t.text) + HEADER_BYTES) for t in told(actions)]
-            for send in only(actions, api.StartAttempt):
+            for send in actions_of(actions, api.StartAttempt):
                 answer(engine, send, now)
     for first in range(len(sent)):
         total = 0
@@ -202,7 +202,7 @@
             set_size=spread,
         )
         actions += asked
-        for send in only(asked, api.StartAttempt):
+        for send in actions_of(asked, api.StartAttempt):
             actions += answer(engine, send, now + 0.01)
         text = gossip.encode_header(int(now) % 36, 0.1, "abc") + gossip.encode(
             gossip.ChargeReport(
--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -14,10 +14,10 @@
 from hazelhollow.decisions.gossip.composer import RELAY_AGE_S
 from tests.decisions.helpers import (
     BASIC,
+    actions_of,
     answer,
     ask,
     make,
-    only,
     same_key,
 )
 
@@ -31,13 +31,14 @@
 def hubs_of(engine: DecisionEngine, now: float, **changes: Any) -> list[int]:
     """Where a charge is told."""
     return [
-        t.limiter_id for t in only(ask(engine, now, set_size=SPREAD, **changes), api.SendGossip)
+        t.limiter_id
+        for t in actions_of(ask(engine, now, set_size=SPREAD, **changes), api.SendGossip)
     ]
 
 
 def deliver(limiters: list[DecisionEngine], me: int, actions: list[api.Action], now: float) -> None:
     """Every message at once, and what it leads to."""
-    for tell in only(actions, api.SendGossip):
+    for tell in actions_of(actions, api.SendGossip):
         more = limiters[tell.limiter_id].handle(api.GossipReceived(me, tell.text), now)
         deliver(limiters, tell.limiter_id, more, now)
 
@@ -50,7 +51,7 @@
 
 
 def test_a_quiet_customer_is_not_rejected_at_the_start_of_a_large_set() -> None:
-    assert only(
+    assert actions_of(
         ask(make(3, limiter_count=FLEET), 0.0, set_size=SPREAD, units=4.0), api.StartAttempt
     )
 
@@ -61,7 +62,7 @@
     for turn in range(3 * SPREAD):
         me = turn % SPREAD
         actions = ask(limiters[me], 100.0 + turn / 100, set_size=SPREAD, units=2.0)
-        sent += len(only(actions, api.StartAttempt))
+        sent += len(actions_of(actions, api.StartAttempt))
         deliver(limiters, me, actions, 100.0 + turn / 100)
         if turn == 0:
             assert not any(a.has_announcement for g in limiters for a in g.accounts.values())
@@ -83,7 +84,7 @@
     for turn in range(3 * SPREAD):
         now, me = 100.0 + turn / 100, turn % SPREAD
         actions = ask(limiters[me], now, set_size=SPREAD, units=2.0, customer=busy)
-        sent += len(only(actions, api.StartAttempt))
+        sent += len(actions_of(actions, api.StartAttempt))
         deliver(limiters, me, actions, now)
     assert 4 <= sent <= 8
     telling = [a.plan.name for g in limiters for a in g.accounts.values() if a.has_announcement]
@@ -104,7 +105,7 @@
         if chance.random() < 0.005 * 3 * BASIC.rate / 2.0:
             me = min(chance.randrange(SPREAD), chance.randrange(SPREAD))
             actions = ask(limiters[me], now, set_size=SPREAD, units=2.0)
-            for send in only(actions, api.StartAttempt):
+            for send in actions_of(actions, api.StartAttempt):
                 admitted += send.endpoint != ""
                 actions = actions + answer(limiters[me], send, now, true_units=0.0)
             waiting += _posted(chance, now, me, actions)
@@ -127,7 +128,7 @@
     chance: random.Random, now: float, me: int, actions: list[api.Action]
 ) -> list[tuple[float, int, int, str]]:
     post = []
-    for tell in only(actions, api.SendGossip):
+    for tell in actions_of(actions, api.SendGossip):
         for _ in range(chance.choices((0, 1, 2), (0.07, 0.9, 0.03))[0]):
             post.append((now + chance.uniform(0.001, 0.03), me, tell.limiter_id, tell.text))
     return post
@@ -143,7 +144,7 @@
     told = 0
     for turn in range(60):  # the second hub hears all, the first nothing
         now = 100.0 + turn / 50
-        for tell in only(
+        for tell in actions_of(
             ask(limiters[turn % SPREAD], now, set_size=SPREAD, units=2.0), api.SendGossip
         ):
             if tell.limiter_id == second:
@@ -151,7 +152,7 @@
         told += len(
             [
                 t
-                for t in only(
+                for t in actions_of(
                     limiters[second].handle(api.TimerFired("beat"), now + 0.01), api.SendGossip
                 )
                 if "/" in t.text
@@ -178,13 +179,13 @@
     for turn in range(turns):
         now, me = 100.0 + turn / 100, turn % 40
         actions = ask(limiters[me], now, set_size=WIDE, units=2.0, **changes)
-        sent += len(only(actions, api.StartAttempt))
-        queue = [(me, a) for a in only(actions, api.SendGossip)]
+        sent += len(actions_of(actions, api.StartAttempt))
+        queue = [(me, a) for a in actions_of(actions, api.SendGossip)]
         while queue:
             sender, tell = queue.pop()
             if tell.limiter_id != dead:
                 more = limiters[tell.limiter_id].handle(api.GossipReceived(sender, tell.text), now)
-                queue += [(tell.limiter_id, a) for a in only(more, api.SendGossip)]
+                queue += [(tell.limiter_id, a) for a in actions_of(more, api.SendGossip)]
     return sent
 
 
@@ -195,7 +196,9 @@
 def hubs_in_vast() -> list[int]:
     return [
         t.limiter_id
-        for t in only(ask(make(VAST - 1, limiter_count=VAST), 100.0, set_size=WIDE), api.SendGossip)
+        for t in actions_of(
+            ask(make(VAST - 1, limiter_count=VAST), 100.0, set_size=WIDE), api.SendGossip
+        )
     ]
 
 
@@ -223,31 +226,31 @@
     (name,) = one.accounts
     word = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 12.0))
     one.handle(api.GossipReceived(first, gossip.encode_header(100, 0.0, "aa") + word), 100.1)
-    soon = only(ask(one, 100.2, set_size=WIDE, customer="d"), api.SendGossip)
+    soon = actions_of(ask(one, 100.2, set_size=WIDE, customer="d"), api.SendGossip)
     assert soon and all(word in t.text for t in soon)
-    elsewhere = only(
+    elsewhere = actions_of(
         ask(one, 100.3, set_size=9, set_start=WIDE + 5, customer="f"), api.SendGossip
     )  # not of the set
     assert elsewhere and not any(word in t.text for t in elsewhere)
-    late = only(ask(one, 100.1 + RELAY_AGE_S, set_size=WIDE, customer="e"), api.SendGossip)
+    late = actions_of(ask(one, 100.1 + RELAY_AGE_S, set_size=WIDE, customer="e"), api.SendGossip)
     assert late and not any(word in t.text for t in late)
     two.handle(api.GossipReceived(me, gossip.encode_header(100, 0.0, "aa") + word), 100.2)
     assert told_of(two)
-    onward = only(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
+    onward = actions_of(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
     assert onward and not any(word in t.text for t in onward)
 
 
 def test_what_a_hub_told_of_a_customer_that_is_forgotten_since_is_passed_on_no_more() -> None:
     first, second = hubs_in_vast()
     one = make(next(n for n in range(4) if n not in (first, second)), limiter_count=VAST)
-    (send,) = only(ask(one, 100.0, set_size=WIDE, customer="c"), api.StartAttempt)
+    (send,) = actions_of(ask(one, 100.0, set_size=WIDE, customer="c"), api.StartAttempt)
     answer(one, send, 100.1)
     (name,) = one.accounts
     word = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 0.0))
     one.handle(api.GossipReceived(first, gossip.encode_header(110, 0.0, "aa") + word), 110.8)
     one.handle(api.TimerFired("beat"), 111.0)
     assert not one.accounts
-    told = only(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
+    told = actions_of(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
     assert told and not any(word in t.text for t in told)
 
 
@@ -264,7 +267,7 @@
         let_in[spread] = 0
         for _ in range(100):
             one.handle(api.GossipReceived(VAST - 1, text), 100.1)
-            sends = only(ask(one, 100.1, set_size=spread), api.StartAttempt)
+            sends = actions_of(ask(one, 100.1, set_size=spread), api.StartAttempt)
             let_in[spread] += len(sends)
             for send in sends:
                 answer(one, send, 100.1)
@@ -281,7 +284,7 @@
     )
     assert not any(
         word in t.text
-        for t in only(ask(limiters[5], 100.2, set_size=SPREAD, customer="d"), api.SendGossip)
+        for t in actions_of(ask(limiters[5], 100.2, set_size=SPREAD, customer="d"), api.SendGossip)
     )
 
 
@@ -303,7 +306,9 @@
     engine, told = make(0, limiter_count=FLEET), 0
     for i in range(4000):
         told += len(
-            only(ask(engine, 100.0 + i / 1000, set_size=SPREAD, customer=f"{i}"), api.SendGossip)
+            actions_of(
+                ask(engine, 100.0 + i / 1000, set_size=SPREAD, customer=f"{i}"), api.SendGossip
+            )
         )
     assert told <= 100 * 0.8 * 5
 
@@ -311,7 +316,7 @@
 def test_nothing_grows_with_one_request_customers_of_a_large_fleet() -> None:
     engine = make(0, limiter_count=FLEET)
     for i in range(3000):
-        for send in only(
+        for send in actions_of(
             ask(engine, 100.0 + i / 100, set_size=SPREAD, customer=f"k{i}"), api.StartAttempt
         ):
             answer(engine, send, 100.0 + i / 100)
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -12,10 +12,10 @@
     CHEAP,
     DEAR,
     LOOKUP,
+    actions_of,
     ask,
     entry,
     make,
-    only,
     servers,
     spend,
 )
@@ -44,9 +44,9 @@
     for endpoint in engine.endpoints.values():
         # seconds of work: a wait between the two limits
         endpoint.in_flight["other", 0], endpoint.last_progress_at = 0.4, 100.0
-    assert only(ask(engine, 100.1, customer="a", time_left=2.5), api.RejectRequest)
-    assert only(ask(engine, 100.1, customer="b", time_left=4.0), api.StartAttempt)
-    assert only(ask(engine, 100.1, customer="c", time_left=3.5), api.StartAttempt)
+    assert actions_of(ask(engine, 100.1, customer="a", time_left=2.5), api.RejectRequest)
+    assert actions_of(ask(engine, 100.1, customer="b", time_left=4.0), api.StartAttempt)
+    assert actions_of(ask(engine, 100.1, customer="c", time_left=3.5), api.StartAttempt)
 
 
 @pytest.mark.parametrize("marks", [False, True])
@@ -64,8 +64,10 @@
         spend(engine, 100.0, 1, customer=f"r{turn}", time_left=3.9)
     for endpoint in engine.endpoints.values():
         endpoint.in_flight["other", 0], endpoint.last_progress_at = 0.4, 100.0
-    assert only(ask(engine, 100.1, customer="a", time_left=2.4), api.StartAttempt)
-    assert only(ask(engine, 100.1, customer="b", time_left=2.0, is_retry=marks), api.RejectRequest)
+    assert actions_of(ask(engine, 100.1, customer="a", time_left=2.4), api.StartAttempt)
+    assert actions_of(
+        ask(engine, 100.1, customer="b", time_left=2.0, is_retry=marks), api.RejectRequest
+    )
 
 
 @pytest.mark.parametrize("limiters", [3, 12])
@@ -85,7 +87,7 @@
         )
     late = [
         action.reason
-        for action in only(ask(engine, 100.1, customer="a", time_left=2.4), api.RejectRequest)
+        for action in actions_of(ask(engine, 100.1, customer="a", time_left=2.4), api.RejectRequest)
     ]
     assert late == ([] if limiters == 3 else ["late"])
 
@@ -94,13 +96,13 @@
     engine = make()
     for endpoint in engine.endpoints.values():
         endpoint.in_flight["other", 0] = 9.0
-    (refusal,) = only(ask(engine, 100.0), api.RejectRequest)
+    (refusal,) = actions_of(ask(engine, 100.0), api.RejectRequest)
     assert 0 < refusal.retry_after < LOOKUP.latency_objective / 2
 
 
 def slow(engine: DecisionEngine, now: float, elapsed: float, count: int) -> None:
     for i in range(count):
-        for send in only(ask(engine, now, customer=f"{now}{i}"), api.StartAttempt):
+        for send in actions_of(ask(engine, now, customer=f"{now}{i}"), api.StartAttempt):
             engine.handle(
                 api.AttemptEnded(send.id, 0, send.endpoint, "ok", elapsed, final=True), now
             )
@@ -113,12 +115,12 @@
     """
     engine = make(0, limiter_count=LARGE_FLEET)
     slow(engine, 100.0, 0.1, 20)
-    assert only(ask(engine, 100.0, customer="a"), api.StartAttempt)
+    assert actions_of(ask(engine, 100.0, customer="a"), api.StartAttempt)
     slow(engine, 100.1, 3.0, 60)
-    assert only(ask(engine, 100.1, customer="b"), api.RejectRequest)
+    assert actions_of(ask(engine, 100.1, customer="b"), api.RejectRequest)
     for beat in range(200):  # all rejected: nothing tells that it is over
         engine.handle(api.TimerFired("beat"), 100.2 + beat / 10)
-    assert only(ask(engine, 121.0, customer="c"), api.StartAttempt)
+    assert actions_of(ask(engine, 121.0, customer="c"), api.StartAttempt)
 
 
 def test_attempts_in_flight_tell_of_a_slowing() -> None:
@@ -140,7 +142,7 @@
     for turn in range(100):
         for name in sent:
             sent[name] += len(
-                only(ask(engine, 100.0 + turn / 1000, name, set_size=1), api.StartAttempt)
+                actions_of(ask(engine, 100.0 + turn / 1000, name, set_size=1), api.StartAttempt)
             )
     return sent
 
@@ -183,14 +185,14 @@
     engine.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 100.0)
     for turn in range(2000):
         units, now = 1.0 + 3.0 * (turn % 2), 100.0 + turn / 10
-        (send,) = only(ask(engine, now, "cheap", set_size=1, units=units), api.StartAttempt)
+        (send,) = actions_of(ask(engine, now, "cheap", set_size=1, units=units), api.StartAttempt)
         engine.handle(
             api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.1 if units == 1.0 else 1.0, True),
             now,
         )
     by_units = []
     for units in (1.0, 4.0):
-        (send,) = only(ask(engine, 310.0, "cheap", set_size=1, units=units), api.StartAttempt)
+        (send,) = actions_of(ask(engine, 310.0, "cheap", set_size=1, units=units), api.StartAttempt)
         by_units.append(engine.pending_requests[send.id].attempts[0].work)
         engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.1, True), 310.0)
     assert by_units[1] > 6 * by_units[0]
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -8,10 +8,10 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip import codec as gossip
 from tests.decisions.helpers import (
+    actions_of,
     ask,
     entry,
     make,
-    only,
     servers,
 )
 
@@ -22,7 +22,7 @@
     engine = make()
     endpoint = engine.endpoints["s0"]
     for i in range(40):
-        (send,) = only(ask(engine, 100.0 + i, customer=f"{i}"), api.StartAttempt)
+        (send,) = actions_of(ask(engine, 100.0 + i, customer=f"{i}"), api.StartAttempt)
         cost = 20.0 if i % 20 == 0 else 0.1
         engine.handle(
             api.AttemptEnded(send.id, 0, send.endpoint, "ok", cost, final=True), 100.5 + i
@@ -41,7 +41,9 @@
         for kind, names in used.items():
             names |= {
                 s.endpoint
-                for s in only(ask(engine, 100.4, kind, customer=f"{kind}{i}"), api.StartAttempt)
+                for s in actions_of(
+                    ask(engine, 100.4, kind, customer=f"{kind}{i}"), api.StartAttempt
+                )
             }
     assert "s0" not in used["lookup"] and "s0" in used["issue"]
 
@@ -58,7 +60,7 @@
     used = {
         s.endpoint
         for i in range(40)
-        for s in only(ask(engine, 100.2, customer=f"{i}"), api.StartAttempt)
+        for s in actions_of(ask(engine, 100.2, customer=f"{i}"), api.StartAttempt)
     }
     assert "s1" not in used and len(used) == 3
 
@@ -66,14 +68,16 @@
 def test_a_late_answer_while_others_hardly_wait_is_a_failure_of_its_endpoint() -> None:
     """One endpoint answers late while the rest are quick: it may die next."""
     engine = make(0, limiter_count=LARGE_FLEET)
-    (send,) = only(ask(engine, 100.0), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
     engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 1.5, final=True), 101.5)
     assert engine.endpoints[send.endpoint].outlier_records["lookup"].failures == 1.0
 
 
 def fail(engine: DecisionEngine, status: api.Status, count: int) -> None:
     for i in range(count):
-        for send in only(ask(engine, 100.0 + i / 100, customer=f"{status}{i}"), api.StartAttempt):
+        for send in actions_of(
+            ask(engine, 100.0 + i / 100, customer=f"{status}{i}"), api.StartAttempt
+        ):
             ended = api.AttemptEnded(send.id, 0, send.endpoint, status, 0.003)
             engine.handle(ended, 100.01 + i / 100)
 
@@ -102,6 +106,6 @@
     """
     for limiters, ejected in ((LARGE_FLEET, 1), (3, 0)):
         engine = make(0, limiter_count=limiters)
-        (send,) = only(ask(engine, 100.0), api.StartAttempt)
+        (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
         engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "connect_failed", 0.003), 100.01)
         assert engine.endpoints[send.endpoint].outlier_records[""].ejections == ejected
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -12,10 +12,10 @@
 from hazelhollow.decisions.gossip.codec import base36
 from tests.decisions.helpers import (
     HARD,
+    actions_of,
     answer,
     ask,
     make,
-    only,
     servers,
     spend,
 )
@@ -30,7 +30,7 @@
 
 def test_a_settlement_may_leave_a_quota_in_debt() -> None:
     engine = make()
-    (send,) = only(ask(engine, 100.0, units=4.0), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0, units=4.0), api.StartAttempt)
     answer(engine, send, 100.0, true_units=20.0)
     assert spend(engine, 100.0, 5) == 0
     assert spend(engine, 102.0, 5) == 0  # still at nothing
@@ -47,7 +47,7 @@
 def test_a_settlement_counts_once_and_for_its_request_only() -> None:
     """Two answers of one request may both carry true units. Only the first may change the quota."""
     engine = make()
-    (send,) = only(ask(engine, 100.0, units=4.0), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0, units=4.0), api.StartAttempt)
     answer(engine, send, 100.0, true_units=1.0)
     answer(engine, send, 100.0, true_units=1.0)
     assert spend(engine, 100.0, 30) == 11
@@ -55,8 +55,8 @@
 
 def test_a_second_figure_of_one_request_settles_nothing() -> None:
     engine = make()
-    (send,) = only(ask(engine, 100.0, units=2.0), api.StartAttempt)
-    (again,) = only(answer(engine, send, 100.1, "error", true_units=4.0), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0, units=2.0), api.StartAttempt)
+    (again,) = actions_of(answer(engine, send, 100.1, "error", true_units=4.0), api.StartAttempt)
     engine.handle(api.AttemptEnded(again.id, 1, again.endpoint, "ok", 0.1, True, 4.0), 100.2)
     assert next(iter(engine.accounts.values())).quota.level == pytest.approx(12.0 - 4.0, abs=1.0)
 
@@ -64,20 +64,20 @@
 def test_a_request_beyond_the_quota_is_rejected_with_the_time_until_it_fits() -> None:
     engine = make()
     spend(engine, 100.0, 12)
-    (refusal,) = only(ask(engine, 100.0), api.RejectRequest)
+    (refusal,) = actions_of(ask(engine, 100.0), api.RejectRequest)
     assert 0 < refusal.retry_after <= 1.0 and refusal.reason == "quota"
 
 
 def test_a_rejection_names_its_reason_for_the_counters() -> None:
-    assert [r.reason for r in only(ask(make(), 0.0, plan_name="hard"), api.RejectRequest)] == [
-        "ceiling"
-    ]  # empty at a start
-    assert [r.reason for r in only(ask(make(), 0.0, plan_name="none"), api.RejectRequest)] == [
-        "unknown"
-    ]
+    assert [
+        r.reason for r in actions_of(ask(make(), 0.0, plan_name="hard"), api.RejectRequest)
+    ] == ["ceiling"]  # empty at a start
+    assert [
+        r.reason for r in actions_of(ask(make(), 0.0, plan_name="none"), api.RejectRequest)
+    ] == ["unknown"]
     bare = make()
     bare.handle(servers("full"), 0.0)
-    assert [r.reason for r in only(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
+    assert [r.reason for r in actions_of(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
 
 
 @pytest.mark.parametrize("run", range(5))
@@ -96,7 +96,9 @@
             fleet[number] = make(number)
             fleet[number].context.started_at = now
         units = float(chance.randint(1, 4))
-        for send in only(ask(fleet[number], now, plan_name="hard", units=units), api.StartAttempt):
+        for send in actions_of(
+            ask(fleet[number], now, plan_name="hard", units=units), api.StartAttempt
+        ):
             level -= units
             answer(fleet[number], send, now)
         assert level >= -1e-6
@@ -104,7 +106,9 @@
 
 def opened(engine: DecisionEngine, now: float) -> int:
     """How many requests of one customer are let in, one after the other, while none ends."""
-    return sum(bool(only(ask(engine, now, plan_name="few"), api.StartAttempt)) for _ in range(8))
+    return sum(
+        bool(actions_of(ask(engine, now, plan_name="few"), api.StartAttempt)) for _ in range(8)
+    )
 
 
 def test_an_open_limit_counts_what_peers_are_likely_to_have_in_flight() -> None:
@@ -144,7 +148,8 @@
         engine.accounts[key].quota.level = 10.0
         assert (
             sum(
-                bool(only(ask(engine, 1.9, plan_name="quick"), api.StartAttempt)) for _ in range(20)
+                bool(actions_of(ask(engine, 1.9, plan_name="quick"), api.StartAttempt))
+                for _ in range(20)
             )
             == most
         )
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -12,10 +12,10 @@
 from hazelhollow.decisions.retry import NEVER_RAN
 from tests.decisions.helpers import (
     HOLD,
+    actions_of,
     answer,
     ask,
     make,
-    only,
 )
 
 
@@ -25,10 +25,10 @@
     What may have run must not run again; what never ran may.
     """
     engine = make()
-    (send,) = only(ask(engine, 100.0, "issue"), api.StartAttempt)
-    assert only(answer(engine, send, 100.1, "reset"), api.FailRequest)
-    (send,) = only(ask(engine, 100.2, "issue"), api.StartAttempt)
-    assert only(answer(engine, send, 100.3, "full"), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0, "issue"), api.StartAttempt)
+    assert actions_of(answer(engine, send, 100.1, "reset"), api.FailRequest)
+    (send,) = actions_of(ask(engine, 100.2, "issue"), api.StartAttempt)
+    assert actions_of(answer(engine, send, 100.3, "full"), api.StartAttempt)
 
 
 def test_late_events_for_an_ended_request_are_harmless() -> None:
@@ -37,7 +37,7 @@
     It must neither fail nor bring the request back.
     """
     engine = make()
-    (send,) = only(ask(engine, 100.0), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
     answer(engine, send, 100.1)
     assert answer(engine, send, 100.2, "timeout") == []
     assert engine.handle(api.ClientDisconnected(send.id), 100.3) == []
@@ -66,13 +66,13 @@
     zones = {s.entry.name: s.entry.zone for s in engine.endpoints.values()}
     ran: list[tuple[str, float]] = []
     for number, status in enumerate([*statuses, "timeout", "timeout", "timeout"]):
-        sends = only(actions, api.StartAttempt)
+        sends = actions_of(actions, api.StartAttempt)
         finals = [a for a in actions if isinstance(a, api.RejectRequest | api.FailRequest)]
         assert len(sends) + len(finals) == 1
         if ran and kind == "issue":
-            assert not sends and not only(finals, api.RejectRequest)
+            assert not sends and not actions_of(finals, api.RejectRequest)
         if ran and kind == "hold":
-            assert not only(finals, api.RejectRequest)
+            assert not actions_of(finals, api.RejectRequest)
             for send in sends:
                 assert zones[send.endpoint] == ran[0][0] and now < ran[0][1] + HOLD.dedup_window
         if finals:
@@ -85,7 +85,7 @@
         event = api.AttemptEnded(sends[0].id, number, sends[0].endpoint, status, 0.1, final=final)  # type: ignore[arg-type]
         actions = engine.handle(event, now)
         if final:
-            assert not only(actions, api.StartAttempt) and engine.pending_requests == {}
+            assert not actions_of(actions, api.StartAttempt) and engine.pending_requests == {}
             return
     raise AssertionError("never ended")
 
@@ -98,9 +98,9 @@
     for elapsed, most in ((0.0002, 200), (0.5, 30)):
         engine, retried = make(), 0
         for number in range(200):
-            (send,) = only(ask(engine, 1.0 + number, customer=str(number)), api.StartAttempt)
+            (send,) = actions_of(ask(engine, 1.0 + number, customer=str(number)), api.StartAttempt)
             event = api.AttemptEnded(send.id, 0, send.endpoint, "reset", elapsed)
-            again = only(engine.handle(event, 1.0 + number), api.StartAttempt)
+            again = actions_of(engine.handle(event, 1.0 + number), api.StartAttempt)
             retried += len(again)
             for further in again:
                 engine.handle(
@@ -115,20 +115,24 @@
     Some usual requests are answered before.
     """
     for number in range(30):
-        for send in only(ask(engine, 1.0 + number / 10, customer=str(number)), api.StartAttempt):
+        for send in actions_of(
+            ask(engine, 1.0 + number / 10, customer=str(number)), api.StartAttempt
+        ):
             engine.handle(
                 api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.02, True), 1.02 + number / 10
             )
-    (send,) = only(ask(engine, 5.0, kind), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 5.0, kind), api.StartAttempt)
     engine.load.queue_wait = wait
     if answers:
         engine.endpoints[send.endpoint].last_progress_at = 5.7
-    cancels = only(engine.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
+    cancels = actions_of(engine.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
     actions = [
         engine.handle(api.AttemptEnded(c.id, c.attempt, send.endpoint, "cancelled", 0.75), 5.75)
         for c in cancels
     ]
-    return [again.endpoint for a in actions for again in only(a, api.StartAttempt)], send.endpoint
+    return [
+        again.endpoint for a in actions for again in actions_of(a, api.StartAttempt)
+    ], send.endpoint
 
 
 @pytest.mark.parametrize("answers", [False, True])
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -17,7 +17,7 @@
 from hazelhollow.decisions.slow_start import SlowStart
 from hazelhollow.decisions.state.endpoint import Endpoint
 from hazelhollow.decisions.state.sliding_window import SlidingWindow
-from tests.decisions.helpers import answer, ask, entry, make, only, servers
+from tests.decisions.helpers import actions_of, answer, ask, entry, make, servers
 from tests.net.scenario import SETTINGS
 
 LARGE_FLEET = 40
@@ -28,7 +28,7 @@
     engine.handle(servers("change", entry("s0", started=99.9)), 100.0)
     counts = dict.fromkeys(("s0", "s1", "s2", "s3"), 0)
     for i in range(200):
-        for send in only(ask(engine, 100.0 + i * 0.01, customer=f"{i}"), api.StartAttempt):
+        for send in actions_of(ask(engine, 100.0 + i * 0.01, customer=f"{i}"), api.StartAttempt):
             counts[send.endpoint] += 1
             answer(engine, send, 100.0 + i * 0.01)
     warm = (counts["s1"] + counts["s2"] + counts["s3"]) / 3
@@ -47,7 +47,7 @@
     chance, counts = random.Random(1), dict.fromkeys([*(f"s{i}" for i in range(12)), "cold"], 0)
     for i in range(2400):  # 8 a second at each of 100 limiters, for three seconds
         engine, now = chance.choice(many), 100.0 + i / 800
-        for send in only(ask(engine, now, customer=f"{i}"), api.StartAttempt):
+        for send in actions_of(ask(engine, now, customer=f"{i}"), api.StartAttempt):
             counts[send.endpoint] += 1
             answer(engine, send, now)
     warm = sum(counts.values()) / 13
@@ -58,7 +58,7 @@
     engine = make(0, limiter_count=LARGE_FLEET)
     engine.handle(servers("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
     sent = sum(
-        len(only(ask(engine, 100.0 + i / 50, customer=f"{i}"), api.StartAttempt))
+        len(actions_of(ask(engine, 100.0 + i / 50, customer=f"{i}"), api.StartAttempt))
         for i in range(100)
     )
     assert 0 < sent < 100
@@ -87,7 +87,7 @@
         return cold(endpoint, now, settings)
 
     monkeypatch.setattr(Endpoint, "is_warming_up", counted)
-    assert only(ask(engine, 100.1, "look", set_size=1, time_left=3.0), api.StartAttempt)
+    assert actions_of(ask(engine, 100.1, "look", set_size=1, time_left=3.0), api.StartAttempt)
     assert looks <= 3 * 80
 
 
--- a/tests/decisions/test_startup_quota.py
+++ b/tests/decisions/test_startup_quota.py
@@ -7,9 +7,9 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.gossip.codec import base36, incarnation_name
 from tests.decisions.helpers import (
+    actions_of,
     ask,
     make,
-    only,
     spend,
 )
 
@@ -46,4 +46,4 @@
                 1000.0,
             )
         let_in += [ask(engine, 1000.0, plan_name=plan) for _ in range(30)]
-        assert sum(bool(only(actions, api.StartAttempt)) for actions in let_in) == most
+        assert sum(bool(actions_of(actions, api.StartAttempt)) for actions in let_in) == most
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -13,11 +13,11 @@
 from hazelhollow.decisions.outlier_detection import OutlierRecord
 from hazelhollow.decisions.subsetting import MIN_LIMITERS_PER_ENDPOINT, MIN_SUBSET_SIZE, subset
 from tests.decisions.helpers import (
+    actions_of,
     answer,
     ask,
     entry,
     make,
-    only,
     servers,
 )
 
@@ -63,7 +63,7 @@
         record.ejections, record.ejected_until = 1, 1100.0
     for i in range(count):
         now = 100.0 + i / 10
-        for send in only(ask(engine, now, customer=f"{i}"), api.StartAttempt):
+        for send in actions_of(ask(engine, now, customer=f"{i}"), api.StartAttempt):
             names |= {send.endpoint} if i >= count - 100 else set()
             answer(engine, send, now)
     return names
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -17,7 +17,7 @@
     unpack_address,
 )
 from hazelhollow.membership.timing import PROBE_INTERVAL_S, STALL_S
-from tests.decisions.helpers import ask, entry, only, servers
+from tests.decisions.helpers import actions_of, ask, entry, servers
 from tests.membership.helpers import PEER, alone, answered, from_peer
 from tests.net.scenario import SETTINGS
 
@@ -186,10 +186,10 @@
     """
     member = engine_of()
     member.handle(api.MembershipChanged(False, (0, 1, 2)), 1000.1)
-    refused = only(ask(member, 1000.2, "look"), api.RejectRequest)[0]
+    refused = actions_of(ask(member, 1000.2, "look"), api.RejectRequest)[0]
     assert refused.reason == "away" and member.pending_requests == {}
     member.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.3)
-    assert only(ask(member, 1000.4, "look"), api.StartAttempt)
+    assert actions_of(ask(member, 1000.4, "look"), api.StartAttempt)
 
 
 def gossip_recipients(member: DecisionEngine, now: float) -> set[int]:
--- a/tests/net/test_administrative_overrides.py
+++ b/tests/net/test_administrative_overrides.py
@@ -9,7 +9,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.override_file import OverrideFile, path_for
-from tests.decisions.helpers import ask, entry, make, only, servers
+from tests.decisions.helpers import actions_of, ask, entry, make, servers
 from tests.net.scenario import Stage
 from tests.net.test_operator_address import call, figures, stage
 
@@ -25,12 +25,12 @@
     sent = {
         s.endpoint
         for i in range(40)
-        for s in only(ask(gateway, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
+        for s in actions_of(ask(gateway, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
     }
     assert sent == {"s2"}
     gateway.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
     # the list says it is up: the ban holds all the same
-    assert not only(ask(gateway, 101.1), api.StartAttempt)
+    assert not actions_of(ask(gateway, 101.1), api.StartAttempt)
 
 
 def test_a_server_put_back_is_cold() -> None:
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -15,7 +15,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.requests import RequestLimits
 from hazelhollow.platform_config import PlatformConfigError
-from tests.decisions.helpers import answer, ask, make, only
+from tests.decisions.helpers import actions_of, answer, ask, make
 from tests.net.scenario import BUY, LOOK, Stage
 from tests.net.test_connection_ends import unanswering
 
@@ -126,24 +126,24 @@
     The request keeps those that it came with.
     """
     gateway = make(0, limiter_count=1, max_attempts=3)
-    (first,) = only(ask(gateway, 100.0, id="r1"), api.StartAttempt)
+    (first,) = actions_of(ask(gateway, 100.0, id="r1"), api.StartAttempt)
     gateway.retune(replace(gateway.settings, max_attempts=1))
-    assert only(
+    assert actions_of(
         answer(gateway, first, 100.1, "error"), api.StartAttempt
     ), "an open request lost its further attempts"
-    (later,) = only(ask(gateway, 100.2, id="r2"), api.StartAttempt)
-    assert not only(answer(gateway, later, 100.3, "error"), api.StartAttempt)
+    (later,) = actions_of(ask(gateway, 100.2, id="r2"), api.StartAttempt)
+    assert not actions_of(answer(gateway, later, 100.3, "error"), api.StartAttempt)
 
 
 def test_an_open_request_keeps_its_class_when_the_class_goes() -> None:
     """A reload drops the class of an open request. The request is still served, with retries."""
     gateway = make(0, limiter_count=1, max_attempts=3)
-    (first,) = only(ask(gateway, 100.0, id="r1", kind="issue"), api.StartAttempt)
+    (first,) = actions_of(ask(gateway, 100.0, id="r1", kind="issue"), api.StartAttempt)
     gateway.retune(replace(gateway.settings, classes=gateway.settings.classes[:1]))
     answer(gateway, first, 100.1, "ok")  # its class is gone: it ends all the same
     assert "r1" not in gateway.pending_requests or gateway.pending_requests["r1"].ended
     # a class that is gone is sent nowhere
-    assert not only(ask(gateway, 100.2, kind="issue"), api.StartAttempt)
+    assert not actions_of(ask(gateway, 100.2, kind="issue"), api.StartAttempt)
 
 
 def test_how_long_clients_waited_under_another_deadline_says_nothing_of_now() -> None:
