--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -50,7 +50,7 @@
         overload_window=2.0,
     )
     engine = DecisionEngine(api.Settings(**{**values, **changes}), seed=7)
-    engine.handle(servers("cached", *(entry(f"s{i}", "ab"[i % 2]) for i in range(4))), 0.0)
+    engine.handle(endpoint_list("cached", *(entry(f"s{i}", "ab"[i % 2]) for i in range(4))), 0.0)
     return engine
 
 
@@ -58,7 +58,7 @@
     return api.EndpointEntry(name, state, zone, 0, 1.0, started)  # type: ignore[arg-type]
 
 
-def servers(kind: str, *entries: api.EndpointEntry) -> api.EndpointsUpdated:
+def endpoint_list(kind: str, *entries: api.EndpointEntry) -> api.EndpointsUpdated:
     return api.EndpointsUpdated(kind, entries)  # type: ignore[arg-type]
 
 
@@ -146,7 +146,7 @@
 ) -> DecisionEngine:
     """With so many customers known, each of a set of three."""
     engine = make(1, limiter_count=limiters, classes=kinds(classes), gossip_messages_per_s=60.0)
-    engine.handle(servers("full", *listed(hosts)), 100.0)
+    engine.handle(endpoint_list("full", *listed(hosts)), 100.0)
     for number in range(customers):
         engine.customer_accounts.get(
             gossip.base36(number), engine.context.plans["basic"], number % limiters, 3
@@ -174,7 +174,7 @@
 
 def table_of(*entries: api.EndpointEntry) -> EndpointTable:
     table = EndpointTable(ENGINE_SETTINGS)
-    table.apply(servers("full", *entries), 100.0)
+    table.apply(endpoint_list("full", *entries), 100.0)
     return table
 
 
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -31,11 +31,11 @@
     ask,
     bytecodes,
     charged,
+    endpoint_list,
     engine_of_size,
     entry,
     listed,
     make,
-    servers,
     table_of,
 )
 
@@ -104,10 +104,10 @@
         found = []
         for number in range(9):
             for event in (
-                servers("change", entry(f"s{number}", state="draining")),
-                servers("change", entry(f"s{number}", started=101.0)),
-                servers("change", entry(f"new{number}")),
-                servers("change", entry(f"s{number}", state="gone")),
+                endpoint_list("change", entry(f"s{number}", state="draining")),
+                endpoint_list("change", entry(f"s{number}", started=101.0)),
+                endpoint_list("change", entry(f"new{number}")),
+                endpoint_list("change", entry(f"s{number}", state="gone")),
             ):
                 now = 101.0 + number
                 found.append(bytecodes(partial(handle_and_ask, engine, event, now)))
@@ -117,9 +117,9 @@
 
 def test_a_whole_list_that_says_what_is_known_costs_little() -> None:
     table, known = table_of(*listed(SERVERS)), listed(SERVERS)
-    same = bytecodes(lambda: table.apply(servers("full", *known), 100.0))
+    same = bytecodes(lambda: table.apply(endpoint_list("full", *known), 100.0))
     first = dict(table.endpoints)
-    new = bytecodes(lambda: table.apply(servers("full", *listed(SERVERS, "t")), 100.0))
+    new = bytecodes(lambda: table.apply(endpoint_list("full", *listed(SERVERS, "t")), 100.0))
     assert same <= new / 4 and not first.keys() & table.endpoints.keys()
 
 
--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -8,20 +8,31 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.endpoint_selection import MAX_COMPARED
-from tests.decisions.helpers import LIMITERS, actions_of, answer, ask, entry, listed, make, servers
+from tests.decisions.helpers import (
+    LIMITERS,
+    actions_of,
+    answer,
+    ask,
+    endpoint_list,
+    entry,
+    listed,
+    make,
+)
 
 
 def test_without_a_usable_endpoint_a_request_is_rejected() -> None:
     """All endpoints are gone or draining. The client must get its answer at once."""
     engine = make()
-    engine.handle(servers("full"), 99.0)
+    engine.handle(endpoint_list("full"), 99.0)
     assert len(actions_of(ask(engine, 100.0), api.RejectRequest)) == 1
 
 
 def test_a_draining_or_gone_endpoint_gets_nothing_new() -> None:
     engine = make()
-    engine.handle(servers("change", entry("s0", state="draining"), entry("s2", state="gone")), 99.0)
-    engine.handle(servers("change", entry("s1", state="gone")), 99.0)
+    engine.handle(
+        endpoint_list("change", entry("s0", state="draining"), entry("s2", state="gone")), 99.0
+    )
+    engine.handle(endpoint_list("change", entry("s1", state="gone")), 99.0)
     used = {
         s.endpoint
         for _ in range(9)
@@ -50,7 +61,7 @@
 def test_up_to_so_many_endpoints_all_are_compared_where_loads_are_known() -> None:
     for count in (MAX_COMPARED, MAX_COMPARED + 1, 500):
         engine = make(0, limiter_count=3)
-        engine.handle(servers("full", *listed(count)), 100.0)
+        engine.handle(endpoint_list("full", *listed(count)), 100.0)
         drawn = [some for _, some in engine.selection.rounds()]
         assert all(len(some) == MAX_COMPARED for some in drawn)
         assert count > MAX_COMPARED or drawn[0] == list(engine.endpoints.values())
@@ -60,7 +71,8 @@
 def test_among_many_endpoints_the_one_that_is_up_is_found(limiters: int) -> None:
     engine = make(0, limiter_count=limiters)
     engine.handle(
-        servers("full", *(replace(e, state="draining") for e in listed(500)), entry("last")), 100.0
+        endpoint_list("full", *(replace(e, state="draining") for e in listed(500)), entry("last")),
+        100.0,
     )
     assert [send.endpoint for send in actions_of(ask(engine, 100.1), api.StartAttempt)] == ["last"]
     assert engine.unavailable_endpoints() == {f"s{n}" for n in range(500)}
@@ -79,7 +91,7 @@
     )
     for turn in range(10):
         engine = make(turn % 3, limiter_count=limiters, classes=(order,))
-        engine.handle(servers("full", *listed(500)), 100.0)
+        engine.handle(endpoint_list("full", *listed(500)), 100.0)
         (send,) = actions_of(ask(engine, 100.0, "order"), api.StartAttempt)
         (again,) = actions_of(answer(engine, send, 100.1, "reset"), api.StartAttempt)
         assert (
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -16,9 +16,9 @@
 from hazelhollow.decisions.state.endpoint_table import EndpointTable
 from tests.decisions.helpers import (
     ENGINE_SETTINGS,
+    endpoint_list,
     entry,
     listed,
-    servers,
     table_of,
 )
 
@@ -105,8 +105,8 @@
                 table.override(words, what == "ban", now)
                 plain.banned = plain.banned | {words} if what == "ban" else plain.banned - {words}
             else:
-                table.apply(servers(what, *words), now)
-                plain.apply(servers(what, *words))
+                table.apply(endpoint_list(what, *words), now)
+                plain.apply(endpoint_list(what, *words))
             same_as(table, plain, now)
             for name, endpoint in table.endpoints.items():  # the same one until it has started anew
                 incarnation, before = incarnations.get(name, (0, endpoint))
@@ -142,5 +142,5 @@
     table = table_of(*listed(200))
     assert table.all() is table.all() and table.all_up() is table.all_up()
     order = table.ring(False, 100.0)
-    table.apply(servers("change", entry("new")), 100.0)
+    table.apply(endpoint_list("change", entry("new")), 100.0)
     assert table.ring(False, 100.0) is order and len(order) == 201
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -10,9 +10,9 @@
     actions_of,
     answer,
     ask,
+    endpoint_list,
     entry,
     make,
-    servers,
 )
 
 
@@ -74,7 +74,7 @@
                 api.AttemptEnded(send.id, 0, send.endpoint, status, 0.1, True), second + 0.2
             )
         engine.handle(
-            servers("change", entry(f"s{second % 4}", started=float(second))), second + 0.5
+            endpoint_list("change", entry(f"s{second % 4}", started=float(second))), second + 0.5
         )
         most = max(most, len(engine.accounts))
     assert (
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -10,9 +10,9 @@
 from tests.decisions.helpers import (
     actions_of,
     ask,
+    endpoint_list,
     entry,
     make,
-    servers,
     spend,
 )
 
@@ -73,7 +73,7 @@
 def test_charges_find_room_beside_the_loads_of_a_large_fleet() -> None:
     """A load map that fills the message must not crowd out the charges."""
     one = make(0, limiter_count=8)
-    one.handle(servers("full", *(entry(f"x{i}") for i in range(80))), 99.0)
+    one.handle(endpoint_list("full", *(entry(f"x{i}") for i in range(80))), 99.0)
     for i in range(60):
         ask(one, 100.0, customer=f"k{i}")
     told: set[str] = set()
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -13,9 +13,9 @@
 from hazelhollow.decisions.gossip import codec as gossip
 from tests.decisions.helpers import (
     ask,
+    endpoint_list,
     entry,
     same_key,
-    servers,
 )
 from tests.net.scenario import LOOK, PLAN, SETTINGS
 
@@ -38,7 +38,7 @@
         ),
         seed=me,
     )
-    one.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
+    one.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
     return one
 
 
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -14,9 +14,9 @@
     LOOKUP,
     actions_of,
     ask,
+    endpoint_list,
     entry,
     make,
-    servers,
     spend,
 )
 
@@ -138,7 +138,7 @@
     plan = api.Plan("basic", rate=1000.0, burst=1000.0)
     told = api.Settings(0, 1, (CHEAP, DEAR), (plan,), max_units=4.0, max_attempts=3, **changes)  # type: ignore[arg-type]
     engine, sent = DecisionEngine(told, seed=1), {"cheap": 0, "dear": 0}
-    engine.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 100.0)
+    engine.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))), 100.0)
     for turn in range(100):
         for name in sent:
             sent[name] += len(
@@ -182,7 +182,7 @@
     engine = DecisionEngine(
         api.Settings(0, 1, (CHEAP,), (plan,), max_units=4.0, max_attempts=3), seed=1
     )
-    engine.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 100.0)
+    engine.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))), 100.0)
     for turn in range(2000):
         units, now = 1.0 + 3.0 * (turn % 2), 100.0 + turn / 10
         (send,) = actions_of(ask(engine, now, "cheap", set_size=1, units=units), api.StartAttempt)
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -10,9 +10,9 @@
 from tests.decisions.helpers import (
     actions_of,
     ask,
+    endpoint_list,
     entry,
     make,
-    servers,
 )
 
 LARGE_FLEET = 40
@@ -94,7 +94,7 @@
     That must not look like an overload, as a full queue does.
     """
     engine = make(0, limiter_count=LARGE_FLEET)
-    engine.handle(servers("full", *(entry(f"s{i}") for i in range(60))), 100.0)
+    engine.handle(endpoint_list("full", *(entry(f"s{i}") for i in range(60))), 100.0)
     fail(engine, status, 30)
     assert (engine.load.queue_wait > 0.35 * engine.load.tightest_objective) == pressed
 
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -15,8 +15,8 @@
     actions_of,
     answer,
     ask,
+    endpoint_list,
     make,
-    servers,
     spend,
 )
 
@@ -76,7 +76,7 @@
         r.reason for r in actions_of(ask(make(), 0.0, plan_name="none"), api.RejectRequest)
     ] == ["unknown"]
     bare = make()
-    bare.handle(servers("full"), 0.0)
+    bare.handle(endpoint_list("full"), 0.0)
     assert [r.reason for r in actions_of(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
 
 
--- a/tests/decisions/test_replicated_accounts.py
+++ b/tests/decisions/test_replicated_accounts.py
@@ -16,8 +16,8 @@
 from hazelhollow.decisions.state.period_charges import ClosedCount, PeriodCharges
 from tests.decisions.helpers import (
     ask,
+    endpoint_list,
     entry,
-    servers,
 )
 from tests.net.scenario import PLAN, SETTINGS
 
@@ -53,7 +53,7 @@
             gossip_messages_per_s=1000.0,
         )
         one = DecisionEngine(settings_, seed=me)
-        one.handle(servers("full", *(entry(f"s{n}") for n in range(6))), self.now)
+        one.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(6))), self.now)
         one.handle(self.view(members), self.now)
         return one
 
@@ -415,7 +415,7 @@
 
 def test_the_platforms_own_path_keeps_no_counts() -> None:
     one = DecisionEngine(replace(SETTINGS, plans=(SLOW, FAST)), seed=1)
-    one.handle(servers("full", entry("s1")), 1000.0)
+    one.handle(endpoint_list("full", entry("s1")), 1000.0)
     ask(one, 1000.1, "look", plan_name="slow")
     for turn in range(40):
         assert not [
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -17,7 +17,7 @@
 from hazelhollow.decisions.slow_start import SlowStart
 from hazelhollow.decisions.state.endpoint import Endpoint
 from hazelhollow.decisions.state.sliding_window import SlidingWindow
-from tests.decisions.helpers import actions_of, answer, ask, entry, make, servers
+from tests.decisions.helpers import actions_of, answer, ask, endpoint_list, entry, make
 from tests.net.scenario import SETTINGS
 
 LARGE_FLEET = 40
@@ -25,7 +25,7 @@
 
 def test_an_endpoint_that_is_warming_up_gets_less_than_its_share() -> None:
     engine = make()
-    engine.handle(servers("change", entry("s0", started=99.9)), 100.0)
+    engine.handle(endpoint_list("change", entry("s0", started=99.9)), 100.0)
     counts = dict.fromkeys(("s0", "s1", "s2", "s3"), 0)
     for i in range(200):
         for send in actions_of(ask(engine, 100.0 + i * 0.01, customer=f"{i}"), api.StartAttempt):
@@ -40,7 +40,9 @@
     many = [make(i, limiter_count=100) for i in range(100)]
     for me, engine in enumerate(many):
         engine.handle(
-            servers("full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)),
+            endpoint_list(
+                "full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)
+            ),
             100.0,
         )
         engine.context.random.seed(me)
@@ -56,7 +58,7 @@
 
 def test_endpoints_that_are_all_warming_up_are_still_sent_work() -> None:
     engine = make(0, limiter_count=LARGE_FLEET)
-    engine.handle(servers("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
+    engine.handle(endpoint_list("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
     sent = sum(
         len(actions_of(ask(engine, 100.0 + i / 50, customer=f"{i}"), api.StartAttempt))
         for i in range(100)
@@ -78,7 +80,7 @@
     )
     engine, looks, cold = DecisionEngine(told, seed=1), 0, Endpoint.is_warming_up
     engine.handle(
-        servers("full", *(entry(f"s{n}", started=99.0 * (n % 2)) for n in range(80))), 100.0
+        endpoint_list("full", *(entry(f"s{n}", started=99.0 * (n % 2)) for n in range(80))), 100.0
     )
 
     def counted(endpoint: Endpoint, now: float, settings: api.Settings) -> bool:
@@ -101,10 +103,10 @@
         overload_window=2.0,
     )
     engine = DecisionEngine(told, seed=1)
-    engine.handle(servers("full", entry("old"), entry("new", started=99.0)), 100.0)
+    engine.handle(endpoint_list("full", entry("old"), entry("new", started=99.0)), 100.0)
     ask(engine, 100.1, "look", set_size=1, time_left=3.0)
     widths = engine.table.warm_concurrency(100.1)
-    engine.handle(servers("change", entry("third")), 100.1)  # in the same moment
+    engine.handle(endpoint_list("change", entry("third")), 100.1)  # in the same moment
     ask(engine, 100.1, "look", set_size=1, time_left=3.0)
     assert engine.table.warm_concurrency(100.1) == 2 * widths > 0
 
@@ -178,7 +180,7 @@
             overload_window=FALL_TIME,
         )
         one = DecisionEngine(told, seed * 1000 + number)
-        one.handle(servers("full", *(entry(name) for name in self.hosts)), START)
+        one.handle(endpoint_list("full", *(entry(name) for name in self.hosts)), START)
         return one
 
     def at(self, when: float, call: Callable[[], None]) -> None:
@@ -202,7 +204,7 @@
     def join(self, count: int) -> None:
         for number in range(count):
             self.hosts[f"c{number}"] = Host(self.now)
-        listed = servers(
+        listed = endpoint_list(
             "change", *(entry(f"c{number}", started=self.now) for number in range(count))
         )
         for one in self.gateways:
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -16,9 +16,9 @@
     actions_of,
     answer,
     ask,
+    endpoint_list,
     entry,
     make,
-    servers,
 )
 
 HOSTS = [f"s{i:02}" for i in range(60)]
@@ -56,7 +56,7 @@
 ) -> set[str]:
     """By one engine, for the last hundred of so many requests, each answered at once."""
     engine, names = make(2, limiter_count=limiters), set[str]()
-    engine.handle(servers("full", *(changes.get(name, entry(name)) for name in HOSTS)), 0.0)
+    engine.handle(endpoint_list("full", *(changes.get(name, entry(name)) for name in HOSTS)), 0.0)
     for name in ejected:
         record = engine.endpoints[name].outlier_records[""] = OutlierRecord()
         record.failures, record.updated_at = 9.0, 100.0
@@ -74,7 +74,7 @@
 ):
     assert len(used(40, {})) == MIN_SUBSET_SIZE
     small = make(2, limiter_count=3)
-    small.handle(servers("full", *(entry(name) for name in HOSTS)), 0.0)
+    small.handle(endpoint_list("full", *(entry(name) for name in HOSTS)), 0.0)
     assert len(next(small.selection.rounds())[1]) == len(HOSTS)
 
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -17,7 +17,7 @@
     unpack_address,
 )
 from hazelhollow.membership.timing import PROBE_INTERVAL_S, STALL_S
-from tests.decisions.helpers import actions_of, ask, entry, servers
+from tests.decisions.helpers import actions_of, ask, endpoint_list, entry
 from tests.membership.helpers import PEER, alone, answered, from_peer
 from tests.net.scenario import SETTINGS
 
@@ -176,7 +176,7 @@
     member = DecisionEngine(
         replace(SETTINGS, limiter_count=gateways, gossip_messages_per_s=100.0), seed=1
     )
-    member.handle(servers("full", entry("s1")), 1000.0)
+    member.handle(endpoint_list("full", entry("s1")), 1000.0)
     return member
 
 
--- a/tests/membership/test_partition_quota.py
+++ b/tests/membership/test_partition_quota.py
@@ -16,7 +16,7 @@
 from hazelhollow.membership.partition_quota import SILENCE_S, TAKE_OVER_AFTER_S, PartitionQuota
 from hazelhollow.membership.presence_index import PresenceIndex
 from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record
-from tests.decisions.helpers import ask, entry, servers
+from tests.decisions.helpers import ask, endpoint_list, entry
 from tests.net.scenario import PLAN, SETTINGS
 
 LIVES = {1: 11, 2: 12, 3: 13, 4: 14}
@@ -234,7 +234,7 @@
         gossip_messages_per_s=1000.0,
     )
     one = DecisionEngine(settings, seed=me)
-    one.handle(servers("full", *(entry(f"s{n}") for n in range(6))), 1000.0)
+    one.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(6))), 1000.0)
     return one
 
 
--- a/tests/net/test_administrative_overrides.py
+++ b/tests/net/test_administrative_overrides.py
@@ -9,7 +9,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.override_file import OverrideFile, path_for
-from tests.decisions.helpers import actions_of, ask, entry, make, servers
+from tests.decisions.helpers import actions_of, ask, endpoint_list, entry, make
 from tests.net.scenario import Stage
 from tests.net.test_operator_address import call, figures, stage
 
@@ -20,7 +20,7 @@
     Neither a drain of the only other one nor a list that says it is up may bring it a request.
     """
     gateway = make(0, limiter_count=1)
-    gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    gateway.handle(endpoint_list("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
     sent = {
         s.endpoint
@@ -28,7 +28,7 @@
         for s in actions_of(ask(gateway, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
     }
     assert sent == {"s2"}
-    gateway.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
+    gateway.handle(endpoint_list("full", entry("s2", state="draining"), entry("s1")), 101.0)
     # the list says it is up: the ban holds all the same
     assert not actions_of(ask(gateway, 101.1), api.StartAttempt)
 
@@ -39,12 +39,12 @@
     It starts slowly again, and a list with an old start time does not change that.
     """
     gateway = make(0, limiter_count=1)
-    gateway.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    gateway.handle(endpoint_list("full", entry("s1"), entry("s2")), 100.0)
     gateway.handle(api.EndpointOverridden("s1", True), 100.0)
     gateway.handle(api.EndpointOverridden("s1", False), 105.0)
     assert gateway.endpoints["s1"].is_warming_up(105.5, gateway.settings)
     gateway.handle(
-        servers("full", entry("s1"), entry("s2")), 106.0
+        endpoint_list("full", entry("s1"), entry("s2")), 106.0
     )  # a list that says it is old does not warm it
     assert gateway.endpoints["s1"].is_warming_up(106.0, gateway.settings) and not gateway.endpoints[
         "s2"
--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -30,7 +30,7 @@
 from hazelhollow.replication.restore import guaranteed_level
 from hazelhollow.replication.snapshot_collector import SLICE_CUSTOMERS, SnapshotCollector
 from hazelhollow.replication.snapshot_file import SnapshotFile
-from tests.decisions.helpers import entry, servers
+from tests.decisions.helpers import endpoint_list, entry
 from tests.net.scenario import PLAN, SETTINGS
 
 START = 1_700_000_000.0
@@ -76,7 +76,7 @@
             number,
             SnapshotFile(fleet.folder, number),
         )
-        self.handle(servers("full", *(entry(f"s{n}") for n in range(4))))
+        self.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
         self.handle(api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True))
         self.ask()
