--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -135,7 +135,7 @@
     ]
 
 
-def kinds(count: int) -> tuple[api.RequestClass, ...]:
+def request_classes(count: int) -> tuple[api.RequestClass, ...]:
     return tuple(
         api.RequestClass(f"c{n}", 1.0 + n % 7 / 10, 4.0, 1.0 + n % 3, "safe") for n in range(count)
     )
@@ -145,7 +145,9 @@
     hosts: int, classes: int, customers: int, limiters: int = LIMITERS
 ) -> DecisionEngine:
     """With so many customers known, each of a set of three."""
-    engine = make(1, limiter_count=limiters, classes=kinds(classes), gossip_messages_per_s=60.0)
+    engine = make(
+        1, limiter_count=limiters, classes=request_classes(classes), gossip_messages_per_s=60.0
+    )
     engine.handle(endpoint_list("full", *listed(hosts)), 100.0)
     for number in range(customers):
         engine.customer_accounts.get(
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -12,8 +12,8 @@
     ENGINE_SETTINGS,
     LIMITERS,
     charged,
-    kinds,
     make,
+    request_classes,
 )
 
 
@@ -41,7 +41,7 @@
 
 
 def test_an_endpoint_that_failed_many_classes_long_ago_keeps_few_records() -> None:
-    engine = make(0, limiter_count=LIMITERS, classes=kinds(300))
+    engine = make(0, limiter_count=LIMITERS, classes=request_classes(300))
     endpoint = engine.endpoints["s0"]
     for number in range(300):
         engine.context.now = 100.0 + number
--- a/tests/decisions/test_class_statistics.py
+++ b/tests/decisions/test_class_statistics.py
@@ -22,8 +22,8 @@
 from hazelhollow.simulator.fields import Fields
 from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 from tests.decisions.helpers import (
-    kinds,
     make,
+    request_classes,
 )
 
 
@@ -148,8 +148,8 @@
 )
 
 
-def shown(stats: ClassStatistics, kinds: Sequence[api.RequestClass]) -> list[Any]:
-    values = [stats.value(kind.name) for kind in kinds]
+def shown(stats: ClassStatistics, request_classes: Sequence[api.RequestClass]) -> list[Any]:
+    values = [stats.value(kind.name) for kind in request_classes]
     aims = [stats.tightest_objective_from(value) for value in values]
     return [values, aims, stats.highest_value(), stats.least_valuable(), stats.tightest_objective()]
 
@@ -170,19 +170,21 @@
 ) -> None:
     told = [(first, 1.0)]
     for number, aim, worth, factor in changes:
-        kinds = list(told[-1][0])
-        kinds[number % len(kinds)] = replace(
-            kinds[number % len(kinds)], latency_objective=aim, priority_weight=worth
+        request_classes = list(told[-1][0])
+        request_classes[number % len(request_classes)] = replace(
+            request_classes[number % len(request_classes)],
+            latency_objective=aim,
+            priority_weight=worth,
         )
-        told.append((kinds, factor))
+        told.append((request_classes, factor))
     stats = ClassStatistics(first)
-    for kinds, factor in [*told, (last, 1.0), (first, 1.0)]:
-        stats.retune(kinds)
-        plain = ClassStatistics(kinds)
+    for request_classes, factor in [*told, (last, 1.0), (first, 1.0)]:
+        stats.retune(request_classes)
+        plain = ClassStatistics(request_classes)
         plain.units, plain.work = dict(stats.units), dict(stats.work)
-        plain._place_all(kinds)
-        assert shown(stats, kinds) == shown(plain, kinds)
-        stats.learn_work(kinds[0], 1, factor, 1.0)
+        plain._place_all(request_classes)
+        assert shown(stats, request_classes) == shown(plain, request_classes)
+        stats.learn_work(request_classes[0], 1, factor, 1.0)
 
 
 def test_one_changed_class_of_many_is_parsed_and_placed_alone(
@@ -207,7 +209,7 @@
 
 
 def test_gossip_names_classes_that_came_with_a_change() -> None:
-    one, two, three = kinds(3)
+    one, two, three = request_classes(3)
     engine = make(1, classes=(one, two))
     engine.retune(replace(engine.settings, classes=(two, three)))
     assert engine.receiver.class_of == {
@@ -225,7 +227,7 @@
 
 
 def test_a_class_that_is_listed_no_more_is_learned_of_and_counts_no_more() -> None:
-    one, two = kinds(2)
+    one, two = request_classes(2)
     stats = ClassStatistics((one, two))
     stats.retune((two,))
     stats.learn_work(one, 1, 0.001, 1.0)  # a request of it was still out
