--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -129,7 +129,7 @@
     return count
 
 
-def listed(count: int, prefix: str = "s") -> list[api.EndpointEntry]:
+def endpoint_entries(count: int, prefix: str = "s") -> list[api.EndpointEntry]:
     return [
         api.EndpointEntry(f"{prefix}{n}", "up", "abc"[n % 3], n // 4, 1.0) for n in range(count)
     ]
@@ -148,7 +148,7 @@
     engine = make(
         1, limiter_count=limiters, classes=request_classes(classes), gossip_messages_per_s=60.0
     )
-    engine.handle(endpoint_list("full", *listed(hosts)), 100.0)
+    engine.handle(endpoint_list("full", *endpoint_entries(hosts)), 100.0)
     for number in range(customers):
         engine.customer_accounts.get(
             gossip.base36(number), engine.context.plans["basic"], number % limiters, 3
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -31,10 +31,10 @@
     ask,
     bytecodes,
     charged,
+    endpoint_entries,
     endpoint_list,
     engine_of_size,
     entry,
-    listed,
     make,
     table_of,
 )
@@ -116,10 +116,12 @@
 
 
 def test_a_whole_list_that_says_what_is_known_costs_little() -> None:
-    table, known = table_of(*listed(SERVERS)), listed(SERVERS)
+    table, known = table_of(*endpoint_entries(SERVERS)), endpoint_entries(SERVERS)
     same = bytecodes(lambda: table.apply(endpoint_list("full", *known), 100.0))
     first = dict(table.endpoints)
-    new = bytecodes(lambda: table.apply(endpoint_list("full", *listed(SERVERS, "t")), 100.0))
+    new = bytecodes(
+        lambda: table.apply(endpoint_list("full", *endpoint_entries(SERVERS, "t")), 100.0)
+    )
     assert same <= new / 4 and not first.keys() & table.endpoints.keys()
 
 
--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -13,9 +13,9 @@
     actions_of,
     answer,
     ask,
+    endpoint_entries,
     endpoint_list,
     entry,
-    listed,
     make,
 )
 
@@ -61,7 +61,7 @@
 def test_up_to_so_many_endpoints_all_are_compared_where_loads_are_known() -> None:
     for count in (MAX_COMPARED, MAX_COMPARED + 1, 500):
         engine = make(0, limiter_count=3)
-        engine.handle(endpoint_list("full", *listed(count)), 100.0)
+        engine.handle(endpoint_list("full", *endpoint_entries(count)), 100.0)
         drawn = [some for _, some in engine.selection.rounds()]
         assert all(len(some) == MAX_COMPARED for some in drawn)
         assert count > MAX_COMPARED or drawn[0] == list(engine.endpoints.values())
@@ -71,7 +71,9 @@
 def test_among_many_endpoints_the_one_that_is_up_is_found(limiters: int) -> None:
     engine = make(0, limiter_count=limiters)
     engine.handle(
-        endpoint_list("full", *(replace(e, state="draining") for e in listed(500)), entry("last")),
+        endpoint_list(
+            "full", *(replace(e, state="draining") for e in endpoint_entries(500)), entry("last")
+        ),
         100.0,
     )
     assert [send.endpoint for send in actions_of(ask(engine, 100.1), api.StartAttempt)] == ["last"]
@@ -91,7 +93,7 @@
     )
     for turn in range(10):
         engine = make(turn % 3, limiter_count=limiters, classes=(order,))
-        engine.handle(endpoint_list("full", *listed(500)), 100.0)
+        engine.handle(endpoint_list("full", *endpoint_entries(500)), 100.0)
         (send,) = actions_of(ask(engine, 100.0, "order"), api.StartAttempt)
         (again,) = actions_of(answer(engine, send, 100.1, "reset"), api.StartAttempt)
         assert (
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -16,9 +16,9 @@
 from hazelhollow.decisions.state.endpoint_table import EndpointTable
 from tests.decisions.helpers import (
     ENGINE_SETTINGS,
+    endpoint_entries,
     endpoint_list,
     entry,
-    listed,
     table_of,
 )
 
@@ -139,7 +139,7 @@
 
 
 def test_lists_of_endpoints_are_cached_until_a_change_and_the_order_of_tags_beyond_it() -> None:
-    table = table_of(*listed(200))
+    table = table_of(*endpoint_entries(200))
     assert table.all() is table.all() and table.all_up() is table.all_up()
     order = table.ring(False, 100.0)
     table.apply(endpoint_list("change", entry("new")), 100.0)
