--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -156,7 +156,7 @@
     return engine
 
 
-def charged(customers: int, limiters: int = 3) -> DecisionEngine:
+def engine_with_charges(customers: int, limiters: int = 3) -> DecisionEngine:
     """A second and a half after the first of so many customers, each of whom was charged once."""
     engine = make(0, limiter_count=limiters, gossip_messages_per_s=60.0)
     engine.handle(api.TimerFired("beat"), 100.0)
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -11,7 +11,7 @@
 from tests.decisions.helpers import (
     ENGINE_SETTINGS,
     LIMITERS,
-    charged,
+    engine_with_charges,
     make,
     request_classes,
 )
@@ -61,7 +61,7 @@
 
 
 def test_updates_that_are_too_old_are_looked_at_only_once() -> None:
-    engine = charged(50)
+    engine = engine_with_charges(50)
     waiting = {(f"gone{n}", 50): "" for n in range(3000)}
     for _ in range(7):
         assert engine.composer.fill_datagram("head", waiting) == "head"
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -30,10 +30,10 @@
     answer,
     ask,
     bytecodes,
-    charged,
     endpoint_entries,
     endpoint_list,
     engine_of_size,
+    engine_with_charges,
     entry,
     make,
     table_of,
@@ -133,12 +133,12 @@
 
 
 def test_a_round_costs_what_it_may_send_however_many_customers_were_charged() -> None:
-    few, many = beats(charged(1000), 30), beats(charged(10_000), 30)
+    few, many = beats(engine_with_charges(1000), 30), beats(engine_with_charges(10_000), 30)
     assert max(many) <= MARGIN * max(few)
 
 
 def test_final_charges_of_many_customers_are_told_over_several_rounds() -> None:
-    engine = charged(3 * MAX_FINAL_CHARGES)
+    engine = engine_with_charges(3 * MAX_FINAL_CHARGES)
     for peer in engine.gossip.unsent:
         engine.gossip.unsent[peer].clear()
     engine.gossip.messages.rate = engine.gossip.messages.level = 0.0
