--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -188,7 +188,7 @@
 )
 
 
-def same_key(engine: DecisionEngine) -> tuple[str, str]:
+def customers_with_equal_keys(engine: DecisionEngine) -> tuple[str, str]:
     """Two customers that come to one key in messages."""
     seen: dict[str, str] = {}
     for number in range(200_000):
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -13,9 +13,9 @@
 from hazelhollow.decisions.gossip import codec as gossip
 from tests.decisions.helpers import (
     ask,
+    customers_with_equal_keys,
     endpoint_list,
     entry,
-    same_key,
 )
 from tests.net.scenario import LOOK, PLAN, SETTINGS
 
@@ -66,7 +66,7 @@
 
 def test_two_customers_of_one_key_do_not_go_by_each_others_plan() -> None:
     one, peer = engine(0, BRONZE, GOLD), engine(1, BRONZE, GOLD)
-    bronze, gold = same_key(one)
+    bronze, gold = customers_with_equal_keys(one)
     ask(one, 1000.1, "look", plan_name="bronze", set_size=2, customer=bronze)
     ask(one, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
     ask(one, 1000.3, "look", plan_name="bronze", set_size=2, customer=bronze)
--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -17,8 +17,8 @@
     actions_of,
     answer,
     ask,
+    customers_with_equal_keys,
     make,
-    same_key,
 )
 
 FLEET, SPREAD = 40, 30
@@ -72,7 +72,7 @@
 
 def test_a_large_set_tells_two_customers_of_one_key_apart_by_their_plans() -> None:
     limiters = fleet(plans=(BASIC, replace(BASIC, name="other")))
-    other, busy = same_key(limiters[0])
+    other, busy = customers_with_equal_keys(limiters[0])
     for me in range(SPREAD):  # has the key's own name everywhere
         deliver(
             limiters,
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -17,7 +17,7 @@
 from hazelhollow.net.command_reader import MAX_PIPELINED
 from hazelhollow.net.session import LINGER_S
 from hazelhollow.net.session_table import MAX_LINGERING
-from tests.decisions.helpers import same_key
+from tests.decisions.helpers import customers_with_equal_keys
 from tests.net.scenario import BUY, LOOK, SETTINGS, Stage
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
@@ -588,7 +588,7 @@
     stage = Stage(
         hosts=1, settings=replace(SETTINGS, limiter_count=1, plans=(*SETTINGS.plans, scarce))
     )
-    first, second = same_key(stage.service.engine)
+    first, second = customers_with_equal_keys(stage.service.engine)
     lean, full = (
         ask(n, 3000).replace("00000000b4d65521", who).replace("spread=2", "spread=1")
         for n, who in ((1, first), (2, second))
