--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -96,7 +96,7 @@
     return engine.handle(event, now)
 
 
-def spend(engine: DecisionEngine, now: float, tries: int, **changes: Any) -> int:
+def count_admitted(engine: DecisionEngine, now: float, tries: int, **changes: Any) -> int:
     """How many of so many requests go out, each answered at once."""
     sent = 0
     for _ in range(tries):
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -10,10 +10,10 @@
 from tests.decisions.helpers import (
     actions_of,
     ask,
+    count_admitted,
     endpoint_list,
     entry,
     make,
-    spend,
 )
 
 
@@ -30,10 +30,10 @@
     A charge counted twice would reject customers with units left.
     """
     one, other = make(0), make(1)
-    assert spend(one, 100.0, 9) == 9
+    assert count_admitted(one, 100.0, 9) == 9
     for message in tell(one, 100.1, to=1) * 3:
         other.handle(message, 100.2)
-    assert spend(other, 100.2, 30) == 2  # of 3: some more may be on its way
+    assert count_admitted(other, 100.2, 30) == 2  # of 3: some more may be on its way
 
 
 def test_a_lost_datagram_is_made_up_for_by_the_next_and_by_the_final_charges() -> None:
@@ -42,12 +42,12 @@
     Its charges must show up with the next one, or a peer would admit them again.
     """
     one, other = make(0), make(1)
-    spend(one, 100.0, 5)
+    count_admitted(one, 100.0, 5)
     tell(one, 100.1, to=1)  # lost
-    spend(one, 100.2, 4)
+    count_admitted(one, 100.2, 4)
     for message in tell(one, 101.1, to=1):
         other.handle(message, 101.2)
-    assert spend(other, 101.2, 30) <= 3 + 4
+    assert count_admitted(other, 101.2, 30) <= 3 + 4
 
 
 def test_reports_of_closed_periods_are_dropped() -> None:
@@ -56,16 +56,16 @@
     The period it tells of is closed, and it must change nothing.
     """
     one, other = make(0), make(1)
-    spend(one, 100.0, 9)
+    count_admitted(one, 100.0, 9)
     messages = tell(one, 100.1, to=1)
     for message in messages:
         other.handle(message, 103.0)
-    assert spend(other, 103.0, 30) == 12
+    assert count_admitted(other, 103.0, 30) == 12
 
 
 def test_only_the_other_members_of_a_set_are_told_its_charges() -> None:
     one = make(0)
-    spend(one, 100.0, 3, set_size=2)
+    count_admitted(one, 100.0, 3, set_size=2)
     told = actions_of(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
     assert [t.limiter_id for t in told if ":" in t.text] == [1]
 
@@ -119,7 +119,7 @@
     engine = make(0)
     fields = {"k": _key_of("c"), "p": base36(100 % 36), "old": base36(97 % 36)}
     engine.handle(api.GossipReceived(1, text.format(**fields)), 100.0)
-    assert spend(engine, 100.0, 30) == 12 and not engine.endpoints["s0"].outlier_records
+    assert count_admitted(engine, 100.0, 30) == 12 and not engine.endpoints["s0"].outlier_records
 
 
 @pytest.mark.parametrize("sender", [7, -1, 0])
@@ -128,9 +128,9 @@
     engine = make(0)
     text = f"h{base36(100 % 36)}0aa {_key_of('c')}:0:0:3:0:2i"
     engine.handle(api.GossipReceived(sender, text), 100.0)
-    assert spend(engine, 100.0, 30) == 12
+    assert count_admitted(engine, 100.0, 30) == 12
     engine.handle(api.GossipReceived(1, text), 100.0)  # the same from a peer counts: 9 units
-    assert spend(engine, 102.25, 30) == 0 and spend(engine, 102.5, 30) == 1
+    assert count_admitted(engine, 102.25, 30) == 0 and count_admitted(engine, 102.5, 30) == 1
 
 
 def _key_of(customer: str) -> str:
--- a/tests/decisions/test_gossip_byte_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -24,8 +24,8 @@
     actions_of,
     answer,
     ask,
+    count_admitted,
     make,
-    spend,
 )
 
 BUDGET = 600.0  # bytes a second
@@ -100,8 +100,8 @@
 def test_who_is_near_its_limit_is_told_before_the_calm() -> None:
     engine = budgeted(2, 400.0)
     for number in range(60):
-        assert spend(engine, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
-    assert spend(engine, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
+        assert count_admitted(engine, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
+    assert count_admitted(engine, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
     (text, *_) = told(engine.handle(api.TimerFired("beat"), 100.6))
     assert words([text], 1)[0] == key(engine, "near")
 
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -14,10 +14,10 @@
     LOOKUP,
     actions_of,
     ask,
+    count_admitted,
     endpoint_list,
     entry,
     make,
-    spend,
 )
 
 LARGE_FLEET = 40
@@ -60,8 +60,8 @@
     engine = make(clients_mark_retries=marks)
     # learned where clients mark nothing, known where they do
     for turn in range(6 if not marks else 0):
-        spend(engine, 100.0, 1, customer=f"{turn}", time_left=2.4 + turn / 1000)
-        spend(engine, 100.0, 1, customer=f"r{turn}", time_left=3.9)
+        count_admitted(engine, 100.0, 1, customer=f"{turn}", time_left=2.4 + turn / 1000)
+        count_admitted(engine, 100.0, 1, customer=f"r{turn}", time_left=3.9)
     for endpoint in engine.endpoints.values():
         endpoint.in_flight["other", 0], endpoint.last_progress_at = 0.4, 100.0
     assert actions_of(ask(engine, 100.1, customer="a", time_left=2.4), api.StartAttempt)
@@ -77,9 +77,9 @@
     Retries after a fixed wait, cut alike, would hold for first requests.
     """
     engine = make(limiter_count=limiters)
-    spend(engine, 100.0, 1, customer="first", time_left=4.0)
+    count_admitted(engine, 100.0, 1, customer="first", time_left=4.0)
     for turn in range(6):
-        spend(engine, 100.0, 1, customer=f"{turn}", time_left=2.4)
+        count_admitted(engine, 100.0, 1, customer=f"{turn}", time_left=2.4)
     for endpoint in engine.endpoints.values():
         endpoint.in_flight["other", 0], endpoint.last_progress_at = (
             0.7 if limiters > 8 else 0.4,
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -15,33 +15,33 @@
     actions_of,
     answer,
     ask,
+    count_admitted,
     endpoint_list,
     make,
-    spend,
 )
 
 
 def test_a_quota_refills_up_to_its_burst() -> None:
     engine = make()
-    assert spend(engine, 100.0, 30) == 12
-    assert spend(engine, 102.0, 30) == 8
-    assert spend(engine, 120.0, 30) == 12
+    assert count_admitted(engine, 100.0, 30) == 12
+    assert count_admitted(engine, 102.0, 30) == 8
+    assert count_admitted(engine, 120.0, 30) == 12
 
 
 def test_a_settlement_may_leave_a_quota_in_debt() -> None:
     engine = make()
     (send,) = actions_of(ask(engine, 100.0, units=4.0), api.StartAttempt)
     answer(engine, send, 100.0, true_units=20.0)
-    assert spend(engine, 100.0, 5) == 0
-    assert spend(engine, 102.0, 5) == 0  # still at nothing
-    assert spend(engine, 103.0, 5) > 0
+    assert count_admitted(engine, 100.0, 5) == 0
+    assert count_admitted(engine, 102.0, 5) == 0  # still at nothing
+    assert count_admitted(engine, 103.0, 5) > 0
 
 
 def test_a_quota_refills_evenly() -> None:
     engine = make()
-    assert spend(engine, 100.0, 30) == 12
-    assert spend(engine, 100.5, 30) == 2
-    assert spend(engine, 101.0, 30) == 2
+    assert count_admitted(engine, 100.0, 30) == 12
+    assert count_admitted(engine, 100.5, 30) == 2
+    assert count_admitted(engine, 101.0, 30) == 2
 
 
 def test_a_settlement_counts_once_and_for_its_request_only() -> None:
@@ -50,7 +50,7 @@
     (send,) = actions_of(ask(engine, 100.0, units=4.0), api.StartAttempt)
     answer(engine, send, 100.0, true_units=1.0)
     answer(engine, send, 100.0, true_units=1.0)
-    assert spend(engine, 100.0, 30) == 11
+    assert count_admitted(engine, 100.0, 30) == 11
 
 
 def test_a_second_figure_of_one_request_settles_nothing() -> None:
@@ -63,7 +63,7 @@
 
 def test_a_request_beyond_the_quota_is_rejected_with_the_time_until_it_fits() -> None:
     engine = make()
-    spend(engine, 100.0, 12)
+    count_admitted(engine, 100.0, 12)
     (refusal,) = actions_of(ask(engine, 100.0), api.RejectRequest)
     assert 0 < refusal.retry_after <= 1.0 and refusal.reason == "quota"
 
--- a/tests/decisions/test_startup_quota.py
+++ b/tests/decisions/test_startup_quota.py
@@ -9,8 +9,8 @@
 from tests.decisions.helpers import (
     actions_of,
     ask,
+    count_admitted,
     make,
-    spend,
 )
 
 
@@ -19,9 +19,9 @@
 
     It must not give all of it out again.
     """
-    assert spend(make(), 0.0, 30) == 4  # 12 / 3
-    assert spend(make(), 0.0, 30, set_size=2) == 6
-    assert spend(make(), 100.0, 30) == 12
+    assert count_admitted(make(), 0.0, 30) == 4  # 12 / 3
+    assert count_admitted(make(), 0.0, 30, set_size=2) == 6
+    assert count_admitted(make(), 100.0, 30) == 12
 
 
 @pytest.mark.parametrize(
