--- a/hazelhollow/decisions/context.py
+++ b/hazelhollow/decisions/context.py
@@ -63,7 +63,7 @@
         self.may_admit, self.counts_replicated = True, False
         self.away = self.unreachable = frozenset[int]()
 
-    def retune(self, settings: Settings) -> None:
+    def reconfigure(self, settings: Settings) -> None:
         """Takes over other settings; requests in flight keep their class."""
         self.settings, self.classes = settings, {c.name: c for c in settings.classes}
 
--- a/hazelhollow/decisions/engine.py
+++ b/hazelhollow/decisions/engine.py
@@ -86,7 +86,7 @@
         """Begins with nothing known.
 
         Args:
-            settings: Those in force until `retune`.
+            settings: Those in force until `reconfigure`.
             seed: Of the source of chance: the same events lead to the same actions.
             scheduler_class: What decides about gossip; benches compare others.
         """
@@ -168,18 +168,18 @@
             handler(event)
         return actions
 
-    def retune(self, settings: Settings) -> None:
+    def reconfigure(self, settings: Settings) -> None:
         """Takes over settings that were read again; plans and the number of limiters stay.
 
         Requests in flight keep their class and their attempts. What was learned of a class that
         stays is kept.
         """
         before, classes_before = self.context.settings, self.context.classes
-        self.context.retune(settings)
-        self.receiver.retune(before, settings)
-        self.load.retune(settings)
-        self.load_shedding.retune(classes_before, settings)
-        self.table.retune(settings, self.context.now)
+        self.context.reconfigure(settings)
+        self.receiver.reconfigure(before, settings)
+        self.load.reconfigure(settings)
+        self.load_shedding.reconfigure(classes_before, settings)
+        self.table.reconfigure(settings, self.context.now)
 
     # For drivers
 
--- a/hazelhollow/decisions/gossip/receiver.py
+++ b/hazelhollow/decisions/gossip/receiver.py
@@ -71,7 +71,7 @@
         self.class_of = _names_by_tag(settings)
         self._decoder = codec.GossipDecoder(self.plan_of, settings.limiter_count, self.class_of)
 
-    def retune(self, before: Settings, settings: Settings) -> None:
+    def reconfigure(self, before: Settings, settings: Settings) -> None:
         """Takes over other classes."""
         if {c.name for c in before.classes} != {c.name for c in settings.classes}:
             self.class_of = _names_by_tag(settings)
--- a/hazelhollow/decisions/load_estimate.py
+++ b/hazelhollow/decisions/load_estimate.py
@@ -45,9 +45,9 @@
         self.mean_attempt_time = self.tightest_objective / INITIAL_WORK_DIVISOR
         self.queue_wait = 0.0
 
-    def retune(self, settings: Settings) -> None:
+    def reconfigure(self, settings: Settings) -> None:
         """Takes over other classes; what was learned of those that stay is kept."""
-        self.classes.retune(settings.classes)
+        self.classes.reconfigure(settings.classes)
         self.tightest_objective = self.classes.tightest_objective()
 
     def work_of(self, request: PendingRequest) -> float:
--- a/hazelhollow/decisions/load_shedding.py
+++ b/hazelhollow/decisions/load_shedding.py
@@ -49,7 +49,7 @@
         self.demand = RecentDemand(DEMAND_SPAN)
         self.time_left = {name: TimeLeftStatistics() for name in context.classes}
 
-    def retune(self, before: dict[str, RequestClass], settings: Settings) -> None:
+    def reconfigure(self, before: dict[str, RequestClass], settings: Settings) -> None:
         """Takes over other classes in place of those before."""
         for changed in changed_classes(before, settings.classes):
             known = self.time_left.setdefault(changed.name, TimeLeftStatistics())
--- a/hazelhollow/decisions/state/class_statistics.py
+++ b/hazelhollow/decisions/state/class_statistics.py
@@ -113,9 +113,9 @@
         self._sum_of_units = 0.0
         self._by_name = dict[str, RequestClass]()
         self._place = dict[str, int]()
-        self.retune(classes)
+        self.reconfigure(classes)
 
-    def retune(self, classes: Sequence[RequestClass]) -> None:
+    def reconfigure(self, classes: Sequence[RequestClass]) -> None:
         """Takes over other classes. What was learned of one that stays, or comes back, is kept."""
         changed = changed_classes(self._by_name, classes)
         self._by_name = {request_class.name: request_class for request_class in classes}
--- a/hazelhollow/decisions/state/endpoint_table.py
+++ b/hazelhollow/decisions/state/endpoint_table.py
@@ -132,7 +132,7 @@
         self.weights.settle()
         self._restart_enabled(now)
 
-    def retune(self, settings: Settings, now: float) -> None:
+    def reconfigure(self, settings: Settings, now: float) -> None:
         """Takes over other settings: endpoints may warm up for longer or shorter."""
         before, self._settings = self._settings, settings
         if before.warm_up_time != settings.warm_up_time:
--- a/hazelhollow/net/connection_pool.py
+++ b/hazelhollow/net/connection_pool.py
@@ -57,14 +57,14 @@
     def __init__(self, scheduler: Scheduler, stats: Stats, settings: PoolSettings) -> None:
         self._scheduler, self._stats = scheduler, stats
         self._max_connections = settings.max_connections
-        self.retune(settings.connect_timeout, settings.endpoint_idle_timeout)
+        self.reconfigure(settings.connect_timeout, settings.endpoint_idle_timeout)
         self._endpoints: dict[str, PoolEndpoint] = {}
         # all, also those to endpoints that are listed no more
         self._connections: set[PooledConnection] = set()
         self.free_descriptor: Callable[[], bool] = self.close_idlest
         scheduler.at(scheduler.clock() + SWEEP_INTERVAL_S, self._sweep)
 
-    def retune(self, connect_timeout: float, endpoint_idle_timeout: float) -> None:
+    def reconfigure(self, connect_timeout: float, endpoint_idle_timeout: float) -> None:
         """Takes new timeouts, in seconds; see `PoolSettings`."""
         self._connect_timeout = connect_timeout
         self._idle_timeout = endpoint_idle_timeout * IDLE_TIMEOUT_SHARE
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -170,13 +170,13 @@
 
     def _apply_settings(self, settings: api.Settings) -> None:
         """Puts settings in force, for requests that come from now on."""
-        self.engine.retune(settings)
+        self.engine.reconfigure(settings)
         self.frontend.request_limits = RequestLimits(settings, self.frontend.request_limits)
         self.engine_driver.max_settled_units = _max_settled_units(settings)
 
     def _apply_addresses(self, config: PlatformConfig) -> None:
         """Takes what else a configuration that was read again may change."""
-        self.pool.retune(config.connect_timeout, config.conn_idle)
+        self.pool.reconfigure(config.connect_timeout, config.conn_idle)
         log.info("reloaded: discovery at %s:%d", *config.discovery)
         self.discovery_watch.move(config.discovery)
 
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -278,7 +278,7 @@
             return error
         settings = self._checked[1]
         self._document, self._settings = self._with_own(document), settings
-        self.engine.retune(settings)
+        self.engine.reconfigure(settings)
         self._host.settings_applied(settings.limiter_id)
         return ""
 
--- a/tests/decisions/test_class_statistics.py
+++ b/tests/decisions/test_class_statistics.py
@@ -83,7 +83,7 @@
     worth, work = dict[str, float](), 0.0
     for turn, (number, units, factor) in enumerate(learned):
         if turn == 20:
-            engine.retune(replace(engine.settings, classes=later))
+            engine.reconfigure(replace(engine.settings, classes=later))
         kind = engine.settings.classes[number % len(engine.settings.classes)]
         engine.load.classes.learn_units(kind, units, LEARNING_RATE)
         engine.load.classes.learn_work(kind, 1, factor, 1.0)
@@ -179,7 +179,7 @@
         told.append((request_classes, factor))
     stats = ClassStatistics(first)
     for request_classes, factor in [*told, (last, 1.0), (first, 1.0)]:
-        stats.retune(request_classes)
+        stats.reconfigure(request_classes)
         plain = ClassStatistics(request_classes)
         plain.units, plain.work = dict(stats.units), dict(stats.work)
         plain._place_all(request_classes)
@@ -204,14 +204,14 @@
     assert after == parse_settings(Fields("settings", changed))
     assert [n for n in range(50) if after.classes[n] is not before.settings.classes[n]] == [7]
     monkeypatch.setattr(ClassStatistics, "_place_all", None)  # what costs as much as all classes
-    engine.retune(after)
+    engine.reconfigure(after)
     assert engine.load.classes.tightest_objective() == engine.load.tightest_objective == 0.4
 
 
 def test_gossip_names_classes_that_came_with_a_change() -> None:
     one, two, three = request_classes(3)
     engine = make(1, classes=(one, two))
-    engine.retune(replace(engine.settings, classes=(two, three)))
+    engine.reconfigure(replace(engine.settings, classes=(two, three)))
     assert engine.receiver.class_of == {
         gossip.name_tag(kind.name): kind.name for kind in (two, three)
     }
@@ -229,10 +229,10 @@
 def test_a_class_that_is_listed_no_more_is_learned_of_and_counts_no_more() -> None:
     one, two = request_classes(2)
     stats = ClassStatistics((one, two))
-    stats.retune((two,))
+    stats.reconfigure((two,))
     stats.learn_work(one, 1, 0.001, 1.0)  # a request of it was still out
     assert stats.highest_value() == stats.value("c1") and stats.least_valuable() == "c1"
-    stats.retune((one, two))
+    stats.reconfigure((one, two))
     assert stats.highest_value() == stats.value("c0")
 
 
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -157,7 +157,7 @@
 
 def test_classes_read_again_are_told_by_their_new_names() -> None:
     one = engine(0, GOLD, limiters=12)
-    one.retune(replace(one.settings, classes=(LOOK, SLOW)))
+    one.reconfigure(replace(one.settings, classes=(LOOK, SLOW)))
     text = gossip.encode_header(1000, 0.0, gossip.incarnation_name(1000.0)) + gossip.encode(
         gossip.FailureReport(one.endpoints["s1"].tag, gossip.name_tag("slow"))
     )
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -127,7 +127,7 @@
     """
     gateway = make(0, limiter_count=1, max_attempts=3)
     (first,) = actions_of(ask(gateway, 100.0, id="r1"), api.StartAttempt)
-    gateway.retune(replace(gateway.settings, max_attempts=1))
+    gateway.reconfigure(replace(gateway.settings, max_attempts=1))
     assert actions_of(
         answer(gateway, first, 100.1, "error"), api.StartAttempt
     ), "an open request lost its further attempts"
@@ -139,7 +139,7 @@
     """A reload drops the class of an open request. The request is still served, with retries."""
     gateway = make(0, limiter_count=1, max_attempts=3)
     (first,) = actions_of(ask(gateway, 100.0, id="r1", kind="issue"), api.StartAttempt)
-    gateway.retune(replace(gateway.settings, classes=gateway.settings.classes[:1]))
+    gateway.reconfigure(replace(gateway.settings, classes=gateway.settings.classes[:1]))
     answer(gateway, first, 100.1, "ok")  # its class is gone: it ends all the same
     assert "r1" not in gateway.pending_requests or gateway.pending_requests["r1"].ended
     # a class that is gone is sent nowhere
@@ -156,7 +156,7 @@
     for patience in known.values():
         assert patience.is_longest(3.0)
     lookup, *rest = gateway.settings.classes
-    gateway.retune(
+    gateway.reconfigure(
         replace(gateway.settings, classes=(replace(lookup, deadline=lookup.deadline / 2), *rest))
     )
     assert known["lookup"].is_longest(1.5) and not known["issue"].is_longest(1.5)
