--- a/hazelhollow/decisions/gossip/receiver.py
+++ b/hazelhollow/decisions/gossip/receiver.py
@@ -90,7 +90,9 @@
             or not 0 <= event.sender < settings.limiter_count
         ):
             return
-        self._startup.hear_from(event.sender, message.incarnation, self._accounts.by_name.values())
+        self._startup.record_peer_incarnation(
+            event.sender, message.incarnation, self._accounts.by_name.values()
+        )
         loads = dict[str, float]()
         for report in message.reports:
             if isinstance(report, codec.FailureReport):
--- a/hazelhollow/decisions/startup_quota.py
+++ b/hazelhollow/decisions/startup_quota.py
@@ -60,7 +60,9 @@
         since = min(context.started_at, self.complete_since)
         return min(plan.burst, part + plan.rate * (context.now - since))
 
-    def hear_from(self, peer: int, incarnation: str, accounts: Iterable[Account]) -> None:
+    def record_peer_incarnation(
+        self, peer: int, incarnation: str, accounts: Iterable[Account]
+    ) -> None:
         """Takes note of a peer's incarnation.
 
         Once all peers have been heard from and started together, nothing was charged before:
