--- a/hazelhollow/decisions/__init__.py
+++ b/hazelhollow/decisions/__init__.py
@@ -1,8 +1,9 @@
-"""The decisions of a rate limiter, without I/O: events in, actions out.
+"""The decision logic of a rate limiter, without I/O: events in, actions out.
 
-`engine.DecisionEngine` is what drivers use, with `settings`, `events` and `actions` (together in
-`interface`). A request's way: `admission` asks `quota` and `load_shedding`, `endpoint_selection`
-finds an endpoint by `slow_start`, `outlier_detection` and `subsetting`, and `attempts` follows it
-to its end by the rules of `retry`. Every rejection and its wait is in `rejections`. The parts
-share a `context`; what they remember is in `state`, what limiters tell each other in `gossip`.
+Drivers use `engine.DecisionEngine` with `settings`, `events` and `actions` (re-exported together by
+`interface`). `admission` checks each request with `quota` and `load_shedding`; `endpoint_selection`
+picks its endpoint, subject to `slow_start`, `outlier_detection` and `subsetting`; `attempts` tracks
+its attempts to the end under the rules of `retry`. `rejections` defines every rejection reason and
+its Retry-After. The modules share a `context`; their state is in `state`, and the messages between
+limiters are in `gossip`.
 """
--- a/hazelhollow/decisions/actions.py
+++ b/hazelhollow/decisions/actions.py
@@ -1,7 +1,7 @@
-"""What the decision engine tells its driver to do. Actions are named by verbs.
+"""Actions that the decision engine requests from its driver, named by verbs.
 
-A driver performs the actions of one event in their order. Durations are seconds, instants readings
-of the host's clock.
+A driver performs the actions of one event in their order. Durations are in seconds; times are
+readings of the host's clock.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
     """Send a request to an endpoint.
 
     Attributes:
-        id: The request. Its attempts are numbered from 0 on in the order of these actions.
-        endpoint: Where it goes.
-        timeout: Seconds after which it ends; 0 lets it run until the client gives up.
-        send_by: The instant after which what has not been sent whole must never be sent: a
-            connection may come up after the time for which a repeat is dropped.
+        id: The request. Its attempts are numbered from 0 in the order of these actions.
+        endpoint: The endpoint to send it to.
+        timeout: Seconds after which the attempt ends; 0 lets it run until the client gives up.
+        send_by: The time after which a request that has not been sent completely must not be sent:
+            a connection may be established only after the deduplication window.
     """
 
     id: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class CancelAttempt:
-    """Withdraw an attempt; an `AttemptEnded` follows."""
+    """Cancel an attempt; an `AttemptEnded` follows."""
 
     id: str
     attempt: int
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True)
 class RejectRequest:
-    """A final answer: rejected, safe to ask again after `retry_after` seconds.
+    """Answer a request finally: rejected, safe to repeat after `retry_after` seconds.
 
-    `reason` is for the counters alone.
+    `reason` is only used for counters.
     """
 
     id: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class FailRequest:
-    """A final answer: failed, with no promise about its effect."""
+    """Answer a request finally: failed, and it may have taken effect."""
 
     id: str
 
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class SubscribeToEndpoints:
-    """Ask for the endpoint list to be pushed from now on."""
+    """Subscribe to the endpoint list."""
 
 
 @dataclass(frozen=True)
@@ -87,9 +87,9 @@
 
 
 class ReplicateCount(NamedTuple):
-    """Replicate a count of a customer that has grown by a period that is closed now.
+    """Replicate a customer's count, which has grown by a period that is now closed.
 
-    It is this limiter's own, or another's as it was heard.
+    The count is this limiter's own, or that of another as received from it.
     """
 
     key: str
--- a/hazelhollow/decisions/context.py
+++ b/hazelhollow/decisions/context.py
@@ -1,4 +1,4 @@
-"""What all rules of one engine share: the settings, the event's instant, who is up, the actions."""
+"""State shared by all rules of one engine: settings, current time, membership and actions."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from hazelhollow.decisions.settings import RequestClass, Settings
 from hazelhollow.decisions.state.accounts import MAX_DIRECT_SET
 
-PERIOD_S = 1.0  # charges are summed up, and reported, by periods of this length
+PERIOD_S = 1.0  # charges are accumulated and reported per period of this length
 
 
 class DecisionContext:
-    """One engine's settings and the event that it handles.
+    """One engine's settings and the context of the event being handled.
 
     The engine sets `now`, `period` and `actions` before it calls a handler; rules read them and
     append to `actions`. Nothing here is shared with another engine.
 
     Attributes:
-        settings: Those in force.
-        random: The only source of chance.
+        settings: The settings in force.
+        random: The engine's only random number generator.
         classes: The request classes in force, by name.
         plans: The plans, by name; they don't change while the limiter runs.
-        small_fleet: Limiters are so few that they tell each other their loads.
-        now: The event's instant.
-        period: The number of the period that it lies in.
-        actions: What the event has led to so far.
-        started_at: The instant of the first event.
+        small_fleet: Whether the fleet is small enough for limiters to exchange their loads.
+        now: The time of the event.
+        period: The number of the period that contains `now`.
+        actions: The actions produced by the event so far.
+        started_at: The time of the first event.
         incarnation: The name of this run; "" before the first event.
         may_admit: Whether this limiter may take new work.
-        away: Members that nothing is sent to: not up, or unable to hear this one.
-        unreachable: Members that can't be heard and may go on admitting.
+        away: Members that get no messages: they are not up, or can't receive from this limiter.
+        unreachable: Members that this limiter can't receive from but that may still be admitting.
         counts_replicated: Whether charges of closed periods are replicated as counts.
     """
 
@@ -64,12 +64,12 @@
         self.away = self.unreachable = frozenset[int]()
 
     def reconfigure(self, settings: Settings) -> None:
-        """Takes over other settings; requests in flight keep their class."""
+        """Applies new settings; requests in flight keep their class."""
         self.settings, self.classes = settings, {c.name: c for c in settings.classes}
 
     def apply_membership(self, event: MembershipChanged) -> None:
-        """Takes over who is up."""
-        everybody = frozenset(range(self.settings.limiter_count))
+        """Applies a membership change."""
+        all_limiters = frozenset(range(self.settings.limiter_count))
         self.may_admit, self.counts_replicated = event.may_admit, event.counts_replicated
-        self.away = everybody.difference(event.present).union(event.cannot_hear_us)
+        self.away = all_limiters.difference(event.present).union(event.cannot_hear_us)
         self.unreachable = frozenset(event.unreachable_but_serving)
--- a/hazelhollow/decisions/events.py
+++ b/hazelhollow/decisions/events.py
@@ -1,8 +1,8 @@
-"""What a driver tells the decision engine. Events are named in the past tense.
+"""Events that a driver passes to the decision engine, named in the past tense.
 
-Instants are readings of the host's clock in seconds, which all limiters share; durations are
-seconds. Events that come with most requests or in great number are named tuples, which are cheaper
-to make than frozen dataclasses.
+Times are readings of the host's clock in seconds; all limiters are assumed to share that clock.
+Durations are in seconds. Events that accompany most requests or arrive in large numbers are named
+tuples, which are cheaper to create than frozen dataclasses.
 """
 
 from __future__ import annotations
@@ -11,26 +11,27 @@
 from dataclasses import dataclass, field
 from typing import Literal, NamedTuple, Union
 
-# How an attempt ended. `full`, `connect_failed` and `never_sent` promise that it did not run.
+# How an attempt ended. `full`, `connect_failed` and `never_sent` guarantee that it did not run.
 Status = Literal[
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "never_sent"
 ]
 EndpointState = Literal["up", "draining", "gone"]
-# A list from the disk, a whole list, changes to the list, or none: the connection failed.
+# `cached`: a list read from disk; `full`: a complete list; `change`: changes to the list; `failed`:
+# no list, since the connection to discovery failed.
 ListKind = Literal["cached", "full", "change", "failed"]
 
 
 @dataclass(frozen=True)
 class EndpointEntry:
-    """One endpoint as the endpoint list says it.
+    """One endpoint of the endpoint list.
 
     Attributes:
-        name: Its name, which says where it is reached.
-        state: A `draining` endpoint gets nothing new; one that is `gone` leaves the list.
-        zone: Where it stands.
-        cell: Its cell; the endpoints of a cell share their memory of idempotency keys.
-        weight: What it can do, against others.
-        started: The instant of its start; 0 is long ago.
+        name: Its name, which determines its address.
+        state: A `draining` endpoint gets no new work; a `gone` one is removed from the list.
+        zone: Its zone.
+        cell: Its cell; the endpoints of a cell share their record of idempotency keys.
+        weight: Its capacity relative to other endpoints.
+        started: The time of its start; 0 means long ago.
     """
 
     name: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class EndpointsUpdated:
-    """The endpoint list, or what changed on it, or that it can't be had now (`failed`)."""
+    """The endpoint list, changes to it, or a failure to get it (`failed`)."""
 
     kind: ListKind
     entries: tuple[EndpointEntry, ...]
@@ -51,18 +52,18 @@
 
 @dataclass(frozen=True)
 class RequestArrived:
-    """A client's request. It is owed exactly one final answer within `time_left` seconds.
+    """A client's request. It must get exactly one final answer within `time_left` seconds.
 
     Attributes:
         id: Unique among the requests in flight at this limiter.
         class_name: Its request class.
         plan_name: The customer's plan.
-        customer: Who is charged.
-        units: What it asks for.
+        customer: The customer to charge.
+        units: The units that it asks for.
         time_left: Seconds until the client gives up.
-        set_start: The number of the first limiter that this customer's requests come through.
-        set_size: How many limiters they come through, from `set_start` on.
-        is_retry: The client says that it has asked before.
+        set_start: The number of the first limiter that this customer's requests are sent to.
+        set_size: The number of limiters that they are sent to, counted from `set_start`.
+        is_retry: Whether the client marked the request as a retry.
     """
 
     id: str
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True)
 class AttemptStarted:
-    """A streamed answer has begun; it is the client's from here on."""
+    """A streamed answer has begun and is being forwarded to the client."""
 
     id: str
     attempt: int
@@ -87,16 +88,16 @@
 
 @dataclass(frozen=True)
 class AttemptEnded:
-    """How an attempt ended.
+    """The end of an attempt.
 
     Attributes:
         id: The request.
-        attempt: The number of the attempt, from 0 on, in the order of `StartAttempt` actions.
-        endpoint: Where it went.
+        attempt: The number of the attempt, counted from 0 in the order of `StartAttempt` actions.
+        endpoint: The endpoint that it was sent to.
         status: How it ended.
         elapsed: Seconds since it started.
-        final: The client has its answer; nothing more is owed.
-        true_units: What the request really cost, where that is known only now; else 0.
+        final: Whether the client has its final answer.
+        true_units: The true units of the request where they were an estimate; else 0.
         report: The endpoint's load report.
     """
 
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True)
 class ClientDisconnected:
-    """The client has gone; nothing more is owed."""
+    """The client has disconnected and needs no answer."""
 
     id: str
 
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True)
 class ProbeEnded:
-    """How a health check ended. The engine draws no conclusion from it."""
+    """The end of a health check. The engine ignores it."""
 
     endpoint: str
     status: str
@@ -144,7 +145,7 @@
 
 @dataclass(frozen=True)
 class SharedCountRead:
-    """A counter of the platform was read. The engine draws no conclusion from it."""
+    """The value of a counter of the platform. The engine ignores it."""
 
     name: str
     status: str
@@ -152,12 +153,12 @@
 
 
 class AllowanceGranted(NamedTuple):
-    """What may be admitted of a customer whose limits are kept elsewhere, such as in a store.
+    """The units that a customer may use where its limits are kept elsewhere, such as in a store.
 
-    Comes right before the request.
+    Arrives right before the request.
 
     Attributes:
-        customer: As the request names it.
+        customer: The customer's name, as in the request.
         plan_name: The customer's plan.
         set_start: See `RequestArrived`.
         set_size: See `RequestArrived`.
@@ -175,7 +176,7 @@
 
 @dataclass(frozen=True)
 class EndpointOverridden:
-    """An operator disables an endpoint, or enables it again, whatever the endpoint list says."""
+    """An operator disabled or re-enabled an endpoint, which overrides the endpoint list."""
 
     endpoint: str
     disabled: bool
@@ -183,21 +184,21 @@
 
 @dataclass(frozen=True)
 class MembershipChanged:
-    """Who is up, as the members see it. Without this event all limiters are taken to be up.
+    """The current membership. Without this event all limiters are assumed to be up.
 
     Attributes:
-        may_admit: Whether this limiter may take new work: not before it knows what the others
-            charged meanwhile.
-        present: Numbers of the members that are up, this one among them.
-        unreachable: Those of them that this one can't hear.
-        cannot_hear_us: Those that can't hear this one.
-        unreachable_but_serving: Members that can't be heard and may go on admitting; their even
-            part of each quota is left to them.
-        unused: Members, and the seconds for which their part of the quotas turned out to be
-            nobody's.
+        may_admit: Whether this limiter may take new work. It may not until it knows what the other
+            members charged in its absence.
+        present: Numbers of the members that are up, including this one.
+        unreachable: Those of them that this member can't receive from.
+        cannot_hear_us: Those of them that can't receive from this member.
+        unreachable_but_serving: Members that this one can't receive from but that may still be
+            admitting; an even share of each quota is reserved for each of them.
+        unused: Members, each with the seconds during which its share of the quotas turned out to
+            be unused.
         counts_replicated: Whether each member's charges are replicated as counts
-            (`AccountReplicated`), so that missed gossip can be made up for; `ReplicateCount` is
-            wanted then.
+            (`AccountReplicated`) to make up for lost gossip. The engine then emits
+            `ReplicateCount`.
     """
 
     may_admit: bool
@@ -210,16 +211,16 @@
 
 
 class ReplicatedCount(NamedTuple):
-    """What one incarnation of a member charged a customer, in units.
+    """The units that one incarnation of a member charged to a customer.
 
     Attributes:
         member: The member's number.
         incarnation: The incarnation's name.
-        since: The period from which on it counts; 0 is not known.
+        since: The first period that is counted; 0 if unknown.
         through: The last closed period in which it charged.
         total: Units of the periods from `since` through `through`.
-        previous_units: Units of the period before the current one, where they are told.
-        current_units: Units of the current period, where they are told.
+        previous_units: Units of the period before the current one, where they are reported.
+        current_units: Units of the current period, where they are reported.
     """
 
     member: int
@@ -232,20 +233,20 @@
 
 
 class AccountReplicated(NamedTuple):
-    """What other members know of a customer.
+    """The state of a customer's account at other members.
 
-    With a `level`: everything that a peer knows, for a member that has just begun. Without one:
-    counts that have come since. Without a `key`: the catch-up is complete, and a customer that it
-    did not name has its whole burst.
+    With a `level` it is the complete state at a peer, sent to a member that has just started.
+    Without a `level` it holds counts that changed later. Without a `key` it means that the catch-up
+    is complete; a customer that the catch-up did not name has its full burst.
 
     Attributes:
         key: The customer's key in messages.
         plan_name: The customer's plan.
         set_start: See `RequestArrived`.
         set_size: See `RequestArrived`.
-        counts: What members charged it.
-        level: Units left of the burst, `counts` taken off.
-        period: The period of the peer that says so.
+        counts: The units that members charged to it.
+        level: Units left of the burst after the charges in `counts`.
+        period: The period at the peer when it sent this.
     """
 
     key: str
--- a/hazelhollow/decisions/interface.py
+++ b/hazelhollow/decisions/interface.py
@@ -1,4 +1,4 @@
-"""The engine's interface under one name: settings and events in, actions out."""
+"""The engine's public interface in one module: its settings, events and actions."""
 
 from __future__ import annotations
 
--- a/hazelhollow/decisions/settings.py
+++ b/hazelhollow/decisions/settings.py
@@ -1,7 +1,7 @@
-"""What a limiter is configured with: request classes, plans, and its place among the limiters.
+"""The configuration of a limiter: request classes, plans, and its position in the fleet.
 
-Frozen values that the engine reads and never changes. A reload hands the engine a new `Settings`.
-All durations are seconds.
+The values are frozen: the engine reads them and never changes them. A reload passes a new
+`Settings` to the engine. All durations are in seconds.
 """
 
 from __future__ import annotations
@@ -9,27 +9,27 @@
 from dataclasses import dataclass
 from typing import Literal
 
-# What a second execution of a request does: nothing further; nothing further as long as the
-# endpoints of one scope still know its idempotency key; something.
+# The effect of executing a request a second time. `safe`: none. `keyed`: none while the endpoints
+# of one deduplication scope still remember its idempotency key. `unsafe`: there is one.
 Effect = Literal["safe", "keyed", "unsafe"]
-# The endpoints that share their memory of idempotency keys.
+# The group of endpoints that share their record of idempotency keys.
 DedupScope = Literal["all", "zone", "cell"]
 
 
 @dataclass(frozen=True)
 class RequestClass:
-    """A kind of request: when its answer is wanted, and what repeating it does.
+    """A request class: its latency requirements, its value, and whether it may be repeated.
 
     Attributes:
-        name: As requests name it.
-        latency_objective: Seconds within which an answer has its full weight.
-        deadline: Seconds after which no answer is of use.
-        priority_weight: What one unit answered in time counts, against other classes.
+        name: The name by which requests refer to the class.
+        latency_objective: Seconds within which an answer has its full value.
+        deadline: Seconds after which an answer has no value.
+        priority_weight: The value of one unit answered in time, relative to other classes.
         effect: Whether a request that may have run may run again.
-        dedup_scope: For `keyed` requests, the endpoints that drop a repeat.
-        dedup_window: For `keyed` requests, the seconds from the first attempt that may have run
-            for which a repeat is dropped.
-        late_weight: What an answer after the objective counts. Not used by the engine.
+        dedup_scope: For `keyed` requests, the group of endpoints that drop a repeat.
+        dedup_window: For `keyed` requests, the seconds during which a repeat is dropped, counted
+            from the first attempt that may have run.
+        late_weight: The value of an answer after the objective. Not used by the engine.
     """
 
     name: str
@@ -44,17 +44,17 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What each customer of a plan may use, over all limiters together. 0 means no such limit.
+    """The limits of each customer on a plan, over the whole fleet. 0 means no such limit.
 
     Attributes:
-        name: As requests name it.
-        rate: Units a second.
+        name: The name by which requests refer to the plan.
+        rate: Units per second.
         burst: Units that may be used at once.
-        open_limit: Requests in flight at one time.
-        price: What a unit is sold for.
-        excess_weight: What a request beyond the quota earns when it is answered.
-        excess_cost: What admitting a request beyond the quota costs.
-        ceiling_rate: Units a second that no request may pass, paid for or not.
+        open_limit: The maximum number of requests in flight.
+        price: The price of a unit.
+        excess_weight: The value of answering a request beyond the quota.
+        excess_cost: The cost of admitting a request beyond the quota.
+        ceiling_rate: A hard limit in units per second, also for requests beyond the quota.
         ceiling_burst: The burst of the ceiling, in units.
     """
 
@@ -74,34 +74,35 @@
     """The settings of one limiter.
 
     Attributes:
-        limiter_id: This limiter's number, from 0 on.
-        limiter_count: The number of limiters, this one among them.
+        limiter_id: This limiter's number, counted from 0.
+        limiter_count: The number of limiters, including this one.
         classes: The request classes, at least one.
         plans: The plans.
-        zone: Where this limiter stands; endpoints of another zone cost `cross_zone_price`.
+        zone: The zone of this limiter; attempts to other zones cost `cross_zone_price`.
         tick: The resolution of the driver's timers, in seconds.
-        max_units: The most that one request may ask for.
-        post_paid: Whether the units of a request are an estimate and the true ones come with the
-            answer.
-        max_attempts: Attempts for one request, the first among them.
-        hedging: Accepted and not used: a request has at most one attempt in flight.
-        cancellation: Whether an attempt may be withdrawn.
+        max_units: The most units that one request may ask for.
+        post_paid: Whether a request states estimated units and the answer carries the true ones.
+        max_attempts: The maximum number of attempts per request, including the first.
+        hedging: Accepted but ignored: hedged requests are not supported, and a request has at most
+            one attempt in flight.
+        cancellation: Whether an attempt may be cancelled.
         peers: Whether limiters gossip.
-        gossip_messages_per_s: Datagrams that a limiter takes in each second.
-        gossip_bytes_per_s: The most gossip sent each second, headers included; 0 is no limit.
-        max_retry_after: The longest wait advised with a rejection, in seconds.
-        clients_mark_retries: Whether clients say of a retry that it is one.
-        warm_up_time: Seconds for which a started endpoint is warming up.
-        warm_up_initial_share: The share of a warm endpoint's load that it can bear at its start.
-        overload_multiple: Times its share that an endpoint which is warming up can bear.
-        overload_window: Seconds over which the load of such an endpoint counts.
-        poll_endpoints: Whether the endpoint list has to be asked for.
+        gossip_messages_per_s: Datagrams that a limiter accepts per second.
+        gossip_bytes_per_s: The maximum gossip sent per second, including headers; 0 is no limit.
+        max_retry_after: The longest Retry-After of a rejection, in seconds.
+        clients_mark_retries: Whether clients mark their retries as such.
+        warm_up_time: Seconds for which an endpoint is warming up after its start.
+        warm_up_initial_share: The share of a warm endpoint's load that an endpoint can take at its
+            start.
+        overload_multiple: The multiple of its share above which a warming endpoint may fail.
+        overload_window: Seconds over which the load of a warming endpoint is summed.
+        poll_endpoints: Whether the engine has to subscribe to the endpoint list.
         cross_zone_price: The price of an attempt to another zone.
-        class_weight: The weight of the worst-served class in the goal, against that of all
-            classes together.
+        class_weight: The weight of the worst-served class in the objective function, relative to
+            that of all classes together.
 
     Raises:
-        ValueError: The settings can't be acted on; the message names the setting.
+        ValueError: A setting is invalid; the message names it.
     """
 
     limiter_id: int
@@ -129,21 +130,24 @@
     class_weight: float = 0.0
 
     def __post_init__(self) -> None:
-        """Refuses settings that can't be acted on."""
+        """Rejects invalid settings."""
         shortest_objective = min((c.latency_objective for c in self.classes), default=0)
-        faults = {
-            "limiter_id: not one of the limiters": not 0 <= self.limiter_id < self.limiter_count,
+        checks = {
+            "limiter_id: not one of 0 to limiter_count - 1": not 0
+            <= self.limiter_id
+            < self.limiter_count,
             "max_attempts: less than one": self.max_attempts < 1,
-            "gossip_messages_per_s: not above zero": self.peers and self.gossip_messages_per_s <= 0,
-            "gossip_bytes_per_s: below zero": not self.gossip_bytes_per_s >= 0,
-            "classes: none, or an aim not above zero": shortest_objective <= 0,
-            "classes: a deadline not above zero": any(c.deadline <= 0 for c in self.classes),
-            "classes: a name that comes twice": len({c.name for c in self.classes})
+            "gossip_messages_per_s: must be above 0 with peers": self.peers
+            and self.gossip_messages_per_s <= 0,
+            "gossip_bytes_per_s: must not be negative": not self.gossip_bytes_per_s >= 0,
+            "classes: none, or a latency_objective that is not above 0": shortest_objective <= 0,
+            "classes: a deadline is not above 0": any(c.deadline <= 0 for c in self.classes),
+            "classes: two have the same name": len({c.name for c in self.classes})
             != len(self.classes),
-            "plans: a rate without a burst": any(
+            "plans: a rate is negative, or has no burst": any(
                 p.rate < 0 or p.rate > 0 >= p.burst for p in self.plans
             ),
         }
-        for fault, found in faults.items():
-            if found:
-                raise ValueError(fault)
+        for message, failed in checks.items():
+            if failed:
+                raise ValueError(message)
