--- a/hazelhollow/decisions/admission.py
+++ b/hazelhollow/decisions/admission.py
@@ -1,13 +1,13 @@
-"""Admission: a request's way from its arrival to its first attempt, or to its rejection.
+"""Admission: the checks from a request's arrival to its first attempt or its rejection.
 
-The checks, in their order; the first that fails rejects the request:
+The checks run in this order, and the first that fails rejects the request:
 
-1. Its class and plan are known, it asks for units, and has time left.
+1. Its class and plan exist, it asks for units, and it has time left.
 2. Membership lets this limiter take new work.
-3. `quota.py`: the ceiling, then the quota, or the room for requests beyond quotas.
-4. `load_shedding.py`: an endpoint may get it, and its wait is short enough.
+3. `quota.py`: the ceiling has capacity, and so has the quota or the excess units.
+4. `load_shedding.py`: an endpoint may get it, and its expected wait is short enough.
 
-Then it is charged, and its first attempt starts.
+The request is then charged, and its first attempt starts.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class AdmissionRules(NamedTuple):
-    """The rules that a request goes through."""
+    """The rules that are applied to an arriving request."""
 
     quota: Quota
     load_shedding: LoadShedding
@@ -53,7 +53,7 @@
         self._quota, self._shedding, self._selection, self._budget, self._attempts = rules
 
     def arrive(self, event: RequestArrived) -> None:
-        """A request has arrived."""
+        """Handles the arrival of a request."""
         context, settings = self._context, self._context.settings
         request_class = context.classes.get(event.class_name)
         plan = context.plans.get(event.plan_name)
@@ -61,7 +61,7 @@
             reject(context, event.id, 0.0, "unknown")
             return
         if not context.may_admit:
-            # It stood still, and may be dead to the others: what it knows is old.
+            # This process was paused, and others may have declared it dead: its state is outdated.
             reject(context, event.id, PERIOD_S, "away")
             return
         set_size = max(1, min(event.set_size, settings.limiter_count))
--- a/hazelhollow/decisions/attempts.py
+++ b/hazelhollow/decisions/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts: started, followed to their end, and what is learned from it.
+"""Attempts: starts them, handles their end, and learns from the result.
 
-The states of a request are in `state/pending_requests.py`; whether it may have another attempt is
-decided in `retry.py`.
+The states of a request are described in `state/pending_requests.py`; `retry.py` decides whether it
+may have another attempt.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class AttemptRules(NamedTuple):
-    """The rules that an attempt's start and end go through."""
+    """The rules that are applied when an attempt starts or ends."""
 
     selection: EndpointSelection
     slow_start: SlowStart
@@ -46,7 +46,7 @@
 
 
 class Attempts:
-    """Starts attempts, and decides what follows when one ends."""
+    """Starts attempts, and decides what happens when one ends."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._selection, self._slow_start, self._outliers, self._quota, self._budget = rules
 
     def start(self, request: PendingRequest, endpoint: Endpoint, work: float) -> None:
-        """Starts an attempt of `work` seconds."""
+        """Starts an attempt with `work` seconds of expected work."""
         context, number = self._context, len(request.attempts)
         send_by = request.repeatable_until()
         backlog = endpoint.backlog(self._peer_loads.total())
@@ -73,9 +73,9 @@
         context.actions.append(StartAttempt(request.event.id, endpoint.entry.name, send_by=send_by))
 
     def end(self, event: AttemptEnded) -> None:
-        """An attempt has ended: settles the charge, and retries or gives up.
+        """Handles the end of an attempt: settles the charge, then retries or gives up.
 
-        The end of an attempt that is not in flight changes nothing.
+        The end of an attempt that is not in flight is ignored.
         """
         request = self._pending.by_id.get(event.id)
         if (
@@ -96,11 +96,11 @@
         self._pending.forget_if_done(event.id)
 
     def _retry_or_give_up(self, request: PendingRequest, cost: float) -> None:
-        """With no attempt in flight: another if it is allowed and may be in time, else the end."""
+        """Starts another attempt if one is allowed and can be in time; else ends the request."""
         context, work = self._context, self._load.work_of(request)
         endpoint, delay = self._selection.choose(request, work)
         in_time = context.now + delay < min(request.objective_at, request.deadline)
-        if endpoint and self._budget.has_room_for(cost) and in_time:
+        if endpoint and self._budget.can_spend(cost) and in_time:
             self._budget.spend(cost)
             self.start(request, endpoint, work)
             return
@@ -111,22 +111,22 @@
         else:
             context.actions.append(FailRequest(request.event.id))
 
-    def cancel_hanging(self) -> None:
-        """Cancels attempts that hang while another may be in time, so that a retry follows.
+    def cancel_hung(self) -> None:
+        """Cancels hung attempts while another can still be in time, so that a retry follows.
 
-        Only of requests that are safe to repeat, and not in an overload, in which all wait. An
-        endpoint that is silent besides has failed.
+        Applies only to requests that are safe to repeat, and only at low load, since all attempts
+        wait in an overload. If the endpoint is also silent, this counts as its failure.
         """
         context, load = self._context, self._load
         if (
             not context.settings.cancellation
-            or not self._budget.has_room_for(1.0)
-            or not load.is_calm()
+            or not self._budget.can_spend(1.0)
+            or not load.is_low()
         ):
             return
         min_time = MAX_SILENCE_SHARE * load.tightest_objective
-        hanging = self._pending.hanging_attempts(context.now, HANGING_FACTOR, min_time)
-        for request, number in hanging:
+        hung = self._pending.hanging_attempts(context.now, HANGING_FACTOR, min_time)
+        for request, number in hung:
             in_time = context.now + load.mean_attempt_time < request.objective_at
             if request.request_class.effect == "safe" and in_time:
                 context.actions.append(CancelAttempt(request.event.id, number))
@@ -135,21 +135,22 @@
                     self._outliers.record_failure(endpoint, EVERY_CLASS)
 
     def _learn(self, attempt: Attempt, request: PendingRequest, event: AttemptEnded) -> None:
-        """Learns the load, the request's work, and whether the endpoint fails."""
+        """Updates the load estimate, the learned work, and the endpoint's outlier records."""
         load, endpoint, status = self._load, attempt.endpoint, event.status
         waited = event.elapsed - attempt.work > load.queue_wait
         if status in ("ok", "error", "full"):
             endpoint.last_progress_at = self._context.now
-        # Late while others hardly wait is a failure of this endpoint, whatever slowed it; it may
-        # die next. In an overload all are late, and ejecting would make it worse.
+        # An answer that is late while others hardly wait counts as a failure of this endpoint,
+        # whatever the cause: the endpoint may stop answering next. In an overload all answers are
+        # late, and ejection would make the overload worse.
         slow = event.elapsed > request.request_class.latency_objective and not load.is_overloaded()
         if status == "ok":
             load.learn_answer(attempt, request, event.elapsed)
             if not slow:
                 self._outliers.record_success(endpoint, request.request_class.name)
         if (slow or status != "ok") and status not in ("cancelled", "never_sent"):
-            # What broke or failed at once did not wait: a lost zone or a bad endpoint is no
-            # overload.
+            # Attempts that failed immediately did not wait: a lost zone or a faulty endpoint must
+            # not count as an overload.
             waited = waited or status in ("full", "timeout")
             self._record_failure(endpoint, request, event)
         load.learn_wait(waited)
@@ -157,10 +158,11 @@
     def _record_failure(
         self, endpoint: Endpoint, request: PendingRequest, event: AttemptEnded
     ) -> None:
-        """An endpoint failed; in a large fleet, peers are notified.
+        """Records a failure of an endpoint; in a large fleet it is also reported to peers.
 
-        What did not run, or did not answer, has nothing to do with the class. An endpoint that
-        refuses connections is ejected at once in a large fleet, whose limiters see few attempts.
+        A failure counts for every class if the attempt did not run or timed out. A refused
+        connection ejects the endpoint at once in a large fleet, where each limiter sees few
+        attempts.
         """
         status, small_fleet = event.status, self._context.small_fleet
         for_every_class = status in NEVER_RAN or status == "timeout"
@@ -168,7 +170,7 @@
         refused = status == "connect_failed" and not small_fleet
         weight = EJECTION_THRESHOLD if refused else 1.0
         self._outliers.record_failure(endpoint, class_name, weight)
-        # An endpoint that is full must not be ejected by what all limiters report.
+        # Reports from all limiters together must not eject an endpoint that is merely full.
         if status != "full" and not small_fleet:
             tag = codec.name_tag(class_name) if class_name else codec.EVERY_CLASS_TAG
-            self._outliers.note_for_peers(endpoint.tag, tag)
+            self._outliers.record_for_gossip(endpoint.tag, tag)
--- a/hazelhollow/decisions/endpoint_selection.py
+++ b/hazelhollow/decisions/endpoint_selection.py
@@ -1,21 +1,22 @@
 """Endpoint selection: which endpoint gets an attempt.
 
-The one of least expected delay among those that may get it:
+The attempt goes to the eligible endpoint with the lowest expected delay:
 
     delay = work_factor * (work + backlog / concurrency)
 
-where the backlog is what this limiter and, in a small fleet, its peers have in flight there. To
-rank, the price of crossing zones and each earlier attempt of the request at the endpoint count as a
-delay, too.
+The backlog is the work that this limiter and, in a small fleet, its peers have in flight at the
+endpoint. For ranking, a cross-zone price and each earlier attempt of the request at the endpoint
+count as additional delay.
 
-Endpoints are looked at in rounds, until one has an endpoint that may get the attempt:
+Candidates are examined in rounds, until a round contains an eligible endpoint:
 
 | fleet | round                                                                            |
 | ----- | -------------------------------------------------------------------------------- |
-| large | twice a few drawn of this limiter's subset, then a few of all                     |
-| large | a few of all, ejected ones too                                                    |
-| any   | all, at most `MAX_COMPARED` of them drawn by chance                               |
-| any   | the same, ejected ones too: with most ejected the rest would be overloaded        |
+| large | twice a small sample of this limiter's subset, then one of all endpoints          |
+| large | a small sample of all endpoints, including ejected ones                           |
+| any   | all endpoints, or a random sample of `MAX_COMPARED` of them                       |
+| any   | the same, including ejected ones: if most are ejected, the rest would be          |
+|       | overloaded                                                                        |
 """
 
 from __future__ import annotations
@@ -35,19 +36,20 @@
 
 CANDIDATES = 4  # endpoints compared in a round of a large fleet
 MAX_COMPARED = 60  # endpoints compared in any round
-ZONE_DELAY_OBJECTIVES = 2.0  # objectives of delay that crossing zones counts as, times its price
-SUBSET_LIFETIME_S = 1.0 * PERIOD_S  # after which the subset is taken anew
+# The delay that a cross-zone attempt counts as, in latency objectives per unit of its price.
+ZONE_DELAY_OBJECTIVES = 2.0
+SUBSET_LIFETIME_S = 1.0 * PERIOD_S  # time after which the subset is recomputed
 
 
 class Choice(NamedTuple):
-    """An endpoint and its expected delay in seconds; no endpoint where none may get the attempt."""
+    """The chosen endpoint and its expected delay in seconds; no endpoint if none is eligible."""
 
     endpoint: Endpoint | None
     delay: float
 
 
 class SelectionRules(NamedTuple):
-    """The rules that say of an endpoint whether it may get an attempt."""
+    """The rules that decide whether an endpoint may get an attempt."""
 
     outliers: OutlierDetection
     slow_start: SlowStart
@@ -68,12 +70,12 @@
         self._subset: list[Endpoint] = []
         self._subset_until = 0.0
 
-    def list_changed(self) -> None:
-        """The table has changed; the subset is taken anew."""
+    def invalidate_subset(self) -> None:
+        """Causes the subset to be recomputed, since the endpoint table has changed."""
         self._subset_until = 0.0
 
     def choose(self, request: PendingRequest, work: float) -> Choice:
-        """The best endpoint for a further attempt of `work` seconds."""
+        """Returns the best endpoint for another attempt with `work` seconds of expected work."""
         context, request_class = self._context, request.request_class
         settings, random = context.settings, context.random
         peer_loads = self._peer_loads.total()
@@ -82,9 +84,9 @@
             ZONE_DELAY_OBJECTIVES * settings.cross_zone_price * request_class.latency_objective
         )
         best: tuple[float, float, float, Endpoint] | None = None
-        for ejected_too, endpoints in self.rounds(request.required_group() if retry else None):
+        for include_ejected, endpoints in self.rounds(request.required_group() if retry else None):
             for endpoint in endpoints:
-                if not self._may_get(request, endpoint, work, ejected_too):
+                if not self._is_eligible(request, endpoint, work, include_ejected):
                     continue
                 delay = endpoint.work_factor * (
                     work + endpoint.backlog(peer_loads) / endpoint.concurrency
@@ -92,7 +94,8 @@
                 penalty = zone_delay * (endpoint.entry.zone != settings.zone)
                 if retry:
                     penalty += request.attempts_at(endpoint) * request_class.latency_objective
-                # Many limiters that know little of an endpoint's load would all go to the same.
+                # The limiters of a large fleet know little of the endpoints' loads, and would all
+                # choose the same endpoint without a random factor.
                 random_load_factor = (
                     1.0
                     if context.small_fleet
@@ -104,8 +107,8 @@
                 return Choice(best[3], best[2])
         return Choice(None, 0.0)
 
-    def _may_get(
-        self, request: PendingRequest, endpoint: Endpoint, work: float, ejected_too: bool
+    def _is_eligible(
+        self, request: PendingRequest, endpoint: Endpoint, work: float, include_ejected: bool
     ) -> bool:
         """Whether an endpoint may get an attempt."""
         if not self._table.may_get_new_work(endpoint):
@@ -115,7 +118,7 @@
         ):
             return False
         if (
-            not ejected_too
+            not include_ejected
             and (endpoint.in_flight or endpoint.outlier_records)
             and not self._outliers.may_serve(endpoint, request.request_class.name)
         ):
@@ -123,31 +126,34 @@
         return not endpoint.entry.started or self._slow_start.may_send(endpoint, work)
 
     def rounds(self, group: EndpointGroup | None = None) -> Iterator[tuple[bool, list[Endpoint]]]:
-        """The endpoints to look at, round by round, and whether ejected ones count.
+        """Yields the candidates of each round, and whether ejected ones are eligible.
 
-        `group`: the only zone or cell that may get the attempt.
+        `group` is the only zone or cell that may get the attempt, if there is such a restriction.
         """
         random, table = self._context.random, self._table
         endpoints = table.all()
-        many = len(endpoints) > MAX_COMPARED
-        if many:
+        is_large_table = len(endpoints) > MAX_COMPARED
+        if is_large_table:
             endpoints = table.all_up() if group is None else table.all_of(group)
         if not self._context.small_fleet and len(endpoints) > CANDIDATES:
-            near = self._current_subset() if not many or group is None else endpoints
-            for ejected_too, some in (
-                (False, near),
-                (False, near),
+            preferred = self._current_subset() if not is_large_table or group is None else endpoints
+            for include_ejected, candidates in (
+                (False, preferred),
+                (False, preferred),
                 (False, endpoints),
                 (True, endpoints),
             ):
-                yield ejected_too, random.sample(some, min(len(some), CANDIDATES))
+                yield (
+                    include_ejected,
+                    random.sample(candidates, min(len(candidates), CANDIDATES)),
+                )
         if len(endpoints) > MAX_COMPARED:
             endpoints = random.sample(endpoints, MAX_COMPARED)
         yield False, endpoints
         yield True, endpoints
 
     def _current_subset(self) -> list[Endpoint]:
-        """The endpoints that this limiter keeps to, of the warm and of those warming up."""
+        """Returns this limiter's subset of the warm endpoints and of those that are warming up."""
         now, settings = self._context.now, self._context.settings
         if now >= self._subset_until:
             self._subset_until = now + SUBSET_LIFETIME_S
@@ -160,12 +166,12 @@
         return self._subset
 
     def unavailable(self) -> set[str]:
-        """Names of listed endpoints that get nothing new: not up, or ejected for every class."""
+        """Returns the names of endpoints that get no new work: not up, silent or fully ejected."""
         table = self._table
-        unfit = {
+        unhealthy = {
             name
             for name, endpoint in table.up.items()
             if (endpoint.outlier_records or endpoint.in_flight)
             and not self._outliers.may_serve(endpoint, EVERY_CLASS)
         }
-        return unfit | (table.endpoints.keys() - table.up.keys())
+        return unhealthy | (table.endpoints.keys() - table.up.keys())
--- a/hazelhollow/decisions/engine.py
+++ b/hazelhollow/decisions/engine.py
@@ -1,10 +1,10 @@
 """The decision engine: events in, actions out.
 
-No I/O, no clock, nothing shared with another instance. A driver hands it every event with the
-instant at which it happened, and performs the actions that come back, in their order.
+The engine does no I/O, reads no clock, and shares nothing with other instances. A driver passes it
+each event with the time at which it happened, and performs the returned actions in their order.
 
-The engine has no rule of its own. It builds the parts, hands each event to the part that handles
-it, and collects the actions:
+The engine contains no rules itself. It builds the components, passes each event to the one that
+handles it, and collects the actions:
 
 | event                | handled by                                             |
 | -------------------- | ------------------------------------------------------ |
@@ -13,7 +13,7 @@
 | `ClientDisconnected` | `state/pending_requests`                               |
 | `AllowanceGranted`   | `quota`                                                |
 | `GossipReceived`     | `gossip/receiver`                                      |
-| `TimerFired`         | a gossip round: `gossip/scheduler`, and the periodic work of the parts |
+| `TimerFired`         | a gossip round: `gossip/scheduler`, and other periodic work |
 | `EndpointsUpdated`, `EndpointOverridden` | `state/endpoint_table`             |
 | `MembershipChanged`  | `state/customer_accounts`                              |
 | `AccountReplicated`  | `state/replicated_accounts`                            |
@@ -73,8 +73,8 @@
 class DecisionEngine:
     """The decisions of one limiter.
 
-    The parts are public for drivers, benches and tests to look at; only `replicated_accounts` is
-    meant to be used by another package.
+    The components are public so that drivers, benches and tests can inspect them; only
+    `replicated_accounts` is meant for use by another package.
     """
 
     def __init__(
@@ -83,12 +83,13 @@
         seed: int,
         scheduler_class: type[GossipScheduler] = GossipScheduler,
     ) -> None:
-        """Begins with nothing known.
+        """Creates an engine with empty state.
 
         Args:
-            settings: Those in force until `reconfigure`.
-            seed: Of the source of chance: the same events lead to the same actions.
-            scheduler_class: What decides about gossip; benches compare others.
+            settings: The settings in force until `reconfigure`.
+            seed: The seed of the random number generator; with the same seed, the same events lead
+                to the same actions.
+            scheduler_class: The gossip scheduler; benches compare alternatives.
         """
         self.context = DecisionContext(settings, random.Random(seed))
         self._build_state()
@@ -110,7 +111,7 @@
         }
 
     def _build_state(self) -> None:
-        """What is remembered, and what is learned of endpoints."""
+        """Creates the components that hold state and what is learned of endpoints."""
         context = self.context
         self.load = LoadEstimate(context)
         self.startup = StartupQuota(context)
@@ -122,7 +123,7 @@
         self.outliers = OutlierDetection(context, self.load)
 
     def _build_gossip(self, scheduler_class: type[GossipScheduler]) -> None:
-        """What is sent to peers, and received from them."""
+        """Creates the components that send gossip to peers and receive it."""
         context, accounts = self.context, self.customer_accounts
         self.composer = GossipComposer(
             context, self.load, accounts, self.pending, (self.table, self.outliers)
@@ -137,7 +138,7 @@
         )
 
     def _build_rules(self) -> None:
-        """The rules that requests and attempts go through."""
+        """Creates the rules that are applied to requests and attempts."""
         context, load, accounts = self.context, self.load, self.customer_accounts
         self.slow_start = SlowStart(context, self.table)
         self.selection = EndpointSelection(
@@ -156,7 +157,7 @@
         self.admission = Admission(context, accounts, self.pending, load, admission_rules)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """What is to be done about an event that happened at `now`."""
+        """Handles an event that happened at `now`, and returns the resulting actions."""
         context = self.context
         actions: list[Action] = []
         context.actions = actions
@@ -169,10 +170,10 @@
         return actions
 
     def reconfigure(self, settings: Settings) -> None:
-        """Takes over settings that were read again; plans and the number of limiters stay.
+        """Applies reloaded settings; plans and the number of limiters must not change.
 
-        Requests in flight keep their class and their attempts. What was learned of a class that
-        stays is kept.
+        Requests in flight keep their class and their attempts. What was learned of a class is kept
+        if the class remains.
         """
         before, classes_before = self.context.settings, self.context.classes
         self.context.reconfigure(settings)
@@ -190,27 +191,27 @@
 
     @property
     def accounts(self) -> dict[str, Account]:
-        """The accounts by name. Not to be changed."""
+        """The accounts by name. Callers must not modify them."""
         return self.customer_accounts.by_name
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
-        """The listed endpoints by name. Not to be changed."""
+        """The listed endpoints by name. Callers must not modify them."""
         return self.table.endpoints
 
     @property
     def pending_requests(self) -> dict[str, PendingRequest]:
-        """The pending requests by id. Not to be changed."""
+        """The pending requests by id. Callers must not modify them."""
         return self.pending.by_id
 
     def unavailable_endpoints(self) -> set[str]:
-        """Names of listed endpoints that get nothing new now."""
+        """Returns the names of listed endpoints that currently get no new work."""
         return self.selection.unavailable()
 
-    # Handlers of more than one part
+    # Event handlers that involve more than one component
 
     def _start(self, now: float) -> None:
-        """The first event: the incarnation begins, and rounds at an instant by chance."""
+        """Starts the incarnation at the first event, and gossip rounds after a random delay."""
         context = self.context
         context.started_at, context.incarnation = now, codec.incarnation_name(now)
         first_round = self._round_interval * context.random.uniform(0.5, 1.0)
@@ -219,7 +220,7 @@
             context.actions.append(SubscribeToEndpoints())
 
     def _round(self, _event: TimerFired) -> None:
-        """One gossip round, and the periodic work of the parts."""
+        """Runs one gossip round and the components' periodic work."""
         context = self.context
         context.actions.append(SetTimer(self._round_interval, ROUND_TIMER))
         if self._round_period < context.period:
@@ -229,7 +230,7 @@
         self.customer_accounts.forget_idle()
         self.gossip.enqueue_final_charges()
         self.gossip.announce_overdue(self._round_interval)
-        self.attempts.cancel_hanging()
+        self.attempts.cancel_hung()
         self.gossip.send_waiting()
         self.gossip.drop_old_updates()
         recent = context.now - self.load.tightest_objective
@@ -240,17 +241,17 @@
         self.pending.end(event.id)
 
     def _endpoints_updated(self, event: EndpointsUpdated) -> None:
-        if event.kind == "failed":  # what was listed still holds
+        if event.kind == "failed":  # the current list stays in use
             self.context.actions.append(SubscribeToEndpoints())
         self.table.apply(event, self.context.now)
-        self.selection.list_changed()
+        self.selection.invalidate_subset()
 
     def _endpoint_overridden(self, event: EndpointOverridden) -> None:
         self.table.override(event.endpoint, event.disabled, self.context.now)
-        self.selection.list_changed()
+        self.selection.invalidate_subset()
 
     def _membership_changed(self, event: MembershipChanged) -> None:
         unreachable_before = self.context.unreachable
-        self.startup.membership_is_kept()
+        self.startup.record_membership_protocol()
         self.context.apply_membership(event)
         self.customer_accounts.apply_membership(event, unreachable_before)
--- a/hazelhollow/decisions/load_estimate.py
+++ b/hazelhollow/decisions/load_estimate.py
@@ -1,8 +1,8 @@
-"""How loaded the endpoints are, learned from how long attempts take.
+"""Estimate of the endpoints' load, learned from the duration of attempts.
 
-The queue wait is how long answers have waited lately beyond their work. It is learned in equal
-steps by whether each answer waited longer than it: so it settles at the median, and a few slow or
-failing endpoints are not taken for an overload.
+The queue wait is the time that recent answers took beyond their work. Each answer moves it up or
+down by a fixed step, depending on whether the answer waited longer. It therefore converges to the
+median, and a few slow or failing endpoints do not look like an overload.
 """
 
 from __future__ import annotations
@@ -14,26 +14,27 @@
 from hazelhollow.decisions.state.class_statistics import INITIAL_WORK_DIVISOR, ClassStatistics
 from hazelhollow.decisions.state.pending_requests import Attempt, PendingRequest
 
-LEARNING_RATE = 0.1  # weight of the newest sample in a learned mean
-# An unexpected time is put down to the endpoint, the class and the size in these parts of a step.
+LEARNING_RATE = 0.1  # weight of the newest sample in a moving average
+# A deviation from the expected time is attributed to the endpoint, the class and the request size:
+# the learning step of each is divided by its divisor.
 ENDPOINT_STEP_DIVISOR = 2
 CLASS_STEP_DIVISOR = 5
 SIZE_STEP_DIVISOR = 20
-# Shares of the tightest objective: a queue wait beyond the first is an overload, one below the
-# second is nothing that an overload explains.
+# Shares of the tightest objective: a queue wait above the first is an overload. One below the
+# second is a low load, at which queueing does not explain a hung attempt.
 OVERLOAD_WAIT_SHARE = 0.35
-CALM_WAIT_SHARE = 0.1
-WAIT_HALF_LIFE_S = 2.0 * PERIOD_S  # of the queue wait, while no answer tells of it
+LOW_WAIT_SHARE = 0.1
+WAIT_HALF_LIFE_S = 2.0 * PERIOD_S  # of the queue wait in the absence of answers
 
 
 class LoadEstimate:
-    """What this limiter has learned of the work of requests and the load of endpoints.
+    """This limiter's estimates of the work of requests and the load of endpoints.
 
     Attributes:
         classes: Units, work and value of each class.
         tightest_objective: The shortest latency objective of all classes, in seconds.
-        mean_attempt_time: Seconds that an attempt is in flight.
-        queue_wait: Seconds that answers waited lately.
+        mean_attempt_time: The mean duration of an attempt, in seconds.
+        queue_wait: The time that recent answers waited, in seconds.
     """
 
     __slots__ = ("_context", "classes", "tightest_objective", "mean_attempt_time", "queue_wait")
@@ -46,27 +47,27 @@
         self.queue_wait = 0.0
 
     def reconfigure(self, settings: Settings) -> None:
-        """Takes over other classes; what was learned of those that stay is kept."""
+        """Applies changed classes; what was learned of those that remain is kept."""
         self.classes.reconfigure(settings.classes)
         self.tightest_objective = self.classes.tightest_objective()
 
     def work_of(self, request: PendingRequest) -> float:
-        """Seconds of work that a request is expected to be."""
+        """Returns the expected work of a request, in seconds."""
         return self.classes.work_of(request.request_class.name, request.event.units, request.size)
 
     def is_overloaded(self) -> bool:
-        """Answers wait so long that lateness says nothing of a single endpoint."""
+        """Whether answers wait so long that a late one is no sign of a faulty endpoint."""
         return not self.queue_wait < OVERLOAD_WAIT_SHARE * self.tightest_objective
 
-    def is_calm(self) -> bool:
-        """Answers hardly wait."""
-        return self.queue_wait < CALM_WAIT_SHARE * self.tightest_objective
+    def is_low(self) -> bool:
+        """Whether answers hardly wait."""
+        return self.queue_wait < LOW_WAIT_SHARE * self.tightest_objective
 
     def learn_answer(self, attempt: Attempt, request: PendingRequest, elapsed: float) -> None:
-        """An attempt was answered well after `elapsed` seconds.
+        """Learns from an attempt that was answered successfully after `elapsed` seconds.
 
-        Steps up are bounded: a few costly requests must not pass for a slow endpoint; many slow
-        answers must.
+        Upward steps are bounded, so that many slow answers make an endpoint look slow, but a few
+        costly requests do not.
         """
         self.mean_attempt_time += LEARNING_RATE * (elapsed - self.mean_attempt_time)
         expected = max(attempt.expected_time(), self._context.settings.tick)
@@ -76,20 +77,21 @@
         attempt.endpoint.work_factor *= 1 + step / ENDPOINT_STEP_DIVISOR
 
     def learn_wait(self, waited: bool) -> None:
-        """An attempt ended that waited longer than `queue_wait`, or did not."""
+        """Learns whether an attempt that ended had waited longer than `queue_wait`."""
         step = LEARNING_RATE * self.tightest_objective * (1 if waited else -1)
         self.queue_wait = max(0.0, self.queue_wait + step)
 
     def learn_peer_wait(self, objectives: float) -> None:
-        """A peer said what its queue wait is, in tightest objectives."""
+        """Learns a peer's queue wait, given as a multiple of the tightest objective."""
         peer_wait = objectives * self.tightest_objective
         self.queue_wait += LEARNING_RATE * (peer_wait - self.queue_wait)
 
     def learn_from_attempts_in_flight(self, attempts: Sequence[Attempt], interval: float) -> None:
-        """Learns, once every `interval` seconds, from attempts that started lately and go on.
+        """Learns from recently started attempts in flight, once every `interval` seconds.
 
-        In a sudden slowing the answers that would tell of it are late; what is in flight tells
-        sooner. With everything rejected nothing tells, and the queue wait fades.
+        When endpoints suddenly slow down, the answers that would show it are late, and attempts in
+        flight show it sooner. While everything is rejected there is no evidence, and the queue wait
+        decays.
         """
         now = self._context.now
         late = sum(now - a.started_at > 2 * a.work + self.queue_wait for a in attempts)
--- a/hazelhollow/decisions/load_shedding.py
+++ b/hazelhollow/decisions/load_shedding.py
@@ -1,9 +1,10 @@
-"""Load shedding: whether a request could be answered in time, or is worth the work.
+"""Load shedding: whether a request can be answered in time, and is worth its work.
 
-A request is rejected if no endpoint may get it, or if its wait is too long. Its wait is what the
-best endpoint's delay is beyond the request's own work; in a large fleet, where a limiter sees no
-queue, the queue wait learned from answers if that is longer, by chance, so that not all limiters
-shed at once. It may be up to a share of the limit of its class (`wait_limit`):
+A request is rejected if no endpoint may get it, or if its expected wait is too long. The wait is
+the best endpoint's delay less the request's own work. In a large fleet, where a limiter does not
+see the queues, the learned queue wait is used if it is longer; it is scaled by a random factor so
+that not all limiters shed at once. The wait may be at most a share of the limit of the request's
+class (`wait_limit`):
 
 | request                                     | share of the limit     |
 | ------------------------------------------- | ---------------------- |
@@ -11,7 +12,7 @@
 | beyond its quota                            | `LOW_VALUE_WAIT_SHARE` |
 | a client's retry past its objective         | `LOW_VALUE_WAIT_SHARE` |
 
-The wait that a rejection advises is in `rejections.py`.
+The Retry-After of a rejection is in `rejections.py`.
 """
 
 from __future__ import annotations
@@ -28,20 +29,22 @@
 )
 from hazelhollow.decisions.state.pending_requests import PendingRequest
 
-LOW_VALUE_WAIT_SHARE = 0.1  # of the limit of its class
-DEMAND_SPAN = 300.0  # requests over which it is learned what is asked for
-YIELD_POWER = 2.0  # of its value against the mean, by which a class of less value gives way
-# Of the deadline: requests whose time left differs by less come from clients of one habit.
+LOW_VALUE_WAIT_SHARE = 0.1  # of the wait limit of its class
+DEMAND_SPAN = 300.0  # requests over which demand is averaged
+# The wait limit of a class of less than mean value is multiplied by (value / mean value) to this
+# power.
+YIELD_POWER = 2.0
+# Of the deadline: values of the time left that differ by less count as the same client timeout.
 TIME_LEFT_TOLERANCE = 0.01
 MIN_DEMAND_SHARE = 0.01  # a class's share of the demand counts as at least this
 
 
 class LoadShedding:
-    """Rejects requests that wait too long for what they are worth.
+    """Rejects requests whose expected wait is too long for their value.
 
     Attributes:
-        demand: What was asked for lately, within quotas.
-        time_left: How much time clients leave, by class.
+        demand: Recent demand within quotas.
+        time_left: Statistics of the time that clients leave for an answer, by class.
     """
 
     def __init__(self, context: DecisionContext, load: LoadEstimate) -> None:
@@ -50,20 +53,20 @@
         self.time_left = {name: TimeLeftStatistics() for name in context.classes}
 
     def reconfigure(self, before: dict[str, RequestClass], settings: Settings) -> None:
-        """Takes over other classes in place of those before."""
+        """Applies changed classes."""
         for changed in changed_classes(before, settings.classes):
-            known = self.time_left.setdefault(changed.name, TimeLeftStatistics())
+            statistics = self.time_left.setdefault(changed.name, TimeLeftStatistics())
             if changed.name not in before or before[changed.name].deadline != changed.deadline:
-                known.reset()
+                statistics.reset()
 
     def record_demand(self, request: PendingRequest, work: float) -> None:
-        """A request within its quota asks for `work` seconds."""
+        """Records the demand of a request within its quota, of `work` seconds."""
         request_class = request.request_class
         weight = request_class.priority_weight * request.event.units
         self.demand.add(request_class.name, weight, work)
 
     def rejects(self, request: PendingRequest, choice: Choice, work: float) -> bool:
-        """Rejects a request that would wait too long at the chosen endpoint; whether it did."""
+        """Rejects a request that would wait too long at its endpoint; returns whether it did."""
         context, request_class = self._context, request.request_class
         endpoint, delay = choice
         wait = delay - (endpoint.work_factor if endpoint else 1.0) * work
@@ -80,32 +83,34 @@
         return True
 
     def _is_late_retry(self, request: PendingRequest) -> bool:
-        """Whether a client asks again when its objective has passed.
+        """Whether a request is a client's retry after the latency objective has passed.
 
-        Such a request must not take the place of one that can be in time. Its age shows in the
-        time that it has left, against the deadline. But time left that many requests come with is
-        the clients' habit and says nothing of age; in a large fleet each limiter sees too few to
-        tell, and only the longest seen counts as a habit.
+        Such a request must not displace one that can be in time. Its age is the class's deadline
+        less its time left. However, a time left that many requests have is the clients' usual
+        timeout and says nothing about age. In a large fleet each limiter sees too few requests to
+        recognize common values, and only the longest time left seen counts as usual.
         """
         context, request_class = self._context, request.request_class
         time_left = request.event.time_left
         statistics = self.time_left[request_class.name]
-        usual = (
+        is_usual = (
             statistics.is_common(time_left, TIME_LEFT_TOLERANCE * request_class.deadline)
             if context.small_fleet
             else statistics.is_longest(time_left)
         )
-        said_first = context.settings.clients_mark_retries and not request.event.is_retry
+        marked_as_first = context.settings.clients_mark_retries and not request.event.is_retry
         age = request_class.deadline - time_left
-        return not (usual or said_first) and age > request_class.latency_objective
+        return not (is_usual or marked_as_first) and age > request_class.latency_objective
 
     def wait_limit(self, request_class: RequestClass) -> float:
-        """Seconds: the queue that a class may fill.
-
-        The shortest objective among the classes of at least its value, so that a class of a long
-        objective doesn't take all. A class of less value than the mean gives way by a power of
-        that, but not the least valuable one as far as the goal weighs the worst-served class. A
-        large fleet, whose limiters see no queue, keeps to the tightest objective.
+        """Returns the longest wait that a class may cause, in seconds.
+
+        This is the shortest objective among the classes of at least its value, so that a class with
+        a long objective does not fill the queues. It is reduced for a class of less than mean value
+        (`YIELD_POWER`). The value of the least valuable class is raised first by the weight of the
+        worst-served class in the objective function (`class_weight`). In a large fleet, whose
+        limiters do not see the queues, the limit is the tightest objective, scaled by the class's
+        value relative to the highest.
         """
         classes = self._load.classes
         value = classes.value(request_class.name)
@@ -115,5 +120,5 @@
         if request_class.name == classes.least_valuable():
             share = max(self.demand.share_of(request_class.name), MIN_DEMAND_SHARE)
             value *= 1.0 + self._context.settings.class_weight / share
-        yielding = min(1.0, value / (self.demand.mean_value() or value)) ** YIELD_POWER
-        return float(objective * yielding)
+        reduction = min(1.0, value / (self.demand.mean_value() or value)) ** YIELD_POWER
+        return float(objective * reduction)
--- a/hazelhollow/decisions/outlier_detection.py
+++ b/hazelhollow/decisions/outlier_detection.py
@@ -138,7 +138,7 @@
             if name in records:
                 records[name].recover()
 
-    def note_for_peers(self, endpoint_tag: str, class_tag: str) -> None:
+    def record_for_gossip(self, endpoint_tag: str, class_tag: str) -> None:
         """Keeps a failure for gossip to peers."""
         self.recent_failures.pop((endpoint_tag, class_tag), None)
         self.recent_failures[endpoint_tag, class_tag] = self._context.now
--- a/hazelhollow/decisions/retry.py
+++ b/hazelhollow/decisions/retry.py
@@ -92,7 +92,7 @@
         """Adds a request's part."""
         self.available = min(self.available + RETRIES_PER_REQUEST, self.CAPACITY)
 
-    def has_room_for(self, cost: float) -> bool:
+    def can_spend(self, cost: float) -> bool:
         """Whether a retry of that cost may start."""
         return self.available >= cost
 
--- a/hazelhollow/decisions/startup_quota.py
+++ b/hazelhollow/decisions/startup_quota.py
@@ -43,7 +43,7 @@
         self.incarnations: dict[int, str] = {}
         self._share_if_together = 1.0
 
-    def membership_is_kept(self) -> None:
+    def record_membership_protocol(self) -> None:
         """There is a membership protocol, by which an earlier incarnation may have been known."""
         self._share_if_together = SHARE_IF_MEMBERSHIP_IS_KEPT
 
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -53,7 +53,7 @@
     engine = make(0, limiter_count=LIMITERS)
     for number, tag in enumerate("abcab"):
         engine.context.now = 100.0 + number
-        engine.outliers.note_for_peers(tag, "k")
+        engine.outliers.record_for_gossip(tag, "k")
     assert engine.outliers.latest_failures(2, 10.0) == [("a", "k"), ("b", "k")]
     assert engine.outliers.latest_failures(3, 3.0) == [("c", "k"), ("a", "k"), ("b", "k")][-2 - 1 :]
     engine.context.now = 200.0
