--- a/hazelhollow/decisions/load_shedding.py
+++ b/hazelhollow/decisions/load_shedding.py
@@ -55,9 +55,9 @@
     def reconfigure(self, before: dict[str, RequestClass], settings: Settings) -> None:
         """Applies changed classes."""
         for changed in changed_classes(before, settings.classes):
-            statistics = self.time_left.setdefault(changed.name, TimeLeftStatistics())
+            learned = self.time_left.setdefault(changed.name, TimeLeftStatistics())
             if changed.name not in before or before[changed.name].deadline != changed.deadline:
-                statistics.reset()
+                learned.reset()
 
     def record_demand(self, request: PendingRequest, work: float) -> None:
         """Records the demand of a request within its quota, of `work` seconds."""
--- a/hazelhollow/decisions/quota.py
+++ b/hazelhollow/decisions/quota.py
@@ -1,26 +1,27 @@
 """The quota: whether a customer's request may be charged; charge, settlement and refund.
 
-Each limiter keeps its own view of a customer's quota, a token bucket that its own charges and those
-that peers report are taken off. A request is within the quota if the bucket holds its units and a
-reserve for what peers charge that is not heard yet.
-
-Beyond the quota, and when a limiter can't hear its peers:
-
-- A plan whose excess earns more than it costs lets a request beyond its quota through, while what
-  such requests used stays under `EXCESS_SHARE` of what was charged within quotas (saved up to a
-  burst).
-- Until membership says that a member can't be heard, or where no membership is kept, a limiter goes
-  by its own charges and by what it heard last. The sides of a partition may then each use the level
-  that they saw, and the rate.
-- Once it says so, the member's even part of the rate, the capacity and the level is left to it
-  (`state/accounts.py`, `reserve_for`): the sides together hold the quota. Later the larger side
-  takes over what the smaller does not use (`membership/partition_quota.py`).
-- A plan whose excess costs no more than it earns (`excess_cost <= excess_weight`; both are 0 by
-  default) is not held in a partition: each side goes on with the whole rate.
-- What was charged unheard becomes a debt once counts show it, beyond what was left to that member,
-  and is paid with `DEBT_REPAYMENT_SHARE` of the rate.
-- A limiter that has just started begins with its part of the burst (`startup_quota.py`).
-- The ceiling is split evenly between the limiters of the set, so that it holds without any message.
+Each limiter keeps its own view of a customer's quota: a token bucket from which it deducts its own
+charges and those that peers report. A request is within the quota if the bucket holds its units
+plus a reserve for charges of peers that have not been received yet.
+
+Requests beyond the quota, partitions, restarts and the ceiling are handled as follows:
+
+- If a plan's excess units earn more than they cost, requests beyond the quota are admitted as long
+  as they use less than `EXCESS_SHARE` of the units charged within quotas. Unused excess units
+  accumulate up to one burst.
+- Until membership reports a member as unreachable, or without a membership protocol, a limiter uses
+  its own charges and the last ones it received. In a partition each side may then use the last
+  known level and the full rate.
+- Once a member is reported as unreachable, its even share of the rate, the capacity and the level
+  is reserved for it (`state/accounts.py`, `reserve_for`), so that the sides together stay within
+  the quota. Later the larger side takes over what the smaller does not use
+  (`membership/partition_quota.py`).
+- The quota of a plan whose excess costs no more than it earns (`excess_cost <= excess_weight`; both
+  are 0 by default) is not split in a partition: each side continues with the full rate.
+- Charges that were not received from a member become a debt once its counts show them, as far as
+  they exceed what was reserved for it. The debt is repaid with `DEBT_REPAYMENT_SHARE` of the rate.
+- A limiter that has just started begins with its share of the burst (`startup_quota.py`).
+- The ceiling is split evenly between the limiters of the set, and so holds without any messages.
 """
 
 from __future__ import annotations
@@ -37,20 +38,22 @@
 from hazelhollow.decisions.state.pending_requests import PendingRequest
 from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 
-UNHEARD_S = 0.06  # about one gossip round: peers' charges that were not received yet
-# Of the burst: while a level was announced, the last part of it in which requests are admitted by
-# chance, and the same in a set so large that one hub can't notify all of it in a second.
-ANNOUNCED_RESERVE = 1.0
-SLOWLY_ANNOUNCED_RESERVE = 2.0
-MAX_OPEN_LIMIT_RISK = 0.04  # the probability of passing an open limit that a request may take
-EXCESS_SHARE = 0.1  # of the units charged within quotas, which those beyond may use
+# About one gossip round; charges made by peers in this time may not have been received yet.
+PROPAGATION_DELAY_S = 0.06
+# Shares of the burst. Where a hub has announced a level, requests are admitted at random while the
+# level is below the first; the second applies to sets so large that one hub can't notify all
+# members within a second.
+ANNOUNCED_RESERVE_SHARE = 1.0
+SLOWLY_ANNOUNCED_RESERVE_SHARE = 2.0
+MAX_OPEN_LIMIT_RISK = 0.04  # accepted probability of exceeding an open limit
+EXCESS_SHARE = 0.1  # excess units per unit charged within quotas
 
 
 class Quota:
     """Charges requests to accounts.
 
     Attributes:
-        excess_units: Units that requests beyond quotas may use now.
+        excess_units: Units that requests beyond their quotas may currently use.
     """
 
     def __init__(
@@ -66,9 +69,9 @@
         self.excess_units = 0.0
 
     def grant_allowance(self, event: AllowanceGranted) -> None:
-        """Takes the levels of limits that are kept elsewhere, right before the request.
+        """Sets the levels of limits that are kept elsewhere, right before the request.
 
-        Neither the rate nor a peer's report changes such a quota.
+        Such a quota is not refilled at the plan's rate, nor changed by reports of peers.
         """
         plan = self._context.plans.get(event.plan_name)
         if plan is None:
@@ -85,57 +88,61 @@
     def is_within(self, request: PendingRequest) -> bool:
         """Whether the quota has room for a request.
 
-        What a large set was announced is soon old. As the level falls, requests are admitted by
-        chance, fewer and fewer: so it settles above zero, where being a little wrong admits a few
-        more or less and none beyond the quota.
+        An announced level of a large set is soon outdated. Requests are therefore admitted with a
+        probability that decreases with the level. The level then settles above zero, where a small
+        error admits a few requests more or fewer, but none beyond the quota.
         """
         account, plan, now = request.account, request.account.plan, self._context.now
         span = now - (self._context.period - 1) * PERIOD_S
         peers_rate = account.charges.reported_rate(span)
-        slow = account.set_size > self._gossip.max_announced_members
-        reserve_share = SLOWLY_ANNOUNCED_RESERVE if slow else ANNOUNCED_RESERVE
-        by_chance = account.has_announcement * plan.burst * reserve_share
+        slowly_announced = account.set_size > self._gossip.max_announced_members
+        reserve_share = (
+            SLOWLY_ANNOUNCED_RESERVE_SHARE if slowly_announced else ANNOUNCED_RESERVE_SHARE
+        )
+        max_random_reserve = account.has_announcement * plan.burst * reserve_share
         reserve = 0.0
         if not account.leased:
-            reserve = UNHEARD_S * peers_rate
-            if by_chance:
-                reserve += by_chance * self._context.random.random()
+            reserve = PROPAGATION_DELAY_S * peers_rate
+            if max_random_reserve:
+                reserve += max_random_reserve * self._context.random.random()
         if plan.open_limit and not self._may_open(account, plan.open_limit, peers_rate):
             return False
         return not plan.rate or account.quota.level >= request.event.units + reserve
 
     def _may_open(self, account: Account, limit: int, peers_rate: float) -> bool:
-        """Whether one more request may be in flight, of `limit` in the whole set.
+        """Whether one more request may be in flight, with a limit of `limit` in the set together.
 
-        Within this limiter's part it may. Beyond, as far as the set is not likely to pass the
-        limit: parts of so small a number would reject what the set has room for. `peers_rate`:
-        units a second that peers charged.
+        It may within this limiter's even share. Beyond that, it may if the set is unlikely to
+        exceed the limit: such limits are small, and fixed shares alone would reject requests that
+        the set has room for. `peers_rate` is the rate that peers charged, in units per second.
         """
-        part = max(1, limit // account.set_size)
-        if account.open_requests < part:
+        share = max(1, limit // account.set_size)
+        if account.open_requests < share:
             return True
         attempt_time = self._load.mean_attempt_time
-        by_rate = peers_rate / self._load.classes.mean_units() * attempt_time
-        at_peers = max(by_rate, account.expected_peer_open(self._context.now, attempt_time))
-        left = limit - account.open_requests
-        return probability_at_least(left, at_peers) <= MAX_OPEN_LIMIT_RISK
-
-    def has_room_beyond(self, request: PendingRequest) -> bool:
+        estimated_by_rate = peers_rate / self._load.classes.mean_units() * attempt_time
+        open_at_peers = max(
+            estimated_by_rate, account.expected_peer_open(self._context.now, attempt_time)
+        )
+        remaining = limit - account.open_requests
+        return probability_at_least(remaining, open_at_peers) <= MAX_OPEN_LIMIT_RISK
+
+    def may_admit_excess(self, request: PendingRequest) -> bool:
         """Whether a request beyond its quota may be admitted."""
         plan = request.account.plan
         return plan.excess_weight > plan.excess_cost and self.excess_units >= request.event.units
 
     def rejects(self, request: PendingRequest) -> bool:
-        """Rejects a request that may not be charged; whether it did.
+        """Rejects a request that may not be charged; returns whether it did.
 
-        Its Retry-After is the time in which the lacking units come in at the plan's rate.
+        The Retry-After is the time in which the missing units refill at the plan's rate.
         """
         account, plan, units = request.account, request.account.plan, request.event.units
         if plan.ceiling_rate and account.ceiling.refill(self._context.now) < units:
             wait = (units - account.ceiling.level) / account.ceiling.rate
             reject(self._context, request.event.id, wait, "ceiling")
             return True
-        if request.within_quota or self.has_room_beyond(request):
+        if request.within_quota or self.may_admit_excess(request):
             return False
         wait = (units - account.quota.level) / plan.rate if plan.rate else PERIOD_S
         reason: Reason = "quota" if wait > 0 else "open" if plan.open_limit else "reserve"
@@ -143,7 +150,7 @@
         return True
 
     def charge(self, request: PendingRequest) -> None:
-        """Charges a request that is admitted."""
+        """Charges an admitted request."""
         account, units = request.account, request.event.units
         account.open_requests += 1
         if account.plan.ceiling_rate:
@@ -154,9 +161,9 @@
             self.record_charge(account, units, self._context.period)
 
     def settle(self, request: PendingRequest, true_units: float) -> None:
-        """Charges the true units in place of the estimated ones, or refunds the difference.
+        """Replaces the estimated units by the true ones: charges or refunds the difference.
 
-        The difference belongs to the period of the charge, if that is still open.
+        The difference is recorded in the period of the charge if that period is still open.
         """
         request.settled = True
         period = max(int(request.arrived_at // PERIOD_S), self._context.period - 1)
@@ -164,12 +171,12 @@
         self.record_charge(request.account, true_units - request.event.units, period)
 
     def record_charge(self, account: Account, units: float, period: int) -> None:
-        """Takes units off an account, and hands the charge to gossip."""
+        """Deducts units from an account, and passes the charge to gossip."""
         account.quota.level -= account.charges.charge(units, period)
         self._replicated.mark_charged(account)
         self._gossip.charged(account, period)
 
 
 def probability_at_least(count: int, mean: float) -> float:
-    """How likely a Poisson number of that mean is to reach `count`."""
+    """Returns the probability that a Poisson variable of mean `mean` is at least `count`."""
     return 1.0 - sum(math.exp(-mean) * mean**k / math.factorial(k) for k in range(max(count, 0)))
--- a/hazelhollow/decisions/retry.py
+++ b/hazelhollow/decisions/retry.py
@@ -1,22 +1,22 @@
-"""Retries: whether a request may have another attempt, and what ends it.
+"""Retries: whether a request may have another attempt, and how it ends otherwise.
 
-What an attempt may have done decides. It may have run unless its status is in `NEVER_RAN`. Once one
-may have run, the effect of the class says where another may go:
+The decision depends on whether an attempt may have run, which is assumed unless its status is in
+`NEVER_RAN`. Once one may have run, the effect of the class determines where another may be sent:
 
 | effect   | another attempt                                                             |
 | -------- | --------------------------------------------------------------------------- |
 | `safe`   | at any endpoint                                                             |
 | `keyed`  | in the zone or cell (`dedup_scope`) of all that may have run, or anywhere   |
-|          | (`all`); before `dedup_window` after the start of the first of them is over |
-| `unsafe` | never                                                                       |
-
-Besides, the request must not have ended, its deadline must not have passed, `max_attempts` must not
-be used up, and none of its attempts may be in flight; one that hangs is cancelled for a retry only
-where the effect is `safe` (`attempts.py`). The retry budget must have room (`RETRIES_PER_REQUEST`
-for each admitted request), and the attempt must be expected to end before the latency objective and
-the deadline. Else the request ends: by a rejection where asking again is harmless, else by a
-failure. The driver withdraws an attempt of which not all was sent when the
-window ends (`StartAttempt.send_by`).
+|          | (`all`), within `dedup_window` after the start of the first of them         |
+| `unsafe` | nowhere                                                                     |
+
+In addition, the request must not have ended, its deadline must not have passed, it must have had
+fewer than `max_attempts` attempts, and none of them may be in flight. A hung attempt is cancelled
+for a retry only if the effect is `safe` (`attempts.py`). The retry budget must not be exhausted
+(each admitted request adds `RETRIES_PER_REQUEST`), and the attempt must be expected to end before
+the latency objective and the deadline. Otherwise the request ends: with a rejection if repeating it
+is harmless, else with a failure. The driver cancels an attempt that has not been sent completely
+when the deduplication window ends (`StartAttempt.send_by`).
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from hazelhollow.decisions.state.endpoint import Endpoint
 from hazelhollow.decisions.state.pending_requests import Attempt, PendingRequest
 
-# How an attempt ends of which the endpoint did nothing.
+# Statuses of attempts that the endpoint did not execute.
 NEVER_RAN: tuple[Status, ...] = ("full", "connect_failed", "never_sent")
-RETRIES_PER_REQUEST = 0.1  # retries cannot feed an overload
-# Times an attempt's expected time after which it hangs, but not before MAX_SILENCE_SHARE of the
-# tightest objective (outlier_detection.py).
+RETRIES_PER_REQUEST = 0.1  # low enough that retries cannot sustain an overload
+# An attempt counts as hung after this multiple of its expected time, but not before
+# MAX_SILENCE_SHARE of the tightest objective (outlier_detection.py).
 HANGING_FACTOR = 8.0
 
 
 def may_attempt(
     request: PendingRequest, endpoint: Endpoint, settings: Settings, now: float
 ) -> bool:
-    """Whether a further attempt of a request may go to an endpoint."""
+    """Whether another attempt of a request may be sent to an endpoint."""
     if (
         request.ended
         or now >= request.deadline
@@ -49,7 +49,7 @@
     ran = [attempt for attempt in request.attempts if attempt.may_have_run]
     if not ran or effect == "safe":
         return True
-    # One tick early: the driver's timers are no finer.
+    # One tick early, which is the resolution of the driver's timers.
     if effect == "unsafe" or now + settings.tick >= request.repeatable_until():
         return False
     return scope == "all" or all(
@@ -58,7 +58,7 @@
 
 
 def may_reject(request: PendingRequest) -> bool:
-    """Whether a request may end by a rejection, which promises that asking again is harmless."""
+    """Whether a request may be rejected, which implies that repeating it is harmless."""
     request_class = request.request_class
     harmless = request_class.effect == "safe" or (
         request_class.effect == "keyed" and request_class.dedup_scope == "all"
@@ -67,19 +67,19 @@
 
 
 def cost_of_retry(attempt: Attempt, event: AttemptEnded) -> float:
-    """What a retry after that attempt takes off the retry budget, from 0 to 1.
+    """Returns the cost of a retry after an attempt, from 0 to 1, for the retry budget.
 
-    What broke off at once cost the endpoints nothing, so that another attempt can't feed an
-    overload. An endpoint that is full costs a whole retry.
+    An attempt that was aborted immediately cost the endpoints nothing, so that repeating it can't
+    sustain an overload. A retry after `full` costs 1.
     """
     return 1.0 if event.status == "full" else min(event.elapsed / attempt.work, 1.0)
 
 
 class RetryBudget:
-    """Retries that may still start: each admitted request adds a part of one.
+    """The retry budget: each admitted request adds a fraction of a retry.
 
     Attributes:
-        available: Retries; full at the start.
+        available: Retries that may still start; at capacity initially.
     """
 
     __slots__ = ("available",)
@@ -89,7 +89,7 @@
         self.available = self.CAPACITY
 
     def request_admitted(self) -> None:
-        """Adds a request's part."""
+        """Adds the fraction of a retry for an admitted request."""
         self.available = min(self.available + RETRIES_PER_REQUEST, self.CAPACITY)
 
     def can_spend(self, cost: float) -> bool:
@@ -97,5 +97,5 @@
         return self.available >= cost
 
     def spend(self, cost: float) -> None:
-        """A retry of that cost starts."""
+        """Deducts the cost of a retry that starts."""
         self.available -= cost
--- a/hazelhollow/decisions/slow_start.py
+++ b/hazelhollow/decisions/slow_start.py
@@ -1,19 +1,20 @@
-"""Slow start: an endpoint that has just started gets less until it is warm.
+"""Slow start: an endpoint that has just started gets less work until it is warm.
 
-The platform's rule: an endpoint that is warming up fails if, over `overload_window` seconds, it is
-sent more than `overload_multiple` times its share of a warm endpoint's load. Its share rises
-evenly, from `warm_up_initial_share` at its start to all of it after `warm_up_time`:
+On the platform, a warming endpoint fails if, over `overload_window` seconds, it is sent more than
+`overload_multiple` times its share of a warm endpoint's load. The share rises linearly from
+`warm_up_initial_share` at its start to 1 after `warm_up_time`:
 
     share = initial + (1 - initial) * age / warm_up_time
     part  = min(1, min(MAX_SHARE_MULTIPLE, SAFE_PART_OF_MULTIPLE * overload_multiple) * share)
 
-Each limiter holds the ceiling for itself, with no message to the others: in any `overload_window`
-it sends such an endpoint `part` of what it sends a warm one of that weight itself. As each limiter
-keeps to its own, the sum over all limiters, however many, keeps to it, too. Where less than one
-request is left of a limiter's part it sends one by chance, so the sum holds in the mean;
-`SAFE_PART_OF_MULTIPLE` leaves room for chance.
+Each limiter enforces this limit by itself, without messages: in any `overload_window` it sends a
+warming endpoint at most `part` of what it sends a warm one of the same weight. The sum over any
+number of limiters therefore stays within the limit, too. If less than one request remains of a
+limiter's part, the limiter sends one at random, so that the sum holds on average;
+`SAFE_PART_OF_MULTIPLE` leaves a margin for random variation.
 
-`warm_up_time` is 0 by default: no slow start. An endpoint whose start is unknown counts as warm.
+`warm_up_time` is 0 by default, which disables slow start. An endpoint whose start is unknown counts
+as warm.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 from hazelhollow.decisions.state.endpoint_table import EndpointTable
 from hazelhollow.decisions.state.sliding_window import SlidingWindow
 
-# Limits of the load, as multiples of the endpoint's share; the lower one holds.
+# Limits of the load, as multiples of the endpoint's share; the lower one applies.
 MAX_SHARE_MULTIPLE = 2.0
 SAFE_PART_OF_MULTIPLE = 0.75  # of `overload_multiple`: a margin below the platform's limit
 
 
 class SlowStart:
-    """Holds endpoints that are warming up to their share.
+    """Limits the work sent to endpoints that are warming up.
 
     Attributes:
         sent_to_warm: Seconds of work sent to warm endpoints in the window.
@@ -40,10 +41,10 @@
         self.sent_to_warm = SlidingWindow(context.settings.overload_window)
 
     def may_send(self, endpoint: Endpoint, work: float) -> bool:
-        """Whether an endpoint may get a request of `work` seconds.
+        """Whether an endpoint may get a request with `work` seconds of expected work.
 
-        Where less than one request is left of its share, it gets one by chance, so that the sum
-        over many limiters is right.
+        If less than one request remains of its share, it gets one at random, so that the sum over
+        many limiters is right on average.
         """
         context, settings = self._context, self._context.settings
         if not endpoint.is_warming_up(context.now, settings):
@@ -51,16 +52,17 @@
         age = max(context.now - endpoint.entry.started, 0.0)
         initial = settings.warm_up_initial_share
         share = initial + (1 - initial) * age / settings.warm_up_time
-        safe = min(MAX_SHARE_MULTIPLE, SAFE_PART_OF_MULTIPLE * settings.overload_multiple)
-        part = min(1.0, safe * share)
+        safe_multiple = min(MAX_SHARE_MULTIPLE, SAFE_PART_OF_MULTIPLE * settings.overload_multiple)
+        part = min(1.0, safe_multiple * share)
         room = self._sent_per_warm_slot(endpoint) * endpoint.concurrency * part
         room -= endpoint.recent_work.sum(context.now)
         return context.random.random() * work < room
 
     def _sent_per_warm_slot(self, endpoint: Endpoint) -> float:
-        """Work sent in the window for each request that the warm endpoints work on at once.
+        """Returns the work sent to warm endpoints in the window, per unit of their concurrency.
 
-        With none warm, what the endpoint could do, split evenly between the limiters.
+        If none is warm, it is the work that the endpoint could do in the window, split evenly
+        between the limiters.
         """
         context, settings = self._context, self._context.settings
         warm = self._table.warm_concurrency(context.now)
@@ -69,7 +71,7 @@
         return self.sent_to_warm.sum(context.now) / max(warm, MEAN_CONCURRENCY)
 
     def record_sent(self, endpoint: Endpoint, work: float) -> None:
-        """An attempt of `work` seconds starts."""
+        """Records the start of an attempt with `work` seconds of expected work."""
         now = self._context.now
         if endpoint.is_warming_up(now, self._context.settings):
             endpoint.recent_work.add(now, work)
--- a/hazelhollow/decisions/startup_quota.py
+++ b/hazelhollow/decisions/startup_quota.py
@@ -1,13 +1,14 @@
-"""What a limiter that has just started lets a customer use.
+"""Initial quota levels of a limiter that has just started.
 
-It doesn't know what others, or an earlier incarnation of it, charged before. So it begins
-cautiously, and adds the rest once it knows better:
+The limiter doesn't know what other limiters, or an earlier incarnation of itself, charged before.
+It begins with a cautious level, and adds the rest once it knows more:
 
-- Nothing known: the burst's even part of the set, and what has come in since the start.
-- All limiters started together (`MAX_START_DIFFERENCE_S`): the whole burst; where membership is
-  kept, half of the rest, since they may have been killed together.
-- A peer has sent everything that it knows (the catch-up): the level that it sent; of a customer
-  that it did not name, the whole burst.
+- Without any information: an even share of the burst for each limiter of the set, plus the refill
+  since the start.
+- If all limiters started together (`MAX_START_DIFFERENCE_S`): the full burst; with a membership
+  protocol, half of the rest is added, since all may have been killed together.
+- When a peer has sent its complete state (the catch-up): the level that it sent, or the full burst
+  for a customer that it did not name.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 from hazelhollow.decisions.settings import Plan
 from hazelhollow.decisions.state.accounts import MAX_DIRECT_SET, Account
 
-MAX_START_DIFFERENCE_S = 1.0  # between the starts of limiters that started together
-MEETING_TIME_S = 3.0  # after its start, in which a limiter must hear from all that did
-# Of what is left of the burst. With membership kept, limiters that started together may all have
-# been there before, and been killed together.
-SHARE_IF_MEMBERSHIP_IS_KEPT = 0.5
+MAX_START_DIFFERENCE_S = 1.0  # between limiters that are taken to have started together
+PEER_DISCOVERY_TIME_S = 3.0  # time after the start within which all peers must have sent gossip
+# Of the rest of the burst, with a membership protocol: limiters that started together may all have
+# run before and been killed together.
+SHARE_WITH_MEMBERSHIP = 0.5
 
 
 class StartupQuota:
-    """How much is known of what was charged before this limiter started.
+    """What is known of the charges made before this limiter started.
 
     Attributes:
-        all_started_together: All limiters have been heard from, and started when this one did.
-        complete_since: The instant since which all charges are known here; infinite at first,
-            minus infinite once the catch-up is complete.
-        incarnations: Those of the peers heard from while meeting.
+        all_started_together: Whether all limiters have sent gossip and started when this one did.
+        complete_since: The time since which all charges are known; infinity at first, minus
+            infinity once the catch-up is complete.
+        incarnations: The peers' incarnations received during `PEER_DISCOVERY_TIME_S`.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -44,32 +45,32 @@
         self._share_if_together = 1.0
 
     def record_membership_protocol(self) -> None:
-        """There is a membership protocol, by which an earlier incarnation may have been known."""
-        self._share_if_together = SHARE_IF_MEMBERSHIP_IS_KEPT
+        """Records that there is a membership protocol, so that all may have run before."""
+        self._share_if_together = SHARE_WITH_MEMBERSHIP
 
     def initial_level(self, plan: Plan, set_size: int) -> float:
-        """Units that a new account begins with; `set_size` 0 is not known."""
+        """Returns the initial units of a new account; a `set_size` of 0 means unknown."""
         context = self._context
-        # In a large set, whose hubs announce when it is spent, one request at least, or customers
-        # that ask seldom would be rejected.
+        # In a large set, whose hubs announce when the quota is used up, the level must allow at
+        # least one request; otherwise customers with few requests would be rejected.
         large = set_size > MAX_DIRECT_SET
-        least = context.settings.max_units if large and not context.counts_replicated else 0.0
-        part = max(plan.burst / max(set_size, 1), least)
+        min_level = context.settings.max_units if large and not context.counts_replicated else 0.0
+        share = max(plan.burst / max(set_size, 1), min_level)
         if self.all_started_together:
-            part += max(plan.burst - part, 0.0) * self._share_if_together
+            share += max(plan.burst - share, 0.0) * self._share_if_together
         since = min(context.started_at, self.complete_since)
-        return min(plan.burst, part + plan.rate * (context.now - since))
+        return min(plan.burst, share + plan.rate * (context.now - since))
 
     def record_peer_incarnation(
         self, peer: int, incarnation: str, accounts: Iterable[Account]
     ) -> None:
-        """Takes note of a peer's incarnation.
+        """Records a peer's incarnation, from which its start time follows.
 
-        Once all peers have been heard from and started together, nothing was charged before:
-        accounts get the rest of the burst and of the ceiling.
+        Once the incarnations of all peers show that they started together, nothing can have been
+        charged before, and accounts get the rest of the burst and of the ceiling.
         """
         context = self._context
-        if self.all_started_together or context.now - context.started_at > MEETING_TIME_S:
+        if self.all_started_together or context.now - context.started_at > PEER_DISCOVERY_TIME_S:
             return
         self.incarnations[peer] = incarnation
         differences = [
@@ -82,7 +83,7 @@
         ):
             return
         self.all_started_together = True
-        # Once the catch-up is complete, the level is known already.
+        # After the catch-up, the level is already known.
         share = self._share_if_together if self.complete_since == math.inf else 0.0
         for account in accounts:
             account.quota.level += (
@@ -91,7 +92,10 @@
             account.ceiling.level += account.ceiling.capacity or account.plan.ceiling_burst
 
     def complete_catch_up(self, accounts: Iterable[Account]) -> None:
-        """A peer has sent everything: nobody used what this limiter's caution left to others."""
+        """Adds the rest of the burst to accounts that the completed catch-up did not name.
+
+        It was left to others as a precaution, and nobody used it.
+        """
         if self.complete_since != math.inf:
             return
         self.complete_since = -math.inf
