--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the decisions share: an engine of three limiters, and what is done with it."""
+"""Shared helpers of the decision tests: an engine in a fleet of three, and events for it."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 HARD = api.Plan("hard", rate=4.0, burst=12.0, excess_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
 
 
-def make(me: int = 0, **changes: Any) -> DecisionEngine:
+def make(limiter_id: int = 0, **changes: Any) -> DecisionEngine:
     values: dict[str, object] = dict(
-        limiter_id=me,
+        limiter_id=limiter_id,
         limiter_count=3,
         classes=(LOOKUP, ISSUE, HOLD),
         plans=(BASIC, HARD),
@@ -96,10 +96,10 @@
     return engine.handle(event, now)
 
 
-def count_admitted(engine: DecisionEngine, now: float, tries: int, **changes: Any) -> int:
-    """How many of so many requests go out, each answered at once."""
+def count_admitted(engine: DecisionEngine, now: float, requests: int, **changes: Any) -> int:
+    """Sends `requests` requests and returns how many are admitted; each is answered at once."""
     sent = 0
-    for _ in range(tries):
+    for _ in range(requests):
         for send in actions_of(ask(engine, now, **changes), api.StartAttempt):
             answer(engine, send, now)
             sent += 1
@@ -111,7 +111,7 @@
 
 
 def bytecodes(call: Callable[[], object]) -> int:
-    """How many are executed."""
+    """Returns the number of bytecodes that a call executes."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: object) -> Any:
@@ -142,13 +142,13 @@
 
 
 def engine_of_size(
-    hosts: int, classes: int, customers: int, limiters: int = LIMITERS
+    endpoints: int, classes: int, customers: int, limiters: int = LIMITERS
 ) -> DecisionEngine:
-    """With so many customers known, each of a set of three."""
+    """Returns an engine with `customers` open accounts, each of a set of three limiters."""
     engine = make(
         1, limiter_count=limiters, classes=request_classes(classes), gossip_messages_per_s=60.0
     )
-    engine.handle(endpoint_list("full", *endpoint_entries(hosts)), 100.0)
+    engine.handle(endpoint_list("full", *endpoint_entries(endpoints)), 100.0)
     for number in range(customers):
         engine.customer_accounts.get(
             gossip.base36(number), engine.context.plans["basic"], number % limiters, 3
@@ -157,7 +157,7 @@
 
 
 def engine_with_charges(customers: int, limiters: int = 3) -> DecisionEngine:
-    """A second and a half after the first of so many customers, each of whom was charged once."""
+    """Returns an engine that charged each of `customers` customers once within 1.5 seconds."""
     engine = make(0, limiter_count=limiters, gossip_messages_per_s=60.0)
     engine.handle(api.TimerFired("beat"), 100.0)
     engine.gossip.messages.level = 0.0
@@ -189,11 +189,11 @@
 
 
 def customers_with_equal_keys(engine: DecisionEngine) -> tuple[str, str]:
-    """Two customers that come to one key in messages."""
+    """Returns two customers with the same key in messages."""
     seen: dict[str, str] = {}
     for number in range(200_000):
         customer = f"{number:016x}"
         other = seen.setdefault(engine.customer_accounts.key_of_customer(customer), customer)
         if other != customer:
             return other, customer
-    raise AssertionError("none found")
+    raise AssertionError("no two of 200,000 customers have the same key")
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -1,4 +1,4 @@
-"""What must stay bounded however many customers, classes and failures there are."""
+"""State that must stay bounded with any number of customers, classes and failures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 
-def test_of_a_large_set_those_heard_of_come_first_and_the_rest_by_chance() -> None:
+def test_large_set_selects_busiest_members_first_then_random_others() -> None:
     account = Account(make().context.plans["basic"], "3", Opening(1.0, 0.0, 0.0, False))
     account.place_set(7, 500, replace(ENGINE_SETTINGS, limiter_count=600))
     account.charges.reported = {
@@ -29,10 +29,12 @@
     }
     seen = Counter[int]()
     for turn in range(60):
-        told = account.busiest_members(600, 40, random.Random(turn))
-        assert told[:2] == [300, 9] and len(set(told)) == len(told) == 40  # 3 is no member
-        assert all(account.includes(number, 600) for number in told)
-        seen.update(told[2:])
+        selected = account.busiest_members(600, 40, random.Random(turn))
+        assert (
+            selected[:2] == [300, 9] and len(set(selected)) == len(selected) == 40
+        )  # 3 is not in the set
+        assert all(account.includes(number, 600) for number in selected)
+        seen.update(selected[2:])
     assert len(seen) > 400
     assert account.busiest_members(600, 1, random.Random(1)) == [300]
     assert sorted(account.busiest_members(600, 500, random.Random(1))) == sorted(
@@ -40,7 +42,7 @@
     )
 
 
-def test_an_endpoint_that_failed_many_classes_long_ago_keeps_few_records() -> None:
+def test_endpoint_with_expired_failures_of_many_classes_keeps_few_records() -> None:
     engine = make(0, limiter_count=LIMITERS, classes=request_classes(300))
     endpoint = engine.endpoints["s0"]
     for number in range(300):
@@ -49,7 +51,7 @@
     assert len(endpoint.outlier_records) <= MAX_RECORDS and "c299" in endpoint.outlier_records
 
 
-def test_failures_are_told_latest_first_and_forgotten() -> None:
+def test_only_latest_failures_are_reported_and_old_ones_are_dropped() -> None:
     engine = make(0, limiter_count=LIMITERS)
     for number, tag in enumerate("abcab"):
         engine.context.now = 100.0 + number
@@ -60,9 +62,9 @@
     assert engine.outliers.latest_failures(3, 3.0) == [] and not engine.outliers.recent_failures
 
 
-def test_updates_that_are_too_old_are_looked_at_only_once() -> None:
+def test_outdated_updates_are_examined_only_once() -> None:
     engine = engine_with_charges(50)
-    waiting = {(f"gone{n}", 50): "" for n in range(3000)}
+    unsent = {(f"gone{n}", 50): "" for n in range(3000)}
     for _ in range(7):
-        assert engine.composer.fill_datagram("head", waiting) == "head"
-    assert not waiting
+        assert engine.composer.fill_datagram("head", unsent) == "head"
+    assert not unsent
