--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: which endpoints get nothing, and how few of many are compared."""
+"""Endpoint selection: which endpoints are excluded, and how many of many are compared."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 )
 
 
-def test_without_a_usable_endpoint_a_request_is_rejected() -> None:
-    """All endpoints are gone or draining. The client must get its answer at once."""
+def test_request_without_a_usable_endpoint_is_rejected_at_once() -> None:
+    """The endpoint list is empty. The client must get its answer at once."""
     engine = make()
     engine.handle(endpoint_list("full"), 99.0)
     assert len(actions_of(ask(engine, 100.0), api.RejectRequest)) == 1
 
 
-def test_a_draining_or_gone_endpoint_gets_nothing_new() -> None:
+def test_draining_or_gone_endpoint_gets_no_new_work() -> None:
     engine = make()
     engine.handle(
         endpoint_list("change", entry("s0", state="draining"), entry("s2", state="gone")), 99.0
@@ -41,34 +41,34 @@
     assert used == {"s3"}
 
 
-def test_an_endpoint_that_answers_nothing_gets_nothing_new() -> None:
-    """An endpoint goes silent with a request in flight.
+def test_silent_endpoint_gets_no_new_work() -> None:
+    """An endpoint stops answering with a request in flight.
 
-    It must get nothing new until it answers.
+    It must get no new work until it answers.
     """
     engine = make()
-    (hangs,) = actions_of(ask(engine, 1.0), api.StartAttempt)
+    (hung,) = actions_of(ask(engine, 1.0), api.StartAttempt)
     for name, endpoint in engine.endpoints.items():
-        endpoint.work_factor = 1.0 if name == hangs.endpoint else 5.0  # else it would be the best
-    later = set()
+        endpoint.work_factor = 1.0 if name == hung.endpoint else 5.0  # it would be preferred
+    used = set()
     for number in range(40):
         (send,) = actions_of(ask(engine, 1.9, customer=str(number)), api.StartAttempt)
         engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.05, True), 1.9)
-        later.add(send.endpoint)
-    assert later and hangs.endpoint not in later
+        used.add(send.endpoint)
+    assert used and hung.endpoint not in used
 
 
-def test_up_to_so_many_endpoints_all_are_compared_where_loads_are_known() -> None:
+def test_small_fleet_compares_all_endpoints_up_to_a_maximum() -> None:
     for count in (MAX_COMPARED, MAX_COMPARED + 1, 500):
         engine = make(0, limiter_count=3)
         engine.handle(endpoint_list("full", *endpoint_entries(count)), 100.0)
-        drawn = [some for _, some in engine.selection.rounds()]
-        assert all(len(some) == MAX_COMPARED for some in drawn)
-        assert count > MAX_COMPARED or drawn[0] == list(engine.endpoints.values())
+        rounds = [candidates for _, candidates in engine.selection.rounds()]
+        assert all(len(candidates) == MAX_COMPARED for candidates in rounds)
+        assert count > MAX_COMPARED or rounds[0] == list(engine.endpoints.values())
 
 
 @pytest.mark.parametrize("limiters", [3, LIMITERS])
-def test_among_many_endpoints_the_one_that_is_up_is_found(limiters: int) -> None:
+def test_only_endpoint_that_is_up_is_found_among_many(limiters: int) -> None:
     engine = make(0, limiter_count=limiters)
     engine.handle(
         endpoint_list(
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("limiters", [3, LIMITERS])
-def test_among_many_endpoints_a_retry_finds_those_that_drop_a_repeat(limiters: int) -> None:
+def test_keyed_retry_goes_to_the_cell_of_the_first_attempt_among_many(limiters: int) -> None:
     order = api.RequestClass(
         "order",
         latency_objective=3.0,
@@ -95,8 +95,8 @@
         engine = make(turn % 3, limiter_count=limiters, classes=(order,))
         engine.handle(endpoint_list("full", *endpoint_entries(500)), 100.0)
         (send,) = actions_of(ask(engine, 100.0, "order"), api.StartAttempt)
-        (again,) = actions_of(answer(engine, send, 100.1, "reset"), api.StartAttempt)
+        (second,) = actions_of(answer(engine, send, 100.1, "reset"), api.StartAttempt)
         assert (
-            engine.endpoints[again.endpoint].entry.cell
+            engine.endpoints[second.endpoint].entry.cell
             == engine.endpoints[send.endpoint].entry.cell
         )
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine as a whole: its determinism, bad input, and that nothing grows for ever."""
+"""The engine in general: determinism, invalid input, and bounded state."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 )
 
 
-def test_odd_requests_get_their_one_answer_at_once() -> None:
+def test_invalid_requests_are_rejected_once_and_at_once() -> None:
     engine = make()
-    for odd in ({"class_name": "x"}, {"plan_name": "x"}, {"units": 0.0}, {"time_left": 0.0}):
-        assert len(actions_of(ask(engine, 100.0, **odd), api.RejectRequest)) == 1
+    for invalid in ({"class_name": "x"}, {"plan_name": "x"}, {"units": 0.0}, {"time_left": 0.0}):
+        assert len(actions_of(ask(engine, 100.0, **invalid), api.RejectRequest)) == 1
 
 
-def test_nothing_grows_with_customers_that_never_come_back() -> None:
+def test_customers_that_never_return_leave_no_state() -> None:
     engine = make()
     for i in range(2000):
         for send in actions_of(ask(engine, 100.0 + i * 0.01, customer=f"k{i}"), api.StartAttempt):
@@ -36,14 +36,14 @@
     )
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
-    def play() -> list[api.Action]:
-        engine, seen = make(), []
+def test_same_events_and_seed_produce_the_same_actions() -> None:
+    def run() -> list[api.Action]:
+        engine, actions = make(), []
         for i in range(50):
-            seen += ask(engine, 100.0 + i / 10, id=f"q{i}", customer=f"{i % 5}")
-        return seen
+            actions += ask(engine, 100.0 + i / 10, id=f"q{i}", customer=f"{i % 5}")
+        return actions
 
-    assert play() == play()
+    assert run() == run()
 
 
 @pytest.mark.parametrize(
@@ -56,13 +56,13 @@
         ("plans", (api.Plan("p", 1.0, 0.0),)),
     ],
 )
-def test_settings_that_cannot_be_acted_on_are_named(name: str, value: object) -> None:
+def test_invalid_setting_is_named_in_the_error(name: str, value: object) -> None:
     with pytest.raises(ValueError, match=name):
         make(**{str(name): value})  # type: ignore[arg-type]
 
 
-def test_customers_that_come_once_and_endpoints_that_fail_leave_nothing_behind() -> None:
-    engine, most = make(), 0
+def test_one_time_customers_and_failing_endpoints_leave_bounded_state() -> None:
+    engine, max_accounts = make(), 0
     for second in range(1, 60):
         engine.handle(api.TimerFired("beat"), float(second))
         for n in range(20):
@@ -76,24 +76,24 @@
         engine.handle(
             endpoint_list("change", entry(f"s{second % 4}", started=float(second))), second + 0.5
         )
-        most = max(most, len(engine.accounts))
+        max_accounts = max(max_accounts, len(engine.accounts))
     assert (
-        most <= 20 * 5
+        max_accounts <= 20 * 5
         and not engine.pending_requests
         and not engine.outliers.recent_failures
         and len(engine.endpoints) == 4
     )
 
 
-def test_an_account_whose_charges_are_still_told_is_not_forgotten_in_between() -> None:
-    """A fresh account would take the total that is told again for a new charge."""
-    engine, head, seen = make(), "h{}0x ", set()
+def test_account_with_charges_still_being_reported_is_kept() -> None:
+    """A new account would count the repeatedly reported total as a new charge."""
+    engine, header, identities = make(), "h{}0x ", set()
     charge = f"{base36(77)}:0:0:3:0:"
     for tenth in range(10, 50):
         engine.handle(api.TimerFired("beat"), tenth / 10)
         period = base36(tenth // 10)
         engine.handle(
-            api.GossipReceived(1, head.format(period) + charge + base36(10)), tenth / 10 + 0.01
+            api.GossipReceived(1, header.format(period) + charge + base36(10)), tenth / 10 + 0.01
         )
-        seen.add(id(engine.accounts[base36(77)]))
-    assert len(seen) == 1
+        identities.add(id(engine.accounts[base36(77)]))
+    assert len(identities) == 1
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which requests give way when answers wait."""
+"""Load shedding: which requests are rejected first under load."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 LARGE_FLEET = 40
 
 
-def test_a_long_objective_does_not_let_a_cheap_class_shut_out_a_dear_one() -> None:
-    """A cheap class with a long objective filled the queues and shut out the dear one."""
+def test_low_value_class_with_long_objective_does_not_starve_others() -> None:
+    """A low-value class with a long objective filled the queues and starved a valuable one."""
     dear = api.RequestClass(
         "dear", latency_objective=1.0, deadline=4.0, priority_weight=9.0, effect="safe"
     )
@@ -38,11 +38,11 @@
     )
 
 
-def test_under_pressure_a_retry_past_its_objective_yields() -> None:
-    """In an overload old retries took the places of requests that could still be in time."""
+def test_under_load_a_retry_past_its_objective_is_rejected() -> None:
+    """In an overload, late retries displaced requests that could still be in time."""
     engine = make()
     for endpoint in engine.endpoints.values():
-        # seconds of work: a wait between the two limits
+        # seconds of work; the wait lies between the two limits
         endpoint.in_flight["other", 0], endpoint.last_progress_at = 0.4, 100.0
     assert actions_of(ask(engine, 100.1, customer="a", time_left=2.5), api.RejectRequest)
     assert actions_of(ask(engine, 100.1, customer="b", time_left=4.0), api.StartAttempt)
@@ -50,15 +50,15 @@
 
 
 @pytest.mark.parametrize("marks", [False, True])
-def test_first_requests_that_come_with_less_time_are_not_taken_for_late_retries(
+def test_first_requests_with_a_short_timeout_do_not_count_as_late_retries(
     marks: bool,
 ) -> None:
-    """Some clients give a first request 60% of the time, and its retry all that is left.
+    """Some clients give a first request 60% of the time, and its retry all the remaining time.
 
-    A short time left then shows no age.
+    A short time left is then no sign of age.
     """
     engine = make(clients_mark_retries=marks)
-    # learned where clients mark nothing, known where they do
+    # must be learned unless clients mark their retries
     for turn in range(6 if not marks else 0):
         count_admitted(engine, 100.0, 1, customer=f"{turn}", time_left=2.4 + turn / 1000)
         count_admitted(engine, 100.0, 1, customer=f"r{turn}", time_left=3.9)
@@ -71,10 +71,10 @@
 
 
 @pytest.mark.parametrize("limiters", [3, 12])
-def test_in_a_large_fleet_a_few_requests_alike_do_not_pass_for_a_habit(limiters: int) -> None:
-    """Each limiter sees little.
+def test_large_fleet_does_not_learn_a_timeout_from_a_few_equal_requests(limiters: int) -> None:
+    """Each limiter of a large fleet sees few requests.
 
-    Retries after a fixed wait, cut alike, would hold for first requests.
+    Retries after a fixed wait have equal remaining times and would count as first requests.
     """
     engine = make(limiter_count=limiters)
     count_admitted(engine, 100.0, 1, customer="first", time_left=4.0)
@@ -85,22 +85,22 @@
             0.7 if limiters > 8 else 0.4,
             100.0,
         )
-    late = [
+    reasons = [
         action.reason
         for action in actions_of(ask(engine, 100.1, customer="a", time_left=2.4), api.RejectRequest)
     ]
-    assert late == ([] if limiters == 3 else ["late"])
+    assert reasons == ([] if limiters == 3 else ["late"])
 
 
-def test_a_client_that_waits_as_advised_is_in_time() -> None:
+def test_retry_after_in_an_overload_is_less_than_half_the_objective() -> None:
     engine = make()
     for endpoint in engine.endpoints.values():
         endpoint.in_flight["other", 0] = 9.0
-    (refusal,) = actions_of(ask(engine, 100.0), api.RejectRequest)
-    assert 0 < refusal.retry_after < LOOKUP.latency_objective / 2
+    (rejection,) = actions_of(ask(engine, 100.0), api.RejectRequest)
+    assert 0 < rejection.retry_after < LOOKUP.latency_objective / 2
 
 
-def slow(engine: DecisionEngine, now: float, elapsed: float, count: int) -> None:
+def answer_requests(engine: DecisionEngine, now: float, elapsed: float, count: int) -> None:
     for i in range(count):
         for send in actions_of(ask(engine, now, customer=f"{now}{i}"), api.StartAttempt):
             engine.handle(
@@ -108,23 +108,23 @@
             )
 
 
-def test_a_large_fleet_sheds_by_how_long_answers_waited_and_forgets_it() -> None:
+def test_large_fleet_sheds_by_learned_queue_wait_which_decays() -> None:
     """All endpoints are slow for seconds.
 
-    The fleet sheds load, and admits again once it is over.
+    The fleet must shed load, and admit requests again afterwards.
     """
     engine = make(0, limiter_count=LARGE_FLEET)
-    slow(engine, 100.0, 0.1, 20)
+    answer_requests(engine, 100.0, 0.1, 20)
     assert actions_of(ask(engine, 100.0, customer="a"), api.StartAttempt)
-    slow(engine, 100.1, 3.0, 60)
+    answer_requests(engine, 100.1, 3.0, 60)
     assert actions_of(ask(engine, 100.1, customer="b"), api.RejectRequest)
-    for beat in range(200):  # all rejected: nothing tells that it is over
+    for beat in range(200):  # with everything rejected, no answer shows that it is over
         engine.handle(api.TimerFired("beat"), 100.2 + beat / 10)
     assert actions_of(ask(engine, 121.0, customer="c"), api.StartAttempt)
 
 
-def test_attempts_in_flight_tell_of_a_slowing() -> None:
-    """Endpoints slow down at once, and no answer tells of it yet."""
+def test_attempts_in_flight_raise_the_queue_wait_before_late_answers() -> None:
+    """Endpoints slow down suddenly, and no answer shows it yet."""
     engine = make(0, limiter_count=LARGE_FLEET)
     for i in range(5):
         ask(engine, 100.0, customer=f"{i}")
@@ -133,11 +133,11 @@
     assert engine.load.queue_wait > 0.3 * LOOKUP.latency_objective
 
 
-def pressed(**changes: float) -> dict[str, int]:
-    """How many of each class a limiter lets in of as many of both, with nothing answered."""
+def admitted_under_load(**changes: float) -> dict[str, int]:
+    """Returns how many of 100 requests of each class are admitted while none is answered."""
     plan = api.Plan("basic", rate=1000.0, burst=1000.0)
-    told = api.Settings(0, 1, (CHEAP, DEAR), (plan,), max_units=4.0, max_attempts=3, **changes)  # type: ignore[arg-type]
-    engine, sent = DecisionEngine(told, seed=1), {"cheap": 0, "dear": 0}
+    settings = api.Settings(0, 1, (CHEAP, DEAR), (plan,), max_units=4.0, max_attempts=3, **changes)  # type: ignore[arg-type]
+    engine, sent = DecisionEngine(settings, seed=1), {"cheap": 0, "dear": 0}
     engine.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))), 100.0)
     for turn in range(100):
         for name in sent:
@@ -147,12 +147,12 @@
     return sent
 
 
-def test_under_pressure_the_class_of_less_value_gives_way_first() -> None:
-    assert pressed()["dear"] >= 2 * pressed()["cheap"] > 0
+def test_under_load_the_class_of_lower_value_is_rejected_first() -> None:
+    assert admitted_under_load()["dear"] >= 2 * admitted_under_load()["cheap"] > 0
 
 
-def test_a_goal_that_weighs_the_worst_served_class_lets_none_give_way() -> None:
-    sent = pressed(class_weight=1.0)
+def test_weight_of_the_worst_served_class_equalizes_admission() -> None:
+    sent = admitted_under_load(class_weight=1.0)
     assert 0.7 * sent["dear"] <= sent["cheap"] <= 1.5 * sent["dear"]
 
 
@@ -165,18 +165,18 @@
         ({"whole": 0.45, "worst_window": 0.4, "worst_class": 0.0, "worst_tenant": 0.15}, 0.0),
     ],
 )
-def test_the_goal_tells_what_the_worst_class_weighs(goal: dict[str, float], weight: float) -> None:
+def test_class_weight_is_derived_from_the_goal(goal: dict[str, float], weight: float) -> None:
     grades = [{"name": "a", "objective": 1.0, "deadline": 2.0, "effect": "pure"}]
-    told = parse_settings(
+    settings = parse_settings(
         Fields("s", {"position": 0, "balancers": 1, "grades": grades, "goal": goal})
     )
-    assert told.class_weight == pytest.approx(weight)
+    assert settings.class_weight == pytest.approx(weight)
 
 
-def test_work_is_learned_for_each_number_of_units() -> None:
-    """Where units are an estimate, a large one may mean far more work than its number says.
+def test_work_is_learned_separately_for_each_number_of_units() -> None:
+    """Where units are an estimate, a large estimate may mean far more work than it states.
 
-    Endpoints must be chosen and filled by the work.
+    Endpoint selection must use the learned work.
     """
     plan = api.Plan("basic", rate=1000.0, burst=1000.0)
     engine = DecisionEngine(
