--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -85,16 +85,17 @@
         engine_of_size(200, 1, 200, limiters),
         engine_of_size(SERVERS, CLASSES, CUSTOMERS, limiters),
     )
-    for engine in (small, large):
-        decision_costs(engine, 100.0, 5, bytecodes)  # excludes the work after a full list
+    for compared in (small, large):
+        decision_costs(compared, 100.0, 5, bytecodes)  # excludes the work after a full list
     costs = [
-        statistics.median(decision_costs(engine, 101.0, 60, bytecodes)) for engine in (small, large)
+        statistics.median(decision_costs(compared, 101.0, 60, bytecodes))
+        for compared in (small, large)
     ]
     assert costs[1] <= MARGIN * costs[0]
     ratios = []
     for turn in range(9):
         spent = [
-            sum(decision_costs(engine, 102.0 + turn, 60, seconds)) for engine in (small, large)
+            sum(decision_costs(compared, 102.0 + turn, 60, seconds)) for compared in (small, large)
         ]
         ratios.append(spent[1] / spent[0])
     # iterating over all endpoints, classes or customers costs ten times as much
@@ -233,7 +234,7 @@
 
 
 def test_round_emits_a_bounded_number_of_closed_counts_and_each_once() -> None:
-    customers, keys = 3 * MAX_COUNTS_A_ROUND + 5, list[str]()
+    customers, emitted_keys = 3 * MAX_COUNTS_A_ROUND + 5, list[str]()
     engine = engine_with_replicated_counts(customers)
     engine.context.now, engine.context.period = 102.0, 102
     while counts := actions_of(
@@ -242,9 +243,9 @@
         assert len(counts) <= MAX_COUNTS_A_ROUND + len(
             PEER_INCARNATIONS
         )  # the counts of one customer stay together
-        keys += [count.key for count in counts]
+        emitted_keys += [count.key for count in counts]
     names = sorted(gossip.base36(number) for number in range(customers))
-    assert sorted(keys) == sorted(names * (1 + len(PEER_INCARNATIONS)))
+    assert sorted(emitted_keys) == sorted(names * (1 + len(PEER_INCARNATIONS)))
 
 
 def test_accounts_with_an_open_period_are_examined_once_per_period() -> None:
@@ -261,7 +262,7 @@
 
 
 def test_continuous_charges_to_some_customers_do_not_delay_others_counts() -> None:
-    engine, keys = engine_with_replicated_counts(2 * MAX_COUNTS_A_ROUND), set[str]()
+    engine, emitted_keys = engine_with_replicated_counts(2 * MAX_COUNTS_A_ROUND), set[str]()
     for period in range(102, 125):  # one round per period: fewer rounds than there are counts
         engine.context.now, engine.context.period = float(period), period
         for number in range(MAX_COUNTS_A_ROUND):
@@ -269,13 +270,13 @@
             account.charges.advance(period)
             account.charges.charge(1.0, period)
             engine.replicated_accounts.mark_charged(account)
-        keys |= {
+        emitted_keys |= {
             count.key
             for count in actions_of(
                 engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
             )
         }
-    assert len(keys) == 2 * MAX_COUNTS_A_ROUND
+    assert len(emitted_keys) == 2 * MAX_COUNTS_A_ROUND
 
 
 def _collect(take: Callable[[int], list[api.Action]], collected: list[api.Action]) -> None:
