--- a/hazelhollow/decisions/startup_quota.py
+++ b/hazelhollow/decisions/startup_quota.py
@@ -55,11 +55,11 @@
         # least one request; otherwise customers with few requests would be rejected.
         large = set_size > MAX_DIRECT_SET
         min_level = context.settings.max_units if large and not context.counts_replicated else 0.0
-        even_share = max(plan.burst / max(set_size, 1), min_level)
+        initial_units = max(plan.burst / max(set_size, 1), min_level)
         if self.all_started_together:
-            even_share += max(plan.burst - even_share, 0.0) * self._share_if_together
+            initial_units += max(plan.burst - initial_units, 0.0) * self._share_if_together
         since = min(context.started_at, self.complete_since)
-        return min(plan.burst, even_share + plan.rate * (context.now - since))
+        return min(plan.burst, initial_units + plan.rate * (context.now - since))
 
     def record_peer_incarnation(
         self, peer: int, incarnation: str, accounts: Iterable[Account]
--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -32,9 +32,9 @@
 HARD = api.Plan("hard", rate=4.0, burst=12.0, excess_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
 
 
-def make(number: int = 0, **changes: Any) -> DecisionEngine:
+def make(own_id: int = 0, **changes: Any) -> DecisionEngine:
     values: dict[str, object] = dict(
-        limiter_id=number,
+        limiter_id=own_id,
         limiter_count=3,
         classes=(LOOKUP, ISSUE, HOLD),
         plans=(BASIC, HARD),
--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -50,21 +50,21 @@
     (hung,) = actions_of(ask(engine, 1.0), api.StartAttempt)
     for name, endpoint in engine.endpoints.items():
         endpoint.work_factor = 1.0 if name == hung.endpoint else 5.0  # it would be preferred
-    used = set()
+    used_later = set()
     for number in range(40):
         (send,) = actions_of(ask(engine, 1.9, customer=str(number)), api.StartAttempt)
         engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.05, True), 1.9)
-        used.add(send.endpoint)
-    assert used and hung.endpoint not in used
+        used_later.add(send.endpoint)
+    assert used_later and hung.endpoint not in used_later
 
 
 def test_small_fleet_compares_all_endpoints_up_to_a_maximum() -> None:
     for count in (MAX_COMPARED, MAX_COMPARED + 1, 500):
         engine = make(0, limiter_count=3)
         engine.handle(endpoint_list("full", *endpoint_entries(count)), 100.0)
-        rounds = [candidates for _, candidates in engine.selection.rounds()]
-        assert all(len(candidates) == MAX_COMPARED for candidates in rounds)
-        assert count > MAX_COMPARED or rounds[0] == list(engine.endpoints.values())
+        candidates_by_round = [candidates for _, candidates in engine.selection.rounds()]
+        assert all(len(candidates) == MAX_COMPARED for candidates in candidates_by_round)
+        assert count > MAX_COMPARED or candidates_by_round[0] == list(engine.endpoints.values())
 
 
 @pytest.mark.parametrize("limiters", [3, LIMITERS])
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: failures, ejection, and what is no outlier."""
+"""Outlier detection: failures, ejection, and what does not count as an outlier."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 LARGE_FLEET = 40
 
 
-def test_costly_requests_do_not_make_an_endpoint_look_slow() -> None:
+def test_few_costly_requests_do_not_make_an_endpoint_look_slow() -> None:
     engine = make()
     endpoint = engine.endpoints["s0"]
     for i in range(40):
@@ -30,8 +30,8 @@
     assert all(s.work_factor < 2.0 for s in engine.endpoints.values()) and endpoint.work_factor > 0
 
 
-def test_an_endpoint_that_fails_one_class_serves_the_rest() -> None:
-    """An endpoint fails every request of one class. It must go on serving the others."""
+def test_endpoint_that_fails_one_class_still_serves_the_others() -> None:
+    """An endpoint fails every request of one class. It must continue to serve the others."""
     engine = make()
     engine.handle(api.TimerFired("beat"), 100.3)
     for _ in range(3):
@@ -48,8 +48,11 @@
     assert "s0" not in used["lookup"] and "s0" in used["issue"]
 
 
-def test_failures_that_peers_report_keep_a_class_from_an_endpoint() -> None:
-    """Each limiter of a large fleet sees too few failures to tell. Together they must eject."""
+def test_failures_reported_by_peers_eject_an_endpoint_for_the_class() -> None:
+    """Each limiter of a large fleet sees too few failures to eject an endpoint by itself.
+
+    The failures seen by all of them together must eject it.
+    """
     engine = make(0, limiter_count=LARGE_FLEET)
     tag = engine.endpoints["s1"].tag
     for sender in (4, 5, 6):
@@ -65,8 +68,8 @@
     assert "s1" not in used and len(used) == 3
 
 
-def test_a_late_answer_while_others_hardly_wait_is_a_failure_of_its_endpoint() -> None:
-    """One endpoint answers late while the rest are quick: it may die next."""
+def test_late_answer_at_low_load_counts_as_a_failure_of_the_endpoint() -> None:
+    """An endpoint answers late while the others are fast; it may stop answering next."""
     engine = make(0, limiter_count=LARGE_FLEET)
     (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
     engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 1.5, final=True), 101.5)
@@ -83,26 +86,26 @@
 
 
 @pytest.mark.parametrize(
-    "status, pressed",
+    "status, overloaded",
     [("error", False), ("connect_failed", False), ("reset", False), ("full", True)],
 )
-def test_what_fails_at_once_is_no_overload_and_a_full_queue_is(
-    status: api.Status, pressed: bool
+def test_immediate_failures_are_no_overload_but_full_queues_are(
+    status: api.Status, overloaded: bool
 ) -> None:
-    """A zone is lost: attempts fail at once.
+    """A zone is lost, and attempts fail immediately.
 
-    That must not look like an overload, as a full queue does.
+    This must not be taken for an overload; full queues must.
     """
     engine = make(0, limiter_count=LARGE_FLEET)
     engine.handle(endpoint_list("full", *(entry(f"s{i}") for i in range(60))), 100.0)
     fail(engine, status, 30)
-    assert (engine.load.queue_wait > 0.35 * engine.load.tightest_objective) == pressed
+    assert (engine.load.queue_wait > 0.35 * engine.load.tightest_objective) == overloaded
 
 
-def test_an_endpoint_that_refuses_connections_is_left_at_once_in_a_large_fleet() -> None:
+def test_refused_connection_ejects_at_once_only_in_a_large_fleet() -> None:
     """An endpoint refuses connections.
 
-    A limiter of a large fleet meets it too seldom to count to three.
+    A limiter of a large fleet uses it too rarely to count three failures.
     """
     for limiters, ejected in ((LARGE_FLEET, 1), (3, 0)):
         engine = make(0, limiter_count=limiters)
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: what is charged, settled and refunded, the limit on open requests, and the ceiling."""
+"""Quotas: charge, settlement and refund, the limit on open requests, and the ceiling."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 )
 
 
-def test_a_quota_refills_up_to_its_burst() -> None:
+def test_quota_refills_up_to_its_burst() -> None:
     engine = make()
     assert count_admitted(engine, 100.0, 30) == 12
     assert count_admitted(engine, 102.0, 30) == 8
     assert count_admitted(engine, 120.0, 30) == 12
 
 
-def test_a_settlement_may_leave_a_quota_in_debt() -> None:
+def test_settlement_above_the_estimate_can_make_the_quota_negative() -> None:
     engine = make()
     (send,) = actions_of(ask(engine, 100.0, units=4.0), api.StartAttempt)
     answer(engine, send, 100.0, true_units=20.0)
     assert count_admitted(engine, 100.0, 5) == 0
-    assert count_admitted(engine, 102.0, 5) == 0  # still at nothing
+    assert count_admitted(engine, 102.0, 5) == 0  # the level is still 0
     assert count_admitted(engine, 103.0, 5) > 0
 
 
-def test_a_quota_refills_evenly() -> None:
+def test_quota_refills_continuously() -> None:
     engine = make()
     assert count_admitted(engine, 100.0, 30) == 12
     assert count_admitted(engine, 100.5, 30) == 2
     assert count_admitted(engine, 101.0, 30) == 2
 
 
-def test_a_settlement_counts_once_and_for_its_request_only() -> None:
-    """Two answers of one request may both carry true units. Only the first may change the quota."""
+def test_repeated_answer_settles_its_request_only_once() -> None:
+    """Two answers to one request may both carry true units. Only the first may change the quota."""
     engine = make()
     (send,) = actions_of(ask(engine, 100.0, units=4.0), api.StartAttempt)
     answer(engine, send, 100.0, true_units=1.0)
@@ -53,38 +53,40 @@
     assert count_admitted(engine, 100.0, 30) == 11
 
 
-def test_a_second_figure_of_one_request_settles_nothing() -> None:
+def test_true_units_of_a_second_attempt_settle_nothing() -> None:
     engine = make()
     (send,) = actions_of(ask(engine, 100.0, units=2.0), api.StartAttempt)
-    (again,) = actions_of(answer(engine, send, 100.1, "error", true_units=4.0), api.StartAttempt)
-    engine.handle(api.AttemptEnded(again.id, 1, again.endpoint, "ok", 0.1, True, 4.0), 100.2)
+    (second,) = actions_of(answer(engine, send, 100.1, "error", true_units=4.0), api.StartAttempt)
+    engine.handle(api.AttemptEnded(second.id, 1, second.endpoint, "ok", 0.1, True, 4.0), 100.2)
     assert next(iter(engine.accounts.values())).quota.level == pytest.approx(12.0 - 4.0, abs=1.0)
 
 
-def test_a_request_beyond_the_quota_is_rejected_with_the_time_until_it_fits() -> None:
+def test_request_beyond_the_quota_is_rejected_with_its_refill_time() -> None:
     engine = make()
     count_admitted(engine, 100.0, 12)
-    (refusal,) = actions_of(ask(engine, 100.0), api.RejectRequest)
-    assert 0 < refusal.retry_after <= 1.0 and refusal.reason == "quota"
+    (rejection,) = actions_of(ask(engine, 100.0), api.RejectRequest)
+    assert 0 < rejection.retry_after <= 1.0 and rejection.reason == "quota"
 
 
-def test_a_rejection_names_its_reason_for_the_counters() -> None:
+def test_rejection_carries_its_reason_for_the_counters() -> None:
     assert [
         r.reason for r in actions_of(ask(make(), 0.0, plan_name="hard"), api.RejectRequest)
-    ] == ["ceiling"]  # empty at a start
+    ] == ["ceiling"]  # the ceiling is empty at the start
     assert [
         r.reason for r in actions_of(ask(make(), 0.0, plan_name="none"), api.RejectRequest)
     ] == ["unknown"]
-    bare = make()
-    bare.handle(endpoint_list("full"), 0.0)
-    assert [r.reason for r in actions_of(ask(bare, 0.0), api.RejectRequest)] == ["no server"]
+    without_endpoints = make()
+    without_endpoints.handle(endpoint_list("full"), 0.0)
+    assert [r.reason for r in actions_of(ask(without_endpoints, 0.0), api.RejectRequest)] == [
+        "no server"
+    ]
 
 
 @pytest.mark.parametrize("run", range(5))
-def test_the_ceiling_holds_over_limiters_that_restart_and_hear_nothing(run: int) -> None:
+def test_ceiling_holds_while_limiters_restart_and_all_gossip_is_lost(run: int) -> None:
     """Limiters are killed and restarted, and no datagram arrives.
 
-    All together must not pass the ceiling.
+    Together they must not exceed the ceiling.
     """
     chance, level, at = random.Random(run), HARD.ceiling_burst, 100.0
     fleet = [make(i) for i in range(3)]
@@ -104,47 +106,47 @@
         assert level >= -1e-6
 
 
-def opened(engine: DecisionEngine, now: float) -> int:
-    """How many requests of one customer are let in, one after the other, while none ends."""
+def open_requests_admitted(engine: DecisionEngine, now: float) -> int:
+    """Returns how many of 8 requests of one customer are admitted while none ends."""
     return sum(
         bool(actions_of(ask(engine, now, plan_name="few"), api.StartAttempt)) for _ in range(8)
     )
 
 
-def test_an_open_limit_counts_what_peers_are_likely_to_have_in_flight() -> None:
-    """A fixed share of a small limit turns away what the set has room for.
+def test_open_limit_includes_the_estimated_open_requests_of_peers() -> None:
+    """A fixed share of a small limit rejects requests that the set has room for.
 
-    Without it a busy set would pass the limit.
+    Without shares or an estimate, a busy set would exceed the limit.
     """
     few = api.Plan("few", rate=100.0, burst=300.0, open_limit=6)
-    assert opened(make(plans=(few,)), 1.0) == 6
+    assert open_requests_admitted(make(plans=(few,)), 1.0) == 6
     key = base36(crc32(b"c") % 36**5)
     for units, most in (
         (4, 4),
         (10, 2),
         (90, 2),
-    ):  # a second, by each of two peers, at a sixth of a second each
+    ):  # per second by each of two peers; each takes a sixth of a second
         engine = make(plans=(few,))
         for peer in (1, 2):
             engine.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10 * units)}"), 1.9)
-        assert opened(engine, 1.9) == most
+        assert open_requests_admitted(engine, 1.9) == most
 
 
-def test_requests_in_flight_at_peers_count_until_they_will_have_ended() -> None:
+def test_reported_open_requests_of_peers_decay_as_they_are_expected_to_end() -> None:
     few, key = api.Plan("few", rate=100.0, burst=300.0, open_limit=6), base36(crc32(b"c") % 36**5)
-    for later, most in ((0.0, 2), (0.9, 5)):
+    for elapsed, most in ((0.0, 2), (0.9, 5)):
         engine = make(plans=(few,))
         for peer in (1, 2):
             engine.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10)}:2"), 1.0)
-        assert opened(engine, 1.0 + later) == most
+        assert open_requests_admitted(engine, 1.0 + elapsed) == most
 
 
-def test_a_request_leaves_room_for_what_peers_have_charged_and_not_told_yet() -> None:
+def test_quota_reserves_units_for_charges_of_peers_not_yet_received() -> None:
     quick, key = api.Plan("quick", rate=1.0, burst=100.0), base36(crc32(b"c") % 36**5)
-    for heard, most in ((0, 10), (50, 8)):
+    for received, most in ((0, 10), (50, 8)):
         engine = make(plans=(quick,))
         ask(engine, 1.9, plan_name="quick", units=0.001)
-        engine.handle(api.GossipReceived(1, f"h10x {key}:0:0:3:0:{base36(10 * heard)}"), 1.9)
+        engine.handle(api.GossipReceived(1, f"h10x {key}:0:0:3:0:{base36(10 * received)}"), 1.9)
         engine.accounts[key].quota.level = 10.0
         assert (
             sum(
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: which attempts may follow, and that no effect happens twice."""
+"""Retries: which attempts may follow, and that no request takes effect twice."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 )
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_one_that_did_not_goes_again() -> None:
+def test_unsafe_request_is_retried_only_if_it_cannot_have_run() -> None:
     """A connection broke after the request was sent.
 
-    What may have run must not run again; what never ran may.
+    A request that may have run must not run again; one that never ran may.
     """
     engine = make()
     (send,) = actions_of(ask(engine, 100.0, "issue"), api.StartAttempt)
@@ -31,10 +31,10 @@
     assert actions_of(answer(engine, send, 100.3, "full"), api.StartAttempt)
 
 
-def test_late_events_for_an_ended_request_are_harmless() -> None:
-    """An answer comes after the client has left.
+def test_late_events_for_an_ended_request_are_ignored() -> None:
+    """A second end of an attempt and a disconnect arrive after the request has ended.
 
-    It must neither fail nor bring the request back.
+    They must neither cause an error nor reopen the request.
     """
     engine = make()
     (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
@@ -54,12 +54,12 @@
     statuses=st.lists(st.sampled_from(STATUSES), min_size=1, max_size=4),
     waits=st.lists(st.floats(0.001, 1.5), min_size=4, max_size=4),
 )
-def test_every_request_ends_once_and_no_effect_happens_twice(
+def test_every_request_ends_once_and_takes_effect_at_most_once(
     kind: str, statuses: list[str], waits: list[float]
 ) -> None:
-    """Attempts end in every way and order.
+    """Attempts end with every status in every order.
 
-    Each request gets one final answer, and no effect happens twice.
+    Each request must get one final answer, and none may take effect twice.
     """
     engine, now = make(), 100.0
     actions = ask(engine, now, kind)
@@ -87,13 +87,13 @@
         if final:
             assert not actions_of(actions, api.StartAttempt) and engine.pending_requests == {}
             return
-    raise AssertionError("never ended")
+    raise AssertionError("the request got no final answer")
 
 
-def test_an_attempt_that_broke_off_at_once_costs_little_of_the_retry_budget() -> None:
-    """Resets by the dozen cost the endpoints nothing.
+def test_attempt_aborted_at_once_costs_little_of_the_retry_budget() -> None:
+    """Many immediate resets cost the endpoints nothing.
 
-    Were they to spend the retries, requests would fail for it.
+    If they used up the retry budget, requests would fail without need.
     """
     for elapsed, most in ((0.0002, 200), (0.5, 30)):
         engine, retried = make(), 0
@@ -109,10 +109,12 @@
         assert 0.9 * most <= retried <= most
 
 
-def hung(engine: DecisionEngine, kind: str, wait: float, answers: bool) -> tuple[list[str], str]:
-    """Where a request goes whose first attempt hangs, and the endpoint at which it hangs.
+def retries_after_hang(
+    engine: DecisionEngine, kind: str, wait: float, answers: bool
+) -> tuple[list[str], str]:
+    """Returns the endpoints of the retries of a hung attempt, and the endpoint of that attempt.
 
-    Some usual requests are answered before.
+    Some normal requests are answered before.
     """
     for number in range(30):
         for send in actions_of(
@@ -136,20 +138,20 @@
 
 
 @pytest.mark.parametrize("answers", [False, True])
-def test_an_attempt_that_hangs_at_a_calm_time_goes_to_another_endpoint(answers: bool) -> None:
-    """An endpoint takes a request and never answers, while others answer at once."""
+def test_hung_attempt_at_low_load_is_retried_at_another_endpoint(answers: bool) -> None:
+    """An endpoint accepts a request and never answers, while others answer at once."""
     engine = make(cancellation=True)
-    (other,), first = hung(engine, "lookup", 0.0, answers)
+    (other,), first = retries_after_hang(engine, "lookup", 0.0, answers)
     assert other != first
-    # one answer that is lost is no failing endpoint
+    # a single lost answer does not make the endpoint a failing one
     assert bool(engine.endpoints[first].outlier_records) is not answers
 
 
-def test_an_attempt_that_hangs_stays_in_an_overload_and_where_it_may_not_run_again() -> None:
-    """An attempt hangs in an overload, or has an effect.
+def test_hung_attempt_is_kept_in_overload_or_if_unsafe_to_repeat() -> None:
+    """An attempt hangs in an overload, or is unsafe, or cancellation is off.
 
-    Moving it would add load, or repeat the effect.
+    A retry would add load in an overload, and could repeat the effect of an unsafe request.
     """
-    assert hung(make(cancellation=True), "lookup", 0.5, False)[0] == []
-    assert hung(make(cancellation=True), "issue", 0.0, False)[0] == []
-    assert hung(make(), "lookup", 0.0, False)[0] == []
+    assert retries_after_hang(make(cancellation=True), "lookup", 0.5, False)[0] == []
+    assert retries_after_hang(make(cancellation=True), "issue", 0.0, False)[0] == []
+    assert retries_after_hang(make(), "lookup", 0.0, False)[0] == []
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -1,4 +1,4 @@
-"""Sites that settle the true units after the answer."""
+"""Settlement: estimated units are replaced by the true units of the answer."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 GUESS = "[Q.ASK 00000000b4d65521 r{0} c=look,t=basic,d=1000,units={1},spread=1,first=0]"
 
 
-def cost(figures: str, number: int = 1, units: int = 1) -> str:
-    """A request whose host answers with these figures on use.
+def settled_request(figures: str, number: int = 1, units: int = 1) -> str:
+    """Returns a scenario in which the host's answer carries these usage figures.
 
-    Its value reaches the client whatever they say.
+    The client gets the value whatever the figures are.
     """
     words = GUESS.format(number, units)
     return f"""
@@ -29,8 +29,8 @@
         a expect $2\\r\\nhi"""
 
 
-def room(stage: Stage) -> float:
-    """Units that the customer's quota holds, as the next request finds it."""
+def quota_level(stage: Stage) -> float:
+    """Returns the customer's current quota level, in units."""
     (account,) = stage.service.engine.accounts.values()
     return account.quota.level
 
@@ -53,39 +53,39 @@
         ("x" * 250 + ",cost=4", 7.0, 1),
     ],
 )
-def test_true_units_settle_a_budget_and_what_cannot_be_true_does_not(
+def test_valid_true_units_settle_the_quota_and_invalid_ones_do_not(
     figures: str, left: float, bad: int
 ) -> None:
     stage = Stage(hosts=1, settings=SETTLED)
-    stage.play(cost(figures))
-    assert room(stage) == pytest.approx(left)
+    stage.play(settled_request(figures))
+    assert quota_level(stage) == pytest.approx(left)
     assert (stage.service.stats.figures_bad, stage.service.stats.settled) == (
         bad,
         "cost" in figures and not bad,
     )
 
 
-def test_units_that_are_not_settled_afterwards_are_what_the_request_says() -> None:
+def test_without_settlement_the_units_of_the_request_are_charged() -> None:
     stage = Stage(hosts=1, settings=replace(SETTLED, post_paid=False))
-    stage.play(cost("cost=4"))
-    assert room(stage) == pytest.approx(7.0)
+    stage.play(settled_request("cost=4"))
+    assert quota_level(stage) == pytest.approx(7.0)
 
 
-def test_a_client_that_left_is_settled_once_by_the_answer_that_still_comes() -> None:
+def test_answer_after_the_client_disconnected_settles_the_request_once() -> None:
     stage = Stage(hosts=1, settings=SETTLED)
     words = GUESS.format(1, 1)
     stage.play(
         f"a send {words}\ns1 expect {words}\na close\ns1 send "
         "*3\\r\\n$1\\r\\nx\\r\\n$6\\r\\ncost=3\\r\\n$-1\nwait 0.05"
     )
-    assert room(stage) == pytest.approx(5.0, abs=0.1) and stage.service.stats.settled == 1
+    assert quota_level(stage) == pytest.approx(5.0, abs=0.1) and stage.service.stats.settled == 1
 
 
-def test_settings_read_again_may_begin_to_settle() -> None:
+def test_reloaded_settings_can_enable_settlement() -> None:
     stage = Stage(hosts=1, settings=replace(SETTLED, post_paid=False))
     stage.service.settings_reload.reload(lambda: replace(stage.config, settings=SETTLED))
-    stage.play(cost("cost=4"))
-    assert room(stage) == pytest.approx(4.0)
+    stage.play(settled_request("cost=4"))
+    assert quota_level(stage) == pytest.approx(4.0)
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
         (b"ERR failed", "error", {}),
     ],
 )
-def test_an_error_line_may_hold_figures_before_its_report(
+def test_error_line_may_contain_usage_figures_before_its_report(
     line: bytes, status: str, report: dict[str, float]
 ) -> None:
     result = attempts.read_answer(resp.ErrorReply(line))
@@ -108,5 +108,5 @@
 
 
 @pytest.mark.parametrize("answer", [[b"v"], [b"v", None], [b"v", None, None], [b"v", [b"x"], 7]])
-def test_an_answer_without_figures_is_an_answer(answer: list[resp.Value]) -> None:
+def test_answer_without_usage_figures_is_accepted(answer: list[resp.Value]) -> None:
     assert attempts.read_answer(answer) == attempts.AttemptResult("ok", b"v")
--- a/tests/decisions/test_startup_quota.py
+++ b/tests/decisions/test_startup_quota.py
@@ -1,4 +1,4 @@
-"""What a limiter that has just started lets a customer use."""
+"""Initial quota levels of a limiter that has just started."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 )
 
 
-def test_a_new_limiter_admits_its_part_and_an_old_one_the_whole_burst() -> None:
-    """A limiter was restarted while peers had spent the burst.
+def test_new_limiter_admits_its_share_of_the_burst_and_an_old_one_all() -> None:
+    """A limiter is restarted after its peers have used up the burst.
 
-    It must not give all of it out again.
+    It must not admit the full burst again.
     """
     assert count_admitted(make(), 0.0, 30) == 4  # 12 / 3
     assert count_admitted(make(), 0.0, 30, set_size=2) == 6
@@ -27,17 +27,17 @@
 @pytest.mark.parametrize(
     "incarnations, basic, hard", [((0.0, 0.6), 12, 8), ((0.0, -10.0), 4, 0), ((0.0,), 4, 0)]
 )
-def test_limiters_that_started_together_have_the_whole_burst_and_a_later_one_a_part(
+def test_full_burst_is_available_only_if_all_limiters_started_together(
     incarnations: tuple[float, ...], basic: int, hard: int
 ) -> None:
-    """A limiter starts among older ones, or has not heard from all.
+    """A limiter starts in an older fleet, or has not received gossip from all peers.
 
-    What was spent before is not known then.
+    Units used before its start are then unknown to it.
     """
     for plan, most in (("basic", basic), ("hard", hard)):
         engine = make()
         engine.context.started_at, engine.context.incarnation = 1000.0, incarnation_name(1000.0)
-        let_in = [ask(engine, 1000.0, plan_name=plan)]
+        results = [ask(engine, 1000.0, plan_name=plan)]
         for peer, start in enumerate(incarnations, 1):
             engine.handle(
                 api.GossipReceived(
@@ -45,5 +45,5 @@
                 ),
                 1000.0,
             )
-        let_in += [ask(engine, 1000.0, plan_name=plan) for _ in range(30)]
-        assert sum(bool(actions_of(actions, api.StartAttempt)) for actions in let_in) == most
+        results += [ask(engine, 1000.0, plan_name=plan) for _ in range(30)]
+        assert sum(bool(actions_of(actions, api.StartAttempt)) for actions in results) == most
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The endpoints that a limiter of a large fleet keeps to."""
+"""Subsetting: which endpoints a limiter of a large fleet uses."""
 
 from __future__ import annotations
 
@@ -27,9 +27,7 @@
 @pytest.mark.parametrize(
     "limiters, count", [(9, 30), (9, 500), (20, 60), (40, 60), (40, 5000), (100, 60), (300, 1000)]
 )
-def test_each_endpoint_is_used_by_about_as_many_limiters_and_by_some(
-    limiters: int, count: int
-) -> None:
+def test_subsets_cover_all_endpoints_about_equally(limiters: int, count: int) -> None:
     held = Counter(host for me in range(limiters) for host in subset(range(count), me, limiters))
     even = sum(held.values()) / count
     assert len(held) == count and even >= MIN_LIMITERS_PER_ENDPOINT
@@ -38,13 +36,13 @@
 
 @hyp(max_examples=60, deadline=None)
 @given(st.integers(0, 59), st.integers(0, 99))
-def test_an_endpoint_that_goes_moves_a_subset_by_one_place_at_most(gone: int, me: int) -> None:
+def test_removing_an_endpoint_moves_a_subset_by_at_most_one_position(gone: int, me: int) -> None:
     before = subset(HOSTS, me, 100)
     after = subset([h for i, h in enumerate(HOSTS) if i != gone], me, 100)
     assert len(set(before) - set(after) - {HOSTS[gone]}) <= 1 and len(set(after) - set(before)) <= 2
 
 
-def test_few_endpoints_are_used_by_all_limiters() -> None:
+def test_few_endpoints_are_all_in_every_subset() -> None:
     assert subset(HOSTS[:12], 7, 40) == HOSTS[:12] and subset([], 7, 40) == []
 
 
@@ -54,7 +52,7 @@
     ejected: frozenset[str] = frozenset(),
     count: int = 300,
 ) -> set[str]:
-    """By one engine, for the last hundred of so many requests, each answered at once."""
+    """Returns the endpoints of one engine's last 100 requests of `count`, each answered at once."""
     engine, names = make(2, limiter_count=limiters), set[str]()
     engine.handle(endpoint_list("full", *(changes.get(name, entry(name)) for name in HOSTS)), 0.0)
     for name in ejected:
@@ -69,24 +67,24 @@
     return names
 
 
-def test_a_limiter_of_a_large_fleet_keeps_to_few_endpoints_and_one_of_a_small_fleet_to_all() -> (
-    None
-):
+def test_large_fleet_uses_subsets_and_small_fleet_all_endpoints() -> None:
     assert len(used(40, {})) == MIN_SUBSET_SIZE
     small = make(2, limiter_count=3)
     small.handle(endpoint_list("full", *(entry(name) for name in HOSTS)), 0.0)
     assert len(next(small.selection.rounds())[1]) == len(HOSTS)
 
 
-def test_endpoints_that_drain_or_fail_are_replaced_by_others() -> None:
-    """Endpoints of a limiter's subset drain or are ejected. Others must take their places."""
+def test_draining_or_ejected_endpoints_of_a_subset_are_replaced() -> None:
+    """Endpoints of a limiter's subset drain or are ejected. Others must replace them."""
     mine = used(40, {})
     drained = used(40, {name: entry(name, state="draining") for name in mine})
     assert not drained & mine and len(drained) == MIN_SUBSET_SIZE
-    assert len(used(40, {}, ejected=frozenset(mine)) - mine) > MIN_SUBSET_SIZE  # any of the others
+    assert (
+        len(used(40, {}, ejected=frozenset(mine)) - mine) > MIN_SUBSET_SIZE
+    )  # drawn from all others
 
 
-def test_endpoints_that_are_warming_up_have_a_subset_of_their_own() -> None:
+def test_warming_endpoints_have_a_separate_subset() -> None:
     cold = {name: entry(name, started=95.0) for name in HOSTS[:30]}
     found = used(40, cold, count=40)
     assert found & set(HOSTS[30:]) and len(found & set(HOSTS[30:])) <= MIN_SUBSET_SIZE
