--- a/hazelhollow/decisions/settings.py
+++ b/hazelhollow/decisions/settings.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The limits of each customer on a plan, over the whole fleet. 0 means no such limit.
+    """The limits of each customer on a plan, over the entire fleet. 0 means no such limit.
 
     Attributes:
         name: The name by which requests refer to the plan.
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -30,9 +30,8 @@
     seen = Counter[int]()
     for turn in range(60):
         selected = account.busiest_members(600, 40, random.Random(turn))
-        assert (
-            selected[:2] == [300, 9] and len(set(selected)) == len(selected) == 40
-        )  # 3 is not in the set
+        # 3 is not in the set
+        assert selected[:2] == [300, 9] and len(set(selected)) == len(selected) == 40
         assert all(account.includes(number, 600) for number in selected)
         seen.update(selected[2:])
     assert len(seen) > 400
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -203,9 +203,8 @@
             if set(updates) == {("b", 102), ("c", 103)}
         ]
         assert len(trimmed) == min(rounds * MAX_AWAY_PEERS, peers)
-    assert (
-        len(engine.gossip.unsent[peers + 1]) == 3
-    )  # its updates are sent, or dropped as outdated then
+    # its updates are sent, or dropped as outdated then
+    assert len(engine.gossip.unsent[peers + 1]) == 3
 
 
 PEER_INCARNATIONS = ("1.a", "2.b")
@@ -225,9 +224,8 @@
         account.charges.advance(100)
         account.charges.charge(1.0, 100)
         for incarnation in PEER_INCARNATIONS:
-            account.charges.merge_count(
-                incarnation, ClosedCount(99, 99, 0.0)
-            )  # the incarnation began then
+            # the incarnation began then
+            account.charges.merge_count(incarnation, ClosedCount(99, 99, 0.0))
             account.charges.merge_report(incarnation, 100, 1.0)
         engine.replicated_accounts.mark_charged(account)
     return engine
@@ -240,9 +238,8 @@
     while counts := actions_of(
         engine.replicated_accounts.take_closed(MAX_COUNTS_A_ROUND), api.ReplicateCount
     ):
-        assert len(counts) <= MAX_COUNTS_A_ROUND + len(
-            PEER_INCARNATIONS
-        )  # the counts of one customer stay together
+        # the counts of one customer stay together
+        assert len(counts) <= MAX_COUNTS_A_ROUND + len(PEER_INCARNATIONS)
         emitted_keys += [count.key for count in counts]
     names = sorted(gossip.base36(number) for number in range(customers))
     assert sorted(emitted_keys) == sorted(names * (1 + len(PEER_INCARNATIONS)))
--- a/tests/decisions/test_fleet_of_engines.py
+++ b/tests/decisions/test_fleet_of_engines.py
@@ -13,16 +13,14 @@
     assert sum(c.dropped_datagrams for c in counts) < 0.008 * sum(
         c.gossip_datagrams for c in counts
     )
-    assert (
-        sum(c.served_value for c in counts) / offered > 0.88
-    )  # an attempt takes half a second, and the latest are still in flight
+    # an attempt takes half a second, and the latest are still in flight
+    assert sum(c.served_value for c in counts) / offered > 0.88
     assert sum(c.excess_value for c in counts) / offered < 0.04
     assert min(c.lowest_ceiling for c in counts) >= 0.0
 
 
 def test_quotas_hold_in_sets_larger_than_a_hub_can_notify_in_a_second() -> None:
     count = EngineFleet(3, FleetOptions(limiters=150, units_per_s=800.0, endpoints=90)).play(8.0)
-    assert (
-        count.excess_value / count.offered_value < 0.11
-    )  # it is 0.17 if each hub notifies all members of a set in order
+    # it is 0.17 if each hub notifies all members of a set in order
+    assert count.excess_value / count.offered_value < 0.11
     assert count.served_value / count.offered_value > 0.85  # it is 0.85 in that case
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -118,8 +118,8 @@
     assert actions_of(ask(engine, 100.0, customer="a"), api.StartAttempt)
     answer_requests(engine, 100.1, 3.0, 60)
     assert actions_of(ask(engine, 100.1, customer="b"), api.RejectRequest)
-    for beat in range(200):  # with everything rejected, no answer shows that it is over
-        engine.handle(api.TimerFired("beat"), 100.2 + beat / 10)
+    for round_number in range(200):  # with everything rejected, no answer shows that it is over
+        engine.handle(api.TimerFired("beat"), 100.2 + round_number / 10)
     assert actions_of(ask(engine, 121.0, customer="c"), api.StartAttempt)
 
 
@@ -128,8 +128,8 @@
     engine = make(0, limiter_count=LARGE_FLEET)
     for i in range(5):
         ask(engine, 100.0, customer=f"{i}")
-    for beat in range(10):
-        engine.handle(api.TimerFired("beat"), 100.0 + beat / 10)
+    for round_number in range(10):
+        engine.handle(api.TimerFired("beat"), 100.0 + round_number / 10)
     assert engine.load.queue_wait > 0.3 * LOOKUP.latency_objective
 
 
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -88,16 +88,16 @@
 
     Together they must not exceed the ceiling.
     """
-    chance, level, at = random.Random(run), HARD.ceiling_burst, 100.0
+    rng, level, at = random.Random(run), HARD.ceiling_burst, 100.0
     fleet = [make(i) for i in range(3)]
     for _ in range(3000):
-        now = at + chance.expovariate(60.0)
+        now = at + rng.expovariate(60.0)
         level, at = min(HARD.ceiling_burst, level + HARD.ceiling_rate * (now - at)), now
-        number = chance.choice((0, 0, 0, 1, 2))
-        if chance.random() < 0.002:
+        number = rng.choice((0, 0, 0, 1, 2))
+        if rng.random() < 0.002:
             fleet[number] = make(number)
             fleet[number].context.started_at = now
-        units = float(chance.randint(1, 4))
+        units = float(rng.randint(1, 4))
         for send in actions_of(
             ask(fleet[number], now, plan_name="hard", units=units), api.StartAttempt
         ):
@@ -121,11 +121,12 @@
     few = api.Plan("few", rate=100.0, burst=300.0, open_limit=6)
     assert open_requests_admitted(make(plans=(few,)), 1.0) == 6
     key = base36(crc32(b"c") % 36**5)
+    # per second by each of two peers; each takes a sixth of a second
     for units, most in (
         (4, 4),
         (10, 2),
         (90, 2),
-    ):  # per second by each of two peers; each takes a sixth of a second
+    ):
         engine = make(plans=(few,))
         for peer in (1, 2):
             engine.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10 * units)}"), 1.9)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints that are warming up, against a model of one that falls over."""
+"""Slow start, tested against a model of an endpoint that fails when overloaded."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 LARGE_FLEET = 40
 
 
-def test_an_endpoint_that_is_warming_up_gets_less_than_its_share() -> None:
+def test_warming_endpoint_gets_less_work_than_a_warm_one() -> None:
     engine = make()
     engine.handle(endpoint_list("change", entry("s0", started=99.9)), 100.0)
     counts = dict.fromkeys(("s0", "s1", "s2", "s3"), 0)
@@ -32,31 +32,33 @@
             counts[send.endpoint] += 1
             answer(engine, send, 100.0 + i * 0.01)
     warm = (counts["s1"] + counts["s2"] + counts["s3"]) / 3
-    assert counts["s0"] <= 0.8 * warm  # four times the cold share may not even be neared
+    # 0.8 is the overload multiple (4) times the initial share (0.2), which must not even be reached
+    assert counts["s0"] <= 0.8 * warm
 
 
-def test_an_endpoint_that_is_warming_up_is_not_pushed_over_by_all_limiters_together() -> None:
-    """An endpoint falls over if all limiters of a large fleet send it more than it bears."""
-    many = [make(i, limiter_count=100) for i in range(100)]
-    for me, engine in enumerate(many):
+def test_large_fleet_together_does_not_overload_a_warming_endpoint() -> None:
+    """An endpoint fails if all limiters of a large fleet together send it too much work."""
+    engines = [make(i, limiter_count=100) for i in range(100)]
+    for engine_number, engine in enumerate(engines):
         engine.handle(
             endpoint_list(
                 "full", *(entry(f"s{i}") for i in range(12)), entry("cold", started=99.9)
             ),
             100.0,
         )
-        engine.context.random.seed(me)
-    chance, counts = random.Random(1), dict.fromkeys([*(f"s{i}" for i in range(12)), "cold"], 0)
-    for i in range(2400):  # 8 a second at each of 100 limiters, for three seconds
-        engine, now = chance.choice(many), 100.0 + i / 800
+        engine.context.random.seed(engine_number)
+    rng, counts = random.Random(1), dict.fromkeys([*(f"s{i}" for i in range(12)), "cold"], 0)
+    for i in range(2400):  # 8 per second at each of 100 limiters, for three seconds
+        engine, now = rng.choice(engines), 100.0 + i / 800
         for send in actions_of(ask(engine, now, customer=f"{i}"), api.StartAttempt):
             counts[send.endpoint] += 1
             answer(engine, send, now)
     warm = sum(counts.values()) / 13
-    assert counts["cold"] <= 2 * 0.4 * warm  # the fall multiple over the cold share: 4 x 0.2
+    # the overload multiple times the initial share is 4 x 0.2
+    assert counts["cold"] <= 2 * 0.4 * warm
 
 
-def test_endpoints_that_are_all_warming_up_are_still_sent_work() -> None:
+def test_endpoints_get_work_if_all_are_warming_up() -> None:
     engine = make(0, limiter_count=LARGE_FLEET)
     engine.handle(endpoint_list("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
     sent = sum(
@@ -66,11 +68,11 @@
     assert 0 < sent < 100
 
 
-def test_many_endpoints_that_are_warming_up_do_not_make_a_choice_dear(
+def test_many_warming_endpoints_do_not_make_selection_expensive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Looking at all endpoints for each cold one took most of the CPU of a fleet of cold ones."""
-    told = replace(
+    """Iterating over all endpoints for each cold one used most of the CPU if many were cold."""
+    engine_settings = replace(
         SETTINGS,
         limiter_count=1,
         warm_up_time=14.0,
@@ -78,23 +80,23 @@
         overload_multiple=4.0,
         overload_window=2.0,
     )
-    engine, looks, cold = DecisionEngine(told, seed=1), 0, Endpoint.is_warming_up
+    engine, calls, original = DecisionEngine(engine_settings, seed=1), 0, Endpoint.is_warming_up
     engine.handle(
         endpoint_list("full", *(entry(f"s{n}", started=99.0 * (n % 2)) for n in range(80))), 100.0
     )
 
     def counted(endpoint: Endpoint, now: float, settings: api.Settings) -> bool:
-        nonlocal looks
-        looks += 1
-        return cold(endpoint, now, settings)
+        nonlocal calls
+        calls += 1
+        return original(endpoint, now, settings)
 
     monkeypatch.setattr(Endpoint, "is_warming_up", counted)
     assert actions_of(ask(engine, 100.1, "look", set_size=1, time_left=3.0), api.StartAttempt)
-    assert looks <= 3 * 80
+    assert calls <= 3 * 80
 
 
-def test_an_endpoint_that_turns_warm_counts_as_warm_from_then() -> None:
-    told = replace(
+def test_newly_listed_warm_endpoint_counts_as_warm_at_once() -> None:
+    engine_settings = replace(
         SETTINGS,
         limiter_count=1,
         warm_up_time=14.0,
@@ -102,19 +104,19 @@
         overload_multiple=4.0,
         overload_window=2.0,
     )
-    engine = DecisionEngine(told, seed=1)
+    engine = DecisionEngine(engine_settings, seed=1)
     engine.handle(endpoint_list("full", entry("old"), entry("new", started=99.0)), 100.0)
     ask(engine, 100.1, "look", set_size=1, time_left=3.0)
-    widths = engine.table.warm_concurrency(100.1)
-    engine.handle(endpoint_list("change", entry("third")), 100.1)  # in the same moment
+    concurrency = engine.table.warm_concurrency(100.1)
+    engine.handle(endpoint_list("change", entry("third")), 100.1)  # at the same time
     ask(engine, 100.1, "look", set_size=1, time_left=3.0)
-    assert engine.table.warm_concurrency(100.1) == 2 * widths > 0
+    assert engine.table.warm_concurrency(100.1) == 2 * concurrency > 0
 
 
-def test_a_window_is_the_sum_of_its_span() -> None:
-    window, chance, items = SlidingWindow(2.0), random.Random(3), list[tuple[float, float]]()
+def test_sliding_window_sums_the_amounts_within_its_span() -> None:
+    window, rng, items = SlidingWindow(2.0), random.Random(3), list[tuple[float, float]]()
     for turn in range(400):
-        now, amount = turn * 0.07 + (5.0 if turn > 300 else 0.0), chance.random()
+        now, amount = turn * 0.07 + (5.0 if turn > 300 else 0.0), rng.random()
         window.add(now, amount)
         items.append((now, amount))
         assert window.sum(now + 1.0) == pytest.approx(sum(a for at, a in items if at > now - 1.0))
@@ -124,49 +126,52 @@
 CLASS = api.RequestClass(
     "look", latency_objective=1.0, deadline=3.0, priority_weight=1.0, effect="safe"
 )
-FREE = api.Plan("free", rate=1e6, burst=1e6)  # quotas are not what is asked about here
-WORK = 0.1  # seconds of a mean request at a warm endpoint
-SLOTS = 2  # requests that an endpoint works on at once
-CAPACITY = SLOTS / WORK  # requests a second of a warm endpoint
-COLD_FOR, COLD_FROM, FALL_MULTIPLE, FALL_TIME = 8.0, 0.25, 2.0, 3.0
-START, JOINS, ENDS = 100.0, 106.0, 116.0  # seconds: of the load, of the cold endpoints, and the end
-WARM = 8
+FREE = api.Plan("free", rate=1e6, burst=1e6)  # quotas must not limit these tests
+WORK = 0.1  # seconds that a mean request takes at a warm endpoint
+SLOTS = 2  # requests that an endpoint executes concurrently
+CAPACITY = SLOTS / WORK  # requests per second of a warm endpoint
+WARM_UP_TIME, INITIAL_SHARE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW = 8.0, 0.25, 2.0, 3.0
+# Times in seconds: the start of the load, the addition of cold endpoints, and the end.
+START, JOIN, END = 100.0, 106.0, 116.0
+WARM_COUNT = 8
 
 
 def share(age: float) -> float:
-    """Of a warm endpoint's work, that one of that age can do."""
-    return min(1.0, COLD_FROM + (1.0 - COLD_FROM) * age / COLD_FOR)
+    """Returns the share of a warm endpoint's work that an endpoint of that age can do."""
+    return min(1.0, INITIAL_SHARE + (1.0 - INITIAL_SHARE) * age / WARM_UP_TIME)
 
 
-def allowed(age: float) -> float:
-    """Requests within FALL_TIME that an endpoint of that age is sure to bear, N.
+def request_limit(age: float) -> float:
+    """Returns the requests within OVERLOAD_WINDOW that an endpoint of that age must tolerate.
 
-    Plus 2 x root of N + 2 for chance.
+    This is the expected number N, plus 2 * sqrt(N) + 2 for random variation.
     """
-    expected = FALL_MULTIPLE * share(age) * CAPACITY * FALL_TIME
+    expected = OVERLOAD_MULTIPLE * share(age) * CAPACITY * OVERLOAD_WINDOW
     return expected + 2.0 * math.sqrt(expected) + 2.0
 
 
 @dataclass
-class Host:
-    """A modelled endpoint: first come, first served."""
+class ModelEndpoint:
+    """A model of an endpoint that executes requests in order of arrival."""
 
     started: float = 0.0
     busy: int = 0
     queue: deque[Callable[[], None]] = field(default_factory=deque)
-    got: list[float] = field(default_factory=list)  # when requests came
+    arrivals: list[float] = field(default_factory=list)  # times of arrival of requests
 
 
 class Fleet:
     def __init__(self, limiters: int, seed: int) -> None:
         self.random, self.now, self.served = random.Random(seed), START, 0
-        self.hosts = {f"w{number}": Host() for number in range(WARM)}
+        self.model_endpoints = {f"w{number}": ModelEndpoint() for number in range(WARM_COUNT)}
         self._serial = itertools.count()
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.gateways = [self._gateway(number, limiters, seed) for number in range(limiters)]
+        self.fleet_engines = [
+            self._create_engine(number, limiters, seed) for number in range(limiters)
+        ]
 
-    def _gateway(self, number: int, limiters: int, seed: int) -> DecisionEngine:
-        told = api.Settings(
+    def _create_engine(self, number: int, limiters: int, seed: int) -> DecisionEngine:
+        engine_settings = api.Settings(
             number,
             limiters,
             (CLASS,),
@@ -174,27 +179,29 @@
             zone="a",
             max_attempts=3,
             max_units=1.0,
-            warm_up_time=COLD_FOR,
-            warm_up_initial_share=COLD_FROM,
-            overload_multiple=FALL_MULTIPLE,
-            overload_window=FALL_TIME,
+            warm_up_time=WARM_UP_TIME,
+            warm_up_initial_share=INITIAL_SHARE,
+            overload_multiple=OVERLOAD_MULTIPLE,
+            overload_window=OVERLOAD_WINDOW,
         )
-        one = DecisionEngine(told, seed * 1000 + number)
-        one.handle(endpoint_list("full", *(entry(name) for name in self.hosts)), START)
-        return one
+        fleet_engine = DecisionEngine(engine_settings, seed * 1000 + number)
+        fleet_engine.handle(
+            endpoint_list("full", *(entry(name) for name in self.model_endpoints)), START
+        )
+        return fleet_engine
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         heapq.heappush(self._heap, (when, next(self._serial), call))
 
     def load(self, rate: float, until: float) -> None:
-        """So many requests a second at all limiters together, by chance, until then."""
+        """Sends `rate` requests per second to random limiters at random times until `until`."""
 
         def ask() -> None:
-            number = self.random.randrange(len(self.gateways))
+            number = self.random.randrange(len(self.fleet_engines))
             request = api.RequestArrived(
                 f"r{next(self._serial)}", "look", "free", "c", 1.0, 3.0, 0, 1
             )
-            self.perform(number, self.gateways[number].handle(request, self.now))
+            self.perform(number, self.fleet_engines[number].handle(request, self.now))
             again = self.now + self.random.expovariate(rate)
             if again < until:
                 self.at(again, ask)
@@ -203,12 +210,12 @@
 
     def join(self, count: int) -> None:
         for number in range(count):
-            self.hosts[f"c{number}"] = Host(self.now)
-        listed = endpoint_list(
+            self.model_endpoints[f"c{number}"] = ModelEndpoint(self.now)
+        list_change = endpoint_list(
             "change", *(entry(f"c{number}", started=self.now) for number in range(count))
         )
-        for one in self.gateways:
-            one.handle(listed, self.now)
+        for fleet_engine in self.fleet_engines:
+            fleet_engine.handle(list_change, self.now)
 
     def perform(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
@@ -216,27 +223,27 @@
                 self._arrive(number, action)
 
     def _arrive(self, number: int, send: api.StartAttempt) -> None:
-        host, came = self.hosts[send.endpoint], self.now
-        host.got.append(came)
+        model_endpoint, arrived_at = self.model_endpoints[send.endpoint], self.now
+        model_endpoint.arrivals.append(arrived_at)
 
         def begin() -> None:
-            host.busy += 1
-            took = self.random.uniform(0.5, 1.5) * WORK
-            took /= share(self.now - host.started) if host.started else 1.0
-            self.at(self.now + took, end)
+            model_endpoint.busy += 1
+            duration = self.random.uniform(0.5, 1.5) * WORK
+            duration /= share(self.now - model_endpoint.started) if model_endpoint.started else 1.0
+            self.at(self.now + duration, end)
 
         def end() -> None:
-            host.busy -= 1
+            model_endpoint.busy -= 1
             self.served += 1
-            done = api.AttemptEnded(send.id, 0, send.endpoint, "ok", self.now - came, True)
-            self.perform(number, self.gateways[number].handle(done, self.now))
-            if host.queue:
-                host.queue.popleft()()
+            event = api.AttemptEnded(send.id, 0, send.endpoint, "ok", self.now - arrived_at, True)
+            self.perform(number, self.fleet_engines[number].handle(event, self.now))
+            if model_endpoint.queue:
+                model_endpoint.queue.popleft()()
 
-        if host.busy < SLOTS:
+        if model_endpoint.busy < SLOTS:
             begin()
         else:
-            host.queue.append(begin)
+            model_endpoint.queue.append(begin)
 
     def run(self, until: float) -> None:
         while self._heap and self._heap[0][0] <= until:
@@ -245,75 +252,84 @@
         self.now = until
 
 
-def most_of_allowed(host: Host) -> float:
-    """The fullest stretch of FALL_TIME, as a part of what was allowed where it began."""
+def highest_relative_load(model_endpoint: ModelEndpoint) -> float:
+    """Returns the highest load in any OVERLOAD_WINDOW, relative to the limit at its start."""
     worst, first = 0.0, 0
-    for last, at in enumerate(host.got):
-        while host.got[first] <= at - FALL_TIME:
+    for last, at in enumerate(model_endpoint.arrivals):
+        while model_endpoint.arrivals[first] <= at - OVERLOAD_WINDOW:
             first += 1
-        age = max(0.0, at - FALL_TIME - host.started)
-        worst = max(worst, (last + 1 - first) / allowed(age))
+        age = max(0.0, at - OVERLOAD_WINDOW - model_endpoint.started)
+        worst = max(worst, (last + 1 - first) / request_limit(age))
     return worst
 
 
-def played(limiters: int, cold: int, load: float, seed: int) -> Fleet:
-    """A fleet that was run until some time after so many cold endpoints joined.
+def run_fleet(limiters: int, cold: int, load: float, seed: int) -> Fleet:
+    """Runs a fleet until END, with `cold` cold endpoints added at JOIN.
 
-    `load`: the part of what the warm endpoints can do that is asked for then; before, less.
+    `load` is the load after JOIN, relative to the capacity of the warm endpoints; before JOIN the
+    load is 0.7 times as high.
     """
     fleet = Fleet(limiters, seed)
-    fleet.load(0.7 * load * CAPACITY * WARM, JOINS)
-    fleet.run(JOINS)
+    fleet.load(0.7 * load * CAPACITY * WARM_COUNT, JOIN)
+    fleet.run(JOIN)
     fleet.join(cold)
-    fleet.load(load * CAPACITY * WARM, ENDS)
-    fleet.run(ENDS)
+    fleet.load(load * CAPACITY * WARM_COUNT, END)
+    fleet.run(END)
     return fleet
 
 
-def cold_hosts(fleet: Fleet) -> list[Host]:
-    return [host for host in fleet.hosts.values() if host.started]
+def cold_endpoints(fleet: Fleet) -> list[ModelEndpoint]:
+    return [
+        model_endpoint
+        for model_endpoint in fleet.model_endpoints.values()
+        if model_endpoint.started
+    ]
 
 
 @pytest.mark.parametrize("limiters", [20, 30])
 @pytest.mark.parametrize("cold", [1, 4])
 @pytest.mark.parametrize("load", [0.5, 0.9])
-def test_what_all_limiters_send_an_endpoint_that_is_warming_up_stays_within_what_it_bears(
+def test_load_on_a_warming_endpoint_stays_within_its_limit(
     limiters: int, cold: int, load: float
 ) -> None:
     for seed in range(3):
-        for host in cold_hosts(played(limiters, cold, load, seed)):
-            assert most_of_allowed(host) <= 1.0
+        for model_endpoint in cold_endpoints(run_fleet(limiters, cold, load, seed)):
+            assert highest_relative_load(model_endpoint) <= 1.0
 
 
 @pytest.mark.parametrize(
     ("limiters", "cold", "load"), [(20, 1, 1.2), (30, 4, 1.2), (20, 4, 1.5), (30, 4, 1.5)]
 )
-def test_nor_under_a_burst_that_the_warm_endpoints_cannot_work_off(
+def test_load_on_a_warming_endpoint_stays_within_its_limit_in_a_burst(
     limiters: int, cold: int, load: float
 ) -> None:
-    """A burst sends the warm endpoints more than they can do.
+    """A burst exceeds the capacity of the warm endpoints.
 
-    It says nothing of what a cold one bears.
+    The load sent to them must not raise what is sent to a cold one above its limit.
     """
     for seed in (100, 101, 103, 107):
-        for host in cold_hosts(played(limiters, cold, load, seed)):
-            assert most_of_allowed(host) <= 1.0
+        for model_endpoint in cold_endpoints(run_fleet(limiters, cold, load, seed)):
+            assert highest_relative_load(model_endpoint) <= 1.0
 
 
-def test_an_endpoint_that_is_warming_up_is_used_all_the_same() -> None:
-    fleet = played(30, 1, 0.9, 1)
-    (cold,) = cold_hosts(fleet)
+def test_warming_endpoint_gets_at_least_its_initial_share() -> None:
+    fleet = run_fleet(30, 1, 0.9, 1)
+    (cold,) = cold_endpoints(fleet)
     warm = [
-        len([at for at in host.got if at > JOINS])
-        for host in fleet.hosts.values()
-        if not host.started
+        len([at for at in model_endpoint.arrivals if at > JOIN])
+        for model_endpoint in fleet.model_endpoints.values()
+        if not model_endpoint.started
     ]
-    assert len(cold.got) >= COLD_FROM * sum(warm) / WARM
+    assert len(cold.arrivals) >= INITIAL_SHARE * sum(warm) / WARM_COUNT
 
 
-def test_the_model_falls_over_where_it_is_sent_as_much_as_a_warm_endpoint() -> None:
-    """The check above can fail."""
+def test_without_slow_start_the_load_limit_is_exceeded() -> None:
+    """This shows that the load checks above can fail."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(SlowStart, "may_send", lambda slow_start, endpoint, work: True)
-        fleets = [played(30, 4, load, seed) for load in (0.9, 1.5) for seed in (1, 101)]
-    assert any(most_of_allowed(host) > 1.0 for fleet in fleets for host in cold_hosts(fleet))
+        fleets = [run_fleet(30, 4, load, seed) for load in (0.9, 1.5) for seed in (1, 101)]
+    assert any(
+        highest_relative_load(model_endpoint) > 1.0
+        for fleet in fleets
+        for model_endpoint in cold_endpoints(fleet)
+    )
