--- a/hazelhollow/decisions/gossip/receiver.py
+++ b/hazelhollow/decisions/gossip/receiver.py
@@ -71,7 +71,7 @@
         self.class_of = _names_by_tag(settings)
         self._decoder = codec.GossipDecoder(self.plan_of, settings.limiter_count, self.class_of)
 
-    def retune(self, before: Settings, settings: Settings) -> None:
+    def reconfigure(self, before: Settings, settings: Settings) -> None:
         """Applies changed settings: the classes may be different."""
         if {c.name for c in before.classes} != {c.name for c in settings.classes}:
             self.class_of = _names_by_tag(settings)
@@ -90,7 +90,9 @@
             or not 0 <= event.sender < settings.limiter_count
         ):
             return
-        self._startup.hear_from(event.sender, message.incarnation, self._accounts.by_name.values())
+        self._startup.record_peer_incarnation(
+            event.sender, message.incarnation, self._accounts.by_name.values()
+        )
         loads = dict[str, float]()
         for report in message.reports:
             if isinstance(report, codec.FailureReport):
--- a/hazelhollow/decisions/state/class_statistics.py
+++ b/hazelhollow/decisions/state/class_statistics.py
@@ -114,9 +114,9 @@
         self._sum_of_units = 0.0
         self._by_name = dict[str, RequestClass]()
         self._position = dict[str, int]()
-        self.retune(classes)
+        self.reconfigure(classes)
 
-    def retune(self, classes: Sequence[RequestClass]) -> None:
+    def reconfigure(self, classes: Sequence[RequestClass]) -> None:
         """Applies changed classes. Statistics of classes that remain or return are kept."""
         changed = changed_classes(self._by_name, classes)
         self._by_name = {request_class.name: request_class for request_class in classes}
--- a/hazelhollow/decisions/state/endpoint_table.py
+++ b/hazelhollow/decisions/state/endpoint_table.py
@@ -135,7 +135,7 @@
         self.weights.settle()
         self._restart_enabled(now)
 
-    def retune(self, settings: Settings, now: float) -> None:
+    def reconfigure(self, settings: Settings, now: float) -> None:
         """Applies changed settings: the duration of the warm-up may be different."""
         before, self._settings = self._settings, settings
         if before.warm_up_time != settings.warm_up_time:
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -171,7 +171,7 @@
 
     def _apply_settings(self, settings: api.Settings) -> None:
         """Puts settings in force for requests that arrive from now on."""
-        self.engine.retune(settings)
+        self.engine.reconfigure(settings)
         self.frontend.request_limits = RequestLimits(settings, self.frontend.request_limits)
         self.engine_driver.max_settled_units = _max_settled_units(settings)
 
--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the decisions share: an engine of three limiters, and what is done with it."""
+"""Shared helpers of the decision tests: an engine in a fleet of three, and events for it."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 HARD = api.Plan("hard", rate=4.0, burst=12.0, excess_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
 
 
-def make(me: int = 0, **changes: Any) -> DecisionEngine:
+def make(own_id: int = 0, **changes: Any) -> DecisionEngine:
     values: dict[str, object] = dict(
-        limiter_id=me,
+        limiter_id=own_id,
         limiter_count=3,
         classes=(LOOKUP, ISSUE, HOLD),
         plans=(BASIC, HARD),
@@ -50,7 +50,7 @@
         overload_window=2.0,
     )
     engine = DecisionEngine(api.Settings(**{**values, **changes}), seed=7)
-    engine.handle(servers("cached", *(entry(f"s{i}", "ab"[i % 2]) for i in range(4))), 0.0)
+    engine.handle(endpoint_list("cached", *(entry(f"s{i}", "ab"[i % 2]) for i in range(4))), 0.0)
     return engine
 
 
@@ -58,7 +58,7 @@
     return api.EndpointEntry(name, state, zone, 0, 1.0, started)  # type: ignore[arg-type]
 
 
-def servers(kind: str, *entries: api.EndpointEntry) -> api.EndpointsUpdated:
+def endpoint_list(kind: str, *entries: api.EndpointEntry) -> api.EndpointsUpdated:
     return api.EndpointsUpdated(kind, entries)  # type: ignore[arg-type]
 
 
@@ -84,7 +84,7 @@
     return engine.handle(api.RequestArrived(**{**values, **changes}), now)
 
 
-def only(actions: Sequence[api.Action], kind: type[T]) -> list[T]:
+def actions_of(actions: Sequence[api.Action], kind: type[T]) -> list[T]:
     return [a for a in actions if isinstance(a, kind)]
 
 
@@ -96,11 +96,11 @@
     return engine.handle(event, now)
 
 
-def spend(engine: DecisionEngine, now: float, tries: int, **changes: Any) -> int:
-    """How many of so many requests go out, each answered at once."""
+def count_admitted(engine: DecisionEngine, now: float, requests: int, **changes: Any) -> int:
+    """Sends `requests` requests and returns how many are admitted; each is answered at once."""
     sent = 0
-    for _ in range(tries):
-        for send in only(ask(engine, now, **changes), api.StartAttempt):
+    for _ in range(requests):
+        for send in actions_of(ask(engine, now, **changes), api.StartAttempt):
             answer(engine, send, now)
             sent += 1
     return sent
@@ -111,7 +111,7 @@
 
 
 def bytecodes(call: Callable[[], object]) -> int:
-    """How many are executed."""
+    """Returns the number of bytecodes that a call executes."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: object) -> Any:
@@ -129,24 +129,26 @@
     return count
 
 
-def listed(count: int, prefix: str = "s") -> list[api.EndpointEntry]:
+def endpoint_entries(count: int, prefix: str = "s") -> list[api.EndpointEntry]:
     return [
         api.EndpointEntry(f"{prefix}{n}", "up", "abc"[n % 3], n // 4, 1.0) for n in range(count)
     ]
 
 
-def kinds(count: int) -> tuple[api.RequestClass, ...]:
+def request_classes(count: int) -> tuple[api.RequestClass, ...]:
     return tuple(
         api.RequestClass(f"c{n}", 1.0 + n % 7 / 10, 4.0, 1.0 + n % 3, "safe") for n in range(count)
     )
 
 
 def engine_of_size(
-    hosts: int, classes: int, customers: int, limiters: int = LIMITERS
+    endpoints: int, classes: int, customers: int, limiters: int = LIMITERS
 ) -> DecisionEngine:
-    """With so many customers known, each of a set of three."""
-    engine = make(1, limiter_count=limiters, classes=kinds(classes), gossip_messages_per_s=60.0)
-    engine.handle(servers("full", *listed(hosts)), 100.0)
+    """Returns an engine with `customers` open accounts, each of a set of three limiters."""
+    engine = make(
+        1, limiter_count=limiters, classes=request_classes(classes), gossip_messages_per_s=60.0
+    )
+    engine.handle(endpoint_list("full", *endpoint_entries(endpoints)), 100.0)
     for number in range(customers):
         engine.customer_accounts.get(
             gossip.base36(number), engine.context.plans["basic"], number % limiters, 3
@@ -154,8 +156,8 @@
     return engine
 
 
-def charged(customers: int, limiters: int = 3) -> DecisionEngine:
-    """A second and a half after the first of so many customers, each of whom was charged once."""
+def engine_with_charges(customers: int, limiters: int = 3) -> DecisionEngine:
+    """Returns an engine that charged each of `customers` customers once within 1.5 seconds."""
     engine = make(0, limiter_count=limiters, gossip_messages_per_s=60.0)
     engine.handle(api.TimerFired("beat"), 100.0)
     engine.gossip.messages.level = 0.0
@@ -174,7 +176,7 @@
 
 def table_of(*entries: api.EndpointEntry) -> EndpointTable:
     table = EndpointTable(ENGINE_SETTINGS)
-    table.apply(servers("full", *entries), 100.0)
+    table.apply(endpoint_list("full", *entries), 100.0)
     return table
 
 
@@ -186,12 +188,12 @@
 )
 
 
-def same_key(engine: DecisionEngine) -> tuple[str, str]:
-    """Two customers that come to one key in messages."""
+def customers_with_equal_keys(engine: DecisionEngine) -> tuple[str, str]:
+    """Returns two customers with the same key in messages."""
     seen: dict[str, str] = {}
     for number in range(200_000):
         customer = f"{number:016x}"
         other = seen.setdefault(engine.customer_accounts.key_of_customer(customer), customer)
         if other != customer:
             return other, customer
-    raise AssertionError("none found")
+    raise AssertionError("no two of 200,000 customers have the same key")
--- a/tests/decisions/test_class_statistics.py
+++ b/tests/decisions/test_class_statistics.py
@@ -22,8 +22,8 @@
 from hazelhollow.simulator.fields import Fields
 from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 from tests.decisions.helpers import (
-    kinds,
     make,
+    request_classes,
 )
 
 
@@ -90,7 +90,7 @@
     weight_by_class, work = dict[str, float](), 0.0
     for turn, (number, units, factor) in enumerate(learned):
         if turn == 20:
-            engine.retune(replace(engine.settings, classes=changed_classes))
+            engine.reconfigure(replace(engine.settings, classes=changed_classes))
         kind = engine.settings.classes[number % len(engine.settings.classes)]
         engine.load.classes.learn_units(kind, units, LEARNING_RATE)
         engine.load.classes.learn_work(kind, 1, factor, 1.0)
@@ -196,7 +196,7 @@
         versions.append((kinds, factor))
     stats = ClassStatistics(first)
     for kinds, factor in [*versions, (last, 1.0), (first, 1.0)]:
-        stats.retune(kinds)
+        stats.reconfigure(kinds)
         rebuilt = ClassStatistics(kinds)
         rebuilt.units, rebuilt.work = dict(stats.units), dict(stats.work)
         rebuilt._place_all(kinds)
@@ -221,14 +221,14 @@
     assert after == parse_settings(Fields("settings", changed))
     assert [n for n in range(50) if after.classes[n] is not before.settings.classes[n]] == [7]
     monkeypatch.setattr(ClassStatistics, "_place_all", None)  # its cost grows with all classes
-    engine.retune(after)
+    engine.reconfigure(after)
     assert engine.load.classes.tightest_objective() == engine.load.tightest_objective == 0.4
 
 
 def test_gossip_resolves_tags_of_classes_added_by_a_change() -> None:
-    one, two, three = kinds(3)
+    one, two, three = request_classes(3)
     engine = make(1, classes=(one, two))
-    engine.retune(replace(engine.settings, classes=(two, three)))
+    engine.reconfigure(replace(engine.settings, classes=(two, three)))
     assert engine.receiver.class_of == {
         gossip.name_tag(kind.name): kind.name for kind in (two, three)
     }
@@ -244,12 +244,12 @@
 
 
 def test_removed_class_still_learns_but_does_not_count() -> None:
-    one, two = kinds(2)
+    one, two = request_classes(2)
     stats = ClassStatistics((one, two))
-    stats.retune((two,))
+    stats.reconfigure((two,))
     stats.learn_work(one, 1, 0.001, 1.0)  # a request of the removed class was in flight
     assert stats.highest_value() == stats.value("c1") and stats.least_valuable() == "c1"
-    stats.retune((one, two))
+    stats.reconfigure((one, two))
     assert stats.highest_value() == stats.value("c0")
 
 
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -16,9 +16,9 @@
 from hazelhollow.decisions.state.endpoint_table import EndpointTable
 from tests.decisions.helpers import (
     ENGINE_SETTINGS,
+    endpoint_entries,
+    endpoint_list,
     entry,
-    listed,
-    servers,
     table_of,
 )
 
@@ -113,8 +113,8 @@
                     else reference.disabled - {argument}
                 )
             else:
-                table.apply(servers(action, *argument), now)
-                reference.apply(servers(action, *argument))
+                table.apply(endpoint_list(action, *argument), now)
+                reference.apply(endpoint_list(action, *argument))
             assert_equal(table, reference, now)
             for name, endpoint in table.endpoints.items():  # the same object until a restart
                 incarnation, before = incarnations.get(name, (0, endpoint))
@@ -153,8 +153,8 @@
 
 
 def test_endpoint_lists_are_cached_and_tag_order_is_updated_in_place() -> None:
-    table = table_of(*listed(200))
+    table = table_of(*endpoint_entries(200))
     assert table.all() is table.all() and table.all_up() is table.all_up()
     order = table.ring(False, 100.0)
-    table.apply(servers("change", entry("new")), 100.0)
+    table.apply(endpoint_list("change", entry("new")), 100.0)
     assert table.ring(False, 100.0) is order and len(order) == 201
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -8,17 +8,17 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.gossip.codec import MAX_DATAGRAM_BYTES, base36
 from tests.decisions.helpers import (
+    actions_of,
     ask,
+    count_admitted,
+    endpoint_list,
     entry,
     make,
-    only,
-    servers,
-    spend,
 )
 
 
 def gossip_round(source: DecisionEngine, now: float, to: int) -> list[api.GossipReceived]:
-    sends = only(source.handle(api.TimerFired("beat"), now), api.SendGossip)
+    sends = actions_of(source.handle(api.TimerFired("beat"), now), api.SendGossip)
     return [
         api.GossipReceived(source.settings.limiter_id, t.text) for t in sends if t.limiter_id == to
     ]
@@ -30,10 +30,10 @@
     If its charges counted each time, requests of customers with units left would be rejected.
     """
     one, other = make(0), make(1)
-    assert spend(one, 100.0, 9) == 9
+    assert count_admitted(one, 100.0, 9) == 9
     for message in gossip_round(one, 100.1, to=1) * 3:
         other.handle(message, 100.2)
-    assert spend(other, 100.2, 30) == 2  # of 3 units left: more charges may be in transit
+    assert count_admitted(other, 100.2, 30) == 2  # of 3 units left: more charges may be in transit
 
 
 def test_lost_datagram_is_made_up_for_by_the_next_and_final_charges() -> None:
@@ -42,12 +42,12 @@
     The next one must include its charges, or a peer would admit the same units again.
     """
     one, other = make(0), make(1)
-    spend(one, 100.0, 5)
+    count_admitted(one, 100.0, 5)
     gossip_round(one, 100.1, to=1)  # lost
-    spend(one, 100.2, 4)
+    count_admitted(one, 100.2, 4)
     for message in gossip_round(one, 101.1, to=1):
         other.handle(message, 101.2)
-    assert spend(other, 101.2, 30) <= 3 + 4
+    assert count_admitted(other, 101.2, 30) <= 3 + 4
 
 
 def test_reports_of_closed_periods_are_dropped() -> None:
@@ -56,24 +56,24 @@
     The period that it reports is closed, so it must have no effect.
     """
     one, other = make(0), make(1)
-    spend(one, 100.0, 9)
+    count_admitted(one, 100.0, 9)
     messages = gossip_round(one, 100.1, to=1)
     for message in messages:
         other.handle(message, 103.0)
-    assert spend(other, 103.0, 30) == 12
+    assert count_admitted(other, 103.0, 30) == 12
 
 
 def test_charges_are_sent_only_to_other_members_of_the_set() -> None:
     one = make(0)
-    spend(one, 100.0, 3, set_size=2)
-    sends = only(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
+    count_admitted(one, 100.0, 3, set_size=2)
+    sends = actions_of(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
     assert [t.limiter_id for t in sends if ":" in t.text] == [1]
 
 
 def test_loads_that_fill_a_datagram_do_not_displace_charges() -> None:
     """Loads of many endpoints can fill a datagram, but all charges must still be sent."""
     one = make(0, limiter_count=8)
-    one.handle(servers("full", *(entry(f"x{i}") for i in range(80))), 99.0)
+    one.handle(endpoint_list("full", *(entry(f"x{i}") for i in range(80))), 99.0)
     for i in range(60):
         ask(one, 100.0, customer=f"k{i}")
     reported: set[str] = set()
@@ -119,7 +119,7 @@
     engine = make(0)
     fields = {"k": _key_of("c"), "p": base36(100 % 36), "old": base36(97 % 36)}
     engine.handle(api.GossipReceived(1, text.format(**fields)), 100.0)
-    assert spend(engine, 100.0, 30) == 12 and not engine.endpoints["s0"].outlier_records
+    assert count_admitted(engine, 100.0, 30) == 12 and not engine.endpoints["s0"].outlier_records
 
 
 @pytest.mark.parametrize("sender", [7, -1, 0])
@@ -128,11 +128,11 @@
     engine = make(0)
     text = f"h{base36(100 % 36)}0aa {_key_of('c')}:0:0:3:0:2i"
     engine.handle(api.GossipReceived(sender, text), 100.0)
-    assert spend(engine, 100.0, 30) == 12
+    assert count_admitted(engine, 100.0, 30) == 12
     engine.handle(
         api.GossipReceived(1, text), 100.0
     )  # the same datagram from a peer charges 9 units
-    assert spend(engine, 102.25, 30) == 0 and spend(engine, 102.5, 30) == 1
+    assert count_admitted(engine, 102.25, 30) == 0 and count_admitted(engine, 102.5, 30) == 1
 
 
 def _key_of(customer: str) -> str:
--- a/tests/decisions/test_gossip_byte_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -21,11 +21,11 @@
 )
 from hazelhollow.decisions.gossip.scheduler import GossipScheduler
 from tests.decisions.helpers import (
+    actions_of,
     answer,
     ask,
+    count_admitted,
     make,
-    only,
-    spend,
 )
 
 BUDGET = 600.0  # bytes per second
@@ -38,7 +38,7 @@
 
 
 def sent_gossip(actions: list[api.Action]) -> list[api.SendGossip]:
-    return only(actions, api.SendGossip)
+    return actions_of(actions, api.SendGossip)
 
 
 def reported_keys(sends: list[api.SendGossip], peer: int) -> list[str]:
@@ -75,7 +75,7 @@
                 else ask(engine, now, customer=f"{customer}", units=float(units), set_size=members)
             )
             sent += [(now, len(t.text) + HEADER_BYTES) for t in sent_gossip(actions)]
-            for send in only(actions, api.StartAttempt):
+            for send in actions_of(actions, api.StartAttempt):
                 answer(engine, send, now)
     for first in range(len(sent)):
         total = 0
@@ -100,8 +100,8 @@
 def test_customer_near_its_limit_is_reported_before_others() -> None:
     engine = budgeted(2, 400.0)
     for number in range(60):
-        assert spend(engine, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
-    assert spend(engine, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
+        assert count_admitted(engine, 100.5, 1, customer=f"calm{number}", units=2.0, set_size=2)
+    assert count_admitted(engine, 100.5, 3, customer="near", units=2.0, set_size=2) == 3
     (first_send, *_) = sent_gossip(engine.handle(api.TimerFired("beat"), 100.6))
     assert reported_keys([first_send], 1)[0] == key(engine, "near")
 
@@ -210,7 +210,7 @@
             set_size=members,
         )
         actions += arrival_actions
-        for send in only(arrival_actions, api.StartAttempt):
+        for send in actions_of(arrival_actions, api.StartAttempt):
             actions += answer(engine, send, now + 0.01)
         text = gossip.encode_header(int(now) % 36, 0.1, "abc") + gossip.encode(
             gossip.ChargeReport(
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -13,9 +13,9 @@
 from hazelhollow.decisions.gossip import codec as gossip
 from tests.decisions.helpers import (
     ask,
+    customers_with_equal_keys,
+    endpoint_list,
     entry,
-    same_key,
-    servers,
 )
 from tests.net.scenario import LOOK, PLAN, SETTINGS
 
@@ -41,7 +41,7 @@
         ),
         seed=number,
     )
-    one.handle(servers("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
+    one.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
     return one
 
 
@@ -72,7 +72,7 @@
 
 def test_two_customers_with_one_key_keep_separate_plans() -> None:
     one, peer = engine(0, BRONZE, GOLD), engine(1, BRONZE, GOLD)
-    bronze, gold = same_key(one)
+    bronze, gold = customers_with_equal_keys(one)
     ask(one, 1000.1, "look", plan_name="bronze", set_size=2, customer=bronze)
     ask(one, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
     ask(one, 1000.3, "look", plan_name="bronze", set_size=2, customer=bronze)
@@ -163,7 +163,7 @@
 
 def test_reports_of_classes_added_by_new_settings_are_applied() -> None:
     one = engine(0, GOLD, limiters=12)
-    one.retune(replace(one.settings, classes=(LOOK, SLOW)))
+    one.reconfigure(replace(one.settings, classes=(LOOK, SLOW)))
     text = gossip.encode_header(1000, 0.0, gossip.incarnation_name(1000.0)) + gossip.encode(
         gossip.FailureReport(one.endpoints["s1"].tag, gossip.name_tag("slow"))
     )
--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -14,11 +14,11 @@
 from hazelhollow.decisions.gossip.composer import RELAY_AGE_S
 from tests.decisions.helpers import (
     BASIC,
+    actions_of,
     answer,
     ask,
+    customers_with_equal_keys,
     make,
-    only,
-    same_key,
 )
 
 FLEET, SPREAD = 40, 30
@@ -31,13 +31,14 @@
 def hubs_of(engine: DecisionEngine, now: float, **changes: Any) -> list[int]:
     """Returns the limiters that a charge is reported to."""
     return [
-        t.limiter_id for t in only(ask(engine, now, set_size=SPREAD, **changes), api.SendGossip)
+        t.limiter_id
+        for t in actions_of(ask(engine, now, set_size=SPREAD, **changes), api.SendGossip)
     ]
 
 
 def deliver(limiters: list[DecisionEngine], me: int, actions: list[api.Action], now: float) -> None:
     """Delivers every datagram at once, and the datagrams sent in response."""
-    for datagram in only(actions, api.SendGossip):
+    for datagram in actions_of(actions, api.SendGossip):
         more = limiters[datagram.limiter_id].handle(api.GossipReceived(me, datagram.text), now)
         deliver(limiters, datagram.limiter_id, more, now)
 
@@ -50,7 +51,7 @@
 
 
 def test_first_request_in_a_large_set_is_admitted() -> None:
-    assert only(
+    assert actions_of(
         ask(make(3, limiter_count=FLEET), 0.0, set_size=SPREAD, units=4.0), api.StartAttempt
     )
 
@@ -61,7 +62,7 @@
     for turn in range(3 * SPREAD):
         me = turn % SPREAD
         actions = ask(limiters[me], 100.0 + turn / 100, set_size=SPREAD, units=2.0)
-        sent += len(only(actions, api.StartAttempt))
+        sent += len(actions_of(actions, api.StartAttempt))
         deliver(limiters, me, actions, 100.0 + turn / 100)
         if turn == 0:
             assert not any(a.has_announcement for g in limiters for a in g.accounts.values())
@@ -71,7 +72,7 @@
 
 def test_large_set_separates_two_customers_of_one_key_by_plan() -> None:
     limiters = fleet(plans=(BASIC, replace(BASIC, name="other")))
-    other, busy = same_key(limiters[0])
+    other, busy = customers_with_equal_keys(limiters[0])
     for me in range(SPREAD):  # this account gets the name without a tag everywhere
         deliver(
             limiters,
@@ -83,7 +84,7 @@
     for turn in range(3 * SPREAD):
         now, me = 100.0 + turn / 100, turn % SPREAD
         actions = ask(limiters[me], now, set_size=SPREAD, units=2.0, customer=busy)
-        sent += len(only(actions, api.StartAttempt))
+        sent += len(actions_of(actions, api.StartAttempt))
         deliver(limiters, me, actions, now)
     assert 4 <= sent <= 8
     announced = [a.plan.name for g in limiters for a in g.accounts.values() if a.has_announcement]
@@ -107,7 +108,7 @@
         if chance.random() < 0.005 * 3 * BASIC.rate / 2.0:
             me = min(chance.randrange(SPREAD), chance.randrange(SPREAD))
             actions = ask(limiters[me], now, set_size=SPREAD, units=2.0)
-            for send in only(actions, api.StartAttempt):
+            for send in actions_of(actions, api.StartAttempt):
                 admitted += send.endpoint != ""
                 actions = actions + answer(limiters[me], send, now, true_units=0.0)
             waiting += _posted(chance, now, me, actions)
@@ -130,7 +131,7 @@
     chance: random.Random, now: float, me: int, actions: list[api.Action]
 ) -> list[tuple[float, int, int, str]]:
     in_transit = []
-    for datagram in only(actions, api.SendGossip):
+    for datagram in actions_of(actions, api.SendGossip):
         for _ in range(chance.choices((0, 1, 2), (0.07, 0.9, 0.03))[0]):
             in_transit.append(
                 (now + chance.uniform(0.001, 0.03), me, datagram.limiter_id, datagram.text)
@@ -148,7 +149,7 @@
     announcements = 0
     for turn in range(60):  # the second hub receives all datagrams, the first none
         now = 100.0 + turn / 50
-        for datagram in only(
+        for datagram in actions_of(
             ask(limiters[turn % SPREAD], now, set_size=SPREAD, units=2.0), api.SendGossip
         ):
             if datagram.limiter_id == second:
@@ -156,7 +157,7 @@
         announcements += len(
             [
                 t
-                for t in only(
+                for t in actions_of(
                     limiters[second].handle(api.TimerFired("beat"), now + 0.01), api.SendGossip
                 )
                 if "/" in t.text
@@ -183,15 +184,15 @@
     for turn in range(turns):
         now, me = 100.0 + turn / 100, turn % 40
         actions = ask(limiters[me], now, set_size=WIDE, units=2.0, **changes)
-        sent += len(only(actions, api.StartAttempt))
-        queue = [(me, a) for a in only(actions, api.SendGossip)]
+        sent += len(actions_of(actions, api.StartAttempt))
+        queue = [(me, a) for a in actions_of(actions, api.SendGossip)]
         while queue:
             sender, datagram = queue.pop()
             if datagram.limiter_id != dead:
                 more = limiters[datagram.limiter_id].handle(
                     api.GossipReceived(sender, datagram.text), now
                 )
-                queue += [(datagram.limiter_id, a) for a in only(more, api.SendGossip)]
+                queue += [(datagram.limiter_id, a) for a in actions_of(more, api.SendGossip)]
     return sent
 
 
@@ -202,7 +203,9 @@
 def hubs_in_vast() -> list[int]:
     return [
         t.limiter_id
-        for t in only(ask(make(VAST - 1, limiter_count=VAST), 100.0, set_size=WIDE), api.SendGossip)
+        for t in actions_of(
+            ask(make(VAST - 1, limiter_count=VAST), 100.0, set_size=WIDE), api.SendGossip
+        )
     ]
 
 
@@ -231,31 +234,31 @@
     (name,) = one.accounts
     report = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 12.0))
     one.handle(api.GossipReceived(first, gossip.encode_header(100, 0.0, "aa") + report), 100.1)
-    soon = only(ask(one, 100.2, set_size=WIDE, customer="d"), api.SendGossip)
+    soon = actions_of(ask(one, 100.2, set_size=WIDE, customer="d"), api.SendGossip)
     assert soon and all(report in t.text for t in soon)
-    elsewhere = only(
+    elsewhere = actions_of(
         ask(one, 100.3, set_size=9, set_start=WIDE + 5, customer="f"), api.SendGossip
     )  # to limiters outside the set
     assert elsewhere and not any(report in t.text for t in elsewhere)
-    late = only(ask(one, 100.1 + RELAY_AGE_S, set_size=WIDE, customer="e"), api.SendGossip)
+    late = actions_of(ask(one, 100.1 + RELAY_AGE_S, set_size=WIDE, customer="e"), api.SendGossip)
     assert late and not any(report in t.text for t in late)
     two.handle(api.GossipReceived(me, gossip.encode_header(100, 0.0, "aa") + report), 100.2)
     assert has_announced_level(two)
-    second_hand = only(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
+    second_hand = actions_of(ask(two, 100.3, set_size=WIDE, customer="d"), api.SendGossip)
     assert second_hand and not any(report in t.text for t in second_hand)
 
 
 def test_level_of_a_removed_account_is_not_relayed() -> None:
     first, second = hubs_in_vast()
     one = make(next(n for n in range(4) if n not in (first, second)), limiter_count=VAST)
-    (send,) = only(ask(one, 100.0, set_size=WIDE, customer="c"), api.StartAttempt)
+    (send,) = actions_of(ask(one, 100.0, set_size=WIDE, customer="c"), api.StartAttempt)
     answer(one, send, 100.1)
     (name,) = one.accounts
     report = gossip.encode(gossip.SpentReport(name, gossip.name_tag("basic"), 0.0))
     one.handle(api.GossipReceived(first, gossip.encode_header(110, 0.0, "aa") + report), 110.8)
     one.handle(api.TimerFired("beat"), 111.0)
     assert not one.accounts
-    later_sends = only(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
+    later_sends = actions_of(ask(one, 111.1, set_size=WIDE, customer="d"), api.SendGossip)
     assert later_sends and not any(report in t.text for t in later_sends)
 
 
@@ -276,7 +279,7 @@
         admissions[size_of_set] = 0
         for _ in range(100):
             one.handle(api.GossipReceived(VAST - 1, text), 100.1)
-            sends = only(ask(one, 100.1, set_size=size_of_set), api.StartAttempt)
+            sends = actions_of(ask(one, 100.1, set_size=size_of_set), api.StartAttempt)
             admissions[size_of_set] += len(sends)
             for send in sends:
                 answer(one, send, 100.1)
@@ -293,7 +296,7 @@
     )
     assert not any(
         report in t.text
-        for t in only(ask(limiters[5], 100.2, set_size=SPREAD, customer="d"), api.SendGossip)
+        for t in actions_of(ask(limiters[5], 100.2, set_size=SPREAD, customer="d"), api.SendGossip)
     )
 
 
@@ -315,7 +318,9 @@
     engine, datagrams = make(0, limiter_count=FLEET), 0
     for i in range(4000):
         datagrams += len(
-            only(ask(engine, 100.0 + i / 1000, set_size=SPREAD, customer=f"{i}"), api.SendGossip)
+            actions_of(
+                ask(engine, 100.0 + i / 1000, set_size=SPREAD, customer=f"{i}"), api.SendGossip
+            )
         )
     assert datagrams <= 100 * 0.8 * 5
 
@@ -323,7 +328,7 @@
 def test_customers_with_a_single_request_leave_no_state_in_a_large_fleet() -> None:
     engine = make(0, limiter_count=FLEET)
     for i in range(3000):
-        for send in only(
+        for send in actions_of(
             ask(engine, 100.0 + i / 100, set_size=SPREAD, customer=f"k{i}"), api.StartAttempt
         ):
             answer(engine, send, 100.0 + i / 100)
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: which attempts may follow, and that no effect happens twice."""
+"""Retries: which attempts may follow, and that no request takes effect twice."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from hazelhollow.decisions.retry import NEVER_RAN
 from tests.decisions.helpers import (
     HOLD,
+    actions_of,
     answer,
     ask,
     make,
-    only,
 )
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_one_that_did_not_goes_again() -> None:
+def test_unsafe_request_is_retried_only_if_it_cannot_have_run() -> None:
     """A connection broke after the request was sent.
 
-    What may have run must not run again; what never ran may.
+    A request that may have run must not run again; one that never ran may.
     """
     engine = make()
-    (send,) = only(ask(engine, 100.0, "issue"), api.StartAttempt)
-    assert only(answer(engine, send, 100.1, "reset"), api.FailRequest)
-    (send,) = only(ask(engine, 100.2, "issue"), api.StartAttempt)
-    assert only(answer(engine, send, 100.3, "full"), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0, "issue"), api.StartAttempt)
+    assert actions_of(answer(engine, send, 100.1, "reset"), api.FailRequest)
+    (send,) = actions_of(ask(engine, 100.2, "issue"), api.StartAttempt)
+    assert actions_of(answer(engine, send, 100.3, "full"), api.StartAttempt)
 
 
-def test_late_events_for_an_ended_request_are_harmless() -> None:
-    """An answer comes after the client has left.
+def test_late_events_for_an_ended_request_are_ignored() -> None:
+    """A second end of an attempt and a disconnect arrive after the request has ended.
 
-    It must neither fail nor bring the request back.
+    They must neither cause an error nor reopen the request.
     """
     engine = make()
-    (send,) = only(ask(engine, 100.0), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
     answer(engine, send, 100.1)
     assert answer(engine, send, 100.2, "timeout") == []
     assert engine.handle(api.ClientDisconnected(send.id), 100.3) == []
@@ -54,25 +54,25 @@
     statuses=st.lists(st.sampled_from(STATUSES), min_size=1, max_size=4),
     waits=st.lists(st.floats(0.001, 1.5), min_size=4, max_size=4),
 )
-def test_every_request_ends_once_and_no_effect_happens_twice(
+def test_every_request_ends_once_and_takes_effect_at_most_once(
     kind: str, statuses: list[str], waits: list[float]
 ) -> None:
-    """Attempts end in every way and order.
+    """Attempts end with every status in every order.
 
-    Each request gets one final answer, and no effect happens twice.
+    Each request must get one final answer, and none may take effect twice.
     """
     engine, now = make(), 100.0
     actions = ask(engine, now, kind)
     zones = {s.entry.name: s.entry.zone for s in engine.endpoints.values()}
     ran: list[tuple[str, float]] = []
     for number, status in enumerate([*statuses, "timeout", "timeout", "timeout"]):
-        sends = only(actions, api.StartAttempt)
+        sends = actions_of(actions, api.StartAttempt)
         finals = [a for a in actions if isinstance(a, api.RejectRequest | api.FailRequest)]
         assert len(sends) + len(finals) == 1
         if ran and kind == "issue":
-            assert not sends and not only(finals, api.RejectRequest)
+            assert not sends and not actions_of(finals, api.RejectRequest)
         if ran and kind == "hold":
-            assert not only(finals, api.RejectRequest)
+            assert not actions_of(finals, api.RejectRequest)
             for send in sends:
                 assert zones[send.endpoint] == ran[0][0] and now < ran[0][1] + HOLD.dedup_window
         if finals:
@@ -85,22 +85,22 @@
         event = api.AttemptEnded(sends[0].id, number, sends[0].endpoint, status, 0.1, final=final)  # type: ignore[arg-type]
         actions = engine.handle(event, now)
         if final:
-            assert not only(actions, api.StartAttempt) and engine.pending_requests == {}
+            assert not actions_of(actions, api.StartAttempt) and engine.pending_requests == {}
             return
-    raise AssertionError("never ended")
+    raise AssertionError("the request got no final answer")
 
 
-def test_an_attempt_that_broke_off_at_once_costs_little_of_the_retry_budget() -> None:
-    """Resets by the dozen cost the endpoints nothing.
+def test_attempt_aborted_at_once_costs_little_of_the_retry_budget() -> None:
+    """Many immediate resets cost the endpoints nothing.
 
-    Were they to spend the retries, requests would fail for it.
+    If they used up the retry budget, requests would fail without need.
     """
     for elapsed, most in ((0.0002, 200), (0.5, 30)):
         engine, retried = make(), 0
         for number in range(200):
-            (send,) = only(ask(engine, 1.0 + number, customer=str(number)), api.StartAttempt)
+            (send,) = actions_of(ask(engine, 1.0 + number, customer=str(number)), api.StartAttempt)
             event = api.AttemptEnded(send.id, 0, send.endpoint, "reset", elapsed)
-            again = only(engine.handle(event, 1.0 + number), api.StartAttempt)
+            again = actions_of(engine.handle(event, 1.0 + number), api.StartAttempt)
             retried += len(again)
             for further in again:
                 engine.handle(
@@ -109,43 +109,49 @@
         assert 0.9 * most <= retried <= most
 
 
-def hung(engine: DecisionEngine, kind: str, wait: float, answers: bool) -> tuple[list[str], str]:
-    """Where a request goes whose first attempt hangs, and the endpoint at which it hangs.
+def retries_after_hang(
+    engine: DecisionEngine, kind: str, wait: float, answers: bool
+) -> tuple[list[str], str]:
+    """Returns the endpoints of the retries of a hung attempt, and the endpoint of that attempt.
 
-    Some usual requests are answered before.
+    Some normal requests are answered before.
     """
     for number in range(30):
-        for send in only(ask(engine, 1.0 + number / 10, customer=str(number)), api.StartAttempt):
+        for send in actions_of(
+            ask(engine, 1.0 + number / 10, customer=str(number)), api.StartAttempt
+        ):
             engine.handle(
                 api.AttemptEnded(send.id, 0, send.endpoint, "ok", 0.02, True), 1.02 + number / 10
             )
-    (send,) = only(ask(engine, 5.0, kind), api.StartAttempt)
+    (send,) = actions_of(ask(engine, 5.0, kind), api.StartAttempt)
     engine.load.queue_wait = wait
     if answers:
         engine.endpoints[send.endpoint].last_progress_at = 5.7
-    cancels = only(engine.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
+    cancels = actions_of(engine.handle(api.TimerFired("beat"), 5.75), api.CancelAttempt)
     actions = [
         engine.handle(api.AttemptEnded(c.id, c.attempt, send.endpoint, "cancelled", 0.75), 5.75)
         for c in cancels
     ]
-    return [again.endpoint for a in actions for again in only(a, api.StartAttempt)], send.endpoint
+    return [
+        again.endpoint for a in actions for again in actions_of(a, api.StartAttempt)
+    ], send.endpoint
 
 
 @pytest.mark.parametrize("answers", [False, True])
-def test_an_attempt_that_hangs_at_a_calm_time_goes_to_another_endpoint(answers: bool) -> None:
-    """An endpoint takes a request and never answers, while others answer at once."""
+def test_hung_attempt_at_low_load_is_retried_at_another_endpoint(answers: bool) -> None:
+    """An endpoint accepts a request and never answers, while others answer at once."""
     engine = make(cancellation=True)
-    (other,), first = hung(engine, "lookup", 0.0, answers)
+    (other,), first = retries_after_hang(engine, "lookup", 0.0, answers)
     assert other != first
-    # one answer that is lost is no failing endpoint
+    # a single lost answer does not make the endpoint a failing one
     assert bool(engine.endpoints[first].outlier_records) is not answers
 
 
-def test_an_attempt_that_hangs_stays_in_an_overload_and_where_it_may_not_run_again() -> None:
-    """An attempt hangs in an overload, or has an effect.
+def test_hung_attempt_is_kept_in_overload_or_if_unsafe_to_repeat() -> None:
+    """An attempt hangs in an overload, or is unsafe, or cancellation is off.
 
-    Moving it would add load, or repeat the effect.
+    A retry would add load in an overload, and could repeat the effect of an unsafe request.
     """
-    assert hung(make(cancellation=True), "lookup", 0.5, False)[0] == []
-    assert hung(make(cancellation=True), "issue", 0.0, False)[0] == []
-    assert hung(make(), "lookup", 0.0, False)[0] == []
+    assert retries_after_hang(make(cancellation=True), "lookup", 0.5, False)[0] == []
+    assert retries_after_hang(make(cancellation=True), "issue", 0.0, False)[0] == []
+    assert retries_after_hang(make(), "lookup", 0.0, False)[0] == []
--- a/tests/net/test_administrative_overrides.py
+++ b/tests/net/test_administrative_overrides.py
@@ -9,7 +9,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.override_file import OverrideFile, path_for
-from tests.decisions.helpers import ask, entry, make, only, servers
+from tests.decisions.helpers import actions_of, ask, endpoint_list, entry, make
 from tests.net.scenario import Stage
 from tests.net.test_operator_address import call, figures, operator_stage
 
@@ -20,17 +20,19 @@
     Neither may cause a request to the disabled endpoint.
     """
     decision_engine = make(0, limiter_count=1)
-    decision_engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    decision_engine.handle(endpoint_list("full", entry("s1"), entry("s2")), 100.0)
     decision_engine.handle(api.EndpointOverridden("s1", True), 100.0)
     sent = {
         s.endpoint
         for i in range(40)
-        for s in only(ask(decision_engine, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt)
+        for s in actions_of(
+            ask(decision_engine, 100.0 + i / 100, customer=f"{i}"), api.StartAttempt
+        )
     }
     assert sent == {"s2"}
-    decision_engine.handle(servers("full", entry("s2", state="draining"), entry("s1")), 101.0)
+    decision_engine.handle(endpoint_list("full", entry("s2", state="draining"), entry("s1")), 101.0)
     # The list says that s1 is up, but the override still applies.
-    assert not only(ask(decision_engine, 101.1), api.StartAttempt)
+    assert not actions_of(ask(decision_engine, 101.1), api.StartAttempt)
 
 
 def test_reenabled_endpoint_warms_up_again() -> None:
@@ -39,12 +41,12 @@
     A list with an old start time must not end the warm-up.
     """
     decision_engine = make(0, limiter_count=1)
-    decision_engine.handle(servers("full", entry("s1"), entry("s2")), 100.0)
+    decision_engine.handle(endpoint_list("full", entry("s1"), entry("s2")), 100.0)
     decision_engine.handle(api.EndpointOverridden("s1", True), 100.0)
     decision_engine.handle(api.EndpointOverridden("s1", False), 105.0)
     assert decision_engine.endpoints["s1"].is_warming_up(105.5, decision_engine.settings)
     decision_engine.handle(
-        servers("full", entry("s1"), entry("s2")), 106.0
+        endpoint_list("full", entry("s1"), entry("s2")), 106.0
     )  # A start time long ago does not end the warm-up.
     assert decision_engine.endpoints["s1"].is_warming_up(
         106.0, decision_engine.settings
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -15,7 +15,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.requests import RequestLimits
 from hazelhollow.platform_config import PlatformConfigError
-from tests.decisions.helpers import answer, ask, make, only
+from tests.decisions.helpers import actions_of, answer, ask, make
 from tests.net.scenario import BUY, LOOK, Stage
 from tests.net.test_connection_ends import block_connects
 
@@ -126,20 +126,20 @@
     The request must keep the number with which it arrived.
     """
     decision_engine = make(0, limiter_count=1, max_attempts=3)
-    (first,) = only(ask(decision_engine, 100.0, id="r1"), api.StartAttempt)
-    decision_engine.retune(replace(decision_engine.settings, max_attempts=1))
-    assert only(
+    (first,) = actions_of(ask(decision_engine, 100.0, id="r1"), api.StartAttempt)
+    decision_engine.reconfigure(replace(decision_engine.settings, max_attempts=1))
+    assert actions_of(
         answer(decision_engine, first, 100.1, "error"), api.StartAttempt
     ), "an open request lost its further attempts"
-    (later,) = only(ask(decision_engine, 100.2, id="r2"), api.StartAttempt)
-    assert not only(answer(decision_engine, later, 100.3, "error"), api.StartAttempt)
+    (later,) = actions_of(ask(decision_engine, 100.2, id="r2"), api.StartAttempt)
+    assert not actions_of(answer(decision_engine, later, 100.3, "error"), api.StartAttempt)
 
 
 def test_open_request_of_a_removed_class_still_ends() -> None:
     """A reload removes the class of an open request. The request must still complete."""
     decision_engine = make(0, limiter_count=1, max_attempts=3)
-    (first,) = only(ask(decision_engine, 100.0, id="r1", kind="issue"), api.StartAttempt)
-    decision_engine.retune(
+    (first,) = actions_of(ask(decision_engine, 100.0, id="r1", kind="issue"), api.StartAttempt)
+    decision_engine.reconfigure(
         replace(decision_engine.settings, classes=decision_engine.settings.classes[:1])
     )
     answer(decision_engine, first, 100.1, "ok")  # its class was removed, but the request still ends
@@ -147,7 +147,7 @@
         "r1" not in decision_engine.pending_requests or decision_engine.pending_requests["r1"].ended
     )
     # a request of a removed class is not sent
-    assert not only(ask(decision_engine, 100.2, kind="issue"), api.StartAttempt)
+    assert not actions_of(ask(decision_engine, 100.2, kind="issue"), api.StartAttempt)
 
 
 def test_changed_deadline_resets_the_time_left_statistics() -> None:
@@ -162,7 +162,7 @@
     for class_statistics in statistics.values():
         assert class_statistics.is_longest(3.0)
     lookup, *rest = decision_engine.settings.classes
-    decision_engine.retune(
+    decision_engine.reconfigure(
         replace(
             decision_engine.settings, classes=(replace(lookup, deadline=lookup.deadline / 2), *rest)
         )
