--- a/hazelhollow/replication/anti_entropy.py
+++ b/hazelhollow/replication/anti_entropy.py
@@ -1,12 +1,15 @@
-"""Anti-entropy: finds where two members' tables differ and repairs that. No I/O, no clock.
+"""Anti-entropy: finds differences between two members' tables and repairs them.
 
-Each member sends digests to one other, drawn at random, every ROUNDS_PER_DIGEST rounds, and at once
-to one that has become reachable again. Who receives digests unlike its own answers with its own
-digests, once, and sends the counters of the buckets that differ, those that changed last first, and
-all overrides if those differ. So both directions are repaired, counters of third members too.
+This module does no I/O and reads no clock.
 
-Nothing is acknowledged: what is lost is found again by later digests. What is sent in a round is
-bounded however much is missing.
+Each member sends digests to one other member, drawn at random, every ROUNDS_PER_DIGEST rounds, and
+immediately to a member that has become reachable again. A member that receives digests unlike its
+own answers with its own digests, once, and sends the counters of the buckets that differ, the most
+recently changed first, and all overrides if those differ. So both members' tables are repaired,
+including the counters of third members.
+
+Nothing is acknowledged: later digests reveal what was lost. The number of datagrams sent in a round
+is bounded, however much is missing.
 """
 
 from __future__ import annotations
@@ -24,30 +27,30 @@
 ROUNDS_PER_DIGEST = 2
 MAX_DATAGRAMS_PER_REPAIR = 4  # of counters, in answer to one member's digests
 MAX_DATAGRAMS_PER_ROUND = 12  # of counters and overrides, to all members
-MAX_RETURNED_PER_ROUND = 4  # members that are back, which are sent digests at once
-OVERRIDE_FANOUT = 5  # members, this one perhaps among them, that are sent a new override at once
+MAX_RETURNED_PER_ROUND = 4  # members reachable again that are sent digests in one round
+OVERRIDE_FANOUT = 5  # members drawn to be sent a new override at once; may include this member
 
 
 class AntiEntropy:
     """The tables of one member and their repair.
 
-    What others' messages have changed is in `new_rows` and `new_overrides`, which the driver takes.
-    Random draws come from `chance`, which `CatchUp` draws from too.
+    Counters and overrides that other members' messages changed are appended to `new_rows` and
+    `new_overrides`, which the driver empties. `CatchUp` draws from the same `rng`.
     """
 
     def __init__(
-        self, local: LocalMember, outbox: Outbox, chance: random.Random, counters: Counter[str]
+        self, local: LocalMember, outbox: Outbox, rng: random.Random, counters: Counter[str]
     ) -> None:
-        self._local, self._outbox, self._random, self._counters = local, outbox, chance, counters
+        self._local, self._outbox, self._random, self._counters = local, outbox, rng, counters
         self.counts, self.overrides = CountTable(), OverrideTable()
         self.new_rows: list[CountRow] = []
         self.new_overrides: list[Override] = []
         self._rounds = 0
-        self._returned: list[int] = []  # reachable again; first in line
+        self._returned: list[int] = []  # members reachable again that are to be sent digests
         self._datagrams_left = MAX_DATAGRAMS_PER_ROUND
 
     def begin_round(self) -> None:
-        """A new round, with a new bound on what is sent."""
+        """Begins a round, in which MAX_DATAGRAMS_PER_ROUND may be sent again."""
         self._rounds += 1
         self._datagrams_left = MAX_DATAGRAMS_PER_ROUND
 
@@ -60,13 +63,16 @@
             self._send_digests(self._random.choice(present), is_answer=False)
 
     def member_returned(self, member: int) -> None:
-        """That member can be heard again, or is new."""
+        """Notes that a member has become reachable again or is new."""
         if member != self._local.number and member not in self._returned:
             self._returned.append(member)
 
     def set_override(self, endpoint: str, disabled: bool, now: float) -> None:
-        """An operator's instruction at this member: some are told at once, the rest by digests."""
-        if not self.overrides.set_here(endpoint, disabled, now, self._local.number):
+        """Applies an operator's instruction at this member.
+
+        A new override is sent to some members at once; the others receive it by anti-entropy.
+        """
+        if not self.overrides.set_local(endpoint, disabled, now, self._local.number):
             return
         count = self._local.member_count
         for member in self._random.sample(range(count), min(count, OVERRIDE_FANOUT)):
@@ -74,7 +80,7 @@
                 self._send_overrides(member)
 
     def receive_digests(self, sender: int, digests: Digests) -> None:
-        """Repairs what differs, if anything does."""
+        """Compares another member's digests and sends it what differs."""
         buckets = self.counts.differing_buckets(digests.buckets)
         if digests.overrides != self.overrides.digest():
             self._send_overrides(sender)
@@ -86,7 +92,10 @@
         self._send_counts(sender, buckets)
 
     def receive_counts(self, counts: Counts) -> None:
-        """Merges counters, except greater ones of this incarnation: nobody else adds to those."""
+        """Merges counters, except those of this incarnation, to which nobody else adds.
+
+        A received count of this incarnation that is greater than its own is counted as an error.
+        """
         for row in counts.rows:
             if (row.member, row.incarnation) == (self._local.number, self._local.incarnation):
                 if row.value.total > self._own_total(row):
@@ -101,7 +110,7 @@
         return claimed.value.total
 
     def receive_overrides(self, message: Overrides) -> None:
-        """Merges overrides."""
+        """Merges overrides and notes those that changed the table."""
         for override in message.overrides:
             if self.overrides.merge_in(override):
                 self.new_overrides.append(override)
@@ -111,12 +120,12 @@
         self._outbox.send(member, Kind.DIGESTS, numbers)
 
     def _send_counts(self, member: int, buckets: list[int]) -> None:
-        """Sends the counters that changed last first: decisions depend on those most."""
+        """Sends the most recently changed counters first: decisions depend on those most."""
         items, sent = list[str](), 0
         room = self._outbox.room_for_items(Kind.COUNTS)
         for customer in self.counts.newest_customers(buckets):
             for item in self._count_items(customer, room):
-                if sum([len(one) for one in items]) + len(item) > room:
+                if sum([len(queued) for queued in items]) + len(item) > room:
                     self._outbox.send(member, Kind.COUNTS, (), items)
                     items, sent = [], sent + 1
                     self._datagrams_left -= 1
@@ -128,7 +137,7 @@
             self._outbox.send(member, Kind.COUNTS, (), items)
 
     def _count_items(self, customer: str, room: int) -> list[str]:
-        """The counters of one customer, in as many items as they need."""
+        """Returns the counters of one customer, in as many items as they need."""
         items, rows = list[str](), list[CountRow]()
         period = self._outbox.period
         for row in self.counts.rows(customer):
--- a/hazelhollow/replication/codec.py
+++ b/hazelhollow/replication/codec.py
@@ -1,13 +1,14 @@
-"""Text of the replication datagrams: messages to at most 256 bytes of ASCII and back.
+"""Encodes replication messages as datagrams of at most 256 bytes of ASCII, and decodes them.
 
-Translation only: knows no rule and no socket. The field names of `messages` are not in the text.
+This module only translates: it applies no rule and uses no socket. The text does not contain the
+field names of `messages`.
 
     c1r 9k2/t4f3k0  8tl2m:7kq:1:5:3.9k2.4.2.1c-1.8aa.4.2.7
 
-is dialect and kind; the sender's incarnation and the message's period; the numbers that the kind
-needs, joined by `-` (counts need none: two spaces); then items, each after a space. Numbers are in
-base 36, periods are written as so many before the message's. A text of which any part is wrong, or
-of another dialect, is no message at all.
+consists of dialect and kind; the sender's incarnation and the message's period; the numbers that
+the kind needs, joined by `-` (counts need none, hence the two spaces); then items, each preceded by
+a space. Numbers are in base 36. Other periods are written as their distance before the message's
+period. A text is rejected entirely if any part of it is invalid or it is of another dialect.
 """
 
 from __future__ import annotations
@@ -31,13 +32,13 @@
 )
 from hazelhollow.replication.overrides import Override
 
-DIALECT = "c1"  # replication's letter among the datagrams, and the version of the format
+DIALECT = "c1"  # the letter that identifies replication's datagrams, and the format version
 MAX_MESSAGE_BYTES = 256
-HEARSAY_SUFFIX = ".h"  # after a counter that is not first-hand
-FORGOTTEN = "-"  # in place of an account
-# The longest numbers of a transfer's piece: they size its header for the worst case.
+SECOND_HAND_SUFFIX = ".h"  # marks a counter that is not first-hand
+FORGOTTEN = "-"  # stands for an account that the sender has forgotten
+# The greatest numbers of a transfer piece, which give the length of its longest header.
 PIECE_NUMBERS_LIMIT = (36**4, 36**5, 36**5)
-NUMBER_COUNTS = {
+NUMBERS_OF_KIND = {
     Kind.DIGESTS: BUCKET_COUNT + 2,
     Kind.COUNTS: 0,
     Kind.OVERRIDES: 0,
@@ -54,26 +55,26 @@
 
 
 def encode_header(kind: Kind, incarnation: str, period: int, numbers: Sequence[int] = ()) -> str:
-    """The text before the items."""
+    """Returns the text before the items."""
     return f"{DIALECT}{kind.value} {incarnation}/{base36(period)} " + "-".join(
         base36(number) for number in numbers
     )
 
 
 def encode_counts(rows: Sequence[CountRow], period: int) -> str:
-    """The item for counters of one customer, with the space before it; nothing for no rows."""
+    """Returns the item for one customer's counters, with the space before it; empty for no rows."""
     if not rows:
         return ""
     first = rows[0]
     return f"{_customer_text(first)}:" + "-".join(
         f"{base36(row.member)}.{row.incarnation}.{_value_text(row.value, period)}"
-        f"{'' if row.value.first_hand else HEARSAY_SUFFIX}"
+        f"{'' if row.value.first_hand else SECOND_HAND_SUFFIX}"
         for row in rows
     )
 
 
 def encode_account(account: AccountCopy, period: int, room: int) -> str:
-    """The item for an account, with as many of its counts, in their order, as fit `room` bytes."""
+    """Returns the item for an account, with its first counts, as many as fit into `room` bytes."""
     text = f"{_customer_text(account)}:{base36(account.spent)}:"
     parts = list[str]()
     for count in account.counts:
@@ -89,12 +90,12 @@
 
 
 def encode_forgotten() -> str:
-    """The item in place of an account that the sender has forgotten."""
+    """Returns the item that stands for an account that the sender has forgotten."""
     return f" {FORGOTTEN}"
 
 
 def encode_override(override: Override) -> str:
-    """The item for an override."""
+    """Returns the item for an override."""
     return (
         f" {override.endpoint}:{base36(override.lamport_time)}:{override.disabled}"
         f":{base36(override.made_at_ms)}:{base36(override.member)}"
@@ -102,7 +103,7 @@
 
 
 def append_items(header: str, items: Sequence[str], max_bytes: int) -> tuple[str, int]:
-    """The header with as many of the items, in their order, as fit; and how many those are."""
+    """Returns the header with its first items, as many as fit, and the number of these items."""
     text = header
     for number, item in enumerate(items):
         if len(text) + len(item) > max_bytes:
@@ -111,8 +112,8 @@
     return text, len(items)
 
 
-def _customer_text(about: CountRow | AccountCopy) -> str:
-    return f" {about.customer}:{about.plan_tag}:{base36(about.set_start)}:{base36(about.set_size)}"
+def _customer_text(keyed: CountRow | AccountCopy) -> str:
+    return f" {keyed.customer}:{keyed.plan_tag}:{base36(keyed.set_start)}:{base36(keyed.set_size)}"
 
 
 def _value_text(value: CountValue, period: int) -> str:
@@ -124,7 +125,7 @@
 
 
 def decode(text: str, member_count: int) -> Message | None:
-    """The message; None where any part is wrong: too long, of another dialect, out of range."""
+    """Returns the message; None if any part is invalid: too long, another dialect, out of range."""
     try:
         return _decode(text, member_count)
     except ValueError:
@@ -143,10 +144,10 @@
         if number_texts
         else ()
     )
-    if len(numbers) != NUMBER_COUNTS[kind]:
+    if len(numbers) != NUMBERS_OF_KIND[kind]:
         raise ValueError(number_texts)
     body = _decode_body(kind, numbers, items, period, member_count)
-    return Message(_name(incarnation), period, body)
+    return Message(_checked_name(incarnation), period, body)
 
 
 def _decode_body(
@@ -175,9 +176,9 @@
     return TransferRequest(*numbers) if kind is Kind.TRANSFER_REQUEST else NotComplete(*numbers)
 
 
-def _name(text: str) -> str:
-    is_plain = text.isascii() and text.isalnum() and text == text.lower()
-    if not 0 < len(text) <= _MAX_NAME_LENGTH or not is_plain:
+def _checked_name(text: str) -> str:
+    is_valid = text.isascii() and text.isalnum() and text == text.lower()
+    if not 0 < len(text) <= _MAX_NAME_LENGTH or not is_valid:
         raise ValueError(text)
     return text
 
@@ -198,7 +199,7 @@
     size = number36(set_size, member_count + 1)
     if size == 0:
         raise ValueError(set_size)
-    return _name(customer), _name(plan_tag), number36(set_start, member_count), size
+    return _checked_name(customer), _checked_name(plan_tag), number36(set_start, member_count), size
 
 
 def _decode_counts(item: str, period: int, member_count: int) -> list[CountRow]:
@@ -207,35 +208,37 @@
     rows = []
     for count in counts.split("-"):
         member, incarnation, *value_fields = count.split(".")
-        first_hand = 0 if value_fields[3:] == [HEARSAY_SUFFIX[1:]] else 1
+        first_hand = 0 if value_fields[3:] == [SECOND_HAND_SUFFIX[1:]] else 1
         since, through, total = value_fields if first_hand else value_fields[:3]
         value = _decode_value(since, through, total, period, first_hand)
-        rows.append(CountRow(*customer, number36(member, member_count), _name(incarnation), value))
+        rows.append(
+            CountRow(*customer, number36(member, member_count), _checked_name(incarnation), value)
+        )
     return rows
 
 
 def _decode_account(item: str, period: int, member_count: int) -> AccountCopy:
     *customer_fields, spent, counts = item.split(":")
-    found = []
+    recent_counts = []
     for count in counts.split("-") if counts else ():
         member, incarnation, since, through, total, in_next, in_second = count.split(".")
-        found.append(
+        recent_counts.append(
             RecentCount(
                 number36(member, member_count),
-                _name(incarnation),
+                _checked_name(incarnation),
                 _decode_value(since, through, total, period),
                 number36(in_next, _NUMBER_LIMIT),
                 number36(in_second, _NUMBER_LIMIT),
             )
         )
     customer = _decode_customer(customer_fields, member_count)
-    return AccountCopy(*customer, number36(spent, _NUMBER_LIMIT), tuple(found))
+    return AccountCopy(*customer, number36(spent, _NUMBER_LIMIT), tuple(recent_counts))
 
 
 def _decode_override(item: str, member_count: int) -> Override:
     endpoint, lamport_time, disabled, made_at_ms, member = item.split(":")
-    is_name = 0 < len(endpoint) <= _MAX_ENDPOINT_LENGTH
-    if not is_name or not endpoint.isascii() or not endpoint.isprintable():
+    is_length_valid = 0 < len(endpoint) <= _MAX_ENDPOINT_LENGTH
+    if not is_length_valid or not endpoint.isascii() or not endpoint.isprintable():
         raise ValueError(endpoint)
     return Override(
         endpoint,
--- a/hazelhollow/replication/count_table.py
+++ b/hazelhollow/replication/count_table.py
@@ -1,15 +1,16 @@
 """The replicated counts of charges: a state-based CRDT of counters that only grow.
 
-No I/O, no clock. `AntiEntropy` owns, reads and merges the table of a member.
+This module does no I/O and reads no clock. `AntiEntropy` owns, reads and merges a member's table.
 
 One counter belongs to one customer, one member and one incarnation of that member. Only this member
-adds to it, once a period of one second is closed, so what was counted is never taken back.
+adds to it, after a period of one second is closed, so a counted charge is never subtracted again.
 
-Merge law (`merge`): of two values of one counter the greater (`since`, `total`) holds, together
+Merge rule (`merge`): of two values of one counter the greater (`since`, `total`) holds, together
 with the later `through`. This is the least upper bound of both, and therefore associative,
-commutative and idempotent: copies may arrive late, twice or in any order, and all members end with
-the same value. A counter to which nothing was added for RETENTION_PERIODS is dropped by all members
-at the same second and refused from then on. `docs/design/replication.md` gives the reasons.
+commutative and idempotent: copies may arrive late, twice or in any order, and all members converge
+to the same value. All members drop a counter at the same second, when nothing was added to it for
+RETENTION_PERIODS, and refuse copies of it from then on. `docs/design/replication.md` gives the
+reasons.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 
 BUCKET_COUNT = 32
 RETENTION_PERIODS = 60
-MAX_CLOCK_LEAD_PERIODS = 2  # by which a member's clock may be ahead of ours
+MAX_CLOCK_LEAD_PERIODS = 2  # the most by which another member's clock may be ahead
 DIGEST_RANGE = 36**4  # a digest is sent as a number below this
 
-# Names under which operators see copies that contradict each other.
+# Names under which contradictions are reported to operators.
 TWO_HISTORIES = "two histories"
 TOTAL_FELL = "fell"
 FROM_THE_FUTURE = "from the future"
@@ -34,11 +35,11 @@
 
 
 class CountValue(NamedTuple):
-    """What was charged in all periods from `since` on; `through` is the last that had charges.
+    """The charges of all periods from `since` on; `through` is the last period with charges.
 
-    Periods are whole Unix seconds, `total` is in tenths of a unit. `first_hand` is 1 if the member
-    itself reported the value and 0 if others added it up from its gossip, some of which may have
-    been lost; it is no part of a digest.
+    Periods are whole Unix seconds, and `total` is in tenths of a unit. `first_hand` is 1 if the
+    member itself reported the value, and 0 if others summed it from its gossip, some of which may
+    have been lost. Digests do not cover `first_hand`.
     """
 
     since: int
@@ -50,8 +51,8 @@
 class CountRow(NamedTuple):
     """One counter as members send it to each other.
 
-    `plan_tag` is the hash of the plan's name, the same under any settings. The customer's requests
-    come through `set_size` limiters from number `set_start` on.
+    `plan_tag` is a hash of the plan's name, which is the same under any settings. The customer's
+    requests arrive at `set_size` limiters, which are numbered from `set_start` on.
     """
 
     customer: str
@@ -64,11 +65,11 @@
 
 
 def merge(first: CountValue, second: CountValue) -> CountValue:
-    """The least value that covers both.
+    """Returns the least upper bound of two values.
 
-    Others' sums of a dead member's gossip may have a later `through` with a smaller `total`, so
-    neither is given up for the other: as `through` never falls, a counter expires only when every
-    copy of it has. The result is first-hand only if the member itself reported exactly that value.
+    Other members' sums of a dead member's gossip may have a later `through` with a smaller `total`,
+    so both maxima are kept: as `through` never decreases, a counter expires only when every copy of
+    it has expired. The result is first-hand only if the member itself reported exactly that value.
     """
     since, total = max((first.since, first.total), (second.since, second.total))
     through = max(first.through, second.through)
@@ -77,10 +78,11 @@
 
 
 def contradiction(first: CountValue, second: CountValue) -> str:
-    """Why two values cannot both be true, or an empty text where they can.
+    """Returns the reason why two values cannot both be true, or an empty string if they can.
 
-    Values with different `since` agree: the member dropped the customer and began anew. So does a
-    value that is not first-hand, which may be less than what was charged.
+    Values with different `since` do not contradict each other: the member dropped the customer and
+    started a new count. A value that is not first-hand contradicts none, since it may be less than
+    what was charged.
     """
     if first.since != second.since or not (first.first_hand and second.first_hand):
         return ""
@@ -101,7 +103,7 @@
 
 
 def bucket_of(customer: str) -> int:
-    """The bucket whose digest covers this customer."""
+    """Returns the bucket whose digest covers this customer."""
     return crc32(customer.encode()) % BUCKET_COUNT
 
 
@@ -111,33 +113,35 @@
 
 
 class CountTable:
-    """All counters that one member knows, its own and others'.
+    """All counters that one member has stored, its own and others'.
 
-    `contradictions` counts merged copies that could not both be true, by the names above.
+    `contradictions` counts copies that contradicted the stored value, by the names above.
     """
 
     def __init__(self) -> None:
         self.customers: dict[str, CustomerCounts] = {}
         self.period = 0
         self.contradictions: Counter[str] = Counter()
-        self._digests = [0] * BUCKET_COUNT  # the exclusive or of the fingerprints
-        # Customers by bucket, those that changed last at the end.
+        self._digests = [0] * BUCKET_COUNT  # by bucket, the XOR of its counters' fingerprints
+        # The customers of each bucket; the most recently changed one is the last.
         self._buckets: list[dict[str, None]] = [{} for _ in range(BUCKET_COUNT)]
-        # By `through`, customers with a counter that may expire that long after it.
+        # By `through`, the customers with a counter that may expire RETENTION_PERIODS after it.
         self._expiry: dict[int, set[str]] = {}
-        # One shared object for each owner and period, since thousands of counters name the same.
+        # Each owner and period is stored as one shared object, which saves memory: thousands of
+        # counters refer to the same ones.
         self._shared_owners: dict[Owner, Owner] = {}
         self._shared_periods: dict[int, int] = {}
 
     def __len__(self) -> int:
-        """How many customers have counters."""
+        """Returns the number of customers that have counters."""
         return len(self.customers)
 
     def merge_in(self, row: CountRow) -> bool:
-        """Merges a copy of a counter; gives whether that is news.
+        """Merges a copy of a counter and returns whether this changed the counter's figures.
 
-        A copy that has expired changes nothing. One from the future is counted and refused. A
-        first-hand copy of what was known by hearsay is stored and is no news.
+        An expired copy changes nothing. A copy from the future is refused and counted as a
+        contradiction. A first-hand copy with the figures of a stored second-hand value replaces it,
+        which does not count as a change.
         """
         value = row.value
         if value.through <= self.period - RETENTION_PERIODS:
@@ -154,25 +158,25 @@
             (row.member, row.incarnation), (row.member, row.incarnation)
         )
         value = self._with_shared_periods(value)
-        known = counts.values.get(owner)
-        if known is not None:
-            reason = contradiction(known, value)
+        stored = counts.values.get(owner)
+        if stored is not None:
+            reason = contradiction(stored, value)
             if reason:
                 self.contradictions[reason] += 1
-            value = merge(known, value)
-            if value == known:
+            value = merge(stored, value)
+            if value == stored:
                 return False
-            if known[:3] == value[:3]:
+            if stored[:3] == value[:3]:
                 counts.values[owner] = value
                 return False
-            self._digests[bucket_of(row.customer)] ^= _fingerprint(row.customer, owner, known)
+            self._digests[bucket_of(row.customer)] ^= _fingerprint(row.customer, owner, stored)
         counts.plan_tag, counts.set_start, counts.set_size = (
             row.plan_tag,
             row.set_start,
             row.set_size,
         )
         counts.values[owner] = value
-        self._note_change(row.customer, owner, value)
+        self._record_change(row.customer, owner, value)
         return True
 
     def _with_shared_periods(self, value: CountValue) -> CountValue:
@@ -182,7 +186,7 @@
         )
         return CountValue(since, through, value.total, value.first_hand)
 
-    def _note_change(self, customer: str, owner: Owner, value: CountValue) -> None:
+    def _record_change(self, customer: str, owner: Owner, value: CountValue) -> None:
         bucket = bucket_of(customer)
         self._digests[bucket] ^= _fingerprint(customer, owner, value)
         self._buckets[bucket].pop(customer, None)
@@ -190,7 +194,7 @@
         self._expiry.setdefault(value.through, set()).add(customer)
 
     def advance(self, period: int) -> None:
-        """Time goes on to `period`, or stays: drops the counters that have expired."""
+        """Advances the time to `period`, never back, and drops the counters that have expired."""
         self.period = max(self.period, period)
         for through in [p for p in self._expiry if p <= self.period - RETENTION_PERIODS]:
             for customer in self._expiry.pop(through):
@@ -210,7 +214,7 @@
             self._buckets[bucket_of(customer)].pop(customer, None)
 
     def rows(self, customer: str) -> list[CountRow]:
-        """The counters of one customer."""
+        """Returns the counters of one customer."""
         counts = self.customers.get(customer)
         if counts is None:
             return []
@@ -220,11 +224,11 @@
         ]
 
     def digests(self) -> list[int]:
-        """A number below DIGEST_RANGE for each bucket."""
+        """Returns the digest of each bucket, a number below DIGEST_RANGE."""
         return [digest % DIGEST_RANGE for digest in self._digests]
 
     def differing_buckets(self, digests: Sequence[int]) -> list[int]:
-        """Buckets in which another member's digests are not as these."""
+        """Returns the buckets whose digests differ from another member's `digests`."""
         return [
             bucket
             for bucket, (own, other) in enumerate(zip(self.digests(), digests, strict=True))
@@ -232,7 +236,7 @@
         ]
 
     def newest_customers(self, buckets: Sequence[int]) -> Iterator[str]:
-        """Customers of the buckets in turn, in each bucket those that changed last first."""
+        """Yields customers of the buckets in turn, each bucket's most recently changed first."""
         iterators = [reversed(self._buckets[bucket]) for bucket in buckets]
         while iterators:
             remaining = []
--- a/hazelhollow/replication/messages.py
+++ b/hazelhollow/replication/messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other about replicated state, as typed values. `codec` has their text."""
+"""The messages of replication as typed values; `codec` encodes and decodes them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Kind(StrEnum):
-    """Kinds of messages, by the letter that stands for them in a datagram."""
+    """Kinds of messages; the value is the letter that denotes the kind in a datagram."""
 
     DIGESTS = "s"
     COUNTS = "r"
@@ -21,9 +21,9 @@
 
 
 class RecentCount(NamedTuple):
-    """A counter, and what was charged in the two periods after its `through`, in tenths of a unit.
+    """A counter, and the charges of the two periods after its `through`, in tenths of a unit.
 
-    Those two periods are not closed yet; the sender knows of them by gossip.
+    Those two periods are not closed yet; the sender has their charges from gossip.
     """
 
     member: int
@@ -34,9 +34,9 @@
 
 
 class AccountCopy(NamedTuple):
-    """All that a member knows of one customer, for one that catches up.
+    """A copy of one customer's account, for a member that catches up.
 
-    `spent` is what is gone of the burst, in tenths of a unit; `counts` are what is part of it.
+    `spent` is the used part of the burst, in tenths of a unit; it includes the charges of `counts`.
     """
 
     customer: str
@@ -48,9 +48,9 @@
 
 
 class Digests(NamedTuple):
-    """Digests of the sender's count table by bucket and of its overrides.
+    """Digests of the sender's count table, by bucket, and of its overrides.
 
-    `is_answer`: it answers another's digests, and is not to be answered by digests again.
+    `is_answer` is set if they answer the receiver's digests; the receiver then sends none back.
     """
 
     buckets: tuple[int, ...]
@@ -59,19 +59,19 @@
 
 
 class Counts(NamedTuple):
-    """Counters that the receiver may not have."""
+    """Counters that the receiver may lack."""
 
     rows: tuple[CountRow, ...]
 
 
 class Overrides(NamedTuple):
-    """Overrides of endpoints that the receiver may not have."""
+    """Overrides of endpoints that the receiver may lack."""
 
     overrides: tuple[Override, ...]
 
 
 class TransferRequest(NamedTuple):
-    """Asks for `length` accounts from place `first` on, in the list of the transfer so numbered."""
+    """Requests `length` accounts from position `first` on in the list of transfer `transfer`."""
 
     transfer: int
     first: int
@@ -79,7 +79,7 @@
 
 
 class TransferPiece(NamedTuple):
-    """Accounts from place `first` on, of `total` in the list.
+    """Accounts from position `first` on, of the `total` accounts in the sender's list.
 
     None stands for a customer that the sender has forgotten since it made the list.
     """
@@ -91,7 +91,7 @@
 
 
 class NotComplete(NamedTuple):
-    """Refuses a transfer: the sender does not know all itself."""
+    """Refuses a transfer: the sender is not complete itself."""
 
     transfer: int
 
@@ -100,7 +100,7 @@
 
 
 class Message(NamedTuple):
-    """A decoded datagram: the sender's incarnation, its period, and what it says."""
+    """A decoded datagram: the sender's incarnation, its period, and the body."""
 
     incarnation: str
     period: int
--- a/tests/replication/test_overrides.py
+++ b/tests/replication/test_overrides.py
@@ -77,7 +77,7 @@
 def test_an_override_that_changes_nothing_is_not_made() -> None:
     one = OverrideTable()
     assert (
-        one.set_here("h", False, 1.0, 0) is None
-        and one.set_here("h", True, 1.0, 0)
-        and one.set_here("h", True, 2.0, 0) is None
+        one.set_local("h", False, 1.0, 0) is None
+        and one.set_local("h", True, 1.0, 0)
+        and one.set_local("h", True, 2.0, 0) is None
     )
