--- a/hazelhollow/replication/account_adapter.py
+++ b/hazelhollow/replication/account_adapter.py
@@ -1,9 +1,10 @@
-"""The decision engine's accounts in replication's terms: the one module that knows the engine.
+"""Translates between the decision engine's accounts and replication's messages and snapshots.
+
+This is the only module of replication that reads the engine's accounts. It also makes the events
+that report others' counts to the engine, and changes nothing itself.
 
 The engine counts in units (float) and by plan names, replication in tenths of a unit (int) and by
-tags of plan names, which are the same at members whose settings list other plans beside. Reads the
-engine's accounts, and gives the events by which the engine learns of others' counts; changes
-nothing itself.
+tags of plan names. A plan's tag does not depend on which other plans a member's settings list.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 def plan_tag(name: str) -> str:
-    """A plan's name in messages."""
+    """Returns the tag that denotes a plan in messages: a hash of its name."""
     return base36(crc32(name.encode()) % PLAN_TAGS)
 
 
@@ -35,7 +36,7 @@
 
 
 class RankedAccount(NamedTuple):
-    """An account to be saved, and which part of its burst is left: 0 to 1, below 0 in debt."""
+    """An account to be saved, and the share of its burst that is left: 0 to 1, negative in debt."""
 
     share_left: float
     account: SavedAccount
@@ -44,8 +45,8 @@
 class EngineAccounts:
     """The accounts of one engine. An `AccountSource` for catch-up.
 
-    An account has a name in the engine and a key in messages (`customer`), which differ only where
-    two customers have one key.
+    An account has a name in the engine and a key in messages (`customer`), which differ only if two
+    customers have the same key.
     """
 
     def __init__(self, engine: ReplicatedAccounts) -> None:
@@ -55,34 +56,34 @@
         self._plan_names = {plan_tag(name): name for name in engine.plans}
 
     def __len__(self) -> int:
-        """How many accounts there are."""
+        """Returns the number of accounts."""
         return len(self._engine.accounts)
 
     @property
     def incarnation(self) -> str:
-        """The incarnation that gossip tells; empty before the engine's first event."""
+        """The incarnation that this member's gossip carries; empty before the first event."""
         return self._engine.incarnation
 
-    def names(self) -> list[str]:
-        """The accounts' names, which change with every event."""
+    def account_names(self) -> list[str]:
+        """Returns the names of the present accounts, which any event may change."""
         return list(self._engine.accounts)
 
     def plan(self, name: str) -> api.Plan | None:
-        """The plan of that name; None where these settings have none."""
+        """Returns the plan of that name, or None if these settings have none."""
         return self._engine.plans.get(name)
 
     def total_debt(self) -> float:
-        """Units of all customers that went beyond their quotas and are to be paid back."""
+        """Returns the units that all customers used beyond their quotas and that refills repay."""
         return sum(account.debt for account in self._engine.accounts.values())
 
     # For members that catch up
 
     def customers_below_full(self) -> list[str]:
-        """Customers whose budget is not full, those with the least left first."""
+        """Returns the customers whose budget is not full, those with the least left first."""
         return self._engine.names_below_full()
 
     def account(self, customer: str) -> AccountCopy | None:
-        """All that is known of a customer; None where it was forgotten."""
+        """Returns a copy of a customer's account, or None if the engine has forgotten it."""
         copy = self._engine.copy_of(customer)
         if copy is None or copy.level is None:
             return None
@@ -104,7 +105,10 @@
     # Counts
 
     def row_of(self, action: api.ReplicateCount, local: LocalMember) -> CountRow:
-        """The counter that the engine reports: of `local`, or another's as it was heard."""
+        """Returns the counter that the engine reports.
+
+        It is first-hand if it belongs to `local`; others are sums of gossip.
+        """
         count = action.replicated_count
         is_own = (count.member, count.incarnation) == (local.number, local.incarnation)
         value = CountValue(count.since, count.through, _tenths(count.total), int(is_own))
@@ -119,7 +123,7 @@
         )
 
     def event_for_row(self, row: CountRow) -> api.AccountReplicated | None:
-        """A counter that others know; None where these settings do not have its plan."""
+        """Returns the event for another member's counter, or None if its plan is not configured."""
         name = self._plan_names.get(row.plan_tag)
         if name is None:
             return None
@@ -134,7 +138,7 @@
         return api.AccountReplicated(row.customer, name, row.set_start, row.set_size, (count,))
 
     def event_for_account(self, received: ReceivedAccount) -> api.AccountReplicated | None:
-        """An account of a catch-up; None where these settings do not have its plan."""
+        """Returns the event for an account of a catch-up, or None if its plan is not configured."""
         account = received.account
         name = self._plan_names.get(account.plan_tag)
         if name is None:
@@ -165,60 +169,62 @@
     # Snapshots
 
     def event_for_saved(
-        self, saved: SavedAccount, level: float, period: int
+        self, saved_account: SavedAccount, level: float, period: int
     ) -> api.AccountReplicated:
-        """An account of a snapshot, with `level` units left.
+        """Returns the event for an account of a snapshot, with `level` units left.
 
-        The incarnations that have charged it since are named without amounts: the snapshot knows
-        nothing of what they charged.
+        The incarnations that have charged the account since are listed without amounts, since the
+        snapshot does not include their charges.
         """
-        known = self._engine.copy_of(saved.customer)
+        current = self._engine.copy_of(saved_account.customer)
         counts = (
             tuple(
                 api.ReplicatedCount(count.member, count.incarnation, 0, 0, 0.0)
-                for count in known.counts
+                for count in current.counts
             )
-            if known
+            if current
             else ()
         )
         return api.AccountReplicated(
-            saved.customer,
-            saved.plan_name,
-            saved.set_start,
-            saved.set_size,
+            saved_account.customer,
+            saved_account.plan_name,
+            saved_account.set_start,
+            saved_account.set_size,
             counts,
             level,
             period,
         )
 
-    def ranked(self, name: str) -> RankedAccount | None:
-        """An account whose budget is not full; None for others and where it was forgotten."""
+    def ranked_account(self, name: str) -> RankedAccount | None:
+        """Returns an account whose budget is not full; None for others and forgotten ones."""
         account = self._engine.accounts.get(name)
         if account is None or not account.plan.burst or not account.set_size:
             return None
         share_left = account.quota.refill(self._engine.now) / account.plan.burst
         if share_left >= 1.0:
             return None
-        return RankedAccount(share_left, self.saved(name, account.quota.level - account.debt))
+        return RankedAccount(
+            share_left, self.saved_account(name, account.quota.level - account.debt)
+        )
 
-    def saved(self, name: str, level: float) -> SavedAccount:
-        """A known account as snapshots have it, with `level` units left."""
+    def saved_account(self, name: str, level: float) -> SavedAccount:
+        """Returns an existing account in the form of snapshots, with `level` units left."""
         account = self._engine.accounts[name]
         return SavedAccount(
             key_of(name), account.plan.name, account.set_start, account.set_size, level
         )
 
-    def name_of(self, saved: SavedAccount, plan: api.Plan) -> str:
-        """What an account of a snapshot is, or would be, called in the engine."""
-        return self._engine.name_of(saved.customer, plan)
+    def name_of(self, saved_account: SavedAccount, plan: api.Plan) -> str:
+        """Returns the name that an account of a snapshot has, or would get, in the engine."""
+        return self._engine.name_of(saved_account.customer, plan)
 
     def charged_plan(self, name: str) -> api.Plan | None:
-        """The plan of a known account whose set of limiters is known."""
+        """Returns the plan of an account; None if it or its set of limiters is not known."""
         account = self._engine.accounts.get(name)
         return account.plan if account and account.set_size else None
 
-    def charged(self, name: str) -> float:
-        """Units that this incarnation has charged a customer, and heard of others' charges."""
+    def charged_units(self, name: str) -> float:
+        """Returns the units that this incarnation has charged, plus others' that it received."""
         account = self._engine.accounts.get(name)
         if account is None:
             return 0.0
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -1,7 +1,8 @@
-"""The replica's datagrams and timers; it decides nothing.
+"""Sends and receives the replica's datagrams and sets its timers; it decides nothing.
 
-Replication's datagrams go where gossip's go, told apart by their first letter. The limiter creates
-one driver, gives it the engine's counts and operators' overrides, and stops it when it ends.
+Replication's datagrams use the same socket as gossip's and are distinguished by their first letter.
+The limiter creates one driver, gives it the engine's counts and operators' overrides, and stops it
+when the limiter shuts down.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from hazelhollow.net.rate_limited_log import RateLimitedLog
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.replication.account_adapter import EngineAccounts
-from hazelhollow.replication.catch_up import SILENCE_S, SILENCE_UNDER_BUDGET_S
+from hazelhollow.replication.catch_up import PIECE_TIMEOUT_S, PIECE_TIMEOUT_UNDER_BUDGET_S
 from hazelhollow.replication.codec import DIALECT
 from hazelhollow.replication.engine_updates import EngineUpdates
 from hazelhollow.replication.membership_adapter import OtherMembers
@@ -36,9 +37,10 @@
 
 @dataclass(frozen=True)
 class Network:
-    """How datagrams reach the other members, and who those are.
+    """How datagrams reach the other members, and which members there are.
 
-    `max_bytes`: of a message's text before it is signed. `budget`: what may be sent; None: all.
+    `max_bytes` bounds a message's text before it is signed. `budget` bounds what may be sent; None
+    means no bound.
     """
 
     peers: PeerSocket
@@ -50,10 +52,11 @@
 
 @dataclass(frozen=True)
 class EngineLink:
-    """The decision engine whose accounts are replicated, and whom to tell what.
+    """The decision engine whose accounts are replicated, and the callbacks for changes.
 
-    `on_account` is the engine's event handler. `on_overrides` is called with all endpoints that
-    ever had an override, and whether each is disabled, when another member has changed that.
+    `on_account` is the engine's event handler. `on_overrides` is called when overrides were
+    restored or another member changed one. Its argument has all endpoints that ever had an
+    override, and whether each is disabled.
     """
 
     accounts: EngineAccounts
@@ -64,7 +67,7 @@
 class ReplicationDriver:
     """Replication of one limiter.
 
-    `seed`: of its random draws. `file`: where snapshots go; None: nothing is kept on disk.
+    `seed` seeds its random draws. Snapshots are written to `file`; with None none are kept on disk.
     """
 
     def __init__(
@@ -79,8 +82,8 @@
         self._on_overrides, self._file = engine.on_overrides, file
         self._accounts = accounts = engine.accounts
         local = LocalMember(accounts.limiter_id, accounts.limiter_count)
-        silence = SILENCE_UNDER_BUDGET_S if network.budget else SILENCE_S
-        self.replica = Replica(local, seed, accounts, network.max_bytes, silence)
+        piece_timeout = PIECE_TIMEOUT_UNDER_BUDGET_S if network.budget else PIECE_TIMEOUT_S
+        self.replica = Replica(local, seed, accounts, network.max_bytes, piece_timeout)
         self._members = OtherMembers(network.membership, local.number, local.member_count)
         self._sender = PrioritySender(network.budget) if network.budget else None
         self._restore_point = RestorePoint()
@@ -92,15 +95,15 @@
             if file
             else None
         )
-        self._receive_other = network.peers.on_message  # takes datagrams that are not replication's
+        self._next_receiver = network.peers.on_message  # handles datagrams of other protocols
         self._stopped = False
         self._log = RateLimitedLog(log, scheduler.clock)
 
     def start(self) -> None:
-        """Begins with what the last incarnation left on disk, and with the rounds."""
+        """Loads the last incarnation's snapshot, if any, and starts the rounds."""
         peers = self._network.peers
-        self._receive_other, peers.on_message = peers.on_message, self.receive
-        now = self._restore_point.began_at = self._scheduler.clock()
+        self._next_receiver, peers.on_message = peers.on_message, self.receive
+        now = self._restore_point.started_at = self._scheduler.clock()
         snapshot = self._restore_point.snapshot = self._file.load(now) if self._file else None
         if snapshot:
             overrides = self.replica.anti_entropy.overrides
@@ -110,40 +113,40 @@
         self._run_round()
 
     def receive(self, sender: int, text: str) -> None:
-        """A datagram of another member, replication's or not."""
+        """Handles a datagram of another member; those of other protocols are handed on."""
         if not text.startswith(DIALECT[0]):
-            self._receive_other(sender, text)
+            self._next_receiver(sender, text)
             return
         plain = self._network.authenticator.verify(text)
         if plain is None:
             self.replica.counters["unsealed"] += 1
             return
         now = self._scheduler.clock()
-        self._pass_on(self.replica.receive(sender, plain, now), now)
+        self._send_and_forward(self.replica.receive(sender, plain, now), now)
 
     @property
     def counters(self) -> Counter[str]:
-        """What was sent and refused so far, under the names that operators' pages give."""
+        """Counts of sent and refused messages, by the names in the operators' documentation."""
         return self.replica.counters
 
     def record_charge(self, action: api.ReplicateCount) -> None:
-        """What the engine says of its own counters, and of others' as it heard them."""
+        """Records a counter that the engine reports: its own, or another's summed from gossip."""
         self.replica.record_charge(self._accounts.row_of(action, self.replica.local))
 
     def set_override(self, endpoint: str, disabled: bool) -> None:
-        """An operator's instruction at this limiter."""
+        """Applies an operator's instruction at this limiter."""
         now = self._scheduler.clock()
-        self._pass_on(self.replica.set_override(endpoint, disabled, now), now)
+        self._send_and_forward(self.replica.set_override(endpoint, disabled, now), now)
 
     def stop(self) -> None:
-        """This limiter admits nothing any more."""
+        """Stops the rounds and saves the last snapshot; this limiter admits nothing from now on."""
         if not self._stopped:
             self._stopped = True
             if self.snapshots:
                 self.snapshots.save_last()
 
     def document(self) -> dict[str, Any]:
-        """What operators see, under the names that their pages give."""
+        """Returns the state that operators see, by the names in the operators' documentation."""
         anti_entropy, catch_up = self.replica.anti_entropy, self.replica.catch_up
         disabled = anti_entropy.overrides.disabled()
         return {
@@ -166,27 +169,27 @@
         if self._accounts.incarnation:
             self.replica.local.incarnation = self._accounts.incarnation
             older = set[int]() if self.replica.catch_up.is_complete else self._members.older()
-            # `present` has members whose gossip is silent too: a catch-up from them goes on.
-            self._pass_on(self.replica.run_round(now, self._members.present, older), now)
+            # `present` includes members whose gossip does not arrive: a catch-up from one goes on.
+            self._send_and_forward(self.replica.run_round(now, self._members.present, older), now)
         if self.snapshots:
             self.snapshots.run_round(now)
 
-    def _pass_on(self, datagrams: list[Datagram], now: float) -> None:
+    def _send_and_forward(self, datagrams: list[Datagram], now: float) -> None:
         if self._sender:
-            datagrams = self._sender.due(datagrams, now)
+            datagrams = self._sender.sendable(datagrams, now)
         for datagram in datagrams:
             self._network.peers.send_to(
                 datagram.member, self._network.authenticator.sign(datagram.text)
             )
-        self._updates.pass_on(now)
+        self._updates.forward_new(now)
         anti_entropy = self.replica.anti_entropy
         if anti_entropy.new_overrides:
             for override in anti_entropy.new_overrides:
                 self._log.log(
                     logging.WARNING,
-                    "server %s is %s by an operator at member %d",
+                    "endpoint %s was %s by an operator at member %d",
                     override.endpoint,
-                    "out" if override.disabled else "back",
+                    "disabled" if override.disabled else "enabled",
                     override.member,
                 )
             anti_entropy.new_overrides = []
--- a/hazelhollow/replication/engine_updates.py
+++ b/hazelhollow/replication/engine_updates.py
@@ -1,9 +1,9 @@
-"""Tells the decision engine what is new in the replica. No I/O, no timers.
+"""Forwards what is new in the replica to the decision engine. No I/O, no timers.
 
-Before catch-up is complete, accounts are passed on as they arrive, and counters wait. When it is
-complete, an event without a customer says so: a customer that the engine has no account of has its
-full burst from then on. Counters that arrived before their account changed nothing in the engine,
-so all are passed on again at that moment, and later ones as they come.
+Before catch-up is complete, accounts are forwarded as they arrive, and counters wait. When it is
+complete, an event without a customer reports this to the engine: from then on a customer without an
+account has its full burst. Counters that arrived before their account had no effect in the engine,
+so all counters are forwarded at that moment, and later ones as they arrive.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 
 class EngineUpdates:
-    """`on_account` is the engine's handler; `restore_point` counts where nobody knows more."""
+    """Calls the engine's handler `on_account` with events.
+
+    `restore_point` is used if catch-up completes without a source.
+    """
 
     def __init__(
         self,
@@ -34,39 +37,39 @@
         self._on_account = on_account
         self._was_complete = False
 
-    def pass_on(self, now: float) -> None:
-        """Passes on what is new since the last call."""
+    def forward_new(self, now: float) -> None:
+        """Forwards what is new since the last call."""
         catch_up, anti_entropy = self._replica.catch_up, self._replica.anti_entropy
         received, catch_up.new_accounts = catch_up.new_accounts, []
         for account in received:
-            self._pass_on_event(self._accounts.event_for_account(account))
+            self._forward(self._accounts.event_for_account(account))
         if not catch_up.is_complete:
             return
         if not self._was_complete:
             self._was_complete = True
-            self._complete(now)
+            self._finish_catch_up(now)
             anti_entropy.new_rows = self._others_rows()
         rows, anti_entropy.new_rows = anti_entropy.new_rows, []
         for row in rows:
-            self._pass_on_event(self._accounts.event_for_row(row))
+            self._forward(self._accounts.event_for_row(row))
 
-    def _pass_on_event(self, event: api.AccountReplicated | None) -> None:
+    def _forward(self, event: api.AccountReplicated | None) -> None:
         if event is None:
             self._replica.counters["plans unknown"] += 1
         else:
             self._on_account(event)
 
-    def _complete(self, now: float) -> None:
+    def _finish_catch_up(self, now: float) -> None:
         source, snapshot = self._replica.catch_up.completed_by, self._restore_point.snapshot
         if source is not None:
             count = len(self._accounts)
-            log.info("replica: whole, told by member %d of %d customers", source, count)
+            log.info("replica: complete, told by member %d about %d customers", source, count)
             self._on_account(api.AccountReplicated(""))
         elif snapshot:
             for event in self._restore_point.restored_accounts(self._accounts, now):
                 self._on_account(event)
             log.info(
-                "replica: nobody to be told by; %d customers of a snapshot %.1f s old",
+                "replica: nobody to be told by; restored %d customers from a snapshot %.1f s old",
                 len(snapshot.accounts),
                 now - snapshot.taken_at,
             )
@@ -77,7 +80,7 @@
         own = (self._replica.local.number, self._replica.local.incarnation)
         return [
             row
-            for name in self._accounts.names()
+            for name in self._accounts.account_names()
             for row in self._replica.anti_entropy.counts.rows(name)
             if (row.member, row.incarnation) != own
         ]
--- a/hazelhollow/replication/errors.py
+++ b/hazelhollow/replication/errors.py
@@ -1,19 +1,19 @@
-"""Why a snapshot on disk cannot be used, by whose fault it is."""
+"""Reasons why a snapshot on disk cannot be used, by their cause."""
 
 from __future__ import annotations
 
 
 class SnapshotError(Exception):
-    """A snapshot that must not be used. The message continues "snapshot PATH ..."."""
+    """The snapshot must not be used. The message continues the log line "snapshot PATH ..."."""
 
 
 class DamagedSnapshotError(SnapshotError):
-    """The bytes are not what was written, or were never a snapshot: the disk's or the file's."""
+    """The bytes are not those that were written, or the file never was a snapshot."""
 
 
 class ForeignSnapshotError(SnapshotError):
-    """It was written by another version or another member: the operator mixed up directories."""
+    """The file is of another version or member, as when an operator mixes up directories."""
 
 
 class StaleSnapshotError(SnapshotError):
-    """It is too old to say anything: this limiter was away for too long."""
+    """The snapshot is too old to be of use: this limiter was down for too long."""
--- a/hazelhollow/replication/outbox.py
+++ b/hazelhollow/replication/outbox.py
@@ -1,4 +1,7 @@
-"""Datagrams that one event gives rise to, and what they say of their sender. No I/O, no clock."""
+"""The datagrams to be sent because of one event, with the header that identifies their sender.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class Datagram(NamedTuple):
-    """A text for one member."""
+    """An encoded message for one member."""
 
     member: int
     kind: Kind
@@ -21,9 +24,10 @@
 
 @dataclass
 class LocalMember:
-    """This member, `number` of `member_count`.
+    """This member, number `number` of `member_count` members.
 
-    The incarnation is the one that gossip tells; it may become known after the start.
+    The incarnation is the one that this member's gossip carries. It may become known only after the
+    start and is empty until then.
     """
 
     number: int
@@ -32,7 +36,7 @@
 
 
 class Outbox:
-    """Encodes messages and keeps them until `take`, at most `max_bytes` of text in each.
+    """Encodes messages of at most `max_bytes` and keeps them until `drain` is called.
 
     Counts `bytes` and `sent` in `counters`.
     """
@@ -40,25 +44,25 @@
     def __init__(self, local: LocalMember, max_bytes: int, counters: Counter[str]) -> None:
         self._local, self._max_bytes, self._counters = local, max_bytes, counters
         self._datagrams: list[Datagram] = []
-        self.period = 0  # which the messages are of
+        self.period = 0  # the period that the messages carry
 
     def send(
         self, member: int, kind: Kind, numbers: Sequence[int] = (), items: Sequence[str] = ()
     ) -> int:
-        """Adds a datagram with as many of the items as it has room for; gives how many."""
+        """Adds a datagram with as many of the items as fit and returns how many did."""
         header = codec.encode_header(kind, self._local.incarnation, self.period, numbers)
-        text, taken = codec.append_items(header, items, self._max_bytes)
+        text, fitted = codec.append_items(header, items, self._max_bytes)
         self._datagrams.append(Datagram(member, kind, text))
         self._counters["bytes"] += len(text)
         self._counters["sent"] += 1
-        return taken
+        return fitted
 
     def room_for_items(self, kind: Kind, numbers: Sequence[int] = ()) -> int:
-        """Bytes left for items after the header."""
+        """Returns the bytes left for items after the header."""
         header = codec.encode_header(kind, self._local.incarnation, self.period, numbers)
         return self._max_bytes - len(header)
 
-    def take(self) -> list[Datagram]:
-        """What has been sent since the last call."""
+    def drain(self) -> list[Datagram]:
+        """Returns and removes the datagrams that were added since the last call."""
         datagrams, self._datagrams = self._datagrams, []
         return datagrams
--- a/hazelhollow/replication/replica.py
+++ b/hazelhollow/replication/replica.py
@@ -1,8 +1,10 @@
-"""One member's replicated state: events in, datagrams out. No I/O; times are given.
+"""One member's replicated state: events in, datagrams out.
 
-`ReplicationDriver` calls it and sends what it gives; what is new to this member is then in
-`anti_entropy.new_rows`, `anti_entropy.new_overrides` and `catch_up.new_accounts`. Any datagram may
-be lost, doubled, late or out of order: everything that is said may be said again.
+This module does no I/O and receives times as arguments.
+
+`ReplicationDriver` calls the replica and sends the datagrams that it returns. What is new to this
+member is then in `anti_entropy.new_rows`, `anti_entropy.new_overrides` and `catch_up.new_accounts`.
+Any datagram may be lost, duplicated, delayed or reordered, so every message may be repeated safely.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 
 from hazelhollow.replication import codec
 from hazelhollow.replication.anti_entropy import AntiEntropy
-from hazelhollow.replication.catch_up import SILENCE_S, CatchUp
+from hazelhollow.replication.catch_up import PIECE_TIMEOUT_S, CatchUp
 from hazelhollow.replication.catch_up_server import AccountSource, CatchUpServer
 from hazelhollow.replication.count_table import CountRow
 from hazelhollow.replication.messages import (
@@ -30,10 +32,11 @@
 
 
 class Replica:
-    """Anti-entropy and catch-up of one member, over one outbox and one source of random draws.
+    """Anti-entropy and catch-up of one member, with one outbox and one random generator.
 
-    `max_bytes`: of a message's text; `silence`: seconds without a piece of a transfer after which
-    it is asked for again. `counters` are shown to operators under the names that their pages give.
+    `max_bytes` bounds a message's text. `piece_timeout` is the time in seconds without a piece of a
+    transfer after which the missing ones are requested again. `counters` are shown to operators
+    under the names that the operators' documentation gives.
     """
 
     def __init__(
@@ -42,50 +45,50 @@
         seed: int,
         source: AccountSource,
         max_bytes: int = codec.MAX_MESSAGE_BYTES,
-        silence: float = SILENCE_S,
+        piece_timeout: float = PIECE_TIMEOUT_S,
     ) -> None:
         self.local, self.source = local, source
         self.counters: Counter[str] = Counter()
         self.random = random.Random(seed)
         self._outbox = Outbox(local, max_bytes, self.counters)
         self.anti_entropy = AntiEntropy(local, self._outbox, self.random, self.counters)
-        self.catch_up = CatchUp(self._outbox, self.random, silence, self.counters)
+        self.catch_up = CatchUp(self._outbox, self.random, piece_timeout, self.counters)
         self._server = CatchUpServer(self._outbox, source, self.catch_up)
         self._now = 0.0
 
     def run_round(
         self, now: float, present: Sequence[int], older: Set[int] | None = None
     ) -> list[Datagram]:
-        """To be called every ROUND_INTERVAL_S.
+        """Runs a round, which is due every ROUND_INTERVAL_S, and returns the datagrams to send.
 
-        `present`: the other members that are up; `older`: those of them that began so long before
-        this one that they are complete, or None where that is not known.
+        `present` are the other members that are up. `older` are those of them that started so long
+        before this one that they are complete, or None if that is not known.
         """
         self._begin_turn(now)
         self.anti_entropy.begin_round()
         self.catch_up.run_round(present, older)
         self.anti_entropy.send_round_digests(present)
-        return self._outbox.take()
+        return self._outbox.drain()
 
     def set_override(self, endpoint: str, disabled: bool, now: float) -> list[Datagram]:
-        """An operator's instruction at this member."""
+        """Applies an operator's instruction at this member and returns the datagrams to send."""
         self._begin_turn(now)
         self.anti_entropy.set_override(endpoint, disabled, now)
-        return self._outbox.take()
+        return self._outbox.drain()
 
     def record_charge(self, row: CountRow) -> None:
-        """A counter as this member knows it, one period further."""
+        """Merges a counter that this member's decision engine reports."""
         self.anti_entropy.counts.merge_in(row)
 
     def receive(self, sender: int, text: str, now: float) -> list[Datagram]:
-        """A datagram of another member."""
+        """Handles a datagram of another member and returns the datagrams to send."""
         self._begin_turn(now)
         message = codec.decode(text, self.local.member_count)
         if message is None or sender == self.local.number:
             self.counters["garbled"] += 1
         else:
             self._dispatch(sender, message.body, message.period)
-        return self._outbox.take()
+        return self._outbox.drain()
 
     def _begin_turn(self, now: float) -> None:
         self._now = now
--- a/hazelhollow/replication/restore.py
+++ b/hazelhollow/replication/restore.py
@@ -1,9 +1,11 @@
-"""What the figures of a snapshot are worth to a later incarnation. No I/O; times are given.
+"""Derives the levels of accounts from the snapshot of an earlier incarnation.
 
-The rule (`guaranteed_level`): after an orderly end of all a customer has what was left and what has
-come in since. After a kill nobody knows when the members died, nor how long they had waited for
-their processors before while others admitted requests. So all that was left, and all that came in
-until the start, may have been used; what came in only pays back what was a debt.
+This module does no I/O and receives times as arguments.
+
+The rule (`guaranteed_level`): after an orderly shutdown of all members a customer has what was left
+plus the refill since then. After a kill it is not known when the members died, nor how long they
+had got no processor time before that while others admitted requests. So all that was left, and all
+refill until the start, may have been used; the refill only repays a debt.
 """
 
 from __future__ import annotations
@@ -17,60 +19,70 @@
 
 
 def guaranteed_level(level: float, plan: api.Plan, snapshot: Snapshot, now: float) -> float:
-    """Units that are left at `now` for certain, of a customer of whom `snapshot` says `level`."""
+    """Returns the units certainly left at `now`, of a customer with `level` in `snapshot`."""
     refilled = plan.rate * max(0.0, now - snapshot.taken_at)
     return min(level + refilled, plan.burst if snapshot.is_final else 0.0)
 
 
 @dataclass
 class RestorePoint:
-    """The snapshot of the incarnation before, if there is one, and when this one began."""
+    """The snapshot of the previous incarnation, if there is one, and when this one started."""
 
     snapshot: Snapshot | None = None
-    began_at: float = 0.0
+    started_at: float = 0.0
 
-    def level_at_start(self, saved: SavedAccount, plan: api.Plan) -> float:
-        """Units that were left of a customer when this incarnation began."""
+    def level_at_start(self, saved_account: SavedAccount, plan: api.Plan) -> float:
+        """Returns the units that were left of a customer when this incarnation started."""
         assert self.snapshot is not None
-        return guaranteed_level(saved.level, plan, self.snapshot, self.began_at)
+        return guaranteed_level(saved_account.level, plan, self.snapshot, self.started_at)
 
     def restored_accounts(
         self, accounts: EngineAccounts, now: float
     ) -> Iterator[api.AccountReplicated]:
-        """The events that restore the snapshot's customers where nobody knows more.
+        """Yields the events that restore the snapshot's customers if nobody knows more.
 
-        Each is to be handled before the next is made, which may name the account that it opened.
+        The engine must handle each event before the next one is requested, since that may refer to
+        the account that the first one opened.
         """
-        for saved in self.snapshot.accounts if self.snapshot else ():
-            plan = accounts.plan(saved.plan_name)
+        for saved_account in self.snapshot.accounts if self.snapshot else ():
+            plan = accounts.plan(saved_account.plan_name)
             if plan:
-                refilled = plan.rate * (now - self.began_at)
-                level = min(plan.burst, self.level_at_start(saved, plan) + refilled)
-                yield accounts.event_for_saved(saved, level, int(now))
+                refilled = plan.rate * (now - self.started_at)
+                level = min(plan.burst, self.level_at_start(saved_account, plan) + refilled)
+                yield accounts.event_for_saved(saved_account, level, int(now))
 
     def accounts_before_complete(self, accounts: EngineAccounts, now: float) -> list[SavedAccount]:
-        """What a member saves that is not complete: its snapshot, less what was charged since.
+        """Returns what a member saves that is not complete: its snapshot less the charges since.
 
-        Until then each member admits its cautious share, whatever was left. Those of all members
-        come to one burst, which may be used before the next snapshot: at least that is taken off.
+        Until it is complete each member admits its cautious share, whatever was left. The shares of
+        all members add up to one burst, which may be used before the next snapshot: at least that
+        is subtracted.
         """
-        found, seen = list[SavedAccount](), set[str]()
-        since_start = now - self.began_at
-        for saved in self.snapshot.accounts if self.snapshot else ():
-            plan = accounts.plan(saved.plan_name)
+        remaining, restored_names = list[SavedAccount](), set[str]()
+        since_start = now - self.started_at
+        for saved_account in self.snapshot.accounts if self.snapshot else ():
+            plan = accounts.plan(saved_account.plan_name)
             if plan:
-                name = accounts.name_of(saved, plan)
-                seen.add(name)
-                charged = max(plan.burst, accounts.charged(name))
-                level = self.level_at_start(saved, plan) + plan.rate * since_start - charged
-                found.append(
+                name = accounts.name_of(saved_account, plan)
+                restored_names.add(name)
+                charged_units = max(plan.burst, accounts.charged_units(name))
+                level = (
+                    self.level_at_start(saved_account, plan)
+                    + plan.rate * since_start
+                    - charged_units
+                )
+                remaining.append(
                     SavedAccount(
-                        saved.customer, saved.plan_name, saved.set_start, saved.set_size, level
+                        saved_account.customer,
+                        saved_account.plan_name,
+                        saved_account.set_start,
+                        saved_account.set_size,
+                        level,
                     )
                 )
-        for name in accounts.names():
-            charged, plan = accounts.charged(name), accounts.charged_plan(name)
-            if name not in seen and charged and plan:
-                level = plan.burst + plan.rate * since_start - charged
-                found.append(accounts.saved(name, level))
-        return found[:MAX_CUSTOMERS]
+        for name in accounts.account_names():
+            charged_units, plan = accounts.charged_units(name), accounts.charged_plan(name)
+            if name not in restored_names and charged_units and plan:
+                level = plan.burst + plan.rate * since_start - charged_units
+                remaining.append(accounts.saved_account(name, level))
+        return remaining[:MAX_CUSTOMERS]
--- a/hazelhollow/replication/send_priority.py
+++ b/hazelhollow/replication/send_priority.py
@@ -1,4 +1,7 @@
-"""What may be sent within the control budget's part for replication. No I/O; times are given."""
+"""Decides what is sent within replication's part of the control budget.
+
+This module does no I/O and receives times as arguments.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from hazelhollow.replication.messages import Kind
 from hazelhollow.replication.outbox import Datagram
 
-# What goes first: an operator's override, then what a member that has just begun waits for.
+# Operators' overrides are sent first, then what a newly started member waits for.
 SEND_ORDER = (
     Kind.OVERRIDES,
     Kind.TRANSFER_REQUEST,
@@ -20,25 +23,25 @@
 
 
 class PrioritySender:
-    """Datagrams that wait for room in the budget."""
+    """Queues datagrams until the budget has room for them."""
 
     def __init__(self, budget: RoleBudget) -> None:
         self._budget = budget
-        self._waiting: SendQueue[Datagram] = SendQueue(budget)
+        self._queue: SendQueue[Datagram] = SendQueue(budget)
 
-    def due(self, datagrams: list[Datagram], now: float) -> list[Datagram]:
-        """What of these and of those that wait may leave now, the most useful first.
+    def sendable(self, datagrams: list[Datagram], now: float) -> list[Datagram]:
+        """Returns those of the given and queued datagrams that may be sent now, in SEND_ORDER.
 
-        Digests do not wait: they leave at once or never, since newer ones follow.
+        Digests are not queued: they are sent at once or dropped, since newer ones follow.
         """
         for datagram in datagrams:
             if datagram.kind is not Kind.DIGESTS:
-                self._waiting.add(RANKS[datagram.kind], len(datagram.text), datagram, now)
-        due = self._waiting.take_sendable(now)
-        if not self._waiting:
-            due += [
+                self._queue.add(RANKS[datagram.kind], len(datagram.text), datagram, now)
+        sendable = self._queue.take_sendable(now)
+        if not self._queue:
+            sendable += [
                 datagram
                 for datagram in datagrams
                 if datagram.kind is Kind.DIGESTS and self._budget.take(len(datagram.text), now)
             ]
-        return due
+        return sendable
--- a/hazelhollow/replication/snapshot.py
+++ b/hazelhollow/replication/snapshot.py
@@ -1,8 +1,8 @@
-"""The format of a snapshot: what a limiter knew, for the case that all limiters end at once.
+"""The format of a snapshot, which preserves a limiter's state in case all limiters end at once.
 
 A file is a checksum and a document with a format and version. Fields are stored by position, not by
 name: they may be renamed, and new ones with a default may be added at the end, but none may move.
-`snapshot_file` reads and writes the file, `restore` says what its figures are worth.
+`snapshot_file` reads and writes the file, and `restore` derives the levels that still hold from it.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 FORMAT = "hazelhollow-replica"
 VERSION = 1
-MAX_AGE_S = 3600.0  # an older one says nothing of what is left now
-MAX_CUSTOMERS = 5000  # those with the least left
+MAX_AGE_S = 3600.0  # an older snapshot does not show what is left now
+MAX_CUSTOMERS = 5000  # only the customers with the least left are saved
 CHECKSUM_BYTES = 4
 
 
 class SavedAccount(msgspec.Struct, frozen=True, array_like=True):
-    """A customer, and the units left of its burst; below 0, so many are a debt."""
+    """A customer's account; `level` is the units left of its burst, negative for a debt."""
 
     customer: str
     plan_name: str
@@ -36,9 +36,10 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """What one member knew at `taken_at`, in Unix seconds.
+    """The state of one member at `taken_at`, in Unix seconds.
 
-    `is_final`: written at an orderly end, after which this member admitted nothing.
+    `is_final` is set if it was written at an orderly shutdown, after which the member admitted
+    nothing.
     """
 
     format: str
@@ -51,27 +52,29 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """The bytes of the file."""
+    """Returns the content of the file."""
     body = msgspec.msgpack.encode(snapshot)
     return crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body
 
 
 def decode(data: bytes, member: int, now: float) -> Snapshot:
-    """The snapshot that `member` may use at `now`. Raises SnapshotError where it must not."""
+    """Returns the snapshot; raises SnapshotError if `member` must not use it at `now`."""
     checksum, body = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
     if len(checksum) < CHECKSUM_BYTES or crc32(body).to_bytes(CHECKSUM_BYTES, "big") != checksum:
-        raise DamagedSnapshotError("is spoilt: its checksum does not match")
+        raise DamagedSnapshotError(f"is damaged: the checksum of its {len(data)} bytes is wrong")
     try:
         snapshot: Snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.DecodeError as error:
-        raise DamagedSnapshotError(f"is of another form: {error}") from None
+        raise DamagedSnapshotError(f"is not a valid document: {error}") from None
     if (snapshot.format, snapshot.version) != (FORMAT, VERSION):
         raise ForeignSnapshotError(
-            f"is {snapshot.format} version {snapshot.version}; this one reads {FORMAT} version"
+            f"is {snapshot.format} version {snapshot.version}; this limiter reads {FORMAT} version"
             f" {VERSION}"
         )
     if snapshot.member != member:
-        raise ForeignSnapshotError(f"is member {snapshot.member}'s")
+        raise ForeignSnapshotError(f"is of member {snapshot.member}, not of member {member}")
     if now - snapshot.taken_at > MAX_AGE_S:
-        raise StaleSnapshotError(f"is {now - snapshot.taken_at:.0f} s old")
+        raise StaleSnapshotError(
+            f"is {now - snapshot.taken_at:.0f} s old, more than {MAX_AGE_S:.0f} s"
+        )
     return snapshot
--- a/hazelhollow/replication/snapshot_collector.py
+++ b/hazelhollow/replication/snapshot_collector.py
@@ -1,7 +1,7 @@
-"""Collects the accounts of a snapshot in slices, so that no turn of the event loop is long.
+"""Collects the accounts of a snapshot in slices, so that no turn of the event loop takes long.
 
-No I/O, no clock. A slice is as old as the turn in which it was collected, while the snapshot is
-dated when the last one was: what comes in meanwhile is not counted.
+This module does no I/O and reads no clock. A slice has the levels of the turn in which it was
+collected, while the snapshot has the time of the last slice: refill in between is not counted.
 """
 
 from __future__ import annotations
@@ -16,28 +16,30 @@
 
 
 class SnapshotCollector:
-    """Of the accounts whose budget is not full, those with the least left."""
+    """Finds the accounts with the least left among those whose budget is not full."""
 
     def __init__(self, accounts: EngineAccounts) -> None:
         self._accounts = accounts
-        self._names = iter(accounts.names())
-        self._found = list[RankedAccount]()
+        self._remaining_names = iter(accounts.account_names())
+        self._below_full = list[RankedAccount]()
 
     def step(self) -> bool:
-        """Goes through one slice; gives whether all have been gone through."""
-        names = list(islice(self._names, SLICE_CUSTOMERS))
+        """Collects one slice and returns whether it was the last."""
+        names = list(islice(self._remaining_names, SLICE_CUSTOMERS))
         for name in names:
-            ranked = self._accounts.ranked(name)
-            if ranked is not None:
-                self._found.append(ranked)
+            ranked_account = self._accounts.ranked_account(name)
+            if ranked_account is not None:
+                self._below_full.append(ranked_account)
         return len(names) < SLICE_CUSTOMERS
 
     def finish(self) -> None:
-        """Goes through the rest at once."""
+        """Collects all remaining slices at once."""
         while not self.step():
             pass
 
     def saved_accounts(self) -> list[SavedAccount]:
-        """MAX_CUSTOMERS at most, those with the smallest part of their burst left first."""
-        lowest = nsmallest(MAX_CUSTOMERS, self._found, key=lambda ranked: ranked.share_left)
-        return [ranked.account for ranked in lowest]
+        """Returns at most MAX_CUSTOMERS accounts, the smallest share of their burst left first."""
+        lowest = nsmallest(
+            MAX_CUSTOMERS, self._below_full, key=lambda ranked_account: ranked_account.share_left
+        )
+        return [ranked_account.account for ranked_account in lowest]
--- a/hazelhollow/replication/snapshot_file.py
+++ b/hazelhollow/replication/snapshot_file.py
@@ -1,8 +1,8 @@
 """A limiter's snapshot on disk, in a directory that outlives its process.
 
-Written whole beside the old file and renamed over it, so a reader meets the old or the new, never a
-part. A file that cannot be used is renamed to `NAME.bad` and logged: it is never trusted, and never
-keeps the limiter from starting.
+A snapshot is written completely to a temporary file, which then replaces the old file by a rename.
+So a reader finds the old or the new snapshot, never a part of one. A file that cannot be used is
+renamed to `NAME.bad` and logged: it is never used, and never prevents the limiter from starting.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 class SnapshotFile:
     """The file `replica-MEMBER` in `directory`.
 
-    `writer` does the writing, by default at once; of snapshots that wait for it only the newest is
-    written.
+    `writer` does the writing; by default the caller's thread does it at once. Only the newest of
+    the snapshots that wait for the writer is written.
     """
 
     def __init__(self, directory: Path, member: int, writer: Writer | None = None) -> None:
@@ -32,7 +32,7 @@
         self._failure_logged = False
 
     def load(self, now: float) -> Snapshot | None:
-        """The snapshot; None where there is none, or none that can be used."""
+        """Returns the snapshot; None if there is none, or it cannot be used and was set aside."""
         try:
             return snapshots.decode(self.path.read_bytes(), self.member, now)
         except FileNotFoundError:
@@ -43,24 +43,31 @@
 
     def _set_aside(self, reason: Exception) -> None:
         bad_path = self.path.with_name(self.path.name + ".bad")
-        log.warning("snapshot %s %s; it is set aside as %s", self.path, reason, bad_path.name)
+        log.warning(
+            "snapshot %s %s; it is not used and set aside as %s", self.path, reason, bad_path.name
+        )
         try:
             os.replace(self.path, bad_path)
         except OSError as error:
-            log.warning("snapshot %s cannot be set aside: %s", self.path, error)
+            log.warning("snapshot %s cannot be renamed to %s: %s", self.path, bad_path.name, error)
 
     def save(self, snapshot: Snapshot) -> None:
-        """Has it written. If the disk takes nothing, the old snapshot stays and that is logged."""
+        """Submits the snapshot to the writer.
+
+        If it cannot be written, the old snapshot stays and the failure is logged.
+        """
         data = snapshots.encode(snapshot)
         self._writer.submit(WriteJob(lambda: self._write(data), len(data), self.path.name))
 
     def _write(self, data: bytes) -> None:
-        part = self.path.with_name(f"{self.path.name}.{os.getpid()}.part")
+        temporary_path = self.path.with_name(f"{self.path.name}.{os.getpid()}.part")
         try:
-            part.write_bytes(data)
-            os.replace(part, self.path)
+            temporary_path.write_bytes(data)
+            os.replace(temporary_path, self.path)
             self._failure_logged = False
         except OSError as error:
             if not self._failure_logged:
-                log.error("snapshot %s cannot be written: %s", self.path, error)
+                log.error(
+                    "snapshot %s cannot be written, any previous one stays: %s", self.path, error
+                )
             self._failure_logged = True
--- a/hazelhollow/replication/snapshot_saver.py
+++ b/hazelhollow/replication/snapshot_saver.py
@@ -1,4 +1,4 @@
-"""Writes the snapshots of a running limiter: when, and of what. Sets timers."""
+"""Decides when a running limiter saves a snapshot and of which accounts. Sets timers."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class SnapshotSaver:
-    """Saves to `file` the accounts and the replica's overrides.
+    """Saves the accounts and the replica's overrides to `file`.
 
-    `restore_point` says what a member knows until it is complete itself.
+    Until this member is complete, the accounts to be saved come from `restore_point`.
     """
 
     def __init__(
@@ -31,27 +31,30 @@
     ) -> None:
         self._scheduler, self._file, self._replica = scheduler, file, replica
         self._accounts, self._restore_point = accounts, restore_point
-        self._collector: SnapshotCollector | None = None  # of the next snapshot
+        self._collector: SnapshotCollector | None = None  # of the snapshot under way
         self._saved_at = 0.0
 
     def run_round(self, now: float) -> None:
-        """Begins with a snapshot if it is time for one and none is under way."""
+        """Begins a snapshot if SAVE_INTERVAL_S has passed and none is under way."""
         if self._collector is None and now - self._saved_at >= SAVE_INTERVAL_S:
             self._saved_at = now
             self.save()
 
     def save(self) -> None:
-        """Begins with a snapshot: its accounts are collected in slices over several turns."""
+        """Begins a snapshot, whose accounts are collected in slices over several turns.
+
+        A member that is not complete saves its snapshot at once.
+        """
         if self._replica.catch_up.is_complete:
             self._collector = SnapshotCollector(self._accounts)
             self._collect(self._collector)
         else:
-            self._write(self._known_before_complete(), is_final=False)
+            self._write(self._accounts_before_complete(), is_final=False)
 
     def save_last(self) -> None:
-        """Saves at once, at an orderly end; what is under way is abandoned.
+        """Saves at once, at an orderly shutdown, and abandons a snapshot that is under way.
 
-        The snapshot is final only if this member is complete: until then others may know more.
+        The snapshot is final only if this member is complete: otherwise others may know more.
         """
         if self._replica.catch_up.is_complete:
             collector = SnapshotCollector(self._accounts)
@@ -59,15 +62,15 @@
             self._collector = None
             self._write(collector.saved_accounts(), is_final=True)
         else:
-            self._write(self._known_before_complete(), is_final=False)
+            self._write(self._accounts_before_complete(), is_final=False)
 
-    def _known_before_complete(self) -> list[SavedAccount]:
+    def _accounts_before_complete(self) -> list[SavedAccount]:
         now = self._scheduler.clock()
         return self._restore_point.accounts_before_complete(self._accounts, now)
 
     def _collect(self, collector: SnapshotCollector) -> None:
         if collector is not self._collector:
-            return  # abandoned for the last one
+            return  # `save_last` has abandoned this snapshot
         if not collector.step():
             at = self._scheduler.clock() + SLICE_INTERVAL_S
             self._scheduler.at(at, self._collect, collector)
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hazelhollow.replication import codec
-from hazelhollow.replication.catch_up import ALONE_AFTER_S, KNOWS_ALL_AFTER_S, MAX_REFUSALS
+from hazelhollow.replication.catch_up import ALONE_AFTER_S, FULL_KNOWLEDGE_AFTER_S, MAX_REFUSALS
 from hazelhollow.replication.catch_up_server import DATAGRAM_BURST
 from hazelhollow.replication.messages import AccountCopy, Kind
 from hazelhollow.replication.replica import ROUND_INTERVAL_S
@@ -101,7 +101,7 @@
     net.up = {0, 1}
     net.run(1.5, lambda: net.all[1].catch_up.is_complete)
     assert net.all[1].catch_up.completed_by is None
-    net.run(KNOWS_ALL_AFTER_S)
+    net.run(FULL_KNOWLEDGE_AFTER_S)
     net.up = {0, 2}
     net.run(5.0, lambda: net.all[2].catch_up.is_complete)
     assert net.all[2].catch_up.completed_by == 0
@@ -112,7 +112,7 @@
     net = Network([KnownAccounts() for _ in range(120)], whole=())
     net.older = {one.local.number: set() for one in net.all}
     took = net.run(30.0, lambda: all(one.catch_up.is_complete for one in net.all))
-    assert took <= KNOWS_ALL_AFTER_S + 2 * ROUND_INTERVAL_S
+    assert took <= FULL_KNOWLEDGE_AFTER_S + 2 * ROUND_INTERVAL_S
     assert all(one.catch_up.completed_by is None for one in net.all)
 
 
@@ -130,7 +130,7 @@
     net = Network([KnownAccounts(5), *(KnownAccounts() for _ in range(20))], whole=(0,))
     net.older = {one.local.number: {0} for one in net.all}
     net.deaf = lambda a, b: not answers and b == 0
-    net.run(KNOWS_ALL_AFTER_S + 1.0)
+    net.run(FULL_KNOWLEDGE_AFTER_S + 1.0)
     assert [one.catch_up.completed_by for one in net.all[1:] if one.catch_up.is_complete] == [0] * (
         20 if answers else 0
     )
@@ -141,7 +141,7 @@
     members = 3 * MAX_REFUSALS
     net = Network([KnownAccounts() for _ in range(members)], whole=())
     net.older = {one.local.number: set(range(members)) - {one.local.number} for one in net.all}
-    most = max(KNOWS_ALL_AFTER_S, MAX_REFUSALS * ROUND_INTERVAL_S) + 2 * ROUND_INTERVAL_S
+    most = max(FULL_KNOWLEDGE_AFTER_S, MAX_REFUSALS * ROUND_INTERVAL_S) + 2 * ROUND_INTERVAL_S
     assert net.run(60.0, lambda: all(one.catch_up.is_complete for one in net.all)) <= most
 
 
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -34,9 +34,9 @@
 @pytest.mark.parametrize(
     ("data", "says"),
     [
-        (b"", "spoilt"),
-        (snapshot.encode(SAVED)[:-1], "spoilt"),
-        (snapshot.encode(SAVED).replace(b"gold", b"golf"), "spoilt"),
+        (b"", "is damaged"),
+        (snapshot.encode(SAVED)[:-1], "is damaged"),
+        (snapshot.encode(SAVED).replace(b"gold", b"golf"), "is damaged"),
         (snapshot.encode(snapshot.Snapshot("other", 1, NOW, 2, [], [])), "other"),
         (snapshot.encode(snapshot.Snapshot(snapshot.FORMAT, 2, NOW, 2, [], [])), "version 2"),
         (snapshot.encode(snapshot.Snapshot(snapshot.FORMAT, 1, NOW, 1, [], [])), "member 1"),
@@ -44,7 +44,7 @@
             snapshot.encode(snapshot.Snapshot(snapshot.FORMAT, 1, NOW - 7200.0, 2, [], [])),
             "7200 s old",
         ),
-        (b"\x8b\x98w\x07abc", "spoilt"),
+        (b"\x8b\x98w\x07abc", "is damaged"),
     ],
 )
 def test_a_snapshot_that_cannot_be_used_is_set_aside_and_logged(
