--- a/hazelhollow/storage/append_file.py
+++ b/hazelhollow/storage/append_file.py
@@ -1,4 +1,4 @@
-"""A file to which whole records are appended."""
+"""A file to which complete records are appended."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class AppendFile:
-    """The file `path`, opened with the first record; `writer` does the writing, by default at once.
+    """The file `path`, which is opened when the first record is written.
 
-    A failure to open or write it is logged once; the next record is tried again, those that failed
-    are lost.
+    `writer` does the writing; by default the caller's thread does it at once. The first of several
+    failures to open or write the file is logged. A record that cannot be written is lost, and
+    writing is tried again with the next one.
     """
 
     def __init__(self, path: Path, writer: Writer | None = None) -> None:
@@ -25,7 +26,7 @@
         self._failure_logged = False
 
     def append(self, record: bytes) -> None:
-        """Has the record written after those before it."""
+        """Submits the record to the writer, which keeps the order of the records."""
         self._writer.submit(WriteJob(lambda: self._append(record), len(record)))
 
     def _append(self, record: bytes) -> None:
@@ -37,5 +38,7 @@
             self._failure_logged = False
         except OSError as error:
             if not self._failure_logged:
-                log.error("%s cannot be written: %s", self.path, error)
+                log.error(
+                    "%s cannot be written, %d bytes are lost: %s", self.path, len(record), error
+                )
             self._failure_logged = True
--- a/hazelhollow/storage/writer.py
+++ b/hazelhollow/storage/writer.py
@@ -1,9 +1,9 @@
-"""Writes to disk beside the event loop.
+"""Writes to disk outside the event loop.
 
 A write blocks its thread while the file system commits its journal, up to seconds on a busy disk,
-and a limiter whose event loop waits for that answers nobody. So write jobs are queued and done in
-order by a thread of their own. The event loop never waits for one, except in `finish`, which has a
-timeout. What waits is bounded in bytes; what does not fit is dropped and logged.
+and a limiter whose event loop waits for that answers no requests. So write jobs are queued, and a
+separate thread does them in order. The event loop never waits for one, except in `finish`, which
+has a timeout. The pending jobs are bounded in bytes; a job that does not fit is dropped and logged.
 """
 
 from __future__ import annotations
@@ -21,10 +21,11 @@
 
 @dataclass(frozen=True)
 class WriteJob:
-    """`write` opens, writes or closes files and handles their OSErrors.
+    """A job for a writer.
 
-    `size`: the bytes that it holds. `replaces`: a name; of pending jobs with one name only the
-    newest is done, at the place of the first. Without a name a job replaces none.
+    `write` opens, writes or closes files and handles their OSErrors. `size` is the number of bytes
+    that the job holds in memory. `replaces` is a name: of the pending jobs with the same name only
+    the newest is done, at the place of the first in the queue. A job without a name replaces none.
     """
 
     write: Callable[[], None]
@@ -36,35 +37,35 @@
     """Does write jobs in the order in which they were submitted."""
 
     def submit(self, job: WriteJob) -> bool:
-        """Takes a job; False if too much is pending, and the job was dropped."""
+        """Accepts a job, or drops it and returns False if too many bytes are pending."""
 
     def finish(self, timeout: float) -> bool:
-        """Waits for `timeout` seconds at most; gives whether all submitted jobs are done."""
+        """Waits at most `timeout` seconds and returns whether all submitted jobs are done."""
 
 
 class DirectWriter:
     """Does each job at once, in the caller's thread: for tools, and models without a slow disk."""
 
     def submit(self, job: WriteJob) -> bool:
-        """Does the job."""
+        """Does the job and returns True."""
         job.write()
         return True
 
     def finish(self, timeout: float) -> bool:
-        """Nothing is ever pending."""
+        """Returns True at once, since no job is ever pending."""
         del timeout
         return True
 
 
 class BackgroundWriter:
-    """Does the jobs in a thread, which begins with the first and does not outlive the process.
+    """Does the jobs in a thread, which starts with the first job and does not outlive the process.
 
-    `dropped` counts jobs for which there was no room.
+    `dropped` counts the jobs that were dropped because too many bytes were pending.
     """
 
     def __init__(self, max_pending_bytes: int = MAX_PENDING_BYTES) -> None:
         self._max_pending_bytes = max_pending_bytes
-        self._pending: dict[str, WriteJob] = {}  # in order, by name or number
+        self._pending: dict[str, WriteJob] = {}  # in order, by `replaces` or by serial number
         self._pending_bytes = 0
         self._submitted = 0
         self._is_writing = self._drop_logged = False
@@ -73,17 +74,22 @@
         self.dropped = 0
 
     def submit(self, job: WriteJob) -> bool:
-        """Queues the job; False if it was dropped. The first of several drops is logged."""
+        """Queues the job, or drops it and returns False; logs the first of successive drops."""
         with self._changed:
-            taken = self._add(job)
+            is_accepted = self._add(job)
             self._changed.notify_all()
-        if not taken and not self._drop_logged:
-            log.error("storage: the disk is too slow, and what is to be written is thrown away")
-        self._drop_logged = not taken
+        if not is_accepted and not self._drop_logged:
+            log.error(
+                "storage: the disk is too slow; dropped a write of %d bytes, as at most %d bytes"
+                " may be pending",
+                job.size,
+                self._max_pending_bytes,
+            )
+        self._drop_logged = not is_accepted
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="disk writer", daemon=True)
             self._thread.start()
-        return taken
+        return is_accepted
 
     def _add(self, job: WriteJob) -> bool:
         self._submitted += 1
@@ -98,7 +104,7 @@
         return True
 
     def finish(self, timeout: float) -> bool:
-        """Waits for `timeout` seconds at most; gives whether all submitted jobs are done."""
+        """Waits at most `timeout` seconds and returns whether all submitted jobs are done."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: not self._pending and not self._is_writing, timeout
@@ -106,16 +112,16 @@
 
     def _run(self) -> None:
         while True:
-            job = self._next()
+            job = self._pop_next()
             try:
                 job.write()
             except Exception:
-                log.exception("storage: a file could not be written")
+                log.exception("storage: a write of %d bytes failed", job.size)
             with self._changed:
                 self._is_writing = False
                 self._changed.notify_all()
 
-    def _next(self) -> WriteJob:
+    def _pop_next(self) -> WriteJob:
         with self._changed:
             self._changed.wait_for(lambda: bool(self._pending))
             job = self._pending.pop(next(iter(self._pending)))
--- a/tests/storage/test_writer.py
+++ b/tests/storage/test_writer.py
@@ -75,7 +75,7 @@
     disk = Disk(max_pending_bytes=10)
     taken = [disk.writer.submit(disk.job(name, 4)) for name in "abcd"]
     assert taken == [True, True, False, False] and disk.writer.dropped == 2
-    assert caplog.text.count("thrown away") == 1
+    assert caplog.text.count("dropped a write of 4 bytes") == 1
     assert disk.writer.submit(disk.job("r", 2, "r"))
     # in place of the one before: no more than that waits
     assert disk.writer.submit(disk.job("s", 2, "r"))
