--- a/hazelhollow/replication/catch_up.py
+++ b/hazelhollow/replication/catch_up.py
@@ -29,9 +29,8 @@
 
 PIECE_TIMEOUT_S = 0.2  # time without a piece after which the missing ones are requested again
 PIECE_TIMEOUT_UNDER_BUDGET_S = 1.5  # the same, where a budget bounds what the source sends
-# Unanswered attempts after which a source is abandoned: one that has sent nothing, one that has.
-MAX_ATTEMPTS_BEFORE_FIRST_PIECE = 6
-MAX_ATTEMPTS_BETWEEN_PIECES = 24
+MAX_ATTEMPTS_BEFORE_FIRST_PIECE = 6  # unanswered, after which a source is abandoned
+MAX_ATTEMPTS_BETWEEN_PIECES = 24  # the same, of a source that has already sent a piece
 # Times that all unresponsive members are asked again before they are taken to know nothing.
 MAX_SEARCHES = 5
 # This long after its start a member that completed without a source knows as much as any other.
--- a/tests/replication/network.py
+++ b/tests/replication/network.py
@@ -1,4 +1,4 @@
-"""Replicas that hear each other over a modelled network, and strategies for what they replicate."""
+"""Replicas on a modelled network, and Hypothesis strategies for what they replicate."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 )
 
 
-def table_of(some: list[CountRow], period: int = NOW) -> CountTable:
+def table_of(rows_to_merge: list[CountRow], period: int = NOW) -> CountTable:
     table = CountTable()
     table.advance(period)
-    for row in some:
+    for row in rows_to_merge:
         table.merge_in(row)
     return table
 
@@ -60,14 +60,14 @@
     return {row for key in table.customers for row in table.rows(key)}
 
 
-class KnownAccounts:
-    """An engine that knows so many customers."""
+class FakeAccounts:
+    """An `AccountSource` with a number of customers, in place of a decision engine."""
 
     def __init__(self, customers: int = 0) -> None:
         self.keys = [base36(n + 36**3) for n in range(customers)]
 
-    def learn(self, pieces: list[AccountCopy]) -> None:
-        self.keys += [one.customer for one in pieces if one.customer not in self.keys]
+    def store(self, copies: list[AccountCopy]) -> None:
+        self.keys += [stored.customer for stored in copies if stored.customer not in self.keys]
 
     def customers_below_full(self) -> list[str]:
         return list(self.keys)
@@ -88,95 +88,97 @@
 
 
 class Network:
-    """Replicas that hear each other, with a clock.
+    """Replicas that send each other datagrams, and their clock.
 
-    What is lost or doubled is drawn from a seed.
+    A generator with a fixed seed draws which datagrams are lost or duplicated. The members in
+    `complete` have the state of a finished catch-up from the start.
     """
 
     def __init__(
         self,
-        sources: list[KnownAccounts],
+        sources: list[FakeAccounts],
         seed: int = 1,
-        lose: float = 0.0,
-        double: float = 0.0,
-        whole: tuple[int, ...] = (0, 1),
+        loss_rate: float = 0.0,
+        duplicate_rate: float = 0.0,
+        complete: tuple[int, ...] = (0, 1),
     ) -> None:
-        self.random, self.now, self.lose, self.double = (
+        self.random, self.now, self.loss_rate, self.duplicate_rate = (
             random.Random(seed),
             float(NOW),
-            lose,
-            double,
+            loss_rate,
+            duplicate_rate,
         )
         self.all = [
             Replica(LocalMember(n, len(sources), f"l{n}"), seed + n, source)
             for n, source in enumerate(sources)
         ]
-        for number in whole:
+        for number in complete:
             self.all[number].catch_up.is_complete, self.all[number].catch_up.completed_by = (
                 True,
                 number,
             )
-        self.up = set(range(len(sources)))
-        self.cut: Callable[[int, int], bool] = lambda a, b: False
-        self.deaf = self.cut
-        self.older: dict[
-            int, set[int]
-        ] = {}  # by member: those that it knows to be older; none: it knows nothing
-        self.got: list[list[AccountCopy]] = [[] for _ in sources]
-        self.bytes = self.most = 0
+        self.running = set(range(len(sources)))
+        self.is_partitioned: Callable[[int, int], bool] = lambda a, b: False
+        self.is_dropped = self.is_partitioned
+        # By member: those that it knows to be older. A member without an entry does not know.
+        self.older: dict[int, set[int]] = {}
+        self.received: list[list[AccountCopy]] = [[] for _ in sources]
+        self.bytes = self.largest_datagram = 0
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        began = self.now
-        while self.now < began + seconds and not until():
+        started_at = self.now
+        while self.now < started_at + seconds and not until():
             self.now += ROUND_INTERVAL_S
-            for one in self.all:
-                if one.local.number in self.up:
+            for replica in self.all:
+                if replica.local.number in self.running:
                     present = sorted(
                         n
-                        for n in self.up
-                        if n != one.local.number and not self.cut(one.local.number, n)
+                        for n in self.running
+                        if n != replica.local.number
+                        and not self.is_partitioned(replica.local.number, n)
                     )
-                    self.carry(
-                        one.local.number,
-                        one.run_round(self.now, present, self.older.get(one.local.number)),
+                    self.deliver(
+                        replica.local.number,
+                        replica.run_round(self.now, present, self.older.get(replica.local.number)),
                     )
-        return self.now - began
+        return self.now - started_at
 
-    def carry(self, source: int, sends: list[Datagram]) -> None:
+    def deliver(self, source: int, datagrams: list[Datagram]) -> None:
         """Delivers datagrams and the answers to them, in a random order."""
-        waiting = [(source, send) for send in sends]
-        while waiting:
-            a, send = waiting.pop(self.random.randrange(len(waiting)))
-            self.most = max(self.most, len(send.text))
-            self.bytes += len(send.text)
+        pending = [(source, datagram) for datagram in datagrams]
+        while pending:
+            sender, datagram = pending.pop(self.random.randrange(len(pending)))
+            self.largest_datagram = max(self.largest_datagram, len(datagram.text))
+            self.bytes += len(datagram.text)
             if (
-                send.member not in self.up
-                or self.cut(a, send.member)
-                or self.deaf(a, send.member)
-                or self.random.random() < self.lose
+                datagram.member not in self.running
+                or self.is_partitioned(sender, datagram.member)
+                or self.is_dropped(sender, datagram.member)
+                or self.random.random() < self.loss_rate
             ):
                 continue
-            if self.random.random() < self.double:
-                waiting.append((a, send))
-            one = self.all[send.member]
-            waiting += [
-                (one.local.number, answer) for answer in one.receive(a, send.text, self.now)
+            if self.random.random() < self.duplicate_rate:
+                pending.append((sender, datagram))
+            receiver = self.all[datagram.member]
+            pending += [
+                (receiver.local.number, answer)
+                for answer in receiver.receive(sender, datagram.text, self.now)
             ]
-            pieces, one.catch_up.new_accounts = (
-                [piece for piece, _ in one.catch_up.new_accounts],
+            accounts, receiver.catch_up.new_accounts = (
+                [account_copy for account_copy, _ in receiver.catch_up.new_accounts],
                 [],
             )
-            self.got[one.local.number] += pieces
-            if isinstance(one.source, KnownAccounts):
-                one.source.learn(pieces)
+            self.received[receiver.local.number] += accounts
+            if isinstance(receiver.source, FakeAccounts):
+                receiver.source.store(accounts)
 
-    def same(self) -> bool:
+    def tables_are_equal(self) -> bool:
         return (
             len(
                 {
-                    tuple(one.anti_entropy.counts.digests())
-                    for one in self.all
-                    if one.local.number in self.up
+                    tuple(replica.anti_entropy.counts.digests())
+                    for replica in self.all
+                    if replica.local.number in self.running
                 }
             )
             == 1
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -1,4 +1,4 @@
-"""Catch-up of a new member: its source, loss, silence, and when nobody knows more."""
+"""Catch-up of a new member: choice of the source, lost datagrams, and when nobody knows more."""
 
 from __future__ import annotations
 
@@ -13,68 +13,77 @@
 from hazelhollow.replication.catch_up_server import DATAGRAM_BURST
 from hazelhollow.replication.messages import AccountCopy, Kind
 from hazelhollow.replication.replica import ROUND_INTERVAL_S
-from tests.replication.network import NOW, KnownAccounts, Network
+from tests.replication.network import NOW, FakeAccounts, Network
 
 
 @settings(max_examples=12, deadline=None)
 @given(st.integers(0, 1000), st.sampled_from([0.0, 0.1, 0.3]), st.integers(0, 400))
-def test_a_new_member_is_told_of_every_customer_once_through_loss_and_duplicates(
-    seed: int, lose: float, customers: int
+def test_new_member_gets_each_customer_once_despite_loss_and_duplicates(
+    seed: int, loss_rate: float, customers: int
 ) -> None:
-    """Up to three datagrams of ten are lost and two of ten arrive twice."""
+    """Up to 30 % of the datagrams are lost, and 20 % arrive twice."""
     net = Network(
-        [KnownAccounts(customers), KnownAccounts(customers), KnownAccounts()],
+        [FakeAccounts(customers), FakeAccounts(customers), FakeAccounts()],
         seed,
-        lose,
-        double=0.2,
+        loss_rate,
+        duplicate_rate=0.2,
     )
     new = net.all[2]
     net.run(120.0, lambda: new.catch_up.is_complete)
     assert new.catch_up.is_complete and (new.catch_up.completed_by is not None)
-    assert sorted(one.customer for one in net.got[2]) == sorted(
+    assert sorted(account.customer for account in net.received[2]) == sorted(
         net.all[0].source.customers_below_full()
     )
 
 
-def test_a_source_that_dies_half_way_is_followed_by_another() -> None:
+def test_a_source_that_dies_during_the_transfer_is_replaced() -> None:
     """The source of a transfer dies after 200 of 3000 accounts."""
-    net = Network([KnownAccounts(3000), KnownAccounts(3000), KnownAccounts()])
+    net = Network([FakeAccounts(3000), FakeAccounts(3000), FakeAccounts()])
     new = net.all[2]
-    net.run(30.0, lambda: len(net.got[2]) > 200)
+    net.run(30.0, lambda: len(net.received[2]) > 200)
     assert new.catch_up.transfer is not None and not new.catch_up.is_complete
-    net.up.discard(new.catch_up.transfer.source)
+    net.running.discard(new.catch_up.transfer.source)
     net.run(60.0, lambda: new.catch_up.is_complete)
-    assert new.catch_up.is_complete and {one.customer for one in net.got[2]} == set(
+    assert new.catch_up.is_complete and {account.customer for account in net.received[2]} == set(
         net.all[0].source.customers_below_full()
     )
 
 
-def test_a_silent_source_is_given_up_for_another() -> None:
-    """The source receives and its answers are lost, though membership has it as up."""
-    net = Network([KnownAccounts(30), KnownAccounts(30), KnownAccounts()])
-    silent = 1
-    net.deaf = lambda a, b: a == silent and b == 2  # it hears and is not heard, though it is there
-    net.all[2].random.seed(next(s for s in range(99) if random.Random(s).choice([0, 1]) == silent))
+def test_an_unresponsive_source_is_replaced() -> None:
+    """The source receives requests, but its answers are lost while membership has it as up."""
+    net = Network([FakeAccounts(30), FakeAccounts(30), FakeAccounts()])
+    unresponsive = 1
+    net.is_dropped = lambda a, b: a == unresponsive and b == 2
+    net.all[2].random.seed(
+        next(s for s in range(99) if random.Random(s).choice([0, 1]) == unresponsive)
+    )
     net.run(20.0, lambda: net.all[2].catch_up.is_complete)
     assert net.all[2].catch_up.completed_by == 0 and net.all[2].counters["givers lost"] == 1
 
 
-def test_ten_members_that_begin_at_once_all_catch_up() -> None:
-    net = Network([KnownAccounts(500)] + [KnownAccounts() for _ in range(10)], lose=0.1, whole=(0,))
-    net.run(60.0, lambda: all(one.catch_up.is_complete for one in net.all))
-    assert all(len({one.customer for one in got}) == 500 for got in net.got[1:])
+def test_ten_members_that_start_together_all_catch_up() -> None:
+    net = Network(
+        [FakeAccounts(500)] + [FakeAccounts() for _ in range(10)], loss_rate=0.1, complete=(0,)
+    )
+    net.run(60.0, lambda: all(replica.catch_up.is_complete for replica in net.all))
+    assert all(
+        len({account.customer for account in received}) == 500 for received in net.received[1:]
+    )
 
 
-def test_where_nobody_is_complete_all_are_after_asking_each_other() -> None:
-    """All members were killed and begin together: each is refused by all others."""
-    net = Network([KnownAccounts() for _ in range(4)], whole=())
-    net.run(10.0, lambda: all(one.catch_up.is_complete for one in net.all))
-    assert all(one.catch_up.is_complete and one.catch_up.completed_by is None for one in net.all)
+def test_if_nobody_is_complete_all_complete_after_asking_each_other() -> None:
+    """All members were killed and start together: each is refused by all others."""
+    net = Network([FakeAccounts() for _ in range(4)], complete=())
+    net.run(10.0, lambda: all(replica.catch_up.is_complete for replica in net.all))
+    assert all(
+        replica.catch_up.is_complete and replica.catch_up.completed_by is None
+        for replica in net.all
+    )
 
 
-def test_a_member_that_meets_nobody_is_complete_after_a_while_and_not_before() -> None:
-    net = Network([KnownAccounts(), KnownAccounts()], whole=())
-    net.up = {0}
+def test_a_member_without_peers_is_complete_only_after_a_timeout() -> None:
+    net = Network([FakeAccounts(), FakeAccounts()], complete=())
+    net.running = {0}
     net.run(ALONE_AFTER_S - ROUND_INTERVAL_S)
     assert not net.all[0].catch_up.is_complete
     net.run(2.0)
@@ -82,7 +91,7 @@
 
 
 def test_a_member_that_is_not_complete_refuses_transfers() -> None:
-    net = Network([KnownAccounts(5), KnownAccounts()], whole=())
+    net = Network([FakeAccounts(5), FakeAccounts()], complete=())
     answer = net.all[0].receive(
         1, codec.encode_header(Kind.TRANSFER_REQUEST, "l1", NOW, (7, 0, 96)), NOW
     )
@@ -91,93 +100,100 @@
     ]
 
 
-def test_a_member_that_nobody_could_tell_serves_nothing_for_a_while() -> None:
-    """The first member of a fleet knows only its cautious share; served at once, it would hand that
-    on as if it were all."""
-    net = Network([KnownAccounts(5), KnownAccounts(), KnownAccounts()], whole=())
-    net.up = {0}
+def test_a_member_that_completed_without_source_serves_only_later() -> None:
+    """The first member of a fleet knows only what it admitted by its cautious share. If it served
+    at once, it would transfer that as if it were the complete state."""
+    net = Network([FakeAccounts(5), FakeAccounts(), FakeAccounts()], complete=())
+    net.running = {0}
     net.run(ALONE_AFTER_S + 1.0)
     assert net.all[0].catch_up.is_complete and not net.all[0].catch_up.can_serve()
-    net.up = {0, 1}
+    net.running = {0, 1}
     net.run(1.5, lambda: net.all[1].catch_up.is_complete)
     assert net.all[1].catch_up.completed_by is None
     net.run(FULL_KNOWLEDGE_AFTER_S)
-    net.up = {0, 2}
+    net.running = {0, 2}
     net.run(5.0, lambda: net.all[2].catch_up.is_complete)
     assert net.all[2].catch_up.completed_by == 0
 
 
-def test_a_large_fleet_that_began_together_is_complete_soon() -> None:
-    """120 members begin at once; asking each other one by one took half a minute."""
-    net = Network([KnownAccounts() for _ in range(120)], whole=())
-    net.older = {one.local.number: set() for one in net.all}
-    took = net.run(30.0, lambda: all(one.catch_up.is_complete for one in net.all))
-    assert took <= FULL_KNOWLEDGE_AFTER_S + 2 * ROUND_INTERVAL_S
-    assert all(one.catch_up.completed_by is None for one in net.all)
+def test_a_large_fleet_that_started_together_is_complete_soon() -> None:
+    """120 members start at once; when each asked all others in turn, it took half a minute."""
+    net = Network([FakeAccounts() for _ in range(120)], complete=())
+    net.older = {replica.local.number: set() for replica in net.all}
+    seconds = net.run(30.0, lambda: all(replica.catch_up.is_complete for replica in net.all))
+    assert seconds <= FULL_KNOWLEDGE_AFTER_S + 2 * ROUND_INTERVAL_S
+    assert all(replica.catch_up.completed_by is None for replica in net.all)
 
 
 def test_a_new_member_asks_older_members_first() -> None:
-    """Sixty members begin at once beside two that know all."""
-    net = Network([KnownAccounts(5), KnownAccounts(5), *(KnownAccounts() for _ in range(60))])
-    net.older = {one.local.number: {0, 1} for one in net.all}
-    assert net.run(2.0, lambda: all(one.catch_up.is_complete for one in net.all)) < 2.0
-    assert {one.catch_up.completed_by for one in net.all[2:]} == {0, 1}
+    """Sixty members start at once, and two others are complete."""
+    net = Network([FakeAccounts(5), FakeAccounts(5), *(FakeAccounts() for _ in range(60))])
+    net.older = {replica.local.number: {0, 1} for replica in net.all}
+    assert net.run(2.0, lambda: all(replica.catch_up.is_complete for replica in net.all)) < 2.0
+    assert {replica.catch_up.completed_by for replica in net.all[2:]} == {0, 1}
 
 
 @pytest.mark.parametrize("answers", [False, True])
-def test_one_older_member_is_waited_for_until_it_has_answered(answers: bool) -> None:
-    """The one member that knows all is silent: nobody may take silence for knowing nothing."""
-    net = Network([KnownAccounts(5), *(KnownAccounts() for _ in range(20))], whole=(0,))
-    net.older = {one.local.number: {0} for one in net.all}
-    net.deaf = lambda a, b: not answers and b == 0
+def test_new_members_wait_for_one_older_member_until_it_answers(answers: bool) -> None:
+    """The only complete member does not answer: no other may conclude that it knows nothing."""
+    net = Network([FakeAccounts(5), *(FakeAccounts() for _ in range(20))], complete=(0,))
+    net.older = {replica.local.number: {0} for replica in net.all}
+    net.is_dropped = lambda a, b: not answers and b == 0
     net.run(FULL_KNOWLEDGE_AFTER_S + 1.0)
-    assert [one.catch_up.completed_by for one in net.all[1:] if one.catch_up.is_complete] == [0] * (
-        20 if answers else 0
-    )
+    assert [
+        replica.catch_up.completed_by for replica in net.all[1:] if replica.catch_up.is_complete
+    ] == [0] * (20 if answers else 0)
 
 
-def test_a_member_to_whom_all_look_older_asks_only_some_of_them() -> None:
+def test_a_member_to_which_all_look_older_asks_only_some() -> None:
     """A clock that is ahead makes all others look older than they are."""
     members = 3 * MAX_REFUSALS
-    net = Network([KnownAccounts() for _ in range(members)], whole=())
-    net.older = {one.local.number: set(range(members)) - {one.local.number} for one in net.all}
-    most = max(FULL_KNOWLEDGE_AFTER_S, MAX_REFUSALS * ROUND_INTERVAL_S) + 2 * ROUND_INTERVAL_S
-    assert net.run(60.0, lambda: all(one.catch_up.is_complete for one in net.all)) <= most
+    net = Network([FakeAccounts() for _ in range(members)], complete=())
+    net.older = {
+        replica.local.number: set(range(members)) - {replica.local.number} for replica in net.all
+    }
+    limit = max(FULL_KNOWLEDGE_AFTER_S, MAX_REFUSALS * ROUND_INTERVAL_S) + 2 * ROUND_INTERVAL_S
+    assert net.run(60.0, lambda: all(replica.catch_up.is_complete for replica in net.all)) <= limit
 
 
 def test_a_member_that_was_restored_from_its_snapshot_serves_at_once() -> None:
-    net = Network([KnownAccounts(5), KnownAccounts(), KnownAccounts()], whole=())
+    net = Network([FakeAccounts(5), FakeAccounts(), FakeAccounts()], complete=())
     net.all[0].catch_up.is_complete = net.all[0].catch_up.is_restored = True
     net.run(2.0, lambda: net.all[1].catch_up.is_complete)
     assert net.all[1].catch_up.completed_by == 0
 
 
-def test_a_piece_of_another_transfer_or_from_another_member_is_not_taken() -> None:
-    """Late pieces of a transfer that was given up arrive during the next."""
-    net = Network([KnownAccounts(200), KnownAccounts(200), KnownAccounts()])
+def test_a_piece_of_another_transfer_or_member_is_ignored() -> None:
+    """Late pieces of an abandoned transfer arrive during the next one."""
+    net = Network([FakeAccounts(200), FakeAccounts(200), FakeAccounts()])
     new = net.all[2]
     new.run_round(net.now, [0, 1])
     assert new.catch_up.transfer is not None
-    giver, number = new.catch_up.transfer.source, new.catch_up.transfer.number
+    source_number, transfer_number = new.catch_up.transfer.source, new.catch_up.transfer.number
     piece = codec.encode_account(AccountCopy("zz9", "pl", 0, 3, 7, ()), NOW, 200)
-    for source, told in ((1 - giver, number), (giver, number + 1)):
+    for sender, sent_number in (
+        (1 - source_number, transfer_number),
+        (source_number, transfer_number + 1),
+    ):
         new.receive(
-            source,
-            codec.encode_header(Kind.TRANSFER_PIECE, "l0", NOW, (told, 0, 1)) + piece,
+            sender,
+            codec.encode_header(Kind.TRANSFER_PIECE, "l0", NOW, (sent_number, 0, 1)) + piece,
             net.now,
         )
         assert not new.catch_up.new_accounts and not new.catch_up.is_complete
     new.receive(
-        giver, codec.encode_header(Kind.TRANSFER_PIECE, "l0", NOW, (number, 0, 1)) + piece, net.now
+        source_number,
+        codec.encode_header(Kind.TRANSFER_PIECE, "l0", NOW, (transfer_number, 0, 1)) + piece,
+        net.now,
     )
-    assert new.catch_up.is_complete and [one.customer for one, _ in new.catch_up.new_accounts] == [
-        "zz9"
-    ]
+    assert new.catch_up.is_complete and [
+        account.customer for account, _ in new.catch_up.new_accounts
+    ] == ["zz9"]
 
 
-def test_a_source_that_membership_holds_for_dead_is_left_in_the_next_round() -> None:
+def test_a_source_that_is_no_longer_present_is_replaced_next_round() -> None:
     """The source disappears from membership before it has answered."""
-    net = Network([KnownAccounts(200), KnownAccounts(200), KnownAccounts()])
+    net = Network([FakeAccounts(200), FakeAccounts(200), FakeAccounts()])
     new = net.all[2]
     new.run_round(net.now, [0, 1])
     assert new.catch_up.transfer is not None
@@ -191,32 +207,32 @@
     )
 
 
-def test_places_mean_the_same_for_as_long_as_one_transfer_lasts() -> None:
+def test_positions_keep_their_customers_during_a_transfer() -> None:
     """The source's order of customers changes with every request that it serves."""
-    net = Network([KnownAccounts(300), KnownAccounts(), KnownAccounts()], whole=(0,))
+    net = Network([FakeAccounts(300), FakeAccounts(), FakeAccounts()], complete=(0,))
     source = net.all[0].source
-    assert isinstance(source, KnownAccounts)
+    assert isinstance(source, FakeAccounts)
     source.customers_below_full = lambda: net.random.sample(source.keys, len(source.keys))  # type: ignore[method-assign]
     net.run(10.0, lambda: net.all[1].catch_up.is_complete)
-    assert len({one.customer for one in net.got[1]}) == 300
+    assert len({account.customer for account in net.received[1]}) == 300
 
 
-def test_what_a_source_sends_a_second_is_bounded() -> None:
-    net = Network([KnownAccounts(4000), KnownAccounts()], whole=(0,))
-    asked = codec.encode_header(Kind.TRANSFER_REQUEST, "l1", NOW, (7, 0, 96))
-    sent = sum(len(net.all[0].receive(1, asked, NOW + 1)) for _ in range(100))
+def test_datagrams_sent_by_a_source_per_second_are_bounded() -> None:
+    net = Network([FakeAccounts(4000), FakeAccounts()], complete=(0,))
+    request = codec.encode_header(Kind.TRANSFER_REQUEST, "l1", NOW, (7, 0, 96))
+    sent = sum(len(net.all[0].receive(1, request, NOW + 1)) for _ in range(100))
     assert sent <= DATAGRAM_BURST
 
 
 def test_a_customer_that_the_source_has_forgotten_leaves_no_gap() -> None:
-    """Half of the listed customers are forgotten before they are asked for."""
-    net = Network([KnownAccounts(40), KnownAccounts(), KnownAccounts()], whole=(0,))
+    """Half of the listed customers are forgotten before they are requested."""
+    net = Network([FakeAccounts(40), FakeAccounts(), FakeAccounts()], complete=(0,))
     source = net.all[0].source
-    assert isinstance(source, KnownAccounts)
+    assert isinstance(source, FakeAccounts)
     listed = source.customers_below_full()
     source.customers_below_full = lambda: listed  # type: ignore[method-assign]
     source.keys = source.keys[::2]
     net.run(5.0, lambda: net.all[1].catch_up.is_complete)
-    assert net.all[1].catch_up.is_complete and {one.customer for one in net.got[1]} == set(
-        listed[::2]
-    )
+    assert net.all[1].catch_up.is_complete and {
+        account.customer for account in net.received[1]
+    } == set(listed[::2])
--- a/tests/replication/test_codec.py
+++ b/tests/replication/test_codec.py
@@ -1,4 +1,4 @@
-"""The text of datagrams, and what is done with texts that are none."""
+"""The text of datagrams, and the rejection of invalid texts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     TransferRequest,
 )
 from hazelhollow.replication.overrides import Override
-from tests.replication.network import NOW, KnownAccounts, Network, overrides, rows, values
+from tests.replication.network import NOW, FakeAccounts, Network, overrides, rows, values
 
 accounts = st.builds(
     AccountCopy,
@@ -47,24 +47,25 @@
 
 @given(accounts, st.lists(rows, min_size=1, max_size=3), overrides)
 def test_messages_are_decoded_as_they_were_encoded(
-    one: AccountCopy, some: list[CountRow], call: Override
+    account: AccountCopy, count_rows: list[CountRow], one_override: Override
 ) -> None:
-    line = (
+    encoded = (
         codec.encode_header(Kind.TRANSFER_PIECE, "l1", NOW, (1, 2, 3))
-        + codec.encode_account(one, NOW, 200)
+        + codec.encode_account(account, NOW, 200)
         + codec.encode_forgotten()
     )
-    message = codec.decode(line, 5)
-    assert message is not None and message.body == TransferPiece(1, 2, 3, (one, None))
-    alike = [row._replace(customer="a") for row in some]
+    message = codec.decode(encoded, 5)
+    assert message is not None and message.body == TransferPiece(1, 2, 3, (account, None))
+    same_customer_rows = [row._replace(customer="a") for row in count_rows]
     message = codec.decode(
-        codec.encode_header(Kind.COUNTS, "l1", NOW) + codec.encode_counts(alike, NOW), 5
+        codec.encode_header(Kind.COUNTS, "l1", NOW) + codec.encode_counts(same_customer_rows, NOW),
+        5,
     )
-    assert message is not None and message.body == Counts(tuple(alike))
+    assert message is not None and message.body == Counts(tuple(same_customer_rows))
     message = codec.decode(
-        codec.encode_header(Kind.OVERRIDES, "l1", NOW) + codec.encode_override(call), 5
+        codec.encode_header(Kind.OVERRIDES, "l1", NOW) + codec.encode_override(one_override), 5
     )
-    assert message is not None and message.body == Overrides((call,))
+    assert message is not None and message.body == Overrides((one_override,))
 
 
 ROWS = (
@@ -127,10 +128,10 @@
 
 
 @pytest.mark.parametrize(("kind", "numbers", "text", "body"), TEXTS)
-def test_texts_are_those_of_earlier_versions(
+def test_encoded_texts_equal_those_of_earlier_versions(
     kind: Kind, numbers: tuple[int, ...], text: str, body: Body
 ) -> None:
-    """Members of two versions talk to each other while one is rolled out; c5118d0 wrote these."""
+    """Members of two versions exchange messages during a rollout. Commit c5118d0 encoded these."""
     assert {row[0] for row in TEXTS} == set(Kind)
     header = codec.encode_header(kind, "l1", NOW, numbers)
     assert codec.append_items(header, items_of(body), 256) == (text, len(items_of(body)))
@@ -138,8 +139,8 @@
 
 
 @given(st.text(max_size=60))
-def test_any_text_is_no_message_or_of_a_known_kind(text: str) -> None:
-    """Whatever arrives at the port must not raise."""
+def test_any_text_is_rejected_or_decoded_as_a_known_kind(text: str) -> None:
+    """No text that arrives at the port may raise an exception."""
     assert codec.decode("c1" + text, 5) is None or text[0] in "rgnhqs"
 
 
@@ -164,21 +165,21 @@
         "c1r L1/1 ",
     ],
 )
-def test_a_message_with_any_wrong_part_is_refused_whole(text: str) -> None:
-    """Garbled or forged datagrams: nothing of them is taken, not even their sound parts."""
+def test_a_message_with_any_invalid_part_is_rejected_entirely(text: str) -> None:
+    """Of a garbled or forged datagram nothing is accepted, not even its valid parts."""
     assert codec.decode(text, 5) is None
 
 
-def test_a_message_that_is_too_long_is_refused() -> None:
-    many = [
+def test_a_message_that_is_too_long_is_rejected() -> None:
+    too_many = [
         CountRow("a", "pl", 0, 3, 1, f"l{n}", CountValue(NOW - 9, NOW - 4, 1000)) for n in range(20)
     ]
-    text = codec.encode_header(Kind.COUNTS, "l1", NOW) + codec.encode_counts(many, NOW)
+    text = codec.encode_header(Kind.COUNTS, "l1", NOW) + codec.encode_counts(too_many, NOW)
     assert len(text) > codec.MAX_MESSAGE_BYTES and codec.decode(text, 5) is None
 
 
 @pytest.mark.parametrize("text", ["c1r nonsense", "v1p 1", "c1q l1/1 1-2"])
 def test_a_datagram_that_cannot_be_decoded_is_dropped_and_counted(text: str) -> None:
-    """A peer of another version, or garbage: the replica answers nothing and counts it."""
-    net = Network([KnownAccounts(3), KnownAccounts()])
+    """The datagram comes from a peer of another version or is garbled; it gets no answer."""
+    net = Network([FakeAccounts(3), FakeAccounts()])
     assert net.all[0].receive(1, text, NOW) == [] and net.all[0].counters["garbled"] == 1
--- a/tests/replication/test_count_table.py
+++ b/tests/replication/test_count_table.py
@@ -28,78 +28,91 @@
 
 
 @given(values, values)
-def test_merge_lowers_nothing_and_is_first_hand_only_if_the_member_reported_it(
+def test_merge_never_decreases_and_is_first_hand_only_if_reported(
     a: CountValue, b: CountValue
 ) -> None:
-    one = merge(a, b)
+    merged = merge(a, b)
     for value in (a, b):
-        assert one.through >= value.through and (one.since, one.total) >= (value.since, value.total)
-    assert one.through in (a.through, b.through) and (one.since, one.total) in (
+        assert merged.through >= value.through and (merged.since, merged.total) >= (
+            value.since,
+            value.total,
+        )
+    assert merged.through in (a.through, b.through) and (merged.since, merged.total) in (
         a[::2][:2],
         b[::2][:2],
     )
-    assert one.first_hand == any(value.first_hand and value[:3] == one[:3] for value in (a, b))
+    assert merged.first_hand == any(
+        value.first_hand and value[:3] == merged[:3] for value in (a, b)
+    )
 
 
 @given(st.lists(rows, max_size=20), st.randoms(use_true_random=False))
-def test_tables_that_got_the_same_rows_in_any_order_and_twice_are_equal(
-    some: list[CountRow], chance: random.Random
+def test_same_rows_in_any_order_and_twice_give_equal_tables(
+    rows_to_merge: list[CountRow], rng: random.Random
 ) -> None:
-    one, other = table_of(some), table_of(chance.sample([*some, *some], 2 * len(some)))
+    first_table, second_table = (
+        table_of(rows_to_merge),
+        table_of(rng.sample([*rows_to_merge, *rows_to_merge], 2 * len(rows_to_merge))),
+    )
     assert (
-        rows_of(one) == rows_of(other)
-        and one.digests() == other.digests()
-        and not one.differing_buckets(other.digests())
+        rows_of(first_table) == rows_of(second_table)
+        and first_table.digests() == second_table.digests()
+        and not first_table.differing_buckets(second_table.digests())
     )
 
 
-def true_history(some: list[CountRow]) -> list[CountRow]:
-    """The same rows, so that all of one count can be true.
+def true_history(rows_to_merge: list[CountRow]) -> list[CountRow]:
+    """Returns the rows with values changed so that no two of one counter contradict each other.
 
-    Of two the later `through` has the greater (since, total), and the same `through` has the same.
+    Of two values the one with the later `through` has the greater (since, total), and values with
+    the same `through` have the same.
     """
     by_count: dict[tuple[str, int, str], list[CountValue]] = {}
-    for row in some:
+    for row in rows_to_merge:
         by_count.setdefault((row.customer, row.member, row.incarnation), []).append(row.value)
-    told: dict[tuple[str, int, str, int], tuple[int, int]] = {}
+    values_by_through: dict[tuple[str, int, str, int], tuple[int, int]] = {}
     for who, found in by_count.items():
         amounts = sorted((value.since, value.total) for value in found)
         for through, amount in zip(sorted(value.through for value in found), amounts, strict=True):
-            told[(*who, through)] = amount
-    changed = []
-    for row in some:
-        since, total = told[row.customer, row.member, row.incarnation, row.value.through]
-        changed.append(row._replace(value=row.value._replace(since=since, total=total)))
-    return changed
+            values_by_through[(*who, through)] = amount
+    consistent_rows = []
+    for row in rows_to_merge:
+        since, total = values_by_through[
+            row.customer, row.member, row.incarnation, row.value.through
+        ]
+        consistent_rows.append(row._replace(value=row.value._replace(since=since, total=total)))
+    return consistent_rows
 
 
 def counts_in(table: CountTable) -> dict[tuple[str, int, str], int]:
-    """Which counts it holds, and until when they are kept."""
+    """Returns `through` of each counter in the table, which determines when it expires."""
     return {
         (row.customer, row.member, row.incarnation): row.value.through for row in rows_of(table)
     }
 
 
-def exchange_rows(one: CountTable, other: CountTable) -> None:
-    """All that each holds, to the other."""
-    for source, target in ((one, other), (other, one)):
+def exchange_rows(first_table: CountTable, second_table: CountTable) -> None:
+    """Merges all rows of each table into the other."""
+    for source, target in ((first_table, second_table), (second_table, first_table)):
         for row in rows_of(source):
             target.merge_in(row)
 
 
-def hearsay(through: int, total: int, since: int = NOW - 9) -> CountRow:
+def second_hand(through: int, total: int, since: int = NOW - 9) -> CountRow:
     return CountRow("a", "pl", 0, 3, 1, "l1", CountValue(since, through, total, 0))
 
 
 @given(st.lists(rows, max_size=20).map(true_history), st.integers(1, RETENTION_PERIODS + 8))
-def test_expired_counters_are_dropped_by_all_at_once_and_not_taken_again(
-    some: list[CountRow], later: int
+def test_all_members_drop_expired_counters_at_once_and_refuse_copies(
+    rows_to_merge: list[CountRow], periods_later: int
 ) -> None:
-    early, late = table_of(some), table_of(some, NOW + later)
-    early.advance(NOW + later)
+    early, late = table_of(rows_to_merge), table_of(rows_to_merge, NOW + periods_later)
+    early.advance(NOW + periods_later)
     assert rows_of(early) == rows_of(late) and early.digests() == late.digests()
-    assert all(row.value.through > NOW + later - RETENTION_PERIODS for row in rows_of(early))
-    for row in some:
+    assert all(
+        row.value.through > NOW + periods_later - RETENTION_PERIODS for row in rows_of(early)
+    )
+    for row in rows_to_merge:
         early.merge_in(row)
     assert early.digests() == late.digests()
     early.advance(NOW + 2 * RETENTION_PERIODS)
@@ -107,34 +120,37 @@
 
 
 @given(st.lists(rows, max_size=20), st.integers(1, RETENTION_PERIODS + 8))
-# the greater total is the first too old
-@example([hearsay(NOW - 6, 1), hearsay(NOW - 5, 0)], RETENTION_PERIODS - 6)
-# so is the later beginning
-@example([hearsay(NOW - 6, 0, since=NOW - 8), hearsay(NOW - 5, 5)], RETENTION_PERIODS - 6)
-@example([hearsay(NOW - 6, 3), hearsay(NOW - 5, 2), hearsay(NOW - 4, 1)], RETENTION_PERIODS - 5)
-def test_counters_expire_at_all_at_once_also_where_hearsay_contradicts_itself(
-    some: list[CountRow], later: int
+# The counter with the greater total is the first to be too old.
+@example([second_hand(NOW - 6, 1), second_hand(NOW - 5, 0)], RETENTION_PERIODS - 6)
+# The counter with the later `since` is the first to be too old.
+@example([second_hand(NOW - 6, 0, since=NOW - 8), second_hand(NOW - 5, 5)], RETENTION_PERIODS - 6)
+@example(
+    [second_hand(NOW - 6, 3), second_hand(NOW - 5, 2), second_hand(NOW - 4, 1)],
+    RETENTION_PERIODS - 5,
+)
+def test_contradicting_second_hand_counters_expire_everywhere_at_once(
+    rows_to_merge: list[CountRow], periods_later: int
 ) -> None:
-    """One that begins late refuses what is too old.
+    """A member that starts late refuses rows that are too old.
 
-    So that it may know less of a count than another; which counts are kept, and until when, is the
-    same at both before they have told each other anything, and one exchange makes up for the rest.
+    So its value of a counter may be smaller than another member's. Both keep the same counters,
+    with the same expiry, before they have exchanged anything, and one exchange makes them equal.
     """
-    early, late = table_of(some), table_of(some, NOW + later)
-    early.advance(NOW + later)
+    early, late = table_of(rows_to_merge), table_of(rows_to_merge, NOW + periods_later)
+    early.advance(NOW + periods_later)
     kept = counts_in(early)
     assert kept == counts_in(late)
-    assert all(through > NOW + later - RETENTION_PERIODS for through in kept.values())
+    assert all(through > NOW + periods_later - RETENTION_PERIODS for through in kept.values())
     before = rows_of(early)
-    for row in some:
+    for row in rows_to_merge:
         early.merge_in(row)
-    assert rows_of(early) == before  # nothing is taken again
+    assert rows_of(early) == before  # No expired row is accepted again.
     exchange_rows(late, early)
     assert rows_of(early) == rows_of(late) == before and early.digests() == late.digests()
-    known = {(row.customer, row.member, row.incarnation): row.value for row in before}
-    for row in some:
-        if row.value.through > NOW + later - RETENTION_PERIODS:
-            value = known[row.customer, row.member, row.incarnation]
+    kept_values = {(row.customer, row.member, row.incarnation): row.value for row in before}
+    for row in rows_to_merge:
+        if row.value.through > NOW + periods_later - RETENTION_PERIODS:
+            value = kept_values[row.customer, row.member, row.incarnation]
             assert (value.since, value.total) >= (row.value.since, row.value.total)
     for table in (early, late):
         table.advance(NOW + 2 * RETENTION_PERIODS)
@@ -148,19 +164,20 @@
         (CountValue(1, 5, 10), CountValue(1, 6, 10), ""),
         (CountValue(1, 5, 10), CountValue(1, 5, 11), "two histories"),
         (CountValue(1, 5, 10), CountValue(1, 6, 9), "fell"),
-        (CountValue(1, 5, 10), CountValue(4, 6, 2), ""),  # let go of, and counted anew
-        (CountValue(1, 5, 10), CountValue(1, 6, 9, 0), ""),  # heard, and not all of it
+        (CountValue(1, 5, 10), CountValue(4, 6, 2), ""),  # dropped, and counted from the start
+        (CountValue(1, 5, 10), CountValue(1, 6, 9, 0), ""),  # second-hand, and incomplete
     ],
 )
-def test_contradicting_copies_are_told_apart_from_those_that_can_both_be_true(
+def test_contradiction_gives_its_reason_or_nothing_if_both_can_be_true(
     one: CountValue, other: CountValue, why: str
 ) -> None:
-    """Two processes with one number report two totals, which operators must hear of."""
+    """Two processes with the same member number report two totals; operators must be notified."""
     assert contradiction(one, other) == contradiction(other, one) == why
 
 
 def test_contradictions_are_counted_and_settled_by_the_merge_rule() -> None:
-    """Two totals of one period arrive in either order: the greater holds and it is counted once."""
+    """Two totals of one period arrive in either order. The greater one holds, and the contradiction
+    is counted once."""
     low, high = (
         CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 4, total))
         for total in (10, 12)
@@ -172,22 +189,29 @@
     assert not ahead.customers and ahead.contradictions == {"from the future": 1}
 
 
-def test_a_first_hand_copy_of_hearsay_is_no_news_and_counts_as_first_hand() -> None:
-    heard = CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 4, 10, 0))
-    table = table_of([heard])
-    sums, sure = table.digests(), heard._replace(value=heard.value._replace(first_hand=1))
-    assert not table.merge_in(sure) and rows_of(table) == {sure} and table.digests() == sums
-    table.merge_in(sure._replace(value=sure.value._replace(total=12)))
-    assert table.contradictions == {"two histories": 1}  # that was its own word
+def test_first_hand_copy_of_a_second_hand_value_is_stored_but_no_change() -> None:
+    second_hand_row = CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 4, 10, 0))
+    table = table_of([second_hand_row])
+    digests_before, first_hand_row = (
+        table.digests(),
+        second_hand_row._replace(value=second_hand_row.value._replace(first_hand=1)),
+    )
+    assert (
+        not table.merge_in(first_hand_row)
+        and rows_of(table) == {first_hand_row}
+        and table.digests() == digests_before
+    )
+    table.merge_in(first_hand_row._replace(value=first_hand_row.value._replace(total=12)))
+    assert table.contradictions == {"two histories": 1}  # It contradicts the first-hand value.
 
 
-def test_later_hearsay_is_not_taken_for_first_hand() -> None:
-    """Hearsay that went on after a lost datagram raised `through`; the member's own next value was
-    then called a contradiction."""
-    sure = CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 6, 10))
-    table = table_of([sure, hearsay(NOW - 4, 8)])
+def test_later_second_hand_value_is_not_treated_as_first_hand() -> None:
+    """After a lost datagram, later gossip raised `through` of a value that stayed marked as
+    first-hand. The member's own next value was then counted as a contradiction."""
+    first_hand_row = CountRow("a", "pl", 0, 3, 1, "l1", CountValue(NOW - 9, NOW - 6, 10))
+    table = table_of([first_hand_row, second_hand(NOW - 4, 8)])
     assert rows_of(table) == {
-        hearsay(NOW - 4, 10)
-    }  # no total through NOW - 4 was said by the member
-    grown = sure._replace(value=CountValue(NOW - 9, NOW - 4, 12))
+        second_hand(NOW - 4, 10)
+    }  # The member itself reported no total through NOW - 4.
+    grown = first_hand_row._replace(value=CountValue(NOW - 9, NOW - 4, 12))
     assert table.merge_in(grown) and rows_of(table) == {grown} and not table.contradictions
