--- a/tests/replication/test_bench.py
+++ b/tests/replication/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench's model of all that can happen to counts, and its measurements of catch-up and cost."""
+"""The bench's model of the possible orders of events for counts, and its measurements."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
         Bounds(members=3, lags=0, copies=0, depth=4),
     ],
 )
-def test_in_every_order_up_to_these_bounds_each_charge_counts_once(bounds: Bounds) -> None:
-    found = explore(bounds)
-    assert found.failure == "" and found.states > 100
+def test_every_order_of_steps_within_bounds_counts_each_charge_once(bounds: Bounds) -> None:
+    exploration = explore(bounds)
+    assert exploration.failure == "" and exploration.states > 100
 
 
 LATE = Bounds(members=3, turns=4, copies=0, lags=0, depth=12)
@@ -46,27 +46,28 @@
 
 
 @pytest.mark.parametrize(("name", "bounds", "first"), PLANTED)
-def test_planted_mistakes_are_found_and_become_plans(
+def test_planted_mistakes_are_found_and_written_as_fault_plans(
     name: str, bounds: Bounds, first: tuple[Step, ...], tmp_path: Path
 ) -> None:
-    """A mistake in merge, gossip or catch-up: the model must find it and make a plan of it."""
+    """A mistake is planted in merge, gossip or catch-up. The model must find it and write a fault
+    plan, whose steps fail again with the mistake and pass without it."""
     with plant_mistake(name):
-        found = explore(bounds, first=first)
-    assert found.failure and len(found.steps) <= bounds.depth
-    fault_plan = as_plan(bounds, found.steps, found.failure)
+        exploration = explore(bounds, first=first)
+    assert exploration.failure and len(exploration.steps) <= bounds.depth
+    fault_plan = as_plan(bounds, exploration.steps, exploration.failure)
     plan.check(fault_plan)
     (tmp_path / "plan.json").write_bytes(plan.write(fault_plan))
     assert _earlier(tmp_path / "plan.json") == fault_plan
     with (
         pytest.raises(InvariantError),
         plant_mistake(name),
-    ):  # the same steps break it again, and only with the mistake
-        play(bounds, found.steps).check()
-        play(bounds, found.steps).check_after_exchange()
-    play(bounds, found.steps).check()
+    ):
+        play(bounds, exploration.steps).check()
+        play(bounds, exploration.steps).check_after_exchange()
+    play(bounds, exploration.steps).check()
 
 
-def test_the_command_says_what_broke_and_how(tmp_path: Path) -> None:
+def test_model_command_reports_the_failure_and_writes_its_plan(tmp_path: Path) -> None:
     arguments = [
         "model",
         "--depth",
@@ -87,21 +88,23 @@
 
 
 @pytest.mark.parametrize("lose", [0.0, 0.3])
-def test_catch_up_tells_of_every_customer_once(lose: float) -> None:
-    found = replica.catch_up(300, lose, seed=1)
-    assert found["told"] == 300 and found["seconds"] < replica.CATCH_UP_TIMEOUT_S
+def test_catch_up_transfers_every_customer_once(lose: float) -> None:
+    measured = replica.catch_up(300, lose, seed=1)
+    assert measured["told"] == 300 and measured["seconds"] < replica.CATCH_UP_TIMEOUT_S
 
 
-def test_what_a_member_sends_does_not_grow_with_the_fleet() -> None:
-    few, many = (replica.steady(members, 50, seed=1, seconds=10)["bytes"] for members in (4, 16))
-    assert many < 2.5 * few
+def test_bytes_sent_by_a_member_do_not_grow_with_the_fleet() -> None:
+    few_members, many_members = (
+        replica.steady(members, 50, seed=1, seconds=10)["bytes"] for members in (4, 16)
+    )
+    assert many_members < 2.5 * few_members
 
 
-def test_a_count_takes_few_bytes() -> None:
+def test_a_counter_takes_at_most_300_bytes() -> None:
     assert replica.memory(300) <= 300
 
 
-def test_the_commands_figures_are_json_and_bad_arguments_are_refused() -> None:
+def test_replica_command_prints_json_and_refuses_bad_arguments() -> None:
     result = CliRunner().invoke(
         bench, ["replica", "--customers", "50", "--lose", "0", "--fleets", "3", "--seeds", "1"]
     )
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -1,4 +1,4 @@
-"""Replication between real processes that are killed, cut off and started again."""
+"""Replication between real processes that are killed, partitioned and restarted."""
 
 from __future__ import annotations
 
@@ -23,28 +23,31 @@
 
 
 class ReplicatedFleet(Fleet):
-    """With calls at the operator addresses, from tasks of the harness's own scheduler."""
+    """A fleet with replication, and calls to its operator addresses.
+
+    The calls are made by tasks of the harness's own scheduler.
+    """
 
     def __init__(self, cluster: LoopbackCluster) -> None:
         super().__init__(cluster)
         self.answers: dict[int, bytes] = {}
 
-    def call(self, name: str, words: str) -> bytes:
+    def call(self, name: str, command: str) -> bytes:
         number = len(self.answers)
 
-        def ask() -> None:
-            self.answers[number] = self.cluster.call(name, words)
+        def call_operator() -> None:
+            self.answers[number] = self.cluster.call(name, command)
 
-        self.scheduler.spawn(ask)
+        self.scheduler.spawn(call_operator)
         self.until(lambda: number in self.answers)
         return self.answers[number]
 
     def replica(self, name: str) -> dict[str, Any]:
         first = self.call(name, "fleet").splitlines()
-        found: dict[str, Any] = json.loads(first[0])["replica"] if len(first) == 2 else {}
-        return found
+        result: dict[str, Any] = json.loads(first[0])["replica"] if len(first) == 2 else {}
+        return result
 
-    def out(self) -> list[list[str] | None]:
+    def disabled_endpoints(self) -> list[list[str] | None]:
         return [
             self.replica(name).get("hosts_out")
             for name in self.cluster.names
@@ -62,21 +65,25 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
-    four = plan.Plan(name="x", instances=4, hosts=2)
-    one = ReplicatedFleet(
-        LoopbackCluster(Scheduler(Clock()), four, tmp_path / "fleet", operator=disk_file)
+    plan_of_four = plan.Plan(name="x", instances=4, hosts=2)
+    replicated_fleet = ReplicatedFleet(
+        LoopbackCluster(Scheduler(Clock()), plan_of_four, tmp_path / "fleet", operator=disk_file)
     )
-    one.until(
-        lambda: one.whole() and all(one.replica(name).get("whole") for name in one.cluster.names)
+    replicated_fleet.until(
+        lambda: replicated_fleet.whole()
+        and all(
+            replicated_fleet.replica(name).get("whole") for name in replicated_fleet.cluster.names
+        )
     )
-    yield one
-    one.cluster.close()
+    yield replicated_fleet
+    replicated_fleet.cluster.close()
 
 
 def test_an_endpoint_disabled_at_one_limiter_is_disabled_at_all(
     fleet: ReplicatedFleet,
 ) -> None:
-    """One limiter is dead and one cut off at the time; later all are killed at once."""
+    """One limiter is dead and one partitioned when the call is made; later all are killed at
+    once."""
     fleet.cluster.processes.kill("n3")
     number = fleet.apart(("n2",))
     assert fleet.call("n0", "set-down h1").startswith(b"done")
@@ -85,42 +92,42 @@
     fleet.cluster.processes.start("n3")
     fleet.until(lambda: fleet.replica("n3").get("hosts_out") == ["h1"])
     fleet.cluster.relay.end(number)
-    fleet.until(lambda: fleet.out() == [["h1"]] * 4)
-    # What is called after having seen the other call holds, wherever it is made.
+    fleet.until(lambda: fleet.disabled_endpoints() == [["h1"]] * 4)
+    # A call at a limiter that has received the earlier override holds, wherever it is made.
     assert fleet.call("n2", "set-up h1").startswith(b"done")
-    fleet.until(lambda: fleet.out() == [[]] * 4)
-    # All killed at once: the snapshots hold it.
+    fleet.until(lambda: fleet.disabled_endpoints() == [[]] * 4)
+    # All limiters are killed at once: the override is restored from the snapshots.
     assert fleet.call("n2", "set-down h0").startswith(b"done")
-    fleet.until(lambda: fleet.out() == [["h0"]] * 4)
+    fleet.until(lambda: fleet.disabled_endpoints() == [["h0"]] * 4)
     snapshots = [fleet.folder / name / f"replica-{n}" for n, name in enumerate(fleet.cluster.names)]
     fleet.until(lambda: all(path.exists() and b"h0" in path.read_bytes() for path in snapshots))
     for name in fleet.cluster.names:
         fleet.cluster.processes.kill(name)
     for name in fleet.cluster.names:
         fleet.cluster.processes.start(name)
-    fleet.until(lambda: fleet.out() == [["h0"]] * 4)
+    fleet.until(lambda: fleet.disabled_endpoints() == [["h0"]] * 4)
 
 
-def test_operators_on_both_sides_of_a_partition_end_with_the_endpoint_disabled(
+def test_overrides_on_both_sides_of_a_partition_end_in_disabled(
     fleet: ReplicatedFleet,
 ) -> None:
     """Two operators enable and disable the same endpoints on two sides of a partition."""
     fleet.call("n0", "set-down h1")
-    fleet.until(lambda: fleet.out() == [["h1"]] * 4)
+    fleet.until(lambda: fleet.disabled_endpoints() == [["h1"]] * 4)
     number = fleet.apart(("n0", "n1"))
     fleet.call("n0", "set-up h1")
     fleet.call("n2", "set-up h1")
-    fleet.call("n2", "set-down h1")  # that side goes one call further
-    fleet.call("n0", "set-up h0")  # changes nothing
+    fleet.call("n2", "set-down h1")  # This side makes one more call than the other.
+    fleet.call("n0", "set-up h0")  # This changes nothing.
     fleet.call("n1", "set-down h0")
     fleet.cluster.relay.end(number)
-    fleet.until(lambda: fleet.out() == [["h0", "h1"]] * 4)
+    fleet.until(lambda: fleet.disabled_endpoints() == [["h0", "h1"]] * 4)
 
 
 def test_a_limiter_that_was_killed_catches_up_from_a_peer_and_logs_it(
     fleet: ReplicatedFleet,
 ) -> None:
-    """One of four limiters is killed and started again."""
+    """One of four limiters is killed and restarted."""
     fleet.until(lambda: all(fleet.replica(name).get("gives") for name in fleet.cluster.names))
     first = fleet.cluster.processes.members["n1"].log.read_text().count("told by member")
     fleet.cluster.processes.kill("n1")
@@ -142,7 +149,7 @@
     assert "set aside" in fleet.cluster.processes.members["n1"].log.read_text()
 
 
-def played(
+def run_drill(
     tmp_path: Path,
     events: tuple[Event, ...],
     operator: Callable[[str, Path], str],
@@ -150,27 +157,27 @@
 ) -> dict[str, Any]:
     folder = tmp_path / "drill"
     folder.mkdir()
-    one = plan.Plan(name="x", instances=5, seconds=seconds, events=events)
-    found = FaultInjectionRun(one, folder, operator=operator).run()
+    fault_plan = plan.Plan(name="x", instances=5, seconds=seconds, events=events)
+    result = FaultInjectionRun(fault_plan, folder, operator=operator).run()
     promises = [
         key for key in BROKEN_PROMISES if key not in ("false_deaths", "views_differ")
-    ]  # those are the view's own tests'
-    assert {key: found[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
-    return found
+    ]  # The tests of membership check these two.
+    assert {key: result[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
+    return result
 
 
-def could_be_served(folder: Path) -> int:
-    """Of the requests that a limiter answered, as many as the quota had room for.
+def count_servable(folder: Path) -> int:
+    """Returns how many of the requests that a limiter answered the quota had room for.
 
-    While all are dead, which takes as long as the machine takes to start processes, the quota fills
-    up to its burst and no further.
+    While all limiters are dead, for as long as the machine takes to start the processes, the quota
+    refills up to its burst and no further.
     """
     rate, burst = 20.0, 40.0  # of the plan `gold`
-    answered = [
+    answered_rows = [
         row for row in rows(folder / "clients.jsonl") if row["outcome"] in ("served", "busy")
     ]
     level, at, served = burst, 0.0, 0
-    for row in sorted(answered, key=lambda row: row["t"]):
+    for row in sorted(answered_rows, key=lambda row: row["t"]):
         level, at = min(burst, level + rate * (row["t"] - at)), row["t"]
         if level >= row["units"]:
             level, served = level - row["units"], served + 1
@@ -178,20 +185,20 @@
 
 
 def test_quotas_hold_through_a_partition_and_the_death_of_a_member(tmp_path: Path) -> None:
-    """Two of five limiters are cut off for 4 s, and one of the others dies meanwhile."""
+    """Two of five limiters are partitioned for 4 s, and one of the others dies in that time."""
     events = (
         Event(at=3.0, what="cut", whom=("n0", "n1"), lasts=4.0),
         Event(at=4.0, what="kill", whom=("n3",), lasts=1.0),
     )
-    found = played(tmp_path, events, replica_file)
-    assert found["over_quota_units"] <= 12 and found["service_share"] >= 0.85
+    result = run_drill(tmp_path, events, replica_file)
+    assert result["over_quota_units"] <= 12 and result["service_share"] >= 0.85
 
 
-def test_quotas_hold_though_all_are_killed_at_once(
+def test_quotas_hold_when_all_limiters_are_killed_at_once(
     tmp_path: Path,
 ) -> None:
-    """All limiters are killed at once, again and again; their snapshots say what was left."""
+    """All limiters are killed at once, repeatedly; their snapshots record what was left."""
     events = (Event(at=4.0, what="kill", whom=("*",), lasts=0.3, repeat=3.0, until=8.0),)
-    found = played(tmp_path, events, disk_file)
-    assert found["over_quota_units"] <= 4
-    assert found["accepted"] >= 0.75 * could_be_served(tmp_path / "drill")
+    result = run_drill(tmp_path, events, disk_file)
+    assert result["over_quota_units"] <= 4
+    assert result["accepted"] >= 0.75 * count_servable(tmp_path / "drill")
--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -1,7 +1,7 @@
-"""Quotas through the death of a whole fleet: what its snapshots say, and what they are worth.
+"""Quotas when all members of a fleet die at once, and the levels restored from their snapshots.
 
-Real decision engines and replication drivers on a clock set by hand. Time that the machine takes is
-an event here: a process that waits for its processor does nothing until its time has come.
+The tests run real decision engines and replication drivers on a simulated clock. Lack of processor
+time is simulated as well: a paused process does nothing until its pause has ended.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.decisions.engine import DecisionEngine
-from hazelhollow.decisions.gossip import codec as gossip
+from hazelhollow.decisions.gossip import codec as gossip_codec
 from hazelhollow.decisions.state.accounts import Account
 from hazelhollow.membership.authentication import MessageAuthenticator
 from hazelhollow.replication import codec, snapshot
@@ -41,16 +41,16 @@
 NETWORK_DELAY_S = 0.002
 SERVICE_TIME_S = 0.01
 START_INTERVAL_S = 0.01  # between the starts of two members
-MAX_DIFFERENCE = 4.0  # units, between runs of the same events at other moments
+MAX_DIFFERENCE = 4.0  # units, between runs of the same events at different times
 
 
 class Process:
-    """One incarnation of one member: its timers, and the one queue of all that happens to it."""
+    """One incarnation of one member, whose timers and datagrams are events of the fleet's queue."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.number, self.alive, self.paused_until = fleet, number, True, 0.0
-        self.began = fleet.now
-        told = replace(
+        self.started_at = fleet.now
+        engine_settings = replace(
             SETTINGS,
             limiter_id=number,
             limiter_count=MEMBERS,
@@ -58,18 +58,19 @@
             peers=True,
             gossip_messages_per_s=1000.0,
         )
-        self.gateway = DecisionEngine(told, seed=number)
-        self.on_message: Callable[[int, str], None] = self.gossip  # as PeerSocket has it
+        self.engine = DecisionEngine(engine_settings, seed=number)
+        # The attribute that PeerSocket has.
+        self.on_message: Callable[[int, str], None] = self.receive_gossip
         self.driver = ReplicationDriver(
             self,  # type: ignore[arg-type]
             Network(
                 self,  # type: ignore[arg-type]
-                KnownMembers(fleet, number, fleet.now),  # type: ignore[arg-type]
+                FakeMembership(fleet, number, fleet.now),  # type: ignore[arg-type]
                 MessageAuthenticator(),
                 codec.MAX_MESSAGE_BYTES,
             ),
             EngineLink(
-                EngineAccounts(self.gateway.replicated_accounts),
+                EngineAccounts(self.engine.replicated_accounts),
                 self.handle,
                 lambda overrides: None,
             ),
@@ -79,32 +80,32 @@
         self.handle(servers("full", *(entry(f"s{n}") for n in range(4))))
         self.driver.start()
         self.handle(api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True))
-        self.ask()
+        self.send_request()
 
-    # What the driver is given for the scheduler and the datagrams
+    # The interfaces of the scheduler and the peer socket, which the driver uses
 
     def clock(self) -> float:
         return self.fleet.now
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
-        self.fleet.at(when, self._happen, call, args)
+        self.fleet.at(when, self._run_unless_paused, call, args)
 
     def send_to(self, number: int, text: str) -> None:
-        self.fleet.at(self.clock() + NETWORK_DELAY_S, self.fleet.arrive, number, self.number, text)
+        self.fleet.at(self.clock() + NETWORK_DELAY_S, self.fleet.deliver, number, self.number, text)
 
-    def _happen(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
+    def _run_unless_paused(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
         if self.alive and self.clock() < self.paused_until:
             self.at(self.paused_until, call, *args)
         elif self.alive:
             call(*args)
 
-    # What a limiter does
+    # The work of a limiter
 
-    def gossip(self, sender: int, text: str) -> None:
+    def receive_gossip(self, sender: int, text: str) -> None:
         self.handle(api.GossipReceived(sender, text))
 
     def handle(self, event: api.Event) -> None:
-        for action in self.gateway.handle(event, self.clock()):
+        for action in self.engine.handle(event, self.clock()):
             if isinstance(action, api.StartAttempt):
                 self.fleet.admitted += 1.0
                 done = api.AttemptEnded(action.id, 0, action.endpoint, "ok", SERVICE_TIME_S, True)
@@ -116,33 +117,37 @@
             elif isinstance(action, api.ReplicateCount):
                 self.driver.record_charge(action)
 
-    def ask(self) -> None:
-        if self.fleet.asking:
+    def send_request(self) -> None:
+        if self.fleet.sends_requests:
             request = f"r{next(self.fleet.ids)}"
             self.handle(api.RequestArrived(request, "look", "gold", "c", 1.0, 1.5, 0, MEMBERS))
-        self.at(self.clock() + 1.0 / REQUESTS_PER_S, self.ask)
+        self.at(self.clock() + 1.0 / REQUESTS_PER_S, self.send_request)
 
 
 @dataclass
-class KnownMembers:
-    """Who is up, as replication's driver asks for it: its own `membership` too."""
+class FakeMembership:
+    """The membership as the replication driver queries it; it is its own `membership` as well."""
 
     fleet: Fleet
     limiter_id: int
-    began: float
+    started_at: float
     may_admit: bool = True
     member_count: int = MEMBERS
 
     @property
-    def membership(self) -> KnownMembers:
+    def membership(self) -> FakeMembership:
         return self
 
     def present(self) -> list[int]:
-        return [number for number, one in enumerate(self.fleet.all) if one and one.alive]
+        return [
+            number for number, process in enumerate(self.fleet.all) if process and process.alive
+        ]
 
     def members_older_by(self, seconds: float) -> set[int]:
         return {
-            n for n, one in enumerate(self.fleet.all) if one and one.began <= self.began - seconds
+            n
+            for n, process in enumerate(self.fleet.all)
+            if process and process.started_at <= self.started_at - seconds
         }
 
     def unreachable_but_serving(self) -> set[int]:
@@ -154,19 +159,19 @@
 
 class Fleet:
     def __init__(self, folder: Path) -> None:
-        self.folder, self.now, self.admitted, self.asking = folder, START, 0.0, True
+        self.folder, self.now, self.admitted, self.sends_requests = folder, START, 0.0, True
         self.ids = itertools.count()
-        self.lost: Callable[[str], bool] = lambda text: False  # datagrams that never arrive
+        self.is_lost: Callable[[str], bool] = lambda text: False  # by a datagram's text
         self._heap: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
         self.all: list[Process | None] = [None] * MEMBERS
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> None:
         heapq.heappush(self._heap, (when, next(self.ids), call, args))
 
-    def arrive(self, number: int, sender: int, text: str) -> None:
-        one = self.all[number]
-        if one and one.alive and not self.lost(text):
-            one._happen(lambda: one.on_message(sender, text), ())
+    def deliver(self, number: int, sender: int, text: str) -> None:
+        process = self.all[number]
+        if process and process.alive and not self.is_lost(text):
+            process._run_unless_paused(lambda: process.on_message(sender, text), ())
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -175,94 +180,94 @@
             call(*args)
         self.now = end
 
-    def start(self, apart: float = 0.0) -> None:
-        """All, one after another."""
+    def start(self, start_interval: float = 0.0) -> None:
+        """Starts all members, one after another."""
         for number in range(MEMBERS):
             self.all[number] = Process(self, number)
-            self.run(apart)
+            self.run(start_interval)
 
     def kill(self) -> None:
-        for one in self.all:
-            if one:
-                one.alive = False
-
-    def end(self) -> None:
-        """All end in good order."""
-        for one in self.all:
-            if one:
-                one.driver.stop()
+        for process in self.all:
+            if process:
+                process.alive = False
+
+    def shut_down(self) -> None:
+        """Shuts all members down in an orderly way."""
+        for process in self.all:
+            if process:
+                process.driver.stop()
         self.kill()
 
     def pause(self, number: int, seconds: float) -> None:
-        one = self.all[number]
-        assert one
-        one.paused_until = self.now + seconds
+        process = self.all[number]
+        assert process
+        process.paused_until = self.now + seconds
 
     def excess(self) -> float:
-        """Units beyond the quota and one burst, as the fault-injection checker has it."""
+        """Returns the units beyond the quota and one burst, as the fault-injection checker does."""
         return self.admitted - RATE * (self.now - START) - BURST
 
     def is_complete(self) -> bool:
-        return all(one and one.driver.replica.catch_up.is_complete for one in self.all)
+        return all(process and process.driver.replica.catch_up.is_complete for process in self.all)
 
     def account(self, number: int) -> Account:
-        one = self.all[number]
-        assert one
-        return next(iter(one.gateway.accounts.values()))
+        process = self.all[number]
+        assert process
+        return next(iter(process.engine.accounts.values()))
 
     def snapshot_of(self, number: int) -> snapshot.Snapshot:
-        found = SnapshotFile(self.folder, number).load(self.now)
-        assert found
-        return found
+        loaded = SnapshotFile(self.folder, number).load(self.now)
+        assert loaded
+        return loaded
 
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Fleet:
-    """All of whose members have admitted what there was for four seconds."""
+    """A fleet whose members have admitted all that the quota allows for four seconds."""
     return busy_fleet(tmp_path)
 
 
 def busy_fleet(folder: Path) -> Fleet:
-    one = Fleet(folder)
-    one.start(START_INTERVAL_S)
-    one.run(4.0)
-    return one
+    busy = Fleet(folder)
+    busy.start(START_INTERVAL_S)
+    busy.run(4.0)
+    return busy
 
 
-def test_a_fleet_that_nothing_happens_to_keeps_to_its_quota(fleet: Fleet) -> None:
+def test_a_fleet_without_faults_stays_within_its_quota(fleet: Fleet) -> None:
     fleet.run(9.0)
     assert -BURST <= fleet.excess() <= 0.0
 
 
 @pytest.mark.parametrize("second_incarnation", [0.1, 0.2, 0.4, 0.6, 0.8, 1.0])
-def test_what_an_incarnation_admitted_that_was_killed_before_it_was_complete_is_not_forgotten(
+def test_units_admitted_before_completion_count_after_another_kill(
     fleet: Fleet, second_incarnation: float
 ) -> None:
-    """All are killed, start, and are killed again before catch-up: the second start must not admit
-    what the first has used."""
-    for lasts in (second_incarnation, 8.0):
+    """All members are killed, start, and are killed again before catch-up is complete. After the
+    second start they must not admit what was used after the first."""
+    for lifetime_s in (second_incarnation, 8.0):
         fleet.kill()
         fleet.run(0.3)
         fleet.start(START_INTERVAL_S)
-        fleet.run(lasts)
+        fleet.run(lifetime_s)
     assert fleet.excess() <= 0.0
 
 
-def test_one_short_incarnation_after_another_brings_no_new_bursts(fleet: Fleet) -> None:
-    """Four times all are killed 0.6 s after their start."""
-    for lasts in (0.6, 0.6, 0.6, 0.6, 12.0):
+def test_successive_short_incarnations_grant_no_new_bursts(fleet: Fleet) -> None:
+    """All members are killed 0.6 s after their start, four times in succession."""
+    for lifetime_s in (0.6, 0.6, 0.6, 0.6, 12.0):
         fleet.kill()
         fleet.run(0.1)
         fleet.start(START_INTERVAL_S)
-        fleet.run(lasts)
+        fleet.run(lifetime_s)
     assert fleet.excess() <= 0.0
 
 
 @pytest.mark.parametrize("waiting", [(1,), (0, 2, 4), (0, 1, 2, 3, 4)])
-def test_how_long_processes_waited_before_they_died_admits_nothing(
+def test_pauses_before_a_kill_admit_no_additional_units(
     waiting: tuple[int, ...], tmp_path: Path
 ) -> None:
-    """Some processes got no processor time before the kill, while others admitted requests."""
+    """Some processes get no processor time before the kill, while others admit requests."""
     excess = []
     for seconds in (0.0, 1.0, 2.5):
         folder = tmp_path / f"{seconds}"
@@ -279,66 +284,67 @@
     assert max(excess) <= min(0.0, excess[0] + MAX_DIFFERENCE)
 
 
-def test_what_was_charged_before_catch_up_is_taken_off_what_the_snapshot_says(
+def test_charges_before_catch_up_are_subtracted_from_the_snapshot(
     fleet: Fleet,
 ) -> None:
-    """Until the others answer a member acts by its cautious share; periods close meanwhile."""
+    """Until the others answer, a member admits its cautious share; several periods close in that
+    time."""
     fleet.kill()
     fleet.run(0.3)
-    fleet.lost = lambda text: text.startswith(codec.DIALECT[0])
+    fleet.is_lost = lambda text: text.startswith(codec.DIALECT[0])
     fleet.start(START_INTERVAL_S)
     fleet.run(4.0)
     assert not fleet.is_complete()
-    fleet.lost = lambda text: False
+    fleet.is_lost = lambda text: False
     fleet.run(8.0)
     assert fleet.is_complete()
     assert fleet.excess() <= 0.0
 
 
-moments = st.tuples(
-    # who waits for its processor before the kill
+fault_sequences = st.tuples(
+    # the members that get no processor time before the kill
     st.lists(st.integers(0, MEMBERS - 1), max_size=MEMBERS),
-    st.sampled_from([0.0, 0.2, 1.0]),  # how long
+    st.sampled_from([0.0, 0.2, 1.0]),  # seconds without processor time before the kill
     st.sampled_from([0.1, 0.3, 1.5]),  # seconds that all are down
     st.sampled_from([0.01, 0.05, 0.2]),  # seconds between their starts
-    st.floats(0.05, 2.0),  # seconds that they live
+    st.floats(0.05, 2.0),  # seconds from the last start to the next fault
 )
 
 
 @settings(max_examples=8, deadline=None)
-@given(st.lists(moments, min_size=1, max_size=3))
+@given(st.lists(fault_sequences, min_size=1, max_size=3))
 @example([([], 0.0, 0.1, 0.01, 0.05)] * 4)  # killed again and again before the first look
-def test_no_kill_of_all_admits_units_beyond_the_quota(
+def test_kills_of_all_members_admit_no_units_beyond_the_quota(
     tmp_path_factory: pytest.TempPathFactory,
     plan: list[tuple[list[int], float, float, float, float]],
 ) -> None:
     """Random pauses, kills and starts of the whole fleet."""
     fleet = busy_fleet(tmp_path_factory.mktemp("fleet"))
-    for waiting, waits, down, apart, lasts in plan:
+    for waiting, pause_s, down_s, start_interval, lifetime_s in plan:
         for number in waiting:
             fleet.pause(number, 60.0)
-        fleet.run(waits)
+        fleet.run(pause_s)
         fleet.kill()
-        fleet.run(down)
-        fleet.start(apart)
-        fleet.run(lasts)
+        fleet.run(down_s)
+        fleet.start(start_interval)
+        fleet.run(lifetime_s)
     fleet.run(10.0)
     assert fleet.excess() <= 0.0
 
 
-def test_after_an_orderly_end_of_all_what_was_left_is_there_again(fleet: Fleet) -> None:
-    fleet.asking = False
+def test_an_orderly_shutdown_of_all_preserves_the_units_left(fleet: Fleet) -> None:
+    fleet.sends_requests = False
     fleet.run(0.2)
-    left = [fleet.account(number).quota.refill(fleet.now) for number in range(MEMBERS)]
-    assert all(0.0 < level < 10.0 for level in left)
-    fleet.end()
-    ended = fleet.now
+    levels = [fleet.account(number).quota.refill(fleet.now) for number in range(MEMBERS)]
+    assert all(0.0 < level < 10.0 for level in levels)
+    fleet.shut_down()
+    shut_down_at = fleet.now
     assert all(fleet.snapshot_of(number).is_final for number in range(MEMBERS))
     fleet.start(START_INTERVAL_S)
     while not fleet.is_complete():
         fleet.run(ROUND_INTERVAL_S)
-    for number, level in enumerate(left):
-        expected = min(BURST, level + RATE * (fleet.now - ended))
+    for number, level in enumerate(levels):
+        expected = min(BURST, level + RATE * (fleet.now - shut_down_at))
         assert fleet.account(number).quota.refill(fleet.now) == pytest.approx(expected, abs=0.1)
     assert not any(fleet.snapshot_of(number).is_final for number in range(MEMBERS))
 
@@ -347,8 +353,8 @@
     ("level", "age", "final", "left"),
     [
         (12.0, 0.0, False, 0.0),  # all of it may have been used
-        (12.0, 9.0, False, 0.0),  # and what came in since
-        (-30.0, 1.0, False, -10.0),  # what came in pays back
+        (12.0, 9.0, False, 0.0),  # and the refill since then
+        (-30.0, 1.0, False, -10.0),  # the refill repays the debt
         (-30.0, 9.0, False, 0.0),
         (12.0, 1.0, True, 32.0),
         (12.0, 9.0, True, BURST),
@@ -356,17 +362,19 @@
         (-30.0, -5.0, False, -30.0),  # the clock was set back
     ],
 )
-def test_the_guaranteed_level(level: float, age: float, final: bool, left: float) -> None:
+def test_guaranteed_level_depends_on_age_and_orderly_shutdown(
+    level: float, age: float, final: bool, left: float
+) -> None:
     saved = snapshot.Snapshot(snapshot.FORMAT, snapshot.VERSION, START, 0, [], [], final)
     assert guaranteed_level(level, GOLD, saved, START + age) == left
 
 
-# The customers of a snapshot, gathered in slices
+# The accounts of a snapshot, collected in slices
 
 
 def known_customers(count: int) -> DecisionEngine:
-    """With so many customers, of which each second one has used something."""
-    told = replace(
+    """Returns an engine with `count` customers, of which every second one is below its burst."""
+    engine_settings = replace(
         SETTINGS,
         limiter_id=0,
         limiter_count=MEMBERS,
@@ -374,80 +382,82 @@
         peers=True,
         gossip_messages_per_s=1000.0,
     )
-    gateway = DecisionEngine(told, seed=1)
-    gateway.handle(
-        api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True), START
-    )
-    chance = random.Random(1)
+    engine = DecisionEngine(engine_settings, seed=1)
+    engine.handle(api.MembershipChanged(True, tuple(range(MEMBERS)), counts_replicated=True), START)
+    rng = random.Random(1)
     for number in range(count):
-        account = gateway.customer_accounts.get(gossip.base36(number), GOLD, number % MEMBERS, 3)
-        account.quota.level = BURST if number % 2 else chance.uniform(-5.0, BURST - 0.1)
-    return gateway
+        account = engine.customer_accounts.get(
+            gossip_codec.base36(number), GOLD, number % MEMBERS, 3
+        )
+        account.quota.level = BURST if number % 2 else rng.uniform(-5.0, BURST - 0.1)
+    return engine
 
 
 @pytest.mark.parametrize("count", [0, 1, SLICE_CUSTOMERS, 5 * SLICE_CUSTOMERS + 7])
-def test_accounts_below_full_are_collected_in_slices_with_the_least_left_first(count: int) -> None:
-    gateway = known_customers(count)
-    collector, steps = SnapshotCollector(EngineAccounts(gateway.replicated_accounts)), 1
+def test_accounts_below_full_are_collected_in_slices_and_sorted(count: int) -> None:
+    engine = known_customers(count)
+    collector, steps = SnapshotCollector(EngineAccounts(engine.replicated_accounts)), 1
     while not collector.step():
         steps += 1
     assert steps == count // SLICE_CUSTOMERS + 1
     assert [
-        one.customer for one in collector.saved_accounts()
-    ] == gateway.replicated_accounts.names_below_full()
+        collected.customer for collected in collector.saved_accounts()
+    ] == engine.replicated_accounts.names_below_full()
     assert all(
-        one.level == gateway.accounts[one.customer].quota.level
-        for one in collector.saved_accounts()
+        collected.level == engine.accounts[collected.customer].quota.level
+        for collected in collector.saved_accounts()
     )
 
 
-def test_of_more_accounts_than_a_snapshot_holds_those_with_the_least_left_are_saved(
+def test_of_too_many_accounts_those_with_the_least_left_are_saved(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("hazelhollow.replication.snapshot_collector.MAX_CUSTOMERS", 10)
-    gateway = known_customers(100)
-    collector = SnapshotCollector(EngineAccounts(gateway.replicated_accounts))
+    engine = known_customers(100)
+    collector = SnapshotCollector(EngineAccounts(engine.replicated_accounts))
     collector.finish()
     assert [
-        one.customer for one in collector.saved_accounts()
-    ] == gateway.replicated_accounts.names_below_full()[:10]
+        collected.customer for collected in collector.saved_accounts()
+    ] == engine.replicated_accounts.names_below_full()[:10]
 
 
-def test_an_account_that_is_forgotten_meanwhile_is_left_out() -> None:
+def test_an_account_forgotten_between_slices_is_left_out() -> None:
     """The engine forgets a customer between two slices."""
-    gateway = known_customers(3 * SLICE_CUSTOMERS)
-    collector = SnapshotCollector(EngineAccounts(gateway.replicated_accounts))
+    engine = known_customers(3 * SLICE_CUSTOMERS)
+    collector = SnapshotCollector(EngineAccounts(engine.replicated_accounts))
     collector.step()
-    last = gossip.base36(3 * SLICE_CUSTOMERS - 2)
-    del gateway.accounts[last]
+    forgotten = gossip_codec.base36(3 * SLICE_CUSTOMERS - 2)
+    del engine.accounts[forgotten]
     collector.finish()
-    assert last not in {one.customer for one in collector.saved_accounts()}
+    assert forgotten not in {collected.customer for collected in collector.saved_accounts()}
 
 
-def test_a_snapshot_of_many_accounts_is_written_after_some_turns_and_the_last_at_once(
+def test_a_large_snapshot_takes_several_turns_and_the_last_none(
     tmp_path: Path,
 ) -> None:
     fleet = Fleet(tmp_path)
-    fleet.asking = False
+    fleet.sends_requests = False
     fleet.start(START_INTERVAL_S)
     fleet.run(6.0)
-    one = fleet.all[0]
-    assert one and one.driver.snapshots and one.driver.replica.catch_up.is_complete
+    process = fleet.all[0]
+    assert process and process.driver.snapshots and process.driver.replica.catch_up.is_complete
     file = SnapshotFile(tmp_path, 0)
     for number in range(3 * SLICE_CUSTOMERS):
-        one.gateway.customer_accounts.get(gossip.base36(number), GOLD, 0, 3).quota.level = 1.0
-    before = file.load(fleet.now)
-    one.driver.snapshots.save()
-    assert file.load(fleet.now) == before
+        process.engine.customer_accounts.get(
+            gossip_codec.base36(number), GOLD, 0, 3
+        ).quota.level = 1.0
+    snapshot_before = file.load(fleet.now)
+    process.driver.snapshots.save()
+    assert file.load(fleet.now) == snapshot_before
     fleet.run(0.1)
     written = file.load(fleet.now)
     assert written and len(written.accounts) == 3 * SLICE_CUSTOMERS and not written.is_final
-    one.driver.snapshots.save()
-    one.driver.stop()
+    process.driver.snapshots.save()
+    process.driver.stop()
     assert (
         (last := file.load(fleet.now))
         and last.is_final
         and len(last.accounts) == 3 * SLICE_CUSTOMERS
     )
     fleet.run(0.1)
-    assert file.load(fleet.now) == last  # the slices that were under way are not
+    assert file.load(fleet.now) == last  # The abandoned snapshot is not written.
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot on disk: read as written, never trusted when damaged."""
+"""The snapshot on disk: it is read as written, and never used if it is damaged."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     file = SnapshotFile(tmp_path, 2)
     assert file.load(NOW) is None
     file.save(SAVED)
-    found = file.load(NOW + 1.0)
-    assert found == SAVED and found.overrides == [Override("h", 1, 1, 5, 0)]
+    loaded = file.load(NOW + 1.0)
+    assert loaded == SAVED and loaded.overrides == [Override("h", 1, 1, 5, 0)]
     assert os.listdir(tmp_path) == ["replica-2"]
 
 
@@ -57,10 +57,10 @@
     assert os.listdir(tmp_path) == ["replica-2.bad"]
 
 
-def test_a_disk_that_takes_nothing_is_logged_once_and_costs_the_snapshot_alone(
+def test_a_failed_write_is_logged_once_and_does_not_raise(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The directory is gone: nothing can be written, and the limiter goes on."""
+    """The directory does not exist: nothing can be written, and the limiter must keep running."""
     file = SnapshotFile(tmp_path / "absent", 2)
     file.save(SAVED)
     file.save(SAVED)
