--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -1,7 +1,7 @@
-"""Files that an earlier version left on disk.
+"""Files that an earlier version wrote to disk.
 
-The present code reads every value of them, and would write the same bytes.
-`tests/kept_files/README.md` says how they were made.
+The present code must read every value in them and write the same bytes.
+`tests/kept_files/README.md` describes how they were made.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 from hazelhollow.replication.snapshot import SavedAccount, Snapshot
 from hazelhollow.replication.snapshot_file import SnapshotFile
 
-FOLDER = Path(__file__).parent / "kept_files"
+KEPT_FILES = Path(__file__).parent / "kept_files"
 INCARNATION = 1_700_000_000_123
 
 
 def load_snapshot(member: int, now: float, tmp_path: Path) -> Snapshot | None:
-    """Of a copy, since what can't be read is moved out of the way."""
-    copy(FOLDER / f"replica-{member}", tmp_path)
+    """Loads a copy of the kept file, since loading renames a file that cannot be used."""
+    copy(KEPT_FILES / f"replica-{member}", tmp_path)
     return SnapshotFile(tmp_path, member).load(now)
 
 
-def test_a_snapshot_with_customers_debts_and_overrides(tmp_path: Path) -> None:
-    found = load_snapshot(3, 1_700_000_010.0, tmp_path)
-    assert found is not None
-    assert (found.format, found.version) == ("hazelhollow-replica", 1)
-    assert (found.taken_at, found.member, found.is_final) == (1_700_000_005.75, 3, False)
-    assert found.accounts == [
+def test_snapshot_with_customers_debts_and_overrides_is_read(tmp_path: Path) -> None:
+    loaded = load_snapshot(3, 1_700_000_010.0, tmp_path)
+    assert loaded is not None
+    assert (loaded.format, loaded.version) == ("hazelhollow-replica", 1)
+    assert (loaded.taken_at, loaded.member, loaded.is_final) == (1_700_000_005.75, 3, False)
+    assert loaded.accounts == [
         SavedAccount("8tl2m", "7kq", 1, 5, 12.5),
         SavedAccount("0", "a1", 0, 1, -3.25),
         SavedAccount("zz9", "7kq", 4, 3, 0.0),
         *[SavedAccount(f"c{n}", "b22", n % 5, 1 + n % 5, n / 8 - 2) for n in range(40)],
     ]
-    first = found.accounts[0]
+    first = loaded.accounts[0]
     assert (first.customer, first.plan_name, first.set_start, first.set_size) == (
         "8tl2m",
         "7kq",
@@ -55,7 +55,7 @@
         5,
     )
     assert first.level == 12.5
-    overrides = found.overrides
+    overrides = loaded.overrides
     assert overrides == [
         Override("s-0001", 2, 0, 1_700_000_002_000, 4),
         Override("s-0002", 3, 1, 1_700_000_003_250, 3),
@@ -66,26 +66,26 @@
     assert (last.made_at_ms, last.member) == (1_700_000_004_500, 1)
 
 
-def test_a_snapshot_of_an_orderly_end(tmp_path: Path) -> None:
-    found = load_snapshot(12, 1_700_000_101.0, tmp_path)
-    assert found == Snapshot("hazelhollow-replica", 1, 1_700_000_100.0, 12, [], [], True)
-    assert found is not None and found.is_final
+def test_final_snapshot_is_read(tmp_path: Path) -> None:
+    loaded = load_snapshot(12, 1_700_000_101.0, tmp_path)
+    assert loaded == Snapshot("hazelhollow-replica", 1, 1_700_000_100.0, 12, [], [], True)
+    assert loaded is not None and loaded.is_final
 
 
-def test_snapshots_are_written_as_the_same_bytes(tmp_path: Path) -> None:
+def test_kept_snapshots_are_written_as_the_same_bytes(tmp_path: Path) -> None:
     for member, now in ((3, 1_700_000_010.0), (12, 1_700_000_101.0)):
-        found = load_snapshot(member, now, tmp_path)
-        assert found is not None
+        loaded = load_snapshot(member, now, tmp_path)
+        assert loaded is not None
         (tmp_path / f"replica-{member}").unlink()
-        SnapshotFile(tmp_path, member).save(found)
+        SnapshotFile(tmp_path, member).save(loaded)
         written = (tmp_path / f"replica-{member}").read_bytes()
-        assert written == (FOLDER / f"replica-{member}").read_bytes()
+        assert written == (KEPT_FILES / f"replica-{member}").read_bytes()
 
 
-def test_a_record_with_every_kind_of_entry() -> None:
-    troubles: list[str] = []
-    entries = list(read_entries(FOLDER, troubles.append))
-    assert not troubles
+def test_audit_record_with_every_kind_of_entry_is_read() -> None:
+    problems: list[str] = []
+    entries = list(read_entries(KEPT_FILES, problems.append))
+    assert not problems
     other = Versions("c", "abc", 7, "5d3a", 42, "def", "9c10", Candidate(2, Phase("b")))
     assert versions.decode(versions.encode(other)) == other
     began, again = "began", "an older index: discovery began anew or is another"
@@ -116,8 +116,8 @@
     assert [entry.serial for entry in entries if entry.candidate] == [9]
 
 
-def test_a_record_is_written_as_the_same_bytes(tmp_path: Path) -> None:
-    paths = segment_paths(FOLDER)
+def test_kept_audit_record_is_written_as_the_same_bytes(tmp_path: Path) -> None:
+    paths = segment_paths(KEPT_FILES)
     assert len(paths) == 2
     for path in paths:
         entries = list(decode_entries(path.read_bytes()))
@@ -131,16 +131,16 @@
     assert (tmp_path / paths[0].name).read_bytes() == paths[0].read_bytes()
 
 
-def test_a_file_of_servers_that_are_out(tmp_path: Path) -> None:
-    found = OverrideFile(path_for("espoo main/0", str(FOLDER))).read()
-    assert found == {"10.0.0.7:9000", "s-0001", "s-0009"}
+def test_file_of_disabled_endpoints_is_read_and_written_back(tmp_path: Path) -> None:
+    loaded = OverrideFile(path_for("espoo main/0", str(KEPT_FILES))).read()
+    assert loaded == {"10.0.0.7:9000", "s-0001", "s-0009"}
     path = path_for("espoo main/0", str(tmp_path))
-    OverrideFile(path).write(found)
-    assert path.read_bytes() == (FOLDER / path.name).read_bytes()
+    OverrideFile(path).write(loaded)
+    assert path.read_bytes() == (KEPT_FILES / path.name).read_bytes()
 
 
-def test_the_lines_of_the_membership() -> None:
-    first, second = rows(FOLDER / "n0.view.jsonl")
+def test_membership_lines_are_read() -> None:
+    first, second = rows(KEPT_FILES / "n0.view.jsonl")
     assert first == {
         "t": 1_700_000_000.5,
         "me": 0,
