--- a/hazelhollow/bench/documents.py
+++ b/hazelhollow/bench/documents.py
@@ -170,7 +170,7 @@
         if member.fetch and is_turn:
             _request(member, members, holders, draw, now)
         datagrams += [
-            (member.number, receiver, text) for receiver, text in member.queue.take_sendable(now)
+            (member.number, receiver, text) for receiver, text in member.queue.pop_sendable(now)
         ]
     return datagrams
 
--- a/hazelhollow/configuration/distribution/exchange.py
+++ b/hazelhollow/configuration/distribution/exchange.py
@@ -227,5 +227,5 @@
     def send_due(self, now: float) -> None:
         """Sends what the allowance has room for now."""
         if self._queue is not None:
-            for number, text in self._queue.take_sendable(now):
+            for number, text in self._queue.pop_sendable(now):
                 self._port.send(number, text)
--- a/hazelhollow/control_budget/send_queue.py
+++ b/hazelhollow/control_budget/send_queue.py
@@ -55,7 +55,7 @@
         while len(self._heap) > self._max_waiting:
             self._drop(max(self._heap))
 
-    def take_sendable(self, now: float) -> list[Payload]:
+    def pop_sendable(self, now: float) -> list[Payload]:
         """Takes out and pays for what may leave now.
 
         One that finds no room holds back all that are less useful.
--- a/hazelhollow/replication/send_priority.py
+++ b/hazelhollow/replication/send_priority.py
@@ -34,7 +34,7 @@
         for datagram in datagrams:
             if datagram.kind is not Kind.DIGESTS:
                 self._waiting.add(RANKS[datagram.kind], len(datagram.text), datagram, now)
-        due = self._waiting.take_sendable(now)
+        due = self._waiting.pop_sendable(now)
         if not self._waiting:
             due += [
                 datagram
--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -247,11 +247,11 @@
         pass
     for rank, payload in ((2, "piece"), (1, "ask"), (3, "digest"), (1, "another ask")):
         queue.add(rank, 200, payload, START)
-    assert queue.take_sendable(START) == [] and len(queue) == 3 and queue.contains("piece")
+    assert queue.pop_sendable(START) == [] and len(queue) == 3 and queue.contains("piece")
     assert not queue.contains("digest")  # the least useful made room
-    assert queue.take_sendable(START + 1.5)[:2] == ["ask", "another ask"]
+    assert queue.pop_sendable(START + 1.5)[:2] == ["ask", "another ask"]
     queue.add(1, 10**6, "too long", START + 1.5)
-    assert queue.take_sendable(START + 4.0) == [] and len(queue) == 0
+    assert queue.pop_sendable(START + 4.0) == [] and len(queue) == 0
     assert allowance.budget.usage[TrafficRole.CONFIGURATION].dropped >= 2
 
 
