--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -191,8 +191,8 @@
                 self._timeline.at(
                     arrives_at, self._deliver, member.number, datagram.recipient, datagram.text
                 )
-        if member.membership.take_changes():
-            self._note_changes(member, member.membership.take_changed_members())
+        if member.membership.consume_changed():
+            self._note_changes(member, member.membership.drain_changed_members())
 
     def _deliver(self, sender: int, receiver: int, text: str) -> None:
         member = self.members.get(receiver)
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -113,7 +113,7 @@
 
     def reevaluate(self) -> None:
         """What `evaluate_shut_out` goes by may have changed."""
-        self.membership.take_changes()
+        self.membership.consume_changed()
         self._report_changes()
 
     def may_admit(self) -> bool:
@@ -169,7 +169,7 @@
     def _send_all(self, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
             self._send(datagram)
-        if self.membership.take_changes():
+        if self.membership.consume_changed():
             self._report_changes()
 
     def _send(self, datagram: Datagram) -> None:
@@ -247,7 +247,7 @@
         """To the decision engine, the log, the history file, and the socket's addresses."""
         membership = self.membership
         admission_changed = self._notify_engine()
-        changed_members = membership.take_changed_members()
+        changed_members = membership.drain_changed_members()
         if self._options.seeds:
             self._learn_addresses(changed_members)
         if changed_members or admission_changed:
--- a/hazelhollow/membership/membership.py
+++ b/hazelhollow/membership/membership.py
@@ -9,7 +9,7 @@
 | `receive` | for each datagram from a member's address |
 | `leave` | once, at a graceful shutdown |
 
-After each call `take_changes` tells whether there is news for the decision engine.
+After each call `consume_changed` tells whether there is news for the decision engine.
 
 Behind it, by composition:
 
@@ -177,11 +177,11 @@
         """Whether this process stood still, so that `tick` must come before anything else."""
         return self._stall.is_stalled(now)
 
-    def take_changes(self) -> bool:
+    def consume_changed(self) -> bool:
         """Whether anything has changed since the last call."""
         return self._state.changes.take()
 
-    def take_changed_members(self) -> list[int]:
+    def drain_changed_members(self) -> list[int]:
         """Members whose state or incarnation has changed since the last call, in order."""
         return self._state.changes.take_members()
 
