--- a/tests/configuration/test_audit_processes.py
+++ b/tests/configuration/test_audit_processes.py
@@ -56,7 +56,7 @@
     one = Audited(
         LoopbackCluster(Scheduler(Clock()), three, tmp_path / "fleet", operator=audit_file)
     )
-    one.until(lambda: one.whole() and one.orders() == [0, 0, 0])
+    one.until(lambda: one.all_alive() and one.orders() == [0, 0, 0])
     yield one
     one.cluster.close()
 
--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -109,7 +109,7 @@
     one = Bounded(
         LoopbackCluster(Scheduler(Clock()), six, tmp_path / "fleet", operator=bounded_file)
     )
-    one.until(lambda: one.whole() and one.orders() == [0] * MEMBERS)
+    one.until(lambda: one.all_alive() and one.orders() == [0] * MEMBERS)
     yield one
     one.cluster.close()
 
@@ -167,7 +167,7 @@
     bounded.until(lambda: bounded.orders(*rest) == [1] * len(rest))
     for name in killed:
         bounded.start(name)  # with the files that it had
-    bounded.until(lambda: bounded.whole() and bounded.orders() == [1] * MEMBERS)
+    bounded.until(lambda: bounded.all_alive() and bounded.orders() == [1] * MEMBERS)
     bounded.never_dead(rest)
     bounded.meter.check()
     roles = bounded.control("n0")["roles"]
@@ -184,7 +184,7 @@
     bounded.until(lambda: bounded.held(names[1:], 0, "dead"))
     bounded.cluster.write_files("n0", 1)
     bounded.start("n0")
-    bounded.until(lambda: bounded.whole() and bounded.orders() == [1] * MEMBERS)
+    bounded.until(lambda: bounded.all_alive() and bounded.orders() == [1] * MEMBERS)
     logs = [bounded.cluster.processes.members[name].log.read_text() for name in names]
     assert not any("nobody gave order" in log for log in logs)
     bounded.meter.check()
@@ -205,7 +205,7 @@
     bounded.until(lambda: bounded.orders(*one) == [1] * len(one))
     assert bounded.orders(*other) == [0] * len(other)
     bounded.cluster.relay.end(number)
-    bounded.until(lambda: bounded.whole() and bounded.orders() == [1] * MEMBERS)
+    bounded.until(lambda: bounded.all_alive() and bounded.orders() == [1] * MEMBERS)
     for side in (one, other):
         bounded.never_dead(side)
     bounded.meter.check()
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -101,7 +101,7 @@
             assert self.scheduler.clock() < end, "not met"
             self.scheduler.turn(longest=0.05)
 
-    def whole(self) -> bool:
+    def all_alive(self) -> bool:
         """All hold all for alive."""
         views = [self.view(name) for name in self.cluster.names]
         return all(
@@ -130,7 +130,7 @@
     """A process is stopped until the others hold it dead, then continued. It reports that it
     admits nothing before it admits again.
     """
-    fleet.until(fleet.whole)
+    fleet.until(fleet.all_alive)
     fleet.cluster.processes.signal("n0", signal.SIGSTOP)
     fleet.until(lambda: fleet.view("n1")["0"][0] == fleet.view("n2")["0"][0] == "dead")
     fleet.cluster.processes.signal("n0", signal.SIGCONT)
@@ -138,7 +138,7 @@
     def acting() -> list[bool]:
         return [row["acting"] for row in rows(fleet.folder / "n0.view.jsonl")]
 
-    fleet.until(lambda: fleet.whole() and acting()[-1])
+    fleet.until(lambda: fleet.all_alive() and acting()[-1])
     assert acting()[0] is False and False in acting()[acting().index(True) :]
 
 
@@ -149,7 +149,7 @@
     status 0, the second goes on.
     """
     processes = fleet.cluster.processes
-    fleet.until(fleet.whole)
+    fleet.until(fleet.all_alive)
     first = processes.members["n1"]
     incarnation = fleet.view("n0")["1"][1]
     processes.add(
@@ -173,7 +173,7 @@
     """Garbled, forged and outdated datagrams are sent from a real peer address. They are
     counted and change nothing.
     """
-    fleet.until(fleet.whole)
+    fleet.until(fleet.all_alive)
     before = fleet.view("n0")
     relay, target = fleet.cluster.relay, fleet.cluster.own(1, 7946)
     out = relay.datagram_socket("n0", "n1")  # n1's address, as n0 knows it
@@ -268,11 +268,11 @@
     )
     fleet = Fleet(cluster)
     try:
-        fleet.until(fleet.whole)
+        fleet.until(fleet.all_alive)
         cluster.processes.kill("n0")
         fleet.until(lambda: {fleet.view(n)["0"][0] for n in ("n1", "n2")} == {"dead"})
         assert fleet.view("n1")["2"][0] == "alive"
         cluster.processes.start("n0")
-        fleet.until(fleet.whole)
+        fleet.until(fleet.all_alive)
     finally:
         cluster.close()
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -67,7 +67,8 @@
         LoopbackCluster(Scheduler(Clock()), four, tmp_path / "fleet", operator=disk_file)
     )
     one.until(
-        lambda: one.whole() and all(one.replica(name).get("whole") for name in one.cluster.names)
+        lambda: one.all_alive()
+        and all(one.replica(name).get("whole") for name in one.cluster.names)
     )
     yield one
     one.cluster.close()
