--- a/hazelhollow/membership/__init__.py
+++ b/hazelhollow/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Membership of the fleet: which limiters are up, in which incarnation, and who hears whom.
+"""Fleet membership: which limiters are up, in which incarnation, and which can reach each other.
 
-SWIM with Lifeguard's local health. `membership.Membership` is the state without I/O: it is fed
-datagrams and the time and returns datagrams to send. `driver.MembershipDriver` owns sockets and
-timers and tells the decision engine what changed. `timing` says when a member is suspected and
-when it is dead.
+The protocol is SWIM with Lifeguard's local health. `membership.Membership` holds the state without
+I/O: it is given datagrams and the current time and returns datagrams to send.
+`driver.MembershipDriver` owns sockets and timers and notifies the decision engine of changes.
+`timing` defines when a member becomes suspect and when it is considered dead.
 """
--- a/hazelhollow/membership/change_log.py
+++ b/hazelhollow/membership/change_log.py
@@ -1,4 +1,4 @@
-"""What changed in the member table since the driver last asked."""
+"""The changes of the member table since the driver last asked."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ChangeLog:
-    """Changes for the driver, and since when each member has been in its state, for operators."""
+    """Tracks changes for the driver, and when each member entered its state, for operators."""
 
     def __init__(self) -> None:
         self._has_changed = True
@@ -14,26 +14,26 @@
         self._since: dict[int, float] = {}
 
     def note_change(self) -> None:
-        """Something has changed that is no record: whether this member may admit work."""
+        """Records a change other than of a record: whether this member may admit work."""
         self._has_changed = True
 
     def record_changed(self, before: Record | None, after: Record, now: float) -> None:
-        """The member table holds `after` from now on."""
+        """Records that the member table now holds `after` in place of `before`."""
         self._has_changed = True
         if before is None or (before.state, before.incarnation) != (after.state, after.incarnation):
             self._since[after.number] = now
             self._changed_members.append(after.number)
 
-    def take(self) -> bool:
+    def consume_changed(self) -> bool:
         """Whether anything has changed since the last call."""
         changed, self._has_changed = self._has_changed, False
         return changed
 
-    def take_members(self) -> list[int]:
-        """Members whose state or incarnation has changed since the last call, in order."""
+    def drain_members(self) -> list[int]:
+        """Members whose state or incarnation has changed since the last call, oldest first."""
         members, self._changed_members = self._changed_members, []
         return members
 
     def since(self, number: int, default: float) -> float:
-        """When this member first saw that one's present state, in seconds."""
+        """When this member first saw the current state of that member, in seconds."""
         return self._since.get(number, default)
--- a/hazelhollow/membership/death_confirmation.py
+++ b/hazelhollow/membership/death_confirmation.py
@@ -1,15 +1,15 @@
-"""Deaths that others report of members that are well here: checked before they are believed.
+"""Deaths that others report of members that are alive here, checked before they are accepted.
 
-After a partition each side holds the other's members dead and reports so to those who have heard
-them all the time. Each such death waits here: its member is pinged up to `CONFIRMATION_ATTEMPTS`
-times, and refutes if it is there.
+After a partition, each side considers the other side's members dead and reports that to members
+that have heard from them throughout. Each such report waits here: its member is pinged up to
+`CONFIRMATION_ATTEMPTS` times, and refutes the report if it is up.
 
 | event | effect on a reported death |
 | --- | --- |
 | the member refutes | dropped |
 | a ping has no answer in time, fewer than `CONFIRMATION_ATTEMPTS` so far | pinged again |
-| the last ping has no answer in time | believed |
-| `MASS_FAILURE_SAMPLE` members in a row did not answer | believed without a ping |
+| the last ping has no answer in time | accepted |
+| `MASS_FAILURE_SAMPLE` members in a row did not answer | accepted without a ping |
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record
 from hazelhollow.membership.timing import CONFIRMATION_ATTEMPTS, MASS_FAILURE_SAMPLE
 
-PINGS_PER_PERIOD = 2  # beside the one that is sent when a death is first reported
-MAX_AWAITING_ANSWER = 8  # members whose answers are awaited at once
+PINGS_PER_PERIOD = 2  # in addition to the ping sent when a death is first reported
+MAX_AWAITING_ANSWER = 8  # members whose answers may be awaited at once
 
 
 @dataclass
 class ReportedDeath:
     """A reported death.
 
-    `since`: when it was reported first. `answer_by`: until when an answer to the latest ping may
-    come; None while none is awaited. `pings`: how many were sent.
+    `since` is when it was first reported. `answer_by` is the deadline for an answer to the latest
+    ping, or None while none is awaited. `pings` counts the pings sent.
     """
 
     record: Record
@@ -39,25 +39,25 @@
 
 
 class DeathConfirmations:
-    """All reported deaths that are being checked. `chance`: draws who is pinged first."""
+    """All reported deaths that are being checked. `rng` draws the order of pings."""
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         self._confirmations: dict[int, ReportedDeath] = {}
-        self._random = chance
-        self._silent_in_a_row = 0  # members whose last ping had no answer
+        self._random = rng
+        self._consecutive_silent = 0  # members whose last ping was not answered
 
     def __len__(self) -> int:
         return len(self._confirmations)
 
     def record(self, number: int) -> Record | None:
-        """The reported death of that member."""
-        known = self._confirmations.get(number)
-        return known.record if known else None
+        """The reported death of that member, if one is being checked."""
+        pending = self._confirmations.get(number)
+        return pending.record if pending else None
 
     def is_needed(self, report: Record, known: Record | None) -> bool:
-        """Whether a reported record must be checked rather than merged: a death of one well here.
+        """Whether a report must be checked before merging: a death of a member that is alive here.
 
-        `known`: what the member table holds.
+        `known`: the record in the member table.
         """
         return (
             report.state == MemberState.DEAD
@@ -67,22 +67,22 @@
         )
 
     def add(self, record: Record, now: float) -> bool:
-        """A death was reported. Whether it is new."""
-        known = self._confirmations.get(record.number)
-        if known is None:
+        """Adds a reported death and returns whether it was not pending yet."""
+        pending = self._confirmations.get(record.number)
+        if pending is None:
             self._confirmations[record.number] = ReportedDeath(record, now)
-        elif record > known.record:
-            known.record = record
-        return known is None
+        elif record > pending.record:
+            pending.record = record
+        return pending is None
 
     def has_room(self) -> bool:
-        """Whether a death that has just been reported may be pinged at once."""
+        """Whether a death that has just been reported may be pinged immediately."""
         return len(self._confirmations) <= MAX_AWAITING_ANSWER
 
     def record_changed(self, record: Record) -> None:
-        """The member table holds this record from now on."""
-        known = self._confirmations.get(record.number)
-        if known is None or record < known.record:
+        """Updates the pending reports after the member table has adopted a record."""
+        pending = self._confirmations.get(record.number)
+        if pending is None or record < pending.record:
             return
         if record.state in PRESENT_STATES:
             self.refute(record.number)
@@ -90,33 +90,36 @@
             self.settle(record.number)
 
     def refute(self, number: int) -> None:
-        """The member is there."""
+        """Drops the report of a member that is up."""
         if self._confirmations.pop(number, None):
-            self._silent_in_a_row = 0
+            self._consecutive_silent = 0
 
     def settle(self, number: int) -> None:
-        """The member is known to be gone."""
+        """Drops the report of a member that is known to be gone."""
         self._confirmations.pop(number, None)
 
-    def heard_from_suspect_or_dead(self) -> None:
-        """A member that was considered dead was heard: those that were silent may answer now."""
-        self._silent_in_a_row = 0
+    def reset_mass_failure(self) -> None:
+        """Resets the count of silent members, since a member considered dead has answered.
+
+        Others that were silent may answer now too.
+        """
+        self._consecutive_silent = 0
 
     def clear(self) -> None:
-        """This member stood still: nothing that was awaited before counts."""
+        """Discards all reports after a stall, since their deadlines no longer count."""
         self._confirmations.clear()
-        self._silent_in_a_row = 0
+        self._consecutive_silent = 0
 
     def next_to_ping(
         self, limit: int = PINGS_PER_PERIOD, max_awaited: int = MAX_AWAITING_ANSWER
     ) -> list[int]:
-        """At most `limit` members to ping now, those first that were pinged before.
+        """Returns at most `limit` members to ping now, those pinged before first.
 
-        Drawn by chance, so that each member of the fleet pings others; no more than `max_awaited`
-        answers are awaited at once.
+        Within that the order is random, so that the members of the fleet ping different ones. At
+        most `max_awaited` answers are awaited at once.
         """
         waiting = [
-            number for number, known in self._confirmations.items() if known.answer_by is None
+            number for number, pending in self._confirmations.items() if pending.answer_by is None
         ]
         self._random.shuffle(waiting)
         waiting.sort(key=lambda number: -self._confirmations[number].pings)
@@ -124,34 +127,34 @@
         return waiting[: max(0, min(limit, room))]
 
     def pinged(self, number: int, answer_by: float) -> None:
-        """That member was sent the report of its death."""
-        known = self._confirmations.get(number)
-        if known and known.answer_by is None:
-            known.answer_by, known.pings = answer_by, known.pings + 1
+        """Records that the report of its death was sent to that member."""
+        pending = self._confirmations.get(number)
+        if pending and pending.answer_by is None:
+            pending.answer_by, pending.pings = answer_by, pending.pings + 1
 
-    def take_confirmed(self, now: float, min_wait_s: float) -> list[Record]:
-        """Takes out the deaths to be believed now.
+    def drain_confirmed(self, now: float, min_wait_s: float) -> list[Record]:
+        """Removes and returns the deaths that are accepted now.
 
-        `min_wait_s`: that each waits at least where it is believed without a ping.
+        `min_wait_s`: the minimum wait of a death that is accepted without a ping.
         """
         confirmed = list[Record]()
-        for number, known in list(self._confirmations.items()):
-            if self._advance(known, now, min_wait_s):
+        for number, pending in list(self._confirmations.items()):
+            if self._advance(pending, now, min_wait_s):
                 del self._confirmations[number]
-                confirmed.append(known.record)
+                confirmed.append(pending.record)
         if not self._confirmations:
-            self._silent_in_a_row = 0
+            self._consecutive_silent = 0
         return confirmed
 
-    def _advance(self, known: ReportedDeath, now: float, min_wait_s: float) -> bool:
-        """Whether the death is believed; where an answer may have been lost, the next ping."""
-        is_mass_failure = self._silent_in_a_row >= MASS_FAILURE_SAMPLE
-        if known.answer_by is None:
-            return is_mass_failure and now >= known.since + min_wait_s
-        if now < known.answer_by:
+    def _advance(self, pending: ReportedDeath, now: float, min_wait_s: float) -> bool:
+        """Returns whether the death is accepted; schedules another ping where pings remain."""
+        is_mass_failure = self._consecutive_silent >= MASS_FAILURE_SAMPLE
+        if pending.answer_by is None:
+            return is_mass_failure and now >= pending.since + min_wait_s
+        if now < pending.answer_by:
             return False
-        if known.pings < CONFIRMATION_ATTEMPTS and not is_mass_failure:
-            known.answer_by = None
+        if pending.pings < CONFIRMATION_ATTEMPTS and not is_mass_failure:
+            pending.answer_by = None
             return False
-        self._silent_in_a_row += 1
+        self._consecutive_silent += 1
         return True
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -188,7 +188,7 @@
         if self._has_ended:
             return
         membership, now = self.membership, self._scheduler.clock()
-        is_young = now - membership.began < STARTUP_ANNOUNCE_S
+        is_young = now - membership.start_time < STARTUP_ANNOUNCE_S
         next_in_s = PROBE_INTERVAL_S if is_young else ANNOUNCE_EVERY_S
         self._scheduler.at(now + next_in_s, self._announce_to_own_address)
         text = membership.own_announcement()
--- a/hazelhollow/membership/incarnation.py
+++ b/hazelhollow/membership/incarnation.py
@@ -1,13 +1,13 @@
-"""Incarnations: one number for each run of a limiter, greater for a later start."""
+"""Incarnations: a number for each run of a limiter, greater for a later start."""
 
 from __future__ import annotations
 
 import random
 
-RANDOM_SPAN = 1296  # the random part is below it; it tells two starts of one moment apart
-INCARNATIONS_PER_S = 100 * RANDOM_SPAN  # hundredths of a second, and the random part
+RANDOM_SPAN = 1296  # the random part, below this, distinguishes two simultaneous starts
+INCARNATIONS_PER_S = 100 * RANDOM_SPAN  # resolution of 0.01 s, and the random part
 
 
-def new_incarnation(started_at: float, chance: random.Random) -> int:
-    """The incarnation of a limiter that starts at `started_at`, in Unix seconds."""
-    return int(started_at * 100) * RANDOM_SPAN + chance.randrange(RANDOM_SPAN)
+def new_incarnation(started_at: float, rng: random.Random) -> int:
+    """Returns the incarnation of a limiter that starts at `started_at`, in Unix seconds."""
+    return int(started_at * 100) * RANDOM_SPAN + rng.randrange(RANDOM_SPAN)
--- a/hazelhollow/membership/incarnation_conflict.py
+++ b/hazelhollow/membership/incarnation_conflict.py
@@ -1,8 +1,8 @@
-"""Which of two processes with one limiter id goes on: the one that started later.
+"""Which of two processes with the same limiter id continues: the one that started later.
 
-| this member | a later incarnation of its id is | result |
+| this member | origin of a later incarnation of its id | result |
 | --- | --- | --- |
-| joining, first time | its own earlier run, whose clock was ahead | goes past it, still joining |
+| joining, first time | its own earlier run, whose clock was ahead | exceeds it, still joining |
 | joining, second time | another process | yields |
 | joined | another process | yields |
 | any | another process on this machine | yields |
@@ -17,29 +17,29 @@
 
 
 class Resolution(Enum):
-    """What follows from a record of this member's own id."""
+    """The consequence of a record that carries this member's own id."""
 
     NO_CONFLICT = auto()
-    OUTBID = auto()
+    EXCEED = auto()
     YIELD = auto()
 
 
 class IncarnationConflict:
-    """The rule, and whether this member has outbid an earlier run of its own already."""
+    """The rule, and whether this member has already exceeded an earlier run of its own."""
 
     def __init__(self) -> None:
-        self._has_outbid = False
+        self._has_exceeded = False
 
     def resolve(self, own: Record, reported: Record) -> Resolution:
-        """`reported`: a record of this member's id that another sent."""
+        """Resolves a record of this member's id that another member sent."""
         if reported.incarnation <= own.incarnation:
             return Resolution.NO_CONFLICT
-        if own.state == MemberState.JOINING and not self._has_outbid:
-            self._has_outbid = True
-            return Resolution.OUTBID
+        if own.state == MemberState.JOINING and not self._has_exceeded:
+            self._has_exceeded = True
+            return Resolution.EXCEED
         return Resolution.YIELD
 
 
-def outbidding(incarnation: int) -> int:
-    """The incarnation that a member takes to go past that one: a hundredth of a second later."""
+def next_incarnation(incarnation: int) -> int:
+    """The incarnation that exceeds the given one: a hundredth of a second later."""
     return incarnation + RANDOM_SPAN
--- a/hazelhollow/membership/own_record.py
+++ b/hazelhollow/membership/own_record.py
@@ -1,4 +1,4 @@
-"""The record that a member keeps of itself: only it raises the version."""
+"""The record that a member keeps of itself. Only the member itself raises the record version."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 
 class OwnRecord:
-    """`record` is as others are to hold it; `unreachable`: members that cannot be heard directly.
+    """This member's own record, and `unreachable`, the members whose datagrams do not arrive here.
 
-    Whoever changes it puts the new record into the member table too.
+    `record` is what others are to hold. A caller that changes it must also put the new record into
+    the member table.
     """
 
     def __init__(self, record: Record) -> None:
@@ -17,7 +18,10 @@
         self.unreachable = set[int]()
 
     def restate(self, state: MemberState, versions: str | None = None) -> Record:
-        """The next version of the record. `versions`: as before by default."""
+        """Returns the next version of the record with this state.
+
+        `versions` replaces those of the record; by default they stay the same.
+        """
         own = self.record
         changed = own._replace(
             record_version=own.record_version + 1,
@@ -27,11 +31,11 @@
         return self._keep(changed)
 
     def refute(self, reported: Record) -> Record:
-        """A version that overrides what was reported of this incarnation."""
+        """Returns a version that overrides what was reported about this incarnation."""
         return self._keep(self.record._replace(record_version=reported.record_version + 1))
 
-    def begin_again(self, incarnation: int) -> Record:
-        """The first version of another incarnation, which is joining."""
+    def begin_incarnation(self, incarnation: int) -> Record:
+        """Returns the first version of another incarnation, in the joining state."""
         return self._keep(
             self.record._replace(
                 incarnation=incarnation, record_version=0, state=MemberState.JOINING
@@ -39,6 +43,6 @@
         )
 
     def _keep(self, record: Record) -> Record:
-        named = tuple(sorted(self.unreachable)[:MAX_UNREACHABLE])
-        self.record = record._replace(unreachable=named)
+        listed = tuple(sorted(self.unreachable)[:MAX_UNREACHABLE])
+        self.record = record._replace(unreachable=listed)
         return self.record
--- a/hazelhollow/membership/period.py
+++ b/hazelhollow/membership/period.py
@@ -62,12 +62,12 @@
     def _expire(self) -> None:
         """Probes that have ended, confirmed deaths, and suspicions that nobody has refuted."""
         state = self._state
-        for ended in state.detector.take_ended(state.now):
+        for ended in state.detector.drain_ended(state.now):
             self._conclude(ended)
         wait_s = state.health.probe_timeout_s
-        for record in state.confirmations.take_confirmed(state.now, wait_s):
+        for record in state.confirmations.drain_confirmed(state.now, wait_s):
             state.apply(record.as_dead())  # changes nothing if it has refuted that
-        for record in state.suspicions.take_expired(state.now):
+        for record in state.suspicions.drain_expired(state.now):
             state.apply(record.as_dead())
 
     def _conclude(self, ended: ProbeEnded) -> None:
@@ -96,7 +96,7 @@
     def _declare_never_seen_dead(self) -> None:
         """Members that nobody has heard of count as dead after a while."""
         state = self._state
-        waited = state.may_admit and state.now - state.began > NEVER_SEEN_TIMEOUT_S
+        waited = state.may_admit and state.now - state.start_time > NEVER_SEEN_TIMEOUT_S
         if waited and len(state.table) < state.settings.member_count:
             for number in range(state.settings.member_count):
                 if state.table.get(number) is None:
--- a/hazelhollow/membership/replay_window.py
+++ b/hazelhollow/membership/replay_window.py
@@ -1,4 +1,4 @@
-"""Which datagrams of a sender were received before, or come from a run of it that is over."""
+"""Detects datagrams that were received before or that come from an earlier run of their sender."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from hazelhollow.membership.records import Record
 
-WINDOW = 64  # serials behind the newest that may still come
-HINT_INTERVAL_S = 0.5  # between datagrams that tell one sender of a later process with its id
+WINDOW = 64  # serials behind the newest that are still accepted
+HINT_INTERVAL_S = 0.5  # between notifications to one sender of a later process with its id
 
 
 class ReplayWindow:
-    """The serials that were received of one incarnation of a sender."""
+    """The serials that were received in one incarnation of a sender."""
 
     __slots__ = ("incarnation", "highest", "mask", "hinted_at")
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation, self.highest, self.mask = incarnation, -1, 0
-        self.hinted_at = -1e9  # when the sender was last told that another has its id, in seconds
+        self.hinted_at = -1e9  # time of the last notification, in seconds
 
     def is_fresh(self, serial: int) -> bool:
-        """Whether this serial was not received before; from now on it was.
+        """Whether this serial was not received before; marks it as received.
 
-        One that lies `WINDOW` or more behind the newest counts as received.
+        A serial that lies `WINDOW` or more behind the newest counts as received.
         """
         if serial > self.highest:
             self.mask = ((self.mask << min(serial - self.highest, WINDOW)) | 1) & (
@@ -38,7 +38,7 @@
 
 
 class Freshness(Enum):
-    """Whether a datagram may be read."""
+    """Whether a datagram may be processed."""
 
     FRESH = auto()
     REPLAYED = auto()
@@ -46,13 +46,13 @@
 
 
 class ReplayGuard:
-    """The windows of all senders."""
+    """The replay windows of all senders."""
 
     def __init__(self) -> None:
         self._windows: dict[int, ReplayWindow] = {}
 
     def check(self, sender: Record, serial: int, known: Record | None) -> Freshness:
-        """`known`: what the member table holds of the sender."""
+        """Classifies a datagram; `known` is the member table's record of the sender."""
         window = self._windows.get(sender.number)
         newest = max(window.incarnation if window else 0, known.incarnation if known else 0)
         if sender.incarnation < newest:
@@ -63,11 +63,11 @@
             window = self._windows[sender.number] = ReplayWindow(sender.incarnation)
         return Freshness.FRESH if window.is_fresh(serial) else Freshness.REPLAYED
 
-    def take_hint(self, sender_id: int, now: float) -> bool:
+    def claim_hint(self, sender_id: int, now: float) -> bool:
         """Whether a sender of an earlier incarnation is to be notified of the later one now.
 
-        Its datagrams are dropped, so it would not learn otherwise that another has its id. Once
-        `HINT_INTERVAL_S` at most.
+        Its datagrams are dropped, so it would not learn otherwise that another process has its id.
+        Returns True at most once every `HINT_INTERVAL_S`, and starts that interval.
         """
         window = self._windows[sender_id]
         if now - window.hinted_at < HINT_INTERVAL_S:
--- a/hazelhollow/membership/sender.py
+++ b/hazelhollow/membership/sender.py
@@ -82,8 +82,8 @@
         self._serial = 0
         self._datagrams: list[Datagram] = []
 
-    def take(self) -> list[Datagram]:
-        """What was sent since the last call."""
+    def drain(self) -> list[Datagram]:
+        """Removes and returns the datagrams collected since the last call."""
         datagrams, self._datagrams = self._datagrams, []
         return datagrams
 
--- a/hazelhollow/membership/state.py
+++ b/hazelhollow/membership/state.py
@@ -1,4 +1,4 @@
-"""The parts of one member's state, and how a changed record reaches all that it concerns."""
+"""The components of one member's state, and the propagation of a changed record to all of them."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class MembershipState:
-    """What the protocol period, the reception of datagrams and the facade work on.
+    """The components shared by the protocol period, the reception of datagrams and the facade.
 
-    `now`: the time of the call that is being handled, which the facade sets. The other parameters
-    are those of `membership.Membership`.
+    `now` is the time of the call in progress, which the facade sets. The other parameters are those
+    of `membership.Membership`.
     """
 
     def __init__(
@@ -44,10 +44,10 @@
         allowance: Allowance | None,
         started_at: float | None,
     ) -> None:
-        self.settings, self.now, self.began = settings, now, now
+        self.settings, self.now, self.start_time = settings, now, now
         self._limiter_id = settings.limiter_id
-        self.superseded = False  # another process has its id and goes on in its place
-        self.counts: Counter[str] = Counter()  # by the names of `counters.py`
+        self.superseded = False  # another process uses this member's id and replaces this process
+        self.counts: Counter[str] = Counter()  # keys: the names in `counters.py`
         self.random = random.Random(settings.seed)
         incarnation = new_incarnation(now if started_at is None else started_at, self.random)
         self.own_record = OwnRecord(
@@ -86,11 +86,15 @@
 
     @property
     def may_admit(self) -> bool:
-        """Whether it may admit work: a peer has answered since it started or stood still."""
+        """Whether this member may admit work.
+
+        True once a peer has answered since the last start or stall, unless this process is
+        superseded.
+        """
         return self.join.may_admit and not self.superseded
 
     def apply(self, record: Record) -> None:
-        """Merges a record into the table and passes a change on to all parts that it concerns."""
+        """Merges a record into the table and notifies every component that depends on a change."""
         before = self.table.get(record.number)
         if not self.table.put(record):
             return
@@ -106,7 +110,10 @@
                 self.set_unreachable(record.number, False)
 
     def set_unreachable(self, number: int, unreachable: bool) -> None:
-        """Whether that member cannot be heard here though others can: the own record names it."""
+        """Records whether this member cannot receive from that member although others can.
+
+        The list is part of this member's own record.
+        """
         if unreachable == (number in self.own_record.unreachable):
             return
         if unreachable:
@@ -116,9 +123,9 @@
         self.apply(self.own_record.restate(self.own.state))
 
     def complete_join(self) -> None:
-        """A peer has answered, or nobody is there.
+        """Ends joining, after a peer has answered or because no peer is up.
 
-        What the peer holds of this member was read before.
+        What the peer reported about this member has been processed before this call.
         """
         if self.join.complete():
             self.changes.note_change()
@@ -126,18 +133,21 @@
             self.apply(self.own_record.restate(MemberState.ALIVE))
 
     def supersede(self) -> None:
-        """Another process has this member's id and goes on; this one does nothing more."""
+        """Stops this process permanently: another process with the same id replaces it."""
         self.superseded = True
         self.changes.note_change()
 
     def ping_reported_dead(self, number: int) -> None:
-        """A member whose death others report: if it is there, it answers and refutes."""
+        """Pings a member whose death others report, so that it can refute the report."""
         record = self.confirmations.record(number)
         if record and self.ping(number, Purpose.CONFIRMATION, record) is not None:
             self.confirmations.pinged(number, self.now + self.health.probe_timeout_s)
 
     def ping(self, number: int, purpose: Purpose, report: Record | None = None) -> int | None:
-        """A ping whose ack is not awaited: it shows the member what is known of it here."""
+        """Sends a ping whose ack is not awaited.
+
+        It shows the recipient what this member holds about it.
+        """
         ping = Outgoing(
             number,
             MessageKind.PING,
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -35,12 +35,12 @@
         suspicions.add(suspect(number), START, 1.0)
     for number in range(MASS_FAILURE_SAMPLE - 1):
         suspicions.pinged(number)
-    assert {r.number for r in suspicions.take_expired(START + 1.0)} == set(
+    assert {r.number for r in suspicions.drain_expired(START + 1.0)} == set(
         range(MASS_FAILURE_SAMPLE - 1)
     )
-    assert suspicions.take_expired(START + 100.0) == []
+    assert suspicions.drain_expired(START + 100.0) == []
     suspicions.pinged(MASS_FAILURE_SAMPLE - 1)
-    assert {r.number for r in suspicions.take_expired(START + 100.0)} == {
+    assert {r.number for r in suspicions.drain_expired(START + 100.0)} == {
         MASS_FAILURE_SAMPLE - 1,
         MASS_FAILURE_SAMPLE,
         MASS_FAILURE_SAMPLE + 1,
@@ -57,15 +57,15 @@
     for number in range(MASS_FAILURE_SAMPLE):
         suspicions.pinged(number)
     suspicions.withdraw(MASS_FAILURE_SAMPLE + 1, refuted=True)
-    assert len(suspicions.take_expired(START + 0.5)) == 0
+    assert len(suspicions.drain_expired(START + 0.5)) == 0
     suspicions.add(suspect(MASS_FAILURE_SAMPLE + 2), START + 100.0, 1.0)
     assert (
-        len(suspicions.take_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 1
+        len(suspicions.drain_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 1
         and suspicions.is_mass_failure()
     )
     suspicions.add(suspect(MASS_FAILURE_SAMPLE + 3), START, 1.0)
     suspicions.withdraw(MASS_FAILURE_SAMPLE + 3, refuted=True)
-    assert not suspicions.is_mass_failure() and suspicions.take_expired(START + 200.0) == []
+    assert not suspicions.is_mass_failure() and suspicions.drain_expired(START + 200.0) == []
 
 
 def test_a_datagram_of_a_dead_member_restarts_all_suspicions_in_a_mass_failure() -> None:
@@ -77,23 +77,23 @@
         suspicions.add(suspect(number), START, 1.0)
     for number in range(MASS_FAILURE_SAMPLE):
         suspicions.pinged(number)
-    assert len(suspicions.take_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 3
+    assert len(suspicions.drain_expired(START + 1.0)) == MASS_FAILURE_SAMPLE + 3
     for number in (20, 21):
         suspicions.add(suspect(number), START, 1.0)
     for number in range(MASS_FAILURE_SAMPLE):
         suspicions.add(suspect(number), START, 0.1)
         suspicions.pinged(number)
     assert (
-        len(suspicions.take_expired(START + 0.5)) == MASS_FAILURE_SAMPLE
+        len(suspicions.drain_expired(START + 0.5)) == MASS_FAILURE_SAMPLE
         and suspicions.is_mass_failure()
     )
-    suspicions.heard_from(3, START + 0.9, 1.0)  # one of the dead
-    assert not suspicions.is_mass_failure() and suspicions.take_expired(START + 1.0) == []
+    suspicions.datagram_received(3, START + 0.9, 1.0)  # one of the dead
+    assert not suspicions.is_mass_failure() and suspicions.drain_expired(START + 1.0) == []
     for number in (20, 21):
         suspicions.pinged(number)
     assert (
-        suspicions.take_expired(START + 1.8) == []
-        and len(suspicions.take_expired(START + 1.9)) == 2
+        suspicions.drain_expired(START + 1.8) == []
+        and len(suspicions.drain_expired(START + 1.9)) == 2
     )
 
 
@@ -103,11 +103,11 @@
     for number in (1, 2):
         suspicions.add(suspect(number), START, 1.0)
         suspicions.pinged(number)
-    suspicions.heard_from(1, START + 0.5, 1.0)
-    assert [r.number for r in suspicions.take_expired(START + 1.0)] == [2]
-    assert suspicions.take_expired(START + 1.5) == []  # it was not asked since
+    suspicions.datagram_received(1, START + 0.5, 1.0)
+    assert [r.number for r in suspicions.drain_expired(START + 1.0)] == [2]
+    assert suspicions.drain_expired(START + 1.5) == []  # it was not asked since
     suspicions.pinged(1)
-    assert [r.number for r in suspicions.take_expired(START + 1.5)] == [1]
+    assert [r.number for r in suspicions.drain_expired(START + 1.5)] == [1]
 
 
 @pytest.mark.parametrize(
@@ -158,12 +158,12 @@
     confirmations, now = DeathConfirmations(random.Random(1)), START
     confirmations.add(Record(1, 5, 1, MemberState.DEAD), now)
     for _ in range(CONFIRMATION_ATTEMPTS):
-        assert confirmations.take_confirmed(now, 0.5) == [] and confirmations.next_to_ping(
+        assert confirmations.drain_confirmed(now, 0.5) == [] and confirmations.next_to_ping(
             2, 8
         ) == [1]
         confirmations.pinged(1, now + 0.5)
         now += 0.5
-    assert [r.number for r in confirmations.take_confirmed(now, 0.5)] == [1]
+    assert [r.number for r in confirmations.drain_confirmed(now, 0.5)] == [1]
 
 
 def test_more_reported_deaths_than_can_be_checked_wait_until_several_pings_were_in_vain() -> None:
@@ -173,15 +173,15 @@
     confirmations, now = DeathConfirmations(random.Random(1)), START
     for number in range(20):
         confirmations.add(Record(number, 5, 1, MemberState.DEAD), now)
-    assert confirmations.take_confirmed(now + 100.0, 0.5) == []
+    assert confirmations.drain_confirmed(now + 100.0, 0.5) == []
     for _ in range(CONFIRMATION_ATTEMPTS):
         for number in confirmations.next_to_ping(20, 8):
             confirmations.pinged(number, now + 0.5)
         now += 0.5
-        confirmations.take_confirmed(now, 0.5)
-    confirmations.take_confirmed(now, 0.5)
+        confirmations.drain_confirmed(now, 0.5)
+    confirmations.drain_confirmed(now, 0.5)
     assert len(confirmations) == 0
     for number in range(20):
         confirmations.add(Record(number, 5, 1, MemberState.DEAD), now)
     confirmations.refute(3)
-    assert confirmations.take_confirmed(now + 100.0, 0.5) == []
+    assert confirmations.drain_confirmed(now + 100.0, 0.5) == []
--- a/tests/membership/test_timing.py
+++ b/tests/membership/test_timing.py
@@ -11,7 +11,7 @@
 from hazelhollow.membership.incarnation_conflict import (
     IncarnationConflict,
     Resolution,
-    outbidding,
+    next_incarnation,
 )
 from hazelhollow.membership.join import ALONE_AFTER_S, FANOUT, JoinProtocol
 from hazelhollow.membership.records import MemberState, Record
@@ -77,7 +77,7 @@
     [
         (MemberState.JOINING, 10_000, [Resolution.NO_CONFLICT, Resolution.NO_CONFLICT]),
         (MemberState.JOINING, 9_999, [Resolution.NO_CONFLICT, Resolution.NO_CONFLICT]),
-        (MemberState.JOINING, 10_001, [Resolution.OUTBID, Resolution.YIELD]),
+        (MemberState.JOINING, 10_001, [Resolution.EXCEED, Resolution.YIELD]),
         (MemberState.ALIVE, 10_001, [Resolution.YIELD, Resolution.YIELD]),
         (MemberState.SHUT_OUT, 10_001, [Resolution.YIELD, Resolution.YIELD]),
     ],
@@ -89,7 +89,7 @@
     conflict, own = IncarnationConflict(), own_record(state)
     other = own._replace(incarnation=reported)
     assert [conflict.resolve(own, other) for _ in resolutions] == resolutions
-    assert outbidding(reported) > reported
+    assert next_incarnation(reported) > reported
 
 
 def test_a_later_start_has_a_greater_incarnation() -> None:
