--- a/hazelhollow/membership/member_table.py
+++ b/hazelhollow/membership/member_table.py
@@ -6,17 +6,20 @@
 
 from hazelhollow.membership.records import PRESENT_STATES, MemberState, Record, fingerprint, merge
 
-BUCKETS = 32  # into which members are divided by their id, for digests
-DIGEST_SPAN = 36**5  # a table's digest is below it: five characters in a datagram
-BUCKET_DIGEST_SPAN = 36**3  # a bucket's digest is below it
+BUCKETS = 32  # groups of members (id modulo this number) for digests
+DIGEST_SPAN = 36**5  # exclusive upper bound of a table digest: five characters
+BUCKET_DIGEST_SPAN = 36**3  # exclusive upper bound of a bucket digest
 
 
 class MemberTable:
-    """At most one record a member. `put` is the only way in, and merges."""
+    """The member table, with at most one record per member.
+
+    Records enter only through `put`, which merges them.
+    """
 
     def __init__(self) -> None:
         self._records: dict[int, Record] = {}
-        self._bucket_sums = [0] * BUCKETS  # fingerprints of each bucket's records, by xor
+        self._bucket_sums = [0] * BUCKETS  # XOR of the fingerprints in each bucket
         self._subscribers: list[Callable[[Record], None]] = []
         self.present_count = 0  # members that may answer
 
@@ -27,17 +30,17 @@
         return len(self._records)
 
     def get(self, number: int) -> Record | None:
-        """The record of that member."""
+        """The record of that member, if there is one."""
         return self._records.get(number)
 
     def subscribe(self, subscriber: Callable[[Record], None]) -> None:
-        """Calls it with each record that there is, and from now on with each that changes."""
+        """Calls the subscriber with every current record, and later with every changed one."""
         for record in self._records.values():
             subscriber(record)
         self._subscribers.append(subscriber)
 
     def put(self, record: Record) -> bool:
-        """Merges the record in. Whether the table has changed."""
+        """Merges the record into the table and returns whether the table has changed."""
         old = self._records.get(record.number)
         new = record if old is None else merge(old, record)
         if new is old or new == old:
@@ -65,25 +68,25 @@
         ]
 
     def digest(self) -> int:
-        """Of the whole table: the same for equal tables."""
+        """A digest of all records; equal tables have equal digests."""
         return sum(self._bucket_sums) % DIGEST_SPAN
 
     def bucket_digests(self) -> list[int]:
-        """One a bucket."""
+        """A digest of each bucket."""
         return [bucket_sum % BUCKET_DIGEST_SPAN for bucket_sum in self._bucket_sums]
 
     def in_buckets(self, buckets: Sequence[int]) -> list[Record]:
-        """Bucket by bucket, in the order in which they are given."""
-        found: dict[int, list[Record]] = {bucket: [] for bucket in buckets}
+        """The records of the given buckets, in the order in which the buckets are given."""
+        by_bucket: dict[int, list[Record]] = {bucket: [] for bucket in buckets}
         for record in self._records.values():
-            if record.number % BUCKETS in found:
-                found[record.number % BUCKETS].append(record)
-        return [record for records in found.values() for record in records]
+            if record.number % BUCKETS in by_bucket:
+                by_bucket[record.number % BUCKETS].append(record)
+        return [record for records in by_bucket.values() for record in records]
 
     def joined_bitmap(self, start: int, span: int) -> int:
-        """A bit for each of the `span` members from `start` on, the first one the lowest.
+        """A bitmap of the `span` members from `start` on, the lowest bit for the first one.
 
-        1 for each that has joined and is not suspected.
+        A bit is 1 if the member has joined and is not suspected.
         """
         bits = 0
         for place in range(span):
