--- a/hazelhollow/membership/allowance.py
+++ b/hazelhollow/membership/allowance.py
@@ -1,4 +1,4 @@
-"""What membership may send, and which of its datagrams go first."""
+"""The limit on what membership may send, and the priority of each kind of datagram."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 
 class Purpose(Enum):
-    """What a datagram is for, the most useful first.
+    """The purpose of a datagram, from the highest priority to the lowest.
 
-    The value is the share of the burst that it leaves to those before it (trunk reservation), so
-    that a table sent in pieces never keeps an answer from going out.
+    The value is the share of the burst that must remain for the purposes before it (trunk
+    reservation), so that a table sent in several datagrams never blocks an answer.
     """
 
-    ANSWER = 0.0  # a member whose answer is missing looks dead
-    PROBE = 0.25  # own pings; when those take all that there is, answers still find room
-    PROBE_REQUEST = 0.3  # asks others to ping for this member
+    ANSWER = 0.0  # without an answer, this member would look dead
+    PROBE = 0.25  # own pings; even when they exhaust their share, answers can be sent
+    PROBE_REQUEST = 0.3  # asks others to ping on behalf of this member
     SUSPECT = 0.35  # a ping to a suspect, so that it can refute
     CONFIRMATION = 0.4  # a ping to a member whose death others report
-    ABSENT = 0.43  # a ping to a dead member: finds out that a partition has healed
-    RECORDS = 0.45  # records that another's table lacks
-    TABLE_DIGEST = 0.6  # asks for those: rarer, the less is left to answer it with
-    NEWS = 0.65  # records that ride along with other datagrams
+    ABSENT = 0.43  # a ping to a dead member, to detect that a partition has healed
+    RECORDS = 0.45  # records that the recipient's table lacks
+    TABLE_DIGEST = 0.6  # requests such records; sent less often when little is left for answers
+    PIGGYBACK = 0.65  # records piggybacked on other datagrams
 
 
 class Allowance(Protocol):
-    """Membership's part of the control budget. Bytes are of texts, without headers."""
+    """Membership's part of the control budget, in bytes of text without headers."""
 
     @property
     def burst(self) -> float:
-        """Bytes that a full bucket holds."""
+        """The capacity of the token bucket in bytes."""
 
     def available_bytes(self, now: float) -> float:
-        """Bytes of text that may leave now in one datagram."""
+        """The bytes of text that one datagram may contain now."""
 
     def take(self, length: int, now: float, keep_share: float = 0.0) -> bool:
-        """Whether a text of that length may leave now, and spends it if so.
+        """Whether a text of that length may be sent now; consumes its bytes if so.
 
-        `keep_share`: share of the burst that must be left, 0 to 1.
+        `keep_share`: fraction of the burst that must remain, 0 to 1.
         """
 
     def drop(self) -> None:
--- a/hazelhollow/membership/reception.py
+++ b/hazelhollow/membership/reception.py
@@ -72,7 +72,7 @@
                     sender.number,
                     MessageKind.RECORDS,
                     records=[known],
-                    piggyback=Piggyback.NOTHING,
+                    piggyback=Piggyback.NONE,
                 )
                 state.sender.send(hint, state.now)
         return freshness is Freshness.FRESH
@@ -137,7 +137,7 @@
             MessageKind.ACK,
             ping.arguments,
             [report] if report else [],
-            Piggyback.SUSPICION if same_table else Piggyback.NEWS,
+            Piggyback.SUSPICION if same_table else Piggyback.DISSEMINATION,
         )
         state.sender.send(ack, state.now)
         if reported_death:
--- a/hazelhollow/membership/sender.py
+++ b/hazelhollow/membership/sender.py
@@ -1,4 +1,4 @@
-"""What goes out: datagrams with piggybacked records, within the allowance."""
+"""Sends datagrams with piggybacked records, within the allowance."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 from hazelhollow.membership.records import Record
 from hazelhollow.membership.suspicion import SuspicionTable
 
-# Kinds whose arguments leave no room for all of the sender's record.
-FULL_KINDS = frozenset((MessageKind.BUCKET_DIGESTS, MessageKind.PRESENCE_BITMAP))
+# Kinds whose arguments leave no room for the sender's complete record.
+KINDS_WITH_SHORT_SENDER = frozenset((MessageKind.BUCKET_DIGESTS, MessageKind.PRESENCE_BITMAP))
 
 
 class Datagram(NamedTuple):
-    """A text for the driver to send to the member `recipient`."""
+    """A text that the driver is to send to the member `recipient`."""
 
     recipient: int
     text: str
 
 
 class Piggyback(Enum):
-    """Which records ride along with a message, beside its own."""
+    """The records that are piggybacked on a message, in addition to its own."""
 
-    NEWS = auto()  # the suspicion of the recipient, and what the dissemination queue gives
+    DISSEMINATION = auto()  # the suspicion of the recipient, and queued records
     SUSPICION = auto()  # only the suspicion of the recipient, so that it can refute
-    NOTHING = auto()
+    NONE = auto()
 
 
 class Outgoing(NamedTuple):
     """A message to be sent.
 
-    `arguments`: as the kind needs them (`codec.py`). `records`: go first.
+    `arguments` depend on the kind (`codec.py`). `records` precede the piggybacked ones.
     """
 
     recipient: int
     kind: MessageKind
     arguments: tuple[int, ...] = ()
     records: Sequence[Record] = ()
-    piggyback: Piggyback = Piggyback.NEWS
+    piggyback: Piggyback = Piggyback.DISSEMINATION
     purpose: Purpose = Purpose.ANSWER
 
 
 class PiggybackSources(NamedTuple):
-    """Where records that ride along come from."""
+    """The sources of piggybacked records."""
 
     dissemination: DisseminationQueue
     suspicions: SuspicionTable
@@ -59,14 +59,18 @@
 
 @dataclass(frozen=True)
 class SendLimits:
-    """`max_text_bytes` of each datagram; `allowance` over time, or none."""
+    """The limits on sending.
+
+    `max_text_bytes` limits each datagram; `allowance` limits the bytes over time, None means no
+    limit.
+    """
 
     max_text_bytes: int
     allowance: Allowance | None
 
 
 class DatagramSender:
-    """Collects the datagrams that the driver is to send, in order, and numbers them."""
+    """Encodes and numbers datagrams, and collects them in order for the driver to send."""
 
     def __init__(
         self,
@@ -88,25 +92,28 @@
         return datagrams
 
     def send(self, outgoing: Outgoing, now: float) -> int | None:
-        """How many of the message's own records the datagram holds.
+        """Queues a datagram and returns how many of the message's leading records it contains.
 
-        None where the allowance has no room for it: it is not sent.
+        Returns None without queuing it if the allowance is exhausted.
         """
         own, recipient, kind = self._own.record, outgoing.recipient, outgoing.kind
-        if kind in FULL_KINDS:
+        if kind in KINDS_WITH_SHORT_SENDER:
             own = own._replace(unreachable=(), versions="")
         message = Message(kind, own, self._serial + 1, self._table.digest(), outgoing.arguments)
-        first, suspicion, piggyback = list(outgoing.records), None, outgoing.piggyback
-        if piggyback is not Piggyback.NOTHING:
+        leading, suspicion, piggyback = list(outgoing.records), None, outgoing.piggyback
+        if piggyback is not Piggyback.NONE:
             suspicion = self._suspicions.record(recipient)
             if suspicion:
-                first.insert(0, suspicion)
-        news = list[Record]()
-        if piggyback is Piggyback.NEWS:
-            news = self._dissemination.next_records(self._table, own.number)
+                leading.insert(0, suspicion)
+        piggybacked = list[Record]()
+        if piggyback is Piggyback.DISSEMINATION:
+            piggybacked = self._dissemination.next_records(self._table, own.number)
         allowance = self._allowance
-        text, taken = codec.encode(
-            message, [*first, *news], self._room(message, first, news, now), allowance is not None
+        text, encoded_count = codec.encode(
+            message,
+            [*leading, *piggybacked],
+            self._max_bytes(message, leading, piggybacked, now),
+            allowance is not None,
         )
         if allowance and not allowance.take(len(text), now, outgoing.purpose.value):
             self._counts[counters.HELD_BACK] += 1
@@ -114,17 +121,19 @@
                 allowance.drop()
             return None
         self._serial += 1
-        self._dissemination.sent(news[: max(0, taken - len(first))])
-        if suspicion and taken:
+        self._dissemination.sent(piggybacked[: max(0, encoded_count - len(leading))])
+        if suspicion and encoded_count:
             self._suspicions.pinged(recipient)
         self._datagrams.append(Datagram(recipient, text))
-        return min(taken, len(first))
-
-    def _room(self, message: Message, first: list[Record], news: list[Record], now: float) -> int:
-        """Bytes that the text may have, with what the allowance leaves for news."""
-        most, allowance = self._max_text_bytes, self._allowance
-        if allowance is None or not news:
-            return most
-        without_news = len(codec.encode(message, first, most, relative=True)[0])
-        left = allowance.available_bytes(now) - Purpose.NEWS.value * allowance.burst
-        return max(without_news, min(most, int(left)))
+        return min(encoded_count, len(leading))
+
+    def _max_bytes(
+        self, message: Message, leading: list[Record], piggybacked: list[Record], now: float
+    ) -> int:
+        """The maximum text length, given what the allowance leaves for piggybacked records."""
+        max_bytes, allowance = self._max_text_bytes, self._allowance
+        if allowance is None or not piggybacked:
+            return max_bytes
+        required_bytes = len(codec.encode(message, leading, max_bytes, relative=True)[0])
+        remaining_bytes = allowance.available_bytes(now) - Purpose.PIGGYBACK.value * allowance.burst
+        return max(required_bytes, min(max_bytes, int(remaining_bytes)))
--- a/hazelhollow/membership/table_exchange.py
+++ b/hazelhollow/membership/table_exchange.py
@@ -1,9 +1,10 @@
-"""Anti-entropy between two members' tables: finds what dissemination missed.
+"""Anti-entropy between the tables of two members: finds records that dissemination missed.
 
-Every message carries a digest of its sender's table. At the next tick after one that differs, its
-sender is asked for what this member lacks, by digests of buckets or by a bitmap of who has joined,
-and answers with the records that differ. A healed partition settles by this: its news is old, and
-no longer piggybacked.
+Every message carries a digest of its sender's table. If that differs from the recipient's, the
+recipient asks the sender at its next tick for the records that it lacks, by sending digests of
+buckets or a bitmap of the members that have joined, and the sender answers with the records that
+differ. A healed partition converges in this way, since the records that each side missed are no
+longer piggybacked.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from hazelhollow.membership.settings import MembershipSettings
 from hazelhollow.membership.timing import PROBE_INTERVAL_S
 
-MAX_DATAGRAMS = 4  # of records, in answer to one that asks
-MAX_DATAGRAMS_BOUNDED = 12  # the same, where an allowance bounds them
-BUCKET_DIGEST_INTERVAL_TICKS = 2  # ticks between digests of buckets, where the others carry bitmaps
-# Kinds whose digests are compared: not those by which tables are exchanged.
+MAX_DATAGRAMS = 4  # of records, in answer to one request
+MAX_DATAGRAMS_BOUNDED = 12  # the same, where an allowance limits them
+BUCKET_DIGEST_INTERVAL_TICKS = 2  # ticks between bucket digests; other requests are bitmaps
+# Kinds whose digests are compared: all except those that exchange tables.
 COMPARED = (
     MessageKind.PING,
     MessageKind.ACK,
@@ -34,39 +35,39 @@
 
 
 class TableExchange:
-    """`bounded`: whether an allowance bounds what is sent."""
+    """The table exchange of one member. `bounded` says whether an allowance limits what is sent."""
 
     def __init__(
         self,
         settings: MembershipSettings,
         table: MemberTable,
-        chance: random.Random,
+        rng: random.Random,
         sender: DatagramSender,
         bounded: bool,
     ) -> None:
         self._limiter_id, self._member_count = settings.limiter_id, settings.member_count
-        self._table, self._random, self._sender = table, chance, sender
+        self._table, self._random, self._sender = table, rng, sender
         self._bounded = bounded
-        self._noted_at = -1.0
-        self._to_ask: int | None = None
+        self._mismatch_at = -1.0
+        self._next_peer: int | None = None
 
     def compare(self, message: Message, now: float) -> bool:
-        """Whether the sender's table is the same; if not, it is asked at the next tick."""
-        same = message.digest == self._table.digest()
-        is_due = now - self._noted_at >= PROBE_INTERVAL_S
-        if not same and message.kind in COMPARED and is_due:
-            # One at a time: many would be asked for the same records.
-            self._noted_at, self._to_ask = now, message.sender.number
-        return same
+        """Returns whether the sender's table is equal; if not, it is asked at the next tick."""
+        is_equal = message.digest == self._table.digest()
+        is_due = now - self._mismatch_at >= PROBE_INTERVAL_S
+        if not is_equal and message.kind in COMPARED and is_due:
+            # Only one member is asked per period, since many would send the same records.
+            self._mismatch_at, self._next_peer = now, message.sender.number
+        return is_equal
 
     def tick(self, ticks: int, now: float) -> None:
-        """Asks the member that was noted. `ticks`: since the start of this member."""
-        if self._to_ask is not None:
-            self._ask(self._to_ask, ticks, now)
-            self._to_ask = None
+        """Asks the member chosen by `compare`, if any. `ticks` counts ticks since the start."""
+        if self._next_peer is not None:
+            self._request_records(self._next_peer, ticks, now)
+            self._next_peer = None
 
     def receive(self, message: Message, now: float) -> None:
-        """One of the messages by which tables are exchanged."""
+        """Handles one of the messages that exchange tables."""
         peer, arguments = message.sender.number, message.arguments
         if message.kind == MessageKind.RECORDS:
             self._send_records(peer, self._newer_than(message.records), now)
@@ -75,11 +76,11 @@
         elif message.kind == MessageKind.PRESENCE_BITMAP:
             self._answer_bitmap(peer, arguments, now)
 
-    def _ask(self, peer: int, ticks: int, now: float) -> None:
-        """Asks for what this member lacks of another's table.
+    def _request_records(self, peer: int, ticks: int, now: float) -> None:
+        """Requests the records that this member lacks and the peer has.
 
-        Within an allowance mostly by a bitmap, which shows exactly who has joined at one and not at
-        the other; digests of buckets show the rest.
+        Under an allowance most requests carry a bitmap, which shows exactly who has joined
+        according to one of the two tables only; bucket digests reveal the other differences.
         """
         if not self._bounded or ticks % BUCKET_DIGEST_INTERVAL_TICKS == 0:
             kind, arguments = MessageKind.BUCKET_DIGESTS, tuple(self._table.bucket_digests())
@@ -88,15 +89,15 @@
             start = codec.BITMAP_SPAN * self._random.randrange(spans)
             bits = self._table.joined_bitmap(start, codec.BITMAP_SPAN)
             kind, arguments = MessageKind.PRESENCE_BITMAP, (start, bits)
-        ask = Outgoing(
-            peer, kind, arguments, piggyback=Piggyback.NOTHING, purpose=Purpose.TABLE_DIGEST
+        request = Outgoing(
+            peer, kind, arguments, piggyback=Piggyback.NONE, purpose=Purpose.TABLE_DIGEST
         )
-        self._sender.send(ask, now)
+        self._sender.send(request, now)
 
     def _answer_digests(self, peer: int, digests: tuple[int, ...], now: float) -> None:
         """Sends the records of the buckets whose digests differ.
 
-        Whole buckets: of parts of all buckets each would have to be sent again.
+        It sends complete buckets: parts of every bucket would all have to be sent again.
         """
         pairs = zip(self._table.bucket_digests(), digests, strict=True)
         differ = [bucket for bucket, (own, other) in enumerate(pairs) if own != other]
@@ -104,9 +105,9 @@
         self._send_records(peer, self._table.in_buckets(differ), now)
 
     def _answer_bitmap(self, peer: int, arguments: tuple[int, ...], now: float) -> None:
-        """Sends the records of the members that have joined at one of the two only.
+        """Sends the records of members that have joined according to only one of the two tables.
 
-        In an order drawn by chance, so that of several that are asked each sends other ones first.
+        The order is random, so that several members that are asked start with different records.
         """
         start, bits = arguments
         differ = bits ^ self._table.joined_bitmap(start, codec.BITMAP_SPAN)
@@ -116,9 +117,10 @@
         self._send_records(peer, records, now)
 
     def _newer_than(self, records: Sequence[Record]) -> list[Record]:
-        """What this member knows better than the one that sent these records.
+        """The records of this member that are newer than the given ones from a peer.
 
-        That one, whom all ask whose tables differ from its own, may find no room to ask back.
+        They are sent unasked: a peer whose table differs from many others' is asked by all of them,
+        and may have no allowance left to ask back.
         """
         known = [
             (self._table.get(record.number), record)
@@ -135,10 +137,10 @@
                 peer,
                 MessageKind.RECORDS,
                 records=records,
-                piggyback=Piggyback.NOTHING,
+                piggyback=Piggyback.NONE,
                 purpose=Purpose.RECORDS,
             )
-            taken = self._sender.send(outgoing, now)
-            if taken is None:
+            sent_count = self._sender.send(outgoing, now)
+            if sent_count is None:
                 return
-            records = records[taken:]
+            records = records[sent_count:]
