--- a/hazelhollow/membership/partition_quota.py
+++ b/hazelhollow/membership/partition_quota.py
@@ -1,18 +1,19 @@
-"""Whose part of the quotas is left to them: members that cannot be heard and may go on admitting.
+"""Which members cannot be reached but may still be admitting, so that their quota is reserved.
 
-While a link is down neither side hears what the other admits. So each side leaves the other its
-even part of each quota. `docs/design/replication.md` has the rule and its bound.
+During a partition neither side knows what the other admits, so each side reserves for the other
+side's members their even share of each quota. `docs/design/replication.md` states the rule and its
+bound.
 
-| a peer | its part |
+| peer | its share |
 | --- | --- |
-| can be heard | shared with all |
-| suspect, dead, or silent where gossip comes in every round | left to it |
+| can be reached | shared by all |
+| suspect, dead, or silent although gossip is sent every round | reserved for it |
 | the same for `TAKE_OVER_AFTER_S`, seen from the larger side | taken over by that side |
-| back in the same incarnation | shared again: it may have used its part |
-| back in another one, its part not taken over | shared again, and what nobody used is given back |
-| left | shared: it said that it goes |
+| returns in the same incarnation | shared again: it may have used its share |
+| returns in another one, share not taken over | shared again; its unused quota is credited |
+| left | shared: it announced that it leaves |
 
-Only members whose record has changed are looked at, and in a small fleet all.
+In a small fleet all members are checked, in a large one only those whose record has changed.
 """
 
 from __future__ import annotations
@@ -21,19 +22,19 @@
 
 from hazelhollow.membership.records import MemberState, Record
 
-SILENCE_S = 0.35  # without gossip, until a peer that gossips at every beat cannot be heard
-# Until the larger side takes over what the smaller does not say that it uses.
+SILENCE_S = 0.35  # without gossip until a peer that gossips every round counts as unreachable
+# Until the larger side takes over quota of which the smaller side reports no use.
 TAKE_OVER_AFTER_S = 10.0
 
 
 @dataclass
 class Peer:
-    """What is known of one peer. Times are in Unix seconds.
+    """What is known of one peer; times are in Unix seconds.
 
-    `last_heard`: by gossip or by its record. `known_incarnation`: as the member table has it.
-    `admitting_incarnation`: the one in which it was last known to admit. `is_suspect_or_dead`: as
-    the member table has it. `unreachable_since`: 0 where its part is shared. `is_taken_over`: by
-    the larger side.
+    `last_heard` is the time of its last gossip or of its first record. `known_incarnation` and
+    `is_suspect_or_dead` are from the member table. `admitting_incarnation` is the one in which it
+    was last known to admit. `unreachable_since` is 0 while its share is not reserved.
+    `is_taken_over` says whether the larger side has taken its share over.
     """
 
     last_heard: float
@@ -45,52 +46,54 @@
 
 
 class PartitionQuota:
-    """The rule for one member.
+    """The reserved shares as one member determines them.
 
-    `gossips_every_round`: gossip comes in every round, so that silence tells at once.
+    `gossips_every_round` says that peers send gossip in every round, so that silence indicates a
+    failure at once.
     """
 
     def __init__(self, limiter_id: int, gossips_every_round: bool) -> None:
         self._limiter_id, self._gossips_every_round = limiter_id, gossips_every_round
         self.peers: dict[int, Peer] = {}
-        self.unreachable_but_serving: frozenset[int] = frozenset()  # whose part is left to them
-        self._changed = dict[int, Record]()  # since the last update
-        self._unreachable = set[int]()  # peers that cannot be heard, taken over or not
+        # Members whose share is reserved.
+        self.unreachable_but_serving: frozenset[int] = frozenset()
+        self._changed = dict[int, Record]()  # records changed since the last update
+        self._unreachable = set[int]()  # unreachable peers, taken over or not
 
     def record_changed(self, record: Record) -> None:
-        """The member table holds this record from now on."""
+        """Notes a record that the member table has adopted, for the next update."""
         if record.number != self._limiter_id:
             self._changed[record.number] = record
 
     def gossip_received(self, number: int, now: float) -> None:
-        """A datagram of gossip has come from that peer."""
+        """Notes that a gossip datagram from that peer has arrived."""
         peer = self.peers.get(number)
         if peer is not None:
             peer.last_heard = now
 
     def update(self, now: float) -> list[tuple[int, float]]:
-        """To be called in each protocol period and when the membership changes.
+        """Updates the reservations, in each protocol period and when the membership changes.
 
-        Returns members with seconds of their part that nobody used: they came back in another
-        incarnation, before their part was taken over.
+        Returns members with the seconds for which their share was unused: those that returned in
+        another incarnation before their share was taken over.
         """
         changed, self._changed = self._changed, {}
         for record in changed.values():
-            self._note(record, now)
+            self._apply_record(record, now)
         unused = list[tuple[int, float]]()
         for number in list(self.peers) if self._gossips_every_round else changed:
             peer = self.peers.get(number)
             if peer is not None:
                 unused += self._update_reservation(number, peer, now)
-        taken_over = self._take_over(now)
+        taken_over = self._take_over_shares(now)
         if changed or taken_over or self._gossips_every_round:
             self.unreachable_but_serving = frozenset(
                 number for number in self._unreachable if not self.peers[number].is_taken_over
             )
         return unused
 
-    def _note(self, record: Record, now: float) -> None:
-        """What a changed record says of its member."""
+    def _apply_record(self, record: Record, now: float) -> None:
+        """Applies a changed record to its member's entry."""
         number, incarnation = record.number, record.incarnation
         if record.state == MemberState.LEFT:
             self.peers.pop(number, None)
@@ -100,13 +103,13 @@
         peer = self.peers.get(number)
         if peer is not None:
             peer.known_incarnation, peer.is_suspect_or_dead = incarnation, is_suspect_or_dead
-        elif incarnation:  # else nobody has ever seen it
+        elif incarnation:  # incarnation 0: no member has ever seen it
             self.peers[number] = Peer(now, incarnation, incarnation, is_suspect_or_dead)
 
     def _update_reservation(self, number: int, peer: Peer, now: float) -> list[tuple[int, float]]:
-        """Whether its part is left to it from now on, or shared again.
+        """Reserves the peer's share, or shares it again.
 
-        Returns it with the seconds of its part that nobody used, if there are any.
+        Returns the peer with the seconds for which its share was unused, if any.
         """
         is_silent = self._gossips_every_round and now - peer.last_heard > SILENCE_S
         if peer.is_suspect_or_dead or is_silent:
@@ -117,17 +120,17 @@
         unused = list[tuple[int, float]]()
         if peer.unreachable_since:
             has_restarted = peer.known_incarnation != peer.admitting_incarnation
-            if has_restarted and not peer.is_taken_over:  # it was dead, and admitted nothing
+            if has_restarted and not peer.is_taken_over:  # it was down and admitted nothing
                 unused.append((number, now - peer.unreachable_since))
             peer.unreachable_since, peer.is_taken_over = 0.0, False
             self._unreachable.discard(number)
         peer.admitting_incarnation = peer.known_incarnation
         return unused
 
-    def _take_over(self, now: float) -> bool:
-        """Takes parts over, on the larger side only. Whether it took any.
+    def _take_over_shares(self, now: float) -> bool:
+        """Takes over shares, on the larger side only, and returns whether it took any.
 
-        Else both sides would take what the other uses.
+        Otherwise both sides would take over quota that the other side uses.
         """
         member_count, has_taken = len(self.peers) + 1, False
         if 2 * (member_count - len(self._unreachable)) <= member_count:
--- a/hazelhollow/membership/period.py
+++ b/hazelhollow/membership/period.py
@@ -1,4 +1,4 @@
-"""What a member does in each protocol period."""
+"""The work of a member in each protocol period."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from hazelhollow.membership.state import MembershipState
 from hazelhollow.membership.timing import NEVER_SEEN_TIMEOUT_S
 
-ABSENT_PROBE_INTERVAL_TICKS = 2  # ticks between pings to members that are considered dead
+ABSENT_PROBE_INTERVAL_TICKS = 2  # ticks between pings to members considered dead
 
 
 class ProtocolPeriod:
-    """Runs expired timers first, then sends the period's probes and questions."""
+    """Handles expired timers first, then sends the period's pings and requests."""
 
     def __init__(self, state: MembershipState) -> None:
         self._state = state
         self._ticks = 0
 
     def run(self, lateness: Lateness) -> None:
-        """One period. `lateness`: of the tick that begins it."""
+        """Runs one period. `lateness` is that of the tick that begins it."""
         state = self._state
         self._ticks += 1
         if lateness is Lateness.STALLED:
@@ -30,7 +30,7 @@
             state.health.worsen()
         self._expire()
         if not state.may_admit:
-            self._seek_peers()
+            self._ping_to_join()
         state.detector.probe_next(state.now)
         self._ping_suspects()
         for number in state.confirmations.next_to_ping():
@@ -41,7 +41,10 @@
         state.exchange.tick(self._ticks, state.now)
 
     def _restart_after_stall(self) -> None:
-        """Nothing that was timed before counts, and the others may consider this member dead."""
+        """Discards everything that was timed before a stall, and rejoins.
+
+        The others may consider this member dead.
+        """
         state = self._state
         state.counts[counters.STALLED] += 1
         state.detector.clear()
@@ -50,8 +53,8 @@
         state.join.begin(state.now)
         state.changes.note_change()
 
-    def _seek_peers(self) -> None:
-        """Pings peers until one answers, or goes on alone."""
+    def _ping_to_join(self) -> None:
+        """Pings peers until one answers, or continues alone."""
         state = self._state
         if state.join.is_alone(state.now):
             state.complete_join()
@@ -60,18 +63,18 @@
             state.detector.probe(number, state.now)
 
     def _expire(self) -> None:
-        """Probes that have ended, confirmed deaths, and suspicions that nobody has refuted."""
+        """Handles ended probes, confirmed deaths, and suspicions that were not refuted in time."""
         state = self._state
         for ended in state.detector.drain_ended(state.now):
-            self._conclude(ended)
+            self._apply_outcome(ended)
         wait_s = state.health.probe_timeout_s
         for record in state.confirmations.drain_confirmed(state.now, wait_s):
-            state.apply(record.as_dead())  # changes nothing if it has refuted that
+            state.apply(record.as_dead())  # has no effect if the member has refuted it
         for record in state.suspicions.drain_expired(state.now):
             state.apply(record.as_dead())
 
-    def _conclude(self, ended: ProbeEnded) -> None:
-        """What a probe's outcome changes."""
+    def _apply_outcome(self, ended: ProbeEnded) -> None:
+        """Applies the outcome of a probe."""
         state = self._state
         if ended.outcome is Outcome.ANSWERED_DIRECTLY:
             state.health.improve()
@@ -86,7 +89,7 @@
                 state.apply(record._replace(state=MemberState.SUSPECT))
 
     def _ping_suspects(self) -> None:
-        """So that they can refute."""
+        """Pings suspects so that they can refute, except one that was probed in this period."""
         state = self._state
         limit = state.suspicions.pings_per_period(state.table.present_count)
         for number in state.suspicions.next_to_ping(limit):
@@ -94,10 +97,10 @@
                 state.ping(number, Purpose.SUSPECT)
 
     def _declare_never_seen_dead(self) -> None:
-        """Members that nobody has heard of count as dead after a while."""
+        """Declares members dead of which no record has arrived for `NEVER_SEEN_TIMEOUT_S`."""
         state = self._state
-        waited = state.may_admit and state.now - state.start_time > NEVER_SEEN_TIMEOUT_S
-        if waited and len(state.table) < state.settings.member_count:
+        is_due = state.may_admit and state.now - state.start_time > NEVER_SEEN_TIMEOUT_S
+        if is_due and len(state.table) < state.settings.member_count:
             for number in range(state.settings.member_count):
                 if state.table.get(number) is None:
                     state.apply(Record(number, 0, 0, MemberState.DEAD))
