--- a/hazelhollow/membership/authentication.py
+++ b/hazelhollow/membership/authentication.py
@@ -1,6 +1,6 @@
-"""A keyed hash at the end of a message, with keys that can be changed while the fleet runs.
+"""A keyed hash at the end of each datagram, with keys that can be rotated while the fleet runs.
 
-TEXT ~0123456789abcdef      blake2b with the key, 8 bytes in hex
+TEXT ~0123456789abcdef      BLAKE2b with the key, 8 bytes in hex
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 HASH_BYTES = 8
 SUFFIX_BYTES = len(SEPARATOR) + 2 * HASH_BYTES
 MIN_KEY_BYTES = 16
-MAX_KEY_BYTES = 64  # of which the rest is left out, as blake2b takes no more
+MAX_KEY_BYTES = 64  # longer keys are truncated, since BLAKE2b accepts no more
 
 
 class MessageAuthenticator:
-    """Signs with the first of its `keys` and accepts each of them. Without keys it does neither.
+    """Signs with the first of its `keys` and accepts any of them; without keys it does neither.
 
-    To change keys without a gap: the new one goes second everywhere, then first everywhere, then
-    the old one is removed.
+    To rotate keys without interruption, the new key is added second on every member, then moved to
+    the first place on every member, and then the old one is removed.
     """
 
     def __init__(self, keys: Sequence[bytes] = ()) -> None:
@@ -28,22 +28,22 @@
 
     @property
     def overhead_bytes(self) -> int:
-        """Bytes that signing adds to a text."""
+        """The number of bytes that signing adds to a text."""
         return SUFFIX_BYTES if self.keys else 0
 
     def sign(self, text: str) -> str:
-        """The text with its hash."""
+        """Returns the text with its hash appended."""
         return text + SEPARATOR + _hash(self.keys[0], text) if self.keys else text
 
     def verify(self, signed: str) -> str | None:
-        """The text without its hash; None if no key made that hash."""
+        """Returns the text without its hash, or None if the hash matches none of the keys."""
         if not self.keys:
             return signed
         text, suffix = signed[:-SUFFIX_BYTES], signed[-SUFFIX_BYTES:]
         separator, given = suffix[: len(SEPARATOR)], suffix[len(SEPARATOR) :]
         if separator != SEPARATOR or not given.isascii():
             return None
-        # All keys are tried, so that the time taken does not tell which one matched.
+        # All keys are tried, so that the duration does not reveal which one matched.
         matches = [hmac.compare_digest(_hash(key, text), given) for key in self.keys]
         return text if any(matches) else None
 
@@ -53,9 +53,9 @@
 
 
 def parse_keys(data: bytes) -> list[bytes]:
-    """The keys of a key file: one a line; blank lines and those that begin with # hold none.
+    """Parses a key file with one key per line; ignores blank lines and those that begin with `#`.
 
-    Raises ValueError for a key that is too short, and where there is none.
+    Raises ValueError if a key is too short or if there is none.
     """
     lines = [line.strip() for line in data.splitlines()]
     keys = [line for line in lines if line and not line.startswith(b"#")]
@@ -63,5 +63,5 @@
     if short:
         raise ValueError(f"key {short[0]} is shorter than {MIN_KEY_BYTES} bytes")
     if not keys:
-        raise ValueError("no key in it")
+        raise ValueError("no key in the file, only blank lines or comments")
     return keys
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -1,8 +1,8 @@
-"""The driver of membership: reads and writes its datagrams and sets its timers.
+"""The driver of membership: sends and receives its datagrams and runs its timers.
 
-One driver for each limiter, made by `operator/attach.py`. Membership's datagrams share a socket
-with gossip, replication and configuration, and are known by `DATAGRAM_PREFIX`. What is known of the
-fleet goes to the decision engine as one `MembershipChanged` event whenever it changes.
+Each limiter has one driver, created by `operator/attach.py`. Membership's datagrams share a socket
+with gossip, replication and configuration, and are identified by `DATAGRAM_PREFIX`. Every change of
+the fleet's state is sent to the decision engine as a `MembershipChanged` event.
 """
 
 from __future__ import annotations
@@ -31,24 +31,24 @@
 from hazelhollow.net.scheduler import Scheduler
 from hazelhollow.storage.append_file import AppendFile
 
-DATAGRAM_PREFIX = DIALECT[0]  # the other subsystems' datagrams begin with other letters
-STARTUP_ANNOUNCE_S = 3.0  # from the start: it announces itself to its own address at each tick
-ANNOUNCE_EVERY_S = 2.0  # between announcements to the own address later
-MAX_MEMBERS_GOSSIPING_EVERY_ROUND = 8  # else peers share out the rounds
-DROPPED_LOG_EVERY_S = 10.0  # between log lines about datagrams that were dropped
+DATAGRAM_PREFIX = DIALECT[0]  # datagrams of other subsystems begin with other letters
+STARTUP_ANNOUNCE_S = 3.0  # after the start, during which it announces itself at each tick
+ANNOUNCE_EVERY_S = 2.0  # between announcements to its own address after that
+MAX_MEMBERS_GOSSIPING_EVERY_ROUND = 8  # in a larger fleet, each round goes to some peers only
+DROPPED_LOG_EVERY_S = 10.0  # between log lines about dropped datagrams
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class DriverOptions:
-    """What a driver is given beside its socket and timers.
+    """The options of a driver.
 
-    `on_change` gets what the decision engine is to know, whenever it changes. `on_superseded` is
-    called once, if another process has this member's id. `history_file` gets a JSON line whenever
-    the membership changes. `seeds`: addresses to ask where peers are not listed. `replicates`:
-    whether counts are replicated. `gossip_is_paced`: gossip keeps to a byte budget, so that its
-    silence tells nothing.
+    `on_change` receives each event for the decision engine. `on_superseded` is called once, if
+    another process has this member's id. `history_file` receives a JSON line whenever the
+    membership changes. `seeds` are addresses to contact where peers are not listed. `replicates`
+    says whether counts are replicated. `gossip_is_paced` says that gossip keeps to a byte budget,
+    so that its silence is no sign of failure.
     """
 
     on_change: Callable[[api.MembershipChanged], None]
@@ -62,11 +62,11 @@
 class MembershipDriver:
     """Runs a member on the socket `peers`.
 
-    It handles datagrams that begin with `DATAGRAM_PREFIX`, and passes the others to the handler
-    that was set when it was made.
+    It handles datagrams that begin with `DATAGRAM_PREFIX` and passes all others to the handler that
+    was set on the socket before.
 
-    `evaluate_shut_out`, where it is set: given the time, whether this member is shut out for its
-    old settings. It is asked before the decision engine is notified of anything.
+    `evaluate_shut_out`, if set, returns for a given time whether this member is shut out because of
+    its old settings. It is called before each notification of the decision engine.
     """
 
     def __init__(
@@ -80,25 +80,26 @@
         self._scheduler, self._peers, self._options = scheduler, peers, options
         self.membership, self._authenticator = membership, authenticator
         self.evaluate_shut_out: Callable[[float], bool] | None = None
-        small = membership.member_count <= MAX_MEMBERS_GOSSIPING_EVERY_ROUND
+        is_small_fleet = membership.member_count <= MAX_MEMBERS_GOSSIPING_EVERY_ROUND
         self._quota = PartitionQuota(
-            membership.limiter_id, gossips_every_round=small and not options.gossip_is_paced
+            membership.limiter_id,
+            gossips_every_round=is_small_fleet and not options.gossip_is_paced,
         )
         membership.table.subscribe(self._quota.record_changed)
         self._last_event: api.MembershipChanged | None = None
-        self._pass_to_others = peers.on_message
+        self._next_handler = peers.on_message
         self._has_ended = False
         self._dropped_logged = 0
         self._log = RateLimitedLog(log, scheduler.clock)
         self._random = random.Random(membership.own.incarnation)
 
-    # What the limiter calls
+    # Calls by the limiter
 
     def start(self) -> None:
-        """Takes the socket's datagrams from now on and begins to probe."""
+        """Attaches to the socket and starts probing."""
         self._peers.on_message, self._peers.on_unknown_sender = (
             self.received,
-            self._received_from_stranger,
+            self._received_from_unknown_address,
         )
         self._scheduler.on_process_pause = self._resumed_after_stall
         self._tick()
@@ -106,36 +107,36 @@
         self._announce_to_own_address()
 
     def leave(self) -> None:
-        """Tells the others that this limiter goes for good."""
+        """Notifies the others that this limiter leaves for good."""
         if not self._has_ended:
             self._has_ended = True
             self._send_all(self.membership.leave(self._scheduler.clock()))
 
     def reevaluate(self) -> None:
-        """What `evaluate_shut_out` goes by may have changed."""
+        """Re-evaluates this member's state after a change that affects `evaluate_shut_out`."""
         self.membership.consume_changed()
         self._report_changes()
 
     def may_admit(self) -> bool:
-        """Whether this limiter may admit work, as the decision engine was last notified."""
+        """Whether this limiter may admit work, as last reported to the decision engine."""
         return self._last_event is not None and self._last_event.may_admit
 
     def unreachable_but_serving(self) -> frozenset[int]:
-        """Members that cannot be heard and may go on admitting."""
+        """Members that cannot be reached and may still be admitting."""
         return self._quota.unreachable_but_serving
 
     def document(self) -> dict[str, Any]:
-        """Membership as operators see it."""
+        """Membership as shown to operators."""
         return fleet_document(self.membership, self._quota, self._scheduler.clock())
 
     # Datagrams
 
     def received(self, sender_id: int, text: str) -> None:
-        """A datagram from that member's address."""
+        """Handles a datagram from that member's address."""
         now = self._scheduler.clock()
         if not text.startswith(DATAGRAM_PREFIX):
             self._quota.gossip_received(sender_id, now)
-            self._pass_to_others(sender_id, text)
+            self._next_handler(sender_id, text)
             return
         plain = self._authenticator.verify(text)
         if plain is None:
@@ -143,12 +144,12 @@
             return
         self._send_all(self.membership.receive(sender_id, plain, now))
 
-    def _received_from_stranger(self, text: str, source: tuple[str, int]) -> bool:
-        """A datagram from an address that is no known peer's. Whether it was for this driver.
+    def _received_from_unknown_address(self, text: str, source: tuple[str, int]) -> bool:
+        """Handles a datagram from an unknown address and returns whether it was for this driver.
 
-        It may come from another process with this member's id and address, between which the kernel
-        divides what peers send here; or, where members are found by seeds, from one that is not
-        known yet.
+        It may come from another process with this member's id and address, between which and this
+        process the kernel distributes the datagrams of peers; or, where members are found through
+        seeds, from a member that is not known yet.
         """
         is_own = text.startswith(DATAGRAM_PREFIX)
         plain = self._authenticator.verify(text) if is_own else None
@@ -176,31 +177,31 @@
         text = self._authenticator.sign(datagram.text)
         if not self._options.seeds or self._peers.knows(datagram.recipient):
             self._peers.send_to(datagram.recipient, text)
-        else:  # whichever seed gets it answers with the members that it knows
+        else:  # any seed answers with the members that it knows
             self._peers.send(self._random.choice(self._options.seeds), text)
 
     def _announce_to_own_address(self) -> None:
-        """Lets another process with this member's id and address know of this process.
+        """Announces this process to another one that may use the same id and address.
 
-        The kernel picks the process that gets a datagram by the port that it comes from, so each
-        announcement comes from another port.
+        The kernel selects the receiving process by the source port, so each announcement is sent
+        from a new port.
         """
         if self._has_ended:
             return
         membership, now = self.membership, self._scheduler.clock()
-        is_young = now - membership.start_time < STARTUP_ANNOUNCE_S
-        next_in_s = PROBE_INTERVAL_S if is_young else ANNOUNCE_EVERY_S
+        is_starting = now - membership.start_time < STARTUP_ANNOUNCE_S
+        next_in_s = PROBE_INTERVAL_S if is_starting else ANNOUNCE_EVERY_S
         self._scheduler.at(now + next_in_s, self._announce_to_own_address)
         text = membership.own_announcement()
         if membership.allowance and not membership.allowance.take(len(text), now):
-            return  # at the next time
+            return  # the next announcement is already scheduled
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 sock.setblocking(False)
                 sock.bind((self._peers.address[0], 0))
                 sock.sendto(self._authenticator.sign(text).encode(), self._peers.address)
         except OSError as error:
-            self._log.warning("membership: cannot send to the own address: %s", error)
+            self._log.warning("membership: cannot send announcement to own address: %s", error)
 
     # Timers
 
@@ -221,17 +222,20 @@
             self._notify_engine()
 
     def _resumed_after_stall(self) -> None:
-        """Called before anything is read that came while the process stood still.
+        """Runs the overdue tick before any datagram that arrived during the stall is processed.
 
-        Else it would admit work by what it knew before, and answer those who consider it dead as
-        if it were still a member.
+        Otherwise the member would admit work on outdated knowledge, and answer members that
+        consider it dead as if it were still a member.
         """
         now = self._scheduler.clock()
         if not self._has_ended and self.membership.is_stalled(now):
             self._send_all(self.membership.tick(now))
 
     def _log_dropped(self) -> None:
-        """One line at most in `DROPPED_LOG_EVERY_S`, where more datagrams were dropped."""
+        """Logs the counts of dropped datagrams if any were added.
+
+        Repeats itself every `DROPPED_LOG_EVERY_S`, so that this is at most one line in that time.
+        """
         if self._has_ended:
             return
         self._scheduler.at(self._scheduler.clock() + DROPPED_LOG_EVERY_S, self._log_dropped)
@@ -241,15 +245,15 @@
             self._dropped_logged = sum(dropped.values())
             log.warning("membership: datagrams dropped so far: %s", dropped)
 
-    # What changed
+    # Changes
 
     def _report_changes(self) -> None:
-        """To the decision engine, the log, the history file, and the socket's addresses."""
+        """Reports changes to the decision engine, the log, the history file and the socket."""
         membership = self.membership
         admission_changed = self._notify_engine()
         changed_members = membership.drain_changed_members()
         if self._options.seeds:
-            self._learn_addresses(changed_members)
+            self._update_addresses(changed_members)
         if changed_members or admission_changed:
             states = membership.member_states()
             for number in dict.fromkeys(changed_members):
@@ -259,22 +263,19 @@
         if membership.superseded and not self._has_ended:
             self._has_ended = True
             log.error(
-                "membership: another process has number %d and began later; this one leaves",
+                "membership: another process with limiter id %d started later; this one leaves",
                 membership.limiter_id,
             )
             self._options.on_superseded()
 
-    def _learn_addresses(self, numbers: list[int]) -> None:
+    def _update_addresses(self, numbers: list[int]) -> None:
         for number in numbers:
             record = self.membership.table.get(number)
             if record and record.address and number != self.membership.limiter_id:
                 self._peers.set_address(number, unpack_address(record.address))
 
     def _notify_engine(self) -> bool:
-        """Tells the decision engine what is new to it.
-
-        Whether this limiter may admit work from now on, or no longer may.
-        """
+        """Notifies the decision engine of changes and returns whether `may_admit` changed."""
         membership, now = self.membership, self._scheduler.clock()
         is_shut_out = self.evaluate_shut_out(now) if self.evaluate_shut_out else False
         membership.set_shut_out(is_shut_out)
@@ -292,10 +293,10 @@
         admission_changed = last is None or event.may_admit != last.may_admit
         if last is not None and admission_changed:
             self._log_admission(event.may_admit, is_shut_out)
-        # What is unused is given back once and is no part of what the engine knows.
-        known = replace(event, unused=())
-        if known != last or event.unused:
-            self._last_event = known
+        # Unused quota is credited once and is not part of the state to compare with.
+        state_event = replace(event, unused=())
+        if state_event != last or event.unused:
+            self._last_event = state_event
             self._options.on_change(event)
         return admission_changed
 
@@ -315,5 +316,5 @@
 
 
 def max_text_bytes(authenticator: MessageAuthenticator) -> int:
-    """Bytes that a text may have so that it fits into a datagram together with its hash."""
+    """The maximum bytes of a text that fits into a datagram together with its hash."""
     return MAX_TEXT_BYTES - authenticator.overhead_bytes
--- a/hazelhollow/membership/operator_report.py
+++ b/hazelhollow/membership/operator_report.py
@@ -1,4 +1,4 @@
-"""Membership as operators and checkers read it. The keys are those of their pages."""
+"""Membership as operators and checkers read it; the keys are those of the operators' pages."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 def fleet_document(membership: Membership, quota: PartitionQuota, now: float) -> dict[str, Any]:
-    """What `call fleet` answers (`docs/operators/fleet-view.md`).
+    """The answer to `call fleet` (`docs/operators/fleet-view.md`).
 
-    By member: state, incarnation, seconds in that state and whom it cannot hear. `out_of_reach`:
-    members whose part of the quotas is left to them because they cannot be heard.
+    Each member has its state, its incarnation, the seconds in that state and the members that it
+    cannot receive from. `out_of_reach` lists members whose part of the quotas is reserved for them
+    because they cannot be reached.
     """
     members = {
         str(record.number): {
--- a/hazelhollow/membership/settings.py
+++ b/hazelhollow/membership/settings.py
@@ -1,4 +1,4 @@
-"""What a member knows of itself and the fleet when it starts."""
+"""The settings that a member has when it starts."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 class MembershipSettings:
     """Settings of one member.
 
-    `limiter_id`: its id, below `member_count`, the size of the fleet. `seed`: of all random draws.
-    `max_text_bytes`: that the text of a datagram may have. `versions`: of the settings that it
-    acts on, sent along with its record. `address`: packed (`records.pack_address`), where the
+    `limiter_id` is its id, below `member_count`, the size of the fleet. `seed` seeds all its random
+    draws. `max_text_bytes` limits the text of a datagram. `versions` are those of the settings that
+    it acts on, sent with its record. `address` is packed (`records.pack_address`), where the
     configuration does not list it.
     """
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -161,7 +161,7 @@
     fleet.until(lambda: processes.reap("n1"))
     assert (
         first.status == 0
-        and "another process has number 1 and began later" in first.log.read_text()
+        and "another process with limiter id 1 started later" in first.log.read_text()
     )
     fleet.until(
         lambda: fleet.view("n0")["1"][0] == "alive" and fleet.view("n0")["1"][1] > incarnation
