--- a/hazelhollow/control_budget/budget.py
+++ b/hazelhollow/control_budget/budget.py
@@ -1,15 +1,16 @@
-"""A hierarchical token bucket over a limiter's control traffic.
+"""A hierarchical token bucket that limits a limiter's control traffic.
 
 | bucket | is filled by | is spent by |
 | --- | --- | --- |
-| one a role | the role's guaranteed rate | that role only |
-| the pool | overflow of those, and the rate that no role is guaranteed | any role |
+| one per role | the role's guaranteed rate | that role only |
+| the pool | overflow of the roles' buckets, and the rate guaranteed to no role | any role |
 
-Of the pool each role leaves `POOL_RESERVE_SHARE` to each role before it.
+Each role must leave `POOL_RESERVE_SHARE` of the pool for each role before it.
 
-Tokens are bytes, headers included, and only move: in any window of `w` seconds at most
-`rate * w + burst` bytes leave, whatever the roles ask for. No I/O, no clock: the time is passed in,
-in seconds. `docs/design/control-budget.md` says why it is built so.
+Tokens are bytes including headers, and are moved between buckets but never created: in any window
+of `w` seconds at most `rate * w + burst` bytes are sent, however much the roles request. There is
+no I/O and no clock: the time is passed in, in seconds. `docs/design/control-budget.md` explains the
+design.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 from enum import Enum
 from typing import Any
 
-HEADER_BYTES = 28  # of IP and UDP, for each datagram
-MAX_DATAGRAM_BYTES = 256 + HEADER_BYTES  # of the largest datagram, with its headers
-# Below this membership is guaranteed less than its probes and answers need.
+HEADER_BYTES = 28  # IP and UDP headers of each datagram
+MAX_DATAGRAM_BYTES = 256 + HEADER_BYTES  # the largest datagram, including its headers
+# Below this, membership's guaranteed rate is too low for its probes and answers.
 MIN_BYTES_PER_S = 3000.0
-# Of bytes_per_s; the rest is what a full burst adds to the worst ten seconds.
+# Fraction of bytes_per_s; the rest covers a full burst within the worst ten seconds.
 SUSTAINED_SHARE = 0.9
-BURST_S = 1.0  # of bytes_per_s, that all buckets together hold
-POOL_RESERVE_SHARE = 0.15  # of the pool, that each role leaves to each one before it
+BURST_S = 1.0  # capacity of all buckets together, in seconds of bytes_per_s
+POOL_RESERVE_SHARE = 0.15  # fraction of the pool that each role leaves for each one before it
 
 
 class TrafficRole(Enum):
-    """What a datagram is for, in the order in which the pool is lent.
+    """The purpose of a datagram, in order of priority for the pool.
 
     The values are the keys of the operators' page.
     """
@@ -43,9 +44,10 @@
 
 @dataclass(frozen=True)
 class RoleGuarantee:
-    """`rate_share`: of bytes_per_s that a role is guaranteed.
+    """What a role is guaranteed.
 
-    `burst_s`: seconds of that rate that its bucket holds.
+    `rate_share` is its fraction of bytes_per_s. `burst_s` is the capacity of its bucket, in seconds
+    of that rate.
     """
 
     rate_share: float
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True)
 class BucketSettings:
-    """`rate`: bytes a second that come in. `burst`: the most bytes that it holds."""
+    """One bucket: `rate` in bytes per second, and `burst`, its capacity in bytes."""
 
     rate: float
     burst: float
@@ -70,9 +72,9 @@
 
 @dataclass(frozen=True)
 class BudgetSettings:
-    """`rate` of all together, in bytes a second; the roles' buckets; bytes that the pool holds.
+    """The total `rate` in bytes per second, the roles' buckets, and the pool's capacity in bytes.
 
-    Raises ValueError where the parts do not fit together.
+    Raises ValueError if the parts are inconsistent.
     """
 
     rate: float
@@ -81,7 +83,9 @@
 
     def __post_init__(self) -> None:
         if sum(bucket.rate for bucket in self.roles.values()) > self.rate * (1 + 1e-9):
-            raise ValueError("the roles are guaranteed more than the whole rate")
+            raise ValueError(
+                f"the roles are guaranteed more than the total rate of {self.rate:g} bytes a second"
+            )
         if any(bucket.burst < MAX_DATAGRAM_BYTES for bucket in self.roles.values()):
             raise ValueError(
                 f"a role's burst is less than a datagram of {MAX_DATAGRAM_BYTES} bytes"
@@ -89,17 +93,19 @@
 
     @property
     def burst(self) -> float:
-        """Bytes that may leave at once, over all roles."""
+        """The bytes that may be sent at once, over all roles."""
         return self.pool_burst + sum(bucket.burst for bucket in self.roles.values())
 
 
 def settings_for(bytes_per_s: float) -> BudgetSettings:
-    """Buckets by which at most that many bytes a second leave over the worst ten seconds.
+    """The settings that limit the average over the worst ten seconds to `bytes_per_s`.
 
-    Raises ValueError for less than `MIN_BYTES_PER_S`.
+    Raises ValueError if that is less than `MIN_BYTES_PER_S`.
     """
     if bytes_per_s < MIN_BYTES_PER_S:
-        raise ValueError(f"{bytes_per_s:g} bytes a second is less than {MIN_BYTES_PER_S:g}")
+        raise ValueError(
+            f"{bytes_per_s:g} bytes a second is less than the minimum of {MIN_BYTES_PER_S:g}"
+        )
     roles = {
         role: BucketSettings(
             guarantee.rate_share * bytes_per_s,
@@ -114,10 +120,10 @@
 
 @dataclass
 class RoleUsage:
-    """Counters of one role since the start; their names are those of the operators' page.
+    """Counters of one role since the start; the names are those of the operators' page.
 
-    `sent` datagrams and their `bytes`; messages that had to wait (`deferred`, each time that one
-    asked in vain) and those given up (`dropped`).
+    `sent` counts datagrams and `bytes` their size. `deferred` counts requests that were refused for
+    lack of budget, and `dropped` messages that were given up after waiting.
     """
 
     sent: int = 0
@@ -127,18 +133,19 @@
 
 
 class ControlBudget:
-    """The budget of one limiter. `now`: of the start, in seconds; the buckets are full then.
+    """The budget of one limiter.
 
-    A clock that goes back gives nothing for that time; one that jumps ahead gives the burst.
+    `now` is the time of the start, in seconds; the buckets are full then. A clock that is set back
+    adds nothing for that time; one that jumps ahead adds at most the burst.
     """
 
     def __init__(self, settings: BudgetSettings, now: float) -> None:
         self.settings = settings
         self.usage = {role: RoleUsage() for role in TrafficRole}
         self._tokens = {role: bucket.burst for role, bucket in settings.roles.items()}
-        self._pool = settings.pool_burst  # below 0: bytes that left without being asked about
+        self._pool = settings.pool_burst  # negative after unrequested bytes were debited
         self._unguaranteed = settings.rate - sum(bucket.rate for bucket in settings.roles.values())
-        # Bytes of the pool that each role leaves to those before it.
+        # Bytes of the pool that each role must leave for the roles before it.
         self._reserved = {
             role: POOL_RESERVE_SHARE * place * settings.pool_burst
             for place, role in enumerate(settings.roles)
@@ -146,14 +153,14 @@
         self._filled_at = now
 
     def available(self, role: TrafficRole, now: float) -> float:
-        """Bytes that the role may send now: its own, and what may be lent to it."""
+        """The bytes that the role may send now: its own, and what the pool may lend to it."""
         self._refill(now)
         return self._tokens[role] + max(0.0, self._pool - self._reserved[role])
 
     def take(self, role: TrafficRole, size: int, now: float, keep_bytes: float = 0.0) -> bool:
-        """Whether a datagram of `size` bytes, headers included, may leave now; spends them if so.
+        """Whether a datagram of `size` bytes with headers may be sent now; consumes them if so.
 
-        `keep_bytes`: bytes that must be left to the role.
+        `keep_bytes`: bytes that must remain available to the role.
         """
         if self.available(role, now) - size < keep_bytes:
             self.usage[role].deferred += 1
@@ -162,21 +169,21 @@
         return True
 
     def debit(self, role: TrafficRole, size: int, now: float) -> None:
-        """A datagram that has left without being asked about.
+        """Debits a datagram that was sent without requesting budget.
 
-        What the role's bucket lacks is the pool's debt: nothing is lent until it is paid. The debt
-        is at most as large as the burst.
+        What the role's bucket lacks becomes a debt of the pool, and nothing is lent until it is
+        repaid. The debt is at most the burst.
         """
         self._refill(now)
         self._spend(role, size)
         self._pool = max(self._pool, -self.settings.burst)
 
     def drop(self, role: TrafficRole) -> None:
-        """Counts a message that had to wait and was given up."""
+        """Counts a message that was given up after waiting."""
         self.usage[role].dropped += 1
 
     def document(self) -> dict[str, Any]:
-        """The budget and its counters as operators see them."""
+        """The budget and its counters as shown to operators."""
         return {
             "rate": round(self.settings.rate),
             "burst": round(self.settings.burst),
@@ -184,9 +191,9 @@
         }
 
     def _spend(self, role: TrafficRole, size: int) -> None:
-        """Takes what the pool lends first.
+        """Consumes what the pool lends first, since only the overflow of a full pool is lost.
 
-        The role's own bucket overflows into the pool once it is full, and a full pool is lost.
+        The overflow of a role's own bucket goes to the pool.
         """
         lent = min(size, max(0.0, self._pool - self._reserved[role]))
         own = min(self._tokens[role], size - lent)
@@ -196,21 +203,21 @@
         self.usage[role].bytes += size
 
     def _refill(self, now: float) -> None:
-        passed, self._filled_at = max(0.0, now - self._filled_at), now
-        if not passed:
+        elapsed_s, self._filled_at = max(0.0, now - self._filled_at), now
+        if not elapsed_s:
             return
-        to_pool = self._unguaranteed * passed
+        to_pool = self._unguaranteed * elapsed_s
         for role, bucket in self.settings.roles.items():
-            tokens = self._tokens[role] + bucket.rate * passed
+            tokens = self._tokens[role] + bucket.rate * elapsed_s
             to_pool += max(0.0, tokens - bucket.burst)
             self._tokens[role] = min(bucket.burst, tokens)
         self._pool = min(self.settings.pool_burst, self._pool + to_pool)
 
 
 class RoleBudget:
-    """One role's side of the budget, as a subsystem asks it.
+    """One role's part of the budget, as used by a subsystem.
 
-    `overhead_bytes`: of each datagram beyond its text; by default its headers.
+    `overhead_bytes` are the bytes of each datagram besides its text, by default its headers.
     """
 
     def __init__(
@@ -220,22 +227,22 @@
 
     @property
     def burst(self) -> float:
-        """Bytes of the role's own bucket when it is full."""
+        """The capacity of the role's own bucket in bytes."""
         return self.budget.settings.roles[self.role].burst
 
     def available_bytes(self, now: float) -> float:
-        """Bytes of text that one datagram may have now."""
+        """The bytes of text that one datagram may contain now."""
         return self.budget.available(self.role, now) - self.overhead_bytes
 
     def take(self, length: int, now: float, keep_share: float = 0.0) -> bool:
-        """Whether a text of `length` bytes may leave now; spends them if so.
+        """Whether a text of `length` bytes may be sent now; consumes its bytes if so.
 
-        `keep_share`: share of the role's own burst that must be left, 0 to 1.
+        `keep_share`: fraction of the role's own burst that must remain, 0 to 1.
         """
         return self.budget.take(
             self.role, length + self.overhead_bytes, now, keep_share * self.burst
         )
 
     def drop(self) -> None:
-        """Counts a message that was given up."""
+        """Counts a message that was given up after waiting."""
         self.budget.drop(self.role)
--- a/hazelhollow/control_budget/limiter_budget.py
+++ b/hazelhollow/control_budget/limiter_budget.py
@@ -1,7 +1,7 @@
-"""The control budget of one limiter, as its subsystems are given it.
+"""The control budget of one limiter, as provided to its subsystems.
 
-Each subsystem asks its role's part before it sends. The decision engine does not ask: it paces its
-gossip by a rate in its settings, and what it sends is debited as it leaves.
+Each subsystem requests budget from its role's part before it sends. The decision engine does not:
+it paces its gossip by a rate in its settings, and each datagram is debited when it is sent.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 
 def with_gossip_rate(settings: api.Settings, bytes_per_s: float) -> api.Settings:
-    """The settings with gossip kept to its guaranteed rate.
+    """Returns the settings with gossip limited to its guaranteed rate.
 
-    `bytes_per_s`: of all control traffic. Raises ValueError for too few.
+    `bytes_per_s` is the rate of all control traffic. Raises ValueError if it is too low.
     """
     quota = settings_for(bytes_per_s).roles[TrafficRole.QUOTA]
     return replace(settings, gossip_bytes_per_s=quota.rate)
 
 
 class LimiterBudget:
-    """`bytes_per_s`: of all control traffic, headers included.
+    """The budget of a limiter whose control traffic is limited to `bytes_per_s` including headers.
 
-    `signature_bytes`: that a keyed hash adds to a datagram. Raises ValueError for too few bytes a
-    second.
+    `signature_bytes` is what a keyed hash adds to a datagram. Raises ValueError if `bytes_per_s` is
+    too low.
     """
 
     def __init__(
@@ -49,10 +49,10 @@
         peers.on_sent = self._debit_gossip
 
     def for_role(self, role: TrafficRole) -> RoleBudget:
-        """What that role's subsystem asks before it sends."""
+        """The part of the budget from which that role's subsystem requests bytes."""
         return RoleBudget(self.budget, role, self._overhead_bytes)
 
     def _debit_gossip(self, text: str) -> None:
-        """A datagram has left. Gossip is known by its first letter."""
+        """Debits a sent datagram if its first letter marks it as gossip."""
         if text[0] in (DIALECT, PREVIOUS_DIALECT):
             self.budget.debit(TrafficRole.QUOTA, len(text) + HEADER_BYTES, self._clock())
--- a/hazelhollow/control_budget/send_queue.py
+++ b/hazelhollow/control_budget/send_queue.py
@@ -1,4 +1,4 @@
-"""Messages that wait for their role's part of the budget, the most useful first."""
+"""Messages that wait for their role's part of the budget, in order of priority."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 
 from hazelhollow.control_budget.budget import RoleBudget
 
-MAX_WAITING_MESSAGES = 64  # of one role; a newer one takes the place of the least useful
-MAX_WAIT_S = 2.0  # after which a message is dropped: what it said is said again by then
+MAX_WAITING_MESSAGES = 64  # of one role; when exceeded, the least useful is dropped
+MAX_WAIT_S = 2.0  # a message is dropped after this: its content has been sent again by then
 
 Payload = TypeVar("Payload")
 
 
 class _Entry(NamedTuple):
-    """A waiting message; the least entry leaves first."""
+    """A waiting message; the smallest entry is sent first."""
 
     rank: int
     serial: int
     length: int
-    until: float
+    expires_at: float
 
 
 class SendQueue(Generic[Payload]):
-    """One role's queue.
+    """The queue of one role.
 
-    `max_waiting`: messages that it holds. `max_wait_s`: seconds after which one is dropped.
+    `max_waiting` limits the number of messages. `max_wait_s` is the time after which one is
+    dropped.
     """
 
     def __init__(
@@ -43,11 +44,11 @@
         return len(self._heap)
 
     def contains(self, payload: Payload) -> bool:
-        """Whether that message waits already."""
+        """Whether that message is waiting already."""
         return payload in self._payloads.values()
 
     def add(self, rank: int, length: int, payload: Payload, now: float) -> None:
-        """Queues a message of `length` bytes of text; those of a lower rank go first."""
+        """Queues a message of `length` bytes of text; messages of a lower rank are sent first."""
         self._serial += 1
         entry = _Entry(rank, self._serial, length, now + self._max_wait_s)
         heapq.heappush(self._heap, entry)
@@ -56,11 +57,11 @@
             self._drop(max(self._heap))
 
     def pop_sendable(self, now: float) -> list[Payload]:
-        """Takes out and pays for what may leave now.
+        """Removes and returns the messages that may be sent now, and consumes their budget.
 
-        One that finds no room holds back all that are less useful.
+        A message that exceeds the available budget blocks all less useful ones.
         """
-        for expired in [entry for entry in self._heap if entry.until < now]:
+        for expired in [entry for entry in self._heap if entry.expires_at < now]:
             self._drop(expired)
         sendable = list[Payload]()
         while self._heap and self._allowance.take(self._heap[0].length, now):
--- a/hazelhollow/membership/suspicion.py
+++ b/hazelhollow/membership/suspicion.py
@@ -11,7 +11,7 @@
 Each suspect is pinged so that it can refute before it is considered dead. With many suspects at
 once the pings are spread over several periods, and none is considered dead merely because it has
 not been pinged. Once `MASS_FAILURE_SAMPLE` suspects in a row were pinged and did not answer, a
-whole zone is assumed to have failed, and the remaining suspects need no pings of their own. An
+complete zone is assumed to have failed, and the remaining suspects need no pings of their own. An
 answer from any suspect ends that state.
 """
 
@@ -107,9 +107,7 @@
 
     def next_to_ping(self, limit: int) -> list[int]:
         """Suspects to ping now: the least pinged first, and among those the newest."""
-        order = sorted(
-            self._suspicions.values(), key=lambda suspicion: (suspicion.pings, -suspicion.since)
-        )
+        order = sorted(self._suspicions.values(), key=lambda entry: (entry.pings, -entry.since))
         return [suspicion.record.number for suspicion in order[:limit]]
 
     def pinged(self, number: int) -> None:
