--- a/hazelhollow/membership/suspicion.py
+++ b/hazelhollow/membership/suspicion.py
@@ -10,8 +10,8 @@
 
 Each suspect is pinged so that it can refute before it is considered dead. With many suspects at
 once the pings are spread over several periods, and none is considered dead merely because it has
-not been pinged. Once `MASS_FAILURE_SAMPLE` suspects in a row were pinged and did not answer, a
-complete zone is assumed to have failed, and the remaining suspects need no pings of their own. An
+not been pinged. Once `MASS_FAILURE_SAMPLE` suspects in a row were pinged and did not answer, an
+entire zone is assumed to have failed, and the remaining suspects need no pings of their own. An
 answer from any suspect ends that state.
 """
 
--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -1,4 +1,4 @@
-"""Records, messages and members that the tests of membership share."""
+"""Records, messages and members shared by the tests of membership."""
 
 from __future__ import annotations
 
@@ -37,32 +37,33 @@
 )
 
 
-of_one = records.map(lambda record: record._replace(number=3))
+records_of_one_member = records.map(lambda record: record._replace(number=3))
 
 
-def alone(me: int = 0, members: int = 3, now: float = 1000.0) -> Membership:
-    return Membership(MembershipSettings(me, members, 1), now)
+def make_member(limiter_id: int = 0, members: int = 3, now: float = 1000.0) -> Membership:
+    return Membership(MembershipSettings(limiter_id, members, 1), now)
 
 
-def from_peer(
+def peer_datagram(
     sender: Record,
     serial: int = 1,
     kind: MessageKind = MessageKind.PING,
-    parts: tuple[int, ...] = (1,),
+    arguments: tuple[int, ...] = (1,),
     reported: tuple[Record, ...] = (),
 ) -> str:
-    return codec.encode(Message(kind, sender, serial, 0, parts), reported)[0]
+    return codec.encode(Message(kind, sender, serial, 0, arguments), reported)[0]
 
 
 PEER = Record(1, 36**8, 1, MemberState.ALIVE)
 
 
-def answered(
+def tick_and_ack(
     member: Membership, now: float, serial: int = 1, reported: tuple[Record, ...] = ()
 ) -> list[Datagram]:
-    """The peer answers a ping of this beat; an answer to none that waits would wake nobody.
+    """Runs a tick and lets the peer ack the ping that it sent.
 
-    What the beat sent.
+    An ack that matches no pending probe would not complete joining. Returns the datagrams of the
+    tick.
     """
     sent = member.tick(now)
     ping = next(
@@ -72,15 +73,15 @@
     )
     member.receive(
         1,
-        from_peer(
-            PEER, serial=serial, kind=MessageKind.ACK, parts=ping.arguments, reported=reported
+        peer_datagram(
+            PEER, serial=serial, kind=MessageKind.ACK, arguments=ping.arguments, reported=reported
         ),
         now + 0.1,
     )
     return sent
 
 
-def settled(members: int, seed: int = 1, loss: float = 0.0) -> SimulatedFleet:
+def settled_fleet(members: int, seed: int = 1, loss: float = 0.0) -> SimulatedFleet:
     sim = SimulatedFleet(members, seed, loss)
     sim.start_all()
     assert sim.settle(longest=10.0) is not None
@@ -97,9 +98,9 @@
 START = 1000.0
 
 
-def part(bytes_per_s: float, now: float = START) -> RoleBudget:
+def membership_budget(bytes_per_s: float, now: float = START) -> RoleBudget:
     return RoleBudget(ControlBudget(settings_for(bytes_per_s), now), TrafficRole.MEMBERSHIP)
 
 
-def member_of(members: int, allowance: RoleBudget | None = None) -> Membership:
+def make_member_of_fleet(members: int, allowance: RoleBudget | None = None) -> Membership:
     return Membership(MembershipSettings(0, members, 1), START, allowance)
--- a/tests/membership/test_datagram_format.py
+++ b/tests/membership/test_datagram_format.py
@@ -1,4 +1,4 @@
-"""The datagrams of membership, byte for byte: what limiters of other versions must read."""
+"""The exact bytes of membership's datagrams, which limiters of other versions must read."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     Record(1296, 17, 36**6, MemberState.LEFT, (), "", ADDRESS),
 )
 
-DATAGRAMS = [
+MESSAGES = [
     Message(MessageKind.PING, SENDER, 7, 99, (36**4 - 1,), RECORDS),
     Message(MessageKind.ACK, PLAIN, 1, 36**5 - 1, (12,), RECORDS[1:]),
     Message(MessageKind.PING_REQUEST, PLAIN, 36**6, 0, (12, 1500), ()),
@@ -33,7 +33,7 @@
     Message(MessageKind.RECORDS, SENDER, 43, 6, (), RECORDS),
     Message(MessageKind.PRESENCE_BITMAP, PLAIN, 44, 6, (1008, 0b1011 << 64 | 7), ()),
 ]
-FULL = [
+FULL_TEXTS = [
     (
         "v1p 3.2cqdgk5.2.1.4-14.i4pz002k3f9005wa1cz0q1.7f0000091f0a/7/2r zzzz 5.2cqdo9x.0.0..i4pz"
         "002k3f9005wa1cz0q1 6.2cqd8ud.1.3.3.other zz.0.0.4 100.h.1000000.5...7f0000091f0a"
@@ -53,7 +53,7 @@
     ),
     "v1b 15.2cqdgk5.c.2/18/6 s0:BwAAAAAAAAAL",
 ]
-RELATIVE = [
+RELATIVE_TEXTS = [
     (
         "v1p 3.2cqdgk5.2.1.4-14.i4pz002k3f9005wa1cz0q1.7f0000091f0a/7/2r zzzz 5.+7ps.0.0= 6.-7ps."
         "1.3.3.other zz.0.0.4 100.h.1000000.5...7f0000091f0a"
@@ -76,27 +76,29 @@
 
 
 @pytest.mark.parametrize(
-    ("message", "full", "relative"), list(zip(DATAGRAMS, FULL, RELATIVE, strict=True))
+    ("message", "full", "relative"), list(zip(MESSAGES, FULL_TEXTS, RELATIVE_TEXTS, strict=True))
 )
-def test_each_kind_of_datagram_keeps_its_bytes(message: Message, full: str, relative: str) -> None:
-    """A limiter of another version in the same fleet would read a changed form as garbled."""
-    bare = message._replace(records=())
+def test_encoding_of_each_message_kind_is_stable(
+    message: Message, full: str, relative: str
+) -> None:
+    """A limiter of another version in the same fleet would drop a changed format as garbled."""
+    without_records = message._replace(records=())
     for text, is_relative in ((full, False), (relative, True)):
-        assert codec.encode(bare, message.records, relative=is_relative) == (
+        assert codec.encode(without_records, message.records, relative=is_relative) == (
             text,
             len(message.records),
         )
         assert codec.decode(text, MEMBERS) == message
 
 
-def test_the_keyed_hash_of_a_datagram_keeps_its_bytes() -> None:
-    """One that hashes in another way is dropped by all the others as unsealed."""
-    sealed = MessageAuthenticator([b"k" * 16]).sign("v1p 3.1.1.1/1/1 1")
-    assert sealed == "v1p 3.1.1.1/1/1 1 ~715f7731d70459e5"
+def test_keyed_hash_of_a_datagram_is_stable() -> None:
+    """Datagrams with a different hash are dropped by all other limiters as unauthenticated."""
+    signed = MessageAuthenticator([b"k" * 16]).sign("v1p 3.1.1.1/1/1 1")
+    assert signed == "v1p 3.1.1.1/1/1 1 ~715f7731d70459e5"
 
 
-def test_the_fingerprint_behind_digests_keeps_its_value() -> None:
-    """Limiters that count another fingerprint never see their tables as the same."""
+def test_fingerprint_of_a_record_is_stable() -> None:
+    """With a different fingerprint, limiters would never find their tables equal."""
     assert [fingerprint(record) for record in (SENDER, *RECORDS)] == [
         14132131156336183123,
         1704230829788365022,
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Which records ride along first."""
+"""The order in which records are piggybacked."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 )
 
 
-def test_refutations_are_passed_on_before_other_news() -> None:
-    """A member that is up counts as dead until its refutation arrives, so that goes first."""
+def test_refutations_are_piggybacked_before_other_records() -> None:
+    """Until its refutation arrives, a member that is up may be considered dead."""
     dissemination, table = DisseminationQueue(100), MemberTable()
     for record in (
         Record(1, 5, 1, MemberState.DEAD),
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -18,7 +18,7 @@
 )
 from hazelhollow.membership.timing import PROBE_INTERVAL_S, STALL_S
 from tests.decisions.helpers import ask, entry, only, servers
-from tests.membership.helpers import PEER, alone, answered, from_peer
+from tests.membership.helpers import PEER, make_member, peer_datagram, tick_and_ack
 from tests.net.scenario import SETTINGS
 
 
@@ -26,12 +26,16 @@
     ("source", "text", "counted"),
     [
         (1, "v1 nonsense", "garbled"),
-        (1, from_peer(PEER)[:20], "garbled"),
-        (2, from_peer(PEER), "forged"),
-        (0, from_peer(PEER._replace(number=0)), "forged"),
-        (1, from_peer(PEER, serial=5), "replayed"),
-        (1, from_peer(PEER, serial=4), "replayed"),
-        (1, from_peer(PEER._replace(incarnation=PEER.incarnation - 1), serial=9), "earlier_life"),
+        (1, peer_datagram(PEER)[:20], "garbled"),
+        (2, peer_datagram(PEER), "forged"),
+        (0, peer_datagram(PEER._replace(number=0)), "forged"),
+        (1, peer_datagram(PEER, serial=5), "replayed"),
+        (1, peer_datagram(PEER, serial=4), "replayed"),
+        (
+            1,
+            peer_datagram(PEER._replace(incarnation=PEER.incarnation - 1), serial=9),
+            "earlier_life",
+        ),
     ],
 )
 def test_what_is_dropped_is_counted_and_changes_nothing(
@@ -40,9 +44,9 @@
     """Datagrams that are garbled, forged, replayed or of an earlier incarnation change no
     record and are counted.
     """
-    member = alone()
+    member = make_member()
     for serial in (4, 5):
-        member.receive(1, from_peer(PEER, serial=serial), 1000.1)
+        member.receive(1, peer_datagram(PEER, serial=serial), 1000.1)
     before = sorted(member.table)
     member.receive(source, text, 1000.2)
     assert member.counts[counted] == 1 and sorted(member.table) == before
@@ -52,12 +56,12 @@
     """The network reorders datagrams. They are read; one far behind the newest counts as
     replayed.
     """
-    member = alone()
+    member = make_member()
     for serial in (5, 3, 4, 70):
-        member.receive(1, from_peer(PEER, serial=serial), 1000.1)
+        member.receive(1, peer_datagram(PEER, serial=serial), 1000.1)
     assert member.counts["replayed"] == 0
     member.receive(
-        1, from_peer(PEER, serial=5), 1000.1
+        1, peer_datagram(PEER, serial=5), 1000.1
     )  # far behind the newest counts as come before
     assert member.counts["replayed"] == 1
 
@@ -65,11 +69,11 @@
 def test_a_member_that_is_reported_suspect_or_dead_refutes_it() -> None:
     """A peer reports this member suspect or dead. It answers with a record of a higher version."""
     for state in (MemberState.SUSPECT, MemberState.DEAD):
-        member = alone()
-        answered(member, 1000.0)
+        member = make_member()
+        tick_and_ack(member, 1000.0)
         assert member.own.state == MemberState.ALIVE
         member.receive(
-            1, from_peer(PEER, serial=2, reported=(member.own._replace(state=state),)), 1000.2
+            1, peer_datagram(PEER, serial=2, reported=(member.own._replace(state=state),)), 1000.2
         )
         reported = member.table.get(0)
         assert reported and reported.state == MemberState.ALIVE and reported.record_version == 2
@@ -77,11 +81,11 @@
 
 def test_the_later_start_of_two_with_one_id_goes_on() -> None:
     """Two processes run with one id. The one that started earlier admits and sends nothing more."""
-    member = alone()
-    answered(member, 1000.0)
+    member = make_member()
+    tick_and_ack(member, 1000.0)
     member.receive(
         1,
-        from_peer(
+        peer_datagram(
             PEER, serial=2, reported=(member.own._replace(incarnation=member.own.incarnation + 1),)
         ),
         1000.2,
@@ -93,7 +97,7 @@
     """A second process is started on this machine with the same id. The earlier one
     yields; neither yields to its own announcement.
     """
-    member, later = alone(), alone(now=1001.0)
+    member, later = make_member(), make_member(now=1001.0)
     assert member.detect_duplicate(member.own_announcement()) and later.detect_duplicate(
         member.own_announcement()
     )
@@ -101,33 +105,35 @@
     assert (
         member.detect_duplicate(later.own_announcement())
         and member.superseded
-        and not later.detect_duplicate(from_peer(PEER))
+        and not later.detect_duplicate(peer_datagram(PEER))
     )
 
 
 def test_a_sender_is_identified_by_the_address_in_its_own_record() -> None:
     address = pack_address("127.0.0.9", 7946)
-    text = from_peer(PEER._replace(address=address))
+    text = peer_datagram(PEER._replace(address=address))
     assert unpack_address(address) == ("127.0.0.9", 7946)
-    assert alone().identify_sender(text, ("127.0.0.9", 7946)) == 1
+    assert make_member().identify_sender(text, ("127.0.0.9", 7946)) == 1
     assert (
-        alone().identify_sender(text, ("127.0.0.9", 7947)) is None
-        and alone().identify_sender(from_peer(PEER), ("127.0.0.9", 7946)) is None
+        make_member().identify_sender(text, ("127.0.0.9", 7947)) is None
+        and make_member().identify_sender(peer_datagram(PEER), ("127.0.0.9", 7946)) is None
     )
-    assert alone(me=1).identify_sender(text, ("127.0.0.9", 7946)) is None
+    assert make_member(limiter_id=1).identify_sender(text, ("127.0.0.9", 7946)) is None
 
 
 def test_a_clock_set_back_is_outbid_only_while_joining_and_once() -> None:
     """The clock was set back between two starts. The new run takes a higher incarnation, once,
     and only while it joins.
     """
-    member = alone()
+    member = make_member()
     later = member.own.incarnation + 10**9
-    member.receive(1, from_peer(PEER, reported=(member.own._replace(incarnation=later),)), 1000.1)
+    member.receive(
+        1, peer_datagram(PEER, reported=(member.own._replace(incarnation=later),)), 1000.1
+    )
     assert member.own.incarnation > later and not member.superseded
     member.receive(
         1,
-        from_peer(
+        peer_datagram(
             PEER, serial=2, reported=(member.own._replace(incarnation=member.own.incarnation + 1),)
         ),
         1000.2,
@@ -139,16 +145,16 @@
     """The process stood still for five seconds. It admits nothing until a peer answers a ping
     sent since, or nobody does.
     """
-    member = alone()
-    answered(member, 1000.0)
+    member = make_member()
+    tick_and_ack(member, 1000.0)
     member.tick(1000.25)
     assert member.may_admit
     sent = member.tick(1005.0)
     assert not member.may_admit and sent
-    member.receive(1, from_peer(PEER, serial=2, kind=MessageKind.ACK, parts=(1,)), 1005.05)
+    member.receive(1, peer_datagram(PEER, serial=2, kind=MessageKind.ACK, arguments=(1,)), 1005.05)
     assert not member.may_admit  # it answers a ping of before
     dead = member.own._replace(state=MemberState.DEAD)
-    answered(member, 1005.25, serial=3, reported=(dead,))
+    tick_and_ack(member, 1005.25, serial=3, reported=(dead,))
     assert (
         member.may_admit and member.own.record_version == dead.record_version + 1
     )  # it has learned of its death first
@@ -162,8 +168,8 @@
     """The process stood still for twenty seconds, past the end of a suspicion. That suspicion
     begins again.
     """
-    member = alone()
-    answered(member, 1000.0)
+    member = make_member()
+    tick_and_ack(member, 1000.0)
     for n in range(1, 8):
         member.tick(1000.0 + n * PROBE_INTERVAL_S)
     suspects = [r for r in member.table if r.state == MemberState.SUSPECT]
@@ -228,9 +234,9 @@
     now = 1000.0 + PROBE_INTERVAL_S
 
     def waiting() -> Membership:
-        member = alone()
-        answered(member, 1000.0)
-        member.receive(2, from_peer(PEER._replace(number=2)), 1000.1)
+        member = make_member()
+        tick_and_ack(member, 1000.0)
+        member.receive(2, peer_datagram(PEER._replace(number=2)), 1000.1)
         member.tick(now)
         return member
 
@@ -240,5 +246,5 @@
     assert waiting().request_indirect_probes(now + PROBE_INTERVAL_S + 1.1 * STALL_S) == []
     superseded = waiting()
     later = superseded.own._replace(incarnation=superseded.own.incarnation + 1)
-    superseded.receive(1, from_peer(PEER, serial=2, reported=(later,)), now)
+    superseded.receive(1, peer_datagram(PEER, serial=2, reported=(later,)), now)
     assert superseded.superseded and superseded.request_indirect_probes(on_time) == []
--- a/tests/membership/test_records.py
+++ b/tests/membership/test_records.py
@@ -1,4 +1,4 @@
-"""Records, the merge rule, and the table with its digests."""
+"""Records, the merge rule, and the member table with its digests."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
     Record,
     merge,
 )
-from tests.membership.helpers import alone, of_one, records
+from tests.membership.helpers import make_member, records, records_of_one_member
 
 
-@given(of_one, of_one, of_one)
+@given(records_of_one_member, records_of_one_member, records_of_one_member)
 def test_merging_is_associative_commutative_and_idempotent(a: Record, b: Record, c: Record) -> None:
-    """Order, duplication and loss of records cannot change what members come to hold."""
+    """Otherwise order, duplication or loss of records would make members hold different ones."""
     assert merge(merge(a, b), c) == merge(a, merge(b, c))
     assert merge(a, b) == merge(b, a) and merge(a, a) == a
 
 
 @given(st.lists(records, max_size=30), st.randoms(use_true_random=False))
-def test_tables_that_received_the_same_records_in_any_order_have_the_same_digests(
-    reported: list[Record], chance: random.Random
+def test_tables_with_records_merged_in_any_order_have_equal_digests(
+    reported: list[Record], rng: random.Random
 ) -> None:
-    member, other, mixed = MemberTable(), MemberTable(), reported + reported
-    chance.shuffle(mixed)
-    for table, lines in ((member, reported), (other, mixed)):
-        for record in lines:
+    member, other, shuffled = MemberTable(), MemberTable(), reported + reported
+    rng.shuffle(shuffled)
+    for table, to_put in ((member, reported), (other, shuffled)):
+        for record in to_put:
             table.put(record)
     assert sorted(member) == sorted(other)
     assert (member.digest(), member.bucket_digests()) == (other.digest(), other.bucket_digests())
 
 
 @given(st.lists(records, min_size=1, max_size=30), records)
-def test_a_table_that_knows_more_differs_in_the_digest_of_that_bucket_alone(
-    reported: list[Record], more: Record
+def test_newer_record_changes_only_the_digest_of_its_bucket(
+    reported: list[Record], extra: Record
 ) -> None:
     member, other = MemberTable(), MemberTable()
     for record in reported:
         member.put(record)
         other.put(record)
-    before = member.get(more.number)
-    other.put(more)
-    known = (before and before[:4]) == (other.get(more.number) or more)[:4]
+    before = member.get(extra.number)
+    other.put(extra)
+    is_known = (before and before[:4]) == (other.get(extra.number) or extra)[:4]
     differ = [
         n
         for n, (a, b) in enumerate(
@@ -55,10 +55,10 @@
         )
         if a != b
     ]
-    assert differ == ([] if known else [more.number % BUCKETS])
+    assert differ == ([] if is_known else [extra.number % BUCKETS])
 
 
-def test_a_bitmap_shows_who_has_joined_and_is_not_suspected() -> None:
+def test_joined_bitmap_has_bits_for_joined_unsuspected_members() -> None:
     table = MemberTable()
     for number, state in enumerate(
         (
@@ -78,8 +78,8 @@
     )
 
 
-def test_members_that_started_so_long_before_are_found_by_their_incarnation() -> None:
-    member = alone()
+def test_members_older_by_some_time_are_found_by_incarnation() -> None:
+    member = make_member()
     for number, seconds in ((2, 3.9), (3, 4.1), (4, 400.0), (5, -5.0)):
         member.table.put(
             Record(
@@ -89,5 +89,5 @@
                 MemberState.ALIVE,
             )
         )
-    member.table.put(Record(6, 0, 0, MemberState.DEAD))  # nobody has ever seen it
+    member.table.put(Record(6, 0, 0, MemberState.DEAD))  # incarnation 0: no member has ever seen it
     assert member.members_older_by(4.0) == {3, 4}
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -17,12 +17,12 @@
     MemberState,
     Record,
 )
-from tests.membership.helpers import settled, states
+from tests.membership.helpers import settled_fleet, states
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_twenty_started_in_the_same_moment_agree(seed: int) -> None:
-    settled(20, seed)
+    settled_fleet(20, seed)
 
 
 def test_a_fleet_whose_first_members_are_dead_agrees_on_that() -> None:
@@ -43,7 +43,7 @@
     """One member crashes, then half of the fleet, then they return. All that are up agree
     within seconds each time.
     """
-    sim = settled(12, seed)
+    sim = settled_fleet(12, seed)
     for gone in ([4], [0, 1, 2, 3, 5, 6]):
         for number in gone:
             sim.kill(number)
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_both_sides_of_a_partition_settle_and_then_together(seed: int) -> None:
     """A partition: each side holds the other dead. It heals, and all agree."""
-    sim = settled(12, seed)
+    sim = settled_fleet(12, seed)
     sim.is_cut = lambda a, b: (a < 5) != (b < 5)
     assert sim.settle(lambda: sim.agreed(range(5)) and sim.agreed(range(5, 12)), 10.0) is not None
     assert states(sim, 0)[11] == "dead"
@@ -70,7 +70,7 @@
     """One link fails in both directions. Helpers answer for both ends: nobody is suspected for
     long, both report it.
     """
-    sim = settled(8)
+    sim = settled_fleet(8)
     sim.is_cut = lambda a, b: {a, b} == {2, 6}
     sim.reset_counters()
     sim.run(15.0)
@@ -93,7 +93,7 @@
     """One link fails in one direction. Only the end that no longer hears reports it, and nobody
     dies.
     """
-    sim = settled(8)
+    sim = settled_fleet(8)
     sim.is_cut = lambda a, b: (a, b) == (2, 6)
     sim.run(15.0)
     assert (
@@ -107,7 +107,7 @@
     """One member hears all and is heard by none. The others hold it dead until its datagrams
     arrive again.
     """
-    sim = settled(6)
+    sim = settled_fleet(6)
     sim.is_cut = lambda a, b: a == 3
     sim.run(8.0)
     assert all(states(sim, n)[3] == "dead" for n in range(6) if n != 3)
@@ -117,7 +117,7 @@
 
 def test_flapping_links_settle_once_they_hold() -> None:
     """A partition comes and goes twice a second. Once links hold, all agree."""
-    sim = settled(10)
+    sim = settled_fleet(10)
     for turn in range(12):
         sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if turn % 2 else (lambda a, b: False)
         sim.run(0.5)
@@ -129,7 +129,7 @@
     """A process is stopped for eight seconds. It admits nothing until a peer has told it of its
     death, then refutes.
     """
-    sim = settled(6)
+    sim = settled_fleet(6)
     sim.pause(2)
     sim.run(8.0)
     assert states(sim, 0)[2] == "dead"
@@ -142,7 +142,7 @@
 
 
 def test_a_member_that_left_is_not_dead_and_can_come_back() -> None:
-    sim = settled(6)
+    sim = settled_fleet(6)
     sim.send(sim.members[2], sim.members[2].membership.leave(sim.now))
     sim.kill(2)
     sim.run(3.0)
@@ -155,7 +155,7 @@
     """A crash, and a restart with the clock an hour back: its incarnation is too low, and it
     takes a higher one.
     """
-    sim = settled(6)
+    sim = settled_fleet(6)
     sim.kill(2)
     sim.start(2, clock_back=3600.0)
     assert sim.settle(longest=6.0) is not None
@@ -184,7 +184,7 @@
     """
     rates = []
     for members in (8, 48):
-        sim = settled(members, loss=0.1)
+        sim = settled_fleet(members, loss=0.1)
         sim.run(20.0)
         sim.reset_counters()
         sim.run(10.0)
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions, and deaths that others report, until they are refuted or believed."""
+"""Suspicions, and deaths that others report, until they are refuted or accepted."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     MASS_FAILURE_SAMPLE,
     SUSPICION_TIMEOUT_S,
 )
-from tests.membership.helpers import START, member_of
+from tests.membership.helpers import START, make_member_of_fleet
 
 
 def suspect(number: int) -> Record:
     return Record(number, 5, 1, MemberState.SUSPECT)
 
 
-def test_a_suspect_that_was_not_pinged_is_not_dead_until_several_were_pinged_in_vain() -> None:
-    """A zone fails at once: more suspects than pings. Only after a row of silent ones do the
-    unpinged count as dead.
+def test_unpinged_suspects_are_dead_only_after_several_silent_ones() -> None:
+    """A zone fails, and there are more suspects than pings. Only after several consecutive suspects
+    did not answer are those that were not pinged considered dead.
     """
     suspicions = SuspicionTable()
     for number in range(MASS_FAILURE_SAMPLE + 2):
@@ -47,9 +47,9 @@
     }
 
 
-def test_a_refutation_ends_the_belief_in_the_death_of_those_that_were_not_pinged() -> None:
-    """A partition, not a dead zone, made many silent. The first refutation shows it: the rest
-    must be pinged.
+def test_refutation_ends_a_mass_failure() -> None:
+    """Many members are silent because of a partition, not a failed zone. The first refutation shows
+    that, so the remaining suspects must be pinged.
     """
     suspicions = SuspicionTable()
     for number in range(MASS_FAILURE_SAMPLE + 2):
@@ -68,9 +68,9 @@
     assert not suspicions.is_mass_failure() and suspicions.drain_expired(START + 200.0) == []
 
 
-def test_a_datagram_of_a_dead_member_restarts_all_suspicions_in_a_mass_failure() -> None:
-    """A partition heals while many are suspect. The first datagram from beyond it gives each
-    its time anew.
+def test_datagram_of_a_dead_member_restarts_suspicions_in_a_mass_failure() -> None:
+    """A partition heals while many members are suspect. After the first datagram from the other
+    side, each suspect gets its complete timeout again, since it could not refute before.
     """
     suspicions = SuspicionTable()
     for number in range(MASS_FAILURE_SAMPLE + 3):
@@ -87,7 +87,7 @@
         len(suspicions.drain_expired(START + 0.5)) == MASS_FAILURE_SAMPLE
         and suspicions.is_mass_failure()
     )
-    suspicions.datagram_received(3, START + 0.9, 1.0)  # one of the dead
+    suspicions.datagram_received(3, START + 0.9, 1.0)  # a member already considered dead
     assert not suspicions.is_mass_failure() and suspicions.drain_expired(START + 1.0) == []
     for number in (20, 21):
         suspicions.pinged(number)
@@ -97,15 +97,17 @@
     )
 
 
-def test_a_datagram_of_a_suspect_restarts_its_own_suspicion() -> None:
-    """A suspect is heard before it refutes: its time begins again and it is pinged again."""
+def test_datagram_of_a_suspect_restarts_its_suspicion() -> None:
+    """A datagram of a suspect arrives before its refutation. Its timeout restarts, and it must be
+    pinged again before it is considered dead.
+    """
     suspicions = SuspicionTable()
     for number in (1, 2):
         suspicions.add(suspect(number), START, 1.0)
         suspicions.pinged(number)
     suspicions.datagram_received(1, START + 0.5, 1.0)
     assert [r.number for r in suspicions.drain_expired(START + 1.0)] == [2]
-    assert suspicions.drain_expired(START + 1.5) == []  # it was not asked since
+    assert suspicions.drain_expired(START + 1.5) == []  # it has not been pinged since
     suspicions.pinged(1)
     assert [r.number for r in suspicions.drain_expired(START + 1.5)] == [1]
 
@@ -114,13 +116,13 @@
     ("state", "same_life"),
     [(MemberState.SUSPECT, True), (MemberState.DEAD, True), (MemberState.DEAD, False)],
 )
-def test_only_the_incarnation_that_is_held_dead_ends_a_mass_failure(
+def test_only_datagrams_of_the_suspected_incarnation_end_a_mass_failure(
     state: MemberState, same_life: bool
 ) -> None:
-    """A zone died and one of its members started again. That shows nothing of those that are
-    still silent.
+    """A zone failed and one of its members has restarted. Its new incarnation proves nothing about
+    the members that are still silent.
     """
-    member = member_of(40)
+    member = make_member_of_fleet(40)
     for number in range(1, 30):
         member.table.put(Record(number, 36**8, 1, MemberState.ALIVE))
     for number in range(1, MASS_FAILURE_SAMPLE + 2):
@@ -140,7 +142,7 @@
     assert member._state.suspicions.is_mass_failure() is not same_life
 
 
-def test_suspects_are_pinged_in_turn_and_the_newest_first() -> None:
+def test_suspects_are_pinged_in_turn_with_the_newest_first() -> None:
     suspicions, order = SuspicionTable(), list[int]()
     for number in range(4):
         suspicions.add(suspect(number), START + number, 1.0)
@@ -151,9 +153,9 @@
     assert order == [3, 2, 1, 0, 3, 2]
 
 
-def test_a_reported_death_is_checked_by_two_pings_before_it_is_believed() -> None:
-    """The other side of a partition reports a member dead that is well here. It gets two
-    chances to answer.
+def test_reported_death_is_accepted_after_two_unanswered_pings() -> None:
+    """The other side of a partition reports a member dead that is alive here. A single lost ping
+    must not confirm that.
     """
     confirmations, now = DeathConfirmations(random.Random(1)), START
     confirmations.add(Record(1, 5, 1, MemberState.DEAD), now)
@@ -166,9 +168,9 @@
     assert [r.number for r in confirmations.drain_confirmed(now, 0.5)] == [1]
 
 
-def test_more_reported_deaths_than_can_be_checked_wait_until_several_pings_were_in_vain() -> None:
-    """Many deaths are reported at once. They wait for a ping; after a row of silent members the
-    rest are believed.
+def test_unpinged_reported_deaths_wait_until_several_members_were_silent() -> None:
+    """More deaths are reported at once than can be checked. They wait for a ping, and after several
+    consecutive silent members the remaining ones are accepted. A refutation ends that.
     """
     confirmations, now = DeathConfirmations(random.Random(1)), START
     for number in range(20):
--- a/tests/membership/test_timing.py
+++ b/tests/membership/test_timing.py
@@ -1,4 +1,4 @@
-"""Local health, an own stall, joining, and two processes with one id: each rule by itself."""
+"""The rules of local health, stalls, joining and duplicate ids, each tested by itself."""
 
 from __future__ import annotations
 
@@ -27,19 +27,24 @@
 START = 1000.0
 
 
-def test_a_slow_member_waits_longer_and_a_well_one_the_plain_times() -> None:
-    """The machine is slow: ticks come late. The member's own timeouts are stretched up to three
-    times, and shrink with each answered probe.
+def test_late_ticks_lengthen_timeouts_and_answered_probes_shorten_them() -> None:
+    """On a slow machine ticks are late, and a member that judged others by the base timeouts would
+    suspect them falsely. Its timeouts grow up to three times, and shrink with each answered
+    probe.
     """
     health = LocalHealth()
-    plain = (timing.INDIRECT_PROBE_AFTER_S, timing.PROBE_TIMEOUT_S, timing.SUSPICION_TIMEOUT_S)
+    base_timeouts = (
+        timing.INDIRECT_PROBE_AFTER_S,
+        timing.PROBE_TIMEOUT_S,
+        timing.SUSPICION_TIMEOUT_S,
+    )
     for score, multiplier in enumerate((1.0, 1.5, 2.0, 2.5, 3.0, 3.0)):
         assert health.multiplier == multiplier and health.score == min(score, 4)
         assert (
             health.indirect_probe_after_s,
             health.probe_timeout_s,
             health.suspicion_timeout_s,
-        ) == tuple(multiplier * plain_s for plain_s in plain)
+        ) == tuple(multiplier * base_s for base_s in base_timeouts)
         health.worsen()
     for _ in range(6):
         health.improve()
@@ -58,10 +63,10 @@
         (-5.0, Lateness.ON_TIME),
     ],
 )
-def test_a_tick_is_late_or_shows_a_stall_by_how_late_it_is(
+def test_delay_of_a_tick_decides_between_on_time_late_and_stalled(
     late_s: float, lateness: Lateness
 ) -> None:
-    """The process stood still, or the clock was set back. Only the former is a stall."""
+    """A paused process delays its tick; a clock that is set back must not count as a stall."""
     stall, now = StallDetector(START), START + PROBE_INTERVAL_S + late_s
     assert stall.is_stalled(now) is (lateness is Lateness.STALLED)
     assert stall.tick(now) is lateness
@@ -82,7 +87,7 @@
         (MemberState.SHUT_OUT, 10_001, [Resolution.YIELD, Resolution.YIELD]),
     ],
 )
-def test_a_later_incarnation_of_the_own_id_is_outbid_once_while_joining_else_yielded_to(
+def test_later_incarnation_is_exceeded_once_while_joining_else_yielded(
     state: MemberState, reported: int, resolutions: list[Resolution]
 ) -> None:
     """A record of this member's id with another incarnation arrives twice."""
@@ -92,14 +97,14 @@
     assert next_incarnation(reported) > reported
 
 
-def test_a_later_start_has_a_greater_incarnation() -> None:
+def test_later_start_has_greater_incarnation() -> None:
     for seed in range(50):
-        chance = random.Random(seed)
-        earlier, later = new_incarnation(START, chance), new_incarnation(START + 0.01, chance)
+        rng = random.Random(seed)
+        earlier, later = new_incarnation(START, rng), new_incarnation(START + 0.01, rng)
         assert earlier < later and earlier // RANDOM_SPAN == int(100 * START)
 
 
-def test_a_member_admits_once_a_peer_has_answered_or_it_was_alone_for_long_enough() -> None:
+def test_joining_ends_with_an_answer_and_alone_after_the_time_limit() -> None:
     join = JoinProtocol(MembershipSettings(2, 10, 1), random.Random(1), START)
     assert not join.may_admit and not join.is_alone(START + ALONE_AFTER_S)
     peers = join.peers_to_ask()
