--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""One member: what it drops, learns, refutes and admits; and what the decision engine does."""
+"""One member: what it drops, merges, refutes and admits, and how the decision engine reacts."""
 
 from __future__ import annotations
 
@@ -38,12 +38,10 @@
         ),
     ],
 )
-def test_what_is_dropped_is_counted_and_changes_nothing(
+def test_invalid_datagram_is_counted_and_changes_no_record(
     source: int, text: str, counted: str
 ) -> None:
-    """Datagrams that are garbled, forged, replayed or of an earlier incarnation change no
-    record and are counted.
-    """
+    """Garbled, forged, replayed and outdated datagrams are dropped."""
     member = make_member()
     for serial in (4, 5):
         member.receive(1, peer_datagram(PEER, serial=serial), 1000.1)
@@ -52,9 +50,9 @@
     assert member.counts[counted] == 1 and sorted(member.table) == before
 
 
-def test_datagrams_that_overtake_each_other_are_not_replays() -> None:
-    """The network reorders datagrams. They are read; one far behind the newest counts as
-    replayed.
+def test_reordered_datagrams_are_accepted_within_the_replay_window() -> None:
+    """The network reorders datagrams. They must not be dropped as replays, except one that is far
+    behind the newest.
     """
     member = make_member()
     for serial in (5, 3, 4, 70):
@@ -62,12 +60,14 @@
     assert member.counts["replayed"] == 0
     member.receive(
         1, peer_datagram(PEER, serial=5), 1000.1
-    )  # far behind the newest counts as come before
+    )  # far behind the newest, so it counts as received before
     assert member.counts["replayed"] == 1
 
 
-def test_a_member_that_is_reported_suspect_or_dead_refutes_it() -> None:
-    """A peer reports this member suspect or dead. It answers with a record of a higher version."""
+def test_member_reported_suspect_or_dead_refutes_it() -> None:
+    """A peer reports this member suspect or dead. It must answer with a record of a higher version,
+    else the fleet would consider it dead.
+    """
     for state in (MemberState.SUSPECT, MemberState.DEAD):
         member = make_member()
         tick_and_ack(member, 1000.0)
@@ -79,8 +79,10 @@
         assert reported and reported.state == MemberState.ALIVE and reported.record_version == 2
 
 
-def test_the_later_start_of_two_with_one_id_goes_on() -> None:
-    """Two processes run with one id. The one that started earlier admits and sends nothing more."""
+def test_process_with_a_later_duplicate_elsewhere_is_superseded() -> None:
+    """Two processes run with the same id. The one that started earlier must admit and send nothing
+    more.
+    """
     member = make_member()
     tick_and_ack(member, 1000.0)
     member.receive(
@@ -93,9 +95,9 @@
     assert member.superseded and not member.may_admit and member.tick(1000.3) == []
 
 
-def test_a_duplicate_on_this_machine_that_started_later_goes_on() -> None:
-    """A second process is started on this machine with the same id. The earlier one
-    yields; neither yields to its own announcement.
+def test_process_with_a_later_duplicate_on_its_machine_is_superseded() -> None:
+    """A second process is started on this machine with the same id. The earlier one yields, and
+    neither yields to its own announcement.
     """
     member, later = make_member(), make_member(now=1001.0)
     assert member.detect_duplicate(member.own_announcement()) and later.detect_duplicate(
@@ -109,7 +111,7 @@
     )
 
 
-def test_a_sender_is_identified_by_the_address_in_its_own_record() -> None:
+def test_sender_is_identified_by_the_address_in_its_own_record() -> None:
     address = pack_address("127.0.0.9", 7946)
     text = peer_datagram(PEER._replace(address=address))
     assert unpack_address(address) == ("127.0.0.9", 7946)
@@ -121,16 +123,17 @@
     assert make_member(limiter_id=1).identify_sender(text, ("127.0.0.9", 7946)) is None
 
 
-def test_a_clock_set_back_is_outbid_only_while_joining_and_once() -> None:
-    """The clock was set back between two starts. The new run takes a higher incarnation, once,
-    and only while it joins.
+def test_incarnation_of_an_earlier_run_is_exceeded_once_while_joining() -> None:
+    """The clock was set back between two starts, so the fleet knows a higher incarnation. The new
+    run exceeds it, but only once and only while joining: after that, a higher incarnation means
+    another process.
     """
     member = make_member()
-    later = member.own.incarnation + 10**9
+    earlier_run = member.own.incarnation + 10**9
     member.receive(
-        1, peer_datagram(PEER, reported=(member.own._replace(incarnation=later),)), 1000.1
+        1, peer_datagram(PEER, reported=(member.own._replace(incarnation=earlier_run),)), 1000.1
     )
-    assert member.own.incarnation > later and not member.superseded
+    assert member.own.incarnation > earlier_run and not member.superseded
     member.receive(
         1,
         peer_datagram(
@@ -141,9 +144,9 @@
     assert member.superseded
 
 
-def test_after_a_stall_a_member_admits_only_once_a_peer_has_answered_or_it_is_alone() -> None:
-    """The process stood still for five seconds. It admits nothing until a peer answers a ping
-    sent since, or nobody does.
+def test_stalled_member_admits_only_after_an_answer_or_alone() -> None:
+    """The process was paused for five seconds. It must admit nothing until a peer answers a ping
+    sent since then, or until no peer answers in time.
     """
     member = make_member()
     tick_and_ack(member, 1000.0)
@@ -152,56 +155,56 @@
     sent = member.tick(1005.0)
     assert not member.may_admit and sent
     member.receive(1, peer_datagram(PEER, serial=2, kind=MessageKind.ACK, arguments=(1,)), 1005.05)
-    assert not member.may_admit  # it answers a ping of before
+    assert not member.may_admit  # an ack of a ping sent before the stall
     dead = member.own._replace(state=MemberState.DEAD)
     tick_and_ack(member, 1005.25, serial=3, reported=(dead,))
     assert (
         member.may_admit and member.own.record_version == dead.record_version + 1
-    )  # it has learned of its death first
+    )  # the ack also reported its death
     member.tick(1010.0)
     for n in range(8):
         member.tick(1010.25 + n * PROBE_INTERVAL_S)
-    assert member.may_admit  # nobody is there
+    assert member.may_admit  # no peer is up
 
 
-def test_a_stall_of_its_own_makes_no_member_dead() -> None:
-    """The process stood still for twenty seconds, past the end of a suspicion. That suspicion
-    begins again.
+def test_suspicions_restart_after_a_stall() -> None:
+    """The process was paused for twenty seconds, past the end of a suspicion. It could not receive
+    a refutation meanwhile, so the suspect must not be considered dead.
     """
     member = make_member()
     tick_and_ack(member, 1000.0)
     for n in range(1, 8):
         member.tick(1000.0 + n * PROBE_INTERVAL_S)
     suspects = [r for r in member.table if r.state == MemberState.SUSPECT]
-    assert suspects  # the peer says nothing any more
+    assert suspects  # the peer no longer answers
     member.tick(1020.0)
     assert not [r for r in member.table if r.state == MemberState.DEAD]
 
 
-def engine_of(gateways: int = 3) -> DecisionEngine:
-    member = DecisionEngine(
-        replace(SETTINGS, limiter_count=gateways, gossip_messages_per_s=100.0), seed=1
+def make_engine(limiter_count: int = 3) -> DecisionEngine:
+    engine = DecisionEngine(
+        replace(SETTINGS, limiter_count=limiter_count, gossip_messages_per_s=100.0), seed=1
     )
-    member.handle(servers("full", entry("s1")), 1000.0)
-    return member
+    engine.handle(servers("full", entry("s1")), 1000.0)
+    return engine
 
 
-def test_an_engine_that_may_not_admit_rejects_and_charges_nothing() -> None:
-    """This limiter may be dead to the others. Its engine rejects what arrives, and admits again
+def test_engine_that_may_not_admit_rejects_requests_without_charging() -> None:
+    """The other limiters may consider this one dead. Its engine rejects requests, and admits again
     once it may.
     """
-    member = engine_of()
-    member.handle(api.MembershipChanged(False, (0, 1, 2)), 1000.1)
-    refused = only(ask(member, 1000.2, "look"), api.RejectRequest)[0]
-    assert refused.reason == "away" and member.pending_requests == {}
-    member.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.3)
-    assert only(ask(member, 1000.4, "look"), api.StartAttempt)
+    engine = make_engine()
+    engine.handle(api.MembershipChanged(False, (0, 1, 2)), 1000.1)
+    rejected = only(ask(engine, 1000.2, "look"), api.RejectRequest)[0]
+    assert rejected.reason == "away" and engine.pending_requests == {}
+    engine.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.3)
+    assert only(ask(engine, 1000.4, "look"), api.StartAttempt)
 
 
-def gossip_recipients(member: DecisionEngine, now: float) -> set[int]:
+def gossip_recipients(engine: DecisionEngine, now: float) -> set[int]:
     return {
         action.limiter_id
-        for action in member.handle(api.TimerFired("beat"), now)
+        for action in engine.handle(api.TimerFired("beat"), now)
         if isinstance(action, api.SendGossip)
     }
 
@@ -213,38 +216,44 @@
         api.MembershipChanged(True, (0, 1, 2), cannot_hear_us=(2,)),
     ],
 )
-def test_members_that_are_gone_or_cannot_hear_get_no_gossip_until_they_are_back(
+def test_unreachable_members_get_no_gossip_until_they_return(
     event: api.MembershipChanged,
 ) -> None:
-    """A member died, or cannot hear this one. No gossip is sent to it until it is back, and
-    then what it missed.
+    """A member is dead, or does not receive from this one. No gossip is sent to it until it
+    returns, and then it receives what it missed.
     """
-    member = engine_of()
-    member.handle(event, 1000.1)
-    ask(member, 1000.2, "look", set_size=3)
-    assert gossip_recipients(member, 1000.3) == {1}
-    member.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.4)
-    assert 2 in gossip_recipients(member, 1000.5)  # with what was charged meanwhile
+    engine = make_engine()
+    engine.handle(event, 1000.1)
+    ask(engine, 1000.2, "look", set_size=3)
+    assert gossip_recipients(engine, 1000.3) == {1}
+    engine.handle(api.MembershipChanged(True, (0, 1, 2)), 1000.4)
+    assert 2 in gossip_recipients(engine, 1000.5)  # with the charges made meanwhile
 
 
-def test_helpers_are_asked_for_a_silent_member_but_not_after_a_stall_or_once_superseded() -> None:
-    """A probe has no ack. Helpers are asked, unless this process stood still meanwhile: it could
-    not read the ack. A superseded process sends nothing at all.
+def test_helpers_are_asked_unless_stalled_or_superseded() -> None:
+    """A probe has no ack, so helpers are asked, unless this process was paused meanwhile and could
+    not receive the ack. A superseded process sends nothing at all.
     """
     now = 1000.0 + PROBE_INTERVAL_S
 
-    def waiting() -> Membership:
+    def with_pending_probe() -> Membership:
         member = make_member()
         tick_and_ack(member, 1000.0)
         member.receive(2, peer_datagram(PEER._replace(number=2)), 1000.1)
         member.tick(now)
         return member
 
-    on_time = now + waiting().indirect_probe_after_s
-    asked = [codec.decode(sent.text, 3) for sent in waiting().request_indirect_probes(on_time)]
-    assert asked and all(message and message.kind is MessageKind.PING_REQUEST for message in asked)
-    assert waiting().request_indirect_probes(now + PROBE_INTERVAL_S + 1.1 * STALL_S) == []
-    superseded = waiting()
+    on_time = now + with_pending_probe().indirect_probe_after_s
+    sent_messages = [
+        codec.decode(sent.text, 3) for sent in with_pending_probe().request_indirect_probes(on_time)
+    ]
+    assert sent_messages and all(
+        message and message.kind is MessageKind.PING_REQUEST for message in sent_messages
+    )
+    assert (
+        with_pending_probe().request_indirect_probes(now + PROBE_INTERVAL_S + 1.1 * STALL_S) == []
+    )
+    superseded = with_pending_probe()
     later = superseded.own._replace(incarnation=superseded.own.incarnation + 1)
     superseded.receive(1, peer_datagram(PEER, serial=2, reported=(later,)), now)
     assert superseded.superseded and superseded.request_indirect_probes(on_time) == []
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -1,4 +1,4 @@
-"""Fleets on a virtual clock while links and processes fail: what members come to hold."""
+"""Simulated fleets on a virtual clock while links and processes fail: what the members record."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_twenty_started_in_the_same_moment_agree(seed: int) -> None:
+def test_twenty_members_started_simultaneously_agree(seed: int) -> None:
     settled_fleet(20, seed)
 
 
-def test_a_fleet_whose_first_members_are_dead_agrees_on_that() -> None:
-    """Two of eight never start. The others hold them dead, and agree again once one of them
-    starts.
+def test_fleet_agrees_that_its_first_members_are_dead() -> None:
+    """Two of eight members never start. The others consider them dead, and agree again once one of
+    them starts.
     """
     sim = SimulatedFleet(8, 1)
     for number in range(2, 8):
@@ -39,9 +39,9 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_crash_a_crash_of_half_and_their_return_settle(seed: int) -> None:
-    """One member crashes, then half of the fleet, then they return. All that are up agree
-    within seconds each time.
+def test_fleet_agrees_after_crashes_of_one_and_of_half_its_members(seed: int) -> None:
+    """One member crashes and returns, then half of the fleet. All members that are up agree within
+    seconds each time.
     """
     sim = settled_fleet(12, seed)
     for gone in ([4], [0, 1, 2, 3, 5, 6]):
@@ -56,8 +56,8 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_both_sides_of_a_partition_settle_and_then_together(seed: int) -> None:
-    """A partition: each side holds the other dead. It heals, and all agree."""
+def test_each_side_of_a_partition_agrees_and_all_do_after_it_heals(seed: int) -> None:
+    """Each side considers the other dead until the partition heals."""
     sim = settled_fleet(12, seed)
     sim.is_cut = lambda a, b: (a < 5) != (b < 5)
     assert sim.settle(lambda: sim.agreed(range(5)) and sim.agreed(range(5, 12)), 10.0) is not None
@@ -66,9 +66,9 @@
     assert sim.settle(longest=5.0) is not None
 
 
-def test_a_cut_link_between_two_kills_nobody_and_both_name_whom_they_cannot_hear() -> None:
-    """One link fails in both directions. Helpers answer for both ends: nobody is suspected for
-    long, both report it.
+def test_both_ends_of_a_failed_link_report_it_and_nobody_is_dead() -> None:
+    """One link fails in both directions. Helpers reach both ends, so neither may be considered
+    dead, and each end reports that it cannot receive from the other.
     """
     sim = settled_fleet(8)
     sim.is_cut = lambda a, b: {a, b} == {2, 6}
@@ -89,10 +89,8 @@
     )
 
 
-def test_a_link_cut_one_way_is_reported_by_the_side_that_cannot_hear() -> None:
-    """One link fails in one direction. Only the end that no longer hears reports it, and nobody
-    dies.
-    """
+def test_link_failed_in_one_direction_is_reported_by_its_receiver() -> None:
+    """Only the end that no longer receives reports the link, and nobody is considered dead."""
     sim = settled_fleet(8)
     sim.is_cut = lambda a, b: (a, b) == (2, 6)
     sim.run(15.0)
@@ -103,9 +101,9 @@
     assert sim.members[2].membership.cannot_hear_us() == (6,) and sim.agreed()
 
 
-def test_a_member_that_nobody_hears_is_dead_to_the_others_until_it_can_send() -> None:
-    """One member hears all and is heard by none. The others hold it dead until its datagrams
-    arrive again.
+def test_member_that_cannot_send_is_considered_dead_until_it_can() -> None:
+    """One member receives from all others, but none receives from it. They consider it dead until
+    its datagrams arrive again.
     """
     sim = settled_fleet(6)
     sim.is_cut = lambda a, b: a == 3
@@ -115,33 +113,33 @@
     assert sim.settle(longest=5.0) is not None
 
 
-def test_flapping_links_settle_once_they_hold() -> None:
-    """A partition comes and goes twice a second. Once links hold, all agree."""
+def test_fleet_agrees_once_flapping_links_are_stable() -> None:
+    """A partition begins and heals repeatedly, every half second."""
     sim = settled_fleet(10)
-    for turn in range(12):
-        sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if turn % 2 else (lambda a, b: False)
+    for phase in range(12):
+        sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if phase % 2 else (lambda a, b: False)
         sim.run(0.5)
     sim.is_cut = lambda a, b: False
     assert sim.settle(longest=5.0) is not None
 
 
-def test_a_member_paused_past_its_death_learns_of_it_before_it_admits_work() -> None:
-    """A process is stopped for eight seconds. It admits nothing until a peer has told it of its
-    death, then refutes.
+def test_paused_member_learns_of_its_death_before_it_admits_work() -> None:
+    """A process is stopped for eight seconds. It must admit nothing until a peer has reported its
+    death to it, and then refutes that.
     """
     sim = settled_fleet(6)
     sim.pause(2)
     sim.run(8.0)
     assert states(sim, 0)[2] == "dead"
     member = sim.members[2].membership
-    turn = member.own.record_version
+    version = member.own.record_version
     sim.resume(2)
     assert not member.may_admit
     assert sim.settle(lambda: member.may_admit, 1.0) is not None
-    assert member.own.record_version > turn and sim.settle(longest=5.0) is not None
+    assert member.own.record_version > version and sim.settle(longest=5.0) is not None
 
 
-def test_a_member_that_left_is_not_dead_and_can_come_back() -> None:
+def test_member_that_left_is_not_dead_and_can_return() -> None:
     sim = settled_fleet(6)
     sim.send(sim.members[2], sim.members[2].membership.leave(sim.now))
     sim.kill(2)
@@ -151,9 +149,9 @@
     assert sim.settle(longest=5.0) is not None
 
 
-def test_a_member_that_restarts_with_its_clock_set_back_is_alive() -> None:
-    """A crash, and a restart with the clock an hour back: its incarnation is too low, and it
-    takes a higher one.
+def test_member_restarted_with_its_clock_set_back_is_alive() -> None:
+    """A member crashes and restarts with its clock an hour back. Its incarnation is too low, so it
+    must raise it to be accepted.
     """
     sim = settled_fleet(6)
     sim.kill(2)
@@ -162,9 +160,9 @@
     assert sim.members[2].membership.counts["life_raised"] == 1
 
 
-def test_what_dissemination_missed_is_found_by_digests() -> None:
-    """One member holds a record that no longer rides along. Differing digests make the others
-    ask for it.
+def test_record_missed_by_dissemination_is_found_by_digests() -> None:
+    """One member holds a record that is no longer piggybacked. The other members find it through
+    differing digests.
     """
     sim = SimulatedFleet(7, 1)
     for number in range(6):
@@ -172,15 +170,15 @@
     assert sim.settle(longest=10.0) is not None
     sim.run(10.0)
     missed = Record(6, 36**8, 3, MemberState.LEFT)
-    # as if the rumour of it had died out before it came to anybody
+    # as if its dissemination had ended before it reached any other member
     sim.members[0].membership.table.put(missed)
     sim.run(5.0)
     assert {member.membership.table.get(6) for member in sim.members.values()} == {missed}
 
 
-def test_loss_kills_nobody_and_messages_do_not_grow_with_the_fleet() -> None:
-    """A tenth of all datagrams is lost. Nobody is held dead, and a member of a larger fleet
-    sends no more.
+def test_loss_makes_nobody_dead_and_message_rate_is_independent_of_size() -> None:
+    """A tenth of all datagrams is lost. Nobody is considered dead, and a member of a larger fleet
+    sends no more datagrams.
     """
     rates = []
     for members in (8, 48):
@@ -194,9 +192,9 @@
 
 
 @pytest.mark.parametrize("contended", [False, True])
-def test_a_fleet_within_its_budget_settles_and_holds_nobody_falsely_dead(contended: bool) -> None:
-    """A zone dies and returns and a region is cut off, within 4000 bytes a second: every phase
-    settles.
+def test_budgeted_fleet_agrees_in_each_phase_without_false_deaths(contended: bool) -> None:
+    """A zone fails and returns and a region is cut off, within a budget of 4000 bytes a second.
+    Every phase must settle within it.
     """
     found = zones.play(24, 1, 0.0, zones.allowances(4000.0, contended), lambda text: None)
     phases = {name: phase for name, phase in found.items() if isinstance(phase, dict)}
@@ -210,9 +208,9 @@
     assert found["false_deaths"] == 0
 
 
-def test_after_a_heal_nobody_is_held_dead_for_want_of_a_ping() -> None:
-    """A partition with more members on each side than are pinged at once heals. Nobody dies for
-    want of a ping.
+def test_nobody_is_dead_after_a_heal_without_having_been_pinged() -> None:
+    """A partition heals with more members on each side than are pinged at once. Members that have
+    not been pinged yet must not be considered dead.
     """
     sim = zones.ObservedFleet(48, 3, 0.0, lambda now: None)
     sim.start_all()
@@ -227,9 +225,9 @@
     assert not sim.false_deaths
 
 
-def test_an_older_record_that_a_peer_sends_is_answered_with_the_newer_one() -> None:
-    """All members ask the one whose table differs. What it sends that is older is answered with
-    what is newer.
+def test_older_record_from_a_peer_is_answered_with_the_newer_one() -> None:
+    """A member whose table differs is asked by all others, and may have no budget to ask back. So
+    the recipient of an older record answers with the newer one.
     """
     sim = SimulatedFleet(8, 1)
     sim.start_all()
@@ -243,17 +241,19 @@
         10**6,
         7,
     )
-    sends = member.receive(3, codec.encode(older, [known._replace(record_version=0)])[0], sim.now)
-    message = codec.decode(sends[-1].text, 8)
+    datagrams = member.receive(
+        3, codec.encode(older, [known._replace(record_version=0)])[0], sim.now
+    )
+    message = codec.decode(datagrams[-1].text, 8)
     assert (
         message
-        and sends[-1].recipient == 3
+        and datagrams[-1].recipient == 3
         and message.kind == MessageKind.RECORDS
         and known in message.records
     )
 
 
-def test_the_bench_reports_each_scenario_by_size() -> None:
+def test_bench_reports_each_scenario_by_fleet_size() -> None:
     found = bench.report([6], 2, 0.1, 0.5, lambda text: None)["6"]
     assert found["false_deaths"] == 0 and found["member_minutes"] == 3.0
     assert all(
