--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -40,18 +40,18 @@
 records_of_one_member = records.map(lambda record: record._replace(number=3))
 
 
-def make_member(limiter_id: int = 0, members: int = 3, now: float = 1000.0) -> Membership:
-    return Membership(MembershipSettings(limiter_id, members, 1), now)
+def make_member(own_id: int = 0, members: int = 3, now: float = 1000.0) -> Membership:
+    return Membership(MembershipSettings(own_id, members, 1), now)
 
 
 def peer_datagram(
     sender: Record,
     serial: int = 1,
     kind: MessageKind = MessageKind.PING,
-    arguments: tuple[int, ...] = (1,),
+    args: tuple[int, ...] = (1,),
     reported: tuple[Record, ...] = (),
 ) -> str:
-    return codec.encode(Message(kind, sender, serial, 0, arguments), reported)[0]
+    return codec.encode(Message(kind, sender, serial, 0, args), reported)[0]
 
 
 PEER = Record(1, 36**8, 1, MemberState.ALIVE)
@@ -74,7 +74,7 @@
     member.receive(
         1,
         peer_datagram(
-            PEER, serial=serial, kind=MessageKind.ACK, arguments=ping.arguments, reported=reported
+            PEER, serial=serial, kind=MessageKind.ACK, args=ping.arguments, reported=reported
         ),
         now + 0.1,
     )
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -120,7 +120,7 @@
         make_member().identify_sender(text, ("127.0.0.9", 7947)) is None
         and make_member().identify_sender(peer_datagram(PEER), ("127.0.0.9", 7946)) is None
     )
-    assert make_member(limiter_id=1).identify_sender(text, ("127.0.0.9", 7946)) is None
+    assert make_member(own_id=1).identify_sender(text, ("127.0.0.9", 7946)) is None
 
 
 def test_incarnation_of_an_earlier_run_is_exceeded_once_while_joining() -> None:
@@ -154,7 +154,7 @@
     assert member.may_admit
     sent = member.tick(1005.0)
     assert not member.may_admit and sent
-    member.receive(1, peer_datagram(PEER, serial=2, kind=MessageKind.ACK, arguments=(1,)), 1005.05)
+    member.receive(1, peer_datagram(PEER, serial=2, kind=MessageKind.ACK, args=(1,)), 1005.05)
     assert not member.may_admit  # an ack of a ping sent before the stall
     dead = member.own._replace(state=MemberState.DEAD)
     tick_and_ack(member, 1005.25, serial=3, reported=(dead,))
@@ -181,9 +181,9 @@
     assert not [r for r in member.table if r.state == MemberState.DEAD]
 
 
-def make_engine(limiter_count: int = 3) -> DecisionEngine:
+def make_engine(fleet_size: int = 3) -> DecisionEngine:
     engine = DecisionEngine(
-        replace(SETTINGS, limiter_count=limiter_count, gossip_messages_per_s=100.0), seed=1
+        replace(SETTINGS, limiter_count=fleet_size, gossip_messages_per_s=100.0), seed=1
     )
     engine.handle(servers("full", entry("s1")), 1000.0)
     return engine
--- a/tests/membership/test_partition_quota.py
+++ b/tests/membership/test_partition_quota.py
@@ -23,52 +23,52 @@
 
 
 def apply(
-    quota: PartitionQuota, absent: dict[int, int], present: dict[int, int], now: float
+    shares: PartitionQuota, absent: dict[int, int], present: dict[int, int], now: float
 ) -> list[tuple[int, float]]:
-    """Passes in the incarnations of the absent and present members, and updates the quota.
+    """Passes in the incarnations of the absent and present members, and updates the shares.
 
     A member that is in neither has left.
     """
-    for number in quota.peers.keys() - absent.keys() - present.keys():
-        quota.record_changed(
-            Record(number, quota.peers[number].known_incarnation, 9, MemberState.LEFT)
+    for number in shares.peers.keys() - absent.keys() - present.keys():
+        shares.record_changed(
+            Record(number, shares.peers[number].known_incarnation, 9, MemberState.LEFT)
         )
     for incarnations, state in ((absent, MemberState.DEAD), (present, MemberState.ALIVE)):
         for number, incarnation in incarnations.items():
-            quota.record_changed(Record(number, incarnation, 0, state))
-    return quota.update(now)
+            shares.record_changed(Record(number, incarnation, 0, state))
+    return shares.update(now)
 
 
-def quota_with_peers(gossips_every_round: bool = True) -> PartitionQuota:
-    quota = PartitionQuota(0, gossips_every_round=gossips_every_round)
-    apply(quota, {}, INCARNATIONS, 100.0)
-    return quota
+def quota_with_peers(every_round: bool = True) -> PartitionQuota:
+    shares = PartitionQuota(0, gossips_every_round=every_round)
+    apply(shares, {}, INCARNATIONS, 100.0)
+    return shares
 
 
-def receive_gossip(quota: PartitionQuota, now: float, *numbers: int) -> None:
+def receive_gossip(shares: PartitionQuota, now: float, *numbers: int) -> None:
     for number in numbers:
-        quota.gossip_received(number, now)
+        shares.gossip_received(number, now)
 
 
 def test_silence_reserves_a_share_only_with_gossip_in_every_round() -> None:
-    for gossips_every_round, reserved in ((True, {2, 3, 4}), (False, set())):
-        quota = quota_with_peers(gossips_every_round)
-        receive_gossip(quota, 100.0 + SILENCE_S, 1)
+    for every_round, reserved in ((True, {2, 3, 4}), (False, set())):
+        shares = quota_with_peers(every_round)
+        receive_gossip(shares, 100.0 + SILENCE_S, 1)
         assert (
-            apply(quota, {}, INCARNATIONS, 100.0 + SILENCE_S + 0.1) == []
-            and quota.unreachable_but_serving == reserved
+            apply(shares, {}, INCARNATIONS, 100.0 + SILENCE_S + 0.1) == []
+            and shares.unreachable_but_serving == reserved
         )
 
 
 def test_share_is_reserved_for_a_suspect_but_not_for_one_that_left() -> None:
-    quota = quota_with_peers(gossips_every_round=False)
+    shares = quota_with_peers(every_round=False)
     assert apply(
-        quota, {3: 13}, {n: original for n, original in INCARNATIONS.items() if n != 3}, 101.0
-    ) == [] and quota.unreachable_but_serving == {3}
+        shares, {3: 13}, {n: original for n, original in INCARNATIONS.items() if n != 3}, 101.0
+    ) == [] and shares.unreachable_but_serving == {3}
     assert (
-        apply(quota, {}, {n: original for n, original in INCARNATIONS.items() if n != 3}, 102.0)
+        apply(shares, {}, {n: original for n, original in INCARNATIONS.items() if n != 3}, 102.0)
         == []
-        and quota.unreachable_but_serving == set()
+        and shares.unreachable_but_serving == set()
     )
 
 
@@ -79,47 +79,47 @@
     """A member that restarted did not use its share while it was down. One that was cut off may
     have used it, so crediting it would exceed the quota.
     """
-    quota = quota_with_peers(gossips_every_round=False)
+    shares = quota_with_peers(every_round=False)
     others = {n: original for n, original in INCARNATIONS.items() if n != 3}
-    apply(quota, {3: 13}, others, 101.0)
+    apply(shares, {3: 13}, others, 101.0)
     assert (
-        apply(quota, {}, others | {3: incarnation}, 105.0) == unused
-        and quota.unreachable_but_serving == set()
+        apply(shares, {}, others | {3: incarnation}, 105.0) == unused
+        and shares.unreachable_but_serving == set()
     )
 
 
 def test_only_the_larger_side_of_a_partition_takes_over_shares() -> None:
     """If both sides took over shares, they would admit more than the quota together."""
-    for lost, takes_over in ({3}, True), ({2, 3}, True), ({2, 3, 4}, False), ({1, 2, 3, 4}, False):
-        quota = quota_with_peers(gossips_every_round=False)
+    for gone, takes_over in ({3}, True), ({2, 3}, True), ({2, 3, 4}, False), ({1, 2, 3, 4}, False):
+        shares = quota_with_peers(every_round=False)
         absent, others = (
-            {n: INCARNATIONS[n] for n in lost},
-            {n: incarnation for n, incarnation in INCARNATIONS.items() if n not in lost},
+            {n: INCARNATIONS[n] for n in gone},
+            {n: incarnation for n, incarnation in INCARNATIONS.items() if n not in gone},
         )
-        apply(quota, absent, others, 101.0)
-        apply(quota, absent, others, 101.0 + TAKE_OVER_AFTER_S - 0.1)
-        assert quota.unreachable_but_serving == lost
-        apply(quota, absent, others, 101.0 + TAKE_OVER_AFTER_S)
-        assert quota.unreachable_but_serving == (set() if takes_over else lost)
+        apply(shares, absent, others, 101.0)
+        apply(shares, absent, others, 101.0 + TAKE_OVER_AFTER_S - 0.1)
+        assert shares.unreachable_but_serving == gone
+        apply(shares, absent, others, 101.0 + TAKE_OVER_AFTER_S)
+        assert shares.unreachable_but_serving == (set() if takes_over else gone)
 
 
 def test_share_that_was_taken_over_is_not_credited_as_unused() -> None:
-    quota, others = (
-        quota_with_peers(gossips_every_round=False),
+    shares, others = (
+        quota_with_peers(every_round=False),
         {n: original for n, original in INCARNATIONS.items() if n != 3},
     )
     for now in (101.0, 101.0 + TAKE_OVER_AFTER_S):
-        apply(quota, {3: 13}, others, now)
+        apply(shares, {3: 13}, others, now)
     assert (
-        apply(quota, {}, others | {3: 99}, 120.0) == [] and quota.unreachable_but_serving == set()
+        apply(shares, {}, others | {3: 99}, 120.0) == [] and shares.unreachable_but_serving == set()
     )
 
 
 def test_member_started_during_a_partition_reserves_the_others_shares() -> None:
-    quota = PartitionQuota(0, gossips_every_round=False)
+    shares = PartitionQuota(0, gossips_every_round=False)
     # No member has ever seen 4, so no share is reserved for it.
-    apply(quota, {2: 12, 3: 13, 4: 0}, {1: 11}, 100.0)
-    assert quota.unreachable_but_serving == {2, 3}
+    apply(shares, {2: 12, 3: 13, 4: 0}, {1: 11}, 100.0)
+    assert shares.unreachable_but_serving == {2, 3}
 
 
 # The decision engine
@@ -131,8 +131,8 @@
     The incremental implementation must give the same results.
     """
 
-    def __init__(self, gossips_every_round: bool) -> None:
-        self.gossips_every_round = gossips_every_round
+    def __init__(self, every_round: bool) -> None:
+        self.every_round = every_round
         self.last_heard, self.incarnation = dict[int, float](), dict[int, int]()
         self.lost_since, self.taken = dict[int, float](), set[int]()
 
@@ -170,9 +170,7 @@
         self, number: int, gone: dict[int, int], present: dict[int, int], now: float
     ) -> list[tuple[int, float]]:
         unused = list[tuple[int, float]]()
-        if number in gone or (
-            self.gossips_every_round and now - self.last_heard[number] > SILENCE_S
-        ):
+        if number in gone or (self.every_round and now - self.last_heard[number] > SILENCE_S):
             self.lost_since.setdefault(number, now)
             return unused
         if number in self.lost_since:
@@ -199,7 +197,7 @@
 def test_incremental_updates_agree_with_a_scan_of_all_members(
     talks: bool, steps: list[Any]
 ) -> None:
-    quota, full_scan, table, now = (
+    shares, full_scan, table, now = (
         PartitionQuota(0, gossips_every_round=talks),
         FullScanQuota(talks),
         dict[int, Record](),
@@ -208,16 +206,16 @@
     for elapsed_s, changes, senders in steps:
         now += elapsed_s
         for number in senders:
-            quota.gossip_received(number, now)
+            shares.gossip_received(number, now)
             if number in full_scan.last_heard:
                 full_scan.last_heard[number] = now
         for number, incarnation, state in changes:
             table[number] = Record(number, incarnation, 0, state)
-            quota.record_changed(table[number])
+            shares.record_changed(table[number])
         unused, reserved = full_scan.evaluate(table, now)
         assert (
-            sorted(quota.update(now)) == sorted(unused)
-            and quota.unreachable_but_serving == reserved
+            sorted(shares.update(now)) == sorted(unused)
+            and shares.unreachable_but_serving == reserved
         )
 
 
@@ -240,25 +238,25 @@
 OVER_SHARE = replace(WITHIN_SHARE, name="goes on", excess_cost=0.5, excess_weight=0.5)
 
 
-def make_engine(limiter_count: int = 5, number: int = 0) -> DecisionEngine:
+def make_engine(fleet_size: int = 5, own_id: int = 0) -> DecisionEngine:
     settings = replace(
         SETTINGS,
-        limiter_id=number,
-        limiter_count=limiter_count,
+        limiter_id=own_id,
+        limiter_count=fleet_size,
         plans=(WITHIN_SHARE, OVER_SHARE),
         gossip_messages_per_s=1000.0,
     )
-    engine = DecisionEngine(settings, seed=number)
+    engine = DecisionEngine(settings, seed=own_id)
     engine.handle(servers("full", *(entry(f"s{n}") for n in range(6))), 1000.0)
     return engine
 
 
 def membership_changed(
-    reserved: tuple[int, ...] = (), unused: tuple[tuple[int, float], ...] = (), members: int = 5
+    reserved: tuple[int, ...] = (), unused: tuple[tuple[int, float], ...] = (), fleet_size: int = 5
 ) -> api.MembershipChanged:
     return api.MembershipChanged(
         True,
-        tuple(n for n in range(members) if n not in reserved),
+        tuple(n for n in range(fleet_size) if n not in reserved),
         unreachable_but_serving=reserved,
         unused=unused,
     )
@@ -269,8 +267,8 @@
 ) -> int:
     """Sends 40 requests a second, each answered immediately; returns how many were admitted."""
     admitted = 0
-    for step in range(int(seconds * 40)):
-        now = start + step / 40
+    for tick in range(int(seconds * 40)):
+        now = start + tick / 40
         for action in ask(engine, now, "look", plan_name=plan, set_size=set_size):
             if isinstance(action, api.StartAttempt):
                 admitted += 1
@@ -343,19 +341,19 @@
 
 
 def test_unreachable_hubs_of_a_large_set_are_replaced_until_they_return() -> None:
-    engine = make_engine(limiter_count=12)
+    engine = make_engine(fleet_size=12)
     ask(engine, 1000.1, "look", plan_name="keeps", set_size=12)
     account = next(iter(engine.accounts.values()))
     before = list(account.hubs)
-    engine.handle(membership_changed(reserved=tuple(before), members=12), 1000.2)
+    engine.handle(membership_changed(reserved=tuple(before), fleet_size=12), 1000.2)
     assert len(account.hubs) == 2 and not set(account.hubs) & set(before)
-    engine.handle(membership_changed(members=12), 1000.3)
+    engine.handle(membership_changed(fleet_size=12), 1000.3)
     assert account.hubs == before
 
 
 @pytest.mark.parametrize("gone", [False, True])
 def test_charge_is_sent_at_once_to_present_hubs_only(gone: bool) -> None:
-    engine = make_engine(limiter_count=12)
+    engine = make_engine(fleet_size=12)
     ask(engine, 1000.1, "look", plan_name="keeps", set_size=12)
     first, second = next(iter(engine.accounts.values())).hubs
     engine.handle(
@@ -382,7 +380,7 @@
         engine = make_engine(members, inside[0])
         engine.handle(
             membership_changed(
-                tuple(n for n in range(members) if n not in inside), members=members
+                tuple(n for n in range(members) if n not in inside), fleet_size=members
             ),
             1000.05,
         )
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -116,8 +116,8 @@
 def test_fleet_agrees_once_flapping_links_are_stable() -> None:
     """A partition begins and heals repeatedly, every half second."""
     sim = settled_fleet(10)
-    for phase in range(12):
-        sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if phase % 2 else (lambda a, b: False)
+    for interval in range(12):
+        sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if interval % 2 else (lambda a, b: False)
         sim.run(0.5)
     sim.is_cut = lambda a, b: False
     assert sim.settle(longest=5.0) is not None
