--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -1,6 +1,4 @@
-"""Real processes within a small budget of control traffic, while several are killed at once, cut
-off, and given new settings.
-"""
+"""Real processes within a small budget for control traffic, amid kills, partitions and changes."""
 
 from __future__ import annotations
 
@@ -30,33 +28,33 @@
 from hazelhollow.standins import relay as relays
 from hazelhollow.standins.link_faults import Link
 from tests.configuration.test_audit_processes import Audited
-from tests.membership.test_membership_processes import states
+from tests.membership.test_membership_processes import state_history
 
 MEMBERS = 6
 BUDGET = settings_for(MIN_BYTES_PER_S)
-# seconds by which the relay, which shares the machine with all of them, may read a datagram late
-LATE = 1.0
+# Maximum delay in seconds with which the relay, which shares the machine, reads a datagram.
+RELAY_DELAY_S = 1.0
 
 
-# An operator file with everything on, and the smallest budget.
+# An operator file with all subsystems enabled, and the smallest budget.
 bounded_file = partial(control_file, bytes_per_s=MIN_BYTES_PER_S)
 
 
 class Datagram(NamedTuple):
-    """`size`: bytes with headers."""
+    """A datagram; `size` is in bytes including headers."""
 
     at: float
     size: int
 
 
 class Meter:
-    """What each limiter sends, as the relay reads it, whether or not it is lost on the way."""
+    """The datagrams that each limiter sends, as the relay reads them before any loss."""
 
     def __init__(self, relay: relays.Relay) -> None:
         self._relay = relay
         self._names = {id(link): sender for (sender, _), link in relay.links.items()}
         self._forward = relay.forward
-        # each process has a budget, and a burst, of its own
+        # each process has its own budget, and its own burst
         self.incarnations: dict[str, int] = defaultdict(int)
         self.sent: dict[tuple[str, int], list[Datagram]] = defaultdict(list)
         relay.forward = self._count  # type: ignore[method-assign]
@@ -68,56 +66,58 @@
         self._forward(link, datagram)
 
     def check(self) -> None:
-        """In no window more than the budget, the gossip's part included."""
-        for name, rows in self.sent.items():
-            sums = [0, *itertools.accumulate(row.size for row in rows)]
-            for first, last in itertools.combinations(range(0, len(rows), 3), 2):
-                window = rows[last].at - rows[first].at + LATE
-                sent = sums[last + 1] - sums[first]
+        """Asserts that no limiter exceeds its budget, gossip included, in any window."""
+        for name, datagrams in self.sent.items():
+            cumulative_bytes = [0, *itertools.accumulate(row.size for row in datagrams)]
+            for first, last in itertools.combinations(range(0, len(datagrams), 3), 2):
+                window = datagrams[last].at - datagrams[first].at + RELAY_DELAY_S
+                sent = cumulative_bytes[last + 1] - cumulative_bytes[first]
                 assert sent <= BUDGET.rate * window + BUDGET.burst, (name, window)
 
 
-class Bounded(Audited):
+class BoundedFleet(Audited):
+    """A fleet within the smallest budget, whose datagrams are measured."""
+
     def __init__(self, cluster: LoopbackCluster) -> None:
         super().__init__(cluster)
         self.meter = Meter(cluster.relay)
 
     def control(self, name: str) -> dict[str, Any]:
-        first = self.call(name, "fleet").splitlines()
-        found: dict[str, Any] = json.loads(first[0])["control"]
-        return found
+        lines = self.call(name, "fleet").splitlines()
+        control: dict[str, Any] = json.loads(lines[0])["control"]
+        return control
 
     def start(self, name: str) -> None:
-        """One that was killed, again."""
+        """Restarts a limiter that was killed."""
         self.meter.incarnations[name] += 1
         self.cluster.processes.start(name)
 
-    def held(self, observers: Iterable[str], number: int, state: str) -> bool:
+    def is_seen_as(self, observers: Iterable[str], number: int, state: str) -> bool:
         return all(self.state(name, number) == state for name in observers)
 
-    def never_dead(self, names: Iterable[str]) -> None:
-        """None of these held another of them for dead."""
+    def assert_never_dead(self, names: Iterable[str]) -> None:
+        """Asserts that none of these limiters ever considered another of them dead."""
         names = list(names)
         for observer, other in itertools.permutations(names, 2):
-            assert "dead" not in states(self.folder, observer, self.cluster.names.index(other))
+            assert "dead" not in state_history(
+                self.folder, observer, self.cluster.names.index(other)
+            )
 
 
 @pytest.fixture
 def bounded(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     six = plan.Plan(name="x", instances=MEMBERS, hosts=1)
-    one = Bounded(
+    fleet = BoundedFleet(
         LoopbackCluster(Scheduler(Clock()), six, tmp_path / "fleet", operator=bounded_file)
     )
-    one.until(lambda: one.all_alive() and one.orders() == [0] * MEMBERS)
-    yield one
-    one.cluster.close()
+    fleet.until(lambda: fleet.all_alive() and fleet.orders() == [0] * MEMBERS)
+    yield fleet
+    fleet.cluster.close()
 
 
-def test_a_drill_within_the_budget_breaks_no_promise(tmp_path: Path) -> None:
-    """Links, processes and settings fail and change at once under load, within the budget. No
-    promise of the drill is broken.
-    """
+def test_drill_within_the_budget_breaks_no_promise(tmp_path: Path) -> None:
+    """Links, processes and settings fail and change at once, under load and within the budget."""
     events = (
         plan.Event(at=1.0, what="cut", whom=("n0", "n1"), lasts=3.0),
         plan.Event(at=2.0, what="settings", whom=("n2",), amount=1.0),
@@ -131,57 +131,61 @@
     )
     folder = tmp_path / "drill"
     folder.mkdir()
-    one = plan.Plan(name="bounded", instances=5, seconds=10.0, events=events, load=load)
-    found = FaultInjectionRun(one, folder, operator=control_file, keep=True).run()
+    drill = plan.Plan(name="bounded", instances=5, seconds=10.0, events=events, load=load)
+    found = FaultInjectionRun(drill, folder, operator=control_file, keep=True).run()
     assert {key: found[key] or 0 for key in BROKEN_PROMISES} == dict.fromkeys(BROKEN_PROMISES, 0)
     assert found["requests"] > 400 and (found["kills"], found["stalls"], found["cuts"]) == (1, 1, 1)
 
 
-def test_paced_gossip_leaves_no_part_to_a_peer_that_is_up(bounded: Bounded) -> None:
-    """In a small fleet silent gossip means that a peer is gone; paced gossip is silent at
-    times. No part is left to a peer that is up.
+def test_paced_gossip_reserves_no_share_for_a_peer_that_is_up(bounded: BoundedFleet) -> None:
+    """In a small fleet, silent gossip means that a peer is down. Paced gossip is silent at times,
+    which must not reserve a share of the quotas for a peer that is up.
     """
-    enough = 600 + sum(map(len, bounded.meter.sent.values()))
+    min_datagrams = 600 + sum(map(len, bounded.meter.sent.values()))
 
-    def looked_at_while_they_talk() -> bool:
+    def checked_until_enough_datagrams() -> bool:
         for name in bounded.cluster.names:
             document = json.loads(bounded.call(name, "fleet").splitlines()[0])
-            well = [n for n, one in document["members"].items() if one["state"] == "alive"]
-            assert not set(document["out_of_reach"]).intersection(map(int, well)), name
-        return sum(map(len, bounded.meter.sent.values())) >= enough
+            alive = [n for n, one in document["members"].items() if one["state"] == "alive"]
+            assert not set(document["out_of_reach"]).intersection(map(int, alive)), name
+        return sum(map(len, bounded.meter.sent.values())) >= min_datagrams
 
-    bounded.until(looked_at_while_they_talk)
+    bounded.until(checked_until_enough_datagrams)
     bounded.meter.check()
 
 
-def test_several_killed_at_once_while_settings_change(bounded: Bounded) -> None:
-    """Two of six limiters are killed while new settings spread. The rest agree, the two come
-    back with the new ones, and no budget is passed.
+def test_fleet_agrees_after_kills_during_a_change_of_settings(bounded: BoundedFleet) -> None:
+    """Two of six limiters are killed while new settings spread. The others agree, the two return
+    and take the new settings, and no budget is exceeded.
     """
     names, killed = bounded.cluster.names, ("n4", "n5")
-    rest = [name for name in names if name not in killed]
+    survivors = [name for name in names if name not in killed]
     bounded.change("n0", 1)
     for name in killed:
         bounded.cluster.processes.kill(name)
-    bounded.until(lambda: all(bounded.held(rest, names.index(name), "dead") for name in killed))
-    bounded.until(lambda: bounded.orders(*rest) == [1] * len(rest))
+    bounded.until(
+        lambda: all(bounded.is_seen_as(survivors, names.index(name), "dead") for name in killed)
+    )
+    bounded.until(lambda: bounded.orders(*survivors) == [1] * len(survivors))
     for name in killed:
-        bounded.start(name)  # with the files that it had
+        bounded.start(name)  # with its previous files
     bounded.until(lambda: bounded.all_alive() and bounded.orders() == [1] * MEMBERS)
-    bounded.never_dead(rest)
+    bounded.assert_never_dead(survivors)
     bounded.meter.check()
     roles = bounded.control("n0")["roles"]
     assert roles["configuration"]["sent"] > 0 and roles["view"]["sent"] > 0
-    assert sum(roles[role.value]["deferred"] for role in TrafficRole) > 0, "the budget did not bind"
+    assert (
+        sum(roles[role.value]["deferred"] for role in TrafficRole) > 0
+    ), "no message was deferred: the budget was not exhausted"
 
 
-def test_a_limiter_that_starts_with_newer_settings_gives_them_to_all_in_time(
-    bounded: Bounded,
+def test_limiter_that_starts_with_newer_settings_spreads_them(
+    bounded: BoundedFleet,
 ) -> None:
-    """It has never acted on the older ones, so that it can tell no difference from them."""
+    """It has never acted on the older settings, so it cannot compute the difference from them."""
     names = bounded.cluster.names
     bounded.cluster.processes.kill("n0")
-    bounded.until(lambda: bounded.held(names[1:], 0, "dead"))
+    bounded.until(lambda: bounded.is_seen_as(names[1:], 0, "dead"))
     bounded.cluster.write_files("n0", 1)
     bounded.start("n0")
     bounded.until(lambda: bounded.all_alive() and bounded.orders() == [1] * MEMBERS)
@@ -190,32 +194,36 @@
     bounded.meter.check()
 
 
-def test_a_cut_in_two_parts_and_its_heal(bounded: Bounded) -> None:
-    """The fleet is partitioned and the settings change on one side. After the heal all act on
-    them, and neither side ever held its own members dead.
+def test_settings_changed_during_a_partition_reach_all_after_the_heal(
+    bounded: BoundedFleet,
+) -> None:
+    """The settings change on one side of a partition. After the heal all limiters act on them, and
+    neither side ever considered its own members dead.
     """
     names = bounded.cluster.names
-    one, other = names[:3], names[3:]
-    number = bounded.apart(tuple(one))
+    changed_side, other_side = names[:3], names[3:]
+    cut = bounded.apart(tuple(changed_side))
     bounded.until(
-        lambda: all(bounded.held(one, names.index(n), "dead") for n in other)
-        and all(bounded.held(other, names.index(n), "dead") for n in one)
+        lambda: all(bounded.is_seen_as(changed_side, names.index(n), "dead") for n in other_side)
+        and all(bounded.is_seen_as(other_side, names.index(n), "dead") for n in changed_side)
     )
     bounded.change("n0", 1)
-    bounded.until(lambda: bounded.orders(*one) == [1] * len(one))
-    assert bounded.orders(*other) == [0] * len(other)
-    bounded.cluster.relay.end(number)
+    bounded.until(lambda: bounded.orders(*changed_side) == [1] * len(changed_side))
+    assert bounded.orders(*other_side) == [0] * len(other_side)
+    bounded.cluster.relay.end(cut)
     bounded.until(lambda: bounded.all_alive() and bounded.orders() == [1] * MEMBERS)
-    for side in (one, other):
-        bounded.never_dead(side)
+    for members in (changed_side, other_side):
+        bounded.assert_never_dead(members)
     bounded.meter.check()
 
 
-def test_a_limiter_with_an_older_revision_is_still_reported(bounded: Bounded) -> None:
-    """One limiter cannot take the new settings, while the budgets are at their least. The
-    others report it as behind.
+def test_limiter_with_an_older_revision_is_reported_within_the_budget(
+    bounded: BoundedFleet,
+) -> None:
+    """One limiter cannot take the new settings. Even with the smallest budget the others must
+    report it as behind.
     """
-    for name in bounded.cluster.names[:-1]:  # a plan changes: they are started again with it
+    for name in bounded.cluster.names[:-1]:  # a plan changes, so they are restarted with it
         bounded.cluster.processes.kill(name)
         bounded.cluster.write_files(name, FIRST_PLAN_REVISION)
         bounded.start(name)
--- a/tests/control_budget/test_hollow_limiter_budget.py
+++ b/tests/control_budget/test_hollow_limiter_budget.py
@@ -1,6 +1,6 @@
 """A hollow limiter under the control budget.
 
-Each of its subsystems has its part, as a real one's has.
+Each of its subsystems has its role's part, as in a real limiter.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 BUDGET = 4000.0
 
 
-def incarnation(terms: FleetTerms) -> Incarnation:
-    """One limiter of twelve that has started; the others are not there."""
+def started_limiter(terms: FleetTerms) -> Incarnation:
+    """Starts one limiter of twelve; the others are not present."""
     scheduler, meter = Scheduler(Clock()), Meter()
     peers = HollowPeerSocket(scheduler, NetworkState(meter), 0, ("127.0.0.1", 0), lambda: 0)
     shared = settings.document(SIZE, populate(SIZE, terms, 1).quotas, terms)
@@ -38,8 +38,8 @@
     return limiter
 
 
-def test_under_a_budget_gossip_has_the_rate_of_its_role_and_each_subsystem_a_part() -> None:
-    limiter = incarnation(FleetTerms(control_bytes_per_s=BUDGET))
+def test_budgeted_limiter_paces_gossip_and_gives_each_subsystem_its_part() -> None:
+    limiter = started_limiter(FleetTerms(control_bytes_per_s=BUDGET))
     quota = settings_for(BUDGET).roles[TrafficRole.QUOTA]
     assert (
         limiter.engine.gossip.outbox is not None
@@ -52,17 +52,17 @@
         and limiter.membership.membership.allowance is not None
     )
     usage = limiter._budget.budget.usage
-    assert usage[TrafficRole.MEMBERSHIP].sent > 0, "its first pings ask for their bytes"
-    assert limiter._peers.on_sent is not None, "gossip is debited as it leaves"
+    assert usage[TrafficRole.MEMBERSHIP].sent > 0, "the first pings did not consume their bytes"
+    assert limiter._peers.on_sent is not None, "sent gossip is not debited"
 
 
-def test_without_a_budget_there_is_none() -> None:
-    limiter = incarnation(FleetTerms())
+def test_limiter_without_a_budget_does_not_pace_gossip() -> None:
+    limiter = started_limiter(FleetTerms())
     assert limiter.engine.gossip.outbox is None
 
 
-def test_a_plan_with_too_small_a_budget_is_refused_with_its_place() -> None:
-    """A plan with too few bytes a second: the error names the setting."""
+def test_plan_with_too_small_a_budget_is_rejected_naming_the_setting() -> None:
+    """The error for a plan with too few bytes a second names the setting."""
     text = f"[fleet]\ncontrol_bytes_per_s = {MIN_BYTES_PER_S - 1}\n"
     with pytest.raises(PlanError, match="control_bytes_per_s"):
         read(text, "plan.toml")
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -23,20 +23,20 @@
 Event = plan.Event
 
 
-def played(tmp_path: Path, one: plan.Plan) -> tuple[dict[str, Any], Path]:
-    """The figures of a drill, and the folder with its lines."""
+def run_drill(tmp_path: Path, drill: plan.Plan) -> tuple[dict[str, Any], Path]:
+    """Runs a drill; returns its results and the directory with its output files."""
     folder = tmp_path / "drill"
     folder.mkdir()
-    return FaultInjectionRun(one, folder, operator=view_file, keep=True).run(), folder
+    return FaultInjectionRun(drill, folder, operator=view_file, keep=True).run(), folder
 
 
-def kept(found: dict[str, Any]) -> dict[str, Any]:
-    # nothing is known of an audit that is not on
-    return {key: found[key] or 0 for key in BROKEN_PROMISES}
+def broken_promises(results: dict[str, Any]) -> dict[str, Any]:
+    # the results of an audit that is disabled are None
+    return {key: results[key] or 0 for key in BROKEN_PROMISES}
 
 
-def states(folder: Path, observer: str, number: int) -> list[str]:
-    """What one limiter held another for, in order."""
+def state_history(folder: Path, observer: str, number: int) -> list[str]:
+    """The sequence of states in which one limiter has seen another."""
     lines = [
         row["members"].get(str(number), ["unknown"])[0]
         for row in rows(folder / f"{observer}.view.jsonl")
@@ -44,10 +44,8 @@
     return [state for n, state in enumerate(lines) if n == 0 or lines[n - 1] != state]
 
 
-def test_overlapping_faults_break_no_promise_and_all_agree_in_the_end(tmp_path: Path) -> None:
-    """A paused process, a link cut one way, kills, a restart and loss overlap. No promise is
-    broken and all agree at the end.
-    """
+def test_overlapping_faults_break_no_promise_and_all_agree_after_them(tmp_path: Path) -> None:
+    """A paused process, a link cut in one direction, kills, a restart and datagram loss overlap."""
     events = (
         Event(at=1.0, what="pause", whom=("n0",), lasts=5.0),
         Event(at=1.5, what="cut", whom=("n1",), others=("n2",), lasts=5.0, one_way=True),
@@ -59,30 +57,39 @@
         plan.Load(customer="00000000b4d65521", rate=10.0),
         plan.Load(customer="00000000a1b2c3d4", kind="buy", rate=2.0),
     )
-    found, folder = played(
+    results, folder = run_drill(
         tmp_path, plan.Plan(name="many", instances=5, seconds=12.0, events=events, load=load)
     )
-    assert kept(found) == dict.fromkeys(BROKEN_PROMISES, 0)
-    assert found["requests"] > 500 and (found["kills"], found["stalls"], found["cuts"]) == (2, 1, 1)
-    assert found["settled_s_p99"] < 5.0 and found["suspected_s_max"] < 3.0
-    # One that was told to end left; it was not held for dead.
-    assert "left" in states(folder, "n4", 1) and "dead" not in states(folder, "n4", 1)
+    assert broken_promises(results) == dict.fromkeys(BROKEN_PROMISES, 0)
+    assert results["requests"] > 500 and (results["kills"], results["stalls"], results["cuts"]) == (
+        2,
+        1,
+        1,
+    )
+    assert results["settled_s_p99"] < 5.0 and results["suspected_s_max"] < 3.0
+    # A limiter that was asked to stop has left; it was not considered dead.
+    assert "left" in state_history(folder, "n4", 1) and "dead" not in state_history(folder, "n4", 1)
 
 
-def test_both_sides_of_a_partition_settle_and_then_agree(tmp_path: Path) -> None:
-    """The fleet is partitioned for six seconds. Each side holds the other dead, then all agree."""
+def test_both_sides_of_a_partition_settle_and_all_agree_after_it(tmp_path: Path) -> None:
+    """The fleet is partitioned for six seconds. Each side considers the other dead, but none of its
+    own members; after the heal all agree.
+    """
     events = (Event(at=1.0, what="cut", whom=("n0", "n1"), lasts=6.0),)
-    found, folder = played(
+    results, folder = run_drill(
         tmp_path, plan.Plan(name="parts", instances=5, seconds=8.0, events=events)
     )
-    assert kept(found) == dict.fromkeys(BROKEN_PROMISES, 0) and found["settled_s_p99"] < 5.0
+    assert (
+        broken_promises(results) == dict.fromkeys(BROKEN_PROMISES, 0)
+        and results["settled_s_p99"] < 5.0
+    )
     for observer, number in (("n0", 4), ("n4", 0)):
-        assert states(folder, observer, number)[-3:] == ["suspect", "dead", "alive"]
-    assert "dead" not in states(folder, "n0", 1) + states(folder, "n4", 2)
+        assert state_history(folder, observer, number)[-3:] == ["suspect", "dead", "alive"]
+    assert "dead" not in state_history(folder, "n0", 1) + state_history(folder, "n4", 2)
 
 
 class Fleet:
-    """A world whose scheduler is turned by the test."""
+    """A cluster of processes whose scheduler is run by the test."""
 
     def __init__(self, cluster: LoopbackCluster) -> None:
         self.folder, self.scheduler, self.cluster = cluster.folder, cluster.scheduler, cluster
@@ -94,15 +101,18 @@
         self.cluster.start()
         self.up = True
 
-    def until(self, met: Callable[[], bool]) -> None:
-        """Within a bound that no sound machine needs."""
+    def until(self, is_met: Callable[[], bool]) -> None:
+        """Runs the scheduler until a condition holds.
+
+        The limit of 30 s is more than any healthy machine needs.
+        """
         end = self.scheduler.clock() + 30.0
-        while not met():
-            assert self.scheduler.clock() < end, "not met"
+        while not is_met():
+            assert self.scheduler.clock() < end, "condition not met within 30 s"
             self.scheduler.turn(longest=0.05)
 
     def all_alive(self) -> bool:
-        """All hold all for alive."""
+        """Whether each limiter sees all limiters as alive."""
         views = [self.view(name) for name in self.cluster.names]
         return all(
             len(view) == len(views) and {entry[0] for entry in view.values()} == {"alive"}
@@ -124,11 +134,11 @@
     one.cluster.close()
 
 
-def test_a_process_stopped_past_its_death_reports_that_it_admits_nothing_before_it_does(
+def test_process_continued_after_its_death_first_admits_nothing(
     fleet: Fleet,
 ) -> None:
-    """A process is stopped until the others hold it dead, then continued. It reports that it
-    admits nothing before it admits again.
+    """A process is stopped until the others consider it dead, and then continued. It must report
+    that it admits nothing before it admits again.
     """
     fleet.until(fleet.all_alive)
     fleet.cluster.processes.signal("n0", signal.SIGSTOP)
@@ -142,11 +152,11 @@
     assert acting()[0] is False and False in acting()[acting().index(True) :]
 
 
-def test_of_two_processes_with_one_id_the_later_goes_on_and_the_other_logs_it_and_leaves(
+def test_earlier_of_two_processes_with_one_id_logs_that_and_ends(
     fleet: Fleet,
 ) -> None:
-    """A second process starts with the id of a running one. The first logs that and ends with
-    status 0, the second goes on.
+    """A second process starts with the id of a running one. The first must log that and end with
+    status 0, and the second must become alive.
     """
     processes = fleet.cluster.processes
     fleet.until(fleet.all_alive)
@@ -169,14 +179,14 @@
     assert processes.members["again"].running
 
 
-def test_forged_and_outdated_datagrams_change_nothing(fleet: Fleet) -> None:
-    """Garbled, forged and outdated datagrams are sent from a real peer address. They are
-    counted and change nothing.
+def test_garbled_forged_and_outdated_datagrams_change_nothing(fleet: Fleet) -> None:
+    """Such datagrams are sent from a real peer's address. They must be counted, and change no
+    record.
     """
     fleet.until(fleet.all_alive)
     before = fleet.view("n0")
     relay, target = fleet.cluster.relay, fleet.cluster.own(1, 7946)
-    out = relay.datagram_socket("n0", "n1")  # n1's address, as n0 knows it
+    out = relay.datagram_socket("n0", "n1")  # a socket whose address n0 knows as n1's
     old = before["1"][1] - 1
     for text in (
         "v1p nonsense",
@@ -204,10 +214,10 @@
     assert fleet.view("n0") == before
 
 
-def stuck_file(name: str, home: Path) -> str:
-    """The view's lines go to a pipe that nobody reads.
+def blocked_history_file(name: str, home: Path) -> str:
+    """An operator file whose history file is a pipe without a reader.
 
-    Opening it takes for ever, as on a disk that stands still.
+    Opening it blocks forever, as on a disk that hangs.
     """
     path = home.parent / f"{name}.view.jsonl"
     if not path.exists():
@@ -215,14 +225,12 @@
     return disk_file(name, home)
 
 
-def test_a_limiter_whose_disk_stands_still_serves_and_ends_and_logs_it(tmp_path: Path) -> None:
-    """The disk stands still. The limiter serves, ends within its time and logs that the disk is
-    too slow.
-    """
+def test_limiter_with_a_hanging_disk_serves_ends_and_logs_that(tmp_path: Path) -> None:
+    """A disk that hangs must not block requests or the shutdown, and the log must name it."""
     folder = tmp_path / "fleet"
     folder.mkdir()
     two = plan.Plan(name="x", instances=2, hosts=1)
-    one = Fleet(LoopbackCluster(Scheduler(Clock()), two, folder, operator=stuck_file))
+    one = Fleet(LoopbackCluster(Scheduler(Clock()), two, folder, operator=blocked_history_file))
     answers: list[bytes] = []
 
     def ask_until_ready() -> None:
@@ -240,27 +248,27 @@
         one.cluster.close()
 
 
-class Seeded(LoopbackCluster):
-    """Its limiters are told of no peers: each knows the address of n0 alone."""
+class SeededCluster(LoopbackCluster):
+    """A cluster whose limiters have no list of peers; each knows only the address of n0."""
 
     def config(self, number: int, order: int = 0) -> dict[str, Any]:
         return super().config(number, order) | {"peers": []}
 
 
-def test_members_without_a_list_of_peers_find_each_other_by_a_seed_that_may_die_later(
+def test_members_find_each_other_by_a_seed_and_survive_its_death(
     tmp_path: Path,
 ) -> None:
-    """Limiters know only the address of one seed. They find each other through it and go on
-    when it dies.
+    """Limiters that know only the address of one seed find each other through it, and stay in
+    contact when it dies.
     """
 
     def seeded(name: str, home: Path) -> str:
-        """Its own configuration, which stands there already, says in which net they are."""
+        """Reads the network prefix from the limiter's configuration file, which exists already."""
         net = json.loads((home / "config.json").read_text())["peer_listen"].rpartition(".")[0]
         return view_file(name, home) + f'fleet: seeds: ["{net}.1:7946"]\n'
 
     (tmp_path / "seeded").mkdir()
-    cluster = Seeded(
+    cluster = SeededCluster(
         Scheduler(Clock()),
         plan.Plan(name="x", instances=3, hosts=1),
         tmp_path / "seeded",
