--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -84,8 +84,8 @@
 
     def control(self, name: str) -> dict[str, Any]:
         lines = self.call(name, "fleet").splitlines()
-        control: dict[str, Any] = json.loads(lines[0])["control"]
-        return control
+        report: dict[str, Any] = json.loads(lines[0])["control"]
+        return report
 
     def start(self, name: str) -> None:
         """Restarts a limiter that was killed."""
@@ -212,8 +212,8 @@
     assert bounded.orders(*other_side) == [0] * len(other_side)
     bounded.cluster.relay.end(cut)
     bounded.until(lambda: bounded.all_alive() and bounded.orders() == [1] * MEMBERS)
-    for members in (changed_side, other_side):
-        bounded.assert_never_dead(members)
+    for side in (changed_side, other_side):
+        bounded.assert_never_dead(side)
     bounded.meter.check()
 
 
