--- a/hazelhollow/membership/change_log.py
+++ b/hazelhollow/membership/change_log.py
@@ -25,7 +25,7 @@
             self._changed_members.append(after.number)
 
     def consume_changed(self) -> bool:
-        """Whether anything has changed since the last call."""
+        """Returns whether anything has changed since the last call."""
         changed, self._has_changed = self._has_changed, False
         return changed
 
--- a/hazelhollow/membership/membership.py
+++ b/hazelhollow/membership/membership.py
@@ -183,7 +183,7 @@
         return self._stall.is_stalled(now)
 
     def consume_changed(self) -> bool:
-        """Whether anything has changed since the last call."""
+        """Returns whether anything has changed since the last call."""
         return self._state.changes.consume_changed()
 
     def drain_changed_members(self) -> list[int]:
