--- a/hazelhollow/replication/send_priority.py
+++ b/hazelhollow/replication/send_priority.py
@@ -37,7 +37,7 @@
         for datagram in datagrams:
             if datagram.kind is not Kind.DIGESTS:
                 self._queue.add(RANKS[datagram.kind], len(datagram.text), datagram, now)
-        sendable = self._queue.take_sendable(now)
+        sendable = self._queue.pop_sendable(now)
         if not self._queue:
             sendable += [
                 datagram
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -70,7 +70,7 @@
         LoopbackCluster(Scheduler(Clock()), plan_of_four, tmp_path / "fleet", operator=disk_file)
     )
     replicated_fleet.until(
-        lambda: replicated_fleet.whole()
+        lambda: replicated_fleet.all_alive()
         and all(
             replicated_fleet.replica(name).get("whole") for name in replicated_fleet.cluster.names
         )
