--- a/hazelhollow/configuration/audit/activity.py
+++ b/hazelhollow/configuration/audit/activity.py
@@ -30,7 +30,7 @@
     def request_counts(self) -> dict[str, int]:
         """Counts that only grow: requests, served, refused, failed."""
 
-    def take_attempts(self) -> Counter[str]:
+    def drain_attempts(self) -> Counter[str]:
         """Attempts by host since the last call."""
 
     def take_samples(self) -> list[str]:
@@ -99,7 +99,7 @@
         figures = self._limiter.request_counts()
         counts = {name: count - self._figures.get(name, 0) for name, count in figures.items()}
         self._figures = figures
-        hosts = self._limiter.take_attempts()
+        hosts = self._limiter.drain_attempts()
         if any(counts.values()) or hosts:
             more: dict[str, Any] = {
                 "counts": counts,
--- a/hazelhollow/operator/service_limiter.py
+++ b/hazelhollow/operator/service_limiter.py
@@ -46,7 +46,7 @@
             "failed": stats.failed,
         }
 
-    def take_attempts(self) -> Counter[str]:
+    def drain_attempts(self) -> Counter[str]:
         """Attempts by endpoint since the last call."""
         driver = self._service.engine_driver
         attempts, driver.attempts_by_endpoint = driver.attempts_by_endpoint, Counter()
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -300,7 +300,7 @@
             "failed": stats.failed,
         }
 
-    def take_attempts(self) -> Counter[str]:
+    def drain_attempts(self) -> Counter[str]:
         """Attempts by server since the last call."""
         counts, self.engine_driver.attempts_by_endpoint = (
             self.engine_driver.attempts_by_endpoint or Counter(),
--- a/tests/configuration/configuration_fleet.py
+++ b/tests/configuration/configuration_fleet.py
@@ -142,7 +142,7 @@
     def request_counts(self) -> dict[str, int]:
         return dict(self.counts)
 
-    def take_attempts(self) -> Counter[str]:
+    def drain_attempts(self) -> Counter[str]:
         return Counter()
 
     def take_samples(self) -> list[str]:
