--- a/hazelhollow/configuration/audit/activity.py
+++ b/hazelhollow/configuration/audit/activity.py
@@ -33,7 +33,7 @@
     def drain_attempts(self) -> Counter[str]:
         """Attempts by host since the last call."""
 
-    def take_samples(self) -> list[str]:
+    def drain_samples(self) -> list[str]:
         """Ids of some or all requests since the last call."""
 
 
@@ -104,7 +104,7 @@
             more: dict[str, Any] = {
                 "counts": counts,
                 "hosts": dict(hosts),
-                "samples": self._limiter.take_samples(),
+                "samples": self._limiter.drain_samples(),
             }
             self._add(EntryKind.ACTIVITY, digest, revision=revision, **more)
 
--- a/hazelhollow/operator/service_limiter.py
+++ b/hazelhollow/operator/service_limiter.py
@@ -52,7 +52,7 @@
         attempts, driver.attempts_by_endpoint = driver.attempts_by_endpoint, Counter()
         return attempts or Counter()
 
-    def take_samples(self) -> list[str]:
+    def drain_samples(self) -> list[str]:
         """Ids of some requests since the last call."""
         driver = self._service.engine_driver
         samples, driver.sampled_ids = driver.sampled_ids, []
--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -308,6 +308,6 @@
         )
         return counts
 
-    def take_samples(self) -> list[str]:
+    def drain_samples(self) -> list[str]:
         """Samples of requests: none."""
         return []
--- a/tests/configuration/configuration_fleet.py
+++ b/tests/configuration/configuration_fleet.py
@@ -145,7 +145,7 @@
     def drain_attempts(self) -> Counter[str]:
         return Counter()
 
-    def take_samples(self) -> list[str]:
+    def drain_samples(self) -> list[str]:
         return []
 
     # What happens to it
