--- a/hazelhollow/configuration/audit/commands.py
+++ b/hazelhollow/configuration/audit/commands.py
@@ -95,7 +95,7 @@
     if options.request:
         _fail(f"{options.request} was not written down; `fleet: audit: samples` says how many are")
     merge.finish()
-    merge.unknowns[:0] = unreadable
+    merge.unresolved[:0] = unreadable
     found = merge.document()
     _write(found, options)
     return found
--- a/hazelhollow/configuration/audit/merge.py
+++ b/hazelhollow/configuration/audit/merge.py
@@ -39,7 +39,7 @@
             lambda: MemberTimeline(self._evidence)
         )
         self.findings: list[Finding] = []
-        self.unknowns: list[str] = []
+        self.unresolved: list[str] = []
         self.offsets: dict[int, float] = {}
         self.entries = 0
 
@@ -54,7 +54,7 @@
             for span in member.spans:
                 span.shift(self.offsets[number])
             if member.missing_entries:
-                self.unknowns.append(
+                self.unresolved.append(
                     f"member {number}: {member.missing_entries} entries are missing"
                 )
         for event in self.rollout_events:
@@ -80,7 +80,7 @@
                 bounds.append(ClockBound(seen.observer, seen.peer, began_at - seen.time))
         self.offsets, consistent = clock_offsets(self.members, bounds)
         if not consistent:
-            self.unknowns.append(
+            self.unresolved.append(
                 "the clocks cannot be brought into one order: what some heard contradicts "
                 "what others wrote"
             )
@@ -131,7 +131,7 @@
                 }
                 for finding in self.findings
             ],
-            "not_known": self.unknowns,
+            "not_known": self.unresolved,
         }
 
 
--- a/hazelhollow/fault_injection/audit_comparison.py
+++ b/hazelhollow/fault_injection/audit_comparison.py
@@ -53,7 +53,7 @@
         "contradictions_unseen": unseen,
         "audit_wrong": wrong,
         "audit_findings": dict(Counter(finding.kind for finding in fleet.findings)),
-        "audit_not_known": [*troubles, *fleet.unknowns],
+        "audit_not_known": [*troubles, *fleet.unresolved],
     }
 
 
--- a/tests/configuration/test_audit_merge.py
+++ b/tests/configuration/test_audit_merge.py
@@ -29,7 +29,7 @@
             entry(50.0, 1, 6, "second", "bbbb", revision=2),
         ]
     )
-    assert not found.findings and not found.unknowns
+    assert not found.findings and not found.unresolved
     (_, change) = found.changes()
     assert change["out_at"] == 40.0 and change["last_old_after_s"] == pytest.approx(0.3)
     steps = found.document()["rollout"]
@@ -69,7 +69,7 @@
     assert (
         found.offsets[1] == pytest.approx(max(0.0, -skew - 0.2))
         and not found.findings
-        and not found.unknowns
+        and not found.unresolved
     )
     (_, change) = found.changes()
     assert change["last_old_after_s"] == pytest.approx(
@@ -134,11 +134,11 @@
         peer_seen(0.5, 0, 4, 1, NEW._replace(settings="bbbb")),
     ]  # heard before it can have been
     found = merge.merge_entries(apart)
-    assert any("one order" in text for text in found.unknowns)
+    assert any("one order" in text for text in found.unresolved)
     gaps = merge.merge_entries(
         [entry(1.0, 0, 1, revision=1), entry(2.0, 0, 5, version="bbbb", revision=2)]
     )
-    assert gaps.unknowns == ["member 0: 3 entries are missing"]
+    assert gaps.unresolved == ["member 0: 3 entries are missing"]
 
 
 @given(st.permutations(range(2)), st.booleans())
--- a/tests/configuration/test_rollout.py
+++ b/tests/configuration/test_rollout.py
@@ -64,7 +64,7 @@
     assert set(fleet.orders()) == {1}
     assert leader.steps() == ["pushed", "released"]
     merged = fleet.merged()
-    assert not merged.findings and not merged.unknowns
+    assert not merged.findings and not merged.unresolved
     (_, change) = merged.changes()
     assert change["members"] == sorted(ALL) and change["last_old_after_s"] < 2.0
 
