--- a/hazelhollow/configuration/distribution/codec.py
+++ b/hazelhollow/configuration/distribution/codec.py
@@ -1,14 +1,14 @@
-"""The datagrams by which a settings document travels between members.
+"""The datagrams that transfer a settings document between members.
 
-    d1q 2 0-1-2                 asks for pieces 0, 1 and 2 of revision 2 (none named: the first,
-                                which says how many there are)
-    d1q 2 0-1-2 a0x1            the same of its delta from the settings whose digest is a0x1
+    d1q 2 0-1-2                 requests pieces 0, 1 and 2 of revision 2 (without numbers: the
+                                first piece, which has the number of pieces)
+    d1q 2 0-1-2 a0x1            requests pieces of its delta from the settings with digest a0x1
     d1g 2 k3f9 3-c TEXT         piece 3, the fourth of 12, of revision 2, whose digest is k3f9
     d1g 2 k3f9 0-1 TEXT a0x1    piece 0 of 1 of its delta from those settings
     d1n 2 a0x1                  the sender has no delta from those settings
 
-Numbers are in base 36, and pieces count from 0.
-The first characters say that a datagram is one of these, and in which version of the format.
+Numbers are in base 36, and pieces are numbered from 0. The prefix `d1` identifies these datagrams
+and the version of their format.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 class PieceRequest(NamedTuple):
-    """Asks for pieces of a document.
+    """A request for pieces of a document or of a delta.
 
     Attributes:
-        revision: of the document.
-        pieces: their numbers; none: the first.
-        base: digest of the settings from which a delta is wanted; empty: the whole document.
+        revision: Revision of the document.
+        pieces: Numbers of the pieces; none: the first.
+        base: Digest of the settings from which a delta is wanted; empty: the full document.
     """
 
     revision: int
@@ -44,12 +44,12 @@
     """One piece of a document or of a delta.
 
     Attributes:
-        revision: of the document.
-        digest: of the document that all pieces make.
-        number: of this piece, from 0.
-        total: how many pieces there are.
-        text: part of the compressed text, as base64.
-        base: digest of the settings from which this is a delta; empty: the whole document.
+        revision: Revision of the document.
+        digest: Digest of the document that all pieces make.
+        number: Number of this piece, from 0.
+        total: Number of pieces.
+        text: Part of the compressed text, as base64.
+        base: Digest of the settings from which this is a delta; empty: the full document.
     """
 
     revision: int
@@ -61,7 +61,7 @@
 
 
 class DeltaUnavailable(NamedTuple):
-    """The sender cannot make the delta of that revision from the settings with digest `base`."""
+    """The sender cannot make the delta to that revision from the settings with digest `base`."""
 
     revision: int
     base: str
@@ -126,5 +126,5 @@
 
 
 def _is_base(text: str) -> bool:
-    """Whether it is empty or may be a digest."""
+    """Whether the text is empty or may be a digest."""
     return not text or (text.isalnum() and text.isascii())
--- a/hazelhollow/configuration/distribution/delta.py
+++ b/hazelhollow/configuration/distribution/delta.py
@@ -1,15 +1,16 @@
-"""The changes between two settings documents, and a document made from a base and its changes.
+"""Deltas between settings documents: their computation and application.
 
-A change is a list that JSON can hold. Its path leads from the top of the document: the names of
-fields, and in a list whose entries all have a `name` of their own, that name.
+A change is a list that can be encoded as JSON. Its path starts at the top of the document and
+consists of field names; an entry of a list whose entries all have distinct names is identified by
+its `name`.
 
-    ["=", path, value]               that place holds this value now
-    ["-", path]                      that field is gone
-    ["*", path, removed, inserted]   of a list with names: the entries of these names are gone, then
-                                     these came, each with its index
+    ["=", path, value]               sets the value at that place
+    ["-", path]                      removes that field
+    ["*", path, removed, inserted]   in a list with names: removes the entries with these names,
+                                     then inserts these entries, each at its index
 
 Routes and plans are such lists, so that one changed route of thousands is one short change.
-No I/O, no clock.
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 
 import orjson
 
-PUT, REMOVE, RELIST = "=", "-", "*"  # the kinds of changes, as they travel
+PUT, REMOVE, RELIST = "=", "-", "*"  # the kinds of changes, as encoded
 
 Change = list[Any]
 
 
 class Place(NamedTuple):
-    """One place of two documents: what the base and the new one hold there."""
+    """A place in two documents: the value there in the base and in the new one."""
 
     base: Any
     new: Any
@@ -34,9 +35,9 @@
 
 
 def compute_delta(base: Mapping[str, Any], new: Mapping[str, Any]) -> list[Change]:
-    """The changes that make the new document from the base, in the order to apply them.
+    """Computes the changes from the base to the new document, in the order to apply them.
 
-    They depend on what the documents say alone, not on the order of their fields.
+    They depend only on the contents of the documents, not on the order of their fields.
     """
     changes = list[Change]()
     places = deque([Place(base, new, [])])
@@ -46,9 +47,10 @@
 
 
 def compare_place(place: Place, changes: list[Change]) -> list[Place]:
-    """Appends to `changes` what has changed at that place itself.
+    """Appends the changes at that place itself to `changes`.
 
-    Returns the places below it that are to be compared after this one.
+    Returns:
+        The places below it that have to be compared after this one.
     """
     base, new, path = place
     if base is new:
@@ -65,21 +67,21 @@
     return []
 
 
-def concatenated(deltas: Iterable[Sequence[Change]]) -> list[Change]:
-    """Several deltas, each from the document that the one before makes, as one."""
+def concatenate_deltas(deltas: Iterable[Sequence[Change]]) -> list[Change]:
+    """Joins deltas into one; each starts from the document that the previous one makes."""
     return [change for delta in deltas for change in delta]
 
 
 def apply_delta(base: Mapping[str, Any], changes: Sequence[Change]) -> dict[str, Any]:
-    """A new document, which shares with the base what did not change.
+    """Applies a delta; the new document shares unchanged parts with the base.
 
     Raises:
-        ValueError: the changes do not fit the base.
+        ValueError: The changes do not fit the base.
     """
     try:
         return _CopyOnWrite(base).apply(changes)
     except (KeyError, IndexError, TypeError, AttributeError) as error:
-        raise ValueError(f"changes that do not fit: {error!r}") from error
+        raise ValueError(f"the changes do not fit the base: {error!r}") from error
 
 
 class _NamedList(NamedTuple):
@@ -90,14 +92,15 @@
 
 
 def _canonical_json(value: Any) -> bytes:
-    """By which values are compared: 1, 1.0 and true differ in it, as they do not in Python."""
+    """Encodes a value for comparison: unlike in Python, 1, 1.0 and true differ."""
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
 
 
 def _compare_fields(
     base: Mapping[str, Any], new: Mapping[str, Any], path: list[str], changes: list[Change]
 ) -> list[Place]:
-    # Most entries of a long list are unchanged: one comparison instead of one for each field.
+    # Most entries of a long list are unchanged: one comparison of the entry suffices for them,
+    # instead of one for each field.
     if path and _canonical_json(base) == _canonical_json(new):
         return []
     changes += [[REMOVE, [*path, name]] for name in sorted(base) if name not in new]
@@ -115,7 +118,7 @@
     new_by_name = dict(zip(new.names, new.entries, strict=True))
     kept_in_base = [name for name in base.names if name in new_by_name]
     if kept_in_base != [name for name in new.names if name in base_by_name]:
-        changes.append([PUT, path, new.entries])  # what both have is in another order
+        changes.append([PUT, path, new.entries])  # the entries in both are in another order
         return []
     removed = [name for name in base.names if name not in new_by_name]
     inserted = [
@@ -132,7 +135,7 @@
 
 
 def _entry_names(value: Any) -> list[str] | None:
-    """The names of a list's entries, in order; None where one has none, or two have the same."""
+    """The names of a list's entries, in order; None if a name is missing or not unique."""
     if not isinstance(value, list) or not value or {*map(type, value)} != {dict}:
         return None
     names = [entry.get("name") for entry in value]
@@ -142,13 +145,13 @@
 
 
 class _CopyOnWrite:
-    """A document that is being changed; each container on the way to a change is copied once."""
+    """A document under change; each container on the path to a change is copied once."""
 
     def __init__(self, base: Mapping[str, Any]) -> None:
         self._top: dict[str, Any] = dict(base)
-        # Containers that are no longer shared with the base, by id; held, so that ids stay unique.
+        # Containers no longer shared with the base, by id; the references keep the ids unique.
         self._copied: dict[int, Any] = {id(self._top): self._top}
-        # Index by name, of lists with names, by the id of the list.
+        # For each list with names, by the list's id: the index of each entry by its name.
         self._indexes: dict[int, dict[str, int]] = {}
 
     def apply(self, changes: Sequence[Change]) -> dict[str, Any]:
@@ -163,7 +166,7 @@
             elif kind == REMOVE and not rest and isinstance(parent, dict):
                 del parent[key]
             else:
-                raise ValueError(f"no such change: {kind!r}")
+                raise ValueError(f"unknown or malformed change {kind!r}")
         return self._top
 
     def _relist(self, path: list[str], removed: list[str], inserted: list[list[Any]]) -> None:
@@ -171,13 +174,15 @@
         key, removed_names = self._key(parent, path[-1]), set(removed)
         entries = [entry for entry in parent[key] if entry["name"] not in removed_names]
         if len(entries) + len(removed_names) != len(parent[key]):
-            raise ValueError("an entry is to go that is not there")
+            raise ValueError(
+                f"cannot remove {len(removed_names)} entries: not all of them are in the list"
+            )
         for index, entry in inserted:
             entries.insert(index, entry)
         self._copied[id(entries)] = parent[key] = entries
 
     def _container(self, path: list[str]) -> Any:
-        """The container there, copied on the way where it is still the base's."""
+        """Returns the container at a path; copies those on the path still shared with the base."""
         container: Any = self._top
         for step in path:
             key = self._key(container, step)
@@ -189,7 +194,7 @@
         return container
 
     def _key(self, container: Any, step: str) -> Any:
-        """The field's name, or the index of the entry with that name."""
+        """Returns the field's name, or the index of the list entry with that name."""
         if not isinstance(container, list):
             return step
         indexes = self._indexes.get(id(container))
--- a/hazelhollow/configuration/distribution/exchange.py
+++ b/hazelhollow/configuration/distribution/exchange.py
@@ -1,6 +1,7 @@
-"""Settings documents between members: whom this one asks, what it gives, within its allowance.
+"""Exchange of settings documents: which members are asked, and what is sent within the allowance.
 
-No I/O, no clock: the driver passes the time in and sends what is handed to its callback.
+The module does no I/O and reads no clock: the driver passes the time in and sends the datagrams
+that its callback receives.
 """
 
 from __future__ import annotations
@@ -21,19 +22,19 @@
 REQUEST_INTERVAL_S = 0.25  # between requests for a document
 MAX_PIECES_SENT_PER_S = 200  # datagrams
 MAX_QUEUED_DATAGRAMS = 32  # that wait for the budget of control traffic
-MAX_WAITING_REQUESTS = 64  # that wait until the requested pieces are made
-# Part of the requests for a short document that few have which go to those that have it.
+MAX_WAITING_REQUESTS = 64  # requests that wait until their pieces are made
+# While few members have a document that may be short, the share of requests sent to those holders.
 HOLDER_REQUEST_PROBABILITY = 0.5
-REQUEST_RANK, PIECE_RANK = range(2)  # the order in which queued datagrams leave
+REQUEST_RANK, PIECE_RANK = range(2)  # the order in which queued datagrams are sent
 
 
 class WantedDocument(NamedTuple):
     """Settings that this member wants.
 
     Attributes:
-        revision: their revision.
-        digest: their digest.
-        holders: members that act on them.
+        revision: Revision of the settings.
+        digest: Digest of the settings.
+        holders: Members that act on them.
     """
 
     revision: int
@@ -42,7 +43,7 @@
 
 
 class ReceivedDocument(NamedTuple):
-    """A document that is complete; `sender` gave the last piece."""
+    """A complete document; `sender` is the member that sent the last piece."""
 
     revision: int
     digest: str
@@ -52,12 +53,12 @@
 
 @dataclass(frozen=True)
 class ExchangePort:
-    """What the exchange calls.
+    """The callbacks and the budget of an exchange.
 
     Attributes:
-        send: sends a text to the member with that number.
-        piece_arrived: told the revision of a document of which a piece has come.
-        allowance: what it may send; None: all.
+        send: Sends a text to the member with that number.
+        piece_arrived: Called with the revision of a document when a piece of it arrives.
+        allowance: Budget for sending; None: unlimited.
     """
 
     send: Callable[[int, str], None]
@@ -71,20 +72,20 @@
 
 
 class DocumentExchange:
-    """One member's part in handing settings on.
+    """One member's exchange of settings documents with the others.
 
     Args:
-        limiter_id: this member's number.
-        history: the settings that it has had in force.
-        chance: draws members and pieces.
-        port: what it calls.
+        limiter_id: This member's number.
+        history: The settings that it has had in force.
+        rng: Draws members and pieces.
+        port: Its callbacks and its budget.
     """
 
     def __init__(
-        self, limiter_id: int, history: SettingsHistory, chance: random.Random, port: ExchangePort
+        self, limiter_id: int, history: SettingsHistory, rng: random.Random, port: ExchangePort
     ) -> None:
         self._limiter_id, self._history = limiter_id, history
-        self._random, self._port = chance, port
+        self._random, self._port = rng, port
         self._queue: SendQueue[tuple[int, str]] | None = (
             SendQueue(port.allowance, MAX_QUEUED_DATAGRAMS, PIECE_RETRY_S)
             if port.allowance
@@ -98,16 +99,16 @@
     # Requests
 
     def fetch(self, wanted: WantedDocument, present: Collection[int], now: float) -> None:
-        """Requests more of a document.
+        """Requests more pieces of a document.
 
-        To be called every REQUEST_INTERVAL_S, as long as these settings are wanted.
+        Has to be called every REQUEST_INTERVAL_S while these settings are wanted.
 
         Args:
-            wanted: the document.
-            present: the members that are up.
-            now: seconds.
+            wanted: The document.
+            present: The members that are up.
+            now: Seconds of the clock.
         """
-        fetch = self._fetch_of(wanted)
+        fetch = self._fetch_for(wanted)
         delta_holders = fetch.delta_holders(wanted.holders)
         if self._queue is None:
             number = self._random.choice(delta_holders or wanted.holders)
@@ -118,28 +119,28 @@
             number = (
                 self._random.choice(delta_holders)
                 if delta_holders
-                else self._choose_whole_document_holder(fetch, wanted, present)
+                else self._choose_document_holder(fetch, wanted, present)
             )
             self._send(number, text, REQUEST_RANK, now)
 
-    def _fetch_of(self, wanted: WantedDocument) -> DocumentFetch:
+    def _fetch_for(self, wanted: WantedDocument) -> DocumentFetch:
         fetch = self._fetch
         if fetch is None or (fetch.revision, fetch.digest) != (wanted.revision, wanted.digest):
             current = self._history.current
             base = self._history.document(current)
-            assert base is not None  # the settings in force here
+            assert base is not None  # since these settings are in force here
             fetch = DocumentFetch(wanted.revision, wanted.digest, DeltaBase(current, base))
             self._fetch = fetch
         return fetch
 
-    def _choose_whole_document_holder(
+    def _choose_document_holder(
         self, fetch: DocumentFetch, wanted: WantedDocument, present: Collection[int]
     ) -> int:
-        """Whom to ask for some pieces of a whole document.
+        """Chooses the member to ask for pieces of the full document.
 
-        A holder; or where those are few any other member, which may have some pieces: else all
-        would ask the first holder. A short document is asked of a holder with
-        HOLDER_REQUEST_PROBABILITY.
+        This is a holder. While holders are few, it is any other member, which may have some of the
+        pieces; otherwise all members would ask the first holder. If the document may be short, a
+        holder is asked with HOLDER_REQUEST_PROBABILITY even then.
         """
         others = [number for number in present if number != self._limiter_id]
         few_holders = 2 * len(wanted.holders) < len(others)
@@ -151,7 +152,7 @@
     # Datagrams received
 
     def receive(self, sender: int, text: str, now: float) -> ReceivedDocument | None:
-        """Takes a datagram; the document that it completes, if it does."""
+        """Handles a datagram; returns the document that it completes, if any."""
         datagram = codec.decode(text)
         if isinstance(datagram, PieceRequest):
             self._answer(sender, datagram, now)
@@ -177,20 +178,20 @@
     # Answers
 
     def serve(self, revision: int, digest: str, document: Mapping[str, Any]) -> None:
-        """From now on these settings are what it gives."""
+        """Sets the settings that are sent to members that request them."""
         self._source = DocumentSource(revision, document, self._history, digest)
         self._waiting_requests.clear()
 
     def new_second(self) -> None:
-        """Gives MAX_PIECES_SENT_PER_S anew; to be called once a second."""
+        """Resets the count of pieces sent; has to be called once a second."""
         self._pieces_left = MAX_PIECES_SENT_PER_S
 
     def is_busy(self) -> bool:
-        """Whether requests wait for pieces, so that `step` is to be called soon."""
+        """Whether requests wait for pieces, so that `step` has to be called soon."""
         return bool(self._waiting_requests)
 
     def step(self, now: float) -> None:
-        """Does a part of making pieces, and answers the waiting requests once they are made."""
+        """Does a slice of the work on pieces; answers the waiting requests once they are made."""
         if self._source is None or not self._source.step():
             return
         waiting, self._waiting_requests = self._waiting_requests, []
@@ -198,10 +199,10 @@
             self._answer(request.sender, request.request, now)
 
     def _answer(self, sender: int, request: PieceRequest, now: float) -> None:
-        """From the document in force here, or from the one that is on its way here."""
+        """Answers from the document in force here, or from the one that is being fetched."""
         source = self._source
         if source is None or request.revision != source.revision:
-            # Without a budget nobody asks a member that has only some of the pieces.
+            # Without a budget no member asks one that has only some of the pieces.
             if self._fetch is not None and self._queue is not None:
                 self._send_pieces(sender, self._fetch.answer(request), now)
         elif source.is_ready(request):
@@ -225,7 +226,7 @@
             self.send_due(now)
 
     def send_due(self, now: float) -> None:
-        """Sends what the allowance has room for now."""
+        """Sends as many queued datagrams as the allowance permits now."""
         if self._queue is not None:
             for number, text in self._queue.take_sendable(now):
                 self._port.send(number, text)
--- a/hazelhollow/configuration/distribution/history.py
+++ b/hazelhollow/configuration/distribution/history.py
@@ -1,9 +1,9 @@
-"""The settings that a member has had in force lately.
+"""The settings that a member has recently had in force.
 
-It holds the newest document and the delta from each back to the one before. With these a member
-gives another the delta from settings that were in force hours ago, and rolls back by itself. The
-delta of the newest step is computed in slices; whoever asks for earlier settings before that is
-done has it finished at once. No I/O, no clock.
+The history holds the newest document, and for each document the delta back to its predecessor.
+With these a member can send another the delta from settings that were in force hours ago, and can
+roll back without other members. The delta of the newest step is computed in slices; a call for
+earlier settings in the meantime finishes it at once. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 import orjson
 
-from hazelhollow.configuration.distribution.delta import Change, apply_delta, concatenated
+from hazelhollow.configuration.distribution.delta import Change, apply_delta, concatenate_deltas
 from hazelhollow.configuration.distribution.incremental import DeltaComputation, run_to_end
 
 MAX_STEPS = 256  # half a day at 480 changes a day
-MAX_BYTES = 1 << 18  # of all deltas, as JSON
+MAX_BYTES = 1 << 18  # total of the deltas, as JSON
 
 Document = Mapping[str, Any]
 
 
 @dataclass(frozen=True)
 class _Step:
-    """A step back to the settings with that digest, from those that came after them."""
+    """A step back to the settings with that digest, from their successor."""
 
     digest: str
     changes: list[Change]
@@ -35,7 +35,7 @@
 
 
 class SettingsHistory:
-    """Settings by their digests, without the fields that are each limiter's own."""
+    """Settings by their digests, without the fields in `versions.LIMITER_FIELDS`."""
 
     def __init__(self, max_steps: int = MAX_STEPS, max_bytes: int = MAX_BYTES) -> None:
         self._max_steps, self._max_bytes = max_steps, max_bytes
@@ -44,7 +44,7 @@
         self._steps = deque[_Step]()  # the newest first
         self._bytes = 0
         self._computation: DeltaComputation | None = None  # of the newest step
-        self._previous = ""  # the digest to which that step leads back
+        self._previous = ""  # the digest of the settings that it leads back to
 
     @property
     def current(self) -> str:
@@ -52,7 +52,7 @@
         return self._current
 
     def knows(self, digest: str) -> bool:
-        """Whether `document` has the settings with that digest."""
+        """Whether `document` can return the settings with that digest."""
         return digest in (self._current, self._previous) or any(
             step.digest == digest for step in self._steps
         )
@@ -68,11 +68,11 @@
         self._current, self._document = digest, document
 
     def is_computed(self) -> bool:
-        """Whether the delta of the newest step is known."""
+        """Whether the delta of the newest step has been computed."""
         return self._computation is None
 
     def step(self) -> bool:
-        """Does a part of computing the delta of the newest step; whether it is known."""
+        """Computes a slice of the delta of the newest step; returns whether it is complete."""
         if self._computation is not None and self._computation.step():
             changes = self._computation.changes
             self._add(_Step(self._previous, changes, len(orjson.dumps(changes))))
@@ -80,7 +80,7 @@
         return self._computation is None
 
     def document(self, digest: str) -> Document | None:
-        """The settings with that digest; None where they are not known."""
+        """Returns the settings with that digest; None if the history does not hold them."""
         if digest == self._current:
             return self._document
         self._finish_step()
@@ -88,7 +88,7 @@
         if index is None:
             return None
         deltas = (step.changes for step in islice(self._steps, index + 1))
-        return apply_delta(self._document, concatenated(deltas))
+        return apply_delta(self._document, concatenate_deltas(deltas))
 
     def _finish_step(self) -> None:
         if self._computation is not None:
--- a/hazelhollow/configuration/distribution/source.py
+++ b/hazelhollow/configuration/distribution/source.py
@@ -1,7 +1,8 @@
-"""The serving side: the settings document in force here, cut into pieces for others.
+"""The serving side: the settings document in force here, split into pieces for other members.
 
-Pieces are made when they are requested first, in slices. All members that know the same documents
-make the same pieces, so that pieces of several members fit together. No I/O, no clock.
+Pieces are made in slices when they are first requested. All members with the same documents make
+the same pieces, so that pieces from several members fit together. The module does no I/O and reads
+no clock.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class _PieceMaker:
-    """Makes the pieces of a whole document, or of its delta from `base`, step by step."""
+    """Makes the pieces of a full document, or of its delta from `base`, step by step."""
 
     def __init__(self, document: Mapping[str, Any], base: Mapping[str, Any] | None = None) -> None:
         self._document = document
@@ -39,9 +40,9 @@
         return self._packing.step()
 
     def pieces(self) -> list[str]:
-        """The pieces; none of a delta that saves nothing.
+        """The pieces; none for a delta that saves nothing.
 
-        That is one of several pieces and no shorter than the document.
+        Such a delta has several pieces and is no shorter than the document.
         """
         pieces = self._packing.pieces if self._packing else []
         return [] if len(pieces) > 1 and self._is_long_delta() else pieces
@@ -56,10 +57,10 @@
     """One document and its deltas from earlier ones, in pieces.
 
     Args:
-        revision: of the document.
-        document: the settings.
-        history: the earlier settings from which it can make deltas; None: none.
-        digest: of the document, where it is known already.
+        revision: Revision of the document.
+        document: The settings.
+        history: The earlier settings from which it can make deltas; None: none.
+        digest: Digest of the document; empty: it is computed.
     """
 
     def __init__(
@@ -71,12 +72,12 @@
     ) -> None:
         self.revision, self.digest = revision, digest or settings_digest(document)
         self._document, self._history = shared_settings(document), history or SettingsHistory()
-        # By the digest of the base; the whole document under an empty one.
+        # By the digest of the base; those of the full document have an empty one.
         self._pieces: dict[str, list[str]] = {}
         self._makers: dict[str, _PieceMaker] = {}
 
     def step(self) -> bool:
-        """Does a part of what is to be made; whether all is made."""
+        """Does a part of the pending work; returns whether all of it is done."""
         if not self._history.step():
             return False
         for base, maker in list(self._makers.items())[:1]:
@@ -86,7 +87,7 @@
         return not self._makers
 
     def is_ready(self, request: PieceRequest) -> bool:
-        """Whether it can be answered now; else the making of the pieces has begun."""
+        """Whether a request can be answered now; if not, starts to make its pieces."""
         if request.revision != self.revision or request.base in self._pieces:
             return True
         if request.base in self._makers or (request.base and not self._history.is_computed()):
@@ -98,7 +99,7 @@
         return False
 
     def answer(self, request: PieceRequest) -> list[str]:
-        """The datagrams that answer a request for which `is_ready` holds."""
+        """Returns the datagrams that answer a request for which `is_ready` is true."""
         if request.revision != self.revision:
             return []
         texts = self._pieces.get(request.base, [])
@@ -116,12 +117,12 @@
         ]
 
     def answer_at_once(self, request: PieceRequest) -> list[str]:
-        """Makes the pieces at once and answers: for tools, which have no event loop."""
+        """Makes the pieces at once and answers; for tools, which have no event loop."""
         while not self.is_ready(request):
             run_to_end(self)
         return self.answer(request)
 
     def all_pieces(self) -> list[str]:
-        """The pieces of the whole document, made at once: for tools, which have no event loop."""
+        """Makes all pieces of the full document at once; for tools, which have no event loop."""
         self.answer_at_once(PieceRequest(self.revision, ()))
         return self._pieces[""]
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -300,7 +300,7 @@
         "other base": codec.Piece(ORDER, digest, 0, 1, text, "zzzz"),
         "other order": codec.Piece(ORDER - 1, digest, 0, 1, text, base),
     }[told]
-    assert one.put(other) is None and one.base == base and not one._delta._texts
+    assert one.put(other) is None and one.base == base and not one._delta_pieces._texts
     assert converse(one, right.answer_at_once)[0] is not None
 
 
--- a/tests/configuration/test_fetch.py
+++ b/tests/configuration/test_fetch.py
@@ -54,7 +54,7 @@
     assert forged.put(codec.Piece(4, source.digest, 0, 1, "AAAA")) is None  # whole, and nonsense
     assert (
         isinstance(codec.decode(forged.next_request(False)), codec.PieceRequest)
-        and not forged._whole._texts
+        and not forged._document_pieces._texts
     )
 
 
