--- a/hazelhollow/configuration/audit/__init__.py
+++ b/hazelhollow/configuration/audit/__init__.py
@@ -1,6 +1,6 @@
-"""The audit: each limiter's record of what it acted on, and what many records say together.
+"""The audit: each limiter's record of the settings it acted on, and the evaluation of many records.
 
-`entries` has the stored form, `record` and `segments` write it, `activity` decides what to write
-down. `reader` reads records back, `merge` puts them in one order (`timeline`, `clocks`,
+`entries` defines the stored form, `record` and `segments` write it, `activity` decides what to
+record. `reader` reads records, `merge` combines them on one clock (`timeline`, `clocks`,
 `findings`), `report_page` and `commands` show the result.
 """
--- a/hazelhollow/configuration/audit/activity.py
+++ b/hazelhollow/configuration/audit/activity.py
@@ -1,4 +1,4 @@
-"""What a member writes down of what it does and of what it hears from others."""
+"""Records a member's own actions and the settings that it observes at other members."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 
 class ObservedLimiter(Protocol):
-    """What the record asks of the limiter."""
+    """The methods of the limiter that the recorder uses."""
 
     def endpoint_list(self) -> tuple[int, str]:
-        """The index of its endpoint list, and the address of discovery."""
+        """Returns the index of its endpoint list, and the address of discovery."""
 
     def disabled_hosts(self) -> set[str]:
-        """Hosts that operators have disabled."""
+        """Returns the hosts that operators have disabled."""
 
     def request_counts(self) -> dict[str, int]:
-        """Counts that only grow: requests, served, refused, failed."""
+        """Returns monotonic counts: requests, served, refused, failed."""
 
     def drain_attempts(self) -> Counter[str]:
-        """Attempts by host since the last call."""
+        """Returns the attempts by host since the last call, and resets them."""
 
     def drain_samples(self) -> list[str]:
-        """Ids of some or all requests since the last call."""
+        """Returns the ids of some or all requests since the last call, and clears them."""
 
 
 class ActivityRecorder:
-    """Writes one member's entries, each when it differs from the last of its kind."""
+    """Adds one member's entries to its record, most kinds only when something has changed."""
 
     def __init__(
         self,
@@ -52,15 +52,15 @@
         self._settings = ("", 0, False)  # digest, revision, tried
         self._disabled_hosts: set[str] = set()
         self._list_index = -1
-        self._peer_versions: dict[int, Versions] = {}  # as written last
-        self._figures: dict[str, int] = {}
+        self._peer_versions: dict[int, Versions] = {}  # as last recorded
+        self._last_totals: dict[str, int] = {}
 
     def program(self, version: str, reason: str, revision: int) -> None:
-        """The program begins or ends."""
+        """Records the start or the end of the program."""
         self._add(EntryKind.PROGRAM, version, reason, revision=revision)
 
     def settings(self, digest: str, revision: int, tried: bool, reason: str) -> bool:
-        """It acts on these settings, or is about to; whether they differ from those before."""
+        """Records settings in force or about to be; returns whether they differ from the last."""
         if (digest, revision, tried) == self._settings:
             return False
         self._settings = digest, revision, tried
@@ -68,7 +68,7 @@
         return True
 
     def endpoints(self, revision: int) -> None:
-        """Its endpoint list, and the hosts that operators have disabled."""
+        """Records changes of the endpoint list and of the hosts that operators have disabled."""
         disabled = self._limiter.disabled_hosts()
         if disabled != self._disabled_hosts:
             self._disabled_hosts = set(disabled)
@@ -85,9 +85,9 @@
             self._list_index = index
             self._add(EntryKind.ENDPOINT_LIST, f"{index}", reason, revision=revision)
 
-    def peers(self, known: KnownVersions, revision: int) -> None:
-        """The settings that others act on, where they have changed since the last call."""
-        for number, peer_versions in known.take_changed():
+    def peers(self, known_versions: KnownVersions, revision: int) -> None:
+        """Records the settings of other members that have changed since the last call."""
+        for number, peer_versions in known_versions.drain_changed():
             settings = _without_other_versions(peer_versions)
             if number != self._limiter_id and self._peer_versions.get(number) != settings:
                 self._peer_versions[number] = settings
@@ -95,25 +95,25 @@
                 self._add(EntryKind.PEER_VERSIONS, encoded, revision=revision, peer=number)
 
     def second(self, digest: str, revision: int) -> None:
-        """What was done in the last second, under these settings."""
-        figures = self._limiter.request_counts()
-        counts = {name: count - self._figures.get(name, 0) for name, count in figures.items()}
-        self._figures = figures
+        """Records the requests and attempts of the last second, under these settings."""
+        totals = self._limiter.request_counts()
+        counts = {name: count - self._last_totals.get(name, 0) for name, count in totals.items()}
+        self._last_totals = totals
         hosts = self._limiter.drain_attempts()
         if any(counts.values()) or hosts:
-            more: dict[str, Any] = {
+            activity_fields: dict[str, Any] = {
                 "counts": counts,
                 "hosts": dict(hosts),
                 "samples": self._limiter.drain_samples(),
             }
-            self._add(EntryKind.ACTIVITY, digest, revision=revision, **more)
+            self._add(EntryKind.ACTIVITY, digest, revision=revision, **activity_fields)
 
     def verdict(self, now: float, verdict: AdmissionVerdict, revision: int) -> None:
-        """Whether it may take new work has changed."""
+        """Records a change of the admission verdict."""
         self._record.add(now, EntryKind.VERDICT, verdict.state, verdict.reason, revision=revision)
 
     def rollout(self, event: RolloutEvent, reason: str, revision: int) -> None:
-        """What became of settings that are tried."""
+        """Records and logs an event of a candidate."""
         self._add(EntryKind.ROLLOUT, event, reason, revision=revision)
         warns = event in (RolloutEvent.HELD, RolloutEvent.REFUSED)
         level = logging.WARNING if warns else logging.INFO
@@ -124,5 +124,5 @@
 
 
 def _without_other_versions(peer_versions: Versions) -> Versions:
-    """Without what says nothing of the settings."""
+    """Clears the versions that do not concern the settings."""
     return peer_versions._replace(program="", list_index=0, discovery="", overrides="")
--- a/hazelhollow/configuration/audit/commands.py
+++ b/hazelhollow/configuration/audit/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow fleet audit`: who acted on which settings."""
+"""`hazelhollow fleet audit`: which limiters acted on which settings, and when."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from hazelhollow.net import operator_client
 
 FINDINGS_STATUS, NO_RECORDS_STATUS = 1, 2  # exit statuses
-# Entries that say what held when the time of `--since` began.
+# Entries whose state still applies at the time of `--since`; older ones are needed too.
 _STANDING_KINDS = (EntryKind.SETTINGS, EntryKind.OVERRIDES, EntryKind.VERDICT)
 
 
@@ -45,42 +45,44 @@
     "--live",
     multiple=True,
     metavar="HOST:PORT",
-    help="Ask a running limiter at its operator address; may be given again.",
+    help="Ask a running limiter at its operator address; may be repeated.",
 )
 @click.option(
     "--request",
     metavar="ID",
-    help="Say only where this request was decided, if it was written down.",
+    help="Show only where this request was decided, if it was sampled.",
 )
 @click.option(
     "--since",
     type=float,
     default=0.0,
     metavar="SECONDS",
-    help="Unix seconds; what ended before is left out.",
+    help="Unix seconds; leave out what ended before.",
 )
-@click.option("--json", "file", metavar="FILE", help="Write all of it there; `-`: print it.")
 @click.option(
-    "--html", metavar="FILE", help="Write a page with the time line of members by version."
+    "--json", "file", metavar="FILE", help="Write the full result to FILE; `-`: print it."
+)
+@click.option(
+    "--html", metavar="FILE", help="Write a page with the timeline of members by version."
 )
 def audit(**options: Any) -> None:
-    """Who acted on which settings, from the records of many limiters in or below DIR.
+    """Show which limiters acted on which settings, from their records in or below DIR.
 
-    Or of running ones, whose clocks may differ.
+    The records can also come from running limiters. Clocks may differ.
 
-    Exit status 1: somebody acted on old settings it had heard were old, one order meant two things,
-    or a host was used after it was put out by hand. 2: there are no records. What cannot be known
-    is said.
+    Exit status 1: a limiter acted on settings although it knew of newer ones, one order stood for
+    different settings, or a host was used after an operator had disabled it. 2: there are no
+    records. What cannot be determined is listed.
     """
-    found = _audit(AuditOptions(**options))
-    sys.exit(FINDINGS_STATUS if found["findings"] else 0)
+    report = _audit(AuditOptions(**options))
+    sys.exit(FINDINGS_STATUS if report["findings"] else 0)
 
 
 def _audit(options: AuditOptions) -> dict[str, Any]:
-    """Carries the command out; ends the program where there are no records."""
+    """Executes the command; ends the program if there are no records."""
     unreadable, merge = list[str](), AuditMerge()
     if options.folder is None and not options.live:
-        _fail("name a folder with records, or limiters with --live")
+        _fail("no source of records: give a folder, or limiters with --live")
     for entry in _entries(options, unreadable):
         if options.request and options.request in entry.samples:
             click.echo(
@@ -91,14 +93,17 @@
         if entry.time >= options.since or entry.kind in _STANDING_KINDS:
             merge.add(entry)
     if not merge.entries:
-        _fail("; ".join(unreadable) or f"{options.folder}: no records (audit-*.seg) of limiters")
+        _fail(
+            "; ".join(unreadable)
+            or f"{options.folder}: no audit records (audit-*.seg) of limiters found"
+        )
     if options.request:
-        _fail(f"{options.request} was not written down; `fleet: audit: samples` says how many are")
+        _fail(f"{options.request} was not sampled; `fleet: audit: samples` sets how many are")
     merge.finish()
     merge.unresolved[:0] = unreadable
-    found = merge.document()
-    _write(found, options)
-    return found
+    report = merge.document()
+    _write(report, options)
+    return report
 
 
 def _entries(options: AuditOptions, unreadable: list[str]) -> Iterator[AuditEntry]:
@@ -115,38 +120,38 @@
 
 
 def _show_progress(done: int, total: int) -> None:
-    """Says on a terminal how much has been read; the line goes once all is."""
+    """Shows on a terminal how much has been read; clears the line at the end."""
     line = f"{done >> 20} of {total >> 20} MB" if done < total else ""
     click.echo(f"\r\x1b[K{line}", nl=False, err=True)
 
 
-def _write(found: dict[str, Any], options: AuditOptions) -> None:
+def _write(report: dict[str, Any], options: AuditOptions) -> None:
     if options.html:
-        Path(options.html).write_text(report_page.render(found))
+        Path(options.html).write_text(report_page.render(report))
     if options.file and options.file != "-":
-        Path(options.file).write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
+        Path(options.file).write_bytes(orjson.dumps(report, option=orjson.OPT_INDENT_2))
     elif options.file:
-        click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
+        click.echo(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
     else:
-        _print_summary(found)
+        _print_summary(report)
 
 
-def _print_summary(found: dict[str, Any]) -> None:
-    click.echo(f"{len(found['members'])} members, {found['entries']} entries")
-    for change in found["changes"]:
+def _print_summary(report: dict[str, Any]) -> None:
+    click.echo(f"{len(report['members'])} members, {report['entries']} entries")
+    for change in report["changes"]:
         click.echo(
             f"order {change['order']} ({', '.join(change['digests'])}): "
             f"{len(change['members'])} members acted on it; the last acted on an "
-            f"older one {change['last_old_after_s']:.2f} s after it was out"
+            f"older one {change['last_old_after_s']:.2f} s after it came into force"
         )
-    for event in found["rollout"]:
+    for event in report["rollout"]:
         click.echo(
             f"{event['t']:.1f} order {event['order']} {event['step']} at member "
             f"{event['member']}: {event['why']}"
         )
-    for finding in found["findings"]:
+    for finding in report["findings"]:
         click.echo(f"{finding['t']:.1f} {finding['what']}: {finding['text']}")
-    for text in found["not_known"]:
+    for text in report["not_known"]:
         click.echo(f"not known: {text}")
 
 
--- a/hazelhollow/configuration/audit/findings.py
+++ b/hazelhollow/configuration/audit/findings.py
@@ -1,4 +1,4 @@
-"""What records show that should not have happened: one function for each rule.
+"""Rules that find violations in merged records: one function for each rule.
 
 All times are on one clock: `AuditMerge.finish` has shifted them.
 """
@@ -18,12 +18,12 @@
     SettingsSpan,
 )
 
-# A member that heard of newer settings has ceased to act on the older ones by then, or is shut out.
+# Time within which a member that learns of newer settings has to adopt them or to be shut out.
 ADOPTION_LIMIT_S = 3.0
 
 
 class FindingKind(StrEnum):
-    """The rule that was broken; as operators read it."""
+    """The rule that was violated; operators read the values."""
 
     OLD_SETTINGS = "old"
     CONTRADICTION = "contradiction"
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """One case.
+    """One violation of a rule.
 
     Attributes:
-        kind: the rule.
+        kind: The rule.
         time: Unix seconds.
-        members: those concerned.
-        text: in words.
+        members: The members concerned.
+        text: Description for operators.
     """
 
     kind: FindingKind
@@ -52,37 +52,37 @@
     offsets: Mapping[int, float],
     members: Mapping[int, MemberTimeline],
 ) -> Iterator[Finding]:
-    """Members that took requests under older settings although they had heard of newer ones.
+    """Finds members that accepted requests under older settings although they knew of newer ones.
 
-    Each member is reported once for a revision. Settings that were only tried oblige nobody.
+    Each member is reported once for a revision. Settings that were only tried do not count.
     """
     found = set[tuple[int, int]]()
-    for seen in observations:
-        if seen.tried or (seen.observer, seen.revision) in found:
+    for observation in observations:
+        if observation.tried or (observation.observer, observation.revision) in found:
             continue
-        heard_at = seen.time + offsets[seen.observer]
-        for span in members[seen.observer].spans:
-            if span.revision < seen.revision and _went_on(span, heard_at):
-                found.add((seen.observer, seen.revision))
+        learned_at = observation.time + offsets[observation.observer]
+        for span in members[observation.observer].spans:
+            if span.revision < observation.revision and _kept_serving(span, learned_at):
+                found.add((observation.observer, observation.revision))
                 text = (
-                    f"member {seen.observer} heard of order {seen.revision} from member "
-                    f"{seen.peer} and acted on {span.revision} for "
-                    f"{span.last_request_at - heard_at:.1f} s more"
+                    f"member {observation.observer} learned of order {observation.revision} from "
+                    f"member {observation.peer} and acted on {span.revision} for "
+                    f"{span.last_request_at - learned_at:.1f} s more"
                 )
-                yield Finding(FindingKind.OLD_SETTINGS, heard_at, (seen.observer,), text)
+                yield Finding(FindingKind.OLD_SETTINGS, learned_at, (observation.observer,), text)
                 break
 
 
-def _went_on(span: SettingsSpan, heard_at: float) -> bool:
+def _kept_serving(span: SettingsSpan, learned_at: float) -> bool:
     return (
-        span.begin <= heard_at < span.end
-        and span.last_request_at - heard_at > ADOPTION_LIMIT_S + ACTIVITY_PERIOD_S
-        and not span.took_nothing_since(heard_at, ADOPTION_LIMIT_S)
+        span.begin <= learned_at < span.end
+        and span.last_request_at - learned_at > ADOPTION_LIMIT_S + ACTIVITY_PERIOD_S
+        and not span.was_shut_out_since(learned_at, ADOPTION_LIMIT_S)
     )
 
 
 def contradictions(members: Mapping[int, MemberTimeline]) -> Iterator[Finding]:
-    """Revisions that stand for different settings at two members."""
+    """Finds revisions that stand for different settings at two members."""
     by_revision: dict[int, list[SettingsSpan]] = defaultdict(list)
     for member in members.values():
         for span in member.spans:
@@ -110,8 +110,8 @@
 def disabled_hosts_used(
     uses: Iterable[DisabledHostUse], offsets: Mapping[int, float]
 ) -> Iterator[Finding]:
-    """Members that sent something to a host that they held to be disabled."""
+    """Finds members that sent attempts to a host that they recorded as disabled."""
     for use in uses:
-        text = f"member {use.member} sent {use.attempts} to {use.host}, which it held to be out"
+        text = f"member {use.member} sent {use.attempts} attempts to {use.host}, disabled there"
         time = use.time + offsets[use.member]
         yield Finding(FindingKind.DISABLED_HOST_USED, time, (use.member,), text)
--- a/hazelhollow/configuration/audit/merge.py
+++ b/hazelhollow/configuration/audit/merge.py
@@ -1,7 +1,7 @@
-"""Records of many limiters in one order: who acted on which settings when, and what went wrong.
+"""Merges the records of many limiters: which member acted on which settings when, and violations.
 
-Clocks differ; `clocks` finds by how much. Entries are read one by one and only spans are held in
-memory. No I/O.
+Clocks differ; `clocks` estimates by how much. Entries are read one by one and only spans are held
+in memory. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 
 class AuditMerge:
-    """Takes entries with `add`, each member's in its own order, and is read after `finish`.
+    """Collects entries with `add`, each member's in its own order; its result follows `finish`.
 
     Attributes:
-        members: what each member's record says.
-        findings: what was not as it should be.
-        unknowns: lines about what could not be read or decided.
-        offsets: seconds by member that bring all clocks into one.
-        entries: how many were taken.
+        members: Timeline of each member.
+        findings: Violations that were found.
+        unresolved: Lines about what could not be read or decided.
+        offsets: Seconds by member to add to its times, so that all are on one clock.
+        entries: Number of entries added.
     """
 
     def __init__(self) -> None:
@@ -44,11 +44,11 @@
         self.entries = 0
 
     def add(self, entry: AuditEntry) -> None:
-        """Takes an entry, unless it was taken before."""
+        """Adds an entry; one that was added before is ignored."""
         self.entries += self.members[entry.member].add(entry)
 
     def finish(self) -> None:
-        """Brings all times to one clock and finds what was not as it should be."""
+        """Shifts all times to one clock and evaluates the rules in `findings`."""
         self._set_clocks()
         for number, member in self.members.items():
             for span in member.spans:
@@ -68,39 +68,43 @@
 
     @property
     def rollout_events(self) -> list[ObservedRolloutEvent]:
-        """What became of candidates, in order of time once it is finished."""
+        """Events of candidates; ordered by time after `finish`."""
         return self._evidence.rollout_events
 
     def _set_clocks(self) -> None:
         bounds = list[ClockBound]()
-        for seen in self._evidence.observations:
-            peer = self.members.get(seen.peer)
-            began_at = peer.began_at.get((seen.revision, seen.settings)) if peer else None
+        for observation in self._evidence.observations:
+            peer = self.members.get(observation.peer)
+            began_at = (
+                peer.began_at.get((observation.revision, observation.settings)) if peer else None
+            )
             if began_at is not None:
-                bounds.append(ClockBound(seen.observer, seen.peer, began_at - seen.time))
+                bounds.append(
+                    ClockBound(observation.observer, observation.peer, began_at - observation.time)
+                )
         self.offsets, consistent = clock_offsets(self.members, bounds)
         if not consistent:
             self.unresolved.append(
-                "the clocks cannot be brought into one order: what some heard contradicts "
-                "what others wrote"
+                "the clocks cannot be aligned: observations in some records contradict the times "
+                "in others, so times of different members are not comparable"
             )
 
     def changes(self) -> list[dict[str, Any]]:
-        """For each revision that was in force: who acted on it, and how long others did not."""
+        """Lists for each revision in force the members on it, and the delay of the last one."""
         spans = [
             span for member in self.members.values() for span in member.spans if not span.tried
         ]
         return [_change(revision, spans) for revision in sorted({span.revision for span in spans})]
 
     def settings_at(self, time: float) -> dict[int, SettingsSpan | None]:
-        """What each member acted on at that time; None where it is not known."""
+        """Returns each member's span at that time; None where it is not known."""
         return {
             number: next((span for span in member.spans if span.begin <= time < span.end), None)
             for number, member in self.members.items()
         }
 
     def document(self) -> dict[str, Any]:
-        """All of it as JSON, in the form of `fleet audit --json`."""
+        """Returns the complete result in the form of `fleet audit --json`."""
         return {
             "entries": self.entries,
             "members": {
@@ -136,7 +140,7 @@
 
 
 def merge_entries(entries: Iterable[AuditEntry]) -> AuditMerge:
-    """All of these entries, merged."""
+    """Merges all of these entries."""
     merge = AuditMerge()
     for entry in entries:
         merge.add(entry)
@@ -145,20 +149,26 @@
 
 
 def _change(revision: int, spans: list[SettingsSpan]) -> dict[str, Any]:
-    """When the first member acted on a revision, and when the last ceased to act on an older."""
+    """Describes a change: from the first member on a revision to the last on an older one."""
     own = [span for span in spans if span.revision == revision]
-    out_at = min(span.begin for span in own)
-    older = [span for span in spans if span.revision < revision and span.end > out_at]
+    first_in_force_at = min(span.begin for span in own)
+    older = [span for span in spans if span.revision < revision and span.end > first_in_force_at]
     last = max(
-        (span.end for span in older if not span.took_nothing_since(out_at, ADOPTION_LIMIT_S)),
-        default=out_at,
+        (
+            span.end
+            for span in older
+            if not span.was_shut_out_since(first_in_force_at, ADOPTION_LIMIT_S)
+        ),
+        default=first_in_force_at,
     )
     return {
         "order": revision,
         "digests": sorted({span.settings for span in own}),
-        "out_at": out_at,
-        "last_old_after_s": round(last - out_at, 3),
-        "requests_under_older_since": sum(span.requests for span in older if span.begin >= out_at),
+        "out_at": first_in_force_at,
+        "last_old_after_s": round(last - first_in_force_at, 3),
+        "requests_under_older_since": sum(
+            span.requests for span in older if span.begin >= first_in_force_at
+        ),
         "members": sorted({span.member for span in own}),
     }
 
--- a/hazelhollow/configuration/audit/reader.py
+++ b/hazelhollow/configuration/audit/reader.py
@@ -1,4 +1,4 @@
-"""Reads audit records back: from segments on disk, and from a running limiter's answer."""
+"""Reads audit records from segments on disk and from a running limiter's answer."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def segment_paths(folder: Path) -> list[Path]:
-    """All segments in or below the folder, by limiter, incarnation and number."""
+    """Returns all segments in or below a folder, ordered by limiter, incarnation and number."""
     return sorted(folder.rglob("audit-*.seg"), key=lambda path: path.name)
 
 
 def decode_answer(answer: bytes) -> list[AuditEntry]:
-    """The entries of a running limiter's answer to `audit`.
+    """Decodes a running limiter's answer to `audit`.
 
     Raises:
-        ValueError: it is no such answer; with what the limiter said instead.
-        msgspec.DecodeError: an entry is of another form.
+        ValueError: The answer does not have that form; the message is what the limiter answered.
+        msgspec.DecodeError: An entry does not have the expected form.
     """
     text, _, end = answer.rpartition(b"\nend\n")
     if end or not text:
@@ -33,12 +33,12 @@
     unreadable: Callable[[str], None],
     progress: Callable[[int, int], None] | None = None,
 ) -> Iterator[AuditEntry]:
-    """The entries of all segments in or below a folder, each limiter's in its own order.
+    """Reads the entries of all segments in or below a folder, each limiter's in its own order.
 
     Args:
-        folder: where the segments are.
-        unreadable: called with a line for whatever cannot be read.
-        progress: called with the bytes read so far and the bytes of all segments.
+        folder: Folder of the segments.
+        unreadable: Called with a line of text for each segment or entry that cannot be read.
+        progress: Called with the bytes read so far and the bytes of all segments.
     """
     paths = segment_paths(folder)
     sizes = [path.stat().st_size for path in paths]
@@ -49,11 +49,11 @@
         except OSError as error:
             unreadable(f"{path.name}: {error.strerror}")
             continue
-        for found in decode_entries(data):
-            if isinstance(found, str):
-                unreadable(f"{path.name}: {found}")
+        for item in decode_entries(data):
+            if isinstance(item, str):
+                unreadable(f"{path.name}: {item}")
             else:
-                yield found
+                yield item
         done += size
         if progress:
             progress(done, total)
--- a/hazelhollow/configuration/audit/report_page.py
+++ b/hazelhollow/configuration/audit/report_page.py
@@ -1,6 +1,6 @@
-"""The audit as one HTML page: findings, and who acted on what as a time line, light and dark.
+"""The audit as one HTML page: findings and a timeline of the settings of each member.
 
-The page has no script and loads nothing.
+The page supports light and dark mode, has no script and loads nothing.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from html import escape
 from typing import Any
 
-# Pixels of the time line.
+# Dimensions of the timeline in pixels.
 WIDTH, ROW_HEIGHT = 960, 26
 LEFT, RIGHT, TOP, BOTTOM = 84, 26, 30, 34  # margins
 LEGEND_STEP = 90
 MIN_BAR = 2.0
-COLOURS = 6  # that revisions go round
+COLOURS = 6  # reused in turn for further revisions
 TICKS = 8
 
 _STYLE = """
@@ -40,15 +40,15 @@
 """
 
 
-def render(found: dict[str, Any], title: str = "Audit of the fleet") -> str:
-    """The page.
+def render(report: dict[str, Any], title: str = "Audit of the fleet") -> str:
+    """Renders the page.
 
     Args:
-        found: what `AuditMerge.document` gives.
-        title: of the page.
+        report: The result of `AuditMerge.document`.
+        title: Title of the page.
     """
-    findings, unknown = found["findings"], found["not_known"]
-    head = "nothing was found" if not findings else f"{len(findings)} findings"
+    findings, unknown = report["findings"], report["not_known"]
+    head = "no findings" if not findings else f"{len(findings)} findings"
     parts = [
         (
             "<!doctype html><html lang=en><meta charset=utf-8><meta name=color-scheme "
@@ -56,54 +56,53 @@
         ),
         f"<style>{_STYLE}</style><h1>{escape(title)}</h1>",
         (
-            f"<p class='{'bad' if findings else 'soft'}'>{len(found['members'])} members, "
-            f"{found['entries']} entries: {head}.</p>"
+            f"<p class='{'bad' if findings else 'soft'}'>{len(report['members'])} members, "
+            f"{report['entries']} entries: {head}.</p>"
         ),
-        "<h2>Who acted on what</h2>",
-        _TimeLine(found).render(),
-        _changes(found["changes"]),
+        "<h2>Settings by member</h2>",
+        _Timeline(report).render(),
+        _changes(report["changes"]),
     ]
-    if found["rollout"]:
-        parts.append(_rollout(found))
+    if report["rollout"]:
+        parts.append(_rollout(report))
     if findings:
-        parts += _findings(found)
+        parts += _findings(report)
     if unknown:
         parts.append(
-            "<h2>Not known</h2><ul>" + "".join(f"<li>{escape(text)}" for text in unknown) + "</ul>"
+            "<h2>Not determined</h2><ul>"
+            + "".join(f"<li>{escape(text)}" for text in unknown)
+            + "</ul>"
         )
     return "\n".join(parts) + "\n"
 
 
-def _spans(found: dict[str, Any]) -> list[dict[str, Any]]:
-    return [span for member in found["members"].values() for span in member["spans"]]
+def _spans(report: dict[str, Any]) -> list[dict[str, Any]]:
+    return [span for member in report["members"].values() for span in member["spans"]]
 
 
-def _begin(found: dict[str, Any]) -> float:
-    """When the first span begins, which the page shows as second 0."""
-    return min((span["begin"] for span in _spans(found)), default=0.0)
+def _begin(report: dict[str, Any]) -> float:
+    """The begin of the first span, which the page shows as second 0."""
+    return min((span["begin"] for span in _spans(report)), default=0.0)
 
 
-def _findings(found: dict[str, Any]) -> list[str]:
+def _findings(report: dict[str, Any]) -> list[str]:
     rows = [
         (
-            f"<tr><td>{finding['t'] - _begin(found):.1f}<td "
+            f"<tr><td>{finding['t'] - _begin(report):.1f}<td "
             f"class=bad>{escape(finding['what'])}<td>{escape(finding['text'])}"
         )
-        for finding in found["findings"]
+        for finding in report["findings"]
     ]
-    return ["<h2>Found</h2><table><tr><th>second<th>what<th>", *rows, "</table>"]
+    return ["<h2>Findings</h2><table><tr><th>second<th>what<th>", *rows, "</table>"]
 
 
-def _rollout(found: dict[str, Any]) -> str:
+def _rollout(report: dict[str, Any]) -> str:
     rows = [
-        f"<tr><td>{event['t'] - _begin(found):.1f}<td>{event['order']}<td>{event['member']}"
+        f"<tr><td>{event['t'] - _begin(report):.1f}<td>{event['order']}<td>{event['member']}"
         f"<td>{escape(event['step'])}<td>{escape(event['why'])}"
-        for event in found["rollout"]
+        for event in report["rollout"]
     ]
-    head = (
-        "<h2>Settings that some tried "
-        "first</h2><table><tr><th>second<th>order<th>member<th>step<th>why"
-    )
+    head = "<h2>Canary rollouts</h2><table><tr><th>second<th>order<th>member<th>step<th>why"
     return head + "".join(rows) + "</table>"
 
 
@@ -115,15 +114,15 @@
         for change in changes
     ]
     head = (
-        "<tr><th>order<th>settings<th>members that acted on it<th>last acted on an older one, "
-        "seconds after it was out<th>requests under older ones begun since"
+        "<tr><th>order<th>settings<th>members that acted on it<th>last on an older one, "
+        "seconds after the first<th>requests in later spans under older ones"
     )
     return f"<h2>Changes</h2><table>{head}{''.join(rows)}</table>"
 
 
 @dataclass(frozen=True)
 class _Scale:
-    """Seconds to pixels."""
+    """Maps times to pixels."""
 
     begin: float
     end: float
@@ -139,26 +138,27 @@
         return max(MIN_BAR, (end - begin) * self.per_second)
 
 
-class _TimeLine:
-    """A row for each member.
+class _Timeline:
+    """The timeline as SVG, with a row for each member.
 
-    A colour for each revision; dashes where it took nothing new; a triangle at each finding.
+    Each revision has a colour. A dashed frame marks a period in which the member accepted no new
+    work, and a triangle marks a finding.
     """
 
-    def __init__(self, found: dict[str, Any]) -> None:
-        self._found, spans = found, _spans(found)
-        begin = _begin(found)
+    def __init__(self, report: dict[str, Any]) -> None:
+        self._found, spans = report, _spans(report)
+        begin = _begin(report)
         self._scale = _Scale(begin, max((span["end"] for span in spans), default=begin + 1.0))
-        members = sorted(found["members"], key=int)
+        members = sorted(report["members"], key=int)
         self._rows = {number: TOP + row * ROW_HEIGHT for row, number in enumerate(members)}
         self._height = TOP + len(self._rows) * ROW_HEIGHT + BOTTOM
         self._revisions = sorted({span["order"] for span in spans})
 
     def render(self) -> str:
-        """The picture."""
+        """Returns the SVG element."""
         parts = [
             (
-                f"<svg viewBox='0 0 {WIDTH} {self._height}' role=img aria-label='time line of "
+                f"<svg viewBox='0 0 {WIDTH} {self._height}' role=img aria-label='timeline of "
                 "members by version'>"
             )
         ]
--- a/hazelhollow/configuration/audit/segments.py
+++ b/hazelhollow/configuration/audit/segments.py
@@ -1,6 +1,6 @@
 """The files of one limiter's audit record.
 
-A new incarnation begins a new segment; the oldest segments go when there are too many.
+Each incarnation begins a new segment; the oldest segments are deleted beyond MAX_SEGMENTS.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 class SegmentWriter:
     """Writes one limiter's segments.
 
-    A disk that fails costs the record alone: it is logged once, and tried again with the next
-    segment.
+    A failing disk affects the record only: entries are lost, the failure is logged once, and the
+    next write opens a new segment.
 
     Args:
-        folder: where the segments are.
-        member: the limiter's number.
-        incarnation: its incarnation.
-        writer: carries out the writing; None: at once.
+        folder: Folder of the segments.
+        member: Number of the limiter.
+        incarnation: Incarnation of the limiter.
+        writer: Executes the writes; None: they are executed at once.
     """
 
     def __init__(
@@ -41,16 +41,16 @@
         self._failed = False
 
     def write(self, entries: list[AuditEntry]) -> None:
-        """Hands entries over to be written."""
+        """Submits entries for writing."""
         data = b"".join(encode_entry(entry) for entry in entries)
         self._writer.submit(WriteJob(lambda: self._append(data), len(data)))
 
     def wait_until_written(self, timeout_s: float) -> bool:
-        """Waits until all is written, `timeout_s` seconds at most; whether it is."""
+        """Waits up to `timeout_s` seconds; returns whether all entries are written."""
         return self._writer.finish(timeout_s)
 
     def close(self) -> None:
-        """Closes the open segment once all is written."""
+        """Closes the open segment once all entries are written."""
         self._writer.submit(WriteJob(self._close))
 
     def _append(self, data: bytes) -> None:
@@ -60,7 +60,7 @@
             self._size += os.write(self._file, data)
         except OSError as error:
             if not self._failed:
-                log.error("audit: the record cannot be written: %s", error)
+                log.error("audit: the record cannot be written, entries are lost: %s", error)
             self._failed = True
             self._close()
 
--- a/hazelhollow/configuration/audit/timeline.py
+++ b/hazelhollow/configuration/audit/timeline.py
@@ -1,6 +1,6 @@
-"""Each limiter's own history, built entry by entry from its record.
+"""Each limiter's timeline, built entry by entry from its record.
 
-All times are the writer's own until `AuditMerge.finish` shifts them.
+All times are by the writer's clock until `AuditMerge.finish` shifts them.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 from hazelhollow.configuration.admission_verdict import SettingsState
 from hazelhollow.configuration.audit.entries import ACTIVITY_PERIOD_S, AuditEntry, EntryKind
 
-# Nothing more goes to a host from this long after an operator has disabled it.
+# A host may still get attempts for this long after an operator has disabled it.
 DISABLED_HOST_GRACE_S = 1.0
 
 
 @dataclass
 class SettingsSpan:
-    """One member under one version of the settings.
+    """A period in which one member acted on one version of the settings.
 
     Attributes:
-        member: its number.
-        incarnation: its incarnation.
-        revision: of the settings.
-        settings: their digest.
+        member: Number of the member.
+        incarnation: Incarnation of the member.
+        revision: Revision of the settings.
+        settings: Digest of the settings.
         begin: Unix seconds.
-        end: Unix seconds; of the last entry that shows that it acted on them.
-        reason: why it began to act on them.
-        tried: they were not in force for all.
-        requests: how many it took.
-        last_request_at: one that stands still acts on nothing.
-        shut_out: begin and end of each time in which it took nothing new.
+        end: Unix seconds of the last entry that shows that it acted on them.
+        reason: Why it began to act on them.
+        tried: Whether it tried them as a canary, so that they were not in force for all.
+        requests: Number of requests that it accepted.
+        last_request_at: Unix seconds of the last entry with requests; a paused process has none.
+        shut_out: Begin and end of each period in which it accepted no new work.
     """
 
     member: int
@@ -47,13 +47,13 @@
     shut_out: list[list[float]] = field(default_factory=list)
 
     def shift(self, offset: float) -> None:
-        """Moves all times by that many seconds."""
+        """Shifts all times by that many seconds."""
         self.begin, self.end = self.begin + offset, max(self.begin, self.end) + offset
         self.last_request_at += offset
         self.shut_out = [[begin + offset, end + offset] for begin, end in self.shut_out]
 
-    def took_nothing_since(self, since: float, slack: float) -> bool:
-        """Whether it was shut out until its end, from `slack` seconds after that time at most."""
+    def was_shut_out_since(self, since: float, slack: float) -> bool:
+        """Whether it was shut out to its end, beginning at most `slack` seconds after that time."""
         start = max(self.begin, since)
         return any(
             begin <= start + slack and end >= self.end - 1e-6 for begin, end in self.shut_out
@@ -62,19 +62,19 @@
 
 @dataclass(frozen=True)
 class PeerObservation:
-    """A member heard for the first time that a peer acts on these settings."""
+    """A member's first observation that a peer acts on these settings."""
 
     observer: int
     time: float  # by the observer's clock
     peer: int
     revision: int
     settings: str
-    tried: bool  # they were not in force at the peer
+    tried: bool  # tried by the peer as a canary, not in force
 
 
 @dataclass
 class ObservedRolloutEvent:
-    """What became of a candidate at one member."""
+    """An event of a candidate at one member."""
 
     time: float
     member: int
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class DisabledHostUse:
-    """A member sent something to a host that it held to be disabled."""
+    """A member sent attempts to a host that it had recorded as disabled."""
 
     member: int
     time: float
@@ -95,7 +95,7 @@
 
 @dataclass
 class Evidence:
-    """What all records together are judged by, in the order in which it was read."""
+    """Evidence from all records for the rules in `findings`, in the order of reading."""
 
     observations: list[PeerObservation] = field(default_factory=list)
     rollout_events: list[ObservedRolloutEvent] = field(default_factory=list)
@@ -103,13 +103,13 @@
 
 
 class MemberTimeline:
-    """What one limiter's record says, entry by entry in its own order.
+    """The timeline of one limiter, built from its entries in their order.
 
     Attributes:
-        spans: which settings it acted on.
-        incarnations: in order.
-        missing_entries: how many, by the serials of the others.
-        began_at: when it first began to act on a revision and digest.
+        spans: The settings that it acted on.
+        incarnations: Its incarnations in order.
+        missing_entries: Number of missing entries, according to the serial numbers.
+        began_at: When it first began to act on a revision and digest.
     """
 
     def __init__(self, evidence: Evidence) -> None:
@@ -118,12 +118,12 @@
         self.missing_entries = 0
         self.began_at = dict[tuple[int, str], float]()
         self._evidence = evidence
-        self._serials = dict[int, int]()  # the last, by incarnation
+        self._serials = dict[int, int]()  # the last serial number, by incarnation
         self._disabled_since = dict[str, float]()  # by host
         self._state: str = SettingsState.CURRENT
 
     def add(self, entry: AuditEntry) -> bool:
-        """Takes an entry; False for one that was there already."""
+        """Adds an entry; returns False if it was added before."""
         before = self._serials.get(entry.incarnation)
         if before is None:
             self.incarnations.append(entry.incarnation)
@@ -160,10 +160,10 @@
                     )
                 )
             case EntryKind.ENDPOINT_LIST:
-                pass  # tells nothing of the settings
+                pass  # does not concern the settings
 
     def _begin_span(self, entry: AuditEntry) -> None:
-        # One of an earlier incarnation ended unseen, after its last entry.
+        # The end of a span of an earlier incarnation is not recorded; it stays at its last entry.
         if self.spans and self.spans[-1].incarnation == entry.incarnation:
             self.spans[-1].end = max(entry.time, self.spans[-1].begin)
         self.began_at.setdefault((entry.revision, entry.version), entry.time)
@@ -182,7 +182,7 @@
         self._state = SettingsState.CURRENT
 
     def _extend_to_end_of_program(self, entry: AuditEntry) -> None:
-        """A member that ends by itself acted on its settings until it wrote so."""
+        """Extends the span to the recorded end of the program, if the program ended regularly."""
         ended = entry.reason == "ended"
         if ended and self.spans and self.spans[-1].incarnation == entry.incarnation:
             self.spans[-1].end = max(self.spans[-1].end, entry.time)
--- a/hazelhollow/configuration/known_versions.py
+++ b/hazelhollow/configuration/known_versions.py
@@ -1,4 +1,7 @@
-"""The versions that the members that are up act on, kept up record by record. No I/O, no clock."""
+"""The versions of the members that are up, updated with each membership record.
+
+The module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -11,19 +14,19 @@
 
 
 class KnownVersions(Mapping[int, Versions]):
-    """Versions by member; finds the newest revision among them without a pass over all.
+    """Versions by member; finds the newest revision without iterating over all members.
 
     Args:
-        known: the versions to begin with; None: none.
+        initial: The versions to begin with; None: none.
     """
 
-    def __init__(self, known: Mapping[int, Versions] | None = None) -> None:
+    def __init__(self, initial: Mapping[int, Versions] | None = None) -> None:
         self._by_member: dict[int, Versions] = {}
-        # Members that act on a revision and digest that is in force there.
+        # Number of members with these settings in force, by revision and digest.
         self._members_by_settings = Counter[tuple[int, str]]()
-        self._canaries = dict[int, Versions]()  # by member, of those that try settings
-        self._changed = dict[int, None]()  # members, in order, since `take_changed`
-        for number, member_versions in (known or {}).items():
+        self._canaries = dict[int, Versions]()  # by member; those that try settings
+        self._changed = dict[int, None]()  # members, in order, since `drain_changed`
+        for number, member_versions in (initial or {}).items():
             self.put(number, member_versions)
 
     def __getitem__(self, number: int) -> Versions:
@@ -36,7 +39,7 @@
         return len(self._by_member)
 
     def update_from(self, record: Record) -> None:
-        """Takes the versions of a new membership record, or forgets those of an absent member."""
+        """Stores the versions in a new membership record; removes those of an absent member."""
         decoded = versions.decode(record.versions) if record.state in PRESENT_STATES else None
         if decoded is None:
             self._remove(record.number)
@@ -44,7 +47,7 @@
             self.put(record.number, decoded)
 
     def put(self, number: int, member_versions: Versions) -> None:
-        """A member acts on these."""
+        """Stores the versions of a member."""
         if self._by_member.get(number) == member_versions:
             return
         self._remove(number)
@@ -56,7 +59,7 @@
         self._changed[number] = None
 
     def newest(self) -> tuple[int, set[str]]:
-        """The greatest revision in force at any member, and the digests that it stands for.
+        """Returns the greatest revision in force at any member, and the digests under it.
 
         More than one digest is a contradiction.
         """
@@ -66,36 +69,36 @@
         }
 
     def greatest(self) -> int:
-        """The greatest revision, in force or tried."""
+        """Returns the greatest revision, in force or tried."""
         tried = max((canary.revision for canary in self._canaries.values()), default=0)
         return max(tried, self.newest()[0])
 
     def canaries(self) -> Mapping[int, Versions]:
-        """By member, the settings that are tried and newer than all that are in force."""
+        """Returns the versions of canaries whose candidate is newer than all settings in force."""
         newest = self.newest()[0]
         return {
             number: canary for number, canary in self._canaries.items() if canary.revision > newest
         }
 
     def digests_of(self, revision: int) -> set[str]:
-        """The digests that members act on under that revision, in force or tried."""
+        """Returns the digests under that revision, in force or tried."""
         return {member.settings for member in self.values() if member.revision == revision}
 
-    def take_changed(self) -> list[tuple[int, Versions]]:
-        """The members whose versions have changed since the last call, as far as still known."""
+    def drain_changed(self) -> list[tuple[int, Versions]]:
+        """Returns and clears the members with changed versions, without those removed since."""
         changed, self._changed = self._changed, {}
         return [
             (number, self._by_member[number]) for number in changed if number in self._by_member
         ]
 
     def _remove(self, number: int) -> None:
-        before = self._by_member.pop(number, None)
-        if before is None:
+        previous = self._by_member.pop(number, None)
+        if previous is None:
             return
-        if before.candidate:
+        if previous.candidate:
             del self._canaries[number]
             return
-        key = before.revision, before.settings
+        key = previous.revision, previous.settings
         self._members_by_settings[key] -= 1
         if not self._members_by_settings[key]:
             del self._members_by_settings[key]
--- a/tests/configuration/test_audit_merge.py
+++ b/tests/configuration/test_audit_merge.py
@@ -134,7 +134,7 @@
         peer_seen(0.5, 0, 4, 1, NEW._replace(settings="bbbb")),
     ]  # heard before it can have been
     found = merge.merge_entries(apart)
-    assert any("one order" in text for text in found.unresolved)
+    assert any("clocks cannot be aligned" in text for text in found.unresolved)
     gaps = merge.merge_entries(
         [entry(1.0, 0, 1, revision=1), entry(2.0, 0, 5, version="bbbb", revision=2)]
     )
--- a/tests/configuration/test_versions.py
+++ b/tests/configuration/test_versions.py
@@ -65,19 +65,19 @@
     changes: list[tuple[int, str, MemberState]],
 ) -> None:
     """Members come, change and die; the newest revision is that of a pass over all of them."""
-    known, table, heard = KnownVersions(), dict[int, Versions](), dict[int, Versions]()
+    initial, table, heard = KnownVersions(), dict[int, Versions](), dict[int, Versions]()
     for turn, (number, text, state) in enumerate(changes):
-        known.update_from(FleetRecord(number, 1, turn, state, (), text))
+        initial.update_from(FleetRecord(number, 1, turn, state, (), text))
         read = versions.decode(text) if state == MemberState.ALIVE else None
         table.pop(number, None)
         if read:
             table[number] = read
         revision = max((one.revision for one in table.values()), default=0)
-        assert dict(known) == table
-        assert known.newest() == (
+        assert dict(initial) == table
+        assert initial.newest() == (
             revision,
             {one.settings for one in table.values() if one.revision == revision},
         )
         if turn % 3 == 0:
-            heard.update(known.take_changed())
+            heard.update(initial.drain_changed())
             assert {n: heard[n] for n in table} == table
