--- a/hazelhollow/configuration/admission_verdict.py
+++ b/hazelhollow/configuration/admission_verdict.py
@@ -1,23 +1,25 @@
-"""When may a member with older settings take new work?
+"""The rule that decides whether a member with older settings may accept new work.
 
-A member is *behind* while some member that it hears of has a greater revision in force. The rule
-is evaluated on every tick, on each member for itself:
+A member is *behind* while any member that is up, as far as it knows, has a greater revision in
+force. Each member evaluates the rule for itself on every tick:
 
 | state           | when                                                 | new work     | fetches |
 | --------------- | ---------------------------------------------------- | ------------ | ------- |
 | `current`       | it is not behind                                     | yes          | no      |
-| `asking`        | behind, and the newer settings may still come: for   | yes; no if   | yes     |
-|                 | FETCH_TIMEOUT_S since it heard of them, and after    | it has just  |         |
-|                 | each piece of them, MAX_FETCH_S in all               | started (*)  |         |
-| `shut out`      | behind, and nobody gave the settings in time or this | no           | yes     |
-|                 | limiter cannot use them                              |              |         |
-| `behind`        | as `shut out`, but too few would serve without it    | yes          | yes     |
-|                 | (*), or it was current until MIN_OPEN_S ago          |              |         |
+| `asking`        | it is behind, and the newer settings may still       | yes; no if   | yes     |
+|                 | arrive: until FETCH_TIMEOUT_S after it learned of    | it has just  |         |
+|                 | them or after their last piece, MAX_FETCH_S in all   | started (*)  |         |
+| `shut out`      | it is behind, and either no member sent the settings | no           | yes     |
+|                 | in time or this limiter cannot use them              |              |         |
+| `behind`        | as `shut out`, but too few members would serve       | yes          | yes     |
+|                 | without it (*), or it caught up with an earlier      |              |         |
+|                 | revision less than MIN_OPEN_S ago                    |              |         |
 | `contradiction` | the newest revision stands for several settings      | yes          | no      |
 
-(*) At least MIN_SERVING_SHARE of the members that are up go on serving, whoever is behind.
+(*) At least MIN_SERVING_SHARE of the members that are up keep serving, even if they are behind.
 
-A member that hears nobody is behind nobody and goes on. No I/O, no clock.
+A member that knows of no other member is not behind and keeps serving. The module does no I/O and
+reads no clock.
 """
 
 from __future__ import annotations
@@ -30,13 +32,13 @@
 from hazelhollow.configuration.versions import Versions
 
 FETCH_TIMEOUT_S = 5.0  # without a piece of the newer settings
-MAX_FETCH_S = 600.0  # from hearing of the newer settings, as long as pieces come
-MIN_OPEN_S = 1.0  # after a member has come back: prevents flapping
+MAX_FETCH_S = 600.0  # since the member learned of the newer settings, while pieces arrive
+MIN_OPEN_S = 1.0  # after a member has caught up; prevents flapping
 MIN_SERVING_SHARE = 0.5  # of the members that are up
 
 
 class SettingsState(StrEnum):
-    """A member's settings against those of the others; as operators read and records hold it."""
+    """State of a member's settings; operators read the values, and audit records store them."""
 
     CURRENT = "current"
     ASKING = "asking"
@@ -50,10 +52,10 @@
     """Whether this member may take new work.
 
     Attributes:
-        state: the case of the module's table.
-        rejects_new_work: what was taken before is finished all the same.
-        holders: members that have the newest revision in force, from which to fetch it.
-        reason: for operators; empty when current.
+        state: The case of the module's table.
+        rejects_new_work: Whether new work is rejected; requests accepted before are finished.
+        holders: Members with the newest revision in force, from which it can be fetched.
+        reason: The reason that operators are shown; empty when current.
     """
 
     state: SettingsState
@@ -63,40 +65,40 @@
 
 
 class AdmissionRule:
-    """The rule of this module for one member, and what it has to remember between ticks."""
+    """The admission rule for one member, with the state that it keeps between ticks."""
 
     def __init__(self, limiter_id: int) -> None:
         self.limiter_id = limiter_id
-        # By revision newer than its own, in seconds of the clock.
-        self._heard_of_at: dict[int, float] = {}
+        # By revision newer than this member's, in seconds of the clock.
+        self._first_seen_at: dict[int, float] = {}
         self._piece_arrived_at: dict[int, float] = {}
-        self._refusals: dict[int, str] = {}  # why this limiter cannot use that revision
+        self._refusals: dict[int, str] = {}  # by revision: why this limiter cannot use it
         self._caught_up_at = -1e9
 
     def settings_refused(self, revision: int, reason: str) -> None:
-        """This limiter cannot use the settings of that revision while it runs."""
+        """Notes that this limiter cannot use the settings of that revision without a restart."""
         self._refusals[revision] = reason
 
     def piece_arrived(self, revision: int, now: float) -> None:
-        """A piece of the settings of that revision has come."""
+        """Notes the arrival of a piece of the settings of that revision."""
         self._piece_arrived_at[revision] = now
 
     def evaluate(
-        self, known: KnownVersions, now: float, just_started: bool = False
+        self, known_versions: KnownVersions, now: float, just_started: bool = False
     ) -> AdmissionVerdict:
-        """The verdict of this moment.
+        """Returns the verdict at this moment.
 
         Args:
-            known: what the members that are up act on, this one among them.
-            now: seconds.
-            just_started: it began or woke less than FETCH_TIMEOUT_S ago, and must not first act on
-                settings that went out of force meanwhile.
+            known_versions: Versions of the members that are up, this one included.
+            now: Seconds of the clock.
+            just_started: Whether the member started or resumed less than FETCH_TIMEOUT_S ago. It
+                must not begin with settings that were replaced in the meantime.
         """
-        own = known[self.limiter_id]
-        newest, digests = known.newest()
+        own = known_versions[self.limiter_id]
+        newest, digests = known_versions.newest()
         if _is_behind(own, newest, digests):
-            self._heard_of_at.setdefault(newest, now)
-            return self._evaluate_behind(known, now, just_started)
+            self._first_seen_at.setdefault(newest, now)
+            return self._evaluate_behind(known_versions, now, just_started)
         self._caught_up(now)
         if len(digests) > 1:
             listed = ", ".join(sorted(digests))
@@ -105,60 +107,64 @@
         return AdmissionVerdict(SettingsState.CURRENT)
 
     def _evaluate_behind(
-        self, known: KnownVersions, now: float, just_started: bool
+        self, known_versions: KnownVersions, now: float, just_started: bool
     ) -> AdmissionVerdict:
-        own = known[self.limiter_id].revision
-        newest, digests = known.newest()
+        own = known_versions[self.limiter_id].revision
+        newest, digests = known_versions.newest()
         if len(digests) > 1:
             reason = f"order {newest} stands for {len(digests)} settings; {own} goes on here"
             return AdmissionVerdict(SettingsState.CONTRADICTION, reason=reason)
         holders = tuple(
             sorted(
                 number
-                for number, member in known.items()
+                for number, member in known_versions.items()
                 if member.revision == newest and member.settings in digests
             )
         )
         if newest not in self._refusals and self._may_still_arrive(newest, now):
-            rejects = just_started and self._enough_serve_without_me(known)
+            rejects = just_started and self._enough_serve_without_me(known_versions)
             reason = f"order {newest} is out, {own} acts here"
             return AdmissionVerdict(SettingsState.ASKING, rejects, holders, reason)
         reason = self._refusals.get(
             newest, f"nobody gave order {newest} within {FETCH_TIMEOUT_S:g} s"
         )
-        if now - self._caught_up_at < MIN_OPEN_S or not self._enough_serve_without_me(known):
+        if now - self._caught_up_at < MIN_OPEN_S or not self._enough_serve_without_me(
+            known_versions
+        ):
             reason = f"{reason}; it goes on, or too few would serve"
             return AdmissionVerdict(SettingsState.BEHIND, holders=holders, reason=reason)
         return AdmissionVerdict(SettingsState.SHUT_OUT, True, holders, reason)
 
     def _caught_up(self, now: float) -> None:
-        if self._heard_of_at:
-            self._heard_of_at, self._piece_arrived_at, self._refusals = {}, {}, {}
+        if self._first_seen_at:
+            self._first_seen_at, self._piece_arrived_at, self._refusals = {}, {}, {}
             self._caught_up_at = now
 
     def _may_still_arrive(self, revision: int, now: float) -> bool:
-        heard_of_at = self._heard_of_at[revision]
-        last_piece_at = self._piece_arrived_at.get(revision, heard_of_at)
-        last_piece_at = min(last_piece_at, heard_of_at + MAX_FETCH_S)
-        return now - max(heard_of_at, last_piece_at) < FETCH_TIMEOUT_S
+        first_seen_at = self._first_seen_at[revision]
+        last_piece_at = self._piece_arrived_at.get(revision, first_seen_at)
+        last_piece_at = min(last_piece_at, first_seen_at + MAX_FETCH_S)
+        return now - max(first_seen_at, last_piece_at) < FETCH_TIMEOUT_S
 
-    def _enough_serve_without_me(self, known: KnownVersions) -> bool:
-        """Whether this one is not among those that are behind and must serve all the same.
+    def _enough_serve_without_me(self, known_versions: KnownVersions) -> bool:
+        """Whether this member, which is behind, is not needed to keep enough members serving.
 
-        Of the members that are behind these are the ones with the smallest numbers, as many as
-        MIN_SERVING_SHARE takes. All members that know the same choose the same.
+        As many members that are behind as MIN_SERVING_SHARE requires have to serve, in the order of
+        their numbers. All members with the same knowledge choose the same ones.
         """
-        newest, digests = known.newest()
-        behind = sorted(n for n, member in known.items() if _is_behind(member, newest, digests))
-        not_behind = len(known) - len(behind)
-        must_serve = max(0, math.ceil(MIN_SERVING_SHARE * len(known)) - not_behind)
+        newest, digests = known_versions.newest()
+        behind = sorted(
+            n for n, member in known_versions.items() if _is_behind(member, newest, digests)
+        )
+        not_behind = len(known_versions) - len(behind)
+        must_serve = max(0, math.ceil(MIN_SERVING_SHARE * len(known_versions)) - not_behind)
         return behind.index(self.limiter_id) >= must_serve
 
 
 def _is_behind(member: Versions, newest: int, digests: set[str]) -> bool:
-    """Whether a member has older settings than the newest revision in force, or other ones tried.
+    """Whether a member acts on settings older than the newest in force, or on a rival candidate.
 
-    A candidate gives way to settings that are in force under the same revision.
+    Settings in force take precedence over a candidate under the same revision.
     """
     if member.candidate and member.revision == newest:
         return member.settings not in digests
--- a/hazelhollow/configuration/adoption.py
+++ b/hazelhollow/configuration/adoption.py
@@ -1,35 +1,36 @@
-"""A new configuration arrives: which one is adopted, who says so if it cannot be, what stays.
+"""Adoption of new settings, and what happens when they cannot be used.
 
-| it arrives               | checked by                 | if it cannot be used                    |
+| settings arrive          | checked by                 | if they cannot be used                  |
 | ------------------------ | -------------------------- | --------------------------------------- |
 | in this limiter's file,  | `net/settings_reload`, at  | it logs "the configuration stays as it  |
-| by an operator           | SIGHUP                     | was"; the revision that goes with it is |
-|                          |                            | not taken over either                   |
+| by an operator           | SIGHUP                     | was"; the revision of the file is not   |
+|                          |                            | adopted either                          |
 | in the operator file     | `operator/attach`, at      | it logs "the operator file stays as it  |
 |                          | SIGHUP                     | was", a line for each problem           |
 | by `config push`         | `RolloutControl.push`      | the call is answered with the error     |
 | from members that have   | `SettingsAdoption.propose` | it logs "audit: order N cannot be       |
-| it in force              |                            | taken", N the revision; `AdmissionRule` |
-|                          |                            | has the reason, which `call fleet`      |
-|                          |                            | shows as `why`, and the record with the |
-|                          |                            | verdict                                 |
+| them in force            |                            | adopted", where N is the revision;      |
+|                          |                            | `AdmissionRule` keeps the reason, which |
+|                          |                            | `call fleet` shows as `why` and the     |
+|                          |                            | record holds with the verdict           |
 | from canaries that try   | `SettingsAdoption.propose` | an error is logged; the record has the  |
-| it                       |                            | event `refused`; the leader holds the   |
-|                          |                            | candidate when too few have tried it    |
-| in pieces that do not    | `DocumentFetch.put`        | they are requested anew; the verdict    |
-| make what was announced  |                            | says that nobody gave it, FETCH_TIMEOUT_S|
-|                          |                            | after the last piece, MAX_FETCH_S at most|
+| them                     |                            | event `refused`; the leader holds the   |
+|                          |                            | candidate if too few members tried it   |
+| in pieces that do not    | `DocumentFetch.put`        | the pieces are requested again; the     |
+| make the announced       |                            | verdict gives as reason that no member  |
+| document                 |                            | sent it, FETCH_TIMEOUT_S after the last |
+|                          |                            | piece or after MAX_FETCH_S at the latest|
 
-In each case the settings before stay in force, whole, under their own revision. Whether the member
-may go on taking work on them is decided in `admission_verdict` alone.
+In each case the previous settings stay in force, unchanged and under their own revision. Whether
+the member may accept new work under them is decided in `admission_verdict` alone.
 
 Adoption of settings that can be used:
 
     proposed -> on record -> on disk, or RECORD_WAIT_S later -> in force and announced
     proposed -> refused
-    proposed -> on record -> cancelled by a reload, a push or a roll back
+    proposed -> on record -> cancelled by a reload, a push or a rollback
 
-No timers: the driver calls `advance` until it returns False.
+This module sets no timers: the driver calls `advance` until it returns False.
 """
 
 from __future__ import annotations
@@ -45,7 +46,8 @@
 from hazelhollow.configuration.rollout import CanaryInvitation, RolloutEvent
 from hazelhollow.configuration.state import ConfigurationState
 
-# Settings of another member are acted on when they are on disk, or then at the latest.
+# Settings from another member are put in force once the record of them is on disk, or after this
+# time at the latest.
 RECORD_WAIT_S = 1.0
 
 log = logging.getLogger(__name__)
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True)
 class WantedSettings:
-    """Settings that this member is to act on; `invitation`: to try as a canary."""
+    """Settings that this member has to adopt; `invitation` is set if it tries them as a canary."""
 
     document: WantedDocument
     invitation: CanaryInvitation | None = None
@@ -61,14 +63,14 @@
 
 @dataclass(frozen=True)
 class ProposedSettings:
-    """Settings that are here and may be adopted.
+    """Settings that this member has received and may adopt.
 
     Attributes:
-        revision: their revision.
-        digest: their digest.
-        document: the settings.
-        reason: how they came here, for the record.
-        invitation: set if they are to be tried as a canary.
+        revision: Revision of the settings.
+        digest: Digest of the settings.
+        document: The settings themselves.
+        reason: How this member got them, for the record.
+        invitation: Set if they are to be tried as a canary.
     """
 
     revision: int
@@ -79,12 +81,12 @@
 
 
 class SettingsAdoption:
-    """Decides which settings this member is to act on, and has it act on them.
+    """Decides which settings this member has to adopt, and adopts them.
 
     Args:
-        state: what the member acts on and knows.
-        keeper: records and announces it.
-        reevaluate: has the admission verdict evaluated again.
+        state: The member's settings and what it knows of the other members.
+        keeper: Records and announces the member's versions.
+        reevaluate: Triggers a new evaluation of the admission verdict.
     """
 
     def __init__(
@@ -95,26 +97,26 @@
         self._pending_until = 0.0  # seconds of the clock
 
     def wanted(self, verdict: AdmissionVerdict) -> WantedSettings | None:
-        """The settings in force that this member lacks, or else those that it is to try."""
-        known = self._state.known()
-        revision, digests = known.newest()
+        """Returns the settings in force that this member lacks, or else those that it is to try."""
+        known_versions = self._state.known_versions()
+        revision, digests = known_versions.newest()
         if verdict.holders and digests:
             document = WantedDocument(revision, next(iter(digests)), verdict.holders)
             return WantedSettings(document)
-        invitation = self._state.rollout.invitation(known)
+        invitation = self._state.rollout.invitation(known_versions)
         if invitation is None:
             return None
         document = WantedDocument(invitation.revision, invitation.digest, invitation.holders)
         return WantedSettings(document, invitation)
 
     def accept(self, received: ReceivedDocument) -> ProposedSettings | None:
-        """What to propose of a document that has come, if it is still wanted."""
-        known = self._state.known()
-        revision, digests = known.newest()
+        """Returns the proposal for a document that has arrived; None if it is no longer wanted."""
+        known_versions = self._state.known_versions()
+        revision, digests = known_versions.newest()
         reason = f"given by member {received.sender}"
         if (received.revision, {received.digest}) == (revision, digests):
             return ProposedSettings(revision, received.digest, received.document, reason)
-        invitation = self._state.rollout.invitation(known)
+        invitation = self._state.rollout.invitation(known_versions)
         if invitation is None:
             return None
         if (invitation.revision, invitation.digest) != (received.revision, received.digest):
@@ -124,24 +126,24 @@
         )
 
     def is_pending(self, revision: int, digest: str) -> bool:
-        """Whether these settings are about to be acted on."""
+        """Whether these settings were proposed and wait to be put in force."""
         pending = self._pending
         return pending is not None and (pending.revision, pending.digest) == (revision, digest)
 
     def propose(self, settings: ProposedSettings) -> bool:
-        """Refuses settings that the limiter cannot use, or records them ahead.
+        """Refuses settings that the limiter cannot use; records others before they are in force.
 
         Returns:
-            Whether `advance` is to be called with them now.
+            Whether `advance` has to be called with them now.
         """
         if self.is_pending(settings.revision, settings.digest):
             return False
         state = self._state
-        unusable = ""
+        unusable_reason = ""
         if settings.digest != state.in_force.digest():
-            unusable = state.limiter.check_settings(settings.document)
-        if unusable:
-            self._refuse(settings, unusable)
+            unusable_reason = state.limiter.check_settings(settings.document)
+        if unusable_reason:
+            self._refuse(settings, unusable_reason)
             return False
         self._pending = settings
         self._pending_until = state.clock() + RECORD_WAIT_S
@@ -150,7 +152,11 @@
         return True
 
     def advance(self, settings: ProposedSettings) -> bool:
-        """Puts proposed settings in force once they are on disk; whether to call it again soon."""
+        """Puts proposed settings in force once they are on disk.
+
+        Returns:
+            Whether it has to be called again soon.
+        """
         if settings is not self._pending:
             return False
         if not self._keeper.is_written() and self._state.clock() < self._pending_until:
@@ -160,17 +166,17 @@
         return False
 
     def cancel(self) -> None:
-        """What was proposed is not to be acted on any more."""
+        """Withdraws the proposed settings."""
         self._pending = None
-        self._keeper.settle()
+        self._keeper.resume_recording()
 
     def _put_in_force(self, settings: ProposedSettings) -> None:
         state = self._state
-        unusable = state.in_force.apply(settings.digest, settings.document)
-        if unusable:
-            self._refuse(settings, unusable)
+        unusable_reason = state.in_force.apply(settings.digest, settings.document)
+        if unusable_reason:
+            self._refuse(settings, unusable_reason)
             return
-        state.in_force.set_given_revision(settings.revision)
+        state.in_force.set_adopted_revision(settings.revision)
         if settings.invitation:
             state.rollout.join(settings.invitation.candidate, state.limiter.request_counts())
             state.activity.rollout(RolloutEvent.TAKEN, settings.reason, state.in_force.revision())
@@ -178,15 +184,15 @@
             state.rollout.end()
         self._keeper.publish(settings.reason)
         self._reevaluate()
-        log.info("audit: settings of order %d taken: %s", settings.revision, settings.reason)
+        log.info("audit: settings of order %d adopted: %s", settings.revision, settings.reason)
 
     def _refuse(self, settings: ProposedSettings, reason: str) -> None:
-        """The settings before stay in force."""
+        """Records and logs a refusal; the previous settings stay in force."""
         if settings.invitation:
             self._state.rollout.refuse(settings.invitation)
             self._state.activity.rollout(RolloutEvent.REFUSED, reason, settings.revision)
         else:
             self._state.admission.settings_refused(settings.revision, reason)
         self._state.log.log(
-            logging.ERROR, "audit: order %d cannot be taken: %s", settings.revision, reason
+            logging.ERROR, "audit: order %d cannot be adopted: %s", settings.revision, reason
         )
--- a/hazelhollow/configuration/commands.py
+++ b/hazelhollow/configuration/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow fleet config`: settings that some limiters try before all act on them."""
+"""`hazelhollow fleet config`: canary rollout of settings from the command line."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 _CONFIG_HELP = """
-Try settings at some limiters before all act on them, from one limiter's operator address.
+Try settings at some limiters before all act on them, through one limiter's operator address.
 
 \b
 hazelhollow fleet config push next.json --order 7 --canaries 3 --after 600 --at 10.0.0.4:7000
 hazelhollow fleet config status --at 10.0.0.4:7000
-hazelhollow fleet config hold --at 10.0.0.4:7000        those that try it go on, nobody else
-  takes it
-hazelhollow fleet config release --at 10.0.0.4:7000     it is in force for all now
-hazelhollow fleet config rollback --at 10.0.0.4:7000    the settings from before, for all
+hazelhollow fleet config hold --at 10.0.0.4:7000        limiters that try it go on, no
+  other limiter adopts it
+hazelhollow fleet config release --at 10.0.0.4:7000     it comes into force for all
+hazelhollow fleet config rollback --at 10.0.0.4:7000    the previous settings, for all
 
-Exit status 0 for what was done, 1 for what the limiter refused, 2 when nobody answered.
+Exit status 0 if the call was carried out, 1 if the limiter refused it, 2 if it did not answer.
 """
 
 
@@ -44,7 +44,10 @@
 @config.command("push")
 @click.argument("file")
 @click.option(
-    "--order", required=True, type=click.IntRange(1, 46655), help="Above all that are out."
+    "--order",
+    required=True,
+    type=click.IntRange(1, 46655),
+    help="The revision; greater than any in use.",
 )
 @click.option(
     "--canaries",
@@ -59,7 +62,7 @@
     show_default=True,
     type=click.FloatRange(0.0, 86_400.0),
     metavar="SECONDS",
-    help="When all act on it, if nothing speaks against it.",
+    help="Time until all act on it, unless it is held.",
 )
 @at_option
 def push(file: str, order: int, canaries: int, after: float, at: str) -> None:
@@ -70,23 +73,23 @@
 @config.command("hold")
 @at_option
 def hold(at: str) -> None:
-    """Keep settings with the limiters that try them, until `release` or `rollback`."""
+    """Hold settings at the limiters that try them, until `release` or `rollback`."""
     _call(at, "hold")
 
 
 @config.command("release")
 @at_option
 def release(at: str) -> None:
-    """Put settings that are tried in force for all."""
+    """Put the settings that are being tried in force for all."""
     _call(at, "release")
 
 
 @config.command("rollback")
 @at_option
 def rollback(at: str) -> None:
-    """Go back to the settings from before those that are tried.
+    """Return to the settings in force before the ones that are being tried.
 
-    Or else from before those that are in force.
+    If none are being tried, return to the predecessor of the settings in force.
     """
     _call(at, "rollback")
 
@@ -94,7 +97,7 @@
 @config.command("status")
 @at_option
 def status(at: str) -> None:
-    """Say who acts on which settings, as that limiter knows it."""
+    """Show which limiter acts on which settings, as known to the limiter that is asked."""
     answer = _ask(at, "fleet")
     try:
         members = orjson.loads(answer.partition(b"\n")[0])["audit"]["members"]
--- a/hazelhollow/configuration/driver.py
+++ b/hazelhollow/configuration/driver.py
@@ -1,8 +1,8 @@
-"""The driver of the configuration: reads and writes datagrams, sets timers, and calls the rules.
+"""The driver of the configuration: handles datagrams, sets timers and calls the rules.
 
-On each tick it records and announces what changed (`record_keeping`), has the admission verdict
-evaluated, looks at the rollout (`rollout_control`) and requests what is missing (`distribution`,
-`adoption`). Long work on documents is done in slices between ticks.
+On each tick it records and announces what changed (`record_keeping`), triggers an evaluation of the
+admission verdict, checks the rollout (`rollout_control`) and requests missing settings
+(`distribution`, `adoption`). Long work on documents is done in slices between ticks.
 """
 
 from __future__ import annotations
@@ -36,20 +36,20 @@
 from hazelhollow.net.peer_socket import PeerSocket
 from hazelhollow.net.scheduler import Scheduler
 
-DISK_CHECK_INTERVAL_S = 0.005  # while settings wait until they are on disk
+DISK_CHECK_INTERVAL_S = 0.005  # while settings wait for their record to be on disk
 SLICE_INTERVAL_S = 0.002  # between steps of long work on documents
 
 
 @dataclass(frozen=True)
 class Connections:
-    """What a driver is connected to.
+    """The objects that a driver is connected to.
 
     Attributes:
-        scheduler: its clock and timers.
-        peers: sends and receives datagrams.
-        membership: announces versions and asks for the verdict.
-        authenticator: signs and verifies datagrams.
-        limiter: the limiter itself.
+        scheduler: Its clock and timers.
+        peers: Sends and receives datagrams.
+        membership: Announces versions and requests the admission verdict.
+        authenticator: Signs and verifies datagrams.
+        limiter: The limiter itself.
     """
 
     scheduler: Scheduler
@@ -61,13 +61,13 @@
 
 @dataclass(frozen=True)
 class ConfigurationOptions:
-    """What a driver is to do.
+    """Options of a driver.
 
     Attributes:
-        file_revision: the operator's number of the settings, as the operator file says it now.
-        record: where it writes down what it acts on.
-        seed: of its random draws.
-        allowance: what it may send; None: all.
+        file_revision: Returns the revision that the operator file names at the time of the call.
+        record: The audit record of the limiter.
+        seed: Seed of its random draws.
+        allowance: Its budget for sending; None: unlimited.
     """
 
     file_revision: Callable[[], int]
@@ -80,9 +80,9 @@
     """Keeps one limiter on the settings that are in force.
 
     Attributes:
-        record: the limiter's audit record.
-        rollouts: what operators can do.
-        verdict: whether the limiter may take new work, as evaluated last.
+        record: The limiter's audit record.
+        rollouts: Rollouts, with the operations for operators.
+        verdict: Whether the limiter may accept new work, as evaluated last.
     """
 
     def __init__(self, connections: Connections, options: ConfigurationOptions) -> None:
@@ -106,13 +106,13 @@
         self.rollouts = RolloutControl(
             self._state, self._keeper, self._adoption, lambda: self.verdict, self._reevaluate
         )
-        self._receive_other = connections.peers.on_message
-        self._woke_at = clock()
+        self._next_handler = connections.peers.on_message
+        self._resumed_at = clock()
         self._ended = self._slice_is_due = False
 
     def start(self) -> None:
-        """The limiter is about to serve."""
-        self._receive_other, self._peers.on_message = self._peers.on_message, self.receive
+        """Starts the driver; called just before the limiter serves."""
+        self._next_handler, self._peers.on_message = self._peers.on_message, self.receive
         self._keeper.announce()
         self._membership.membership.table.subscribe(self._state.peers.update_from)
         self._membership.evaluate_shut_out = self.evaluate_admission
@@ -120,32 +120,32 @@
         self._tick()
 
     def end(self) -> None:
-        """The limiter ends."""
+        """Ends the driver, when the limiter ends."""
         if not self._ended:
             self._ended = True
             self._keeper.end()
 
     def revision(self) -> int:
-        """The operator's number of the settings that the limiter acts on."""
+        """Returns the revision of the settings that the limiter acts on."""
         return self._state.in_force.revision()
 
     def document(self) -> dict[str, Any]:
-        """What `call fleet` shows as `audit`."""
+        """Returns what `call fleet` shows as `audit`."""
         return self._state.document(self.verdict)
 
     def publish(self, reason: str) -> None:
-        """Records and announces what the limiter acts on now, if it changed for that reason.
+        """Records and announces the versions in use, with that reason, if they have changed.
 
-        To be called in the turn of the change, before a request is served by it.
+        Must be called in the event loop turn of the change, before a request is served under it.
         """
         self._keeper.publish(reason)
 
     def settings_reloaded(self) -> None:
-        """The limiter has read its files again, and acts on what they say.
+        """Handles a reload: the limiter has read its files again and acts on their settings.
 
-        Candidates, and what peers gave, no longer count.
+        Candidates and settings received from peers are dropped.
         """
-        self._state.in_force.clear_given_revision()
+        self._state.in_force.clear_adopted_revision()
         self._adoption.cancel()
         self._state.rollout.end()
         self._keeper.publish("read again")
@@ -160,7 +160,7 @@
         now = self._scheduler.clock()
         self._scheduler.at(now + REQUEST_INTERVAL_S, self._tick)
         self._keeper.publish("read again")
-        self._state.activity.peers(self._state.known(), self.revision())
+        self._state.activity.peers(self._state.known_versions(), self.revision())
         self._reevaluate()
         self.rollouts.tick(now, self._membership.membership.may_admit)
         self._fetch()
@@ -170,7 +170,7 @@
             self._exchange.new_second()
 
     def _schedule_slice(self) -> None:
-        """Sets a timer if there is long work to be done, and none is set."""
+        """Sets a timer if there is long work to do and no timer is set."""
         if self._slice_is_due:
             return
         if self._exchange.is_busy() or not self._state.in_force.history.step():
@@ -189,20 +189,20 @@
         self._membership.membership.set_versions(encoded_versions)
 
     def _reevaluate(self) -> None:
-        """Has membership ask `evaluate_admission` again."""
+        """Triggers a call of `evaluate_admission` by membership."""
         self._membership.reevaluate()
 
     def evaluate_admission(self, now: float) -> bool:
-        """The admission verdict of this moment.
+        """Evaluates the admission verdict; returns whether it rejects new work.
 
-        Membership asks for it before it tells the decision engine what has changed, so that a
-        member that wakes is judged before it acts.
+        Membership calls it before it notifies the decision engine of a change, so that a member
+        that resumes after a pause gets a verdict before it accepts work.
         """
         if not self._membership.membership.may_admit:
-            self._woke_at = now
+            self._resumed_at = now
         state, before = self._state, self.verdict
-        just_started = now - self._woke_at < FETCH_TIMEOUT_S
-        self.verdict = verdict = state.admission.evaluate(state.known(), now, just_started)
+        just_started = now - self._resumed_at < FETCH_TIMEOUT_S
+        self.verdict = verdict = state.admission.evaluate(state.known_versions(), now, just_started)
         if verdict.state is not before.state:
             state.activity.verdict(now, verdict, self.revision())
             self._log_verdict(verdict)
@@ -217,7 +217,7 @@
     # Documents
 
     def _fetch(self) -> None:
-        """Requests settings that this member is to act on, or takes them from its history."""
+        """Requests settings that this member has to adopt, or gets them from its history."""
         wanted = self._adoption.wanted(self.verdict)
         if wanted is None:
             return
@@ -227,22 +227,25 @@
         history = self._state.in_force.history
         document = history.document(digest) if history.knows(digest) else None
         if document is None:
-            self._exchange.fetch(wanted.document, self._state.known(), self._scheduler.clock())
+            self._exchange.fetch(
+                wanted.document, self._state.known_versions(), self._scheduler.clock()
+            )
             return
         reason = f"told of by member {min(holders)}, known from before"
         self._adopt(ProposedSettings(revision, digest, document, reason, wanted.invitation))
 
     def receive(self, sender: int, text: str) -> None:
-        """Takes a datagram; one that is not of the configuration goes to whom it went before."""
+        """Handles a datagram; those of other subsystems are passed to the next handler."""
         if not text.startswith(DATAGRAM_PREFIX[0]):
-            self._receive_other(sender, text)
+            self._next_handler(sender, text)
             return
         plain = self._authenticator.verify(text)
         received = None
         if plain is not None:
             received = self._exchange.receive(sender, plain, self._scheduler.clock())
         if received is not None:
-            # In a turn of its own: a long document takes as long to check as to assemble.
+            # Adopted in a separate event loop turn: checking a long document takes as long as
+            # assembling it.
             self._scheduler.at(
                 self._scheduler.clock() + SLICE_INTERVAL_S, self._adopt_received, received
             )
--- a/hazelhollow/configuration/errors.py
+++ b/hazelhollow/configuration/errors.py
@@ -1,17 +1,17 @@
-"""What can be wrong with an operator's request; the text of an error is for the operator."""
+"""Errors in an operator's request; their messages are shown to the operator."""
 
 
 class ConfigurationError(Exception):
-    """A request of an operator that was not carried out, and changed nothing."""
+    """An operator's request was not carried out and changed nothing."""
 
 
 class OperatorCallError(ConfigurationError):
-    """The call is malformed: the operator's mistake."""
+    """The operator's call is malformed."""
 
 
 class SettingsFileError(ConfigurationError):
-    """The named file cannot be read or has no settings in it."""
+    """The named file cannot be read or contains no settings."""
 
 
 class RolloutRefusedError(ConfigurationError):
-    """The call is well formed, but the state of the members or the limiter does not allow it."""
+    """The call is well formed, but the state of the limiter or of the members does not allow it."""
--- a/hazelhollow/configuration/operator_calls.py
+++ b/hazelhollow/configuration/operator_calls.py
@@ -1,6 +1,6 @@
-"""The calls at the operator address by which settings are tried, held, released and rolled back.
+"""Calls at the operator address that try, hold, release and roll back settings.
 
-config push FILE ORDER CANARIES SECONDS    FILE: a configuration beside the operator file
+config push FILE ORDER CANARIES SECONDS    FILE: a configuration in the operator file's folder
 config hold
 config release
 config rollback
@@ -24,11 +24,11 @@
 
 USAGE = "config push FILE ORDER CANARIES SECONDS, config hold, config release, config rollback"
 MAX_AFTER_S = 86_400.0  # until all members act on pushed settings
-_FILE_NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9_.-]{0,127}")  # names no other folder
+_FILE_NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9_.-]{0,127}")  # cannot name another folder
 
 
 class PushCall(NamedTuple):
-    """What `config push` says; `after`: seconds until all members act on the settings."""
+    """The arguments of `config push`; `after`: seconds until all members act on the settings."""
 
     file: str
     revision: int
@@ -37,24 +37,24 @@
 
 
 def answer(rollouts: RolloutControl, folder: Path, arguments: tuple[str, ...]) -> str:
-    """Carries a call out.
+    """Executes a call.
 
     Args:
-        rollouts: of the limiter that is called.
-        folder: of its operator file.
-        arguments: of the call, after `config`.
+        rollouts: Rollout control of the limiter that was called.
+        folder: Folder of its operator file.
+        arguments: Arguments of the call after `config`.
 
     Returns:
-        One line, which begins with `done` or `error`.
+        One line that begins with `done` or `error`.
     """
     try:
-        _carry_out(rollouts, folder, arguments)
+        _execute(rollouts, folder, arguments)
     except ConfigurationError as error:
         return f"error {error}"
     return f"done config {arguments[0]}"
 
 
-def _carry_out(rollouts: RolloutControl, folder: Path, arguments: tuple[str, ...]) -> None:
+def _execute(rollouts: RolloutControl, folder: Path, arguments: tuple[str, ...]) -> None:
     match arguments:
         case ("push", *rest):
             push = parse_push(rest)
@@ -71,40 +71,46 @@
 
 
 def parse_push(arguments: Sequence[str]) -> PushCall:
-    """Reads the arguments of `config push`.
+    """Parses the arguments of `config push`.
 
     Raises:
-        OperatorCallError: they are not what it takes.
+        OperatorCallError: The arguments are invalid.
     """
     if len(arguments) != 4:
-        raise OperatorCallError(f"push takes four words: {USAGE}")
+        raise OperatorCallError(f"push takes four words, got {len(arguments)}: {USAGE}")
     file, revision, canaries, after_text = arguments
     if not _FILE_NAME.fullmatch(file):
-        raise OperatorCallError("FILE is the name of a file in the folder of the operator file")
+        raise OperatorCallError(
+            f"FILE must name a file in the folder of the operator file, got {file}"
+        )
     if not (revision + canaries).isascii() or not (revision.isdigit() and canaries.isdigit()):
-        raise OperatorCallError("ORDER and CANARIES are whole numbers")
+        raise OperatorCallError(
+            f"ORDER and CANARIES must be whole numbers, got {revision} and {canaries}"
+        )
     try:
         after = float(after_text)
     except ValueError:
         after = -1.0
     if not 0.0 <= after <= MAX_AFTER_S:
-        raise OperatorCallError(f"SECONDS is a number from 0 to {MAX_AFTER_S:g}")
+        raise OperatorCallError(
+            f"SECONDS must be a number from 0 to {MAX_AFTER_S:g}, got {after_text}"
+        )
     return PushCall(file, int(revision), int(canaries), after)
 
 
 def read_settings(path: Path) -> Mapping[str, Any]:
-    """The settings of a configuration file; what they say is not checked.
+    """Reads the settings of a configuration file without validating them.
 
     Raises:
-        SettingsFileError: it cannot be read, or there are none in it.
+        SettingsFileError: The file cannot be read or contains no settings.
     """
     try:
         document = orjson.loads(path.read_bytes())
     except OSError as error:
-        raise SettingsFileError(f"{path.name}: {error.strerror}") from None
+        raise SettingsFileError(f"{path.name} cannot be read: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise SettingsFileError(f"{path.name}: {error}") from None
+        raise SettingsFileError(f"{path.name} is not valid JSON: {error}") from None
     settings = document.get("settings") if isinstance(document, dict) else None
     if not isinstance(settings, dict):
-        raise SettingsFileError(f"{path.name}: no settings in it")
+        raise SettingsFileError(f"{path.name}: no settings object in the file")
     return settings
--- a/hazelhollow/configuration/rollout_control.py
+++ b/hazelhollow/configuration/rollout_control.py
@@ -1,6 +1,6 @@
-"""A canary rollout at one member: what operators ask for, and what the rule in `rollout` decides.
+"""Carries out rollouts at one member, as requested by operators or decided by `rollout`.
 
-Each operation of an operator raises RolloutRefusedError, and changes nothing, if it cannot be
+Each operation for an operator raises RolloutRefusedError and changes nothing if it cannot be
 carried out.
 """
 
@@ -23,11 +23,11 @@
     """Begins, holds, releases and ends rollouts.
 
     Args:
-        state: what the member acts on and knows.
-        keeper: records and announces it.
-        adoption: what is cancelled when an operator decides otherwise.
-        verdict: the newest admission verdict.
-        reevaluate: has the admission verdict evaluated again.
+        state: The member's settings and what it knows of the other members.
+        keeper: Records and announces the member's versions.
+        adoption: The adoption in progress, which an operator's decision cancels.
+        verdict: Returns the newest admission verdict.
+        reevaluate: Triggers a new evaluation of the admission verdict.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
 
     @property
     def candidate(self) -> Candidate | None:
-        """What this member tries; None: its settings are in force."""
+        """The candidate that this member tries; None: its settings are in force."""
         return self._state.rollout.candidate
 
     def tick(self, now: float, may_admit: bool) -> None:
-        """Holds or releases the candidate, if it is time; `may_admit`: the member takes work."""
+        """Holds or releases the candidate when it is due; `may_admit`: the member admits work."""
         state = self._state
         verdict = state.rollout.evaluate(
-            state.known(), state.limiter.request_counts(), now, may_admit
+            state.known_versions(), state.limiter.request_counts(), now, may_admit
         )
         if verdict is None:
             return
@@ -60,21 +60,21 @@
             self._release(verdict.reason)
 
     def push(self, revision: int, canaries: int, after: float, document: Mapping[str, Any]) -> None:
-        """This member and others try these settings.
+        """Starts a rollout of these settings, led by this member.
 
         Args:
-            revision: greater than all others, up to MAX_REVISION.
-            canaries: members that try them, this one among them.
-            after: seconds after which they come into force for all, if nothing speaks against it.
-            document: the settings.
+            revision: Revision of the settings; greater than all others, up to MAX_REVISION.
+            canaries: Number of members that try them, this one included.
+            after: Seconds after which they come into force for all, unless they are held.
+            document: The settings.
         """
         state = self._state
         self._check_push(revision, canaries, document)
-        unusable = state.limiter.apply_settings(document)
-        if unusable:
-            raise RolloutRefusedError(unusable)
+        unusable_reason = state.limiter.apply_settings(document)
+        if unusable_reason:
+            raise RolloutRefusedError(unusable_reason)
         self._adoption.cancel()
-        state.in_force.set_given_revision(revision)
+        state.in_force.set_adopted_revision(revision)
         state.rollout.push(canaries, state.clock() + after, state.limiter.request_counts())
         self._record(
             RolloutEvent.PUSHED, f"{canaries} members try it, all act on it after {after:g} s"
@@ -82,37 +82,39 @@
         self._keeper.publish("pushed by an operator")
 
     def _check_push(self, revision: int, canaries: int, document: Mapping[str, Any]) -> None:
-        known = self._state.known()
-        greatest = known.greatest()
+        known_versions = self._state.known_versions()
+        greatest = known_versions.greatest()
         state = self._verdict().state
         if state is not SettingsState.CURRENT:
-            raise RolloutRefusedError(f"this member is not on the newest settings: {state}")
+            raise RolloutRefusedError(
+                f"this member is not on the newest settings: its state is {state}"
+            )
         if not greatest < revision <= MAX_REVISION:
             raise RolloutRefusedError(
-                f"order {revision} is not above {greatest}, the greatest that is out, or above "
-                f"{MAX_REVISION}"
+                f"order {revision} is not above {greatest}, the greatest in use, or above "
+                f"{MAX_REVISION}, the greatest possible"
             )
-        most = min(MAX_CANARIES, len(known) - 1)
-        if not 1 <= canaries <= most:
+        max_canaries = min(MAX_CANARIES, len(known_versions) - 1)
+        if not 1 <= canaries <= max_canaries:
             raise RolloutRefusedError(
-                f"{canaries} members cannot try it first: of {len(known)} that are up {most} "
-                "at most"
+                f"{canaries} canaries: of the {len(known_versions)} members that are up, at least "
+                f"1 and {max_canaries} at most can try settings"
             )
         if versions.settings_digest(document) == self._state.in_force.digest():
-            raise RolloutRefusedError("these are the settings that this member acts on")
+            raise RolloutRefusedError("this member acts on these settings already")
 
     def hold(self) -> None:
-        """The candidate that this member tries stays with those that try it."""
+        """Holds the candidate that this member tries: no other member adopts it."""
         self._check_candidate()
         self._hold("by an operator")
 
     def release(self) -> None:
-        """The candidate that this member tries is in force for all from now on."""
+        """Puts the candidate that this member tries in force for all."""
         self._check_candidate()
         revision = self._state.in_force.revision()
-        if len(self._state.known().digests_of(revision)) > 1:
+        if len(self._state.known_versions().digests_of(revision)) > 1:
             raise RolloutRefusedError(
-                f"order {revision} stands for other settings at others: push one of them "
+                f"order {revision} stands for other settings at other members: push one of them "
                 "under a greater order"
             )
         self._release("by an operator")
@@ -120,35 +122,37 @@
     def _check_candidate(self) -> None:
         if self.candidate is not None:
             return
-        trying = sorted(self._state.known().canaries())
+        trying = sorted(self._state.known_versions().canaries())
         if not trying:
-            raise RolloutRefusedError("no settings are tried anywhere")
+            raise RolloutRefusedError("no settings are tried at any member that is up")
         raise RolloutRefusedError(
             f"this member tries no settings; members that do: {', '.join(map(str, trying))}"
         )
 
     def roll_back(self) -> None:
-        """The settings from before come into force for all, under the greatest revision yet.
+        """Puts the previous settings in force for all, under a new greatest revision.
 
-        Those from before the candidate, where there is one, else those from before the ones that
-        are in force.
+        These are the settings in force before the candidate if there is one, and otherwise the
+        predecessor of the settings in force.
         """
         state = self._state
-        known = state.known()
-        digest = state.in_force.rollback_digest(bool(known.canaries()))
+        known_versions = state.known_versions()
+        digest = state.in_force.rollback_digest(bool(known_versions.canaries()))
         document = state.in_force.history.document(digest) if digest else None
         if document is None:
             raise RolloutRefusedError(
-                "this member knows of no earlier settings; ask another, or give them under a "
-                "greater order"
+                "this member has no earlier settings; roll back at another one, or push them "
+                "under a greater order"
             )
-        revision = known.greatest() + 1
+        revision = known_versions.greatest() + 1
         if revision > MAX_REVISION:
-            raise RolloutRefusedError(f"there is no order above {MAX_REVISION}")
-        unusable = state.in_force.apply(digest, document)
-        if unusable:
-            raise RolloutRefusedError(unusable)
-        state.in_force.set_given_revision(revision)
+            raise RolloutRefusedError(
+                f"a rollback needs order {revision}, but the greatest is {MAX_REVISION}"
+            )
+        unusable_reason = state.in_force.apply(digest, document)
+        if unusable_reason:
+            raise RolloutRefusedError(unusable_reason)
+        state.in_force.set_adopted_revision(revision)
         self._adoption.cancel()
         state.rollout.end()
         self._record(RolloutEvent.ROLLED_BACK, "by an operator")
--- a/hazelhollow/configuration/state.py
+++ b/hazelhollow/configuration/state.py
@@ -1,4 +1,4 @@
-"""What one member acts on and what it knows of the others: shared by the parts of the driver."""
+"""Settings of one member and its knowledge of the others, shared by the parts of the driver."""
 
 from __future__ import annotations
 
@@ -22,76 +22,77 @@
 
 
 class ConfigurableLimiter(ObservedLimiter, Protocol):
-    """What is asked of the limiter."""
+    """The methods of the limiter that the configuration driver uses."""
 
     def settings_document(self) -> Mapping[str, Any]:
-        """The settings document that it acts on; another object whenever they change."""
+        """Returns the settings document in use; a new object whenever the settings change."""
 
     def check_settings(self, document: Mapping[str, Any]) -> str:
-        """Why a running limiter cannot use settings of another member; empty if it can."""
+        """Returns why the limiter cannot use settings while it runs; empty if it can."""
 
     def apply_settings(self, document: Mapping[str, Any]) -> str:
-        """Acts on settings of another member from now on, unless it cannot: then why."""
+        """Puts settings of another member in force; returns why it cannot, or an empty string."""
 
 
 class SettingsInForce:
-    """The settings that this member acts on, and those before.
+    """The settings that this member acts on, and its earlier ones.
 
     Args:
-        limiter: acts on them.
-        file_revision: the operator's number of them, as the operator file says it now.
+        limiter: The limiter that uses the settings.
+        file_revision: Returns the revision that the operator file names at the time of the call.
     """
 
     def __init__(self, limiter: ConfigurableLimiter, file_revision: Callable[[], int]) -> None:
         self.history = SettingsHistory()
         self._limiter, self._file_revision = limiter, file_revision
-        self._given_revision = 0  # of settings that a peer gave, or that are tried
-        self._document: Mapping[str, Any] | None = None  # of which `_digest` is the digest
+        self._adopted_revision = 0  # 0 while the file's revision applies
+        self._document: Mapping[str, Any] | None = None  # the document that `_digest` belongs to
         self._digest = ""
-        # The last two digests of settings that were in force here, and not only tried.
+        # Digests of the last two settings that were in force here, without those only tried.
         self._digests_in_force = list[str]()
 
     def revision(self) -> int:
-        """The greater one of the file's revision and the one given with the settings."""
-        return max(self._file_revision(), self._given_revision)
+        """Returns the greater of the file's revision and the one adopted with the settings."""
+        return max(self._file_revision(), self._adopted_revision)
 
     def digest(self) -> str:
-        """The digest of the settings."""
+        """Returns the digest of the settings in use."""
         document = self._limiter.settings_document()
         if self._document is not document:
             self._set(document, versions.settings_digest(document))
         return self._digest
 
     def document(self) -> Mapping[str, Any]:
-        """The settings."""
+        """Returns the settings in use."""
         self.digest()
         assert self._document is not None
         return self._document
 
     def apply(self, digest: str, document: Mapping[str, Any]) -> str:
-        """Has the limiter act on a document of a known digest; why it cannot, or nothing."""
+        """Puts a document in force; returns why the limiter cannot use it, or an empty string."""
         reason = self._limiter.apply_settings(document) if digest != self.digest() else ""
         if not reason:
             self._set(self._limiter.settings_document(), digest)
         return reason
 
-    def set_given_revision(self, revision: int) -> None:
-        """The settings were given to this member under that revision."""
-        self._given_revision = revision
+    def set_adopted_revision(self, revision: int) -> None:
+        """Sets the revision of settings that a peer sent, or that were pushed or rolled back."""
+        self._adopted_revision = revision
 
-    def clear_given_revision(self) -> None:
-        """Only the revision of the file counts now."""
-        self._given_revision = 0
+    def clear_adopted_revision(self) -> None:
+        """Makes the file's revision the only one that counts."""
+        self._adopted_revision = 0
 
     def remember_in_force(self, digest: str) -> None:
-        """These settings are in force here, and not only tried."""
+        """Notes that these settings are in force here, not only tried."""
         if self._digests_in_force[-1:] != [digest]:
             self._digests_in_force = [*self._digests_in_force[-1:], digest]
 
     def rollback_digest(self, candidate_exists: bool) -> str:
-        """The digest of the settings that a roll back restores; empty where none are known.
+        """Returns the digest of the settings that a rollback restores; empty if there are none.
 
-        That is, what was in force before a candidate, or else before what is in force.
+        These are the settings in force before the candidate if there is one, and otherwise the
+        predecessor of the settings in force.
         """
         earlier = self._digests_in_force if candidate_exists else self._digests_in_force[:-1]
         return earlier[-1] if earlier else ""
@@ -102,14 +103,14 @@
 
 
 class ConfigurationState:
-    """One member's state, and its part in each rule.
+    """One member's state, including that of its admission and rollout rules.
 
     Args:
-        limiter_id: the member's number.
-        limiter: the limiter itself.
-        file_revision: the operator's number of the settings, as the operator file says it now.
-        record: where it writes down what it acts on.
-        clock: seconds.
+        limiter_id: The member's number.
+        limiter: The limiter itself.
+        file_revision: Returns the revision that the operator file names at the time of the call.
+        record: The audit record of this member.
+        clock: Returns seconds.
     """
 
     def __init__(
@@ -124,11 +125,11 @@
         self.in_force = SettingsInForce(limiter, file_revision)
         self.admission, self.rollout = AdmissionRule(limiter_id), CanaryRollout(limiter_id)
         self.activity = ActivityRecorder(limiter_id, record, limiter, clock)
-        self.log = RateLimitedLog(log, clock)  # for what others can cause many times
-        self.peers = KnownVersions()  # this member's own versions among them as of `known`
+        self.log = RateLimitedLog(log, clock)  # for messages that other members can trigger often
+        self.peers = KnownVersions()  # own versions included, as of the last `known_versions`
 
     def versions(self) -> Versions:
-        """What this member acts on now."""
+        """Returns the versions that this member acts on now."""
         list_index, discovery = self.limiter.endpoint_list()
         return Versions(
             gossip_codec.DIALECT,
@@ -141,13 +142,13 @@
             self.rollout.candidate,
         )
 
-    def known(self) -> KnownVersions:
-        """What the members that are up act on, this one as it is now."""
+    def known_versions(self) -> KnownVersions:
+        """Returns the versions of the members that are up, with this member's current ones."""
         self.peers.put(self.limiter_id, self.versions())
         return self.peers
 
     def document(self, verdict: AdmissionVerdict) -> dict[str, Any]:
-        """What `call fleet` shows as `audit`."""
+        """Returns what `call fleet` shows as `audit`."""
         return {
             "order": self.in_force.revision(),
             "settings": self.in_force.digest(),
@@ -161,7 +162,7 @@
                     "candidate": _candidate_document(member.candidate),
                     "listed": member.list_index,
                 }
-                for number, member in sorted(self.known().items())
+                for number, member in sorted(self.known_versions().items())
             },
         }
 
--- a/hazelhollow/configuration/versions.py
+++ b/hazelhollow/configuration/versions.py
@@ -1,14 +1,14 @@
-"""The versions that a limiter acts on, in the few characters that ride with its membership record.
+"""The versions that a limiter acts on, and their compact encoding in its membership record.
 
-Example, and what each part of it is:
+An example and its parts:
 
     i4pz002k3f9005wa1cz0q13b        (i 4pz 002 k3f9 005w a1c z0q1 3b)
 
     gossip dialect, program, revision, settings, endpoint list, discovery, administrative
     overrides; and while it tries settings as a canary, the number of canaries and the phase
 
-A program that knows of no canaries ignores text of the longer form, and so never follows one.
-No I/O.
+An earlier release without canary rollouts ignores the longer form, and so never follows a canary.
+The module does no I/O.
 """
 
 from __future__ import annotations
@@ -26,39 +26,39 @@
 _DIALECT, _PROGRAM, _REVISION, _SETTINGS, _LIST, _DISCOVERY, _OVERRIDES = 1, 3, 3, 4, 4, 3, 4
 _WIDTHS = (_DIALECT, _PROGRAM, _REVISION, _SETTINGS, _LIST, _DISCOVERY, _OVERRIDES)
 ENCODED_LENGTH = sum(_WIDTHS)  # characters, without a candidate
-CANDIDATE_LENGTH = 2  # characters more
+CANDIDATE_LENGTH = 2  # additional characters with a candidate
 MAX_REVISION: int = 36**_REVISION - 1
 MAX_CANARIES = 35  # members; one character
-_LIST_INDEXES: int = 36**_LIST  # the index of the list is told modulo this
-LIMITER_FIELDS = ("position", "zone")  # of the settings: those that differ from limiter to limiter
+_LIST_INDEX_MODULUS: int = 36**_LIST  # the announced index of the endpoint list is modulo this
+LIMITER_FIELDS = ("position", "zone")  # settings that each limiter has for itself
 
 
 class Phase(StrEnum):
-    """Of settings that canaries try before all members act on them; as they are encoded."""
+    """The phase of settings that canaries try; the values are the encoded form."""
 
     BAKING = "b"
     HELD = "h"
 
 
 class Candidate(NamedTuple):
-    """Settings that are tried: how many members are to be canaries, and the phase."""
+    """Settings that are tried: the number of canaries and the phase."""
 
     canaries: int
     phase: Phase
 
 
 class Versions(NamedTuple):
-    """What one member acts on.
+    """The versions that one member acts on.
 
     Attributes:
-        dialect: of its gossip.
-        program: digest of the program's version.
-        revision: the operator's number of the settings; newer is greater.
-        settings: digest of the settings.
-        list_index: discovery's index of the endpoint list, modulo 36**4.
-        discovery: digest of discovery's address.
-        overrides: digest of the hosts that operators have disabled.
-        candidate: set while the settings are tried, and not in force for all.
+        dialect: Dialect of its gossip.
+        program: Digest of the program's version.
+        revision: The operator's number of the settings; newer settings have a greater one.
+        settings: Digest of the settings.
+        list_index: Discovery's index of the endpoint list, modulo 36**4.
+        discovery: Digest of discovery's address.
+        overrides: Digest of the hosts that operators have disabled.
+        candidate: Set while the settings are tried and not in force for all.
     """
 
     dialect: str
@@ -72,44 +72,44 @@
 
 
 def digest(value: Any, width: int) -> str:
-    """`width` characters that stand for a JSON value, whatever the order of its fields."""
+    """Returns a digest of a JSON value in `width` characters, independent of field order."""
     data = orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
     number = int.from_bytes(blake2b(data, digest_size=8).digest(), "big") % 36**width
     return base36(number).rjust(width, "0")
 
 
 def settings_digest(document: Mapping[str, Any]) -> str:
-    """The digest of a settings document, without the fields that are each limiter's own."""
+    """Returns the digest of a settings document without the fields in LIMITER_FIELDS."""
     return digest(shared_settings(document), _SETTINGS)
 
 
 def program_digest(version: str) -> str:
-    """The digest of a program's version."""
+    """Returns the digest of a program's version."""
     return digest(version, _PROGRAM)
 
 
 def discovery_digest(address: str) -> str:
-    """The digest of discovery's address."""
+    """Returns the digest of discovery's address."""
     return digest(address, _DISCOVERY)
 
 
 def overrides_digest(hosts: set[str]) -> str:
-    """The digest of the hosts that operators have disabled."""
+    """Returns the digest of the hosts that operators have disabled."""
     return digest(sorted(hosts), _OVERRIDES)
 
 
 def bounded_list_index(index: int) -> int:
-    """The index of the endpoint list, as `Versions` has room for it."""
-    return index % _LIST_INDEXES
+    """Returns the index of the endpoint list, reduced to the range that `Versions` can hold."""
+    return index % _LIST_INDEX_MODULUS
 
 
 def shared_settings(document: Mapping[str, Any]) -> dict[str, Any]:
-    """The settings without the fields that are each limiter's own."""
+    """Returns the settings without the fields in LIMITER_FIELDS."""
     return {name: value for name, value in document.items() if name not in LIMITER_FIELDS}
 
 
 def encode(versions: Versions) -> str:
-    """The text that rides with the membership record; numbers beyond their width are bounded."""
+    """Encodes versions for the membership record; numbers too long for their part are bounded."""
     parts = (
         versions.dialect,
         versions.program,
@@ -127,7 +127,7 @@
 
 
 def decode(text: str) -> Versions | None:
-    """Reads what `encode` wrote; None for anything else, such as a later program's longer text."""
+    """Decodes the output of `encode`; None for other text, such as a later release's."""
     if len(text) not in (ENCODED_LENGTH, ENCODED_LENGTH + CANDIDATE_LENGTH):
         return None
     if not (text.isascii() and text.isalnum() and text == text.lower()):
--- a/tests/configuration/test_adoption.py
+++ b/tests/configuration/test_adoption.py
@@ -1,4 +1,4 @@
-"""A new configuration that cannot be used: who says so, and what stays in force."""
+"""New settings that cannot be used: how that is reported, and which settings stay in force."""
 
 from __future__ import annotations
 
@@ -19,10 +19,13 @@
     return members
 
 
-def test_settings_of_peers_that_cannot_be_used_leave_those_before_in_force(
+def test_unusable_settings_of_peers_leave_the_previous_ones_in_force(
     fleet: ConfigurationFleet, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """One member of five needs a restart for the new settings. It says why, in three places."""
+    """One member of five needs a restart to use the new settings.
+
+    It reports the reason in `call fleet`, in the log and in its record.
+    """
     member = fleet.members[3]
     member.cannot_take = lambda document: "plans differ" if document == AFTER else ""
     fleet.members[0].read_file(AFTER, 1)
@@ -31,7 +34,7 @@
     assert member.acts_on == BEFORE and member.driver.revision() == 0
     shown = member.driver.document()
     assert (shown["state"], shown["why"]) == ("shut out", "plans differ")
-    assert "order 1 cannot be taken: plans differ" in caplog.text
+    assert "order 1 cannot be adopted: plans differ" in caplog.text
     verdicts = [
         (entry.version, entry.reason)
         for entry in member.record.entries
@@ -40,10 +43,10 @@
     assert verdicts[-1] == ("shut out", "plans differ")
 
 
-def test_a_candidate_that_cannot_be_used_leaves_the_settings_before_in_force(
+def test_an_unusable_candidate_leaves_the_previous_settings_in_force(
     fleet: ConfigurationFleet, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """All other members need a restart for the candidate. Those invited refuse it and serve on."""
+    """All other members need a restart for the candidate; those invited refuse it and serve on."""
     others = [fleet.members[number] for number in range(1, MEMBERS)]
     for member in others:
         member.cannot_take = lambda document: "plans differ" if document == AFTER else ""
@@ -53,13 +56,13 @@
     assert {member.driver.document()["state"] for member in others} == {"current"}
     refused = [member for member in others if member.steps() == [RolloutEvent.REFUSED]]
     assert len(refused) == 1 and fleet.members[0].steps() == ["pushed", "held"]
-    assert "order 1 cannot be taken: plans differ" in caplog.text
+    assert "order 1 cannot be adopted: plans differ" in caplog.text
 
 
-def test_settings_that_the_limiter_refuses_at_the_last_moment_are_not_announced(
+def test_settings_refused_after_the_check_are_not_announced(
     fleet: ConfigurationFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They passed the check and were on record, and could not be put in force all the same."""
+    """The settings pass the check and are recorded, but the limiter then fails to apply them."""
     member = fleet.members[3]
     before = member.driver.document()["settings"]
     monkeypatch.setattr(member, "apply_settings", lambda document: "plans differ")
--- a/tests/configuration/test_rollout.py
+++ b/tests/configuration/test_rollout.py
@@ -320,7 +320,7 @@
         (46656, 3, AFTER, "above 46655"),
         (1, 0, AFTER, "7 at most"),
         (1, 8, AFTER, "7 at most"),
-        (1, 3, BEFORE, "acts on"),
+        (1, 3, BEFORE, "acts on these settings already"),
         (1, 3, {"grades": []}, "no routes"),
     ],
 )
