--- a/tests/configuration/test_audit_commands.py
+++ b/tests/configuration/test_audit_commands.py
@@ -1,4 +1,4 @@
-"""`fleet audit`: from files and from running limiters."""
+"""Tests of `fleet audit` with files and with running limiters."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 
 
 def write(folder: Path, entries: list[AuditEntry]) -> None:
-    for one in entries:
-        home = folder / f"n{one.member}"
-        home.mkdir(parents=True, exist_ok=True)
-        with (home / f"audit-{one.member}-{one.incarnation:014d}-0001.seg").open("ab") as out:
-            out.write(audit_entries.encode_entry(one))
+    for item in entries:
+        member_folder = folder / f"n{item.member}"
+        member_folder.mkdir(parents=True, exist_ok=True)
+        with (member_folder / f"audit-{item.member}-{item.incarnation:014d}-0001.seg").open(
+            "ab"
+        ) as out:
+            out.write(audit_entries.encode_entry(item))
 
 
 @pytest.mark.parametrize(("lag", "status"), [(0.5, 0), (9.0, 1)])
-def test_the_command_reports_and_draws_a_late_member(
+def test_a_late_member_is_reported_and_drawn_on_the_page(
     lag: float, status: int, tmp_path: Path
 ) -> None:
-    """A member was nine seconds late, and one of its segments is torn."""
+    """A member adopts settings 0.5 s or 9 s late, and one of its segments is truncated."""
     write(tmp_path, late_adoption(0.0, lag))
     (tmp_path / "n1" / "audit-1-00000000000002-0001.seg").write_bytes(b"torn")
     page = tmp_path / "page.html"
@@ -51,8 +53,8 @@
     assert CliRunner().invoke(fleet, ["audit", str(tmp_path)]).exit_code == 2
 
 
-def test_the_page_escapes_what_records_say() -> None:
-    """A record contains HTML, which a browser must not run."""
+def test_the_page_escapes_text_from_records() -> None:
+    """A record contains a script, which a browser must not execute."""
     found = merge.merge_entries([entry(1.0, 0, 1, revision=1, reason="<script>")]).document()
     assert "<script>" not in report_page.render(found) and "&lt;script&gt;" in report_page.render(
         found
@@ -73,13 +75,13 @@
 
 
 def test_the_answer_of_a_running_limiter_is_read_and_a_request_is_found(tmp_path: Path) -> None:
-    one = AuditRecord(0, 1)
-    one.add(1.0, EntryKind.SETTINGS, "aaaa", revision=4)
-    one.add(
+    audit_record = AuditRecord(0, 1)
+    audit_record.add(1.0, EntryKind.SETTINGS, "aaaa", revision=4)
+    audit_record.add(
         2.0, EntryKind.ACTIVITY, "aaaa", revision=4, counts={"requests": 2}, samples=["r-1", "r-2"]
     )
-    answer = json.dumps(one.newest()).encode() + b"\nend\n"
-    assert reader.decode_answer(answer) == list(one.entries)
+    answer = json.dumps(audit_record.newest()).encode() + b"\nend\n"
+    assert reader.decode_answer(answer) == list(audit_record.entries)
     write(tmp_path, reader.decode_answer(answer))
     result = CliRunner().invoke(fleet, ["audit", str(tmp_path), "--request", "r-2"])
     assert (
@@ -94,16 +96,16 @@
 
 
 def test_the_answer_holds_the_newest_entries_within_a_bound() -> None:
-    one = AuditRecord(0, 1)
+    audit_record = AuditRecord(0, 1)
     for n in range(record.MAX_ENTRIES_IN_MEMORY):
-        one.add(
+        audit_record.add(
             float(n),
             EntryKind.ACTIVITY,
             "aaaa",
             hosts={f"s-{k}": 9 for k in range(20)},
             samples=["0" * 16] * 3,
         )
-    last = one.newest()
+    last = audit_record.newest()
     assert last[-1][0] == record.MAX_ENTRIES_IN_MEMORY - 1 and len(json.dumps(last)) < 1 << 20
 
 
--- a/tests/configuration/test_audit_processes.py
+++ b/tests/configuration/test_audit_processes.py
@@ -1,6 +1,6 @@
-"""Real processes that act on settings of different orders.
+"""Tests with real processes that act on settings of different revisions.
 
-Brought up, shut out, back, and what their records say afterwards.
+They cover how members adopt settings, are shut out and return, and what their records show.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from hazelhollow.net.scheduler import Clock, Scheduler
 from tests.replication.test_processes import ReplicatedFleet
 
-ASK_EVERY = 0.005  # seconds
+REQUEST_INTERVAL_S = 0.005  # seconds
 
 
 class Audited(ReplicatedFleet):
@@ -38,7 +38,7 @@
         return [self.audit(name).get("order") for name in names or self.cluster.names]
 
     def state(self, observer: str, number: int) -> str:
-        """What one that may have begun only just now holds another for."""
+        """Returns a member's state at an observer, which may have started just now."""
         return str(self.view(observer).get(str(number), [""])[0])
 
     def change(self, name: str, order: int) -> None:
@@ -53,35 +53,35 @@
 def audited(tmp_path: Path) -> Any:
     (tmp_path / "fleet").mkdir()
     three = plan.Plan(name="x", instances=3, hosts=1)
-    one = Audited(
+    fleet = Audited(
         LoopbackCluster(Scheduler(Clock()), three, tmp_path / "fleet", operator=audit_file)
     )
-    one.until(lambda: one.whole() and one.orders() == [0, 0, 0])
-    yield one
-    one.cluster.close()
+    fleet.until(lambda: fleet.whole() and fleet.orders() == [0, 0, 0])
+    yield fleet
+    fleet.cluster.close()
 
 
-def test_settings_reach_all_members_and_one_that_was_dead(
+def test_settings_reach_all_members_and_one_that_was_down(
     audited: Audited,
 ) -> None:
-    """One of three is dead while settings change, and comes back on its old files."""
+    """One of three members is down while settings change, and restarts with its old files."""
     audited.cluster.processes.kill("n2")
     audited.change("n0", 1)
     audited.until(lambda: audited.orders("n0", "n1") == [1, 1])
-    audited.cluster.processes.start("n2")  # with the files that it had
+    audited.cluster.processes.start("n2")  # with its old files
     audited.until(lambda: audited.orders() == [1, 1, 1])
     assert len({audited.audit(name)["settings"] for name in audited.cluster.names}) == 1
-    # A roll back on purpose is the old settings under a greater order, wherever it is given.
+    # An operator rolls back by giving any member the old settings under a greater revision.
     audited.cluster.write_files("n2", 0)
-    home = audited.folder / "n2" / "operator.cue"
-    home.write_text(home.read_text().replace("order: 0", "order: 2"))
+    operator_file = audited.folder / "n2" / "operator.cue"
+    operator_file.write_text(operator_file.read_text().replace("order: 0", "order: 2"))
     audited.cluster.processes.signal("n2", signal.SIGHUP)
 
     def why_of(found: merge.AuditMerge) -> dict[tuple[int, int], str]:
         return {
             (span.member, span.revision): span.reason
-            for one in found.members.values()
-            for span in one.spans
+            for timeline in found.members.values()
+            for span in timeline.spans
         }
 
     audited.until(lambda: {(n, 2) for n in range(3)} <= set(why_of(audited.records())))
@@ -101,8 +101,9 @@
 def test_settings_are_on_record_before_a_request_is_served_by_them(
     audited: Audited, killed: str
 ) -> None:
-    """The member that read the file (n0) and one that was given the settings (n1), killed in the
-    turn of the first answer.
+    """A member is killed right after its first answer under new settings.
+
+    This is the member that read the file (n0) or one that got the settings from it (n1).
     """
     cluster = audited.cluster
     number = cluster.names.index(killed)
@@ -113,7 +114,7 @@
             target = ClientTarget(killed, number, cluster.own(number + 1, CLIENT_PORT))
             prober = SettingsProber(cluster.scheduler, target, ProbeOptions(1, set_size=3), out)
             while prober.ask("o1") != "served":
-                cluster.scheduler.sleep(ASK_EVERY)
+                cluster.scheduler.sleep(REQUEST_INTERVAL_S)
         cluster.processes.kill(killed)
         answers.append("served")
 
@@ -123,7 +124,7 @@
     assert [span.revision for span in audited.records().members[number].spans] == [0, 1]
 
 
-def test_running_limiters_tell_their_records(audited: Audited) -> None:
+def test_running_limiters_return_their_records(audited: Audited) -> None:
     audited.change("n0", 1)
     audited.until(lambda: audited.orders() == [1, 1, 1])
 
@@ -137,7 +138,7 @@
         )
 
     audited.until(
-        lambda: [span.revision for one in live().members.values() for span in one.spans]
+        lambda: [span.revision for timeline in live().members.values() for span in timeline.spans]
         == [0, 1] * 3
     )
     assert not live().findings
@@ -146,11 +147,11 @@
 def test_a_member_that_needs_a_restart_for_newer_settings_is_shut_out(
     audited: Audited,
 ) -> None:
-    """The newer settings change a plan, which no running limiter takes; it needs a restart."""
+    """The newer settings change a plan, which needs a restart."""
     audited.change("n0", FIRST_PLAN_REVISION)
     audited.until(lambda: b'"reload_failure":1' in audited.call("n0", "vars"))
-    assert audited.orders() == [0, 0, 0]  # what it cannot take live it does not claim to act on
-    for name in ("n0", "n1"):  # a plan changes: they are started again with it
+    assert audited.orders() == [0, 0, 0]  # it does not announce settings that it cannot apply
+    for name in ("n0", "n1"):  # these two are restarted with the changed plan
         audited.cluster.processes.kill(name)
         audited.cluster.write_files(name, FIRST_PLAN_REVISION)
         audited.cluster.processes.start(name)
@@ -171,25 +172,25 @@
     audited.until(lambda: audited.state("n0", 2) == "alive")
 
 
-def test_half_of_the_processes_serve_on_when_most_are_behind(audited: Audited) -> None:
-    """Two of three cannot use the newer settings; one of these goes on serving."""
+def test_half_of_the_processes_keep_serving_when_most_are_behind(audited: Audited) -> None:
+    """Two of three members cannot use the newer settings; one of these keeps serving."""
     audited.cluster.processes.kill("n0")
     audited.cluster.write_files("n0", FIRST_PLAN_REVISION)
     audited.cluster.processes.start("n0")
     audited.until(lambda: audited.audit("n2").get("state") == "shut out")
     audited.until(
         lambda: audited.audit("n1").get("state") == "behind"
-    )  # two of three serve: the floor is half
+    )  # so two of three serve: at least half have to
     assert audited.call("n1", "check").startswith(b"done")
 
 
-def test_two_settings_under_one_revision_on_two_sides_of_a_partition(audited: Audited) -> None:
-    """Each side of a partition gets other settings under one revision; all serve on."""
+def test_a_revision_with_two_settings_in_a_partition_is_reported(audited: Audited) -> None:
+    """Each side of a partition gets different settings under one revision; all keep serving."""
     number = audited.apart(("n0",))
     audited.change("n0", 1)
-    audited.cluster.write_files("n1", 2)  # other settings, under the same number
-    home = audited.folder / "n1" / "operator.cue"
-    home.write_text(home.read_text().replace("order: 2", "order: 1"))
+    audited.cluster.write_files("n1", 2)  # different settings under the same revision
+    operator_file = audited.folder / "n1" / "operator.cue"
+    operator_file.write_text(operator_file.read_text().replace("order: 2", "order: 1"))
     audited.cluster.processes.signal("n1", signal.SIGHUP)
     audited.until(lambda: audited.orders("n0", "n1", "n2") == [1, 1, 1])
     audited.cluster.relay.end(number)
@@ -201,17 +202,17 @@
     audited.until(
         lambda: "contradiction" in {finding.kind for finding in audited.records().findings}
     )
-    audited.change("n2", 3)  # the operator raises the order: that settles it
+    audited.change("n2", 3)  # a greater revision resolves the contradiction
     audited.until(
         lambda: audited.orders() == [3, 3, 3]
         and {audited.audit(n).get("state") for n in audited.cluster.names} == {"current"}
     )
 
 
-def test_the_audit_is_right_through_loss_a_pause_and_a_kill(
+def test_the_audit_is_correct_through_loss_a_pause_and_a_kill(
     tmp_path: Path,
 ) -> None:
-    """Settings change while datagrams are lost and members stand still or are killed."""
+    """Settings change while datagrams are lost and members are paused or killed."""
     events = (
         plan.Event(at=2.0, what="lose", whom=("*",), others=("*",), lasts=6.0, amount=0.2),
         plan.Event(at=2.5, what="pause", whom=("n3",), lasts=3.0),
@@ -237,34 +238,34 @@
     assert not found["audit_findings"] and found["requests"] > 300
 
 
-def test_a_rollout_goes_on_without_its_leader(
+def test_a_rollout_continues_without_its_leader(
     audited: Audited,
 ) -> None:
-    """The member that was given the settings is killed, and comes back on its old files.
+    """The leader of a rollout is killed, and restarts with its old files.
 
-    Another canary releases them; a third member rolls them back.
+    An operator releases the candidate at another canary and rolls it back at a third member.
     """
     names = audited.cluster.names
     new = audited.cluster.config(0, 1)
     (audited.folder / "n0" / "next.json").write_text(json.dumps(new))
     assert audited.call("n0", "config push next.json 1 2 600") == b"done config push\n"
 
-    def tried_by() -> list[str]:
+    def canary_names() -> list[str]:
         return [name for name in names if audited.audit(name).get("candidate")]
 
-    audited.until(lambda: len(tried_by()) == 2)
-    (other,) = set(tried_by()) - {"n0"}
+    audited.until(lambda: len(canary_names()) == 2)
+    (other,) = set(canary_names()) - {"n0"}
     (idle,) = set(names) - {"n0", other}
     assert audited.audit(idle)["order"] == 0
-    # The idle member hears of the candidate by membership, some heartbeats after it is tried.
+    # Membership announces the candidate to the idle member some heartbeats after it is tried.
     audited.until(lambda: b"members that do" in audited.call(idle, "config hold"))
     audited.cluster.processes.kill("n0")
     audited.until(lambda: audited.state(other, 0) == "dead")
-    audited.until(lambda: set(tried_by()) == {other, idle})  # one more tries them in its place
+    audited.until(lambda: set(canary_names()) == {other, idle})  # another member replaces it
     audited.cluster.processes.start("n0")
     audited.until(lambda: audited.state(other, 0) == "alive" and audited.audit("n0")["order"] == 0)
     assert audited.call(other, "config release") == b"done config release\n"
-    audited.until(lambda: audited.orders() == [1, 1, 1] and not tried_by())
+    audited.until(lambda: audited.orders() == [1, 1, 1] and not canary_names())
     assert audited.call(idle, "config rollback") == b"done config rollback\n"
     audited.until(lambda: audited.orders() == [2, 2, 2])
     assert len({audited.audit(name)["settings"] for name in names}) == 1
--- a/tests/configuration/test_audit_record.py
+++ b/tests/configuration/test_audit_record.py
@@ -1,4 +1,4 @@
-"""The audit record: its stored form, its segments, its bounds."""
+"""Tests of the audit record: its stored form, its segments and its bounds."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 
 
 @given(st.integers(0, 200))
-def test_a_torn_tail_is_reported_and_what_stands_before_it_is_read(torn: int) -> None:
-    """The machine died while an entry was being written: the segment ends in the midst of it."""
-    whole = [entry(1.0 + n, serial=n) for n in range(3)]
-    data = b"".join(map(audit_entries.encode_entry, whole))
+def test_a_truncated_tail_is_reported_and_earlier_entries_are_read(torn: int) -> None:
+    """The machine failed while an entry was being written: the segment ends within the entry."""
+    entries = [entry(1.0 + n, serial=n) for n in range(3)]
+    data = b"".join(map(audit_entries.encode_entry, entries))
     found = list(audit_entries.decode_entries(data[: max(0, len(data) - torn)]))
-    good = [one for one in found if isinstance(one, AuditEntry)]
-    assert good == whole[: len(good)] and len(found) - len(good) == (
-        0 < torn < len(data) and len(data) - torn not in _ends(whole)
+    decoded = [item for item in found if isinstance(item, AuditEntry)]
+    assert decoded == entries[: len(decoded)] and len(found) - len(decoded) == (
+        0 < torn < len(data) and len(data) - torn not in _ends(entries)
     )
 
 
-def _ends(whole: list[AuditEntry]) -> set[int]:
-    sizes = [len(audit_entries.encode_entry(one)) for one in whole]
+def _ends(entries: list[AuditEntry]) -> set[int]:
+    sizes = [len(audit_entries.encode_entry(item)) for item in entries]
     return {sum(sizes[:n]) for n in range(len(sizes) + 1)}
 
 
 def test_a_damaged_entry_is_never_read_as_another() -> None:
-    """A byte of a segment has changed on disk. The checksum shows it."""
+    """A byte of a segment has changed on disk; the checksum does not match."""
     data = bytearray(
         audit_entries.encode_entry(entry(1.0)) + audit_entries.encode_entry(entry(2.0, serial=2))
     )
     data[12] ^= 0xFF
     assert [
-        one for one in audit_entries.decode_entries(bytes(data)) if isinstance(one, AuditEntry)
+        item for item in audit_entries.decode_entries(bytes(data)) if isinstance(item, AuditEntry)
     ] == []
 
 
@@ -51,27 +51,27 @@
     monkeypatch.setattr(segments, "MAX_SEGMENT_BYTES", 300)
     monkeypatch.setattr(segments, "MAX_SEGMENTS", 3)
     for incarnation in (1, 2):
-        one = AuditRecord(4, incarnation, SegmentWriter(tmp_path, 4, incarnation))
+        audit_record = AuditRecord(4, incarnation, SegmentWriter(tmp_path, 4, incarnation))
         for n in range(30):
-            one.add(float(n), EntryKind.SETTINGS, "aaaa")
-            one.flush()
-        one.close()
+            audit_record.add(float(n), EntryKind.SETTINGS, "aaaa")
+            audit_record.flush()
+        audit_record.close()
     names = sorted(os.listdir(tmp_path))
     assert len(names) == 3 and all("-00000000000002-" in name for name in names)
     assert all(path.stat().st_size <= 300 for path in tmp_path.iterdir())
 
 
-def test_a_failing_disk_costs_the_record_alone(
+def test_a_failing_disk_affects_only_the_record(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The folder is gone. That is logged once, and the entries in memory stay bounded."""
-    one = AuditRecord(4, 1, SegmentWriter(tmp_path / "absent", 4, 1))
+    """The folder does not exist: this is logged once, and the entries in memory stay bounded."""
+    audit_record = AuditRecord(4, 1, SegmentWriter(tmp_path / "absent", 4, 1))
     for n in range(record.MAX_ENTRIES_IN_MEMORY + 10):
-        one.add(float(n), EntryKind.SETTINGS, "aaaa")
+        audit_record.add(float(n), EntryKind.SETTINGS, "aaaa")
         if n < 3:
-            one.flush()
-    one.close()
+            audit_record.flush()
+    audit_record.close()
     assert (
         caplog.text.count("cannot be written") == 1
-        and len(one.entries) == record.MAX_ENTRIES_IN_MEMORY
+        and len(audit_record.entries) == record.MAX_ENTRIES_IN_MEMORY
     )
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -1,6 +1,6 @@
-"""Documents of settings told by what has changed.
+"""Tests of deltas between settings documents.
 
-The changes alone, and their way from member to member.
+They cover the changes themselves and their transfer between members.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     settings_digest(BASE), {k: v for k, v in BASE.items() if k not in ("position", "zone")}
 )
 
-# The changes
+# Changes
 
 names = st.sampled_from("abcde")
 leaf = st.none() | st.booleans() | st.integers(-2, 2) | st.sampled_from([0.0, 1.0, 1.5]) | names
@@ -70,13 +70,13 @@
     base: dict[str, Any], new: dict[str, Any]
 ) -> None:
     before = copy.deepcopy(base)
-    made = apply_delta(base, compute_delta(base, new))
-    assert settings_digest(made) == settings_digest(new)
+    applied = apply_delta(base, compute_delta(base, new))
+    assert settings_digest(applied) == settings_digest(new)
     assert base == before
     assert compute_delta(new, new) == [] and compute_delta(copy.deepcopy(new), new) == []
 
 
-def test_a_list_with_a_name_that_stands_twice_is_replaced() -> None:
+def test_a_list_with_a_duplicate_name_is_replaced() -> None:
     base = {"grades": [{"name": "a", "x": 1}, {"name": "a", "x": 2}]}
     new = {"grades": [{"name": "a", "x": 3}, {"name": "a", "x": 2}]}
     assert (
@@ -85,9 +85,11 @@
     )
 
 
-def test_what_did_not_change_is_shared_with_the_base() -> None:
-    made = apply_delta(BASE, compute_delta(BASE, NEW))
-    assert [made["grades"][n] is BASE["grades"][n] for n in range(9)] == [n != 4 for n in range(9)]
+def test_unchanged_parts_are_shared_with_the_base() -> None:
+    applied = apply_delta(BASE, compute_delta(BASE, NEW))
+    assert [applied["grades"][n] is BASE["grades"][n] for n in range(9)] == [
+        n != 4 for n in range(9)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -113,7 +115,7 @@
         ({**BASE, "grades": BASE["grades"][::-1]}, [["=", ["grades"], BASE["grades"][::-1]]]),
     ],
 )
-def test_a_delta_is_as_short_as_it_can_be(new: dict[str, Any], changes: list[Change]) -> None:
+def test_a_delta_contains_the_smallest_changes(new: dict[str, Any], changes: list[Change]) -> None:
     assert compute_delta(BASE, new) == changes
 
 
@@ -139,18 +141,18 @@
     ],
 )
 def test_a_delta_that_does_not_fit_raises_value_error(changes: list[Any]) -> None:
-    """A peer gives changes of another base, or nonsense. Nothing but ValueError may come of it."""
+    """A peer sends changes from another base, or malformed ones; no other error may be raised."""
     before = copy.deepcopy(BASE)
     with pytest.raises(ValueError):
         apply_delta(BASE, changes)
     assert before == BASE
 
 
-# From member to member
+# Transfer between members
 
 
 def source_of(new: dict[str, Any] = NEW, *bases: DeltaBase) -> DocumentSource:
-    """It has acted on these bases, one after the other, before the new ones."""
+    """The source of a member that acted on these bases in turn before the new settings."""
     history = SettingsHistory()
     for base in bases:
         history.put(base.digest, base.document)
@@ -172,29 +174,29 @@
     fetch: DocumentFetch,
     answers: Callable[[codec.PieceRequest], list[str]],
     max_requests: int = 60,
-    chance: random.Random | None = None,
+    rng: random.Random | None = None,
     lose: float = 0.0,
 ) -> tuple[dict[str, Any] | None, list[codec.PieceRequest]]:
-    """The document that is fetched, if it is, and the requests, each to another member."""
-    chance, requests = chance or random.Random(1), list[codec.PieceRequest]()
+    """Fetches a document, with each request to another member; returns it and the requests."""
+    rng, requests = rng or random.Random(1), list[codec.PieceRequest]()
     for number in range(max_requests):
         request = codec.decode(fetch.next_request(bool(fetch.delta_holders([number]))))
         assert isinstance(request, codec.PieceRequest)
         requests.append(request)
-        replies = answers(request)
-        chance.shuffle(replies)
-        for text in replies:
-            if chance.random() < lose:
+        texts = answers(request)
+        rng.shuffle(texts)
+        for text in texts:
+            if rng.random() < lose:
                 continue
-            reply = codec.decode(text)
-            if isinstance(reply, codec.DeltaUnavailable):
-                fetch.delta_refused(number, reply)
-            elif isinstance(reply, codec.Piece) and (document := fetch.put(reply)):
+            datagram = codec.decode(text)
+            if isinstance(datagram, codec.DeltaUnavailable):
+                fetch.delta_refused(number, datagram)
+            elif isinstance(datagram, codec.Piece) and (document := fetch.put(datagram)):
                 return document, requests
     return None, requests
 
 
-def test_one_changed_route_of_thousands_is_one_datagram() -> None:
+def test_one_changed_route_of_thousands_fits_one_datagram() -> None:
     size, terms = (
         Size(limiters=12, servers=3, routes=11_000, tenants=4, requests_per_s=1.0),
         FleetTerms(),
@@ -212,21 +214,21 @@
 
 @pytest.mark.parametrize("lose", [0.0, 0.4])
 def test_a_long_delta_is_assembled_through_loss_and_reordering(lose: float) -> None:
-    """Datagrams are lost and reordered; the delta is applied all the same."""
-    chance = random.Random(3)
+    """Datagrams are lost and reordered while a long delta is transferred."""
+    rng = random.Random(3)
     base: dict[str, Any] = {
-        "grades": [{"name": f"class-{n}", "key": chance.random()} for n in range(2_000)],
+        "grades": [{"name": f"class-{n}", "key": rng.random()} for n in range(2_000)],
         "step": 1,
     }
     new = {
         **base,
-        "grades": [{**one, "key": chance.random()} for one in base["grades"][:1_500]]
+        "grades": [{**entry, "key": rng.random()} for entry in base["grades"][:1_500]]
         + base["grades"][1_500:],
     }
     delta_base = DeltaBase(settings_digest(base), base)
-    one = fetch_of(new, delta_base)
+    fetch = fetch_of(new, delta_base)
     document, requests = converse(
-        one, source_of(new, delta_base).answer_at_once, chance=chance, lose=lose
+        fetch, source_of(new, delta_base).answer_at_once, rng=rng, lose=lose
     )
     assert (
         document == new
@@ -235,8 +237,8 @@
     )
 
 
-def test_a_member_with_unknown_settings_gets_the_whole_document() -> None:
-    """Nobody knows the settings from which the delta is wanted, and three members say so."""
+def test_a_member_with_unknown_settings_gets_the_full_document() -> None:
+    """No member has the settings from which the delta is wanted; three report that they lack it."""
     document, requests = converse(fetch_of(), source_of().answer_at_once)
     assert document == apply_delta(
         KNOWN.document, compute_delta(KNOWN.document, shared_settings(NEW))
@@ -246,11 +248,11 @@
     assert set(bases[MAX_DELTA_REFUSALS:]) == {""}
 
 
-def test_a_release_without_deltas_is_asked_for_the_whole_document() -> None:
-    """A program of the release before does not answer a request that it cannot read."""
-    whole = source_of()
+def test_a_release_without_deltas_is_asked_for_the_full_document() -> None:
+    """A program of an earlier release does not answer a request that it cannot decode."""
+    source = source_of()
     document, requests = converse(
-        fetch_of(), lambda request: [] if request.base else whole.answer_at_once(request)
+        fetch_of(), lambda request: [] if request.base else source.answer_at_once(request)
     )
     assert (
         document is not None
@@ -259,40 +261,43 @@
     )
 
 
-def test_the_only_holder_has_no_delta() -> None:
-    """The only holder started with the new settings and has no others as a base."""
-    one, origin = fetch_of(), source_of()
-    assert one.delta_holders([5]) == [5]
-    (refusal,) = origin.answer_at_once(codec.PieceRequest(ORDER, (), one.base))
-    reply = codec.decode(refusal)
-    assert isinstance(reply, codec.DeltaUnavailable)
-    one.delta_refused(5, reply)
-    assert one.delta_holders([5]) == [] and one.delta_holders([5, 6]) == [6]
-    whole = codec.decode(one.next_request(False))
-    assert isinstance(whole, codec.PieceRequest) and whole.base == ""
-    # 6 has taken the whole
-    (text,) = source_of(NEW, KNOWN).answer_at_once(codec.PieceRequest(ORDER, (), one.base))
+def test_without_a_delta_at_the_holder_the_full_document_is_requested() -> None:
+    """The only holder started with the new settings and has no others as a base.
+
+    Once a member has fetched the full document from it, that member can send the delta.
+    """
+    fetch, origin = fetch_of(), source_of()
+    assert fetch.delta_holders([5]) == [5]
+    (refusal,) = origin.answer_at_once(codec.PieceRequest(ORDER, (), fetch.base))
+    datagram = codec.decode(refusal)
+    assert isinstance(datagram, codec.DeltaUnavailable)
+    fetch.delta_refused(5, datagram)
+    assert fetch.delta_holders([5]) == [] and fetch.delta_holders([5, 6]) == [6]
+    request = codec.decode(fetch.next_request(False))
+    assert isinstance(request, codec.PieceRequest) and request.base == ""
+    # member 6 has fetched the full document
+    (text,) = source_of(NEW, KNOWN).answer_at_once(codec.PieceRequest(ORDER, (), fetch.base))
     piece = codec.decode(text)
-    assert isinstance(piece, codec.Piece) and one.put(piece) is not None
+    assert isinstance(piece, codec.Piece) and fetch.put(piece) is not None
 
 
-def test_a_wrong_delta_is_discarded_for_the_whole_document() -> None:
-    """A member gives a delta that makes another document than the announced one."""
+def test_after_a_wrong_delta_the_full_document_is_requested() -> None:
+    """A member sends a delta that does not make the announced document."""
     wrong = codec.encode_piece(
         codec.Piece(ORDER, settings_digest(NEW), 0, 1, packed([["-", ["step"]]])[0], KNOWN.digest)
     )
-    whole = source_of()
+    source = source_of()
     document, requests = converse(
-        fetch_of(), lambda request: [wrong] if request.base else whole.answer_at_once(request)
+        fetch_of(), lambda request: [wrong] if request.base else source.answer_at_once(request)
     )
     assert document is not None and settings_digest(document) == settings_digest(NEW)
     assert [request.base for request in requests][0] == KNOWN.digest and requests[1].base == ""
 
 
 @pytest.mark.parametrize("told", ["whole", "other base", "other order"])
-def test_pieces_of_something_else_do_not_enter_a_delta(told: str) -> None:
-    """Pieces of another base, of another revision and of the whole document arrive meanwhile."""
-    one, right = fetch_of(), source_of(NEW, KNOWN)
+def test_pieces_that_do_not_belong_to_the_delta_are_ignored(told: str) -> None:
+    """Pieces of another base, another revision and the full document arrive in between."""
+    fetch, right = fetch_of(), source_of(NEW, KNOWN)
     text = packed([["-", ["step"]]])[0]
     digest, base = settings_digest(NEW), KNOWN.digest
     other = {
@@ -300,24 +305,24 @@
         "other base": codec.Piece(ORDER, digest, 0, 1, text, "zzzz"),
         "other order": codec.Piece(ORDER - 1, digest, 0, 1, text, base),
     }[told]
-    assert one.put(other) is None and one.base == base and not one._delta_pieces._texts
-    assert converse(one, right.answer_at_once)[0] is not None
+    assert fetch.put(other) is None and fetch.base == base and not fetch._delta_pieces._texts
+    assert converse(fetch, right.answer_at_once)[0] is not None
 
 
-def test_refusals_of_another_delta_do_not_count() -> None:
-    """Members say that they lack a delta that nobody asked for."""
-    one = fetch_of()
+def test_refusals_of_another_delta_are_ignored() -> None:
+    """Members report that they lack a delta that was not requested."""
+    fetch = fetch_of()
     for sender in range(10):
-        one.delta_refused(sender, codec.DeltaUnavailable(ORDER, "zzzz"))
-        one.delta_refused(sender, codec.DeltaUnavailable(ORDER + 1, KNOWN.digest))
-        one.delta_refused(1, codec.DeltaUnavailable(ORDER, KNOWN.digest))
-    assert one.base == KNOWN.digest
+        fetch.delta_refused(sender, codec.DeltaUnavailable(ORDER, "zzzz"))
+        fetch.delta_refused(sender, codec.DeltaUnavailable(ORDER + 1, KNOWN.digest))
+        fetch.delta_refused(1, codec.DeltaUnavailable(ORDER, KNOWN.digest))
+    assert fetch.base == KNOWN.digest
 
 
-def test_a_delta_as_long_as_the_document_is_not_given() -> None:
-    chance = random.Random(4)
+def test_a_delta_as_long_as_the_document_is_not_sent() -> None:
+    rng = random.Random(4)
     base, new = (
-        {"grades": [{"name": f"{n}", "key": chance.random()} for n in range(60)]} for _ in range(2)
+        {"grades": [{"name": f"{n}", "key": rng.random()} for n in range(60)]} for _ in range(2)
     )
     delta_base = DeltaBase(settings_digest(base), base)
     (text,) = source_of(new, delta_base).answer_at_once(
@@ -326,25 +331,29 @@
     assert codec.decode(text) == codec.DeltaUnavailable(ORDER, delta_base.digest)
 
 
-def test_members_give_each_other_pieces_of_a_delta_that_both_lack() -> None:
-    chance = random.Random(5)
-    base = {"grades": [{"name": f"class-{n}", "key": chance.random()} for n in range(400)]}
+def test_members_forward_pieces_of_an_incomplete_delta() -> None:
+    rng = random.Random(5)
+    base = {"grades": [{"name": f"class-{n}", "key": rng.random()} for n in range(400)]}
     new = {
-        "grades": [{**one, "key": chance.random()} for one in base["grades"][:80]]
+        "grades": [{**entry, "key": rng.random()} for entry in base["grades"][:80]]
         + base["grades"][80:]
     }
     delta_base = DeltaBase(settings_digest(base), base)
-    first, second, other = fetch_of(new, delta_base), fetch_of(new, delta_base), fetch_of(new, None)
+    partial, empty, without_base = (
+        fetch_of(new, delta_base),
+        fetch_of(new, delta_base),
+        fetch_of(new, None),
+    )
     for text in source_of(new, delta_base).answer_at_once(
         codec.PieceRequest(ORDER, (0, 1), delta_base.digest)
     ):
         piece = codec.decode(text)
         assert isinstance(piece, codec.Piece)
-        first.put(piece)
+        partial.put(piece)
     requests = codec.PieceRequest(ORDER, (0, 1, 2), delta_base.digest)
-    given_on = [codec.decode(text) for text in first.answer(requests)]
-    assert [piece.number for piece in given_on if isinstance(piece, codec.Piece)] == [0, 1]
+    forwarded = [codec.decode(text) for text in partial.answer(requests)]
+    assert [piece.number for piece in forwarded if isinstance(piece, codec.Piece)] == [0, 1]
     assert (
-        second.answer(requests) == [] == other.answer(requests)
-        and first.answer(requests._replace(base="")) == []
+        empty.answer(requests) == [] == without_base.answer(requests)
+        and partial.answer(requests._replace(base="")) == []
     )
--- a/tests/configuration/test_fetch.py
+++ b/tests/configuration/test_fetch.py
@@ -1,4 +1,4 @@
-"""A whole document on its way, piece by piece, and datagrams that are malformed."""
+"""Tests of the transfer of a full document in pieces, and of malformed datagrams."""
 
 from __future__ import annotations
 
@@ -21,37 +21,39 @@
 
 @pytest.mark.parametrize("lose", [0.0, 0.3])
 def test_a_document_is_assembled_through_loss_duplicates_and_reordering(lose: float) -> None:
-    """Datagrams are lost, doubled and reordered; the document is complete and right in the end."""
-    chance, source = random.Random(1), DocumentSource(4, DOCUMENT)
-    fetch, got = DocumentFetch(4, source.digest), None
+    """Datagrams are lost, duplicated and reordered while a document is transferred."""
+    rng, source = random.Random(1), DocumentSource(4, DOCUMENT)
+    fetch, received = DocumentFetch(4, source.digest), None
     for _ in range(200):
-        asked = codec.decode(fetch.next_request(False))
-        assert isinstance(asked, codec.PieceRequest) and len(fetch.next_request(False)) <= 256
-        answers = source.answer_at_once(asked)
-        for text in chance.sample([*answers, *answers], 2 * len(answers)):
+        request = codec.decode(fetch.next_request(False))
+        assert isinstance(request, codec.PieceRequest) and len(fetch.next_request(False)) <= 256
+        answers = source.answer_at_once(request)
+        for text in rng.sample([*answers, *answers], 2 * len(answers)):
             piece = codec.decode(text)
-            # room for the keyed hash
+            # leaves room for the keyed hash
             assert isinstance(piece, codec.Piece) and len(text) <= 256 - 18
-            if chance.random() >= lose and got is None:
-                got = fetch.put(piece)
-        if got is not None:
+            if rng.random() >= lose and received is None:
+                received = fetch.put(piece)
+        if received is not None:
             break
-    assert got == versions.shared_settings(DOCUMENT)
+    assert received == versions.shared_settings(DOCUMENT)
 
 
-def test_pieces_of_another_document_are_ignored_and_nonsense_is_discarded() -> None:
-    """A member gives another document, or a text that cannot be unpacked. Neither is taken."""
+def test_pieces_of_another_document_and_garbage_are_discarded() -> None:
+    """A member sends another document, or a text that cannot be unpacked."""
     source = DocumentSource(4, DOCUMENT)
     for fetch in (DocumentFetch(4, "zzzz"), DocumentFetch(5, source.digest)):
-        asked = codec.decode(fetch.next_request(False))
-        assert isinstance(asked, codec.PieceRequest)
+        request = codec.decode(fetch.next_request(False))
+        assert isinstance(request, codec.PieceRequest)
         assert [
             fetch.put(piece)
-            for text in source.answer_at_once(asked)
+            for text in source.answer_at_once(request)
             if isinstance(piece := codec.decode(text), codec.Piece)
         ] in ([], [None])
     forged = DocumentFetch(4, source.digest)
-    assert forged.put(codec.Piece(4, source.digest, 0, 1, "AAAA")) is None  # whole, and nonsense
+    assert (
+        forged.put(codec.Piece(4, source.digest, 0, 1, "AAAA")) is None
+    )  # complete, but cannot be unpacked
     assert (
         isinstance(codec.decode(forged.next_request(False)), codec.PieceRequest)
         and not forged._document_pieces._texts
@@ -59,21 +61,21 @@
 
 
 def test_late_pieces_of_an_older_document_are_ignored() -> None:
-    """Pieces of the revision before arrive between those of the new one."""
+    """Pieces of the previous revision arrive between those of the new one."""
     source, older = DocumentSource(4, DOCUMENT), DocumentSource(3, {**DOCUMENT, "step": 2})
-    fetch, got = DocumentFetch(4, source.digest), []
+    fetch, received = DocumentFetch(4, source.digest), []
     for n, text in enumerate(source.all_pieces()):
-        got.append(fetch.put(codec.Piece(4, source.digest, n, len(source.all_pieces()), text)))
-        got.append(
+        received.append(fetch.put(codec.Piece(4, source.digest, n, len(source.all_pieces()), text)))
+        received.append(
             fetch.put(
                 codec.Piece(3, older.digest, 0, len(source.all_pieces()), older.all_pieces()[0])
             )
         )
-    assert [one for one in got if one] == [versions.shared_settings(DOCUMENT)]
+    assert [document for document in received if document] == [versions.shared_settings(DOCUMENT)]
 
 
 def test_a_document_with_another_digest_than_announced_is_discarded() -> None:
-    """A member gives another document under the announced digest. It is complete, and not taken."""
+    """A member sends another complete document under the announced digest."""
     other = DocumentSource(4, {"step": 2})
     fetch = DocumentFetch(4, DocumentSource(4, DOCUMENT).digest)
     assert (
@@ -83,8 +85,8 @@
     )
 
 
-def test_a_compressed_bomb_is_not_unpacked() -> None:
-    """A few kilobytes of text would unpack to megabytes and exhaust the memory."""
+def test_a_decompression_bomb_is_not_unpacked() -> None:
+    """A few kilobytes of text would unpack to 8 MB; larger ones could exhaust the memory."""
     import base64
     import zlib
 
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -1,4 +1,4 @@
-"""Settings that a member has acted on, and work on documents in slices."""
+"""Tests of the settings history and of work on documents in slices."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 
 @given(st.lists(documents, min_size=1, max_size=6), st.data())
-def test_every_earlier_document_can_be_had_again(
-    told: list[dict[str, Any]], data: st.DataObject
+def test_every_earlier_document_can_be_restored(
+    history_documents: list[dict[str, Any]], data: st.DataObject
 ) -> None:
     history = SettingsHistory()
-    for document in told:
+    for document in history_documents:
         digest = put(history, document)
         assert history.current == digest
         if data.draw(st.booleans()):
-            history.step()  # sometimes it has time in between
-    for document in told:
+            history.step()  # sometimes a slice is computed in between
+    for document in history_documents:
         digest = settings_digest(document)
         found = history.document(digest)
         assert history.knows(digest) and found is not None and settings_digest(found) == digest
@@ -67,44 +67,46 @@
 
 
 def routes(count: int, seed: int = 1) -> dict[str, Any]:
-    chance = random.Random(seed)
-    return {"grades": [{"name": f"r{n}", "deadline": chance.random()} for n in range(count)]}
+    rng = random.Random(seed)
+    return {"grades": [{"name": f"r{n}", "deadline": rng.random()} for n in range(count)]}
 
 
-def test_a_delta_computed_in_slices_is_that_computed_at_once() -> None:
+def test_a_delta_computed_in_slices_equals_one_computed_at_once() -> None:
     base, new = routes(1000, 1), routes(1000, 2)
-    comparison, steps = DeltaComputation(base, new), 1
-    while not comparison.step():
+    computation, steps = DeltaComputation(base, new), 1
+    while not computation.step():
         steps += 1
-    assert steps >= 2000 / incremental.PLACES_PER_STEP  # each route, and its deadline
-    assert comparison.changes == delta_at_once(base, new)
+    assert (
+        steps >= 2000 / incremental.PLACES_PER_STEP
+    )  # one place for each route and one for its deadline
+    assert computation.changes == delta_at_once(base, new)
 
 
 def delta_at_once(base: dict[str, Any], new: dict[str, Any]) -> list[Any]:
-    whole = DeltaComputation(base, new)
-    run_to_end(whole)
-    return whole.changes
+    computation = DeltaComputation(base, new)
+    run_to_end(computation)
+    return computation.changes
 
 
-def shuffled(value: Any, chance: random.Random) -> Any:
-    """The same document with its fields in another order."""
+def shuffled(value: Any, rng: random.Random) -> Any:
+    """Returns the same document with its fields in another order."""
     if isinstance(value, dict):
         items = list(value.items())
-        chance.shuffle(items)
-        return {name: shuffled(inner, chance) for name, inner in items}
-    return [shuffled(inner, chance) for inner in value] if isinstance(value, list) else value
+        rng.shuffle(items)
+        return {name: shuffled(inner, rng) for name, inner in items}
+    return [shuffled(inner, rng) for inner in value] if isinstance(value, list) else value
 
 
 @given(documents, documents, st.integers(0, 9))
 def test_all_members_make_the_same_pieces_of_a_delta(
     base: dict[str, Any], new: dict[str, Any], seed: int
 ) -> None:
-    chance = random.Random(seed)
-    one = packed(delta_at_once(base, new))
-    assert one == packed(delta_at_once(shuffled(base, chance), shuffled(new, chance)))
+    rng = random.Random(seed)
+    pieces = packed(delta_at_once(base, new))
+    assert pieces == packed(delta_at_once(shuffled(base, rng), shuffled(new, rng)))
 
 
-def test_packing_is_done_in_slices_and_unpacked_again() -> None:
+def test_a_document_packed_in_slices_can_be_unpacked() -> None:
     value = routes(3000)
     packing, steps = DocumentPacking(value, codec.PIECE_CHARACTERS), 1
     while not packing.step():
@@ -114,11 +116,11 @@
     assert {len(piece) for piece in packing.pieces[:-1]} == {codec.PIECE_CHARACTERS}
 
 
-# What a member gives, slice by slice
+# Answers of a member, made in slices
 
 
 class RecordedExchange:
-    """One member's exchange, and what it has sent."""
+    """One member's exchange, with a record of what it has sent."""
 
     def __init__(self, document: dict[str, Any], earlier: dict[str, Any]) -> None:
         self.history, self.sent = SettingsHistory(), list[tuple[int, str]]()
@@ -135,7 +137,7 @@
         self.exchange.serve(5, self.digest, document)
 
     def finish(self) -> int:
-        """Steps until nobody waits any more."""
+        """Does all steps until no request waits; returns their number."""
         steps = 0
         while self.exchange.is_busy():
             self.exchange.step(0.0)
@@ -150,41 +152,45 @@
 
 
 def test_requests_wait_until_the_delta_is_made() -> None:
-    one = RecordedExchange(changed(routes(2000)), routes(2000))
+    recorder = RecordedExchange(changed(routes(2000)), routes(2000))
     for number in (3, 4):
-        one.exchange.receive(number, codec.encode_request(5, (), one.base), 0.0)
-    assert not one.sent and one.finish() > 10
-    assert [number for number, _ in one.sent] == [3, 4]
-    given_ = [codec.decode(text) for _, text in one.sent]
-    assert all(isinstance(said, codec.Piece) and said.base == one.base for said in given_)
-    one.exchange.receive(6, codec.encode_request(5, (), one.base), 0.0)  # it is made now
-    assert len(one.sent) == 3 and not one.exchange.is_busy()
-
-
-def test_waiting_requests_are_bounded_and_forgotten_with_the_settings() -> None:
-    """More members ask than can wait, and then the settings change again."""
-    one = RecordedExchange(changed(routes(500)), routes(500))
+        recorder.exchange.receive(number, codec.encode_request(5, (), recorder.base), 0.0)
+    assert not recorder.sent and recorder.finish() > 10
+    assert [number for number, _ in recorder.sent] == [3, 4]
+    answers = [codec.decode(text) for _, text in recorder.sent]
+    assert all(
+        isinstance(answer, codec.Piece) and answer.base == recorder.base for answer in answers
+    )
+    recorder.exchange.receive(
+        6, codec.encode_request(5, (), recorder.base), 0.0
+    )  # the delta is made now
+    assert len(recorder.sent) == 3 and not recorder.exchange.is_busy()
+
+
+def test_waiting_requests_are_bounded_and_dropped_when_settings_change() -> None:
+    """More members send requests than can wait, and then the settings change again."""
+    recorder = RecordedExchange(changed(routes(500)), routes(500))
     for number in range(MAX_WAITING_REQUESTS + 10):
-        one.exchange.receive(number, codec.encode_request(5, (), one.base), 0.0)
-    one.finish()
-    assert len(one.sent) == MAX_WAITING_REQUESTS
-    one.exchange.receive(1, codec.encode_request(5, ()), 0.0)
-    one.exchange.serve(6, one.digest, changed(routes(500)))
-    assert not one.exchange.is_busy()
+        recorder.exchange.receive(number, codec.encode_request(5, (), recorder.base), 0.0)
+    recorder.finish()
+    assert len(recorder.sent) == MAX_WAITING_REQUESTS
+    recorder.exchange.receive(1, codec.encode_request(5, ()), 0.0)
+    recorder.exchange.serve(6, recorder.digest, changed(routes(500)))
+    assert not recorder.exchange.is_busy()
 
 
 def test_the_pieces_sent_in_a_second_are_bounded() -> None:
-    """Forty members ask at once. No more than so many datagrams leave in a second."""
-    one = RecordedExchange(routes(2000, 3), routes(2000))
+    """40 members send requests at once; at most MAX_PIECES_SENT_PER_S datagrams are sent."""
+    recorder = RecordedExchange(routes(2000, 3), routes(2000))
     pieces = range(codec.MAX_PIECES_PER_REQUEST)
-    one.exchange.receive(1, codec.encode_request(5, pieces), 0.0)
-    one.finish()
+    recorder.exchange.receive(1, codec.encode_request(5, pieces), 0.0)
+    recorder.finish()
     for number in range(40):
-        one.exchange.receive(number, codec.encode_request(5, pieces), 0.0)
-    assert len(one.sent) == 200
-    one.exchange.new_second()
-    one.exchange.receive(1, codec.encode_request(5, pieces), 1.0)
-    assert len(one.sent) == 200 + codec.MAX_PIECES_PER_REQUEST
+        recorder.exchange.receive(number, codec.encode_request(5, pieces), 0.0)
+    assert len(recorder.sent) == 200
+    recorder.exchange.new_second()
+    recorder.exchange.receive(1, codec.encode_request(5, pieces), 1.0)
+    assert len(recorder.sent) == 200 + codec.MAX_PIECES_PER_REQUEST
 
 
 def test_a_wanted_document_is_requested_as_a_delta() -> None:
@@ -194,8 +200,8 @@
     )
     requester.exchange.fetch(WantedDocument(5, holder.digest, (0,)), {0, 1}, 0.0)
     ((number, request),) = requester.sent
-    said = codec.decode(request)
-    assert number == 0 and isinstance(said, codec.PieceRequest) and said.base == holder.base
+    decoded = codec.decode(request)
+    assert number == 0 and isinstance(decoded, codec.PieceRequest) and decoded.base == holder.base
     holder.exchange.receive(1, request, 0.0)
     holder.finish()
     arrived = requester.exchange.receive(0, holder.sent[0][1], 0.0)
--- a/tests/configuration/test_stored_formats.py
+++ b/tests/configuration/test_stored_formats.py
@@ -1,7 +1,7 @@
-"""What travels between members and what stands on disk, byte for byte.
+"""Tests of the datagrams between members and of the stored record, byte for byte.
 
-Made by the program before its parts got their present names: a program of either release reads what
-the other wrote.
+The expected bytes were made by the release before the parts of the program were renamed: programs
+of both releases have to read what the other wrote.
 """
 
 from __future__ import annotations
@@ -81,28 +81,28 @@
 )
 
 
-def test_versions_ride_with_the_membership_record_as_before() -> None:
+def test_versions_are_encoded_as_in_the_earlier_release() -> None:
     assert {versions.encode(member): member for member in VERSIONS.values()} == VERSIONS
     assert {text: versions.decode(text) for text in VERSIONS} == VERSIONS
     beyond = VERSIONS["i4pzzzzk3f90007a1cz0q1"]._replace(revision=46656, list_index=36**4 + 7)
     assert versions.encode(beyond) == "i4pzzzzk3f90007a1cz0q1"
 
 
-def test_digests_are_as_before() -> None:
-    """Members of two releases that have the same settings would else contradict each other."""
+def test_digests_equal_those_of_the_earlier_release() -> None:
+    """Otherwise members of two releases with the same settings would report a contradiction."""
     assert (settings_digest(BASE), settings_digest(NEW)) == ("y882", "yig5")
     assert versions.overrides_digest({"h1"}) == "zp6r"
 
 
-def test_requests_and_refusals_are_encoded_as_before() -> None:
+def test_requests_and_refusals_are_encoded_as_in_the_earlier_release() -> None:
     assert codec.encode_request(2, (0, 1, 36)) == "d1q 2 0-1-10"
     assert codec.encode_request(2, ()) == "d1q 2 "
     assert codec.encode_request(46655, (5,), "a0x1") == "d1q zzz 5 a0x1"
     assert codec.encode_delta_unavailable(codec.DeltaUnavailable(2, "a0x1")) == "d1n 2 a0x1"
 
 
-def test_pieces_are_packed_and_encoded_as_before() -> None:
-    """Pieces of a document come from several members, so all have to cut it alike."""
+def test_pieces_are_packed_and_encoded_as_in_the_earlier_release() -> None:
+    """Pieces of a document come from several members, so all have to split it in the same way."""
     history = SettingsHistory()
     for document in (BASE, NEW):
         history.put(settings_digest(document), versions.shared_settings(document))
@@ -113,33 +113,33 @@
 
 
 def record() -> AuditRecord:
-    """A record with an entry of each kind."""
-    found = AuditRecord(4, 1_700_000_000_000)
-    found.add(1.5, EntryKind.PROGRAM, "1.0", "began", revision=3)
-    found.add(1.5, EntryKind.SETTINGS, "aaaa", "began", revision=3, candidate=True)
-    found.add(2.0, EntryKind.ENDPOINT_LIST, "17", revision=3)
-    found.add(2.0, EntryKind.OVERRIDES, "z0q1", hosts={"h1": 1}, revision=3)
+    """Returns a record with an entry of each kind."""
+    audit_record = AuditRecord(4, 1_700_000_000_000)
+    audit_record.add(1.5, EntryKind.PROGRAM, "1.0", "began", revision=3)
+    audit_record.add(1.5, EntryKind.SETTINGS, "aaaa", "began", revision=3, candidate=True)
+    audit_record.add(2.0, EntryKind.ENDPOINT_LIST, "17", revision=3)
+    audit_record.add(2.0, EntryKind.OVERRIDES, "z0q1", hosts={"h1": 1}, revision=3)
     why = "nobody gave order 4 within 5 s"
-    found.add(2.25, EntryKind.VERDICT, SettingsState.SHUT_OUT, why, revision=3)
-    found.add(2.5, EntryKind.PEER_VERSIONS, "i4pz004k3f9005wa1cz0q1", revision=3, peer=2)
+    audit_record.add(2.25, EntryKind.VERDICT, SettingsState.SHUT_OUT, why, revision=3)
+    audit_record.add(2.5, EntryKind.PEER_VERSIONS, "i4pz004k3f9005wa1cz0q1", revision=3, peer=2)
     activity: dict[str, Any] = {
         "counts": {"requests": 5, "failed": 1},
         "hosts": {"h2": 4},
         "samples": ["r-1"],
     }
-    found.add(3.0, EntryKind.ACTIVITY, "aaaa", revision=3, **activity)
-    found.add(4.0, EntryKind.ROLLOUT, RolloutEvent.ROLLED_BACK, "by an operator", revision=5)
-    return found
+    audit_record.add(3.0, EntryKind.ACTIVITY, "aaaa", revision=3, **activity)
+    audit_record.add(4.0, EntryKind.ROLLOUT, RolloutEvent.ROLLED_BACK, "by an operator", revision=5)
+    return audit_record
 
 
-def test_a_segment_is_written_and_read_as_before() -> None:
+def test_a_segment_is_written_and_read_as_in_the_earlier_release() -> None:
     entries = list(record().entries)
     assert {entry.kind for entry in entries} == set(EntryKind)
     assert b"".join(map(encode_entry, entries)) == SEGMENT
-    found = list(decode_entries(SEGMENT))
-    assert found == entries
-    assert all(type(entry.kind) is EntryKind for entry in found if isinstance(entry, AuditEntry))
+    decoded = list(decode_entries(SEGMENT))
+    assert decoded == entries
+    assert all(type(entry.kind) is EntryKind for entry in decoded if isinstance(entry, AuditEntry))
 
 
-def test_a_running_limiter_tells_its_record_as_before() -> None:
+def test_a_record_is_returned_by_a_limiter_as_in_the_earlier_release() -> None:
     assert record().newest() == json.loads(ANSWER)
