--- a/hazelhollow/configuration/admission_verdict.py
+++ b/hazelhollow/configuration/admission_verdict.py
@@ -122,13 +122,13 @@
             )
         )
         if newest not in self._refusals and self._may_still_arrive(newest, now):
-            rejects = just_started and self._enough_serve_without_me(known_versions)
+            rejects = just_started and self._enough_serve_without_self(known_versions)
             reason = f"order {newest} is out, {own} acts here"
             return AdmissionVerdict(SettingsState.ASKING, rejects, holders, reason)
         reason = self._refusals.get(
             newest, f"nobody gave order {newest} within {FETCH_TIMEOUT_S:g} s"
         )
-        if now - self._caught_up_at < MIN_OPEN_S or not self._enough_serve_without_me(
+        if now - self._caught_up_at < MIN_OPEN_S or not self._enough_serve_without_self(
             known_versions
         ):
             reason = f"{reason}; it goes on, or too few would serve"
@@ -146,7 +146,7 @@
         last_piece_at = min(last_piece_at, first_seen_at + MAX_FETCH_S)
         return now - max(first_seen_at, last_piece_at) < FETCH_TIMEOUT_S
 
-    def _enough_serve_without_me(self, known_versions: KnownVersions) -> bool:
+    def _enough_serve_without_self(self, known_versions: KnownVersions) -> bool:
         """Whether this member, which is behind, is not needed to keep enough members serving.
 
         As many members that are behind as MIN_SERVING_SHARE requires have to serve, in the order of
--- a/hazelhollow/configuration/record_keeping.py
+++ b/hazelhollow/configuration/record_keeping.py
@@ -15,7 +15,8 @@
 from hazelhollow.configuration.audit.record import AuditRecord
 from hazelhollow.configuration.state import ConfigurationState
 
-# Wait for the record of settings that are in force already; no request is served during it.
+# Blocking wait for the record of settings that are already in force, so that no request is served
+# under them before.
 DISK_WAIT_S = 0.05
 
 log = logging.getLogger(__name__)
