--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -1,6 +1,6 @@
 """Runs of `hazelhollow bench store`: month-end load on limiters that lease limits from a store.
 
-`play` plays one job and judges it by exact token buckets beside it; `summary` makes the report.
+`run_job` runs one job and judges it by exact token buckets beside it; `summary` makes the report.
 """
 
 from __future__ import annotations
@@ -160,7 +160,7 @@
     return settings
 
 
-def play(job: Job) -> Result:
+def run_job(job: Job) -> Result:
     """One run; the same job gives the same result, whatever runs beside it."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(LOG_LEVEL_ABOVE_ALL))
     draw = random.Random(f"faults {job.kind} {job.seed}")
@@ -212,10 +212,10 @@
 def play_all(jobs: list[Job], processes: int) -> Iterator[Result]:
     """The results in the order of the jobs, as they come."""
     if processes <= 1:
-        yield from map(play, jobs)
+        yield from map(run_job, jobs)
         return
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
-        yield from pool.imap(play, jobs, chunksize=1)
+        yield from pool.imap(run_job, jobs, chunksize=1)
 
 
 def summary(results: list[Result]) -> dict[str, Any]:
--- a/tests/shared_store/test_limiter.py
+++ b/tests/shared_store/test_limiter.py
@@ -61,9 +61,9 @@
         bench.Job(seed, kind, 3, 14.0)
         for kind, seed in [("mixed", 1), ("mixed", 2), ("restart_old", 1), ("down", 1), ("kill", 3)]
     ]
-    results = [bench.play(job) for job in jobs]
+    results = [bench.run_job(job) for job in jobs]
     assert not any(result.broken or result.overshoot > 0 for result in results)
-    assert bench.play(jobs[0]) == results[0] != results[1]
+    assert bench.run_job(jobs[0]) == results[0] != results[1]
     figures = bench.summary(results)
     assert (
         figures["runs"] == 5
