--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -225,13 +225,13 @@
         self._timeline.run_until(self.now + seconds)
 
     def settle(
-        self, condition: Callable[[], bool] | None = None, longest: float = SETTLE_TIMEOUT_S
+        self, condition: Callable[[], bool] | None = None, timeout_s: float = SETTLE_TIMEOUT_S
     ) -> float | None:
         """Let time pass until a condition holds.
 
         Args:
             condition: By default, that all members that are up agree and are right.
-            longest: Seconds after which it gives up.
+            timeout_s: Seconds after which it gives up.
 
         Returns:
             The seconds that it took; None if the condition did not come to hold.
@@ -239,7 +239,7 @@
         began, condition = self.now, condition or self.agreed
         is_large = self._size >= LARGE_FLEET
         while not condition():
-            if self.now - began > longest:
+            if self.now - began > timeout_s:
                 return None
             self.run(LARGE_FLEET_CHECK_FACTOR * CHECK_INTERVAL_S if is_large else CHECK_INTERVAL_S)
         return self.now - began
--- a/tests/membership/helpers.py
+++ b/tests/membership/helpers.py
@@ -83,7 +83,7 @@
 def settled(members: int, seed: int = 1, loss: float = 0.0) -> SimulatedFleet:
     sim = SimulatedFleet(members, seed, loss)
     sim.start_all()
-    assert sim.settle(longest=10.0) is not None
+    assert sim.settle(timeout_s=10.0) is not None
     return sim
 
 
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -32,10 +32,10 @@
     sim = SimulatedFleet(8, 1)
     for number in range(2, 8):
         sim.start(number)
-    assert sim.settle(longest=10.0) is not None
+    assert sim.settle(timeout_s=10.0) is not None
     assert states(sim, 5)[0] == "dead"
     sim.start(0)
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -48,11 +48,11 @@
         for number in gone:
             sim.kill(number)
         began = sim.now
-        assert sim.settle(longest=6.0) is not None
+        assert sim.settle(timeout_s=6.0) is not None
         assert all(sim.suspected[number] - began < 3.0 for number in gone)
         for number in gone:
             sim.start(number)
-        assert sim.settle(longest=5.0) is not None
+        assert sim.settle(timeout_s=5.0) is not None
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -63,7 +63,7 @@
     assert sim.settle(lambda: sim.agreed(range(5)) and sim.agreed(range(5, 12)), 10.0) is not None
     assert states(sim, 0)[11] == "dead"
     sim.is_cut = lambda a, b: False
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_a_cut_link_between_two_kills_nobody_and_both_name_whom_they_cannot_hear() -> None:
@@ -112,7 +112,7 @@
     sim.run(8.0)
     assert all(states(sim, n)[3] == "dead" for n in range(6) if n != 3)
     sim.is_cut = lambda a, b: False
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_flapping_links_settle_once_they_hold() -> None:
@@ -122,7 +122,7 @@
         sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if turn % 2 else (lambda a, b: False)
         sim.run(0.5)
     sim.is_cut = lambda a, b: False
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_a_member_paused_past_its_death_learns_of_it_before_it_admits_work() -> None:
@@ -138,7 +138,7 @@
     sim.resume(2)
     assert not member.may_admit
     assert sim.settle(lambda: member.may_admit, 1.0) is not None
-    assert member.own.record_version > turn and sim.settle(longest=5.0) is not None
+    assert member.own.record_version > turn and sim.settle(timeout_s=5.0) is not None
 
 
 def test_a_member_that_left_is_not_dead_and_can_come_back() -> None:
@@ -148,7 +148,7 @@
     sim.run(3.0)
     assert {states(sim, n)[2] for n in (0, 1, 3)} == {"left"}
     sim.start(2)
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_a_member_that_restarts_with_its_clock_set_back_is_alive() -> None:
@@ -158,7 +158,7 @@
     sim = settled(6)
     sim.kill(2)
     sim.start(2, clock_back=3600.0)
-    assert sim.settle(longest=6.0) is not None
+    assert sim.settle(timeout_s=6.0) is not None
     assert sim.members[2].membership.counts["life_raised"] == 1
 
 
@@ -169,7 +169,7 @@
     sim = SimulatedFleet(7, 1)
     for number in range(6):
         sim.start(number)
-    assert sim.settle(longest=10.0) is not None
+    assert sim.settle(timeout_s=10.0) is not None
     sim.run(10.0)
     missed = Record(6, 36**8, 3, MemberState.LEFT)
     # as if the rumour of it had died out before it came to anybody
