--- a/hazelhollow/bench/count_model/cluster.py
+++ b/hazelhollow/bench/count_model/cluster.py
@@ -1,4 +1,4 @@
-"""The members of the model, the datagrams under way, and what was really charged."""
+"""The state of the model: members, datagrams in flight, and the actual charges."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.replication.count_table import CountRow
 
-FIRST_PERIOD = 1_000  # a second
-TOLERANCE = 0.01  # units
-PERIODS_UNTIL_CLOSED = 4  # until all that was charged is closed
+FIRST_PERIOD = 1_000  # seconds
+TOLERANCE_UNITS = 0.01  # units
+PERIODS_UNTIL_CLOSED = 4  # after which the periods of all charges are closed
 
 StepKind = Literal["charge", "turn", "gossip", "counts", "ask", "deliver", "again", "crash"]
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How much may happen in a sequence.
+    """Upper bounds on the events of a sequence.
 
     Args:
-        members: How many there are.
+        members: Number of members.
         charges: Requests that are charged.
-        sends: Datagrams of gossip and of counts.
+        sends: Datagrams of gossip and of counts, together.
         turns: Ends of periods.
-        crashes: Members that start anew.
+        crashes: Restarts of members that lose their state.
         copies: Datagrams that are duplicated.
-        lags: Turns that one member's clock comes late to.
-        depth: Steps in all.
+        lags: Ends of periods that one member misses because its clock lags.
+        depth: Steps in total.
     """
 
     members: int = 2
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One event; the package's doc comment lists the kinds and their operands."""
+    """One event; the doc comment of the package lists the kinds and their operands."""
 
     kind: StepKind
     operands: tuple[int, ...] = ()
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Gossip:
-    """Charges by period of a sender's incarnation."""
+    """The charges by period of one incarnation of the sender."""
 
     incarnation: str
     units_by_period: dict[int, float]
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True)
 class Counts:
-    """Rows of a sender's table of counts."""
+    """Rows of the sender's table of counts."""
 
     rows: list[CountRow]
 
 
 @dataclass(frozen=True)
 class AccountCopy:
-    """An answer to a member that catches up, for the incarnation that asked."""
+    """The answer to a member that is catching up, addressed to the incarnation that asked."""
 
     asked_by: str
     account: api.AccountReplicated | None
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class Datagram:
-    """Something under way from one member to another."""
+    """A message in flight from one member to another."""
 
     sender: int
     receiver: int
@@ -90,7 +90,7 @@
     """A state of the model.
 
     Args:
-        bounds: What is left to happen at its start.
+        bounds: The events that may happen from the initial state on.
     """
 
     def __init__(self, bounds: Bounds) -> None:
@@ -101,7 +101,7 @@
         ]
         self.datagrams: list[Datagram] = []
         self._charged: dict[MemberIncarnation, int] = {}  # units
-        self._left = {
+        self._remaining = {
             "charge": bounds.charges,
             "send": bounds.sends,
             "turn": bounds.turns,
@@ -113,16 +113,16 @@
     # Steps
 
     def possible_steps(self) -> Iterator[Step]:
-        """What can happen next."""
+        """Yields the steps that are possible in this state."""
         numbers = range(len(self.members))
-        if self._left["charge"]:
+        if self._remaining["charge"]:
             yield from (Step("charge", (n,)) for n in numbers)
-        if self._left["turn"]:
+        if self._remaining["turn"]:
             yield Step("turn")
-            if self._left["lag"]:
+            if self._remaining["lag"]:
                 yield from (Step("turn", (n,)) for n in numbers)
         pairs = [(a, b) for a in numbers for b in numbers if a != b]
-        if self._left["send"]:
+        if self._remaining["send"]:
             yield from (
                 Step("gossip", pair)
                 for pair in pairs
@@ -136,35 +136,35 @@
             for new, source in pairs
             if not self.members[new].is_complete and self.members[source].is_complete
         )
-        for place in range(len(self.datagrams)):
-            yield Step("deliver", (place,))
-            if self._left["again"]:
-                yield Step("again", (place,))
-        if self._left["crash"]:
+        for position in range(len(self.datagrams)):
+            yield Step("deliver", (position,))
+            if self._remaining["again"]:
+                yield Step("again", (position,))
+        if self._remaining["crash"]:
             yield from (Step("crash", (n,)) for n in numbers)
 
-    def take(self, step: Step) -> None:
-        """Let a step happen."""
-        if step.kind in self._left:
-            self._left[step.kind] -= 1
+    def apply(self, step: Step) -> None:
+        """Applies a step to the state."""
+        if step.kind in self._remaining:
+            self._remaining[step.kind] -= 1
         match step.kind, step.operands:
             case "charge", (number,):
                 self._charge(self.members[number])
-            case "turn", late_members:
-                self._left["lag"] -= len(late_members)
-                self._end_period(late_members)
+            case "turn", lagging_members:
+                self._remaining["lag"] -= len(lagging_members)
+                self._end_period(lagging_members)
             case (("gossip" | "counts"), (sender, receiver)):
-                self._left["send"] -= 1
+                self._remaining["send"] -= 1
                 self._send(step.kind, sender, receiver)
             case "ask", (new, source):
                 copy = AccountCopy(
                     self.members[new].context.incarnation, self.members[source].copy_of_account()
                 )
                 self.datagrams.append(Datagram(source, new, copy))
-            case "deliver", (place,):
-                self._receive(self.datagrams.pop(place))
-            case "again", (place,):
-                self._receive(self.datagrams[place])
+            case "deliver", (position,):
+                self._receive(self.datagrams.pop(position))
+            case "again", (position,):
+                self._receive(self.datagrams[position])
             case "crash", (number,):
                 self._restart(number)
 
@@ -172,10 +172,10 @@
         member.charge()
         self._charged[member.incarnation] = self._charged.get(member.incarnation, 0) + 1
 
-    def _end_period(self, late_members: tuple[int, ...]) -> None:
+    def _end_period(self, lagging_members: tuple[int, ...]) -> None:
         self.period += 1
         for number, member in enumerate(self.members):
-            if number not in late_members:
+            if number not in lagging_members:
                 member.begin_period(self.period)
 
     def _send(self, kind: str, sender: int, receiver: int) -> None:
@@ -210,24 +210,25 @@
     # Invariants
 
     def check(self) -> None:
-        """Raise InvariantError if a complete member holds more as used than was charged."""
+        """Raises InvariantError if a complete member accounts for more units than were charged."""
         total = sum(self._charged.values())
         for number, member in enumerate(self.members):
-            if member.is_complete and member.used() > total + TOLERANCE:
+            if member.is_complete and member.used() > total + TOLERANCE_UNITS:
                 raise InvariantError(
-                    f"member {number} holds {member.used():g} for used where {total} were "
-                    "charged: something counts twice"
+                    f"member {number} accounts for {member.used():g} used units but only {total} "
+                    "were charged: a charge is counted twice"
                 )
 
     def check_after_exchange(self) -> None:
-        """Let all hear all, and raise InvariantError unless each then holds what was charged.
+        """Exchanges all counts; raises InvariantError unless each member then has all charges.
 
-        What crashed incarnations charged, and what no row reported, may be known to some alone.
+        Charges of crashed incarnations that no row reported may be known to only some members, so
+        that they are allowed but not required.
         """
-        if not self._complete_all():
-            return  # nobody is left who knows anything
+        if not self._catch_up_all():
+            return  # no complete member is left from which the others could catch up
         for _ in range(PERIODS_UNTIL_CLOSED):
-            self.take(Step("turn"))
+            self.apply(Step("turn"))
         for _ in range(2):
             self._exchange_counts()
         running = {member.incarnation for member in self.members}
@@ -240,16 +241,16 @@
         least = charged_by_running + sum(reported_of_crashed)
         most = sum(self._charged.values())
         for number, member in enumerate(self.members):
-            if not least - TOLERANCE <= member.used() <= most + TOLERANCE:
+            if not least - TOLERANCE_UNITS <= member.used() <= most + TOLERANCE_UNITS:
                 raise InvariantError(
-                    f"in the end member {number} holds {member.used():g} for used; {least} "
-                    f"to {most} were charged"
+                    f"after all counts were exchanged, member {number} accounts for "
+                    f"{member.used():g} used units; {least} to {most} were charged"
                 )
         if len({tuple(member.counts.digests()) for member in self.members}) != 1:
-            raise InvariantError("all have exchanged all counts, and their tables differ")
+            raise InvariantError("all counts were exchanged, but the digests of the tables differ")
 
-    def _complete_all(self) -> bool:
-        """Let members that catch up do so; False if no member can help them."""
+    def _catch_up_all(self) -> bool:
+        """Completes all members; returns False if no complete member is left to catch up from."""
         for member in self.members:
             source = next((other for other in self.members if other.is_complete), None)
             if member.is_complete:
@@ -268,10 +269,10 @@
                     receiver.receive_rows(sender.counts.rows(CUSTOMER))
 
     def snapshot(self) -> tuple[Any, ...]:
-        """All that tells two states apart."""
+        """Returns a value that differs between any two distinguishable states."""
         return (
             self.period,
             tuple(member.snapshot() for member in self.members),
             repr(self.datagrams),
-            tuple(self._left.items()),
+            tuple(self._remaining.items()),
         )
--- a/hazelhollow/bench/count_model/exploration.py
+++ b/hazelhollow/bench/count_model/exploration.py
@@ -9,25 +9,25 @@
 from hazelhollow.bench.count_model.cluster import Bounds, Cluster, Step
 from hazelhollow.bench.errors import InvariantError
 
-PROGRESS_INTERVAL = 1000  # states
+PROGRESS_INTERVAL = 1000  # states between two calls of `progress`
 
 
-def play(bounds: Bounds, steps: tuple[Step, ...]) -> Cluster:
-    """The state after these steps."""
+def replay(bounds: Bounds, steps: tuple[Step, ...]) -> Cluster:
+    """Returns the state after these steps, applied to the initial state."""
     cluster = Cluster(bounds)
     for step in steps:
-        cluster.take(step)
+        cluster.apply(step)
     return cluster
 
 
 @dataclass
-class Found:
-    """What a search found.
+class SearchResult:
+    """The result of a search.
 
     Args:
-        states: How many states were visited.
-        steps: The shortest steps to a broken invariant; empty if none is broken.
-        failure: What is broken; empty if nothing is.
+        states: Number of states visited.
+        steps: The shortest sequence that violates an invariant; empty if none was found.
+        failure: Description of the violation; empty if none was found.
     """
 
     states: int
@@ -39,34 +39,34 @@
     bounds: Bounds,
     progress: Callable[[int], None] = lambda _: None,
     first: tuple[Step, ...] = (),
-) -> Found:
-    """Visit every state within the bounds, or up to the first that breaks an invariant.
+) -> SearchResult:
+    """Visits every state within the bounds and stops at the first that violates an invariant.
 
     Args:
-        bounds: How much may happen.
-        progress: Called with the number of states so far, now and then.
-        first: Steps that all sequences begin with.
+        bounds: The events that may happen.
+        progress: Called with the number of visited states, every PROGRESS_INTERVAL states.
+        first: Steps that all sequences start with.
 
     Returns:
-        Statistics, and the shortest sequence that breaks an invariant.
+        The number of visited states, and the shortest sequence that violates an invariant.
     """
-    seen = {play(bounds, first).snapshot()}
-    waiting, states = deque[tuple[Step, ...]]([first]), 0
-    while waiting:
-        steps = waiting.popleft()
+    seen = {replay(bounds, first).snapshot()}
+    queue, states = deque[tuple[Step, ...]]([first]), 0
+    while queue:
+        steps = queue.popleft()
         states += 1
         if states % PROGRESS_INTERVAL == 0:
             progress(states)
         try:
-            play(bounds, steps).check()
-            play(bounds, steps).check_after_exchange()
+            replay(bounds, steps).check()
+            replay(bounds, steps).check_after_exchange()
         except InvariantError as error:
-            return Found(states, steps, str(error))
+            return SearchResult(states, steps, str(error))
         if len(steps) == bounds.depth:
             continue
-        for step in list(play(bounds, steps).possible_steps()):
-            snapshot = play(bounds, (*steps, step)).snapshot()
+        for step in list(replay(bounds, steps).possible_steps()):
+            snapshot = replay(bounds, (*steps, step)).snapshot()
             if snapshot not in seen:
                 seen.add(snapshot)
-                waiting.append((*steps, step))
-    return Found(states)
+                queue.append((*steps, step))
+    return SearchResult(states)
--- a/hazelhollow/bench/count_model/fault_plan.py
+++ b/hazelhollow/bench/count_model/fault_plan.py
@@ -1,11 +1,11 @@
-"""Turns a sequence of steps into a plan for a fault-injection run on real processes."""
+"""Converts a sequence of steps to a plan for a fault-injection run on real processes."""
 
 from __future__ import annotations
 
 from hazelhollow.bench.count_model.cluster import Bounds, Step
 from hazelhollow.fault_injection.plan import Event, Plan
 
-LEAD_IN_S = 4.0  # before the first step
+LEAD_IN_S = 4.0  # from the start of the run to the first step
 PERIOD_S = 1.0
 RESTART_S = 0.3
 AFTER_LAST_STEP_S = 12.0
@@ -13,28 +13,28 @@
 
 
 def as_plan(bounds: Bounds, steps: tuple[Step, ...], name: str) -> Plan:
-    """A run in which about the same happens, a second for each period.
+    """Returns a plan that approximates the steps, with one second per period.
 
-    Links are cut where a datagram never arrived, datagrams doubled where one came again, and
-    processes killed where a member crashed.
+    Links on which a datagram never arrived are cut, datagrams are duplicated where one arrived
+    twice, and a process is killed for each crash of a member.
     """
     events, at = list[Event](), LEAD_IN_S
-    under_way = list[tuple[int, int]]()  # sender and receiver
+    in_flight = list[tuple[int, int]]()  # sender and receiver
     for step in steps:
         match step.kind, step.operands:
             case "turn", _:
                 at += PERIOD_S
             case (("gossip" | "counts"), (sender, receiver)):
-                under_way.append((sender, receiver))
+                in_flight.append((sender, receiver))
             case "ask", (new, source):
-                under_way.append((source, new))
-            case "deliver", (place,) if place < len(under_way):
-                del under_way[place]
-            case "again", (place,):
-                events.append(_duplication(at, *under_way[place]))
+                in_flight.append((source, new))
+            case "deliver", (position,) if position < len(in_flight):
+                del in_flight[position]
+            case "again", (position,):
+                events.append(_duplication(at, *in_flight[position]))
             case "crash", (number,):
                 events.append(Event(at=at, what="kill", whom=(f"n{number}",), lasts=RESTART_S))
-    events += [_cut(sender, receiver, at) for sender, receiver in dict.fromkeys(under_way)]
+    events += [_cut(sender, receiver, at) for sender, receiver in dict.fromkeys(in_flight)]
     return Plan(
         name=name,
         instances=max(2, bounds.members),
--- a/hazelhollow/bench/count_model/member.py
+++ b/hazelhollow/bench/count_model/member.py
@@ -1,4 +1,4 @@
-"""One member of the model: the engine's account of one customer, and its table of counts."""
+"""One member of the model: the engine's account of one customer, and the table of counts."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 CUSTOMER, PLAN = "abc", "p"
 BURST = 1000.0  # units
-RATE = 1e-9  # units a second: nothing refills the account
-MAX_CLOSED_COUNTS = 1000  # that close at once: more than a model has
-WIRE_UNITS = 10  # counts are in tenths of a unit
+RATE = 1e-9  # units per second; so low that the account does not refill during a run
+MAX_CLOSED_COUNTS = 1000  # drained at once; more than a run of the model produces
+COUNT_STEPS_PER_UNIT = 10  # replicated counts are in tenths of a unit
 
 MemberIncarnation = tuple[int, str]
 
 
 class ModelAccounts(CustomerAccounts):
-    """Accounts that begin full where the member is complete, and that nothing refills."""
+    """Accounts that start full if the member is complete, and that do not refill."""
 
     def __init__(self, context: DecisionContext, startup: StartupQuota, is_complete: bool) -> None:
         super().__init__(context, startup)
-        self._begins_full = is_complete
+        self._starts_full = is_complete
 
     def get(self, key: str, plan: api.Plan, set_start: int, set_size: int) -> Account:
-        """The account of the only customer."""
+        """Returns the account of the only customer, created at its first use."""
         context = self._context
         account = self.by_name.get(key)
         if account is None:
-            level = plan.burst if self._begins_full else plan.burst / set_size
+            level = plan.burst if self._starts_full else plan.burst / set_size
             opening = Opening(level, context.now, context.now, False, True)
             account = self.by_name[key] = Account(plan, CUSTOMER, opening)
             account.place_set(set_start, set_size, context.settings)
@@ -47,11 +47,11 @@
     """One incarnation of a member.
 
     Args:
-        number: Its number.
-        members: How many members there are.
-        period: The second in which it starts.
-        incarnation: Its name.
-        is_complete: Whether it knows all there is to know, or has to catch up.
+        number: The member's number.
+        members: Number of members in the model.
+        period: The second in which the incarnation starts.
+        incarnation: The incarnation's name.
+        is_complete: Whether the member starts with complete state; if not, it has to catch up.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._accounts = ModelAccounts(self.context, startup, is_complete)
         self._replicated = ReplicatedAccounts(self.context, self._accounts, startup)
         self.counts, self.is_complete = CountTable(), is_complete
-        # The most units that were ever reported to it of an incarnation.
+        # The highest count, in units, that was ever reported to this member for an incarnation.
         self.highest_reported: dict[MemberIncarnation, float] = {}
         self.begin_period(period)
         if is_complete:
@@ -76,11 +76,11 @@
 
     @property
     def incarnation(self) -> MemberIncarnation:
-        """This member and its incarnation."""
+        """The member's number and its incarnation's name."""
         return self.context.settings.limiter_id, self.context.incarnation
 
     def begin_period(self, period: int) -> None:
-        """Move its clock; counts of periods that closed enter its table."""
+        """Advances the clock and stores the counts of periods that have closed."""
         self.context.now, self.context.period = float(period), period
         self.counts.advance(period)
         for action in self._replicated.drain_grown_counts(MAX_CLOSED_COUNTS):
@@ -89,13 +89,15 @@
 
     def _store_count(self, count: api.ReplicatedCount, set_size: int) -> None:
         is_own = (count.member, count.incarnation) == self.incarnation
-        value = CountValue(count.since, count.through, round(WIRE_UNITS * count.total), int(is_own))
+        value = CountValue(
+            count.since, count.through, round(COUNT_STEPS_PER_UNIT * count.total), int(is_own)
+        )
         self.counts.merge_in(
             CountRow(CUSTOMER, PLAN, 0, set_size, count.member, count.incarnation, value)
         )
 
     def account(self) -> Account:
-        """The engine's account of the customer; from now on its counts are replicated."""
+        """Returns the engine's account of the customer and marks its counts for replication."""
         account = self._accounts.by_name.get(CUSTOMER)
         if account is None:
             set_size = self.context.settings.limiter_count
@@ -105,32 +107,32 @@
         return account
 
     def charge(self) -> None:
-        """Charge one unit."""
+        """Charges one unit."""
         account = self.account()
         account.quota.level -= account.charges.charge(1.0, self.context.period)
 
     def receive_gossip(self, sender: str, units_by_period: dict[int, float]) -> None:
-        """Take in another member's charges by period."""
+        """Merges another member's charges by period."""
         account = self.account()
         for period, units in units_by_period.items():
             account.quota.level -= account.charges.merge_report(sender, period, units)
 
     def receive_rows(self, rows: list[CountRow]) -> None:
-        """Take in rows of another member's counts."""
+        """Merges rows of another member's table of counts."""
         for row in rows:
             origin = row.member, row.incarnation
-            units = row.value.total / WIRE_UNITS
+            units = row.value.total / COUNT_STEPS_PER_UNIT
             self.highest_reported[origin] = max(self.highest_reported.get(origin, 0.0), units)
             is_new = origin != self.incarnation and self.counts.merge_in(row)
             if is_new and self.is_complete:
                 self._merge_row(row)
 
     def copy_of_account(self) -> api.AccountReplicated | None:
-        """What it gives to a member that catches up."""
+        """Returns the account as it is sent to a member that is catching up."""
         return self._replicated.copy_of(CUSTOMER)
 
     def catch_up(self, copy: api.AccountReplicated) -> None:
-        """Take in another member's account and become complete."""
+        """Merges another member's account; this member is complete afterwards."""
         self._replicated.merge(copy)
         self.is_complete = True
         self._replicated.merge(api.AccountReplicated(""))
@@ -141,17 +143,21 @@
     def _merge_row(self, row: CountRow) -> None:
         value = row.value
         count = api.ReplicatedCount(
-            row.member, row.incarnation, value.since, value.through, value.total / WIRE_UNITS
+            row.member,
+            row.incarnation,
+            value.since,
+            value.through,
+            value.total / COUNT_STEPS_PER_UNIT,
         )
         self._replicated.merge(api.AccountReplicated(CUSTOMER, PLAN, 0, row.set_size, (count,)))
 
     def used(self) -> float:
-        """Units that it holds as used."""
+        """Returns the units that this member accounts for as used."""
         account = self.account()
         return BURST - (account.quota.level - account.debt)
 
     def snapshot(self) -> tuple[Any, ...]:
-        """All that tells two states of it apart."""
+        """Returns a value that differs between any two distinguishable states of the member."""
         account = self.account()
         charges = account.charges
         return (
--- a/tests/replication/test_bench.py
+++ b/tests/replication/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench's model of the possible orders of events for counts, and its measurements."""
+"""Tests of the count model, of the bench's replica measurements, and of their commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hazelhollow.bench import replica
 from hazelhollow.bench.commands import bench
 from hazelhollow.bench.count_model.cluster import Bounds, Step
-from hazelhollow.bench.count_model.exploration import explore, play
+from hazelhollow.bench.count_model.exploration import explore, replay
 from hazelhollow.bench.count_model.fault_plan import as_plan
 from hazelhollow.bench.count_model.planted_mistakes import plant_mistake
 from hazelhollow.bench.errors import InvariantError
@@ -36,21 +36,21 @@
     assert exploration.failure == "" and exploration.states > 100
 
 
-LATE = Bounds(members=3, turns=4, copies=0, lags=0, depth=12)
+LATE_WRITE = Bounds(members=3, turns=4, copies=0, lags=0, depth=12)
 PLANTED = [
     ("late gossip counts beside its count", FAST, ()),
     ("a count forgets what gossip told", FAST, ()),
-    ("who spoke last is right", LATE, (CHARGE, TURN, TURN, COUNTS, CHARGE, TURN, TURN)),
+    ("who spoke last is right", LATE_WRITE, (CHARGE, TURN, TURN, COUNTS, CHARGE, TURN, TURN)),
     ("catch-up forgets what was charged meanwhile", Bounds(depth=4), ()),
 ]
 
 
 @pytest.mark.parametrize(("name", "bounds", "first"), PLANTED)
-def test_planted_mistakes_are_found_and_written_as_fault_plans(
+def test_planted_mistake_is_found_and_written_as_a_fault_plan(
     name: str, bounds: Bounds, first: tuple[Step, ...], tmp_path: Path
 ) -> None:
-    """A mistake is planted in merge, gossip or catch-up. The model must find it and write a fault
-    plan, whose steps fail again with the mistake and pass without it."""
+    """A mistake is planted in merge, gossip or catch-up. The model must find it and write it as a
+    fault plan; the steps violate an invariant with the mistake and none without it."""
     with plant_mistake(name):
         exploration = explore(bounds, first=first)
     assert exploration.failure and len(exploration.steps) <= bounds.depth
@@ -62,12 +62,12 @@
         pytest.raises(InvariantError),
         plant_mistake(name),
     ):
-        play(bounds, exploration.steps).check()
-        play(bounds, exploration.steps).check_after_exchange()
-    play(bounds, exploration.steps).check()
+        replay(bounds, exploration.steps).check()
+        replay(bounds, exploration.steps).check_after_exchange()
+    replay(bounds, exploration.steps).check()
 
 
-def test_model_command_reports_the_failure_and_writes_its_plan(tmp_path: Path) -> None:
+def test_model_command_reports_the_violation_and_writes_its_fault_plan(tmp_path: Path) -> None:
     arguments = [
         "model",
         "--depth",
@@ -93,18 +93,18 @@
     assert measured["told"] == 300 and measured["seconds"] < replica.CATCH_UP_TIMEOUT_S
 
 
-def test_bytes_sent_by_a_member_do_not_grow_with_the_fleet() -> None:
+def test_bytes_sent_per_member_do_not_grow_with_the_fleet() -> None:
     few_members, many_members = (
         replica.steady(members, 50, seed=1, seconds=10)["bytes"] for members in (4, 16)
     )
     assert many_members < 2.5 * few_members
 
 
-def test_a_counter_takes_at_most_300_bytes() -> None:
+def test_a_replicated_count_takes_at_most_300_bytes() -> None:
     assert replica.memory(300) <= 300
 
 
-def test_replica_command_prints_json_and_refuses_bad_arguments() -> None:
+def test_replica_command_prints_json_and_rejects_bad_arguments() -> None:
     result = CliRunner().invoke(
         bench, ["replica", "--customers", "50", "--lose", "0", "--fleets", "3", "--seeds", "1"]
     )
