--- a/hazelhollow/bench/commands.py
+++ b/hazelhollow/bench/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow bench`: the group of its commands."""
+"""The command group `hazelhollow bench`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @click.group("bench")
 def bench() -> None:
-    """Seeded runs in virtual time. The same seed gives the same figures, on any machine."""
+    """Seeded runs in virtual time. The same seed gives the same figures on any machine."""
 
 
 for command in (
--- a/hazelhollow/bench/contention.py
+++ b/hazelhollow/bench/contention.py
@@ -1,4 +1,4 @@
-"""Control budgets of a role that has its limiter's budget to itself, or shares it with all."""
+"""The control budget of one traffic role, alone or in contention with all other roles."""
 
 from __future__ import annotations
 
@@ -11,16 +11,13 @@
 
 
 def budget_for_role(bytes_per_s: float, role: TrafficRole, contended: bool) -> BudgetSettings:
-    """The settings of a limiter's control budget, as one role meets it.
+    """Returns the settings of the part of a limiter's control budget that one role can use.
 
     Args:
-        bytes_per_s: The whole budget.
-        role: Whose traffic is simulated.
-        contended: The other roles use all that they can get, so that this one has its guaranteed
-            rate and no more.
-
-    Returns:
-        The settings.
+        bytes_per_s: The limiter's total budget.
+        role: The role whose traffic is simulated.
+        contended: Whether the other roles use all of the budget that they can get, which leaves
+            this role only its guaranteed rate.
 
     Raises:
         ValueError: The budget is too small.
--- a/hazelhollow/bench/engine_fleet.py
+++ b/hazelhollow/bench/engine_fleet.py
@@ -1,8 +1,8 @@
-"""Many real decision engines in one process and in virtual time.
+"""A fleet of real decision engines in one process and in virtual time.
 
-Customers come as `engine_load` draws them; gossip is delayed or lost; endpoints answer after a
-drawn time. What all limiters together do is judged by one exact token bucket for each limit of a
-customer, which sees every attempt at once.
+Customers are drawn by `engine_load`; gossip is delayed or lost; endpoints answer after a random
+time. One exact token bucket per limit of a customer, which sees every attempt of all limiters
+without delay, measures how well the limit holds.
 """
 
 from __future__ import annotations
@@ -27,29 +27,29 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.state.token_bucket import TokenBucket
 
-START = 1_000_000.0  # seconds; a run begins within the second after it
-FIRST_LIST_S = 0.1  # within which limiters get the endpoint list
+START = 1_000_000.0  # seconds; a run starts within the second after this time
+FIRST_LIST_S = 0.1  # within which limiters receive the endpoint list
 GOSSIP_DELAY_S = (0.0019, 0.03)  # one way, drawn uniformly
 LEAST_ANSWER_S = 0.005
-RETRY_AFTER_S = (0.03, 0.24)  # a client's wait after a rejection, drawn uniformly
-RETRIES = 2  # of a client after a rejection
+RETRY_AFTER_S = (0.03, 0.24)  # wait of a client after a rejection, drawn uniformly
+RETRIES = 2  # of a request that is rejected
 ZONES = "abc"
 ENDPOINTS_PER_GROUP = 4
 
 
 @dataclass(frozen=True)
 class FleetOptions:
-    """What is simulated.
+    """The parameters of a simulation.
 
     Args:
-        limiters: How many engines there are.
-        units_per_s: Units that customers ask for within their quotas.
-        endpoints: How many there are.
+        limiters: Number of engines.
+        units_per_s: Units per second that customers request within their quotas.
+        endpoints: Number of endpoints.
         answer_time_s: Mean time in which an endpoint answers a request of mean size.
         gossip_loss: Share of gossip datagrams that are lost.
-        gossip_intake_per_s: Datagrams that a limiter takes in a second; more are dropped.
-        make_engine: Makes an engine of settings and a seed.
-        settings: Changes to the engines' settings, by field.
+        gossip_intake_per_s: Datagrams that a limiter accepts per second; further ones are dropped.
+        make_engine: Creates an engine from settings and a seed.
+        settings: Overrides of the engines' settings, by field.
     """
 
     limiters: int = 40
@@ -64,19 +64,19 @@
 
 @dataclass
 class Figures:
-    """What happened in the whole fleet. A value is units times the plan's price.
+    """The figures of the entire fleet. A value is units times the plan's price.
 
     Args:
-        offered_value: Of requests within the quotas.
-        served_value: Of attempts within the quotas that were answered.
+        offered_value: Value of requests within the quotas.
+        served_value: Value of attempts within the quotas that were answered.
         excess_value: Excess cost of attempts beyond the quotas.
-        attempts: How many were started.
-        rejected: Requests by reason.
-        rejected_with_room: Those of them that the quota had room for.
-        gossip_datagrams: How many were sent.
-        gossip_bytes: Without headers.
-        dropped_datagrams: Of gossip, beyond what a limiter takes in.
-        lowest_ceiling: The lowest level of any hard ceiling, below 0 if one was passed.
+        attempts: Number of attempts started.
+        rejected: Number of rejected requests by reason.
+        rejected_with_room: Number of those for which the quota had room, by reason.
+        gossip_datagrams: Number of gossip datagrams sent.
+        gossip_bytes: Bytes of gossip sent, without headers.
+        dropped_datagrams: Gossip datagrams dropped because they exceeded a limiter's intake.
+        lowest_ceiling: The lowest level of any hard ceiling's bucket; negative after an overshoot.
     """
 
     offered_value: float = 0.0
@@ -110,11 +110,11 @@
 
 
 class EngineFleet:
-    """Engines, their customers and endpoints. The same seed plays the same.
+    """Engines, their customers and endpoints. The same seed gives the same run.
 
     Args:
-        seed: Of all draws.
-        options: What is simulated.
+        seed: Seed of all draws.
+        options: The parameters of the simulation.
     """
 
     def __init__(self, seed: int, options: FleetOptions | None = None) -> None:
@@ -130,7 +130,7 @@
         self.engines = [self._make_engine(number) for number in range(options.limiters)]
         self._received_at: list[list[float]] = [[] for _ in range(options.limiters)]
         self._customers = list(draw_customers(self.random, options.units_per_s, options.limiters))
-        # Of what was sent, and of what clients offered.
+        # `_quotas` counts the attempts sent to endpoints, `_offered` the requests clients make.
         self._quotas = {customer.name: self._quota(customer) for customer in self._customers}
         self._offered = {customer.name: self._quota(customer) for customer in self._customers}
         self._ceilings = {customer.name: self._ceiling(customer) for customer in self._customers}
@@ -167,15 +167,15 @@
         settings = api.Settings(**{**values, **self.options.settings})
         engine = self.options.make_engine(settings, seed=self.random.randrange(1 << 30))
         list_at = self._start + self.random.uniform(0.0, FIRST_LIST_S)
-        self.timeline.at(list_at, self.give_endpoints, number)
+        self.timeline.at(list_at, self.send_endpoint_list, number)
         return engine
 
-    def give_endpoints(self, number: int) -> None:
-        """Tell an engine the endpoint list."""
+    def send_endpoint_list(self, number: int) -> None:
+        """Sends the endpoint list to an engine."""
         self.handle(number, api.EndpointsUpdated("cached", tuple(self.endpoints)))
 
-    def play(self, seconds: float) -> Figures:
-        """Play so many seconds, without what is due at their very end."""
+    def simulate(self, seconds: float) -> Figures:
+        """Runs for this many seconds, excluding events due exactly at the end."""
         timeline = self.timeline
         end = timeline.now + seconds
         for customer in self._customers:
@@ -192,7 +192,7 @@
         self.timeline.at(self.timeline.now + interval, self._arrive, customer)
 
     def _arrive(self, customer: Customer) -> None:
-        """Poisson arrivals by thinning: drawn at the highest rate, kept at the present one."""
+        """Handles a Poisson arrival: drawn at the peak rate and thinned to the current rate."""
         now, rate = self.timeline.now, customer.rate(self.timeline.now - self._start)
         if self.random.random() * customer.peak_rate() < rate:
             units = self.random.choice(UNITS)
@@ -206,7 +206,7 @@
     def _request(self, request: _Request) -> None:
         customer = request.customer
         limiter = customer.choose_limiter(self.random, self.options.limiters)
-        request_id = f"r{self.timeline.take_serial()}"
+        request_id = f"r{self.timeline.next_serial()}"
         request_class = self.random.choices(CLASSES, CLASS_SHARES)[0]
         self._requests[request_id] = request
         event = api.RequestArrived(
@@ -224,7 +224,7 @@
     # Engines
 
     def handle(self, number: int, event: api.Event) -> None:
-        """Give an engine an event and perform its actions."""
+        """Passes an event to an engine and performs the resulting actions."""
         for action in self.engines[number].handle(event, self.timeline.now):
             if isinstance(action, api.SendGossip):
                 self._send_gossip(number, action)
@@ -284,7 +284,7 @@
         self.timeline.at(self.timeline.now + elapsed, self._end_attempt, attempt)
 
     def _has_room(self, request: _Request) -> bool:
-        """Whether one limiter that saw everything would charge this request within the quota."""
+        """Whether a single limiter with all traffic would charge this request within the quota."""
         customer = request.customer
         open_limit = customer.plan.open_limit
         return self._quotas[customer.name].refill(self.timeline.now) >= request.units and not (
@@ -292,7 +292,7 @@
         )
 
     def answer(self, _endpoint: str, units: int) -> tuple[api.Status, float]:
-        """What becomes of an attempt, and after how many seconds."""
+        """Returns the result of an attempt and the seconds until it ends."""
         mean = self.options.answer_time_s * units / MEAN_UNITS
         return "ok", self.random.expovariate(1 / mean) + LEAST_ANSWER_S
 
--- a/hazelhollow/bench/engine_load.py
+++ b/hazelhollow/bench/engine_load.py
@@ -1,7 +1,7 @@
-"""Customers of the runs of `engine_fleet`: plans, patterns of use and spikes, drawn from a seed.
+"""Customers for `engine_fleet`: plans, usage patterns and spikes, drawn from a seed.
 
-Most use a part of their quota, some nearly all of it, and some ask for several times as much, for
-seconds or all the time.
+Most customers use a part of their quota and some nearly all of it; others request several times
+their quota, either in spikes of a few seconds or permanently.
 """
 
 from __future__ import annotations
@@ -43,25 +43,25 @@
     ),
     api.Plan("partner", rate=18.0, burst=36.0, excess_cost=1.0),
 )
-# By plan: the price of a unit, and the share of what is used within quotas.
+# By plan: the price of a unit, and the share of the units used within quotas.
 PRICES, PLAN_SHARES = (0.55, 0.8, 1.3, 1.8), (0.2, 0.37, 0.22, 0.21)
 CLASS_SHARES = (0.47, 0.44, 0.09)  # of requests, by CLASSES
-UNITS = (1, 1, 1, 2, 2, 2, 3, 3, 4, 6)  # of one request; each is drawn as often
+UNITS = (1, 1, 1, 2, 2, 2, 3, 3, 4, 6)  # of one request; each entry is equally likely
 MEAN_UNITS = sum(UNITS) / len(UNITS)
-SPIKE_FACTOR = 6.0  # of its quota that a customer asks for in a spike
+SPIKE_FACTOR = 6.0  # multiple of its quota that a customer requests in a spike
 PATTERNS = ("calm", "full", "heavy", "spiky")
 PATTERN_WEIGHTS = (0.61, 0.14, 0.09, 0.16)
-USE_FACTORS = {"calm": 0.28, "full": 0.97, "heavy": 3.9, "spiky": 0.28}  # of the quota
+USE_FACTORS = {"calm": 0.28, "full": 0.97, "heavy": 3.9, "spiky": 0.28}  # multiples of the quota
 
 
 @dataclass(frozen=True)
 class Spikes:
-    """Times in which a customer asks for SPIKE_FACTOR of its quota.
+    """Times in which a customer requests SPIKE_FACTOR times its quota.
 
     Args:
-        first: Seconds from the start of the run.
-        interval: Seconds between the begins of two.
-        duration: Seconds; 0: there are none.
+        first: Seconds from the start of the run to the first spike.
+        interval: Seconds between the starts of two spikes.
+        duration: Seconds that a spike lasts; 0 if there are none.
     """
 
     first: float = 0.0
@@ -69,7 +69,7 @@
     duration: float = 0.0
 
     def is_active(self, seconds: float) -> bool:
-        """Whether there is one so many seconds after the start of the run."""
+        """Whether there is a spike this many seconds after the start of the run."""
         return self.duration > 0 and (seconds - self.first) % self.interval < self.duration
 
 
@@ -78,13 +78,13 @@
     """One customer.
 
     Args:
-        name: Its name in requests.
-        plan_index: Its plan, of PLANS.
-        set_start: The first limiter that its requests come through.
-        set_size: How many these are.
-        use_factor: Multiple of its quota that it asks for, outside of spikes.
-        spikes: When it asks for more.
-        weights: How its requests spread over its limiters.
+        name: The customer's name in requests.
+        plan_index: Index of the customer's plan in PLANS.
+        set_start: The first limiter of the customer's set.
+        set_size: Number of limiters that the customer's requests arrive at.
+        use_factor: Multiple of the quota that is requested outside of spikes.
+        spikes: When more is requested.
+        weights: How requests are distributed over the set of limiters.
     """
 
     name: str
@@ -97,40 +97,40 @@
 
     @property
     def plan(self) -> api.Plan:
-        """Its plan."""
+        """The customer's plan."""
         return PLANS[self.plan_index]
 
     @property
     def price(self) -> float:
-        """What a unit is worth."""
+        """The price of a unit."""
         return PRICES[self.plan_index]
 
     def rate(self, seconds: float) -> float:
-        """Requests a second, so many seconds after the start of the run."""
+        """Returns the requests per second, this many seconds after the start of the run."""
         factor = SPIKE_FACTOR if self.spikes.is_active(seconds) else self.use_factor
         return self.plan.rate * factor / MEAN_UNITS
 
     def peak_rate(self) -> float:
-        """The highest `rate`."""
-        usual = self.plan.rate * self.use_factor / MEAN_UNITS
+        """Returns the maximum of `rate`."""
+        base_rate = self.plan.rate * self.use_factor / MEAN_UNITS
         return max(
-            usual, self.plan.rate * SPIKE_FACTOR / MEAN_UNITS if self.spikes.duration else 0.0
+            base_rate, self.plan.rate * SPIKE_FACTOR / MEAN_UNITS if self.spikes.duration else 0.0
         )
 
     def choose_limiter(self, draw: random.Random, limiters: int) -> int:
-        """The limiter that its next request comes to, of so many."""
+        """Draws the limiter, of this many, that the next request arrives at."""
         offset = draw.choices(range(self.set_size), self.weights)[0]
         return (self.set_start + offset) % limiters
 
 
 def draw_customers(draw: random.Random, units_per_s: float, limiters: int) -> Iterator[Customer]:
-    """Customers until the units asked for within quotas come to so many a second."""
+    """Draws customers until the units requested within quotas reach `units_per_s`."""
     for plan_index, share in enumerate(PLAN_SHARES):
-        asked = 0.0
-        while asked < share * units_per_s:
+        requested_per_s = 0.0
+        while requested_per_s < share * units_per_s:
             pattern = draw.choices(PATTERNS, PATTERN_WEIGHTS)[0]
             yield _draw_customer(draw, plan_index, pattern, limiters)
-            asked += PLANS[plan_index].rate * min(1.0, USE_FACTORS[pattern])
+            requested_per_s += PLANS[plan_index].rate * min(1.0, USE_FACTORS[pattern])
 
 
 def _draw_customer(draw: random.Random, plan_index: int, pattern: str, limiters: int) -> Customer:
@@ -139,7 +139,9 @@
         spikes = Spikes(draw.uniform(0, 20), draw.uniform(14, 24), draw.uniform(0.8, 4.9))
     set_size = draw.randint(limiters // 2, limiters)
     plan = PLANS[plan_index]
-    if plan.ceiling_rate:  # so few limiters that each one's share holds two of the largest requests
+    if (
+        plan.ceiling_rate
+    ):  # so few limiters that the share of each holds two of the largest requests
         set_size = min(set_size, int(plan.ceiling_burst / (2 * max(UNITS))))
     customer = Customer(
         name=f"{draw.getrandbits(33):016x}",
--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -114,7 +114,7 @@
         make_engine=partial(DecisionEngine, scheduler_class=ORDERS[order]),
         settings={"gossip_bytes_per_s": rate},
     )
-    figures, limiter_seconds = EngineFleet(seed, options).play(seconds), seconds * limiters
+    figures, limiter_seconds = EngineFleet(seed, options).simulate(seconds), seconds * limiters
     sent_bytes = figures.gossip_bytes + HEADER_BYTES * figures.gossip_datagrams
     return BudgetFigures(
         figures.served_value / figures.offered_value,
--- a/hazelhollow/bench/losses.py
+++ b/hazelhollow/bench/losses.py
@@ -51,7 +51,7 @@
         old = self.engines[number]
         new = DecisionEngine(old.settings, seed=self.random.randrange(1 << 30))
         self.engines[number] = new
-        self.give_endpoints(number)
+        self.send_endpoint_list(number)
         if self._lost != EVERYTHING:
             hand_over(old, new, self._lost)
         self.timeline.at(self.timeline.now + RESTART_INTERVAL_S, self._restart)
@@ -164,7 +164,7 @@
 
 def play(seed: int, lost: str, seconds: float, options: FleetOptions = OPTIONS) -> dict[str, float]:
     """One run: served and excess value as shares of what was offered, and the lowest ceiling."""
-    figures = RestartingFleet(seed, lost, options).play(seconds)
+    figures = RestartingFleet(seed, lost, options).simulate(seconds)
     return {
         "served": figures.served_value / figures.offered_value,
         "over": figures.excess_value / figures.offered_value,
--- a/hazelhollow/bench/membership_commands.py
+++ b/hazelhollow/bench/membership_commands.py
@@ -12,8 +12,8 @@
 from hazelhollow.bench import fleet, zones
 from hazelhollow.bench.output import (
     exit_for_bad_arguments,
-    on_terminal,
     parse_numbers,
+    progress_display,
     write_json,
 )
 
@@ -67,7 +67,7 @@
             from hazelhollow.bench import plots
     except (ValueError, ModuleNotFoundError) as error:
         exit_for_bad_arguments(error)
-    found = fleet.report(counts, seeds, lose, minutes, on_terminal())
+    found = fleet.report(counts, seeds, lose, minutes, progress_display())
     if file == "-":
         write_json(found, file)
     else:
--- a/hazelhollow/bench/plots.py
+++ b/hazelhollow/bench/plots.py
@@ -1,4 +1,4 @@
-"""Figures as pictures. Only this module imports matplotlib, which is optional."""
+"""Plots of the figures. Only this module imports matplotlib, which is optional."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def plot_fleet(found: dict[str, Any], file: str) -> None:
-    """Draw the report of `bench.fleet` by size; the file's suffix says the format."""
+    """Plots the report of `bench.fleet` by fleet size; the file's suffix selects the format."""
     sizes = [int(size) for size in found]
     figure = Figure(figsize=(10, 5))
     left, right = figure.subplots(1, 2)
--- a/hazelhollow/bench/replication_commands.py
+++ b/hazelhollow/bench/replication_commands.py
@@ -13,7 +13,12 @@
 from hazelhollow.bench.count_model.exploration import explore
 from hazelhollow.bench.count_model.fault_plan import as_plan
 from hazelhollow.bench.count_model.planted_mistakes import MISTAKES, plant_mistake
-from hazelhollow.bench.output import exit_for_bad_arguments, on_terminal, parse_numbers, write_json
+from hazelhollow.bench.output import (
+    exit_for_bad_arguments,
+    parse_numbers,
+    progress_display,
+    write_json,
+)
 from hazelhollow.fault_injection import plan
 
 
@@ -53,7 +58,7 @@
     except ValueError as error:
         exit_for_bad_arguments(error)
     loss_shares = [percent / 100 for percent in losses]
-    found = replica.report(sizes, loss_shares, seeds, members, on_terminal())
+    found = replica.report(sizes, loss_shares, seeds, members, progress_display())
     write_json(found, file)
     failed = any(
         row["told"] != row["customers"] or row["worst_seconds"] > replica.CATCH_UP_TIMEOUT_S
--- a/hazelhollow/bench/simulated_store.py
+++ b/hazelhollow/bench/simulated_store.py
@@ -1,4 +1,4 @@
-"""The Redis stand-in in virtual time, and limiters' connections to it."""
+"""The Redis stand-in in virtual time, and the limiters' connections to it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SimulatedStore:
-    """The stand-in node: passes its answers to connections and runs its own timers."""
+    """The stand-in node: delivers its replies to connections and runs its timers."""
 
     def __init__(self, timeline: Timeline, node: Node) -> None:
         self.node = node
@@ -23,7 +23,7 @@
         self._timer_at = math.inf
 
     def advance(self) -> None:
-        """Send what the node has ready and schedule its next timer."""
+        """Sends the node's pending output and schedules its next timer."""
         for output in self.node.turn():
             connection = self.connections.get(output.session.id)
             if connection:
@@ -41,14 +41,14 @@
 class StoreConnection:
     """One connection of a limiter to the store.
 
-    Bytes arrive in their order after a delay. Those sent while the limiter is cut off are lost.
+    Bytes arrive in order, after a delay. Bytes sent while the limiter is cut off are lost.
 
     Args:
-        store: The other end.
-        session: The node's session of this connection.
-        network: Virtual time, and the draws of delays.
-        is_cut_off: Whether the limiter is cut off from the store now.
-        receive: Called with this connection, the bytes that arrived and whether it closed.
+        store: The store at the other end.
+        session: The node's session for this connection.
+        network: The timeline, and the generator of delays.
+        is_cut_off: Returns whether the limiter is currently cut off from the store.
+        receive: Called with this connection, the bytes that arrived and whether the store closes.
     """
 
     def __init__(
@@ -63,11 +63,11 @@
         self._timeline, self._random = network
         self._is_cut_off, self._receive = is_cut_off, receive
         self._closed = False
-        self._last_at_store = self._last_at_limiter = 0.0  # when the last bytes arrive
+        self._last_at_store = self._last_at_limiter = 0.0  # arrival times of the last bytes
         store.connections[session.id] = self
 
     def send_to_store(self, data: bytes) -> None:
-        """Bytes of the limiter."""
+        """Sends bytes from the limiter to the store."""
         if not self._closed and not self._is_cut_off():
             arrives_at = self._timeline.now + self._random.uniform(*STORE_DELAY_S)
             self._last_at_store = max(self._last_at_store, arrives_at)
@@ -78,14 +78,14 @@
         self._store.advance()
 
     def send_to_limiter(self, data: bytes, closes: bool) -> None:
-        """Bytes of the store, and whether it closes the connection after them."""
+        """Sends bytes to the limiter; `closes`: the store closes the connection after them."""
         if not self._closed and not self._is_cut_off():
             arrives_at = self._timeline.now + self._random.uniform(*STORE_DELAY_S)
             self._last_at_limiter = max(self._last_at_limiter, arrives_at)
             self._timeline.at(self._last_at_limiter, self._receive, self, data, closes)
 
     def close(self) -> None:
-        """Close it from the limiter's side."""
+        """Closes the connection from the limiter's side."""
         self._closed = True
         self._store.connections.pop(self._session.id, None)
         self._store.node.disconnect(self._session)
--- a/hazelhollow/bench/world.py
+++ b/hazelhollow/bench/world.py
@@ -1,6 +1,6 @@
-"""A site in virtual time: limiters, the store that they share, and clients under a month-end load.
+"""A limiter site in virtual time: limiters, their shared store, and clients with month-end load.
 
-`store` builds one site for each run, injects faults into it and reads its log.
+`store` builds one site per run, injects faults into it and reads its request log.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.standins.redis.node import Node
 
-START = 1_800_000_000.0  # seconds; the first instant of each run
-WARM_UP_S = 8.0  # customers are calm until limiters and the store know them
-LOAD_AFTER_S = 1.0  # limiters are up before the first request
-START_INTERVAL_S = 0.05  # between the starts of limiters,
-START_ROUND = 10  # of which so many are apart
-RETRY_TRAVEL_S = 0.002  # on the way of a retry, besides the client's wait
-# Where load is uneven: shares of a customer's requests through one limiter and all the others.
+START = 1_800_000_000.0  # seconds; the initial time of each run
+WARM_UP_S = 8.0  # customers stay calm while limiters and the store first see them
+LOAD_AFTER_S = 1.0  # so that all limiters are up before the first request
+START_INTERVAL_S = 0.05  # between the start times of limiters
+START_SLOTS = 10  # distinct start times; further limiters use them again
+RETRY_DELAY_S = 0.002  # network delay of a retry, in addition to the client's wait
+# With uneven load: the share of a customer's requests through one limiter, and through all others.
 DOMINANT_SHARE, OTHERS_SHARE = 0.9, 0.1
 
 
 @dataclass
 class RequestLog:
-    """What clients saw of a run.
+    """The requests of a run, as clients see them.
 
     Args:
-        requests: Requests and retries that reached a limiter.
+        requests: Number of requests and retries that reached a limiter.
         on_request: Called with each arrival and whether the limiter admitted it.
     """
 
@@ -42,15 +42,15 @@
 
 @dataclass(frozen=True)
 class SiteOptions:
-    """What a run plays.
+    """The parameters of a run.
 
     Args:
-        seed: The same seed draws the same load, whatever the store does.
-        limiters: How many limiters there are.
-        seconds: Of load.
-        store_settings: The operator's settings of the store; None: there is no store.
-        make_node: Makes the stand-in of the store from a clock.
-        uneven: Whether most requests of a customer come through one limiter.
+        seed: Seed of all draws; the load does not depend on the store's behaviour.
+        limiters: Number of limiters.
+        seconds: Duration of the load.
+        store_settings: The operator's settings of the store; None if there is no store.
+        make_node: Creates the stand-in for the store, given a clock.
+        uneven: Whether most requests of a customer arrive at one limiter.
     """
 
     seed: int
@@ -63,7 +63,7 @@
 
 @dataclass
 class _Client:
-    """The draws and the coming arrivals of one customer."""
+    """The random generator and the remaining arrivals of one customer."""
 
     draw: random.Random
     arrivals: Iterator[load.Arrival] = field(repr=False)
@@ -75,7 +75,7 @@
     def __init__(self, options: SiteOptions) -> None:
         self.options, self.log = options, RequestLog()
         self.timeline = timeline = Timeline(START)
-        # Of its own, so that the load is the same whatever the store does.
+        # A generator of its own, so that the load does not depend on the store's behaviour.
         draw = random.Random(f"load {options.seed}")
         self.plans = load.draw_plans(draw)
         store = None
@@ -88,7 +88,7 @@
         for number in range(options.limiters):
             limiter = SimulatedLimiter(site, self._settings(number))
             self.limiters.append(limiter)
-            timeline.at(START + START_INTERVAL_S * (number % START_ROUND), limiter.start)
+            timeline.at(START + START_INTERVAL_S * (number % START_SLOTS), limiter.start)
         self.customers = load.draw_customers(
             draw, self.plans, load.LoadSettings(options.limiters, START, options.seconds)
         )
@@ -116,7 +116,7 @@
         )
 
     def run(self) -> RequestLog:
-        """Play the whole load."""
+        """Runs the load from start to end and returns the request log."""
         begin, seconds = START + LOAD_AFTER_S, self.options.seconds
         for customer in self.customers:
             draw = random.Random(f"{customer.id} {self._draw.random()}")
@@ -142,7 +142,7 @@
         is_reachable = not (limiter.is_down or limiter.is_paused)
         admitted = is_reachable and self._request(limiter, arrival)
         if not admitted and retries < load.RETRIES:
-            retry_at = self.timeline.now + draw.choice(load.RETRY_AFTER_S) + RETRY_TRAVEL_S
+            retry_at = self.timeline.now + draw.choice(load.RETRY_AFTER_S) + RETRY_DELAY_S
             self.timeline.at(retry_at, self._attempt, client, arrival, retries + 1)
 
     def _request(self, limiter: SimulatedLimiter, arrival: load.Arrival) -> bool:
@@ -167,5 +167,5 @@
         return admitted
 
     def store_calls(self) -> float:
-        """Calls to the store, over all incarnations of all limiters."""
+        """Returns the number of calls to the store, over all incarnations of all limiters."""
         return sum(limiter.store_calls() for limiter in self.limiters)
--- a/tests/decisions/test_fleet_of_engines.py
+++ b/tests/decisions/test_fleet_of_engines.py
@@ -6,7 +6,7 @@
 
 
 def test_announcements_to_large_sets_leave_room_for_charges() -> None:
-    counts = [EngineFleet(seed).play(10.0) for seed in (1, 2)]
+    counts = [EngineFleet(seed).simulate(10.0) for seed in (1, 2)]
     sent, offered = sum(c.attempts for c in counts), sum(c.offered_value for c in counts)
     # it is 189 if a change by a quarter of the burst is announced
     assert sum(c.gossip_bytes for c in counts) / sent < 150
@@ -20,7 +20,9 @@
 
 
 def test_quotas_hold_in_sets_larger_than_a_hub_can_notify_in_a_second() -> None:
-    count = EngineFleet(3, FleetOptions(limiters=150, units_per_s=800.0, endpoints=90)).play(8.0)
+    count = EngineFleet(3, FleetOptions(limiters=150, units_per_s=800.0, endpoints=90)).simulate(
+        8.0
+    )
     # it is 0.17 if each hub notifies all members of a set in order
     assert count.excess_value / count.offered_value < 0.11
     assert count.served_value / count.offered_value > 0.85  # it is 0.85 in that case
