--- a/hazelhollow/bench/documents.py
+++ b/hazelhollow/bench/documents.py
@@ -1,7 +1,8 @@
-"""How long a settings document takes to reach all members within their control budgets.
+"""Measures how long a settings document takes to reach all members within their control budgets.
 
-The product's own packing, requests and answers in virtual time: `DocumentFetch` and `SendQueue`.
-The clock moves in steps, and datagrams arrive at the end of the step in which they leave.
+The runs use the product's own encoding, requests and answers in virtual time: `DocumentFetch` and
+`SendQueue`. The clock advances in steps, and datagrams arrive at the end of the step in which they
+are sent.
 """
 
 from __future__ import annotations
@@ -32,29 +33,29 @@
 from hazelhollow.control_budget.send_queue import SendQueue
 
 STEP_S = 0.05  # of the virtual clock
-TIMEOUT_S = 3600.0  # until it counts as never
+TIMEOUT_S = 3600.0  # after which the distribution counts as failed
 STEPS_PER_REQUEST = round(REQUEST_INTERVAL_S / STEP_S)
 DELTA_BASE = DeltaBase("base", {"step": 1})
 
 
 class Source(Protocol):
-    """A member's document, as it gives it to others."""
+    """A member's document, as a source for other members."""
 
     digest: str
 
     def answer_at_once(self, request: codec.PieceRequest, /) -> list[str]:
-        """The datagrams that answer a request."""
+        """Returns the datagrams that answer a request."""
 
 
 class OpaqueDocument:
-    """A complete document of so many pieces, whatever they say."""
+    """A complete document with a given number of pieces, whose content does not matter."""
 
     def __init__(self, pieces: int) -> None:
         self.digest = "digest"
         self._pieces = [f"{n:x}".rjust(codec.PIECE_CHARACTERS, "0") for n in range(pieces)]
 
     def answer_at_once(self, request: codec.PieceRequest, /) -> list[str]:
-        """The pieces that were asked for, by default the first."""
+        """Returns the requested pieces; the first one if the request names none."""
         total = len(self._pieces)
         return [
             codec.encode_piece(codec.Piece(1, self.digest, number, total, self._pieces[number]))
@@ -63,7 +64,7 @@
 
 
 def _changed_document() -> DocumentSource:
-    """Settings that came after DELTA_BASE, and the delta from it."""
+    """Returns a source for settings that follow DELTA_BASE, with the delta from it."""
     history, document = SettingsHistory(), {"step": 2}
     history.put(DELTA_BASE.digest, DELTA_BASE.document)
     history.put(settings_digest(document), document)
@@ -74,9 +75,9 @@
     """A member that has the document or fetches it.
 
     Args:
-        number: Its number.
-        settings: Its control budget.
-        fetch: How it fetches the document; None: it has it.
+        number: The member's number.
+        settings: The member's control budget.
+        fetch: The fetch in progress; None if the member has the document.
     """
 
     def __init__(self, number: int, settings: BudgetSettings, fetch: DocumentFetch | None) -> None:
@@ -86,11 +87,11 @@
         self._received = set[int]()
 
     def answer(self, source: Source, request: codec.PieceRequest) -> list[str]:
-        """What it answers: from the document, or from the pieces that it has so far."""
+        """Answers a request from the document, or from the pieces received so far."""
         return self.fetch.answer(request) if self.fetch else source.answer_at_once(request)
 
     def receive(self, piece: codec.Piece, total: int) -> None:
-        """Take in a piece of so many; with the last it has the document."""
+        """Stores a piece; the document is complete once all `total` pieces have arrived."""
         if self.fetch is None:
             return
         self._received.add(piece.number)
@@ -102,12 +103,12 @@
 
 @dataclass(frozen=True)
 class Distribution:
-    """What is distributed, and to whom.
+    """The size of a document and of the fleet that receives it.
 
     Args:
-        members: How many there are.
-        holders: How many of them have the document at the start.
-        pieces: Of a complete document; 0: all get a delta in one piece.
+        members: Number of members.
+        holders: Number of members that have the document at the start.
+        pieces: Number of pieces of the complete document; 0 for a delta in one piece.
     """
 
     members: int
@@ -118,16 +119,16 @@
 def seconds_to_all(
     distribution: Distribution, bytes_per_s: float, contended: bool, seed: int
 ) -> float:
-    """Seconds until every member has the document.
+    """Returns the seconds until every member has the document.
 
     Args:
-        distribution: What is distributed.
+        distribution: The document and the fleet.
         bytes_per_s: The control budget of each member.
-        contended: The other roles use all that they can get.
-        seed: Of all draws.
+        contended: Whether the other roles use all of the budget that they can get.
+        seed: Seed of all draws.
 
     Returns:
-        The seconds; TIMEOUT_S or a little more if some member never got it.
+        The seconds; at least TIMEOUT_S if some member did not get the document in time.
 
     Raises:
         ValueError: The budget is too small.
@@ -162,7 +163,7 @@
 
 
 def _send(members: list[Member], draw: random.Random, now: float) -> list[tuple[int, int, str]]:
-    """What leaves in this step: sender, receiver and text."""
+    """Returns the datagrams sent in this step: sender, receiver and text."""
     holders = [member.number for member in members if not member.fetch]
     step, datagrams = round(now / STEP_S), list[tuple[int, int, str]]()
     for member in members:
@@ -178,7 +179,10 @@
 def _request(
     member: Member, members: list[Member], holders: list[int], draw: random.Random, now: float
 ) -> None:
-    """Ask a holder; while these are few, mostly any member, for it may have some pieces."""
+    """Queues a request to a holder or, while few hold the document, mostly to any member.
+
+    Members that are still fetching may have some of the pieces.
+    """
     fetch = member.fetch
     assert fetch
     text = fetch.next_budgeted_request(draw, now, bool(fetch.base))
--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -1,7 +1,8 @@
-"""Membership by size of the fleet: real `Membership` objects in virtual time.
+"""Membership by fleet size: real `Membership` objects in virtual time.
 
-Datagrams take a drawn time and are lost at a given rate. `report` plays a fleet through starts,
-crashes and a split and measures how long all members take to agree, and what that costs.
+Datagrams arrive after a random delay and are lost at a given rate. `report` takes simulated fleets
+through starts, crashes and a network partition, and measures how long all members take to agree and
+how much traffic membership causes.
 """
 
 from __future__ import annotations
@@ -20,17 +21,18 @@
 from hazelhollow.membership.settings import MembershipSettings
 from hazelhollow.membership.timing import PROBE_INTERVAL_S
 
-START = 1_700_000_000.0  # seconds; the first instant of each run
+START = 1_700_000_000.0  # seconds; the initial time of each run
 DATAGRAM_DELAY_S = (0.001, 0.02)  # one way, drawn uniformly
-START_SPREAD_S = 0.05  # within which members that start together make their first tick
+START_SPREAD_S = 0.05  # within which members that start together have their first tick
 SETTLE_TIMEOUT_S = 60.0
-CHECK_INTERVAL_S = 0.05  # between checks whether all agree,
-LARGE_FLEET, LARGE_FLEET_CHECK_FACTOR = 200, 5  # longer in fleets of this size
-SOCKET_BUFFER = 200  # datagrams that wait for a paused process
-WARM_UP_S = 15.0  # before costs are measured
-COST_SPAN_S = 5.0  # over which they are measured
+CHECK_INTERVAL_S = 0.05  # between checks whether all members agree
+# From this size on, the interval between checks is multiplied by the factor.
+LARGE_FLEET, LARGE_FLEET_CHECK_FACTOR = 200, 5
+SOCKET_BUFFER = 200  # datagrams that the socket of a paused process holds
+WARM_UP_S = 15.0  # before traffic is measured
+COST_SPAN_S = 5.0  # over which traffic is measured
 LOSS_WARM_UP_S = 10.0  # before false deaths are counted
-# Figures of the report, in the order in which they are shown.
+# Figures of the report, in display order.
 FIGURES = (
     "start",
     "one_suspected",
@@ -47,19 +49,21 @@
 
 @dataclass(eq=False)
 class SimulatedMember:
-    """One incarnation of a member and the state of its process."""
+    """One incarnation of a member, and the state of its process."""
 
     number: int
     membership: Membership
     is_up: bool = True
     is_paused: bool = False
-    waiting: list[tuple[int, str]] = field(default_factory=list)  # sender, text; while paused
-    timer_epoch: int = 0  # timers of an earlier epoch are void
+    waiting: list[tuple[int, str]] = field(
+        default_factory=list
+    )  # sender and text; received while paused
+    timer_epoch: int = 0  # timers of an earlier epoch are ignored
 
 
 @dataclass(frozen=True)
 class Death:
-    """A member was considered dead by another."""
+    """The event that a member considers another one dead."""
 
     at: float
     observer: int
@@ -67,24 +71,24 @@
 
 
 def no_allowance(_now: float) -> Allowance | None:
-    """No bound on what a member sends."""
+    """Returns None: no bound on what a member sends."""
     return None
 
 
 def nothing_cut(_sender: int, _receiver: int) -> bool:
-    """No link is cut."""
+    """Returns False for every link: none is cut."""
     return False
 
 
 class SimulatedFleet:
-    """Members and the network between them. The same seed plays the same.
+    """Members and the network between them. The same seed gives the same run.
 
     Args:
-        members: How many there are; none is up before its start.
-        seed: Of all draws.
+        members: Number of members; each is down until it is started.
+        seed: Seed of all draws.
         loss: Share of datagrams that are lost.
-        make_allowance: Makes the bound on what a member sends, from the instant of its start.
-        versions: The versions of settings that all members say they act on.
+        make_allowance: Creates the bound on what a member sends, given its start time.
+        versions: The settings versions that all members announce as in effect.
     """
 
     def __init__(
@@ -100,32 +104,32 @@
         self._timeline = Timeline(START)
         self.members: dict[int, SimulatedMember] = {}
         self.is_cut: Callable[[int, int], bool] = nothing_cut  # from a sender to a receiver
-        # Since the last `reset_counters`:
+        # Counted since the last `reset_counters`:
         self.sent_datagrams = self.sent_bytes = 0
-        self.suspected: dict[
-            int, float
-        ] = {}  # when a member was first suspected or considered dead
+        # When a member was first suspected or considered dead.
+        self.suspected: dict[int, float] = {}
         self.deaths: list[Death] = []
 
     @property
     def now(self) -> float:
-        """Seconds of virtual time."""
+        """The current virtual time, in seconds."""
         return self._timeline.now
 
     # Members
 
     def start(self, number: int, clock_back: float = 0.0) -> SimulatedMember:
-        """Begin a new incarnation.
+        """Starts a new incarnation of a member.
 
         Args:
-            number: The member.
-            clock_back: Seconds by which its wall clock was set back: the incarnation is earlier.
+            number: The member's number.
+            clock_back: Seconds by which the member's wall clock was set back, so that the new
+                incarnation has an earlier start time.
 
         Returns:
-            The member.
+            The new incarnation.
         """
         incarnation = self._random.randrange(1 << 30)
-        earlier = self.members.get(number)
+        predecessor = self.members.get(number)
         membership = Membership(
             MembershipSettings(number, self._size, incarnation, versions=self._versions),
             self.now,
@@ -133,27 +137,27 @@
             started_at=self.now - clock_back,
         )
         member = SimulatedMember(number, membership)
-        member.timer_epoch = earlier.timer_epoch + 1 if earlier else 0
+        member.timer_epoch = predecessor.timer_epoch + 1 if predecessor else 0
         self.members[number] = member
         first_tick = self.now + self._random.random() * START_SPREAD_S
         self._timeline.at(first_tick, self._tick_first, member)
         return member
 
     def start_all(self) -> None:
-        """Start every member."""
+        """Starts all members."""
         for number in range(self._size):
             self.start(number)
 
     def kill(self, number: int) -> None:
-        """End a member without a word."""
+        """Crashes a member: it ends without notifying its peers."""
         self.members[number].is_up = False
 
     def pause(self, number: int) -> None:
-        """Stop a member's process; datagrams wait in its socket."""
+        """Pauses a member's process; datagrams for it queue in its socket."""
         self.members[number].is_paused = True
 
     def resume(self, number: int) -> None:
-        """Let the process go on: timers that are due come before what waits in its socket."""
+        """Resumes the process; due timers fire before queued datagrams are received."""
         member = self.members[number]
         member.is_paused = False
         self._tick(member, member.timer_epoch)
@@ -181,7 +185,7 @@
     # The network
 
     def send(self, member: SimulatedMember, datagrams: list[Datagram]) -> None:
-        """Put a member's datagrams on their way, and note what it has just learned."""
+        """Sends a member's datagrams and records the state changes that it has just seen."""
         for datagram in datagrams:
             self.sent_datagrams += 1
             self.sent_bytes += len(datagram.text)
@@ -221,20 +225,20 @@
     # Time
 
     def run(self, seconds: float) -> None:
-        """Let so much time pass."""
+        """Advances virtual time by this many seconds."""
         self._timeline.run_until(self.now + seconds)
 
     def settle(
         self, condition: Callable[[], bool] | None = None, timeout_s: float = SETTLE_TIMEOUT_S
     ) -> float | None:
-        """Let time pass until a condition holds.
+        """Advances virtual time until a condition holds.
 
         Args:
-            condition: By default, that all members that are up agree and are right.
-            timeout_s: Seconds after which it gives up.
+            condition: By default `agreed`: all members that are up agree on the true state.
+            timeout_s: Seconds after which the wait ends without success.
 
         Returns:
-            The seconds that it took; None if the condition did not come to hold.
+            The seconds until the condition held; None after a time-out.
         """
         began, condition = self.now, condition or self.agreed
         is_large = self._size >= LARGE_FLEET
@@ -245,10 +249,10 @@
         return self.now - began
 
     def agreed(self, among: Iterable[int] | None = None) -> bool:
-        """Whether these members hold each other as present, in their true incarnations.
+        """Whether these members consider each other present, in their actual incarnations.
 
-        Of `among` (default: all), those that are up are asked; they must hold no other as present
-        and none as suspected.
+        The members of `among` (default: all) that are up are checked. They must consider no other
+        member present, and none suspected.
         """
         numbers = set(self.members if among is None else among)
         up = {
@@ -259,7 +263,7 @@
         tables = [self.members[number].membership.table for number in up]
         if len({table.digest() for table in tables}) != 1:
             return False
-        return all(  # alike by their digests, so that two of them speak for all
+        return all(  # all digests are equal, so that checking two tables is enough
             len(table) == self._size
             and {r.number: r.incarnation for r in table if r.state in PRESENT_STATES} == up
             and not any(r.state == MemberState.SUSPECT for r in table)
@@ -267,17 +271,19 @@
         )
 
     def reset_counters(self) -> None:
-        """Begin to count anew what is sent, suspected and considered dead."""
+        """Resets the counters of datagrams and bytes, the suspicions and the deaths."""
         self.sent_datagrams = self.sent_bytes = 0
         self.suspected, self.deaths = {}, []
 
 
-def scenarios(members: int, seed: int) -> dict[str, Any]:
-    """Play one fleet through a start, a crash, a crash of half, their return, a split and its heal.
+def run_scenarios(members: int, seed: int) -> dict[str, Any]:
+    """Runs one fleet through a start, a crash, a crash of half, a partition and its heal.
+
+    Crashed members are started again before the next scenario.
 
     Returns:
-        FIGURES: seconds (None where it did not settle), and datagrams and bytes of a member a
-        second while nothing happens.
+        FIGURES: seconds until all agreed (None if the fleet did not settle), and datagrams and
+        bytes per member and second in the steady state.
     """
     fleet, found = SimulatedFleet(members, seed), dict[str, Any]()
     fleet.start_all()
@@ -309,7 +315,7 @@
 
 
 def false_deaths(members: int, seed: int, loss: float, minutes: float) -> tuple[int, float]:
-    """Members that were considered dead though all were up, and the member-minutes played."""
+    """Returns the number of false deaths while all members are up, and the member-minutes."""
     fleet = SimulatedFleet(members, seed, loss)
     fleet.start_all()
     fleet.run(LOSS_WARM_UP_S)
@@ -322,24 +328,24 @@
 def report(
     sizes: list[int], seeds: int, loss: float, minutes: float, progress: Callable[[str], None]
 ) -> dict[str, Any]:
-    """Median and worst of each figure over the seeds, by size, and false deaths under loss.
+    """Returns median and worst of each figure over the seeds, and false deaths under loss.
 
     Args:
-        sizes: Members of each fleet.
-        seeds: Fleets of each size.
+        sizes: Number of members of each fleet.
+        seeds: Number of fleets of each size.
         loss: Share of datagrams lost while false deaths are counted.
-        minutes: For which they are counted; 0: they are not.
-        progress: Called with what is played next.
+        minutes: Duration for which false deaths are counted; 0 skips this.
+        progress: Called with a description of the next run.
 
     Returns:
-        By size, figures as `hazelhollow bench fleet --json` writes them.
+        The figures by size, as `hazelhollow bench fleet --json` writes them.
     """
     found: dict[str, Any] = {}
     for size in sizes:
         rows = []
         for seed in range(1, seeds + 1):
             progress(f"{size} members, seed {seed} of {seeds}")
-            rows.append(scenarios(size, seed))
+            rows.append(run_scenarios(size, seed))
         figures: dict[str, Any] = {key: _spread([row[key] for row in rows]) for key in rows[0]}
         if minutes:
             deaths, member_minutes = false_deaths(size, 1, loss, minutes)
@@ -349,9 +355,9 @@
 
 
 def _spread(values: list[float | None]) -> dict[str, Any]:
-    known = [value for value in values if value is not None]
+    measured = [value for value in values if value is not None]
     return {
-        "median": round(statistics.median(known), 3) if known else None,
-        "worst": round(max(known), 3) if known else None,
-        "not_settled": len(values) - len(known),
+        "median": round(statistics.median(measured), 3) if measured else None,
+        "worst": round(max(measured), 3) if measured else None,
+        "not_settled": len(values) - len(measured),
     }
--- a/hazelhollow/bench/zones.py
+++ b/hazelhollow/bench/zones.py
@@ -1,7 +1,7 @@
-"""Membership of a large fleet while a zone dies and comes back and a region is cut off.
+"""Membership of a large fleet while a zone fails and returns and a region is cut off.
 
-Real `Membership` objects in virtual time, as in `fleet`. Rates are of datagrams with their headers,
-the greatest of any member; times are seconds.
+The runs use real `Membership` objects in virtual time, as in `fleet`. Rates count datagrams with
+their headers; peaks are those of the member that sent most. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -28,35 +28,35 @@
 from hazelhollow.membership.records import MemberState
 from hazelhollow.membership.sender import Datagram
 
-VERSIONS = "i4pz002k3f9005wa1cz0q1"  # the same at all members, in the form that they announce
-SLOT_S = 0.25  # bytes are counted by slots of this length
+VERSIONS = "i4pz002k3f9005wa1cz0q1"  # the same at all members, in announced form
+SLOT_S = 0.25  # length of the slots in which bytes are counted
 ZONES, REGIONS = 6, 3
 LOST_ZONE, CUT_REGION = 5, 1
-CALM_BEFORE_S = 15.0  # between the start and the first measurement
-MEASURED_S = 10.0  # at least, of each phase
-CUT_S = 20.0  # at least, that a region is cut off
-SETTLE_TIMEOUT_S = 60.0  # of each phase
+CALM_BEFORE_S = 15.0  # between the start phase and the steady-state measurement
+MEASURED_S = 10.0  # minimum duration of a phase
+CUT_S = 20.0  # minimum duration of the cut of a region
+SETTLE_TIMEOUT_S = 60.0  # for each phase
 
 
 @dataclass
 class TrafficCounter:
-    """Bytes with headers that each member has sent, by slot.
+    """Bytes that each member has sent, including headers, by slot.
 
     Args:
-        began: Seconds; the begin of the first slot.
-        bytes_by_member: By member and slot.
+        began: Start of the first slot, in seconds.
+        bytes_by_member: Bytes by member and slot.
     """
 
     began: float
     bytes_by_member: dict[int, defaultdict[int, int]] = field(default_factory=dict)
 
     def add(self, member: int, size: int, now: float) -> None:
-        """Count a datagram of this size."""
+        """Counts a datagram of this size."""
         slots = self.bytes_by_member.setdefault(member, defaultdict(int))
         slots[int((now - self.began) / SLOT_S)] += size
 
     def peak(self, seconds: float) -> float:
-        """Bytes a second of the member and window of so many seconds in which most was sent."""
+        """Returns the highest bytes per second of any member in any window of this many seconds."""
         width, most = round(seconds / SLOT_S), 0
         for slots in self.bytes_by_member.values():
             inside = 0
@@ -66,19 +66,19 @@
         return most / seconds
 
     def mean(self, seconds: float) -> float:
-        """Bytes a second of a member on average over so many seconds."""
+        """Returns the mean bytes per second and member over this many seconds."""
         total = sum(sum(slots.values()) for slots in self.bytes_by_member.values())
         return total / max(1, len(self.bytes_by_member)) / seconds
 
 
 class ObservedFleet(SimulatedFleet):
-    """A fleet that counts each member's traffic, and deaths of members that were up and in reach.
+    """A fleet that records each member's traffic, and deaths of members that were up and reachable.
 
     Args:
-        members: How many there are.
-        seed: Of all draws.
+        members: Number of members.
+        seed: Seed of all draws.
         loss: Share of datagrams that are lost.
-        make_allowance: Makes the bound on what a member sends.
+        make_allowance: Creates the bound on what a member sends, given its start time.
     """
 
     def __init__(
@@ -90,16 +90,16 @@
     ) -> None:
         super().__init__(members, seed, loss, make_allowance, VERSIONS)
         self.traffic = TrafficCounter(self.now)
-        self.false_deaths: set[tuple[int, int]] = set()  # member considered dead, and the second
+        self.false_deaths: set[tuple[int, int]] = set()  # the member, and the time in seconds
 
     def send(self, member: SimulatedMember, datagrams: list[Datagram]) -> None:
-        """Count a member's datagrams and put them on their way."""
+        """Counts a member's datagrams and sends them."""
         for datagram in datagrams:
             self.traffic.add(member.number, len(datagram.text) + HEADER_BYTES, self.now)
         super().send(member, datagrams)
 
     def begin_phase(self) -> None:
-        """Begin to count traffic anew."""
+        """Starts a new measurement of traffic."""
         self.reset_counters()
         self.traffic = TrafficCounter(self.now)
 
@@ -118,25 +118,25 @@
 
 
 def zone_of(member: int) -> int:
-    """The zone that a member is in."""
+    """Returns the zone of a member."""
     return member % ZONES
 
 
 def region_of(member: int) -> int:
-    """The region that a member is in."""
+    """Returns the region of a member."""
     return member % REGIONS
 
 
 def allowances(bytes_per_s: float, contended: bool) -> Callable[[float], Allowance | None]:
-    """What makes each member's bound on membership traffic.
+    """Returns the factory of the members' bounds on membership traffic.
 
     Args:
-        bytes_per_s: The control budget of a limiter; 0: no bound.
-        contended: The other roles use all that they can get, so that membership has its guaranteed
-            rate and no more.
+        bytes_per_s: The control budget of a limiter; 0 for no bound.
+        contended: Whether the other roles use all of the budget that they can get, which leaves
+            membership only its guaranteed rate.
 
     Returns:
-        A function of the instant at which a member starts.
+        A function of the time at which a member starts.
 
     Raises:
         ValueError: The budget is too small.
@@ -148,7 +148,7 @@
 
 
 class _Phases:
-    """Runs a fleet phase by phase and notes the figures of each."""
+    """Runs a fleet phase by phase and records the figures of each phase."""
 
     def __init__(self, fleet: ObservedFleet, progress: Callable[[str], None]) -> None:
         self._fleet, self._progress = fleet, progress
@@ -157,7 +157,7 @@
     def measure(
         self, name: str, least: float = MEASURED_S, settled: Callable[[], bool] | None = None
     ) -> None:
-        """Run until all agree, and at least so many seconds."""
+        """Runs until all members agree, for at least `least` seconds, and records the figures."""
         fleet, began = self._fleet, self._fleet.now
         settled_after = fleet.settle(settled, SETTLE_TIMEOUT_S)
         fleet.run(max(0.0, least - (fleet.now - began)))
@@ -171,26 +171,27 @@
         fleet.begin_phase()
 
 
-def play(
+def simulate(
     members: int,
     seed: int,
     loss: float,
     make_allowance: Callable[[float], Allowance | None],
     progress: Callable[[str], None],
 ) -> dict[str, Any]:
-    """Play one fleet through all phases.
+    """Runs one fleet through all phases.
 
-    These are a start, calm, the loss of a zone, its return, a region's cut and its heal.
+    The phases are the start, the steady state, the loss of a zone, its return, the cut of a region
+    and its heal.
 
     Args:
-        members: How many there are.
-        seed: Of all draws.
-        loss: Share of datagrams that are lost, all the time.
-        make_allowance: Makes the bound on what a member sends.
+        members: Number of members.
+        seed: Seed of all draws.
+        loss: Share of datagrams that are lost in all phases.
+        make_allowance: Creates the bound on what a member sends, given its start time.
         progress: Called with the figures of each phase.
 
     Returns:
-        Figures by phase, and the number of false deaths.
+        The figures by phase, and the number of false deaths.
     """
     fleet = ObservedFleet(members, seed, loss, make_allowance)
     phases = _Phases(fleet, progress)
@@ -223,10 +224,10 @@
     make_allowance: Callable[[float], Allowance | None],
     progress: Callable[[str], None],
 ) -> dict[str, list[dict[str, Any]]]:
-    """The figures of `play` for each seed, by size."""
+    """Returns the figures of `simulate` for each seed, by size."""
     return {
         str(size): [
-            play(size, seed, loss, make_allowance, progress) for seed in range(1, seeds + 1)
+            simulate(size, seed, loss, make_allowance, progress) for seed in range(1, seeds + 1)
         ]
         for size in sizes
     }
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -198,7 +198,7 @@
     """A zone dies and returns and a region is cut off, within 4000 bytes a second: every phase
     settles.
     """
-    found = zones.play(24, 1, 0.0, zones.allowances(4000.0, contended), lambda text: None)
+    found = zones.simulate(24, 1, 0.0, zones.allowances(4000.0, contended), lambda text: None)
     phases = {name: phase for name, phase in found.items() if isinstance(phase, dict)}
     settings, rate = settings_for(4000.0), settings_for(4000.0).rate
     if contended:
