--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -1,7 +1,7 @@
-"""Replicated counts in virtual time: real `Replica` objects with datagrams between them.
+"""Replicated counts in virtual time: real `Replica` objects that exchange datagrams.
 
-Measures how long and how many bytes a new member takes to catch up, what anti-entropy costs each
-second, how long tables differ after a split, and the memory of a count.
+Measures the time and the bytes that a new member needs to catch up, the traffic of anti-entropy per
+second, how long tables differ after a network partition, and the memory per count.
 """
 
 from __future__ import annotations
@@ -20,37 +20,37 @@
 from hazelhollow.replication.outbox import Datagram, LocalMember
 from hazelhollow.replication.replica import ROUND_INTERVAL_S, Replica
 
-START = 1_700_000_000  # seconds; the first instant of each run
+START = 1_700_000_000  # seconds; the initial time of each run
 DATAGRAM_DELAY_S = (0.001, 0.02)  # one way, drawn uniformly
 CATCH_UP_TIMEOUT_S = 600.0
 HEAL_TIMEOUT_S = 50.0
 SPLIT_S = 5.0
-STEADY_WARM_UP_S = 5  # before the steady cost is measured
-CHARGED_SHARE = 0.1  # of customers that each member charges in a second of the steady cost
+STEADY_WARM_UP_S = 5  # before the steady-state traffic is measured
+CHARGED_SHARE = 0.1  # of customers, charged per second by each member in the steady state
 FIRST_KEY = 36**4  # so that all keys have five digits
-CHARGING_MEMBERS = 5  # that have charged each customer
-CUSTOMERS_OF_FLEETS = 200  # for the steady cost and the heal
+CHARGING_MEMBERS = 5  # members that have charged each customer
+CUSTOMERS_OF_FLEETS = 200  # in runs of the steady state and of the heal
 PLAN_DIGEST = "7kq"
 
 
 def key_of(number: int) -> str:
-    """The name of a customer."""
+    """Returns the key of a customer."""
     return base36(FIRST_KEY + number)
 
 
 class KnownAccounts:
-    """What a decision engine with so many customers says, each charged by some members."""
+    """Stands in for a decision engine with these customers, each charged by some members."""
 
     def __init__(self, customers: int, charging_members: int = CHARGING_MEMBERS) -> None:
         self._keys = [key_of(number) for number in range(customers)]
         self._charging_members = charging_members
 
     def customers_below_full(self) -> list[str]:
-        """All customers."""
+        """Returns the keys of all customers."""
         return self._keys
 
     def account(self, key: str) -> AccountCopy | None:
-        """The account of any customer."""
+        """Returns the account of a customer; all accounts have the same content."""
         through = START - 2
         recent_counts = tuple(
             RecentCount(n, f"7p{n}", CountValue(through - 50, through, 1234 + n), 20, 10)
@@ -60,11 +60,11 @@
 
 
 class SimulatedReplicas:
-    """Replicas and the network between them. The same seed plays the same.
+    """Replicas and the network between them. The same seed gives the same run.
 
     Args:
-        sources: What each member's decision engine knows.
-        seed: Of all draws.
+        sources: The accounts of each member's decision engine.
+        seed: Seed of all draws.
         loss: Share of datagrams that are lost.
     """
 
@@ -108,10 +108,10 @@
         self._send(replica, replica.receive(sender, text, self._timeline.now))
 
     def run(self, seconds: float, condition: Callable[[], bool] = lambda: False) -> float:
-        """Play events until a condition holds, for so many seconds at most.
+        """Runs events until a condition holds, for at most this many seconds.
 
         Returns:
-            The seconds up to the last event.
+            The seconds until the last event that ran.
         """
         timeline = self._timeline
         began, end = timeline.now, timeline.now + seconds
@@ -120,12 +120,12 @@
         return timeline.now - began
 
     def complete_all(self) -> None:
-        """Make all members know that they have caught up."""
+        """Marks the catch-up of all members as complete."""
         for replica in self.replicas:
             replica.catch_up.is_complete = True
 
     def charge_all(self, customers: int, period: int, share: float) -> None:
-        """Let every member charge a share of the customers in this second."""
+        """Charges, at every member, a random share of the customers in this second."""
         for replica in self.replicas:
             local = replica.local
             for number in range(customers):
@@ -146,11 +146,13 @@
 
 
 def catch_up(customers: int, loss: float, seed: int) -> dict[str, float]:
-    """Let a new member catch up beside two that know all and two that are new themselves.
+    """Measures the catch-up of a new member from two members with all accounts.
+
+    Two more members are new as well: they have no accounts and completed without a source.
 
     Returns:
-        Seconds (infinity if it was not complete in time), bytes sent by all, accounts that it was
-        told, and customers.
+        Seconds (infinity if the catch-up timed out), bytes sent by all members, accounts that the
+        new member received, and customers.
     """
     empty = [KnownAccounts(0) for _ in range(CHARGING_MEMBERS - 2)]
     simulation = SimulatedReplicas(
@@ -171,7 +173,7 @@
 
 
 def steady(members: int, customers: int, seed: int, seconds: int = 20) -> dict[str, float]:
-    """Datagrams and bytes that a member sends a second under steady charges."""
+    """Returns the datagrams and bytes that a member sends per second under steady charges."""
     simulation = SimulatedReplicas([KnownAccounts(0) for _ in range(members)], seed)
     simulation.complete_all()
     for second in range(seconds):
@@ -187,31 +189,34 @@
 
 
 def heal(members: int, customers: int, seed: int, loss: float = 0.1) -> float:
-    """Seconds from the end of a split until all tables are alike, with no charges meanwhile."""
+    """Returns the seconds from the end of a partition until all tables are equal.
+
+    There are no charges in that time.
+    """
     simulation = SimulatedReplicas([KnownAccounts(0) for _ in range(members)], seed, loss)
     simulation.complete_all()
 
-    def are_apart(one_member: int, other_member: int) -> bool:
+    def are_partitioned(one_member: int, other_member: int) -> bool:
         return (one_member < members // 2) != (other_member < members // 2)
 
-    simulation.is_cut = are_apart
+    simulation.is_cut = are_partitioned
     simulation.charge_all(customers, START, 1.0)
     simulation.run(SPLIT_S)
     simulation.is_cut = nothing_cut
     for replica in simulation.replicas:
         for number in range(members):
-            if are_apart(number, replica.local.number):
+            if are_partitioned(number, replica.local.number):
                 replica.anti_entropy.member_returned(number)
 
-    def are_alike() -> bool:
+    def tables_are_equal() -> bool:
         digests = {tuple(r.anti_entropy.counts.digests()) for r in simulation.replicas}
         return len(digests) == 1
 
-    return simulation.run(HEAL_TIMEOUT_S, are_alike)
+    return simulation.run(HEAL_TIMEOUT_S, tables_are_equal)
 
 
 def memory(customers: int = 2000, members: int = CHARGING_MEMBERS) -> float:
-    """Bytes for one count: of a customer and a member that charged it."""
+    """Returns the bytes per count; there is one per customer and member that charged it."""
     tracemalloc.start()
     before, counts = tracemalloc.get_traced_memory()[0], CountTable()
     counts.advance(START)
@@ -233,17 +238,17 @@
     fleets: list[int],
     progress: Callable[[str], None],
 ) -> dict[str, Any]:
-    """The figures of `hazelhollow bench replica`, medians over the seeds.
+    """Returns the figures of `hazelhollow bench replica`, as medians over the seeds.
 
     Args:
-        sizes: Customers of a catch-up.
-        losses: Shares of datagrams lost during a catch-up.
-        seeds: Runs of each kind.
-        fleets: Members, for the steady cost and the heal.
-        progress: Called with what is played next.
+        sizes: Numbers of customers for the catch-up.
+        losses: Shares of datagrams lost during the catch-up.
+        seeds: Number of runs of each kind.
+        fleets: Numbers of members for the steady state and the heal.
+        progress: Called with a description of the next run.
 
     Returns:
-        Figures as the command writes them.
+        The figures, as the command writes them.
     """
     found: dict[str, Any] = {
         "catch_up": [],
--- a/hazelhollow/bench/simulated_limiter.py
+++ b/hazelhollow/bench/simulated_limiter.py
@@ -1,7 +1,7 @@
 """A limiter in virtual time: the real engine, lease ledger and store client without sockets.
 
-Nothing here decides what the product decides. Endpoints answer each attempt after a fixed time, so
-that only limits reject; gossip is delayed or lost.
+This module makes none of the product's decisions itself. Endpoints answer each attempt after a
+fixed time, so that requests are rejected only because of limits; gossip is delayed or lost.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 GOSSIP_LOSS = 0.05
 ENDPOINT_ANSWER_S = 0.02
 ENDPOINTS = 12
-TIMER_TOLERANCE_S = 1e-9  # an earlier timer than this is needed before another is set
+TIMER_TOLERANCE_S = 1e-9  # a new timer is set only if it is earlier by more than this
 
 
 @dataclass
 class Site:
-    """What all limiters of a run share.
+    """The environment that all limiters of a run share.
 
     Args:
-        timeline: Virtual time.
-        random: Draws of the network and of engines' seeds.
-        store: The store, or None where limits are kept without one.
-        store_settings: The operator's settings of the store, or None without one.
+        timeline: The run's virtual time.
+        random: Generator for the network and for the engines' seeds.
+        store: The shared store; None if limits are kept without one.
+        store_settings: The operator's settings of the store; None without a store.
         limiters: All limiters, by number.
     """
 
@@ -51,7 +51,7 @@
 
 
 class SimulatedLimiter:
-    """One limiter through all its incarnations. It is down until its `start`."""
+    """One limiter with all its incarnations. It is down until `start` is called."""
 
     def __init__(self, site: Site, settings: api.Settings) -> None:
         self._site, self._settings = site, settings
@@ -59,18 +59,18 @@
         self.number = settings.limiter_id
         self.is_cut_off = self.is_paused = False
         self.is_down = True
-        self.clock_skew = 0.0  # seconds that this limiter's clock is ahead
+        self.clock_skew = 0.0  # seconds by which this limiter's clock is ahead
         self.ledger: LeaseLedger | None = None
         self._engine: Decisions
         self._client: StoreClient | None = None
         self._connection: StoreConnection | None = None
         self._incarnation = 0
-        self._waiting: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while paused
+        self._deferred: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while paused
         self._advance_at = math.inf
         self._earlier_store_calls = 0.0  # of incarnations that were killed
 
     def store_calls(self) -> float:
-        """Calls to the store, over all incarnations."""
+        """Returns the number of calls to the store, over all incarnations."""
         current = self.ledger.counts["calls"] if self.ledger and not self.is_down else 0.0
         return self._earlier_store_calls + current
 
@@ -80,7 +80,7 @@
     # Faults
 
     def start(self) -> None:
-        """Begin a new incarnation."""
+        """Starts a new incarnation."""
         self.is_down = False
         self._incarnation += 1
         now, seed = self._clock(), self._site.random.getrandbits(32)
@@ -98,36 +98,36 @@
         self.handle(api.EndpointsUpdated("full", entries))
 
     def kill(self) -> None:
-        """End the incarnation; what it knew is lost."""
+        """Crashes the incarnation; its state is lost."""
         self.is_down = True
         self._earlier_store_calls += self.ledger.counts["calls"] if self.ledger else 0.0
         self._incarnation += 1
-        self._waiting.clear()
+        self._deferred.clear()
         if self._connection:
             self._connection.close()
             self._connection = None
 
     def pause(self) -> None:
-        """Stop as a stopped process does: what comes meanwhile waits."""
+        """Pauses the process: events are deferred until `resume`."""
         self.is_paused = True
 
     def resume(self) -> None:
-        """Go on, with what waited first."""
+        """Resumes the process; deferred events are handled first, in order."""
         self.is_paused = False
-        waiting, self._waiting = self._waiting, []
-        for call, args in waiting:
+        deferred, self._deferred = self._deferred, []
+        for call, args in deferred:
             call(*args)
 
-    def _waits(self, call: Callable[..., None], *args: Any) -> bool:
-        """Whether the call has to wait for the end of a pause; if so it is noted."""
+    def _defer_if_paused(self, call: Callable[..., None], *args: Any) -> bool:
+        """Defers the call if the limiter is paused; returns whether it did."""
         if self.is_paused:
-            self._waiting.append((call, args))
+            self._deferred.append((call, args))
         return self.is_paused
 
     # The decision engine
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Give the engine an event and perform its actions, which are returned too."""
+        """Passes an event to the engine, performs the resulting actions and returns them."""
         actions = self._engine.handle(event, self._clock())
         now, draw = self._timeline.now, self._site.random
         for action in actions:
@@ -145,23 +145,23 @@
         return actions
 
     def _schedule(self, when: float, event: api.Event) -> None:
-        self._timeline.at(when, self._handle_later, self._incarnation, event)
+        self._timeline.at(when, self._handle_scheduled, self._incarnation, event)
 
-    def _handle_later(self, incarnation: int, event: api.Event) -> None:
-        if incarnation == self._incarnation and not self._waits(
-            self._handle_later, incarnation, event
+    def _handle_scheduled(self, incarnation: int, event: api.Event) -> None:
+        if incarnation == self._incarnation and not self._defer_if_paused(
+            self._handle_scheduled, incarnation, event
         ):
             self.handle(event)
 
     def receive_gossip(self, sender: int, text: str) -> None:
-        """A datagram of another limiter."""
-        if not self.is_down and not self._waits(self.receive_gossip, sender, text):
+        """Receives a gossip datagram of another limiter."""
+        if not self.is_down and not self._defer_if_paused(self.receive_gossip, sender, text):
             self.handle(api.GossipReceived(sender, text))
 
     # The store
 
     def _connect(self, incarnation: int) -> None:
-        if incarnation != self._incarnation or self._waits(self._connect, incarnation):
+        if incarnation != self._incarnation or self._defer_if_paused(self._connect, incarnation):
             return
         store, client = self._site.store, self._client
         assert store and client
@@ -180,7 +180,7 @@
         self._flush()
 
     def _receive_from_store(self, connection: StoreConnection, data: bytes, closes: bool) -> None:
-        if connection is not self._connection or self._waits(
+        if connection is not self._connection or self._defer_if_paused(
             self._receive_from_store, connection, data, closes
         ):
             return
@@ -220,7 +220,9 @@
     def _advance(self, incarnation: int, due: float) -> None:
         if due == self._advance_at:
             self._advance_at = math.inf
-        if incarnation != self._incarnation or self._waits(self._advance, incarnation, due):
+        if incarnation != self._incarnation or self._defer_if_paused(
+            self._advance, incarnation, due
+        ):
             return
         assert self._client
         if self._client.advance(self._clock()):
--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -1,6 +1,6 @@
 """Runs of `hazelhollow bench store`: month-end load on limiters that lease limits from a store.
 
-`run_job` runs one job and judges it by exact token buckets beside it; `summary` makes the report.
+`run_job` runs one job and checks it against exact token buckets; `summary` builds the report.
 """
 
 from __future__ import annotations
@@ -31,22 +31,23 @@
 from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.standins.redis.node import Node
 
-LOG_LEVEL_ABOVE_ALL = 50
+LOG_LEVEL_ABOVE_ALL = 50  # of structlog; suppresses messages up to `error`
 
 
 @dataclass(frozen=True)
 class Job:
-    """One run.
+    """The parameters of one run. Equal jobs give equal results.
 
     Args:
-        seed: The same job gives the same result.
+        seed: Seed of all draws.
         kind: A kind of faults, EVEN_SPLIT or NO_STORE.
-        limiters: How many there are.
-        seconds: Of load.
+        limiters: Number of limiters.
+        seconds: Duration of the load.
         hold: Which limits the store keeps: both, ceilings or quotas.
-        with_store: Whether there is a store; without, quotas go by gossip and ceilings are split.
-        plans: Whose limits the store keeps; empty: of plans with a ceiling.
-        uneven: Whether most requests of a customer come through one limiter.
+        with_store: Whether there is a store; without one, quotas are kept by gossip and ceilings
+            are split evenly.
+        plans: The plans whose limits the store keeps; if empty, those with a ceiling.
+        uneven: Whether most requests of a customer arrive at one limiter.
     """
 
     seed: int
@@ -60,11 +61,11 @@
 
 
 class Result(msgspec.Struct):
-    """What one run showed.
+    """The result of one run.
 
-    Overshoots are shares of one customer's burst, the greatest of any customer. "Stored" are the
-    customers whose limits the store keeps; "admissible" units are those that one limiter with an
-    exact ledger would have admitted.
+    An overshoot is a share of a customer's burst, and the greatest of any customer. "Stored" refers
+    to customers whose limits the store keeps; "admissible" units are those that a single limiter
+    with exact accounting would have admitted.
     """
 
     seed: int
@@ -72,19 +73,20 @@
     requests: int
     stored_requests: int
     store_calls: float
-    overshoot: float  # of a limit that must hold
-    broken: bool  # one was passed by more than is tolerated
+    overshoot: float  # greatest overshoot of a limit that must hold
+    broken: bool  # whether such a limit was exceeded by more than the tolerance
     quota_overshoot: float
     admissible_units: float
     admissible_rejected_units: float
-    absences: float  # times that a limiter fell back on its even share
+    absences: float  # how often a limiter fell back to its even share
     late_answers: float
 
 
 class LimitWatch:
-    """Exact buckets beside a run, for the customers whose limits the store keeps.
+    """Exact token buckets for the customers whose limits the store keeps.
 
-    Some see what was sent, others what one limiter would have sent that had it all to itself.
+    `quotas` and `ceilings` are charged with what the limiters of the run sent, the ideal buckets
+    with what a single limiter that receives all requests would have sent.
     """
 
     def __init__(self, site: LimiterSite, job: Job) -> None:
@@ -100,19 +102,19 @@
         }
         self._admissible_units = dict.fromkeys(self.quotas, 0.0)
         self._sent_units = dict.fromkeys(self.quotas, 0.0)
-        # Arrivals that the ideal admitted, by identity: it sees no retries of those. They are
-        # referred to, so that no later arrival gets the same identity.
+        # Arrivals that the ideal limiter admitted, by identity; it does not see their retries. The
+        # references keep the arrivals alive, so that no later one gets the same identity.
         self._ideal_admitted: dict[int, load.Arrival] = {}
         self._timeline = site.timeline
         self.requests = 0
 
-    def see(self, arrival: load.Arrival, admitted: bool) -> None:
-        """Note a request and whether a limiter admitted it."""
+    def record(self, arrival: load.Arrival, admitted: bool) -> None:
+        """Records a request and whether a limiter admitted it."""
         now, units, key = self._timeline.now, arrival.units, arrival.customer.id
         if key not in self.quotas:
             return
         self.requests += 1
-        counted = now >= START + WARM_UP_S  # what passes a limit counts from the first moment on
+        counted = now >= START + WARM_UP_S  # an overshoot, in contrast, counts from the start
         ideal = self._ideal[key]
         if (
             id(arrival) not in self._ideal_admitted
@@ -129,11 +131,11 @@
                     buckets[key].take(units, now)
 
     def admissible_units(self) -> float:
-        """Units that the ideal would have admitted."""
+        """Returns the units that the ideal limiter would have admitted."""
         return sum(self._admissible_units.values())
 
     def admissible_rejected_units(self) -> float:
-        """Units that the ideal would have admitted and this run did not, customer by customer."""
+        """Returns the admissible units that this run did not admit, computed per customer."""
         return sum(
             max(units - self._sent_units[key], 0.0) for key, units in self._admissible_units.items()
         )
@@ -152,7 +154,7 @@
 
 
 def store_settings(hold: str, plans: tuple[str, ...]) -> StoreSettings:
-    """The store's settings with their defaults, as an operator file gives them."""
+    """Returns the settings of the store as read from an operator file, with defaults."""
     names = ", ".join(f'"{name}"' for name in plans)
     text = f'store: {{address: "127.0.0.1:6379", hold: "{hold}", plans: [{names}]}}'
     settings = read(text.encode(), "bench").store
@@ -161,7 +163,7 @@
 
 
 def run_job(job: Job) -> Result:
-    """One run; the same job gives the same result, whatever runs beside it."""
+    """Runs a job. The result depends on the job alone, not on other runs in parallel."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(LOG_LEVEL_ABOVE_ALL))
     draw = random.Random(f"faults {job.kind} {job.seed}")
     kinds = draw_kinds(job.kind, draw)
@@ -182,7 +184,7 @@
     watch = LimitWatch(site, job)
     if job.kind not in WITH_ALL_CUSTOMERS:
         site.customers = [c for c in site.customers if c.id in watch.quotas]
-    site.log.on_request = watch.see
+    site.log.on_request = watch.record
     site.run()
     return _result(job, site, watch)
 
@@ -210,7 +212,7 @@
 
 
 def play_all(jobs: list[Job], processes: int) -> Iterator[Result]:
-    """The results in the order of the jobs, as they come."""
+    """Yields the results in the order of the jobs, each as soon as it is available."""
     if processes <= 1:
         yield from map(run_job, jobs)
         return
@@ -219,7 +221,7 @@
 
 
 def summary(results: list[Result]) -> dict[str, Any]:
-    """The report: figures of the runs with a store, beside those of both comparisons."""
+    """Returns the report: figures of the runs with a store and of both comparisons."""
     even_split = [result for result in results if result.kind == EVEN_SPLIT]
     no_store = [result for result in results if result.kind == NO_STORE]
     with_store = [result for result in results if result.kind not in (EVEN_SPLIT, NO_STORE)]
@@ -277,5 +279,5 @@
     )
 
 
-def _ratio(part: float, whole: float) -> float:
-    return round(part / whole, 5) if whole else 0.0
+def _ratio(part: float, total: float) -> float:
+    return round(part / total, 5) if total else 0.0
