--- a/hazelhollow/bench/cpu.py
+++ b/hazelhollow/bench/cpu.py
@@ -1,7 +1,7 @@
-"""CPU time per request of a limiter process on sockets, with a shared store and without.
+"""CPU time per request of a limiter process on sockets, with and without a shared store.
 
-Machines are noisy, so only ratios within one session say anything: runs with and without the store
-alternate, and each pair gives one ratio.
+Because CPU times vary between machines and over time, only ratios within one session are
+meaningful: runs with and without the store alternate, and each pair gives one ratio.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from hazelhollow.bench.errors import LimiterStartError
 from hazelhollow.net import resp
 
-# Each asks 20 times a second, well within its quota.
+# Each makes 20 requests per second, well within its quota.
 CUSTOMERS = 40
-CONNECTIONS = 16  # each makes one request in every interval
+CONNECTIONS = 16  # with one request per interval each
 REQUEST_INTERVAL_S = 0.02
-# Three seconds: customers become known, pools are connected and leases are taken.
+# Three seconds, in which accounts are created, pools connect and leases are taken.
 WARM_UP_REQUESTS = 2400
 START_TIMEOUT_S = 15.0
 STOP_TIMEOUT_S = 30.0
@@ -58,15 +58,16 @@
 def running_command(
     *arguments: str, environment: dict[str, str] | None = None, waits_until_ready: bool = True
 ) -> Iterator[tuple[int, str]]:
-    """Run one of our commands as a process for as long as this lasts.
+    """Runs a `hazelhollow` command as a process within the context.
 
     Args:
-        arguments: Of `hazelhollow`.
-        environment: Variables besides our own.
-        waits_until_ready: Whether the command prints a line with its address once it is ready.
+        arguments: Arguments of `hazelhollow`.
+        environment: Variables in addition to those of this process.
+        waits_until_ready: Whether to wait for the line with its address that the command prints
+            once it is ready.
 
     Yields:
-        Its process number, and its address or nothing.
+        The process id, and the address or an empty string.
     """
     with tempfile.TemporaryFile() as sink:
         process = subprocess.Popen(
@@ -86,12 +87,12 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Seconds that a process has been on a CPU, to the nanosecond (from schedstat)."""
+    """Returns the CPU time of a process in seconds, to the nanosecond (from schedstat)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 def free_port() -> int:
-    """A port that nobody listens on now."""
+    """Returns a port that is currently free."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
@@ -101,19 +102,19 @@
 def measure(
     folder: Path, endpoint: str, operator_file: str | None, requests: int
 ) -> tuple[float, int]:
-    """Run one limiter under load.
+    """Runs one limiter under load.
 
     Args:
-        folder: For its files.
+        folder: Folder for the limiter's files.
         endpoint: Address of the only endpoint.
-        operator_file: Attaches the shared store; None: there is none.
-        requests: How many are measured.
+        operator_file: Operator file that attaches the shared store; None for no store.
+        requests: Number of requests to measure.
 
     Returns:
-        Seconds of CPU a request, and how many were served.
+        CPU seconds per request, and the number of requests served.
 
     Raises:
-        LimiterStartError: The limiter did not come up.
+        LimiterStartError: The limiter did not start in time.
     """
     port = free_port()
     config_file = folder / "config.json"
@@ -123,15 +124,15 @@
         arguments += ["--operator", operator_file]
     environment = {"RELAY_CONFIG": str(config_file)}
     with running_command(*arguments, environment=environment, waits_until_ready=False) as (pid, _):
-        _wait_until_up(port)
-        _request(port, WARM_UP_REQUESTS)
+        _wait_until_ready(port)
+        _send_requests(port, WARM_UP_REQUESTS)
         before = cpu_seconds(pid)
-        served = _request(port, requests)
+        served = _send_requests(port, requests)
         return (cpu_seconds(pid) - before) / requests, served
 
 
 def _config(port: int, endpoint: str) -> dict[str, Any]:
-    """The platform's configuration of a limiter that knows its endpoint without discovery."""
+    """Returns the platform's configuration of a limiter that needs no endpoint discovery."""
     entry = {
         "name": "s-1",
         "address": endpoint,
@@ -151,7 +152,7 @@
     }
 
 
-def _wait_until_up(port: int) -> None:
+def _wait_until_ready(port: int) -> None:
     end = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end:
         with suppress(OSError), socket.create_connection(("127.0.0.1", port), timeout=1) as sock:
@@ -159,20 +160,22 @@
             if sock.recv(100).startswith(b"+PONG"):
                 return
         time.sleep(POLL_INTERVAL_S)
-    raise LimiterStartError(f"the limiter did not come up within {START_TIMEOUT_S:g} s")
+    raise LimiterStartError(
+        f"the limiter on port {port} did not answer PING within {START_TIMEOUT_S:g} s"
+    )
 
 
-def _request(port: int, requests: int) -> int:
-    """Make requests at a steady pace, one on each connection an interval; how many were served."""
+def _send_requests(port: int, requests: int) -> int:
+    """Makes requests at a constant rate on all connections; returns the number served."""
     sockets = [
         socket.create_connection(("127.0.0.1", port), timeout=10) for _ in range(CONNECTIONS)
     ]
     parsers = [resp.Parser() for _ in sockets]
     served, begin = 0, time.monotonic()
-    for turn in range(requests // CONNECTIONS):
-        time.sleep(max(0.0, begin + turn * REQUEST_INTERVAL_S - time.monotonic()))
-        for place, sock in enumerate(sockets):
-            customer = b"%016x" % ((turn * CONNECTIONS + place) % CUSTOMERS)
+    for interval in range(requests // CONNECTIONS):
+        time.sleep(max(0.0, begin + interval * REQUEST_INTERVAL_S - time.monotonic()))
+        for connection, sock in enumerate(sockets):
+            customer = b"%016x" % ((interval * CONNECTIONS + connection) % CUSTOMERS)
             fields = b"c=look,t=gold,d=2000,units=1,spread=2,first=0"
             sock.sendall(
                 resp.encode_command([b"Q.ASK", customer, os.urandom(8).hex().encode(), fields])
@@ -187,14 +190,14 @@
 
 
 def compare(pairs: int, requests: int) -> Iterator[dict[str, float]]:
-    """Run pairs of a limiter without the store and one with it, in turn.
+    """Runs a limiter without the store and one with it, alternately.
 
     Args:
-        pairs: How many.
-        requests: That are measured in each run.
+        pairs: Number of pairs of runs.
+        requests: Number of requests to measure in each run.
 
     Yields:
-        For each pair µs of CPU a request, their ratio, and how many requests were served.
+        For each pair, the CPU time per request in µs, the ratio, and the requests served.
     """
     with (
         tempfile.TemporaryDirectory() as name,
@@ -217,7 +220,7 @@
 
 
 def summary(rows: list[dict[str, float]]) -> dict[str, object]:
-    """The figures that `hazelhollow bench cpu` writes, from the rows of `compare`."""
+    """Returns the figures that `hazelhollow bench cpu` writes, from the rows of `compare`."""
     ratios = sorted(row["ratio"] for row in rows)
     return {
         "pairs": len(rows),
--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -1,7 +1,7 @@
-"""What a byte budget for quota gossip costs, by rate and by which updates go first.
+"""Measures the cost of a byte budget for quota gossip, by rate and by order of updates.
 
-Real decision engines in virtual time: `python -m hazelhollow.bench.gossip_budget --help`. A seed
-gives the same figures on any machine, and all orders the same customers.
+Runs real decision engines in virtual time: `python -m hazelhollow.bench.gossip_budget --help`. A
+seed gives the same figures on any machine, and the same customers for all orders.
 """
 
 from __future__ import annotations
@@ -18,46 +18,46 @@
 from hazelhollow.decisions.gossip.scheduler import GossipScheduler
 
 UNITS_PER_S_PER_LIMITER = 40.0  # within quotas
-# `HoldBack` keeps back less than the one share of the burst, of customers that have more than the
-# other left.
+# `HoldBack` delays charges below the first share of the burst, for customers that have more than
+# the second share of the burst left.
 HELD_BACK_SHARE, PLENTY_SHARE = 0.1, 0.5
 
 
 class FirstCome(GossipScheduler):
-    """Sends updates in the order in which they came."""
+    """Sends updates in order of arrival."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """1 for all that are of use."""
+        """Returns 1 for every useful update."""
         return 1.0 if super().usefulness(peer, update) > 0 else 0.0
 
 
 class UnreportedOnly(GossipScheduler):
-    """Sends first what the peer is most units behind on, whatever the customer has left."""
+    """Sends the update with the most unreported units first, whatever the customer has left."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """The share of the burst that the peer does not know of."""
+        """Returns the units not reported to the peer, as a share of the burst."""
         account = self._accounts.by_name.get(update[0])
         return self.unreported(account, peer, update) if account else 0.0
 
 
 class UnreportedByNearness(GossipScheduler):
-    """Sends first what the peer is most units behind on, against what the customer has left."""
+    """Weights the unreported units by how close the customer is to its limit."""
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """The share of the burst that the peer does not know of, against what is left."""
+        """Returns the unreported share of the burst, relative to what the customer has left."""
         account = self._accounts.by_name.get(update[0])
         unreported = self.unreported(account, peer, update) if account else 0.0
         return super().usefulness(peer, update) * unreported
 
 
 class HoldBack(UnreportedByNearness):
-    """As `UnreportedByNearness`, but small charges of customers with plenty left wait.
+    """Like `UnreportedByNearness`, but delays small charges of customers with plenty left.
 
-    They are sent when they have added up or their period closes.
+    They are sent once they add up to HELD_BACK_SHARE, or when their period closes.
     """
 
     def usefulness(self, peer: int, update: PendingUpdate) -> float:
-        """0 for a small charge of a customer with plenty left."""
+        """Returns 0 for a small charge of a customer with plenty left."""
         account, useful = self._accounts.by_name.get(update[0]), super().usefulness(peer, update)
         if account is None or self.outbox is None or self.outbox.has_plenty():
             return useful
@@ -69,7 +69,7 @@
 
 
 ORDERS: dict[str, type[GossipScheduler]] = {
-    "nearest": GossipScheduler,  # the product's own
+    "nearest": GossipScheduler,  # the order that the product uses
     "first-come": FirstCome,
     "untold": UnreportedOnly,
     "untold-by-nearness": UnreportedByNearness,
@@ -78,9 +78,9 @@
 
 
 class BudgetFigures(NamedTuple):
-    """Of one run.
+    """The figures of one run.
 
-    Values are shares of the value offered within quotas; traffic is a limiter's, a second, with
+    Values are shares of the value offered within quotas; traffic is per limiter and second, with
     headers.
     """
 
@@ -91,22 +91,22 @@
 
     @property
     def net(self) -> float:
-        """Served less the price of attempts beyond quotas."""
+        """Served value less the price of attempts beyond quotas."""
         return self.served - self.excess
 
 
 def measure(seed: int, limiters: int, seconds: float, rate: float, order: str) -> BudgetFigures:
-    """One run.
+    """Runs one simulation.
 
     Args:
-        seed: Of all draws.
-        limiters: How many there are.
-        seconds: Of load.
-        rate: Bytes a second of gossip for each limiter; 0: no budget.
-        order: One of ORDERS.
+        seed: Seed of all draws.
+        limiters: Number of limiters.
+        seconds: Duration of the load.
+        rate: Gossip budget of each limiter in bytes per second; 0 for no budget.
+        order: The order of updates, one of ORDERS.
 
     Returns:
-        Its figures.
+        The figures of the run.
     """
     options = FleetOptions(
         limiters=limiters,
@@ -127,7 +127,7 @@
 def table(
     seeds: list[int], limiters: int, seconds: float, rates: list[float], orders: list[str]
 ) -> Iterator[str]:
-    """A Markdown table, each line as soon as its runs are done."""
+    """Yields the lines of a Markdown table, each as soon as its runs are complete."""
     seed_columns = " | ".join(f"net, seed {seed}" for seed in seeds)
     yield (
         f"| bytes a second | order | {seed_columns} | mean net | mean over | bytes sent | "
@@ -175,7 +175,7 @@
     rates: tuple[float, ...],
     orders: tuple[str, ...],
 ) -> None:
-    """Value served less the price of attempts beyond quotas, under budgets of the gossip."""
+    """Shows served value less the price of attempts beyond quotas, by gossip budget and order."""
     for line in table(list(seeds), limiters, seconds, list(rates), list(orders)):
         click.echo(line)
 
--- a/hazelhollow/bench/load.py
+++ b/hazelhollow/bench/load.py
@@ -1,8 +1,8 @@
-"""Month-end load: customers, their patterns of use, and arrivals drawn from a seed.
+"""Month-end load: customers, their usage patterns, and arrivals drawn from a seed.
 
-The ranges are those that the operators state for their site: shares of use by plan, rates and
+The ranges are those that the operators give for their site: shares of use by plan, rates and
 bursts, how many customers are calm, near their quota, heavy or spiky, and how their requests shift
-between their limiters. Only `draw`s given by the caller are used, in a fixed order.
+between their limiters. All draws come, in a fixed order, from generators that the caller passes.
 """
 
 from __future__ import annotations
@@ -32,25 +32,25 @@
 )
 CLASS_SHARES = (0.47, 0.44, 0.09)  # of requests, by CLASSES
 UNITS = (1.0, 2.0, 3.0, 4.0, 5.0, 6.0)  # of one request
-UNIT_WEIGHTS = (8, 5, 3, 2, 1, 1)  # how often each of UNITS is drawn
+UNIT_WEIGHTS = (8, 5, 3, 2, 1, 1)  # relative frequencies of UNITS
 MEAN_UNITS = sum(u * w for u, w in zip(UNITS, UNIT_WEIGHTS, strict=True)) / sum(UNIT_WEIGHTS)
-REQUESTS_WITHIN_QUOTAS_PER_S = 220.0  # of all customers of up to BASE_LIMITERS limiters
+REQUESTS_WITHIN_QUOTAS_PER_S = 220.0  # of all customers, with up to BASE_LIMITERS limiters
 BASE_LIMITERS = 3
-CALM_SHARE = 0.3  # of its quota that a customer uses at most before the rush
-RETRIES = 2  # of a client after a rejection
-RETRY_AFTER_S = (0.0, 0.2)  # a client's wait before a retry; one is drawn
+CALM_SHARE = 0.3  # maximum share of its quota that a customer uses before the load peak
+RETRIES = 2  # of a request that is rejected
+RETRY_AFTER_S = (0.0, 0.2)  # wait of a client before a retry; one of the two is drawn
 
 
 @dataclass(frozen=True)
 class PlanRange:
-    """What a plan's settings are drawn from.
+    """The ranges from which a plan's settings are drawn.
 
     Args:
-        name: The plan.
-        use_share: Its share of what is used within quotas.
-        rate: Units a second, from and to.
-        burst_s: The burst in seconds of the rate, from and to.
-        ceiling_factor: The hard ceiling as a multiple of rate and burst, from and to; 0: none.
+        name: The plan's name.
+        use_share: The plan's share of the units used within quotas.
+        rate: Range of the rate, in units per second.
+        burst_s: Range of the burst, in seconds of the rate.
+        ceiling_factor: Range of the hard ceiling as a multiple of rate and burst; 0 for none.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 
 def draw_plans(draw: random.Random) -> tuple[api.Plan, ...]:
-    """One plan for each of PLAN_RANGES."""
+    """Draws one plan for each of PLAN_RANGES."""
     plans = []
     for plan_range in PLAN_RANGES:
         rate = draw.uniform(*plan_range.rate)
@@ -90,12 +90,12 @@
 
 @dataclass(frozen=True)
 class LoadSettings:
-    """How much load is drawn.
+    """The amount of load to draw.
 
     Args:
-        limiters: How many limiters there are; beyond BASE_LIMITERS, as many more customers.
-        start: Seconds; the first instant of the run.
-        seconds: Of load.
+        limiters: Number of limiters; above BASE_LIMITERS, the number of customers grows with it.
+        start: Start of the run, in seconds.
+        seconds: Duration of the load.
     """
 
     limiters: int
@@ -105,11 +105,11 @@
 
 @dataclass(frozen=True)
 class Spike:
-    """A time in which a customer asks for a multiple of its quota.
+    """A period in which a customer requests a multiple of its quota.
 
     Args:
-        begin: Seconds, the first instant.
-        end: Seconds, the instant after the last.
+        begin: Start of the period in seconds, inclusive.
+        end: End of the period in seconds, exclusive.
         factor: Multiple of the plan's rate.
     """
 
@@ -120,19 +120,19 @@
 
 @dataclass
 class Customer:
-    """One customer: its set of limiters and its pattern of use.
+    """One customer: its set of limiters and its usage pattern.
 
     Args:
-        id: Its name in requests.
-        plan: Its plan.
-        set_start: The first limiter of its set.
-        set_size: How many limiters its requests come through.
-        use_factor: Multiple of its quota that it asks for on average, outside of spikes.
-        spikes: Times in which it asks for more.
-        weights: How its requests spread over its limiters now.
+        id: The customer's name in requests.
+        plan: The customer's plan.
+        set_start: The first limiter of the customer's set.
+        set_size: Number of limiters that the customer's requests arrive at.
+        use_factor: Multiple of the quota that is requested on average outside of spikes.
+        spikes: Periods in which more is requested.
+        weights: How requests are currently distributed over the set of limiters.
         shift_interval_s: Seconds between changes of `weights`.
-        shifted_at: Seconds, the last change of `weights`.
-        calm_until: Seconds; it stays calm until then, as before a rush.
+        shifted_at: Time of the last change of `weights`, in seconds.
+        calm_until: Time in seconds until which the customer stays calm, as before a load peak.
     """
 
     id: str
@@ -147,14 +147,14 @@
     calm_until: float = 0.0
 
     def rate(self, now: float) -> float:
-        """Units that it asks for a second."""
+        """Returns the units requested per second."""
         if now < self.calm_until:
             return self.plan.rate * min(self.use_factor, CALM_SHARE)
         active = [spike.factor for spike in self.spikes if spike.begin <= now < spike.end]
         return self.plan.rate * max(self.use_factor, max(active, default=0.0))
 
     def choose_limiter(self, draw: random.Random, now: float, limiters: int) -> int:
-        """The limiter that its next request comes to, of so many."""
+        """Draws the limiter, of this many, that the next request arrives at."""
         if now - self.shifted_at >= self.shift_interval_s:
             self.shifted_at = now
             draw.shuffle(self.weights)
@@ -164,7 +164,7 @@
 def draw_customers(
     draw: random.Random, plans: tuple[api.Plan, ...], settings: LoadSettings
 ) -> list[Customer]:
-    """As many customers of each plan as make up its share of the use."""
+    """Draws customers of each plan until their use reaches the plan's share."""
     customers = list[Customer]()
     scale = max(settings.limiters / BASE_LIMITERS, 1.0)
     for plan, plan_range in zip(plans, PLAN_RANGES, strict=True):
@@ -180,7 +180,7 @@
     draw: random.Random, plan: api.Plan, settings: LoadSettings, number: int
 ) -> Customer:
     pattern = draw.choices(("calm", "full", "heavy", "spiky"), (0.62, 0.13, 0.09, 0.16))[0]
-    use_factor = {  # all are drawn, whichever is used: the draws that follow stay the same
+    use_factor = {  # all four are drawn, so that the later draws do not depend on the pattern
         "calm": draw.uniform(0.18, 0.39),
         "full": draw.uniform(0.9, 1.05),
         "heavy": draw.uniform(3.1, 4.7),
@@ -210,13 +210,13 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request that a client is about to make.
+    """A request that a client makes.
 
     Args:
-        at: Seconds.
-        customer: Who asks.
-        class_name: One of CLASSES.
-        units: What it uses.
+        at: Time of the request, in seconds.
+        customer: The customer that makes the request.
+        class_name: Name of one of CLASSES.
+        units: Units that the request uses.
     """
 
     at: float
@@ -228,7 +228,7 @@
 def arrivals(
     draw: random.Random, customer: Customer, start: float, seconds: float
 ) -> Iterator[Arrival]:
-    """A customer's requests: a Poisson process at its rate of the moment, by thinning."""
+    """Yields a customer's requests: a Poisson process at its current rate, by thinning."""
     peak_factor = max([customer.use_factor, *[spike.factor for spike in customer.spikes]])
     peak_requests_per_s = peak_factor * customer.plan.rate / MEAN_UNITS
     at = start
--- a/hazelhollow/bench/losses.py
+++ b/hazelhollow/bench/losses.py
@@ -1,8 +1,8 @@
-"""What the loss of each part of an engine's state costs.
+"""Measures the cost of losing each part of an engine's state.
 
-Real decision engines in virtual time, some endpoints slow and one failing. Every few seconds one
-engine is replaced by a new one that gets all of the old one's state but one part. The cost is the
-difference to the same run in which the new engine gets everything.
+The runs use real decision engines in virtual time, with some slow endpoints and one that fails.
+Every few seconds one engine is replaced by a new one, which receives all of the old engine's state
+except for one part. The cost is the difference to the same run in which nothing is lost.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from hazelhollow.decisions.engine import DecisionEngine
 from hazelhollow.decisions.outlier_detection import OutlierRecord
 
-RESTART_INTERVAL_S = 3.0  # between restarts, of one limiter after another
-SLOW_EVERY, FAILING_EVERY = 3, 11  # one endpoint in so many is slow, or fails
-SLOW_FACTOR = 2.5  # of the time that others take
-FAILURE_S = 0.02  # after which a failing endpoint answers
+RESTART_INTERVAL_S = 3.0  # between restarts; limiters are restarted in turn
+SLOW_EVERY, FAILING_EVERY = 3, 11  # one endpoint in this many is slow, or fails
+SLOW_FACTOR = 2.5  # multiple of the usual answer time
+FAILURE_S = 0.02  # answer time of a failing endpoint
 NOTHING, EVERYTHING = "nothing", "everything"
 OPTIONS = FleetOptions(limiters=5, units_per_s=120.0, endpoints=15, answer_time_s=0.3)
 
@@ -28,9 +28,9 @@
     """A fleet whose engines are restarted in turn.
 
     Args:
-        seed: Of all draws.
-        lost: The part of STATES that a new engine does not get; EVERYTHING or NOTHING.
-        options: What is simulated.
+        seed: Seed of all draws.
+        lost: The part of STATES that new engines do not receive; or EVERYTHING, or NOTHING.
+        options: The parameters of the simulation.
     """
 
     def __init__(self, seed: int, lost: str, options: FleetOptions) -> None:
@@ -39,7 +39,7 @@
         self.timeline.at(self.timeline.now + RESTART_INTERVAL_S, self._restart)
 
     def answer(self, endpoint: str, units: int) -> tuple[api.Status, float]:
-        """What becomes of an attempt, and after how many seconds."""
+        """Returns the result of an attempt and the seconds until it ends."""
         number, (status, elapsed) = int(endpoint[1:]), super().answer(endpoint, units)
         if number % FAILING_EVERY == FAILING_EVERY - 1:
             return "error", FAILURE_S
@@ -53,12 +53,12 @@
         self.engines[number] = new
         self.send_endpoint_list(number)
         if self._lost != EVERYTHING:
-            hand_over(old, new, self._lost)
+            copy_state(old, new, self._lost)
         self.timeline.at(self.timeline.now + RESTART_INTERVAL_S, self._restart)
 
 
-def hand_over(old: DecisionEngine, new: DecisionEngine, lost: str) -> None:
-    """Give the new engine all of the old one's state but one part."""
+def copy_state(old: DecisionEngine, new: DecisionEngine, lost: str) -> None:
+    """Copies all of the old engine's state except for one part to the new engine."""
     for name, part in STATES.items():
         if name != lost:
             _copy(old, new, part.attributes)
@@ -69,14 +69,14 @@
 
 def _copy(old: DecisionEngine, new: DecisionEngine, attributes: tuple[str, ...]) -> None:
     for path in attributes:
-        holder, _, attribute = path.partition(".")
-        source, target = getattr(old, holder), getattr(new, holder)
+        component, _, attribute = path.partition(".")
+        source, target = getattr(old, component), getattr(new, component)
         for name in vars(source) if attribute == "*" else (attribute,):
             setattr(target, name, getattr(source, name))
 
 
 def _reset_quotas(old: DecisionEngine) -> None:
-    """As a new incarnation would begin."""
+    """Resets quotas to the state in which a new incarnation starts."""
     old.context.started_at = old.context.now
     for account in old.accounts.values():
         account.quota.level = account.plan.burst / max(account.set_size, 1)
@@ -116,15 +116,17 @@
     """A part of an engine's state that can be lost.
 
     Args:
-        attributes: Where it is: `part.attribute` of the engine, or `part.*` for all of a part.
-        reset: Takes it out of an engine whose `attributes` hold more; None: these are not copied.
+        attributes: Paths of the state: `component.attribute` of the engine, or `component.*` for
+            all attributes of a component.
+        reset: Removes the state from the old engine before `attributes` are copied, where these
+            hold other state too; if None, they are not copied.
     """
 
     attributes: tuple[str, ...]
     reset: Callable[[DecisionEngine], None] | None = None
 
 
-# By the name in the report.
+# By name in the report.
 STATES: dict[str, StatePart] = {
     "budgets and what was settled": StatePart(
         ("context.started_at", "startup.all_started_together"),
@@ -136,7 +138,8 @@
     ),
     "requests open, keys not answered": StatePart(("pending.by_id",), _reset_open_requests),
     "hosts that failed": StatePart(("table.*",), _reset_failures),
-    # Together: demand is counted in learned work, and one without the other rejects nearly all.
+    # Lost together: demand is measured in learned work, and one without the other rejects nearly
+    # all requests.
     "work, paces and clients' ways learned": StatePart(
         (
             "load.classes",
@@ -162,8 +165,10 @@
 }
 
 
-def play(seed: int, lost: str, seconds: float, options: FleetOptions = OPTIONS) -> dict[str, float]:
-    """One run: served and excess value as shares of what was offered, and the lowest ceiling."""
+def simulate(
+    seed: int, lost: str, seconds: float, options: FleetOptions = OPTIONS
+) -> dict[str, float]:
+    """Returns served and excess value as shares of the offered value, and the lowest ceiling."""
     figures = RestartingFleet(seed, lost, options).simulate(seconds)
     return {
         "served": figures.served_value / figures.offered_value,
@@ -178,24 +183,24 @@
     progress: Callable[[str], None],
     options: FleetOptions = OPTIONS,
 ) -> dict[str, dict[str, float]]:
-    """What each loss costs, against the same runs with nothing lost.
+    """Returns the cost of each loss, compared with the same runs without a loss.
 
     Args:
-        seeds: Runs of each loss.
-        seconds: Of each run.
-        progress: Called with the loss that is played next.
-        options: What is simulated.
+        seeds: Number of runs for each loss.
+        seconds: Duration of each run.
+        progress: Called with the name of the next loss.
+        options: The parameters of the simulation.
 
     Returns:
-        By loss: means of how much less is served and how much more goes beyond quotas, the
-        standard deviation of the first, and the lowest ceiling.
+        By loss: the mean decrease of the served value and increase of the excess value, the
+        standard deviation of the former, and the lowest ceiling.
     """
     seed_range = range(1, seeds + 1)
-    base = [play(seed, NOTHING, seconds, options) for seed in seed_range]
+    base = [simulate(seed, NOTHING, seconds, options) for seed in seed_range]
     found = {}
     for lost in (*STATES, EVERYTHING):
         progress(lost)
-        rows = [play(seed, lost, seconds, options) for seed in seed_range]
+        rows = [simulate(seed, lost, seconds, options) for seed in seed_range]
         served_less = [b["served"] - r["served"] for b, r in zip(base, rows, strict=True)]
         over_more = [r["over"] - b["over"] for b, r in zip(base, rows, strict=True)]
         found[lost] = {
--- a/hazelhollow/bench/membership_commands.py
+++ b/hazelhollow/bench/membership_commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow bench fleet` and `zones`: membership in memory."""
+"""The commands `hazelhollow bench fleet` and `zones`: membership in virtual time."""
 
 from __future__ import annotations
 
@@ -56,14 +56,14 @@
 ) -> None:
     """Membership in memory: seconds to settle after starts, crashes, a split and its heal.
 
-    Exit status 1: some fleet did not settle within a minute.
+    Exit status 1: a fleet did not settle within a minute.
     """
     try:
         counts = [int(size) for size in sizes.split(",")]
         if not all(3 <= count <= 2000 for count in counts):
-            raise ValueError("a fleet has 3 to 2000 members")
+            raise ValueError(f"a fleet must have 3 to 2000 members, got {sizes}")
         if plot:
-            # Before the runs: they are long, and the library may not be there.
+            # Imported before the runs, which take long, because matplotlib may not be installed.
             from hazelhollow.bench import plots
     except (ValueError, ModuleNotFoundError) as error:
         exit_for_bad_arguments(error)
@@ -128,11 +128,11 @@
 def zones_command(
     sizes: str, seeds: int, lose: float, bytes_per_s: float, contended: bool, file: str | None
 ) -> None:
-    """Membership while a sixth of the members dies and comes back and a region is cut off.
+    """Membership while a zone with a sixth of the members fails and returns and a region is cut.
 
-    Figures by phase: seconds until all agree, and bytes a second with headers of the member that
-    sent most. Exit status 1: a member that was up was considered dead, or a phase did not
-    settle within a minute.
+    Figures by phase: seconds until all members agree, and bytes per second, with headers, of the
+    member that sent most. Exit status 1: a member that was up was considered dead, or a phase did
+    not settle within a minute.
     """
     try:
         counts = parse_numbers(sizes, 6, 2000)
--- a/hazelhollow/bench/replication_commands.py
+++ b/hazelhollow/bench/replication_commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow bench replica` and `model`: replicated counts in memory."""
+"""The commands `hazelhollow bench replica` and `model`: replicated counts in memory."""
 
 from __future__ import annotations
 
@@ -47,9 +47,10 @@
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 1000))
 @click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def replica_command(customers: str, lose: str, fleets: str, seeds: int, file: str | None) -> None:
-    """Replicated counts in memory: catch-up, steady cost, the heal of a split, bytes for a count.
+    """Replicated counts in memory: catch-up, steady cost, the heal of a split, bytes per count.
 
-    Exit status 1: some catch-up was not complete within ten minutes, or got a customer not once.
+    Exit status 1: a catch-up did not complete within ten minutes, or did not transfer each customer
+    exactly once.
     """
     try:
         sizes = parse_numbers(customers, 0, 1_000_000)
@@ -112,12 +113,12 @@
     plant: str | None,
     file: str | None,
 ) -> None:
-    """Play every order of charges, datagrams, crashes and catch-up up to these bounds.
+    """Explores every order of charges, datagrams, crashes and catch-up within these bounds.
 
     The merge and the catch-up are the product's own.
 
-    Exit status 1: something counted twice or was forgotten; the steps are printed, no shorter ones
-    do it.
+    Exit status 1: a charge was counted twice or was lost; the shortest sequence of steps that leads
+    to this is printed.
     """
     bounds = Bounds(members, charges, sends, turns, crashes, copies, lags, depth)
     tty = sys.stderr.isatty()
--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -279,5 +279,5 @@
     )
 
 
-def _ratio(part: float, total: float) -> float:
-    return round(part / total, 5) if total else 0.0
+def _ratio(numerator: float, denominator: float) -> float:
+    return round(numerator / denominator, 5) if denominator else 0.0
--- a/hazelhollow/bench/store_commands.py
+++ b/hazelhollow/bench/store_commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow bench store` and `cpu`: limiters with a shared store."""
+"""The commands `hazelhollow bench store` and `cpu`: limiters with a shared store."""
 
 from __future__ import annotations
 
@@ -77,11 +77,12 @@
     processes: int,
     file: str | None,
 ) -> None:
-    """Month-end load on limiters that keep their limits in a store, against the stand-in.
+    """Month-end load on limiters that keep their limits in a store, the Redis stand-in.
 
-    For each kind of fault so many runs, and as many with even shares and with no store for
-    comparison. A run is broken if any customer's limit was passed by more than 10% of its burst or
-    one largest request, and 150 ms of its rate. Exit status 1: some run was broken.
+    There are --runs runs for each kind of fault and, for comparison, as many with even shares and
+    with no store. A run is broken if any customer's limit was exceeded by more than 10% of its
+    burst or one largest request, whichever is greater, plus 150 ms of its rate. Exit status 1: a
+    run was broken.
     """
     kinds = list(store_faults.KINDS)
     if faults and "all" not in faults:
@@ -94,7 +95,7 @@
         for kind in [*kinds, store_faults.EVEN_SPLIT, store_faults.NO_STORE]
         for number in range(seed, seed + runs)
     ]
-    figures = store.summary(_play(jobs, processes or os.cpu_count() or 1))
+    figures = store.summary(_run_all(jobs, processes or os.cpu_count() or 1))
     if file:
         write_json(figures, file)
     else:
@@ -102,8 +103,8 @@
     sys.exit(1 if figures["broken"] else 0)
 
 
-def _play(jobs: list[store.Job], processes: int) -> list[store.Result]:
-    """All results; ends the program with a status of 130 if it is interrupted."""
+def _run_all(jobs: list[store.Job], processes: int) -> list[store.Result]:
+    """Returns all results; exits with status 130 on a keyboard interrupt."""
     results = list[store.Result]()
     try:
         for result in store.play_all(jobs, processes):
@@ -148,9 +149,9 @@
 )
 @click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def cpu_command(pairs: int, requests: int, file: str | None) -> None:
-    """CPU a request of a limiter on sockets, with a store and without.
+    """CPU time per request of a limiter on sockets, with and without a store.
 
-    Needs a quiet machine: only the ratio counts.
+    Needs an otherwise idle machine; only the ratio is meaningful.
     """
     rows = []
     for row in cpu.compare(pairs, requests):
