--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -279,5 +279,5 @@
     )
 
 
-def _ratio(numerator: float, denominator: float) -> float:
-    return round(numerator / denominator, 5) if denominator else 0.0
+def _ratio(dividend: float, divisor: float) -> float:
+    return round(dividend / divisor, 5) if divisor else 0.0
