--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -285,33 +285,33 @@
         FIGURES: seconds until all agreed (None if the fleet did not settle), and datagrams and
         bytes per member and second in the steady state.
     """
-    fleet, found = SimulatedFleet(members, seed), dict[str, Any]()
+    fleet, results = SimulatedFleet(members, seed), dict[str, Any]()
     fleet.start_all()
-    found["start"] = fleet.settle()
+    results["start"] = fleet.settle()
     fleet.run(WARM_UP_S)
     fleet.reset_counters()
     fleet.run(COST_SPAN_S)
-    found["messages"] = fleet.sent_datagrams / members / COST_SPAN_S
-    found["bytes"] = fleet.sent_bytes / members / COST_SPAN_S
+    results["messages"] = fleet.sent_datagrams / members / COST_SPAN_S
+    results["bytes"] = fleet.sent_bytes / members / COST_SPAN_S
     fleet.reset_counters()
     began, crashed = fleet.now, members // 3
     fleet.kill(crashed)
-    found["one_dead"] = fleet.settle()
-    found["one_suspected"] = fleet.suspected.get(crashed, fleet.now) - began
+    results["one_dead"] = fleet.settle()
+    results["one_suspected"] = fleet.suspected.get(crashed, fleet.now) - began
     fleet.start(crashed)
-    found["one_joins"] = fleet.settle()
+    results["one_joins"] = fleet.settle()
     half, rest = range(members // 2), range(members // 2, members)
     for number in half:
         fleet.kill(number)
-    found["half_dead"] = fleet.settle()
+    results["half_dead"] = fleet.settle()
     for number in half:
         fleet.start(number)
-    found["half_join"] = fleet.settle()
+    results["half_join"] = fleet.settle()
     fleet.is_cut = lambda sender, receiver: (sender in half) != (receiver in half)
-    found["split"] = fleet.settle(lambda: fleet.agreed(half) and fleet.agreed(rest))
+    results["split"] = fleet.settle(lambda: fleet.agreed(half) and fleet.agreed(rest))
     fleet.is_cut = nothing_cut
-    found["heal"] = fleet.settle()
-    return found
+    results["heal"] = fleet.settle()
+    return results
 
 
 def false_deaths(members: int, seed: int, loss: float, minutes: float) -> tuple[int, float]:
@@ -340,7 +340,7 @@
     Returns:
         The figures by size, as `hazelhollow bench fleet --json` writes them.
     """
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for size in sizes:
         rows = []
         for seed in range(1, seeds + 1):
@@ -350,8 +350,8 @@
         if minutes:
             deaths, member_minutes = false_deaths(size, 1, loss, minutes)
             figures["false_deaths"], figures["member_minutes"] = deaths, member_minutes
-        found[str(size)] = figures
-    return found
+        results[str(size)] = figures
+    return results
 
 
 def _spread(values: list[float | None]) -> dict[str, Any]:
--- a/hazelhollow/bench/gossip_budget.py
+++ b/hazelhollow/bench/gossip_budget.py
@@ -158,7 +158,7 @@
     type=float,
     default=(0.0, 3000.0, 2000.0, 1600.0),
     show_default=True,
-    help="Bytes a second for each limiter; 0: no budget.",
+    help="Gossip budget of each limiter in bytes per second; 0: no budget.",
 )
 @click.option(
     "--order",
--- a/hazelhollow/bench/losses.py
+++ b/hazelhollow/bench/losses.py
@@ -197,16 +197,16 @@
     """
     seed_range = range(1, seeds + 1)
     base = [simulate(seed, NOTHING, seconds, options) for seed in seed_range]
-    found = {}
+    costs = {}
     for lost in (*STATES, EVERYTHING):
         progress(lost)
         rows = [simulate(seed, lost, seconds, options) for seed in seed_range]
         served_less = [b["served"] - r["served"] for b, r in zip(base, rows, strict=True)]
         over_more = [r["over"] - b["over"] for b, r in zip(base, rows, strict=True)]
-        found[lost] = {
+        costs[lost] = {
             "served_less": round(statistics.mean(served_less), 4),
             "over_more": round(statistics.mean(over_more), 4),
             "spread": round(statistics.stdev(served_less), 4) if seeds > 1 else 0.0,
             "lowest_ceiling": round(min(row["ceiling"] for row in rows), 1),
         }
-    return found
+    return costs
--- a/hazelhollow/bench/membership_commands.py
+++ b/hazelhollow/bench/membership_commands.py
@@ -24,32 +24,36 @@
     default="20,100",
     show_default=True,
     metavar="N,M",
-    help="Members of each fleet, 3 to 2000.",
+    help="Numbers of members, 3 to 2000.",
 )
 @click.option(
     "--seeds",
     default=5,
     show_default=True,
     type=click.IntRange(1, 1000),
-    help="Fleets of each size.",
+    help="Number of fleets of each size.",
 )
 @click.option(
     "--lose",
     default=0.1,
     show_default=True,
     type=click.FloatRange(0.0, 0.9),
-    help="Share of datagrams lost, for false deaths.",
+    help="Share of datagrams lost while false deaths are counted.",
 )
 @click.option(
     "--minutes",
     default=5.0,
     show_default=True,
     type=click.FloatRange(0.0, 600.0),
-    help="Of that loss, on the virtual clock.",
+    help="Minutes of virtual time for which false deaths are counted; 0: none.",
 )
-@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 @click.option(
-    "--plot", metavar="FILE", help="Draw them by size as SVG or PNG (needs requirements-plot.txt)."
+    "--json", "file", metavar="FILE", help="Write the figures to this file; '-' prints them."
+)
+@click.option(
+    "--plot",
+    metavar="FILE",
+    help="Plot the figures by size as SVG or PNG (needs requirements-plot.txt).",
 )
 def fleet_command(
     sizes: str, seeds: int, lose: float, minutes: float, file: str | None, plot: str | None
@@ -67,22 +71,24 @@
             from hazelhollow.bench import plots
     except (ValueError, ModuleNotFoundError) as error:
         exit_for_bad_arguments(error)
-    found = fleet.report(counts, seeds, lose, minutes, progress_display())
+    results = fleet.report(counts, seeds, lose, minutes, progress_display())
     if file == "-":
-        write_json(found, file)
+        write_json(results, file)
     else:
         if file:
-            Path(file).write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
-        _print_table(found, lose)
+            Path(file).write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
+        _print_table(results, lose)
     if plot:
-        plots.plot_fleet(found, plot)
+        plots.plot_fleet(results, plot)
     sys.exit(
-        1 if any(row[key]["not_settled"] for row in found.values() for key in fleet.FIGURES) else 0
+        1
+        if any(row[key]["not_settled"] for row in results.values() for key in fleet.FIGURES)
+        else 0
     )
 
 
-def _print_table(found: dict[str, Any], lose: float) -> None:
-    for size, row in found.items():
+def _print_table(results: dict[str, Any], lose: float) -> None:
+    for size, row in results.items():
         figures = [
             f"{key} {row[key]['median']} (worst {row[key]['worst']})" for key in fleet.FIGURES
         ]
@@ -100,31 +106,31 @@
     default="50,116",
     show_default=True,
     metavar="N,M",
-    help="Members of each fleet, 6 to 2000.",
+    help="Numbers of members, 6 to 2000.",
 )
 @click.option(
     "--seeds",
     default=1,
     show_default=True,
     type=click.IntRange(1, 1000),
-    help="Fleets of each size.",
+    help="Number of fleets of each size.",
 )
 @click.option(
     "--lose",
     default=0.01,
     show_default=True,
     type=click.FloatRange(0.0, 0.9),
-    help="Share of datagrams lost, all the time.",
+    help="Share of datagrams lost in all phases.",
 )
 @click.option(
     "--bytes-per-s",
     default=0.0,
     show_default=True,
     type=click.FloatRange(0.0),
-    help="The control budget of a limiter; 0: none.",
+    help="Control budget of each limiter; 0: no bound.",
 )
-@click.option("--contended", is_flag=True, help="The view gets its guaranteed rate alone.")
-@click.option("--json", "file", metavar="FILE", help="Write the figures there.")
+@click.option("--contended", is_flag=True, help="Membership gets only its guaranteed rate.")
+@click.option("--json", "file", metavar="FILE", help="Write the figures to this file.")
 def zones_command(
     sizes: str, seeds: int, lose: float, bytes_per_s: float, contended: bool, file: str | None
 ) -> None:
@@ -139,10 +145,10 @@
         allowance = zones.allowances(bytes_per_s, contended)
     except ValueError as error:
         exit_for_bad_arguments(error)
-    found = zones.report(counts, seeds, lose, allowance, click.echo)
+    results = zones.report(counts, seeds, lose, allowance, click.echo)
     if file:
-        Path(file).write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
-    rows = [row for many in found.values() for row in many]
+        Path(file).write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
+    rows = [row for runs in results.values() for row in runs]
     for row in rows:
         click.echo(f"false deaths: {row['false_deaths']}")
     unsettled = any(
--- a/hazelhollow/bench/plots.py
+++ b/hazelhollow/bench/plots.py
@@ -16,15 +16,15 @@
 COSTS = {"messages": "datagrams", "bytes": "bytes"}
 
 
-def plot_fleet(found: dict[str, Any], file: str) -> None:
+def plot_fleet(results: dict[str, Any], file: str) -> None:
     """Plots the report of `bench.fleet` by fleet size; the file's suffix selects the format."""
-    sizes = [int(size) for size in found]
+    sizes = [int(size) for size in results]
     figure = Figure(figsize=(10, 5))
     left, right = figure.subplots(1, 2)
     for key, label in SETTLING_TIMES.items():
-        left.plot(sizes, [row[key]["median"] for row in found.values()], marker="o", label=label)
+        left.plot(sizes, [row[key]["median"] for row in results.values()], marker="o", label=label)
     for key, label in COSTS.items():
-        medians = [row[key]["median"] for row in found.values()]
+        medians = [row[key]["median"] for row in results.values()]
         right.plot(sizes, medians, marker="o", label=f"{label} a second and member")
     left.set(
         xscale="log",
--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -250,7 +250,7 @@
     Returns:
         The figures, as the command writes them.
     """
-    found: dict[str, Any] = {
+    results: dict[str, Any] = {
         "catch_up": [],
         "steady": [],
         "heal": [],
@@ -262,22 +262,22 @@
             progress(f"catch-up with {customers} customers at {loss:.0%} loss")
             rows = [catch_up(customers, loss, seed) for seed in seed_range]
             worst = round(max(row["seconds"] for row in rows), 2)
-            found["catch_up"].append(
+            results["catch_up"].append(
                 _medians(rows, digits=2) | {"lose": loss, "worst_seconds": worst}
             )
     for members in fleets:
         progress(f"{members} members")
         rows = [steady(members, CUSTOMERS_OF_FLEETS, seed) for seed in seed_range]
         healed = [heal(members, CUSTOMERS_OF_FLEETS, seed) for seed in seed_range]
-        found["steady"].append({"members": members} | _medians(rows, digits=1))
-        found["heal"].append(
+        results["steady"].append({"members": members} | _medians(rows, digits=1))
+        results["heal"].append(
             {
                 "members": members,
                 "seconds": round(statistics.median(healed), 2),
                 "worst": round(max(healed), 2),
             }
         )
-    return found
+    return results
 
 
 def _medians(rows: list[dict[str, float]], digits: int) -> dict[str, float]:
--- a/hazelhollow/bench/replication_commands.py
+++ b/hazelhollow/bench/replication_commands.py
@@ -28,24 +28,26 @@
     default="100,10000",
     show_default=True,
     metavar="N,M",
-    help="That a limiter which begins is told of.",
+    help="Numbers of customers for the catch-up of a new member.",
 )
 @click.option(
     "--lose",
     default="0,10,30",
     show_default=True,
     metavar="P,Q",
-    help="Of a hundred datagrams, lost.",
+    help="Percentages of datagrams lost during the catch-up.",
 )
 @click.option(
     "--fleets",
     default="5,20",
     show_default=True,
     metavar="N,M",
-    help="Members, for what keeping alike costs.",
+    help="Numbers of members for the steady state and the heal.",
 )
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 1000))
-@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
+@click.option(
+    "--json", "file", metavar="FILE", help="Write the figures to this file; '-' prints them."
+)
 def replica_command(customers: str, lose: str, fleets: str, seeds: int, file: str | None) -> None:
     """Replicated counts in memory: catch-up, steady cost, the heal of a split, bytes per count.
 
@@ -59,11 +61,11 @@
     except ValueError as error:
         exit_for_bad_arguments(error)
     loss_shares = [percent / 100 for percent in losses]
-    found = replica.report(sizes, loss_shares, seeds, members, progress_display())
-    write_json(found, file)
+    result = replica.report(sizes, loss_shares, seeds, members, progress_display())
+    write_json(result, file)
     failed = any(
         row["told"] != row["customers"] or row["worst_seconds"] > replica.CATCH_UP_TIMEOUT_S
-        for row in found["catch_up"]
+        for row in result["catch_up"]
     )
     sys.exit(1 if failed else 0)
 
@@ -76,10 +78,10 @@
     default=2,
     show_default=True,
     type=click.IntRange(0, 5),
-    help="Of gossip and of counts, in all.",
+    help="Datagrams of gossip and of counts, together.",
 )
 @click.option(
-    "--turns", default=3, show_default=True, type=click.IntRange(0, 6), help="Of the period."
+    "--turns", default=3, show_default=True, type=click.IntRange(0, 6), help="Ends of periods."
 )
 @click.option("--crashes", default=1, show_default=True, type=click.IntRange(0, 3))
 @click.option(
@@ -87,19 +89,21 @@
     default=1,
     show_default=True,
     type=click.IntRange(0, 3),
-    help="Datagrams that come again.",
+    help="Datagrams that are duplicated.",
 )
 @click.option(
     "--lags",
     default=1,
     show_default=True,
     type=click.IntRange(0, 3),
-    help="Turns that one clock comes late to.",
+    help="Ends of periods that one member misses because its clock lags.",
 )
 @click.option("--depth", default=6, show_default=True, type=click.IntRange(1, 20), help="Steps.")
-@click.option("--plant", type=click.Choice(sorted(MISTAKES)), help="A mistake that it must find.")
 @click.option(
-    "--plan", "file", metavar="FILE", help="Write what broke as a plan for `fleet replay`."
+    "--plant", type=click.Choice(sorted(MISTAKES)), help="A mistake to plant, which must be found."
+)
+@click.option(
+    "--plan", "file", metavar="FILE", help="Write the violation as a plan for `fleet replay`."
 )
 def model_command(
     members: int,
@@ -128,12 +132,12 @@
             click.echo(f"\r{states} states", nl=False, err=True)
 
     with plant_mistake(plant) if plant else nullcontext():
-        found = explore(bounds, progress)
+        result = explore(bounds, progress)
     click.echo(
-        f"{found.states} states: {found.failure or 'each charge counts once in all of them'}"
+        f"{result.states} states: {result.failure or 'each charge counts once in all of them'}"
     )
-    for step in found.steps:
+    for step in result.steps:
         click.echo(f"  {step}")
-    if found.steps and file:
-        Path(file).write_bytes(plan.write(as_plan(bounds, found.steps, found.failure)))
-    sys.exit(1 if found.steps else 0)
+    if result.steps and file:
+        Path(file).write_bytes(plan.write(as_plan(bounds, result.steps, result.failure)))
+    sys.exit(1 if result.steps else 0)
--- a/hazelhollow/bench/store.py
+++ b/hazelhollow/bench/store.py
@@ -211,7 +211,7 @@
     )
 
 
-def play_all(jobs: list[Job], processes: int) -> Iterator[Result]:
+def run_jobs(jobs: list[Job], processes: int) -> Iterator[Result]:
     """Yields the results in the order of the jobs, each as soon as it is available."""
     if processes <= 1:
         yield from map(run_job, jobs)
--- a/hazelhollow/bench/store_commands.py
+++ b/hazelhollow/bench/store_commands.py
@@ -20,41 +20,41 @@
     default=100,
     show_default=True,
     type=click.IntRange(1, 10_000),
-    help="Of each kind, by seeds in a row.",
+    help="Runs of each kind, with consecutive seeds.",
 )
-@click.option("--seed", default=1, show_default=True, help="Of the first run.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the first run.")
 @click.option("--limiters", default=3, show_default=True, type=click.IntRange(1, 200))
 @click.option(
     "--seconds",
     default=40.0,
     show_default=True,
     type=click.FloatRange(12.0, 600.0),
-    help="Of virtual time, each run.",
+    help="Seconds of virtual time in each run.",
 )
 @click.option(
     "--faults",
     multiple=True,
     type=click.Choice([*store_faults.KINDS, "all"]),
-    help="Kinds; several may be given. [default: all]",
+    help="Kind of faults; may be repeated. [default: all]",
 )
 @click.option(
     "--hold",
     default="both",
     show_default=True,
     type=click.Choice(["both", "ceilings", "quotas"]),
-    help="The limits that the store keeps.",
+    help="Which limits the store keeps.",
 )
 @click.option(
     "--plans",
     default="",
     metavar="A,B",
-    help="Whose limits it keeps. [default: those with a ceiling]",
+    help="Plans whose limits the store keeps. [default: those with a ceiling]",
 )
 @click.option(
     "--uneven",
     is_flag=True,
     help=(
-        "Nine tenths of a customer's requests come through one limiter, another every few "
+        "Nine tenths of a customer's requests arrive at one limiter, which changes every few "
         "seconds."
     ),
 )
@@ -62,9 +62,11 @@
     "--processes",
     default=0,
     type=click.IntRange(0, 256),
-    help="At once. [default: as many as there are cores]",
+    help="Parallel processes. [default: number of cores]",
+)
+@click.option(
+    "--json", "file", metavar="FILE", help="Write the figures to this file; '-' prints them."
 )
-@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def store_command(
     runs: int,
     seed: int,
@@ -107,14 +109,17 @@
     """Returns all results; exits with status 130 on a keyboard interrupt."""
     results = list[store.Result]()
     try:
-        for result in store.play_all(jobs, processes):
+        for result in store.run_jobs(jobs, processes):
             results.append(result)
             if sys.stderr.isatty():
                 broken = sum(result.broken for result in results)
                 text = f"\r{len(results)} of {len(jobs)} runs, {broken} broken"
                 click.echo(text, nl=False, err=True)
     except KeyboardInterrupt:
-        click.echo(f"\nstopped after {len(results)} of {len(jobs)} runs; no figures", err=True)
+        click.echo(
+            f"\nstopped after {len(results)} of {len(jobs)} runs; no figures",
+            err=True,
+        )
         sys.exit(EXIT_INTERRUPTED)
     return results
 
@@ -138,16 +143,18 @@
     default=5,
     show_default=True,
     type=click.IntRange(1, 100),
-    help="Of runs, without the store and with it in turn.",
+    help="Pairs of runs, without and with the store.",
 )
 @click.option(
     "--requests",
     default=8000,
     show_default=True,
     type=click.IntRange(160, 1_000_000),
-    help="In each run.",
+    help="Requests measured in each run.",
+)
+@click.option(
+    "--json", "file", metavar="FILE", help="Write the figures to this file; '-' prints them."
 )
-@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def cpu_command(pairs: int, requests: int, file: str | None) -> None:
     """CPU time per request of a limiter on sockets, with and without a store.
 
--- a/hazelhollow/bench/zones.py
+++ b/hazelhollow/bench/zones.py
@@ -152,7 +152,7 @@
 
     def __init__(self, fleet: ObservedFleet, progress: Callable[[str], None]) -> None:
         self._fleet, self._progress = fleet, progress
-        self.found = dict[str, Any]()
+        self.figures = dict[str, Any]()
 
     def measure(
         self, name: str, least: float = MEASURED_S, settled: Callable[[], bool] | None = None
@@ -161,13 +161,13 @@
         fleet, began = self._fleet, self._fleet.now
         settled_after = fleet.settle(settled, SETTLE_TIMEOUT_S)
         fleet.run(max(0.0, least - (fleet.now - began)))
-        self.found[name] = {
+        self.figures[name] = {
             "settled_s": None if settled_after is None else round(settled_after, 2),
             "worst_second": round(fleet.traffic.peak(1.0)),
             "worst_ten_seconds": round(fleet.traffic.peak(10.0)),
             "mean": round(fleet.traffic.mean(fleet.now - began)),
         }
-        self._progress(f"{len(fleet.members)} members: {name} {self.found[name]}")
+        self._progress(f"{len(fleet.members)} members: {name} {self.figures[name]}")
         fleet.begin_phase()
 
 
@@ -213,8 +213,8 @@
     phases.measure("region_cut", CUT_S, lambda: fleet.agreed(cut) and fleet.agreed(rest))
     fleet.is_cut = nothing_cut
     phases.measure("region_healed")
-    phases.found["false_deaths"] = len(fleet.false_deaths)
-    return phases.found
+    phases.figures["false_deaths"] = len(fleet.false_deaths)
+    return phases.figures
 
 
 def report(
