--- a/hazelhollow/bench/engine_load.py
+++ b/hazelhollow/bench/engine_load.py
@@ -139,9 +139,8 @@
         spikes = Spikes(draw.uniform(0, 20), draw.uniform(14, 24), draw.uniform(0.8, 4.9))
     set_size = draw.randint(limiters // 2, limiters)
     plan = PLANS[plan_index]
-    if (
-        plan.ceiling_rate
-    ):  # so few limiters that the share of each holds two of the largest requests
+    # With a ceiling: so few limiters that the share of each holds two of the largest requests.
+    if plan.ceiling_rate:
         set_size = min(set_size, int(plan.ceiling_burst / (2 * max(UNITS))))
     customer = Customer(
         name=f"{draw.getrandbits(33):016x}",
--- a/hazelhollow/bench/fleet.py
+++ b/hazelhollow/bench/fleet.py
@@ -55,9 +55,8 @@
     membership: Membership
     is_up: bool = True
     is_paused: bool = False
-    waiting: list[tuple[int, str]] = field(
-        default_factory=list
-    )  # sender and text; received while paused
+    # Sender and text of the datagrams received while paused.
+    waiting: list[tuple[int, str]] = field(default_factory=list)
     timer_epoch: int = 0  # timers of an earlier epoch are ignored
 
 
