--- a/tests/decisions/test_fleet_of_engines.py
+++ b/tests/decisions/test_fleet_of_engines.py
@@ -18,9 +18,9 @@
 
 
 def test_quotas_hold_in_sets_that_a_hub_cannot_notify_within_a_second() -> None:
-    figures = EngineFleet(3, FleetOptions(limiters=150, units_per_s=800.0, endpoints=90)).simulate(
+    count = EngineFleet(3, FleetOptions(limiters=150, units_per_s=800.0, endpoints=90)).simulate(
         8.0
     )
     # 0.17 if each hub notifies all members of a set in order
-    assert figures.excess_value / figures.offered_value < 0.11
-    assert figures.served_value / figures.offered_value > 0.85  # 0.85 in that case
+    assert count.excess_value / count.offered_value < 0.11
+    assert count.served_value / count.offered_value > 0.85  # 0.85 in that case
