--- a/hazelhollow/bench/store_commands.py
+++ b/hazelhollow/bench/store_commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow bench store` and `cpu`: limiters with a shared store."""
+"""The commands `hazelhollow bench store` and `cpu`: limiters with a shared store."""
 
 from __future__ import annotations
 
@@ -20,41 +20,41 @@
     default=100,
     show_default=True,
     type=click.IntRange(1, 10_000),
-    help="Of each kind, by seeds in a row.",
+    help="Runs of each kind, with consecutive seeds.",
 )
-@click.option("--seed", default=1, show_default=True, help="Of the first run.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the first run.")
 @click.option("--limiters", default=3, show_default=True, type=click.IntRange(1, 200))
 @click.option(
     "--seconds",
     default=40.0,
     show_default=True,
     type=click.FloatRange(12.0, 600.0),
-    help="Of virtual time, each run.",
+    help="Seconds of virtual time in each run.",
 )
 @click.option(
     "--faults",
     multiple=True,
     type=click.Choice([*store_faults.KINDS, "all"]),
-    help="Kinds; several may be given. [default: all]",
+    help="Kind of faults; may be repeated. [default: all]",
 )
 @click.option(
     "--hold",
     default="both",
     show_default=True,
     type=click.Choice(["both", "ceilings", "quotas"]),
-    help="The limits that the store keeps.",
+    help="Which limits the store keeps.",
 )
 @click.option(
     "--plans",
     default="",
     metavar="A,B",
-    help="Whose limits it keeps. [default: those with a ceiling]",
+    help="Plans whose limits the store keeps. [default: those with a ceiling]",
 )
 @click.option(
     "--uneven",
     is_flag=True,
     help=(
-        "Nine tenths of a customer's requests come through one limiter, another every few "
+        "Nine tenths of a customer's requests arrive at one limiter, which changes every few "
         "seconds."
     ),
 )
@@ -62,9 +62,11 @@
     "--processes",
     default=0,
     type=click.IntRange(0, 256),
-    help="At once. [default: as many as there are cores]",
+    help="Parallel processes. [default: number of cores]",
+)
+@click.option(
+    "--json", "file", metavar="FILE", help="Write the figures to this file; '-' prints them."
 )
-@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def store_command(
     runs: int,
     seed: int,
@@ -77,11 +79,12 @@
     processes: int,
     file: str | None,
 ) -> None:
-    """Month-end load on limiters that keep their limits in a store, against the stand-in.
+    """Month-end load on limiters that keep their limits in a store, the Redis stand-in.
 
-    For each kind of fault so many runs, and as many with even shares and with no store for
-    comparison. A run is broken if any customer's limit was passed by more than 10% of its burst or
-    one largest request, and 150 ms of its rate. Exit status 1: some run was broken.
+    There are --runs runs for each kind of fault and, for comparison, as many with even shares and
+    with no store. A run is broken if any customer's limit was exceeded by more than 10% of its
+    burst or one largest request, whichever is greater, plus 150 ms of its rate. Exit status 1: a
+    run was broken.
     """
     kinds = list(store_faults.KINDS)
     if faults and "all" not in faults:
@@ -94,7 +97,7 @@
         for kind in [*kinds, store_faults.EVEN_SPLIT, store_faults.NO_STORE]
         for number in range(seed, seed + runs)
     ]
-    figures = store.summary(_play(jobs, processes or os.cpu_count() or 1))
+    figures = store.summary(_run_all(jobs, processes or os.cpu_count() or 1))
     if file:
         write_json(figures, file)
     else:
@@ -102,18 +105,21 @@
     sys.exit(1 if figures["broken"] else 0)
 
 
-def _play(jobs: list[store.Job], processes: int) -> list[store.Result]:
-    """All results; ends the program with a status of 130 if it is interrupted."""
+def _run_all(jobs: list[store.Job], processes: int) -> list[store.Result]:
+    """Returns all results; exits with status 130 on a keyboard interrupt."""
     results = list[store.Result]()
     try:
-        for result in store.play_all(jobs, processes):
+        for result in store.run_jobs(jobs, processes):
             results.append(result)
             if sys.stderr.isatty():
                 broken = sum(result.broken for result in results)
                 text = f"\r{len(results)} of {len(jobs)} runs, {broken} broken"
                 click.echo(text, nl=False, err=True)
     except KeyboardInterrupt:
-        click.echo(f"\nstopped after {len(results)} of {len(jobs)} runs; no figures", err=True)
+        click.echo(
+            f"\nstopped after {len(results)} of {len(jobs)} runs; no figures",
+            err=True,
+        )
         sys.exit(EXIT_INTERRUPTED)
     return results
 
@@ -137,20 +143,22 @@
     default=5,
     show_default=True,
     type=click.IntRange(1, 100),
-    help="Of runs, without the store and with it in turn.",
+    help="Pairs of runs, without and with the store.",
 )
 @click.option(
     "--requests",
     default=8000,
     show_default=True,
     type=click.IntRange(160, 1_000_000),
-    help="In each run.",
+    help="Requests measured in each run.",
+)
+@click.option(
+    "--json", "file", metavar="FILE", help="Write the figures to this file; '-' prints them."
 )
-@click.option("--json", "file", metavar="FILE", help="Write the figures there; '-' prints them.")
 def cpu_command(pairs: int, requests: int, file: str | None) -> None:
-    """CPU a request of a limiter on sockets, with a store and without.
+    """CPU time per request of a limiter on sockets, with and without a store.
 
-    Needs a quiet machine: only the ratio counts.
+    Needs an otherwise idle machine; only the ratio is meaningful.
     """
     rows = []
     for row in cpu.compare(pairs, requests):
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -32,10 +32,10 @@
     sim = SimulatedFleet(8, 1)
     for number in range(2, 8):
         sim.start(number)
-    assert sim.settle(longest=10.0) is not None
+    assert sim.settle(timeout_s=10.0) is not None
     assert states(sim, 5)[0] == "dead"
     sim.start(0)
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -48,11 +48,11 @@
         for number in gone:
             sim.kill(number)
         began = sim.now
-        assert sim.settle(longest=6.0) is not None
+        assert sim.settle(timeout_s=6.0) is not None
         assert all(sim.suspected[number] - began < 3.0 for number in gone)
         for number in gone:
             sim.start(number)
-        assert sim.settle(longest=5.0) is not None
+        assert sim.settle(timeout_s=5.0) is not None
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -63,7 +63,7 @@
     assert sim.settle(lambda: sim.agreed(range(5)) and sim.agreed(range(5, 12)), 10.0) is not None
     assert states(sim, 0)[11] == "dead"
     sim.is_cut = lambda a, b: False
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_both_ends_of_a_failed_link_report_it_and_nobody_is_dead() -> None:
@@ -110,7 +110,7 @@
     sim.run(8.0)
     assert all(states(sim, n)[3] == "dead" for n in range(6) if n != 3)
     sim.is_cut = lambda a, b: False
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_fleet_agrees_once_flapping_links_are_stable() -> None:
@@ -120,7 +120,7 @@
         sim.is_cut = (lambda a, b: (a < 5) != (b < 5)) if interval % 2 else (lambda a, b: False)
         sim.run(0.5)
     sim.is_cut = lambda a, b: False
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_paused_member_learns_of_its_death_before_it_admits_work() -> None:
@@ -136,7 +136,7 @@
     sim.resume(2)
     assert not member.may_admit
     assert sim.settle(lambda: member.may_admit, 1.0) is not None
-    assert member.own.record_version > version and sim.settle(longest=5.0) is not None
+    assert member.own.record_version > version and sim.settle(timeout_s=5.0) is not None
 
 
 def test_member_that_left_is_not_dead_and_can_return() -> None:
@@ -146,7 +146,7 @@
     sim.run(3.0)
     assert {states(sim, n)[2] for n in (0, 1, 3)} == {"left"}
     sim.start(2)
-    assert sim.settle(longest=5.0) is not None
+    assert sim.settle(timeout_s=5.0) is not None
 
 
 def test_member_restarted_with_its_clock_set_back_is_alive() -> None:
@@ -156,7 +156,7 @@
     sim = settled_fleet(6)
     sim.kill(2)
     sim.start(2, clock_back=3600.0)
-    assert sim.settle(longest=6.0) is not None
+    assert sim.settle(timeout_s=6.0) is not None
     assert sim.members[2].membership.counts["life_raised"] == 1
 
 
@@ -167,7 +167,7 @@
     sim = SimulatedFleet(7, 1)
     for number in range(6):
         sim.start(number)
-    assert sim.settle(longest=10.0) is not None
+    assert sim.settle(timeout_s=10.0) is not None
     sim.run(10.0)
     missed = Record(6, 36**8, 3, MemberState.LEFT)
     # as if its dissemination had ended before it reached any other member
@@ -196,7 +196,7 @@
     """A zone fails and returns and a region is cut off, within a budget of 4000 bytes a second.
     Every phase must settle within it.
     """
-    found = zones.play(24, 1, 0.0, zones.allowances(4000.0, contended), lambda text: None)
+    found = zones.simulate(24, 1, 0.0, zones.allowances(4000.0, contended), lambda text: None)
     phases = {name: phase for name, phase in found.items() if isinstance(phase, dict)}
     settings, rate = settings_for(4000.0), settings_for(4000.0).rate
     if contended:
