--- a/hazelhollow/fault_injection/run_commands.py
+++ b/hazelhollow/fault_injection/run_commands.py
@@ -27,7 +27,7 @@
 from hazelhollow.fault_injection.run import FaultInjectionRun
 
 # Figures that are 0 unless a promise was broken.
-BROKEN_PROMISES = (
+GUARANTEE_VIOLATIONS = (
     "crashes",
     "lost",
     "doubled",
@@ -215,7 +215,7 @@
 
 
 def _broken(figures: dict[str, Any]) -> set[str]:
-    return {key for key in BROKEN_PROMISES if figures.get(key)}
+    return {key for key in GUARANTEE_VIOLATIONS if figures.get(key)}
 
 
 def _play(plan: Plan, keep: Path | None, what: str) -> dict[str, Any]:
--- a/tests/configuration/test_audit_processes.py
+++ b/tests/configuration/test_audit_processes.py
@@ -20,7 +20,7 @@
 from hazelhollow.fault_injection.operator_files import audit_file
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
 from hazelhollow.fault_injection.settings_probes import ProbeOptions, SettingsProber
 from hazelhollow.net.scheduler import Clock, Scheduler
 from tests.replication.test_processes import ReplicatedFleet
@@ -227,7 +227,7 @@
         operator=audit_file,
         keep=True,
     ).run()
-    promises = [key for key in BROKEN_PROMISES if key not in ("false_deaths", "views_differ")]
+    promises = [key for key in GUARANTEE_VIOLATIONS if key not in ("false_deaths", "views_differ")]
     assert {key: found[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
     assert (
         found["acted_on_old_after_s_p99"] <= 3.0
--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -25,7 +25,7 @@
 from hazelhollow.fault_injection.operator_files import control_file
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins import relay as relays
 from hazelhollow.standins.link_faults import Link
@@ -133,7 +133,9 @@
     folder.mkdir()
     one = plan.Plan(name="bounded", instances=5, seconds=10.0, events=events, load=load)
     found = FaultInjectionRun(one, folder, operator=control_file, keep=True).run()
-    assert {key: found[key] or 0 for key in BROKEN_PROMISES} == dict.fromkeys(BROKEN_PROMISES, 0)
+    assert {key: found[key] or 0 for key in GUARANTEE_VIOLATIONS} == dict.fromkeys(
+        GUARANTEE_VIOLATIONS, 0
+    )
     assert found["requests"] > 400 and (found["kills"], found["stalls"], found["cuts"]) == (1, 1, 1)
 
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -16,7 +16,7 @@
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.operator_files import disk_file, view_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
 from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.net.scheduler import Clock, Scheduler
 
@@ -32,7 +32,7 @@
 
 def kept(found: dict[str, Any]) -> dict[str, Any]:
     # nothing is known of an audit that is not on
-    return {key: found[key] or 0 for key in BROKEN_PROMISES}
+    return {key: found[key] or 0 for key in GUARANTEE_VIOLATIONS}
 
 
 def states(folder: Path, observer: str, number: int) -> list[str]:
@@ -62,7 +62,7 @@
     found, folder = played(
         tmp_path, plan.Plan(name="many", instances=5, seconds=12.0, events=events, load=load)
     )
-    assert kept(found) == dict.fromkeys(BROKEN_PROMISES, 0)
+    assert kept(found) == dict.fromkeys(GUARANTEE_VIOLATIONS, 0)
     assert found["requests"] > 500 and (found["kills"], found["stalls"], found["cuts"]) == (2, 1, 1)
     assert found["settled_s_p99"] < 5.0 and found["suspected_s_max"] < 3.0
     # One that was told to end left; it was not held for dead.
@@ -75,7 +75,7 @@
     found, folder = played(
         tmp_path, plan.Plan(name="parts", instances=5, seconds=8.0, events=events)
     )
-    assert kept(found) == dict.fromkeys(BROKEN_PROMISES, 0) and found["settled_s_p99"] < 5.0
+    assert kept(found) == dict.fromkeys(GUARANTEE_VIOLATIONS, 0) and found["settled_s_p99"] < 5.0
     for observer, number in (("n0", 4), ("n4", 0)):
         assert states(folder, observer, number)[-3:] == ["suspect", "dead", "alive"]
     assert "dead" not in states(folder, "n0", 1) + states(folder, "n4", 2)
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -13,7 +13,7 @@
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.operator_files import disk_file, replica_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
+from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
 from hazelhollow.fault_injection.run_files import rows
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.link_faults import LinkFault
@@ -153,7 +153,7 @@
     one = plan.Plan(name="x", instances=5, seconds=seconds, events=events)
     found = FaultInjectionRun(one, folder, operator=operator).run()
     promises = [
-        key for key in BROKEN_PROMISES if key not in ("false_deaths", "views_differ")
+        key for key in GUARANTEE_VIOLATIONS if key not in ("false_deaths", "views_differ")
     ]  # those are the view's own tests'
     assert {key: found[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
     return found
