--- a/hazelhollow/fault_injection/audit_comparison.py
+++ b/hazelhollow/fault_injection/audit_comparison.py
@@ -14,7 +14,7 @@
 from hazelhollow.configuration.audit.merge import AuditMerge
 from hazelhollow.configuration.audit.reader import read_entries
 from hazelhollow.configuration.audit.timeline import SettingsSpan
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_files import read_json_lines
 
 NEAR = 1.25  # seconds by which a probe and a record may differ: the record is written once a second
 FIRST = "n"
@@ -64,7 +64,7 @@
     taken.
     """
     unseen = wrong = 0
-    for row in rows(folder / "probes.jsonl"):
+    for row in read_json_lines(folder / "probes.jsonl"):
         number = int(row["to"].removeprefix(FIRST))
         offset = fleet.offsets.get(number, 0.0)
         near = [
--- a/hazelhollow/fault_injection/checker.py
+++ b/hazelhollow/fault_injection/checker.py
@@ -24,7 +24,7 @@
 
 from hazelhollow.fault_injection import membership_checks
 from hazelhollow.fault_injection.fault_history import FaultHistory
-from hazelhollow.fault_injection.run_files import quantile, rows
+from hazelhollow.fault_injection.run_files import quantile, read_json_lines
 
 LATE_ANSWER_S = 0.3  # past its deadline, in which an answer is late and not lost
 NEAR_FAULT_S = 0.4  # before and after a fault, in which it excuses what it hits
@@ -48,11 +48,13 @@
     Raises nothing for lines that are missing: an empty drill shows as `requests` 0.
     """
     plan = json.loads((folder / "plan.json").read_text())
-    lines = rows(folder / "faults.jsonl")
+    lines = read_json_lines(folder / "faults.jsonl")
     faults = FaultHistory(lines)
-    requests = rows(folder / "clients.jsonl")
+    requests = read_json_lines(folder / "clients.jsonl")
     ran = [
-        row | {"host": path.stem} for path in sorted(folder.glob("h*.jsonl")) for row in rows(path)
+        row | {"host": path.stem}
+        for path in sorted(folder.glob("h*.jsonl"))
+        for row in read_json_lines(path)
     ]
     found: dict[str, Any] = {
         "requests": len(requests),
@@ -164,7 +166,7 @@
 
     As probes saw it from outside.
     """
-    probes = rows(folder / "probes.jsonl")
+    probes = read_json_lines(folder / "probes.jsonl")
     if not probes or not faults.changed:
         return {"acted_on_old_after_s_p99": None, "stragglers": None}
     order = max(number for _, number, _ in faults.changed)
@@ -202,7 +204,7 @@
 
 def messages(folder: Path) -> dict[str, Any]:
     """Datagrams that limiters sent, a second and member."""
-    seconds = [row for row in rows(folder / "relay.jsonl") if row["members"]]
+    seconds = [row for row in read_json_lines(folder / "relay.jsonl") if row["members"]]
     if not seconds:
         return {"messages_per_member_s": None, "bytes_per_member_s": None}
     sent = [row["datagrams"] / row["members"] for row in seconds]
--- a/hazelhollow/fault_injection/membership_checks.py
+++ b/hazelhollow/fault_injection/membership_checks.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from hazelhollow.fault_injection.fault_history import NEVER, FaultHistory
-from hazelhollow.fault_injection.run_files import quantile, rows
+from hazelhollow.fault_injection.run_files import quantile, read_json_lines
 
 DEATH_EXCUSED_S = 10.0  # after a fault, in which a death need not be false
 OBSERVABLE_S = 3.0  # that a process must be down for its suspicion to be due
@@ -26,7 +26,7 @@
 def memberships(folder: Path, plan: dict[str, Any], faults: FaultHistory) -> dict[str, Any]:
     """Each limiter's membership against the others' and against the faults of processes."""
     names = [f"n{n}" for n in range(plan.get("instances", 5))]
-    histories = {name: rows(folder / f"{name}.view.jsonl") for name in names}
+    histories = {name: read_json_lines(folder / f"{name}.view.jsonl") for name in names}
     if not any(histories.values()):
         return dict(NO_FIGURES)
     gone = faults.gone_at_end()
--- a/hazelhollow/fault_injection/run_files.py
+++ b/hazelhollow/fault_injection/run_files.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-def rows(path: Path) -> list[dict[str, Any]]:
+def read_json_lines(path: Path) -> list[dict[str, Any]]:
     """The lines of a file, none if there is no file; one cut short by a kill is left out."""
     found = []
     for line in path.read_text().splitlines() if path.exists() else []:
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -33,7 +33,7 @@
 from hazelhollow.fault_injection.operator_call import call
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.processes import ProcessGroup
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.net.gc_pauses import shorten_collector_pauses
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale.errors import BusyMachineError, LateClientError, MeasurementError
@@ -236,7 +236,7 @@
             raise self._error
         return [
             RequestRow(row["to"], row["due"], row["t"], row["end"], row["outcome"])
-            for row in rows(self._file)
+            for row in read_json_lines(self._file)
         ]
 
     def close(self) -> None:
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -19,7 +19,7 @@
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.plan import Load
 from hazelhollow.fault_injection.plan import Plan as HarnessPlan
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.membership.incarnation import INCARNATIONS_PER_S
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.scale.comparison_plan import ROLES_WITH_DATAGRAMS, Figures, FleetPlan, Progress
@@ -245,7 +245,7 @@
         return sum(self.cluster.processes.cpu_of(name) for name in self.cluster.names)
 
     def _lines(self, names: Iterable[str]) -> list[list[dict[str, Any]]]:
-        return [rows(view_file(self._folder, name)) for name in names]
+        return [read_json_lines(view_file(self._folder, name)) for name in names]
 
 
 def states(view: MembershipLine) -> dict[str, str]:
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -17,7 +17,7 @@
 from hazelhollow.fault_injection.operator_files import disk_file, view_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.net.scheduler import Clock, Scheduler
 
 Event = plan.Event
@@ -39,7 +39,7 @@
     """What one limiter held another for, in order."""
     lines = [
         row["members"].get(str(number), ["unknown"])[0]
-        for row in rows(folder / f"{observer}.view.jsonl")
+        for row in read_json_lines(folder / f"{observer}.view.jsonl")
     ]
     return [state for n, state in enumerate(lines) if n == 0 or lines[n - 1] != state]
 
@@ -110,7 +110,7 @@
         )
 
     def view(self, name: str) -> dict[str, Any]:
-        lines = rows(self.folder / f"{name}.view.jsonl")
+        lines = read_json_lines(self.folder / f"{name}.view.jsonl")
         members: dict[str, Any] = lines[-1]["members"] if lines else {}
         return members
 
@@ -136,7 +136,7 @@
     fleet.cluster.processes.signal("n0", signal.SIGCONT)
 
     def acting() -> list[bool]:
-        return [row["acting"] for row in rows(fleet.folder / "n0.view.jsonl")]
+        return [row["acting"] for row in read_json_lines(fleet.folder / "n0.view.jsonl")]
 
     fleet.until(lambda: fleet.whole() and acting()[-1])
     assert acting()[0] is False and False in acting()[acting().index(True) :]
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -14,7 +14,7 @@
 from hazelhollow.fault_injection.operator_files import disk_file, replica_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
 from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.link_faults import LinkFault
 from tests.membership.test_membership_processes import Fleet
@@ -167,7 +167,9 @@
     """
     rate, burst = 20.0, 40.0  # of the plan `gold`
     answered = [
-        row for row in rows(folder / "clients.jsonl") if row["outcome"] in ("served", "busy")
+        row
+        for row in read_json_lines(folder / "clients.jsonl")
+        if row["outcome"] in ("served", "busy")
     ]
     level, at, served = burst, 0.0, 0
     for row in sorted(answered, key=lambda row: row["t"]):
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -20,7 +20,7 @@
 from hazelhollow.configuration.audit.reader import read_entries, segment_paths
 from hazelhollow.configuration.audit.segments import SegmentWriter
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.net.override_file import OverrideFile, path_for
 from hazelhollow.replication.overrides import Override
 from hazelhollow.replication.snapshot import SavedAccount, Snapshot
@@ -140,7 +140,7 @@
 
 
 def test_the_lines_of_the_membership() -> None:
-    first, second = rows(FOLDER / "n0.view.jsonl")
+    first, second = read_json_lines(FOLDER / "n0.view.jsonl")
     assert first == {
         "t": 1_700_000_000.5,
         "me": 0,
