--- a/hazelhollow/fault_injection/__init__.py
+++ b/hazelhollow/fault_injection/__init__.py
@@ -1,4 +1,5 @@
-"""The harness.
+"""The fault-injection harness.
 
-A whole fleet of real processes on loopback, faults between them, and a checker of what came of it.
+It runs a complete fleet of real processes on loopback, injects faults into processes and links, and
+checks the recorded results.
 """
--- a/hazelhollow/fault_injection/errors.py
+++ b/hazelhollow/fault_injection/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the harness: the caller's (plans and commands) and the machine's."""
+"""Errors of the harness: invalid input from the caller, and failures of the cluster."""
 
 from __future__ import annotations
 
 
 class PlanError(Exception):
-    """A plan that is malformed or cannot be played; names the event."""
+    """A plan is malformed or cannot be played; the message names the event."""
 
 
 class CommandError(Exception):
-    """A command of a running cluster that cannot be carried out; says why."""
+    """A command for a running cluster cannot be carried out; the message says why."""
 
 
 class HarnessError(Exception):
--- a/hazelhollow/fault_injection/plan.py
+++ b/hazelhollow/fault_injection/plan.py
@@ -1,7 +1,7 @@
-"""A fault-injection plan as data: read from JSON, checked, expanded. No I/O.
+"""Fault-injection plans as data: reading from JSON, validation and expansion. No I/O.
 
 A plan names processes as `n0`, `n1`, ... (limiters), `h0`, ... (endpoints) and `d` (discovery); `*`
-stands for all limiters and `z0`, `z1`, ... for all processes of a zone.
+stands for all limiters and `z0`, `z1`, ... for all limiters and endpoints of a zone.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from hazelhollow.fault_injection.errors import PlanError
 
-What = Literal[
+EventKind = Literal[
     "cut",
     "stall",
     "delay",
@@ -28,7 +28,7 @@
     "settings",
     "old",
 ]
-# The other kinds hit processes.
+# Kinds that affect links; the other kinds affect processes.
 LINK_FAULTS = (
     "cut",
     "stall",
@@ -39,32 +39,40 @@
     "reset",
     "thin",
 )
-FIRST_PLAN_REVISION = 100  # from here on revisions of the settings change a plan too
-DEFAULT_SECONDS = 24.0  # of load
-DISCOVERY, ALL_LIMITERS = "d", "*"  # names
+FIRST_PLAN_REVISION = 100  # settings from this revision on also change a customer plan
+DEFAULT_SECONDS = 24.0  # duration of the load
+DISCOVERY, ALL_LIMITERS = "d", "*"  # names in `Event.whom` and `Event.others`
 
 
 class PlanRecord(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True
 ):
-    """Base of a plan's parts: frozen, stored as JSON without its defaults."""
+    """Base class of a plan's parts: immutable, and stored as JSON without default values."""
 
 
 class Event(PlanRecord, frozen=True):
-    """At `at` seconds something happens to `whom` that lasts for `lasts` seconds.
-
-    A fault of links is between each of `whom` and each of `others` (none: every limiter that is not
-    in `whom`), both ways unless `one_way`, which is from `whom` to `others`. `amount`: the share
-    that is lost, doubled or overtaken, seconds of delay, datagrams a second that pass a thinned
-    link. A killed process starts again when `lasts` is over, or never if that is 0. `settings`:
-    `whom` get the settings whose order is `amount`, and SIGHUP; from FIRST_PLAN_REVISION on they
-    change a plan, which a running limiter cannot take. `old`: killed, and back after `lasts` with
-    the settings that it had first. `z0`, `z1`, ... among `whom` and `others` stand for all limiters
-    and hosts of a zone. `repeat`: it comes again after so many seconds until `until`.
+    """A fault or a change of settings, and the processes that it affects.
+
+    Attributes:
+        at: seconds from the start of the load.
+        what: the kind. `settings` gives the processes in `whom` the settings of revision `amount`
+            and sends them SIGHUP; revisions from FIRST_PLAN_REVISION on change a customer plan,
+            which a running limiter cannot apply. `old` kills a limiter and restarts it after
+            `lasts` seconds with its first settings.
+        whom: names of the affected processes; `z0`, `z1`, ... stand for all limiters and hosts of a
+            zone.
+        others: for link faults, the processes at the other end of each affected link, named like
+            those in `whom`; empty: every limiter that is not in `whom`.
+        lasts: duration in seconds. A killed process starts again afterwards, or never if this is 0.
+        one_way: a link fault affects only the direction from `whom` to `others`, not both.
+        amount: the share of datagrams that are lost, duplicated or reordered; the delay in seconds;
+            the datagrams per second that a `thin` link lets pass; or the revision of the settings.
+        repeat: interval in seconds at which the event repeats; 0: it does not.
+        until: seconds after which it no longer repeats; 0: the end of the load.
     """
 
     at: float
-    what: What
+    what: EventKind
     whom: tuple[str, ...]
     others: tuple[str, ...] = ()
     lasts: float = 0.0
@@ -78,12 +86,12 @@
     """One customer's requests.
 
     Attributes:
-        customer: its key.
+        customer: the customer's key.
         plan: `gold` or `iron`.
         kind: class of the requests, `look` or `buy`.
-        rate: requests a second at each limiter, evenly spaced.
-        units: drawn from the quota by each.
-        first: the first limiter of the customer's set.
+        rate: requests per second at each limiter, evenly spaced.
+        units: quota units that each request consumes.
+        first: number of the first limiter in the customer's set.
     """
 
     customer: str
@@ -95,19 +103,19 @@
 
 
 class Plan(PlanRecord, frozen=True):
-    """A whole run: the cluster, its load and its faults.
+    """A complete run: the cluster, its load and its faults.
 
     Attributes:
-        name: for messages.
-        instances: limiters.
-        hosts: endpoints.
-        seconds: of load.
-        seed: of all that is drawn.
-        zones: of limiters and endpoints.
-        per_second: rate of the plan `gold`, units a second.
-        burst: of the plan `gold`, units.
+        name: shown in progress messages.
+        instances: number of limiters.
+        hosts: number of endpoints.
+        seconds: duration of the load.
+        seed: seed of all random draws.
+        zones: number of zones, over which limiters and endpoints are distributed.
+        per_second: rate of the customer plan `gold`, in units per second.
+        burst: burst of the customer plan `gold`, in units.
         load: one entry for each customer.
-        events: the faults.
+        events: the faults and the changes of settings.
     """
 
     name: str
@@ -123,10 +131,10 @@
 
 
 def read(data: bytes | str) -> Plan:
-    """Parses a plan from JSON.
+    """Parses and validates a plan from JSON.
 
     Raises:
-        PlanError: it is malformed or cannot be played.
+        PlanError: the plan is malformed or cannot be played.
     """
     try:
         plan: Plan = msgspec.json.decode(data, type=Plan)
@@ -137,7 +145,7 @@
 
 
 def write(plan: Plan) -> bytes:
-    """A plan as indented JSON."""
+    """Returns the plan as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(plan), indent=1)
 
 
@@ -145,57 +153,61 @@
     """Checks that a plan can be played.
 
     Raises:
-        PlanError: names the event or the load that is wrong.
+        PlanError: the plan cannot be played; the message names the invalid event or load.
     """
     if not 1 <= plan.instances <= 64 or not 1 <= plan.hosts <= 32 or not 1 <= plan.seconds <= 3600:
-        raise PlanError("1 to 64 instances, 1 to 32 hosts, 1 to 3600 seconds")
-    known = _known_names(plan)
+        raise PlanError(
+            f"{plan.instances} instances, {plan.hosts} hosts and {plan.seconds:g} seconds: a plan "
+            "has 1 to 64 instances, 1 to 32 hosts and 1 to 3600 seconds"
+        )
+    valid_names = _valid_names(plan)
     for number, event in enumerate(plan.events):
-        problem = _problem_of(event, plan, known)
+        problem = _find_problem(event, plan, valid_names)
         if problem:
             raise PlanError(f"event {number} ({event.what}): {problem}")
     for load in plan.load:
-        classes_and_plans = load.kind in ("look", "buy") and load.plan in ("gold", "iron")
-        if not classes_and_plans or load.rate <= 0 or load.units < 1:
+        has_valid_names = load.kind in ("look", "buy") and load.plan in ("gold", "iron")
+        if not has_valid_names or load.rate <= 0 or load.units < 1:
             raise PlanError(
-                f"load of {load.customer}: classes are look and buy, plans gold and iron, "
-                "more than nothing"
+                f"load of {load.customer}: kind '{load.kind}', plan '{load.plan}', rate "
+                f"{load.rate:g}, units {load.units}: classes are look and buy, plans gold and "
+                "iron, the rate is more than 0 and units at least 1"
             )
 
 
-def _known_names(plan: Plan) -> set[str]:
+def _valid_names(plan: Plan) -> set[str]:
     endpoints = [f"h{n}" for n in range(plan.hosts)]
     zones = [f"z{n}" for n in range(plan.zones)]
     return {*limiters(plan), *endpoints, *zones, DISCOVERY, ALL_LIMITERS}
 
 
-def _problem_of(event: Event, plan: Plan, known: set[str]) -> str:
-    """What is wrong with an event; empty if nothing."""
-    unknown = sorted({*event.whom, *event.others} - known)
-    if unknown:
-        return f"no process {', '.join(unknown)}"
-    in_time = event.at >= 0 and event.lasts >= 0 and event.at + event.lasts <= plan.seconds
-    if not event.whom or not in_time:
-        return "needs somebody, and a time within the drill"
+def _find_problem(event: Event, plan: Plan, valid_names: set[str]) -> str:
+    """Returns what is wrong with an event; empty if it is valid."""
+    invalid_names = sorted({*event.whom, *event.others} - valid_names)
+    if invalid_names:
+        return f"no process {', '.join(invalid_names)}"
+    is_within_drill = event.at >= 0 and event.lasts >= 0 and event.at + event.lasts <= plan.seconds
+    if not event.whom or not is_within_drill:
+        return f"must name a process and lie within the drill's {plan.seconds:g} seconds"
     if event.what in ("lose", "double", "reorder") and not 0 < event.amount <= 1:
-        return "amount is a share, more than 0 and at most 1"
+        return f"amount is {event.amount:g}: it must be a share, more than 0 and at most 1"
     if event.what == "settings" and (event.amount != int(event.amount) or event.amount < 1):
-        return "amount is the settings' order, a whole number from 1 on"
+        return f"amount is {event.amount:g}: it must be a settings revision, an integer from 1 on"
     if event.what in ("delay", "thin") and event.amount <= 0:
-        return "amount must be more than 0"
+        return f"amount is {event.amount:g}: it must be more than 0"
     if event.repeat and event.repeat <= event.lasts:
-        return "it would come again before it is over"
+        return f"repeats every {event.repeat:g} s but lasts {event.lasts:g} s, which would overlap"
     return ""
 
 
 def limiters(plan: Plan) -> list[str]:
-    """Names of all limiters."""
+    """Returns the names of all limiters."""
     return [f"n{n}" for n in range(plan.instances)]
 
 
 def expanded_events(plan: Plan) -> list[Event]:
-    """The events by time, repetitions written out and groups replaced by their processes."""
-    found = list[Event]()
+    """Returns the events in order of time, with repetitions and names of groups expanded."""
+    expanded = list[Event]()
     for planned in plan.events:
         event = msgspec.structs.replace(
             planned,
@@ -203,12 +215,12 @@
             others=_expand_names(plan, planned.others),
         )
         at = event.at
-        found.append(event)
+        expanded.append(event)
         while event.repeat and (at := at + event.repeat) + event.lasts <= (
             event.until or plan.seconds
         ):
-            found.append(msgspec.structs.replace(event, at=at))
-    return sorted(found, key=lambda event: event.at)
+            expanded.append(msgspec.structs.replace(event, at=at))
+    return sorted(expanded, key=lambda event: event.at)
 
 
 def _expand_names(plan: Plan, names: tuple[str, ...]) -> tuple[str, ...]:
@@ -224,31 +236,36 @@
 
 
 def zone_of(plan: Plan, number: int) -> int:
-    """The zone of limiter `number`; zones are of equal size, in order."""
+    """Returns the zone of limiter `number`: consecutive limiters form zones of equal size."""
     return number * plan.zones // plan.instances
 
 
 def zone(plan: Plan, number: int) -> list[str]:
-    """Limiters and endpoints of one zone; endpoints are dealt out in turn."""
+    """Returns the limiters and endpoints of a zone; endpoints are assigned round-robin."""
     hosts = [f"h{n}" for n in range(plan.hosts) if n % plan.zones == number]
     return [f"n{n}" for n in range(plan.instances) if zone_of(plan, n) == number] + hosts
 
 
 def newest_revision(plan: Plan) -> int:
-    """The greatest revision of settings that the plan gives to anybody; 0: none."""
+    """Returns the highest settings revision in the plan's events; 0 if there is none."""
     return max((int(event.amount) for event in plan.events if event.what == "settings"), default=0)
 
 
 def pairs(plan: Plan, event: Event) -> list[tuple[str, str]]:
-    """The directions, sender and receiver, that a link fault hits."""
+    """Returns the directions that a link fault affects, as pairs of sender and receiver."""
     hosts = (
         [f"h{n}" for n in range(plan.hosts)] if any(name[0] == "h" for name in event.whom) else []
     )
     others = event.others or tuple(n for n in [*limiters(plan), *hosts] if n not in event.whom)
-    found = [(a, b) for a in event.whom for b in others if a != b]
-    return list(dict.fromkeys(found if event.one_way else [*found, *((b, a) for a, b in found)]))
+    outgoing = [(a, b) for a in event.whom for b in others if a != b]
+    return list(
+        dict.fromkeys(outgoing if event.one_way else [*outgoing, *((b, a) for a, b in outgoing)])
+    )
 
 
 def end_of_last_fault(plan: Plan) -> float:
-    """Seconds until the last fault is over; a process that stays killed counts from its death."""
+    """Returns the time at which the last fault ends, in seconds from the start of the load.
+
+    For a process that stays killed this is the time of the kill.
+    """
     return max((event.at + event.lasts for event in expanded_events(plan)), default=0.0)
--- a/tests/fault_injection/test_plans.py
+++ b/tests/fault_injection/test_plans.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("{", "truncated"),
         ('{"name": "x", "colour": 1}', "colour"),
@@ -51,69 +51,76 @@
                 '{"name": "x", "events": [{"at": 1, "what": "cut", "whom": ["n0"], "lasts": '
                 '2, "repeat": 1}]}'
             ),
-            "come again",
+            "would overlap",
         ),
         ('{"name": "x", "load": [{"customer": "1", "plan": "tin"}]}', "gold and iron"),
     ],
 )
-def test_invalid_plan_is_refused_with_its_location(text: str, says: str) -> None:
+def test_invalid_plan_is_refused_with_its_location(text: str, message: str) -> None:
     """A plan with a mistake is refused before it starts, and the message names the place."""
-    with pytest.raises(PlanError, match=says.replace("(", r"\(").replace(")", r"\)")):
+    with pytest.raises(PlanError, match=message.replace("(", r"\(").replace(")", r"\)")):
         plan.read(text)
 
 
-def test_links_affected_by_a_fault() -> None:
-    drawn = plan.Plan(name="x", instances=3)
+def test_link_fault_affects_both_directions_unless_one_way() -> None:
+    three_limiters = plan.Plan(name="x", instances=3)
     event = plan.Event(at=1, what="cut", whom=("n0",))
-    assert plan.pairs(drawn, event) == [("n0", "n1"), ("n0", "n2"), ("n1", "n0"), ("n2", "n0")]
+    assert plan.pairs(three_limiters, event) == [
+        ("n0", "n1"),
+        ("n0", "n2"),
+        ("n1", "n0"),
+        ("n2", "n0"),
+    ]
     assert plan.pairs(
-        drawn, plan.Event(at=1, what="cut", whom=("n0",), others=("h0",), one_way=True)
+        three_limiters, plan.Event(at=1, what="cut", whom=("n0",), others=("h0",), one_way=True)
     ) == [("n0", "h0")]
 
 
-def test_shrinking_keeps_the_events_that_fail() -> None:
+def test_shrinking_keeps_the_event_that_causes_the_failure() -> None:
     """A failing plan shrinks to the event that makes it fail; a plan that does not fail stays."""
     drawn = drawn_plan(5, 8)
-    guilty = drawn.events[len(drawn.events) // 2]
-    small, trials = shrink.shrink(drawn, lambda p: guilty in p.events, 60)
-    assert small.events == (guilty,) and trials <= 60 and small.seconds < drawn.seconds
+    culprit = drawn.events[len(drawn.events) // 2]
+    smaller, trials = shrink.shrink(drawn, lambda p: culprit in p.events, 60)
+    assert smaller.events == (culprit,) and trials <= 60 and smaller.seconds < drawn.seconds
     assert shrink.shrink(drawn, lambda p: False, 60)[0] == drawn
 
 
 @given(st.integers(0, 500), st.integers(2, 20))
-def test_drawn_settings_changes_are_valid_reproducible_and_rise_in_revision(
-    seed: int, instances: int
-) -> None:
+def test_drawn_settings_changes_are_valid_and_rise_in_revision(seed: int, instances: int) -> None:
     drawn = drawn_plan(seed, instances, changes=True)
     plan.check(drawn)
     assert drawn == drawn_plan(seed, instances, changes=True) == plan.read(plan.write(drawn))
-    given_ = [(event.at, int(event.amount)) for event in drawn.events if event.what == "settings"]
-    assert [order for _, order in sorted(given_)] == [1, 2, 3] and plan.newest_revision(drawn) == 3
+    changes = [(event.at, int(event.amount)) for event in drawn.events if event.what == "settings"]
+    assert [revision for _, revision in sorted(changes)] == [
+        1,
+        2,
+        3,
+    ] and plan.newest_revision(drawn) == 3
     assert [
         event for event in drawn_plan(seed, instances).events if event.what in ("settings", "old")
     ] == []
 
 
 def test_zone_expands_to_its_limiters_and_hosts() -> None:
-    """A zone that is cut off is cut as its limiters and hosts, which still reach each other; a zone
-    that does not exist is refused.
+    """A fault on a zone affects its limiters and hosts, which still reach each other. A zone that
+    does not exist is refused.
     """
-    drawn = plan.Plan(
+    two_zones = plan.Plan(
         name="x",
         instances=4,
         hosts=3,
         zones=2,
         events=(plan.Event(at=1, what="cut", whom=("z1",), lasts=2),),
     )
-    plan.check(drawn)
-    (event,) = plan.expanded_events(drawn)
+    plan.check(two_zones)
+    (event,) = plan.expanded_events(two_zones)
     assert event.whom == ("n2", "n3", "h1")
-    hit = plan.pairs(drawn, event)
+    affected = plan.pairs(two_zones, event)
     assert (
-        ("n2", "h0") in hit
-        and ("n0", "n2") in hit
-        and ("h1", "n0") in hit
-        and ("n2", "n3") not in hit
+        ("n2", "h0") in affected
+        and ("n0", "n2") in affected
+        and ("h1", "n0") in affected
+        and ("n2", "n3") not in affected
     )
     with pytest.raises(PlanError, match="z2"):
         plan.check(
@@ -124,9 +131,9 @@
 
 
 @pytest.mark.parametrize("amount", [0.0, 0.5])
-def test_settings_event_needs_a_whole_revision(amount: float) -> None:
+def test_settings_event_without_an_integer_revision_is_refused(amount: float) -> None:
     """A settings event whose revision is 0 or a fraction is refused."""
-    with pytest.raises(PlanError, match="whole number"):
+    with pytest.raises(PlanError, match="an integer from 1 on"):
         plan.check(
             plan.Plan(
                 name="x", events=(plan.Event(at=1, what="settings", whom=("n0",), amount=amount),)
