--- a/hazelhollow/fault_injection/audit_comparison.py
+++ b/hazelhollow/fault_injection/audit_comparison.py
@@ -1,6 +1,6 @@
-"""The audit of a drill against what was seen from outside.
+"""Compares the audit record of a drill with what the probes observed from outside.
 
-Where they contradict, one of them is wrong, and it is the audit.
+A contradiction between the two counts as an error of the audit.
 """
 
 from __future__ import annotations
@@ -16,24 +16,27 @@
 from hazelhollow.configuration.audit.timeline import SettingsSpan
 from hazelhollow.fault_injection.run_files import read_json_lines
 
-NEAR = 1.25  # seconds by which a probe and a record may differ: the record is written once a second
-FIRST = "n"
+# Seconds by which a probe and a record may differ: the record is written once a second.
+TOLERANCE_S = 1.25
+LIMITER_PREFIX = "n"
 
 
 def compare(folder: Path) -> dict[str, Any]:
-    """Keys of the drill's figures; nothing is known (None) where no limiter kept a record."""
-    troubles, fleet = list[str](), AuditMerge()
-    rulings, brought, shut = Counter[str](), 0, set[int]()
-    back = 0
-    for entry in read_entries(folder, troubles.append):
-        fleet.add(entry)
-        brought += entry.kind == EntryKind.SETTINGS and entry.reason.startswith("given by")
+    """Returns the audit's figures of a drill; all are None if no limiter kept an audit record."""
+    read_errors, merged = list[str](), AuditMerge()
+    verdicts, settings_received, shut_out = Counter[str](), 0, set[int]()
+    readmitted = 0
+    for entry in read_entries(folder, read_errors.append):
+        merged.add(entry)
+        settings_received += entry.kind == EntryKind.SETTINGS and entry.reason.startswith(
+            "given by"
+        )
         if entry.kind == EntryKind.VERDICT:
-            rulings[entry.version] += 1
-            back += entry.member in shut and entry.version == SettingsState.CURRENT
-            shut.discard(entry.member) if entry.version == SettingsState.CURRENT else None
-            shut.update([entry.member] if entry.version == SettingsState.SHUT_OUT else [])
-    if not fleet.entries:
+            verdicts[entry.version] += 1
+            readmitted += entry.member in shut_out and entry.version == SettingsState.CURRENT
+            shut_out.discard(entry.member) if entry.version == SettingsState.CURRENT else None
+            shut_out.update([entry.member] if entry.version == SettingsState.SHUT_OUT else [])
+    if not merged.entries:
         return dict.fromkeys(
             (
                 "brought_up",
@@ -44,40 +47,47 @@
                 "audit_findings",
             )
         )
-    fleet.finish()
-    unseen, wrong = _against(fleet, folder)
+    merged.finish()
+    unseen, wrong = _count_contradictions(merged, folder)
     return {
-        "brought_up": brought,
-        "shut_out": rulings[SettingsState.SHUT_OUT],
-        "came_back": back,
+        "brought_up": settings_received,
+        "shut_out": verdicts[SettingsState.SHUT_OUT],
+        "came_back": readmitted,
         "contradictions_unseen": unseen,
         "audit_wrong": wrong,
-        "audit_findings": dict(Counter(finding.kind for finding in fleet.findings)),
-        "audit_not_known": [*troubles, *fleet.unknowns],
+        "audit_findings": dict(Counter(finding.kind for finding in merged.findings)),
+        "audit_not_known": [*read_errors, *merged.unknowns],
     }
 
 
-def _against(fleet: AuditMerge, folder: Path) -> tuple[int, int]:
-    """Probes that saw a member serve by older settings where the audit has it on the newest.
+def _count_contradictions(merged: AuditMerge, folder: Path) -> tuple[int, int]:
+    """Counts the probes that contradict the audit, in each direction.
 
-    And the other way. All clocks of a drill are this machine's, so the writers' own times are
-    taken.
+    First, probes that saw a member apply older settings while the audit has it on the newest; then
+    probes that saw the newest settings applied while the audit has the member on older ones. All
+    processes of a drill share this machine's clock, so the offsets that the merge computed are
+    removed and the writers' own times are compared.
     """
     unseen = wrong = 0
     for row in read_json_lines(folder / "probes.jsonl"):
-        number = int(row["to"].removeprefix(FIRST))
-        offset = fleet.offsets.get(number, 0.0)
-        near = [
+        number = int(row["to"].removeprefix(LIMITER_PREFIX))
+        offset = merged.offsets.get(number, 0.0)
+        nearby_spans = [
             s
-            for s in fleet.members[number].spans
-            if s.begin - offset - NEAR <= row["end"] and s.end - offset + NEAR >= row["t"]
+            for s in merged.members[number].spans
+            if s.begin - offset - TOLERANCE_S <= row["end"]
+            and s.end - offset + TOLERANCE_S >= row["t"]
         ]
         if row["new"] in ("served", "busy"):
-            wrong += bool(near) and not any(_holds(span, row["order"]) for span in near)
+            wrong += bool(nearby_spans) and not any(
+                _is_current(span, row["order"]) for span in nearby_spans
+            )
         elif row["new"] == "unknown" and row["look"] == "served":
-            unseen += bool(near) and all(_holds(span, row["order"]) for span in near)
+            unseen += bool(nearby_spans) and all(
+                _is_current(span, row["order"]) for span in nearby_spans
+            )
     return unseen, wrong
 
 
-def _holds(span: SettingsSpan, order: int) -> bool:
-    return span.revision >= order
+def _is_current(span: SettingsSpan, newest_revision: int) -> bool:
+    return span.revision >= newest_revision
--- a/hazelhollow/fault_injection/checker.py
+++ b/hazelhollow/fault_injection/checker.py
@@ -1,16 +1,17 @@
-"""Figures of a run, computed from its files alone. Shares no code with the program under test.
+"""Figures of a run, computed from its files alone.
 
-Files of the run's folder, JSON or one JSON line each:
+The checker shares no code with the program under test. It reads these files of the run's folder,
+in JSON or JSON Lines:
 
     plan.json       the plan (seconds, instances, rates)
-    faults.jsonl    what was done: {"t", "what", "whom", "pairs", "on"}; when the load began and
-                    ended; when the harness itself was late (an answer that did not come then
-                    counts as `unsure`, not as `lost`)
-    clients.jsonl   each request and its end
+    faults.jsonl    the injected faults: {"t", "what", "whom", "pairs", "on"}; the begin and end of
+                    the load; and the times at which the harness itself was late (an answer missing
+                    at such a time counts as `unsure`, not as `lost`)
+    clients.jsonl   each request and its outcome
     hN.jsonl        each request that endpoint N began
-    relay.jsonl     datagrams and bytes between limiters, second by second
-    nN.view.jsonl   each limiter's own membership, whenever it changed
-    probes.jsonl    by which settings each limiter served, as seen from outside
+    relay.jsonl     datagrams and bytes between limiters in each second
+    nN.view.jsonl   limiter N's membership, whenever it changed
+    probes.jsonl    the settings that each limiter applied, as probes observed them
 """
 
 from __future__ import annotations
@@ -26,83 +27,91 @@
 from hazelhollow.fault_injection.fault_history import FaultHistory
 from hazelhollow.fault_injection.run_files import quantile, read_json_lines
 
-LATE_ANSWER_S = 0.3  # past its deadline, in which an answer is late and not lost
-NEAR_FAULT_S = 0.4  # before and after a fault, in which it excuses what it hits
-RATES = {"iron": (10.0, 20.0), "gold": None}  # rate and burst; gold: from the plan
-CEILINGS = {"iron": (12.0, 24.0)}
-CEILING_SLACK_S = 0.15  # of its rate
+LATE_ANSWER_S = 0.3  # an answer up to this long after its deadline does not count as lost
+NEAR_FAULT_S = 0.4  # a fault also excuses failures up to this long before and after it
+RATES = {"iron": (10.0, 20.0), "gold": None}  # rate and burst; None: given in the plan
+CEILINGS = {"iron": (12.0, 24.0)}  # rate and burst
+CEILING_SLACK_S = 0.15  # tolerance, as the units that a ceiling's rate gives in this time
 
 
-def over_bucket(taken: list[tuple[float, float]], rate: float, burst: float) -> float:
-    """Units beyond a bucket of that rate and size, at the worst moment."""
-    level, at, worst = burst, taken[0][0] if taken else 0.0, 0.0
-    for when, units in sorted(taken):
+def max_overdraft(usage: list[tuple[float, float]], rate: float, burst: float) -> float:
+    """Returns the most units by which usage exceeded a token bucket at any time.
+
+    Args:
+        usage: times and units.
+        rate: units per second that the bucket gains.
+        burst: its capacity in units.
+    """
+    level, at, lowest = burst, usage[0][0] if usage else 0.0, 0.0
+    for when, units in sorted(usage):
         level = min(burst, level + rate * (when - at)) - units
-        at, worst = when, min(worst, level)
-    return -worst
+        at, lowest = when, min(lowest, level)
+    return -lowest
 
 
 def check(folder: Path) -> dict[str, Any]:
-    """The figures of one drill.
+    """Returns the figures of one drill.
 
-    Raises nothing for lines that are missing: an empty drill shows as `requests` 0.
+    Missing files and lines raise no error: a drill without requests has `requests` 0.
     """
     plan = json.loads((folder / "plan.json").read_text())
     lines = read_json_lines(folder / "faults.jsonl")
     faults = FaultHistory(lines)
     requests = read_json_lines(folder / "clients.jsonl")
-    ran = [
+    begun_rows = [
         row | {"host": path.stem}
         for path in sorted(folder.glob("h*.jsonl"))
         for row in read_json_lines(path)
     ]
-    found: dict[str, Any] = {
+    figures: dict[str, Any] = {
         "requests": len(requests),
         "accepted": sum(row["outcome"] == "served" for row in requests),
         "outcomes": dict(Counter(row["outcome"] for row in requests)),
     }
-    found |= answers(requests, ran, faults)
-    found |= {
+    figures |= answer_figures(requests, begun_rows, faults)
+    figures |= {
         "kills": sum(len(line["whom"]) for line in lines if line["what"] == "kill" and line["on"]),
         "stalls": sum(
             len(line["whom"]) for line in lines if line["what"] == "pause" and line["on"]
         ),
         "cuts": sum(line["what"] == "cut" and line["on"] for line in lines),
     }
-    found |= units(plan, requests, ran, faults)
-    found |= membership_checks.memberships(folder, plan, faults)
-    found |= messages(folder)
-    found |= settings(folder, plan, faults)
-    return found
+    figures |= quota_figures(plan, requests, begun_rows, faults)
+    figures |= membership_checks.membership_figures(folder, plan, faults)
+    figures |= message_figures(folder)
+    figures |= settings_figures(folder, plan, faults)
+    return figures
 
 
-def answers(
-    requests: list[dict[str, Any]], ran: list[dict[str, Any]], faults: FaultHistory
+def answer_figures(
+    requests: list[dict[str, Any]], begun_rows: list[dict[str, Any]], faults: FaultHistory
 ) -> dict[str, Any]:
-    """Each request against what the hosts began."""
-    begun = Counter(row["id"] for row in ran)
+    """Compares each request's outcome with the requests that the endpoints began."""
+    times_begun = Counter(row["id"] for row in begun_rows)
     lost, unsure, doubled, untrue = list[str](), 0, 0, 0
     for row in requests:
         since, until = row["t"] - NEAR_FAULT_S, row["end"] + NEAR_FAULT_S
         excused = faults.was_down(row["to"], since, until) or any(
-            faults.link_hit(a, b, since, until) for a, b in (("c", row["to"]), (row["to"], "c"))
+            faults.was_link_affected(a, b, since, until)
+            for a, b in (("c", row["to"]), (row["to"], "c"))
         )
-        late = row["end"] - row["t"] > row["patience"] + LATE_ANSWER_S
+        is_late = row["end"] - row["t"] > row["patience"] + LATE_ANSWER_S
         if not excused and (
-            late or row["outcome"] in ("silent", "closed", "crossed", "reset", "refused")
+            is_late or row["outcome"] in ("silent", "closed", "crossed", "reset", "refused")
         ):
-            if any(a <= until and b >= since for a, b in faults.late):
+            if any(a <= until and b >= since for a, b in faults.harness_delays):
                 unsure += 1
             else:
                 lost.append(row["id"])
         doubled += row["extra"]
         if row["outcome"] == "served" and (
-            row["value"] != f"served {row['id']}" or not begun[row["id"]]
+            row["value"] != f"served {row['id']}" or not times_begun[row["id"]]
         ):
             untrue += 1
-        if row["outcome"] == "busy" and row["kind"] == "buy" and begun[row["id"]]:
-            untrue += 1  # busy, which promises that it has not run
-    once = {row["id"] for row in requests if row["kind"] == "buy"}
+        # `busy` guarantees that the request did not run.
+        if row["outcome"] == "busy" and row["kind"] == "buy" and times_begun[row["id"]]:
+            untrue += 1
+    not_repeatable = {row["id"] for row in requests if row["kind"] == "buy"}
     return {
         "lost": len(lost),
         "lost_ids": lost[:20],
@@ -110,100 +119,116 @@
         "doubled": doubled,
         "untrue_answers": untrue,
         "repeats_not_allowed": sum(
-            count > 1 for request, count in begun.items() if request in once
+            count > 1 for request, count in times_begun.items() if request in not_repeatable
         ),
     }
 
 
-def units(
+def quota_figures(
     plan: dict[str, Any],
     requests: list[dict[str, Any]],
-    ran: list[dict[str, Any]],
+    begun_rows: list[dict[str, Any]],
     faults: FaultHistory,
 ) -> dict[str, Any]:
-    """What customers used against their quotas and ceilings.
+    """Compares the customers' usage with their quotas and ceilings.
 
-    A try counts once, when its first attempt began.
+    A request counts once, at the time when its first attempt began.
     """
-    first: dict[str, float] = {}
-    for row in ran:
-        first[row["id"]] = min(row["t"], first.get(row["id"], row["t"]))
-    used: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
-    asked: Counter[tuple[str, str]] = Counter()
+    first_attempt_at: dict[str, float] = {}
+    for row in begun_rows:
+        first_attempt_at[row["id"]] = min(row["t"], first_attempt_at.get(row["id"], row["t"]))
+    usage_by_customer: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
+    requested: Counter[tuple[str, str]] = Counter()
     for row in requests:
         key = row["plan"], row["customer"]
-        asked[key] += row["units"]
-        if row["id"] in first:
-            used[key].append((first[row["id"]], row["units"]))
-    span = faults.end - faults.begin
-    quota = served = due = worst = 0.0
-    over = -math.inf
-    passed = 0
-    for (name, customer), _ in asked.items():
+        requested[key] += row["units"]
+        if row["id"] in first_attempt_at:
+            usage_by_customer[key].append((first_attempt_at[row["id"]], row["units"]))
+    duration = faults.end - faults.begin
+    quota = served = entitled = max_excess = 0.0
+    max_total_excess = -math.inf
+    ceilings_passed = 0
+    for (name, customer), _ in requested.items():
         rate, burst = RATES.get(name) or (plan.get("per_second", 20.0), plan.get("burst", 40.0))
-        taken = used[name, customer]
-        total = sum(amount for _, amount in taken)
-        allowed = rate * span
+        usage = usage_by_customer[name, customer]
+        total = sum(amount for _, amount in usage)
+        allowed = rate * duration
         quota += allowed
-        over = max(over, total - allowed - burst)  # the customer who got most beyond its own
-        worst = max(worst, over_bucket(taken, rate, burst))
+        max_total_excess = max(max_total_excess, total - allowed - burst)
+        max_excess = max(max_excess, max_overdraft(usage, rate, burst))
         served += min(total, allowed + burst)
-        due += min(asked[name, customer], allowed + burst)
+        entitled += min(requested[name, customer], allowed + burst)
         if name in CEILINGS:
-            ceiling, hard = CEILINGS[name]
-            passed += over_bucket(taken, ceiling, hard + CEILING_SLACK_S * ceiling) > 0
+            ceiling, hard_burst = CEILINGS[name]
+            ceilings_passed += (
+                max_overdraft(usage, ceiling, hard_burst + CEILING_SLACK_S * ceiling) > 0
+            )
     return {
-        "ceilings_passed": passed,
-        "over_quota_units": round(over, 1) if asked else None,
-        "over_quota_worst": round(worst, 1),
+        "ceilings_passed": ceilings_passed,
+        "over_quota_units": round(max_total_excess, 1) if requested else None,
+        "over_quota_worst": round(max_excess, 1),
         "quota_units": round(quota, 1),
-        "service_share": round(served / due, 4) if due else None,
+        "service_share": round(served / entitled, 4) if entitled else None,
     }
 
 
-def settings(folder: Path, plan: dict[str, Any], faults: FaultHistory) -> dict[str, Any]:
-    """Who served by older settings after newer ones were out and could be heard of.
+def settings_figures(folder: Path, plan: dict[str, Any], faults: FaultHistory) -> dict[str, Any]:
+    """Finds limiters that still applied older settings when they could have had the newest.
 
-    As probes saw it from outside.
+    A limiter could have the newest settings once these were distributed and it was neither down nor
+    behind a cut or stalled link. The probes show which settings it applied.
     """
     probes = read_json_lines(folder / "probes.jsonl")
-    if not probes or not faults.changed:
+    if not probes or not faults.settings_changes:
         return {"acted_on_old_after_s_p99": None, "stragglers": None}
-    order = max(number for _, number, _ in faults.changed)
-    out = min(at for at, number, _ in faults.changed if number == order)
-    after = []
+    newest = max(revision for _, revision, _ in faults.settings_changes)
+    distributed_at = min(at for at, revision, _ in faults.settings_changes if revision == newest)
+    delays = []
     for name in [f"n{n}" for n in range(plan.get("instances", 5))]:
-        old = [
+        old_settings_seen_at = [
             row["t"]
             for row in probes
             if row["to"] == name
-            and row["t"] > out
+            and row["t"] > distributed_at
             and row["new"] == "unknown"
             and row["look"] == "served"
         ]
-        hidden = [
+        link_fault_ends = [
             end
             for (a, b), spans in faults.links.items()
             if name in (a, b)
             for begin, end, what in spans
-            if end > out and what in ("cut", "stall")
+            if end > distributed_at and what in ("cut", "stall")
+        ]
+        outage_ends = [end for begin, end in faults.down.get(name, []) if end > distributed_at]
+        unexcused = [
+            at
+            for at in old_settings_seen_at
+            if at > max([distributed_at, *link_fault_ends, *outage_ends])
         ]
-        down = [end for begin, end in faults.down.get(name, []) if end > out]
-        later = [at for at in old if at > max([out, *hidden, *down])]
-        after.append(
+        delays.append(
             max(
-                (at - max([out, *(t for t in [*hidden, *down] if t <= at)]) for at in later),
+                (
+                    at
+                    - max(
+                        [
+                            distributed_at,
+                            *(t for t in [*link_fault_ends, *outage_ends] if t <= at),
+                        ]
+                    )
+                    for at in unexcused
+                ),
                 default=0.0,
             )
         )
     return {
-        "acted_on_old_after_s_p99": quantile(after, 0.99),
-        "stragglers": sum(seconds > 0 for seconds in after),
+        "acted_on_old_after_s_p99": quantile(delays, 0.99),
+        "stragglers": sum(delay > 0 for delay in delays),
     }
 
 
-def messages(folder: Path) -> dict[str, Any]:
-    """Datagrams that limiters sent, a second and member."""
+def message_figures(folder: Path) -> dict[str, Any]:
+    """Returns the datagrams and bytes that limiters sent, per second and member."""
     seconds = [row for row in read_json_lines(folder / "relay.jsonl") if row["members"]]
     if not seconds:
         return {"messages_per_member_s": None, "bytes_per_member_s": None}
--- a/hazelhollow/fault_injection/drawn_plans.py
+++ b/hazelhollow/fault_injection/drawn_plans.py
@@ -1,4 +1,4 @@
-"""Plans with overlapping faults, drawn from a seed: the same plan for the same seed."""
+"""Random plans with overlapping faults; the same seed gives the same plan."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from hazelhollow.fault_injection.plan import Event, Load, Plan
 
-QUIET_END_S = 8.0  # seconds without a new fault at the end
-# How often each kind is drawn; `host` kills an endpoint.
+QUIET_END_S = 8.0  # time at the end of the load in which no fault begins
+# Relative frequency of each kind of fault; `host` kills an endpoint.
 WEIGHTS = {
     "cut": 6,
     "stall": 2,
@@ -31,12 +31,12 @@
     """Draws a plan.
 
     Args:
-        seed: of all draws.
-        instances: limiters.
-        seconds: of load; the last QUIET_END_S are without a new fault.
-        hosts: endpoints.
-        changes: settings of three revisions are given to one limiter or several meanwhile, and one
-            limiter restarts with the first.
+        seed: seed of all draws.
+        instances: number of limiters.
+        seconds: duration of the load; no fault begins in the last QUIET_END_S.
+        hosts: number of endpoints.
+        changes: also gives three revisions of the settings to one or more limiters during the run,
+            and restarts one limiter with its first settings.
     """
     draw, last_fault_at = random.Random(seed), max(seconds - QUIET_END_S, seconds / 2)
     names, events = [f"n{n}" for n in range(instances)], list[Event]()
@@ -63,7 +63,7 @@
 
 
 def _draw_changes(draw: random.Random, names: list[str], last_fault_at: float) -> list[Event]:
-    found = [
+    settings_events = [
         Event(
             at=round(draw.uniform(0.5, 0.95) * last_fault_at, 2),
             what="old",
@@ -73,7 +73,7 @@
     ]
     for revision in (1, 2, 3):
         limiters = draw.sample(names, draw.choice((1, 1, max(1, len(names) // 2))))
-        found.append(
+        settings_events.append(
             Event(
                 at=round(last_fault_at * (revision - draw.random()) / 3.3 + 1.0, 2),
                 what="settings",
@@ -81,7 +81,7 @@
                 amount=revision,
             )
         )
-    return found
+    return settings_events
 
 
 def _draw_event(
@@ -96,11 +96,11 @@
     if what == "discovery_down":
         return Event(at=at, what="discovery_down", whom=("d",), lasts=lasts)
     if what == "kill":
-        hits_all = draw.random() < 0.1
+        kills_all = draw.random() < 0.1
         return Event(
             at=at,
             what="kill",
-            whom=tuple(names) if hits_all else limiters[:2],
+            whom=tuple(names) if kills_all else limiters[:2],
             lasts=max(lasts, 0.3),
         )
     if what == "pause":
--- a/hazelhollow/fault_injection/fault_player.py
+++ b/hazelhollow/fault_injection/fault_player.py
@@ -1,7 +1,7 @@
-"""Makes a plan's faults happen to a cluster, and notes when each began and ended.
+"""Injects a plan's faults into a cluster and records when each begins and ends.
 
-Each event runs in a task of its own. A process that one fault has hit is left alone by others until
-that fault is over, since two at once would hide what each does.
+Each event runs in its own task. While a process is affected by one fault, other process faults skip
+it: the effects of two simultaneous faults could not be told apart.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from hazelhollow.fault_injection.plan import LINK_FAULTS, Event, pairs
 from hazelhollow.standins.link_faults import LinkFault
 
-DISCOVERY_DELAY_S = 1.5  # until discovery knows that an endpoint has died or is back
-END_TIMEOUT_S = 4.0  # for a process that was told to end
+DISCOVERY_DELAY_S = 1.5  # until discovery lists that an endpoint has died or is back
+END_TIMEOUT_S = 4.0  # for a signalled process to end, before it is killed
 POLL_S = 0.02
 ENDPOINT_POLL_S = 0.1
 SIGNALS = {
@@ -31,14 +31,14 @@
 
 
 class FaultPlayer:
-    """The faults of one run.
+    """Injects the faults of one run.
 
     Args:
-        cluster: that they hit.
-        out: gets a JSON line whenever a fault begins or ends.
-        progress: gets a text for each event.
-        on_error: called with an exception if a fault cannot be made: the figures would be of
-            another plan.
+        cluster: the cluster that the faults affect.
+        out: receives a JSON line whenever a fault begins or ends.
+        progress: called with a text for each event.
+        on_error: called with the exception if a fault cannot be injected. The figures would then
+            not be those of the plan.
     """
 
     def __init__(
@@ -51,18 +51,19 @@
         self._cluster, self._out = cluster, out
         self._progress, self._on_error = progress, on_error
         self._scheduler, self._processes = cluster.scheduler, cluster.processes
-        self._affected = set[str]()  # processes that a fault is hitting
-        self._gone = set[str]()  # that are not to come back
-        self.crashes: list[str] = []  # processes that ended by themselves, or with an error
+        self._affected = set[str]()  # processes that a fault currently affects
+        self._gone = set[str]()  # processes that do not start again
+        # Descriptions of processes that ended without a fault, or with an error on SIGTERM.
+        self.crashes: list[str] = []
 
-    def note(self, **line: Any) -> None:
-        """Writes a line; its time is now unless given."""
+    def record(self, **line: Any) -> None:
+        """Writes a line; `t` defaults to the current time."""
         line.setdefault("t", self._scheduler.clock())
         self._out.write(orjson.dumps(line) + b"\n")
         self._out.flush()
 
     def look_for_crashes(self) -> None:
-        """Notes processes that have ended though no fault ended them."""
+        """Records processes that have ended without a fault."""
         for name in [*self._cluster.names, *self._cluster.hosts]:
             is_expected = name in self._affected or name in self._gone
             if not is_expected and self._processes.reap(name):
@@ -71,7 +72,7 @@
                 self.crashes.append(f"{name} ended by itself with status {status}")
 
     def play(self, event: Event) -> None:
-        """Makes one event happen; returns when it is over."""
+        """Carries out one event; returns when it is over."""
         try:
             self._play(event)
         except Exception as error:
@@ -81,49 +82,49 @@
         name = self._cluster.plan.name
         self._progress(f"{name}: {event.what} {' '.join(event.whom)} for {event.lasts:g} s")
         if event.what in LINK_FAULTS:
-            self._hit_links(event)
+            self._inject_link_fault(event)
         elif event.what == "settings":
             self._change_settings(event)
         elif event.what == "discovery_down":
             self._stop_discovery(event)
         else:
             for other in event.whom[1:]:
-                alone = msgspec.structs.replace(event, whom=(other,))
-                self._scheduler.spawn(self.play, alone, name="fault")
-            self._hit_process(event, event.whom[0])
+                single_event = msgspec.structs.replace(event, whom=(other,))
+                self._scheduler.spawn(self.play, single_event, name="fault")
+            self._inject_process_fault(event, event.whom[0])
 
     def _stop_discovery(self, event: Event) -> None:
         self._cluster.discovery.set_down(True)
-        self.note(what=event.what, whom=["d"], on=True)
+        self.record(what=event.what, whom=["d"], on=True)
         self._scheduler.sleep(event.lasts)
         self._cluster.discovery.set_down(False)
-        self.note(what=event.what, whom=["d"], on=False)
+        self.record(what=event.what, whom=["d"], on=False)
 
     def _change_settings(self, event: Event) -> None:
         revision = int(event.amount)
         for name in event.whom:
             self._cluster.write_files(name, revision)
-            # One that is starting reads its files anyway.
+            # A limiter that is restarting reads its files anyway.
             if self._processes.members[name].running and name not in self._affected:
                 self._processes.signal(name, signal.SIGHUP)
-        self.note(what="settings", whom=list(event.whom), order=revision)
+        self.record(what="settings", whom=list(event.whom), order=revision)
 
-    def _hit_links(self, event: Event) -> None:
+    def _inject_link_fault(self, event: Event) -> None:
         affected = pairs(self._cluster.plan, event)
         number = self._cluster.relay.begin(_link_fault(event), affected)
-        self.note(what=event.what, pairs=affected, number=number, on=True, amount=event.amount)
+        self.record(what=event.what, pairs=affected, number=number, on=True, amount=event.amount)
         self._scheduler.sleep(event.lasts)
         self._cluster.relay.end(number)
-        self.note(what=event.what, pairs=affected, number=number, on=False)
+        self.record(what=event.what, pairs=affected, number=number, on=False)
 
     # Processes
 
-    def _hit_process(self, event: Event, name: str) -> None:
+    def _inject_process_fault(self, event: Event, name: str) -> None:
         if name in self._affected or not self._processes.members[name].running:
             return
         self._affected.add(name)
         try:
-            self.note(what=event.what, whom=[name], on=True)
+            self.record(what=event.what, whom=[name], on=True)
             if event.what == "pause":
                 self._pause(event, name)
             else:
@@ -138,7 +139,7 @@
         self._scheduler.sleep(event.lasts)
         if process.starts == incarnation and process.running:
             self._processes.signal(name, signal.SIGCONT)
-            self.note(what="pause", whom=[name], on=False)
+            self.record(what="pause", whom=[name], on=False)
 
     def _end_and_restart(self, event: Event, name: str) -> None:
         process = self._processes.members[name]
@@ -156,7 +157,7 @@
             self._cluster.write_files(name, 0)
         self._processes.start(name)
         self._await_ready(name)
-        self.note(what=event.what, whom=[name], on=False)
+        self.record(what=event.what, whom=[name], on=False)
 
     def _await_end(self, name: str) -> None:
         until = self._scheduler.clock() + END_TIMEOUT_S
@@ -172,7 +173,7 @@
                 raise HarnessError(f"{name} ended with status {status} while it started")
             self._scheduler.sleep(POLL_S)
 
-    # What discovery learns of endpoints
+    # Updates of the endpoint list in discovery
 
     def _notify_discovery_later(self, name: str) -> None:
         at = self._scheduler.clock() + DISCOVERY_DELAY_S
--- a/hazelhollow/fault_injection/membership_checks.py
+++ b/hazelhollow/fault_injection/membership_checks.py
@@ -1,4 +1,4 @@
-"""Whether the limiters of a run agreed on who was up, and how soon."""
+"""Checks whether the limiters of a run agreed on the membership, and how soon."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from hazelhollow.fault_injection.fault_history import NEVER, FaultHistory
 from hazelhollow.fault_injection.run_files import quantile, read_json_lines
 
-DEATH_EXCUSED_S = 10.0  # after a fault, in which a death need not be false
-OBSERVABLE_S = 3.0  # that a process must be down for its suspicion to be due
+DEATH_EXCUSED_S = 10.0  # a fault excuses a death that is declared up to this long after it
+OBSERVABLE_S = 3.0  # a process that is down for longer than this must be suspected
 DEAD = ("dead", "left")
 PARTIAL_FAULTS = ("lose", "delay", "double", "reorder")
 NO_FIGURES: dict[str, Any] = {
@@ -23,21 +23,25 @@
 }
 
 
-def memberships(folder: Path, plan: dict[str, Any], faults: FaultHistory) -> dict[str, Any]:
-    """Each limiter's membership against the others' and against the faults of processes."""
+def membership_figures(folder: Path, plan: dict[str, Any], faults: FaultHistory) -> dict[str, Any]:
+    """Compares each limiter's membership with the others' and with the injected faults."""
     names = [f"n{n}" for n in range(plan.get("instances", 5))]
     histories = {name: read_json_lines(folder / f"{name}.view.jsonl") for name in names}
     if not any(histories.values()):
         return dict(NO_FIGURES)
     gone = faults.gone_at_end()
-    left = [name for name in names if name not in gone]
-    final = {name: histories[name][-1]["members"] if histories[name] else {} for name in left}
-    true = {str(names.index(name)): "dead" if name in gone else "alive" for name in names}
-    right = [json.dumps(view, sort_keys=True) for view in final.values() if _states(view) == true]
-    common = Counter(right).most_common(1)[0][0] if right else ""
-    differ = [n for n in left if json.dumps(final[n], sort_keys=True) != common]
-    agreeing = [name for name in left if name not in differ] if faults.last else []
-    settled = [_settled(histories[name], final[name], faults.last) for name in agreeing]
+    survivors = [name for name in names if name not in gone]
+    final = {name: histories[name][-1]["members"] if histories[name] else {} for name in survivors}
+    actual = {str(names.index(name)): "dead" if name in gone else "alive" for name in names}
+    correct = [
+        json.dumps(view, sort_keys=True) for view in final.values() if _states(view) == actual
+    ]
+    common = Counter(correct).most_common(1)[0][0] if correct else ""
+    differ = [n for n in survivors if json.dumps(final[n], sort_keys=True) != common]
+    agreeing = [name for name in survivors if name not in differ] if faults.last_change_at else []
+    settled = [
+        _settling_time(histories[name], final[name], faults.last_change_at) for name in agreeing
+    ]
     return {
         "settled_s_p50": quantile(settled, 0.5),
         "settled_s_p99": quantile(settled, 0.99),
@@ -49,12 +53,13 @@
 
 
 def _states(view: dict[str, Any]) -> dict[str, str]:
-    same = {"dead": "dead", "left": "dead", "shut out": "alive"}  # one that is shut out is there
-    return {number: same.get(entry[0], entry[0]) for number, entry in view.items()}
+    # A member that is shut out is still running.
+    equivalent = {"dead": "dead", "left": "dead", "shut out": "alive"}
+    return {number: equivalent.get(entry[0], entry[0]) for number, entry in view.items()}
 
 
-def _settled(lines: list[dict[str, Any]], final: dict[str, Any], since: float) -> float:
-    """Seconds after the last fault from which this process had its final membership."""
+def _settling_time(lines: list[dict[str, Any]], final: dict[str, Any], since: float) -> float:
+    """Returns the seconds from `since` until a limiter's membership was the final one."""
     at = since
     for line in lines:
         if line["members"] != final:
@@ -67,13 +72,13 @@
 def _false_deaths(
     histories: dict[str, list[dict[str, Any]]], names: list[str], faults: FaultHistory
 ) -> int:
-    """Incarnations that were considered dead though they ran and could be heard."""
-    found = set[tuple[int, Any]]()
+    """Counts incarnations that were declared dead although they ran and were reachable."""
+    falsely_dead = set[tuple[int, Any]]()
     for observer, lines in histories.items():
-        before: dict[str, Any] = {}
+        previous: dict[str, Any] = {}
         for line in lines:
             for number, (state, incarnation, *_) in line["members"].items():
-                was_dead = before.get(number, [""])[0] == "dead"
+                was_dead = previous.get(number, [""])[0] == "dead"
                 member, at = names[int(number)], line["t"]
                 if state != "dead" or was_dead:
                     continue
@@ -82,15 +87,18 @@
                     observer, since, at
                 )
                 if not was_down and not _was_partitioned(faults, names, since, at):
-                    found.add((int(number), incarnation))
-            before = line["members"]
-    return len(found)
+                    falsely_dead.add((int(number), incarnation))
+            previous = line["members"]
+    return len(falsely_dead)
 
 
 def _was_partitioned(faults: FaultHistory, names: list[str], since: float, until: float) -> bool:
-    """Whether any link between limiters lost everything; others may have told the observer."""
+    """Whether any link between limiters lost all datagrams in the period.
+
+    Every link counts: the observer may have learned of the death from other members.
+    """
     return any(
-        faults.link_hit(sender, receiver, since, until, but=PARTIAL_FAULTS)
+        faults.was_link_affected(sender, receiver, since, until, ignored=PARTIAL_FAULTS)
         for sender in names
         for receiver in names
     )
@@ -99,7 +107,7 @@
 def _max_suspicion_delay(
     histories: dict[str, list[dict[str, Any]]], names: list[str], faults: FaultHistory
 ) -> float | None:
-    """Seconds at most until anybody suspected a process that was stopped or killed."""
+    """Returns the longest time until any member suspected a process that was paused or killed."""
     delays = list[float]()
     for name in names:
         observers = [other for other in names if other != name]
@@ -110,18 +118,19 @@
             ):
                 lines = {observer: histories[observer] for observer in observers}
                 delays.append(_suspicion_delay(lines, str(names.index(name)), begin))
-    worst = max(delays, default=None)
-    return round(worst, 3) if worst is not None and worst != NEVER else worst
+    longest = max(delays, default=None)
+    return round(longest, 3) if longest is not None and longest != NEVER else longest
 
 
 def _suspicion_delay(
     histories: dict[str, list[dict[str, Any]]], number: str, begin: float
 ) -> float:
-    """Seconds from `begin` until a member was suspected or dead to anybody.
+    """Returns the seconds from `begin` until any observer had a member as suspect or dead.
 
-    An observer that was partitioned from it may have suspected it earlier: then 0.
+    The delay is 0 if an observer, for example one partitioned from the member, already suspected
+    it.
     """
-    first = min(
+    shortest = min(
         (
             line["t"] - begin
             for lines in histories.values()
@@ -131,4 +140,4 @@
         ),
         default=NEVER,
     )
-    return max(0.0, first)
+    return max(0.0, shortest)
--- a/hazelhollow/fault_injection/named_plans.py
+++ b/hazelhollow/fault_injection/named_plans.py
@@ -1,4 +1,4 @@
-"""Plans with one kind of fault each, by name."""
+"""Predefined plans by name; each has faults of one kind."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 def named_plan(
     name: str, instances: int = 5, seconds: float = DEFAULT_SECONDS, seed: int = 1
 ) -> Plan:
-    """The plan of that name.
+    """Returns the predefined plan `name`.
 
     Raises:
-        PlanError: there is none of that name.
+        PlanError: there is no plan of that name.
     """
     names = tuple(f"n{n}" for n in range(instances))
     plans = _process_faults(names) | _link_faults(names) | _settings_changes(names)
--- a/hazelhollow/fault_injection/run.py
+++ b/hazelhollow/fault_injection/run.py
@@ -1,6 +1,6 @@
-"""One fault-injection run: a cluster starts, clients send, faults happen, files are checked.
+"""One fault-injection run: starts a cluster, sends load, injects faults and checks the results.
 
-All that the checker needs is left in files of the run's folder; `checker.py` lists them.
+The run writes everything that the checker needs to files in its folder; `checker.py` lists them.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from hazelhollow.fault_injection.settings_probes import ProbeOptions, SettingsProber
 from hazelhollow.net.scheduler import Clock, Scheduler
 
-OPEN_REQUESTS_TIMEOUT_S = 4.0  # at the end of the load
-SETTLE_S = 6.0  # past the last fault, at least, so that memberships can agree
-LOAD_DELAY_S = 0.2  # from the start of the cluster
+OPEN_REQUESTS_TIMEOUT_S = 4.0  # for requests that are open at the end of the run
+SETTLE_S = 6.0  # minimum time after the last fault, so that the memberships can converge
+LOAD_DELAY_S = 0.2  # between the start of the cluster and the load
 WATCHDOG_INTERVAL_S = 0.05
-MAX_LATENESS_S = 0.1  # of this process, by which it is too late to judge others
+MAX_LATENESS_S = 0.1  # if this process is later than this, its measurements are unreliable
 POLL_S = 0.02
 COUNT_INTERVAL_S = 1.0
 
@@ -42,14 +42,14 @@
 
 
 class FaultInjectionRun:
-    """One run; `run` once.
+    """One run of a plan; `run` may be called once.
 
     Args:
-        plan: what is to happen.
-        folder: exists and is empty.
-        progress: gets texts for a person who waits.
-        operator: as for LoopbackCluster.
-        keep: leaves the folder at the end.
+        plan: the plan to play.
+        folder: an empty directory for the run's files.
+        progress: called with progress messages.
+        operator: as for `LoopbackCluster`.
+        keep: keeps the folder when the run ends.
     """
 
     def __init__(
@@ -74,16 +74,16 @@
 
     @property
     def crashes(self) -> list[str]:
-        """Processes that ended by themselves, or with an error when told to end."""
+        """Processes that ended without a fault, or with an error on SIGTERM."""
         return self.faults.crashes
 
     def run(self) -> dict[str, Any]:
-        """Plays the plan and gives the checker's figures.
+        """Plays the plan and returns the checker's figures.
 
         Raises:
-            HarnessError: the cluster did not start, or a process did not come back.
+            HarnessError: the cluster did not start, or a process did not restart.
         """
-        self.scheduler.spawn(self._guarded, name="drill")
+        self.scheduler.spawn(self._play_and_stop, name="drill")
         try:
             self.scheduler.run()
             self.cluster.stop()
@@ -100,7 +100,7 @@
         finally:
             self.cluster.close()
 
-    def _guarded(self) -> None:
+    def _play_and_stop(self) -> None:
         try:
             self._play()
         except BaseException as error:
@@ -109,7 +109,7 @@
             self.scheduler.stop()
 
     def _fail(self, error: Exception) -> None:
-        """A fault that cannot be made ends the run."""
+        """Ends the run because a fault could not be injected."""
         self.error = self.error or error
         self.scheduler.stop()
 
@@ -119,7 +119,7 @@
         cluster.start()
         self.begin = self.scheduler.clock() + LOAD_DELAY_S
         self.cpu_at_begin = sum(cluster.processes.cpu_of(name) for name in cluster.names)
-        self.faults.note(what="load", t=self.begin, until=self.begin + plan.seconds, whom=[])
+        self.faults.record(what="load", t=self.begin, until=self.begin + plan.seconds, whom=[])
         self._spawn_clients()
         self.scheduler.spawn_supervised(self._count_datagrams, "count")
         self.scheduler.spawn_supervised(self._watch_lateness, "watch itself")
@@ -150,7 +150,7 @@
                 )
 
     def _probe_settings(self, revision: int) -> None:
-        """Probes bypass the relay: no link fault hides by which settings a limiter serves."""
+        """Starts probes that bypass the relay, so that link faults do not affect them."""
         lines: IO[bytes] = (self.folder / "probes.jsonl").open("wb")
         options = ProbeOptions(revision, self.plan.instances)
         for number, name in enumerate(self.cluster.names):
@@ -159,7 +159,7 @@
             self.scheduler.spawn(prober.run, name="probe")
 
     def _cost(self) -> dict[str, Any]:
-        """CPU and memory of the limiters, and how late this process's own clients were."""
+        """Returns the CPU time and memory of the limiters, and the clients' maximum lateness."""
         limiters = [self.cluster.processes.members[name] for name in self.cluster.names]
         cpu = sum(limiter.cpu for limiter in limiters) - self.cpu_at_begin
         max_memory_kb = max(limiter.max_memory_kb for limiter in limiters)
@@ -171,16 +171,19 @@
         }
 
     def _watch_lateness(self) -> None:
-        """Notes when this process was late: what it measured then may be the machine's doing."""
+        """Records when this process was late.
+
+        Failures that it measured at such a time may be due to the machine's load.
+        """
         while True:
             due = self.scheduler.clock() + WATCHDOG_INTERVAL_S
             self.scheduler.sleep(WATCHDOG_INTERVAL_S)
             late = self.scheduler.clock() - due
             if late > MAX_LATENESS_S:
-                self.faults.note(what="late", t=due + late, late=round(late, 3), whom=[])
+                self.faults.record(what="late", t=due + late, late=round(late, 3), whom=[])
 
     def _count_datagrams(self) -> None:
-        """Writes once a second what crossed between limiters."""
+        """Writes the datagrams and bytes between limiters once a second."""
         before: dict[str, int] = {}
         while True:
             self.scheduler.sleep(COUNT_INTERVAL_S)
--- a/hazelhollow/fault_injection/run_files.py
+++ b/hazelhollow/fault_injection/run_files.py
@@ -1,4 +1,4 @@
-"""Reads the JSON-line files of a run, and takes quantiles of what is in them."""
+"""Reading of a run's JSON Lines files, and quantiles of their values."""
 
 from __future__ import annotations
 
@@ -8,17 +8,20 @@
 
 
 def read_json_lines(path: Path) -> list[dict[str, Any]]:
-    """The lines of a file, none if there is no file; one cut short by a kill is left out."""
-    found = []
+    """Returns the documents of a JSON Lines file; none if the file does not exist.
+
+    A line that is not valid JSON is skipped: a kill can cut the last line short.
+    """
+    documents = []
     for line in path.read_text().splitlines() if path.exists() else []:
         try:
-            found.append(json.loads(line))
+            documents.append(json.loads(line))
         except ValueError:
             continue
-    return found
+    return documents
 
 
 def quantile(values: list[float], share: float) -> float | None:
-    """The value that this share of the values does not pass; None without values."""
+    """Returns the quantile `share` of the values, rounded to 3 digits; None without values."""
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 3) if ordered else None
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker: it sees each broken promise, and excuses only what a fault explains."""
+"""The checker: it reports each violation of a guarantee, unless an injected fault explains it."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from hazelhollow.fault_injection.fault_history import FaultHistory
 
 
-def played(folder: Path, **files: list[dict[str, Any]]) -> dict[str, Any]:
+def check_run(folder: Path, **files: list[dict[str, Any]]) -> dict[str, Any]:
+    """Returns the checker's figures of a run of 10 s with these lines in its files."""
     (folder / "plan.json").write_bytes(
         plan.write(plan.Plan(name="x", instances=2, hosts=1, seconds=10))
     )
     load = [{"what": "load", "t": 100.0, "until": 110.0, "whom": []}]
-    every: dict[str, list[dict[str, Any]]] = {"faults": [], "clients": [], "h0": [], "relay": []}
-    for name, lines in (every | files).items():
+    empty: dict[str, list[dict[str, Any]]] = {"faults": [], "clients": [], "h0": [], "relay": []}
+    for name, lines in (empty | files).items():
         lines = load + lines if name == "faults" else lines
         (folder / f"{name.replace('_', '.')}.jsonl").write_text(
             "".join(json.dumps(line) + "\n" for line in lines)
@@ -27,7 +28,7 @@
     return checker.check(folder)
 
 
-def asked(number: int, **other: Any) -> dict[str, Any]:
+def client_row(number: int, **changed: Any) -> dict[str, Any]:
     return {
         "t": 101.0 + number / 1000,
         "end": 101.05,
@@ -41,16 +42,14 @@
         "extra": 0,
         "outcome": "served",
         "value": f"served r{number}",
-    } | other
+    } | changed
 
 
-def ran(number: int, t: float = 101.01) -> dict[str, Any]:
+def host_row(number: int, t: float = 101.01) -> dict[str, Any]:
     return {"t": t, "id": f"r{number}"}
 
 
-LATE = [{"what": "late", "whom": [], "t": 102.0, "late": 0.5}]
-
-
+HARNESS_DELAY = [{"what": "late", "whom": [], "t": 102.0, "late": 0.5}]
 KILL = [
     {"what": "kill", "whom": ["n0"], "t": 100.9, "on": True},
     {"what": "kill", "whom": ["n0"], "t": 101.5, "on": False},
@@ -58,41 +57,47 @@
 
 
 @dataclass(frozen=True)
-class PromiseCase:
-    """A client's row, what hosts ran, the faults, and the figure that is expected."""
+class GuaranteeCase:
+    """A client's row, the host's rows, the faults, and the expected value of one figure."""
 
     row: dict[str, Any]
     host: list[dict[str, Any]]
     faults: list[dict[str, Any]]
-    key: str
-    value: int
+    figure: str
+    expected: int
 
 
 @pytest.mark.parametrize(
     "case",
     [
-        PromiseCase(asked(1), [ran(1)], [], "lost", 0),
-        PromiseCase(asked(1, outcome="silent", end=102.5), [], [], "lost", 1),
-        PromiseCase(asked(1, outcome="reset"), [], [], "lost", 1),
-        PromiseCase(asked(1, outcome="reset"), [], KILL, "lost", 0),
-        PromiseCase(asked(1, outcome="silent", end=102.5), [], LATE, "lost", 0),
-        PromiseCase(asked(1, outcome="silent", end=102.5), [], LATE, "unsure", 1),
-        PromiseCase(asked(1, outcome="silent", end=100.5), [], LATE, "unsure", 0),
-        PromiseCase(asked(1, end=102.4), [ran(1)], [], "lost", 1),
-        PromiseCase(asked(1, extra=1), [ran(1)], [], "doubled", 1),
-        PromiseCase(asked(1), [], [], "untrue_answers", 1),
-        PromiseCase(asked(1, value="served r2"), [ran(1)], [], "untrue_answers", 1),
-        PromiseCase(asked(1, kind="buy", outcome="busy"), [ran(1)], [], "untrue_answers", 1),
-        PromiseCase(asked(1, kind="buy"), [ran(1), ran(1)], [], "repeats_not_allowed", 1),
-        PromiseCase(asked(1), [ran(1), ran(1)], [], "repeats_not_allowed", 0),
+        GuaranteeCase(client_row(1), [host_row(1)], [], "lost", 0),
+        GuaranteeCase(client_row(1, outcome="silent", end=102.5), [], [], "lost", 1),
+        GuaranteeCase(client_row(1, outcome="reset"), [], [], "lost", 1),
+        GuaranteeCase(client_row(1, outcome="reset"), [], KILL, "lost", 0),
+        GuaranteeCase(client_row(1, outcome="silent", end=102.5), [], HARNESS_DELAY, "lost", 0),
+        GuaranteeCase(client_row(1, outcome="silent", end=102.5), [], HARNESS_DELAY, "unsure", 1),
+        GuaranteeCase(client_row(1, outcome="silent", end=100.5), [], HARNESS_DELAY, "unsure", 0),
+        GuaranteeCase(client_row(1, end=102.4), [host_row(1)], [], "lost", 1),
+        GuaranteeCase(client_row(1, extra=1), [host_row(1)], [], "doubled", 1),
+        GuaranteeCase(client_row(1), [], [], "untrue_answers", 1),
+        GuaranteeCase(client_row(1, value="served r2"), [host_row(1)], [], "untrue_answers", 1),
+        GuaranteeCase(
+            client_row(1, kind="buy", outcome="busy"), [host_row(1)], [], "untrue_answers", 1
+        ),
+        GuaranteeCase(
+            client_row(1, kind="buy"), [host_row(1), host_row(1)], [], "repeats_not_allowed", 1
+        ),
+        GuaranteeCase(client_row(1), [host_row(1), host_row(1)], [], "repeats_not_allowed", 0),
     ],
 )
-def test_checker_reports_broken_promises(tmp_path: Path, case: PromiseCase) -> None:
-    """A request was lost, doubled, answered untruly or repeated although that is not allowed. The
-    checker counts it, unless a kill or a pause of its process explains it.
+def test_checker_reports_violations_that_no_fault_explains(
+    tmp_path: Path, case: GuaranteeCase
+) -> None:
+    """A request was lost, answered twice or untruly, or repeated although that is not allowed. The
+    checker counts it, unless a kill of the limiter or a delay of the harness explains it.
     """
-    found = played(tmp_path, clients=[case.row], h0=case.host, faults=case.faults)
-    assert found[case.key] == case.value
+    figures = check_run(tmp_path, clients=[case.row], h0=case.host, faults=case.faults)
+    assert figures[case.figure] == case.expected
 
 
 @pytest.mark.parametrize(
@@ -103,62 +108,69 @@
     tmp_path: Path, many: int, name: str, over: float, passed: int
 ) -> None:
     """The endpoints ran more units than a quota or a ceiling allows; the checker counts them."""
-    rows = [asked(n, plan=name) for n in range(many)]
-    found = played(tmp_path, clients=rows, h0=[ran(n) for n in range(many)])
-    assert (found["over_quota_units"], found["ceilings_passed"]) == (over, passed)
+    rows = [client_row(n, plan=name) for n in range(many)]
+    figures = check_run(tmp_path, clients=rows, h0=[host_row(n) for n in range(many)])
+    assert (figures["over_quota_units"], figures["ceilings_passed"]) == (over, passed)
 
 
-def seen(t: float, **members: str) -> dict[str, Any]:
+def view_row(t: float, **members: str) -> dict[str, Any]:
     return {"t": t, "members": {name[1:]: [state, "life"] for name, state in members.items()}}
 
 
-def test_checker_reports_diverging_views_false_deaths_and_settling_times(
+def test_checker_reports_differing_views_false_deaths_and_settling_times(
     tmp_path: Path,
 ) -> None:
-    """A member that is up is held dead by another: the views differ and that is a false death. A
-    member that was killed is neither, and the checker says how long detection took.
+    """A member that is up is declared dead by another: the views differ, and it is a false death. A
+    member that was killed counts as neither, and the checker reports how long detection took.
     """
-    both = [seen(99, n0="alive", n1="alive")]
-    assert played(tmp_path, n0_view=both, n1_view=both)["views_differ"] == 0
-    found = played(tmp_path, n0_view=[*both, seen(105, n0="alive", n1="dead")], n1_view=both)
-    assert (found["views_differ"], found["false_deaths"]) == (1, 1)
+    both = [view_row(99, n0="alive", n1="alive")]
+    assert check_run(tmp_path, n0_view=both, n1_view=both)["views_differ"] == 0
+    figures = check_run(
+        tmp_path, n0_view=[*both, view_row(105, n0="alive", n1="dead")], n1_view=both
+    )
+    assert (figures["views_differ"], figures["false_deaths"]) == (1, 1)
     gone = [{"what": "kill", "whom": ["n1"], "t": 103.0, "on": True}]
-    lines = [*both, seen(104, n0="alive", n1="suspect"), seen(105.5, n0="alive", n1="dead")]
-    found = played(tmp_path, n0_view=lines, n1_view=both, faults=gone)
+    lines = [*both, view_row(104, n0="alive", n1="suspect"), view_row(105.5, n0="alive", n1="dead")]
+    figures = check_run(tmp_path, n0_view=lines, n1_view=both, faults=gone)
     assert (
-        found["views_differ"],
-        found["false_deaths"],
-        found["settled_s_p99"],
-        found["suspected_s_max"],
+        figures["views_differ"],
+        figures["false_deaths"],
+        figures["settled_s_p99"],
+        figures["suspected_s_max"],
     ) == (0, 0, 2.5, 1.0)
 
 
-def test_suspicion_before_a_death_counts_as_no_delay(tmp_path: Path) -> None:
+def test_suspicion_before_a_kill_counts_as_no_delay(tmp_path: Path) -> None:
     """A member was already suspected when it was killed: the delay is zero. Where it refuted that
     suspicion first, the delay counts from the kill.
     """
     gone = [{"what": "kill", "whom": ["n1"], "t": 103.0, "on": True}]
     lines = [
-        seen(99, n0="alive", n1="alive"),
-        seen(101, n0="alive", n1="suspect"),
-        seen(102.5, n0="alive", n1="dead"),
-        seen(109, n0="alive", n1="left"),
+        view_row(99, n0="alive", n1="alive"),
+        view_row(101, n0="alive", n1="suspect"),
+        view_row(102.5, n0="alive", n1="dead"),
+        view_row(109, n0="alive", n1="left"),
     ]
-    assert played(tmp_path, n0_view=lines, n1_view=lines[:1], faults=gone)["suspected_s_max"] == 0.0
-    early = [
-        seen(99, n0="alive", n1="alive"),
-        seen(101, n0="alive", n1="suspect"),
-        seen(102.5, n0="alive", n1="alive"),
-        seen(104, n0="alive", n1="dead"),
+    assert (
+        check_run(tmp_path, n0_view=lines, n1_view=lines[:1], faults=gone)["suspected_s_max"] == 0.0
+    )
+    refuted = [
+        view_row(99, n0="alive", n1="alive"),
+        view_row(101, n0="alive", n1="suspect"),
+        view_row(102.5, n0="alive", n1="alive"),
+        view_row(104, n0="alive", n1="dead"),
     ]
-    assert played(tmp_path, n0_view=early, n1_view=early[:1], faults=gone)["suspected_s_max"] == 1.0
+    assert (
+        check_run(tmp_path, n0_view=refuted, n1_view=refuted[:1], faults=gone)["suspected_s_max"]
+        == 1.0
+    )
 
 
-def test_checker_finds_members_that_serve_by_old_settings(
+def test_checker_reports_limiters_that_apply_old_settings(
     tmp_path: Path,
 ) -> None:
-    """Member 1 serves by old settings for 2 s, member 2 is cut off until then, and member 3 takes
-    nothing new. Only those that could hear of the change count.
+    """Limiter n1 applies old settings 2 s after the change, n2 is partitioned while it does so, and
+    n3 answers its probe with busy. Only n1 counts: it could have received the change.
     """
     rows = {
         "faults.jsonl": [
@@ -188,5 +200,7 @@
     }
     for name, lines in rows.items():
         (tmp_path / name).write_text("\n".join(map(json.dumps, lines)))
-    found = checker.settings(tmp_path, {"instances": 4}, FaultHistory(rows["faults.jsonl"]))
-    assert found == {"acted_on_old_after_s_p99": 2.0, "stragglers": 1}
+    figures = checker.settings_figures(
+        tmp_path, {"instances": 4}, FaultHistory(rows["faults.jsonl"])
+    )
+    assert figures == {"acted_on_old_after_s_p99": 2.0, "stragglers": 1}
--- a/tests/fault_injection/test_plans.py
+++ b/tests/fault_injection/test_plans.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "message"),
+    ("text", "says"),
     [
         ("{", "truncated"),
         ('{"name": "x", "colour": 1}', "colour"),
@@ -56,9 +56,9 @@
         ('{"name": "x", "load": [{"customer": "1", "plan": "tin"}]}', "gold and iron"),
     ],
 )
-def test_invalid_plan_is_refused_with_its_location(text: str, message: str) -> None:
+def test_invalid_plan_is_refused_with_its_location(text: str, says: str) -> None:
     """A plan with a mistake is refused before it starts, and the message names the place."""
-    with pytest.raises(PlanError, match=message.replace("(", r"\(").replace(")", r"\)")):
+    with pytest.raises(PlanError, match=says.replace("(", r"\(").replace(")", r"\)")):
         plan.read(text)
 
 
@@ -90,8 +90,10 @@
     drawn = drawn_plan(seed, instances, changes=True)
     plan.check(drawn)
     assert drawn == drawn_plan(seed, instances, changes=True) == plan.read(plan.write(drawn))
-    changes = [(event.at, int(event.amount)) for event in drawn.events if event.what == "settings"]
-    assert [revision for _, revision in sorted(changes)] == [
+    settings_events = [
+        (event.at, int(event.amount)) for event in drawn.events if event.what == "settings"
+    ]
+    assert [revision for _, revision in sorted(settings_events)] == [
         1,
         2,
         3,
