--- a/hazelhollow/fault_injection/run_commands.py
+++ b/hazelhollow/fault_injection/run_commands.py
@@ -132,7 +132,7 @@
 
     Exit status as for `drill`.
     """
-    _finish(_play(_earlier(source), keep, what), file)
+    _finish(_play(load_plan(source), keep, what), file)
 
 
 @fleet.command("shrink")
@@ -147,7 +147,7 @@
 
     Exit status 0: found. 1: the plan did not fail again.
     """
-    plan = _earlier(source)
+    plan = load_plan(source)
     broken = _broken(_play(plan, None, what)["figures"])
     if not broken:
         click.echo("the plan breaks nothing this time", err=True)
@@ -206,7 +206,8 @@
     click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
 
 
-def _earlier(source: Path) -> Plan:
+def load_plan(source: Path) -> Plan:
+    """Reads a plan from a plan file or from the figures of an earlier drill."""
     try:
         document = orjson.loads(source.read_bytes())
         return read(orjson.dumps(document.get("plan", document)))
--- a/tests/replication/test_bench.py
+++ b/tests/replication/test_bench.py
@@ -16,7 +16,7 @@
 from hazelhollow.bench.count_model.planted_mistakes import plant_mistake
 from hazelhollow.bench.errors import InvariantError
 from hazelhollow.fault_injection import plan
-from hazelhollow.fault_injection.run_commands import _earlier
+from hazelhollow.fault_injection.run_commands import load_plan
 
 CHARGE, TURN, COUNTS = Step("charge", (0,)), Step("turn"), Step("counts", (0, 1))
 FAST = Bounds(charges=1, sends=2, turns=3, crashes=0, copies=0, depth=9)
@@ -56,7 +56,7 @@
     fault_plan = as_plan(bounds, found.steps, found.failure)
     plan.check(fault_plan)
     (tmp_path / "plan.json").write_bytes(plan.write(fault_plan))
-    assert _earlier(tmp_path / "plan.json") == fault_plan
+    assert load_plan(tmp_path / "plan.json") == fault_plan
     with (
         pytest.raises(InvariantError),
         plant_mistake(name),
