--- a/hazelhollow/fault_injection/addresses.py
+++ b/hazelhollow/fault_injection/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of a cluster in 127.0.0.0/8: one for each process, and one of the relay for each."""
+"""Addresses of a cluster in 127.0.0.0/8: for each process its own, and one of the relay's."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 CLIENT_PORT = 6379
 PEER_PORT = 7946
 OPERATOR_PORT = 7000
-DISCOVERY_PORT = 8500  # of the first limiter's agent; the others follow
+DISCOVERY_PORT = 8500  # of the first limiter's discovery agent; the others have the next ports
 ENDPOINT_PORT = 6379
-FIRST_RELAY_PORT = 20000  # of the first limiter; the others follow
-FIRST_ENDPOINT = 100  # last part of an endpoint's address; the others follow
-SHARED = 250  # last part of the address of discovery and supervisor
+FIRST_RELAY_PORT = 20000  # for the first limiter; the others have the next ports
+FIRST_ENDPOINT = 100  # last octet of the first endpoint's address; the others have the next ones
+SHARED = 250  # last octet of the address of discovery and of the supervisor
 MAX_NETWORK_TRIES = 20
 
 
@@ -28,19 +28,19 @@
     relay_prefix: str
 
     def own(self, number: int, port: int) -> Address:
-        """An address on which a process itself listens."""
+        """Returns an address on which a process itself listens."""
         return f"{self.own_prefix}.{number}", port
 
     def relayed(self, number: int, port: int) -> Address:
-        """The relay's address that others take for that process's."""
+        """Returns the relay's address through which others reach a process."""
         return f"{self.relay_prefix}.{number}", port
 
 
 def free_network() -> Network:
-    """Two networks in which nobody listens at the ports of a cluster.
+    """Returns a random network in which a cluster's ports are free.
 
     Raises:
-        HarnessError: none was found.
+        HarnessError: no free network was found.
     """
     draw = random.Random(os.urandom(8))
     for _ in range(MAX_NETWORK_TRIES):
@@ -52,9 +52,11 @@
             return network
         except OSError:
             continue
-    raise HarnessError("no free addresses in 127.0.0.0/8")
+    raise HarnessError(
+        f"no free addresses in 127.0.0.0/8: {MAX_NETWORK_TRIES} random networks were in use"
+    )
 
 
 def to_text(address: Address) -> str:
-    """`HOST:PORT`."""
+    """Returns `HOST:PORT`."""
     return f"{address[0]}:{address[1]}"
--- a/hazelhollow/fault_injection/clients.py
+++ b/hazelhollow/fault_injection/clients.py
@@ -1,7 +1,7 @@
-"""Clients of a run: requests at times laid down ahead, each on a connection of its own.
+"""Clients of a run: they send requests at scheduled times, each on its own connection.
 
-Open loop: a slow limiter is sent as much as a fast one. What becomes of each request is written to
-a file, one JSON line a request, with times in Unix seconds.
+The load is open-loop: a slow limiter is sent as many requests as a fast one. The outcome of each
+request is written to a file as a JSON line, with times in Unix seconds.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from hazelhollow.net.scheduler import TIMED_OUT, Scheduler
 
 DEADLINES_S = {"look": 1.5, "buy": 1.0}
-DEFAULT_DEADLINE_S = 1.5  # of classes that only some revisions of the settings have
-WRITE_CLASS = "buy"  # its requests must not run twice
-GRACE_S = 0.5  # past the deadline, in which an answer is late and not missing
+DEFAULT_DEADLINE_S = 1.5  # for request classes that only some settings revisions have
+WRITE_CLASS = "buy"  # requests of this class must not run twice
+GRACE_S = 0.5  # an answer up to this long after the deadline is late, not missing
 CONNECT_TIMEOUT_S = 0.5
 MAX_OUT_BYTES = 1 << 16
 
@@ -36,7 +36,7 @@
 
 @dataclass(eq=False)
 class ClientTarget:
-    """A limiter as its clients see it, with the idle connections to it."""
+    """A limiter, the address at which clients reach it, and the idle connections to it."""
 
     name: str
     number: int
@@ -48,26 +48,27 @@
     """All clients of a run.
 
     Args:
-        scheduler: on which they run.
-        seed: of request ids and of the phases of their sequences.
-        out: gets the lines.
-        set_size: limiters of each customer's set.
+        scheduler: runs the clients' tasks.
+        seed: seed of the request ids and of the phases of the request sequences.
+        out: receives a JSON line for each request.
+        set_size: number of limiters in each customer's set.
     """
 
     def __init__(self, scheduler: Scheduler, seed: int, out: IO[bytes], set_size: int) -> None:
         self.scheduler, self.random = scheduler, random.Random(seed)
         self._out, self._set_size = out, set_size
         self.sent = self.open = 0
-        # Seconds by which a request went out after its time: the slowness of this process.
+        # Longest time in seconds from a request's scheduled time until this process sent it.
         self.max_lateness = 0.0
         self.outcomes: dict[str, int] = {}
 
     def run(
         self, target: ClientTarget, load: Load, begin: float, end: float, phase: float | None = None
     ) -> None:
-        """Sends a request each 1/rate seconds until `end`, whatever becomes of earlier ones.
+        """Sends a request every 1/rate seconds until `end`, without waiting for earlier ones.
 
-        `phase` is the part of that interval after `begin` at which the first is sent; None: drawn.
+        The first request is sent the fraction `phase` of this interval after `begin`; None draws
+        the fraction.
         """
         at = begin + (self.random.random() if phase is None else phase) / load.rate
         while at < end:
@@ -96,7 +97,8 @@
         }
         connection = target.idle.pop() if target.idle else None
         outcome, value = self._attempt(target, load, row, connection)
-        # The limiter may close an idle connection just as the request is sent: once more, anew.
+        # The limiter may close an idle connection just as the request is sent: the request is then
+        # sent again on a new connection.
         if outcome == "crossed":
             outcome, value = self._attempt(target, load, row, None)
         row |= {"end": self.scheduler.clock(), "outcome": outcome, "value": value}
@@ -111,7 +113,10 @@
         row: dict[str, Any],
         connection: ClientConnection | None,
     ) -> tuple[str, str]:
-        """Sends the request of `row` on the idle connection, or on a new one; its outcome."""
+        """Sends the request of `row` on `connection`, or on a new one if it is None.
+
+        Returns the outcome and the answer's text.
+        """
         deadline = row["t"] + row["patience"]
         is_reused = connection is not None
         if connection is None:
--- a/hazelhollow/fault_injection/cluster_commands.py
+++ b/hazelhollow/fault_injection/cluster_commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow fleet up`, `status`, `cut` and the like: a cluster that stays up."""
+"""`hazelhollow fleet up`, `status`, `cut` and others: commands for a long-running cluster."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def default_state() -> Path:
-    """The folder of the user's cluster where `--state` names none."""
+    """Returns the folder of the user's cluster if `--state` is not given."""
     return Path(tempfile.gettempdir()) / f"hazelhollow-fleet-{os.getuid()}"
 
 
@@ -31,23 +31,23 @@
     type=click.Path(path_type=Path),
     default=None,
     metavar="DIR",
-    help="Where the fleet's files are; else in the temporary folder.",
+    help="Folder of the fleet's files; by default in the temporary folder.",
 )
 
 
 @click.group("fleet")
 def fleet() -> None:
-    r"""Run a fleet on this machine, inject faults, and check what came of it.
+    r"""Run a fleet on this machine, inject faults, and check the results.
 
     \b
     hazelhollow fleet up --instances 5        limiters, hosts, discovery and a relay, until Ctrl-C
-    hazelhollow fleet status                  what runs and what each limiter knows of the others
-    hazelhollow fleet cut n0 n1 --one-way     a link that loses all; `heal` makes every link whole
+    hazelhollow fleet status                  processes, and each limiter's view of the others
+    hazelhollow fleet cut n0 n1 --one-way     a link that loses everything; `heal` ends all faults
     hazelhollow fleet drill two_parts         a plan of faults under load, and the checker's figures
     hazelhollow fleet drill --seed 7          the same with faults drawn from a seed
 
-    Everything is on loopback. After `down`, Ctrl-C or the supervisor's own death no process, socket
-    or file is left.
+    Everything runs on loopback. After `down`, Ctrl-C or the death of the supervisor no process,
+    socket or file remains.
     """
 
 
@@ -57,7 +57,7 @@
 @click.option(
     "--operator",
     type=click.Path(exists=True, path_type=Path),
-    help="An operator file that all limiters get.",
+    help="An operator file for all limiters.",
 )
 @with_option
 @state_option
@@ -67,12 +67,12 @@
     try:
         folder.mkdir(mode=0o700, parents=True)
     except FileExistsError:
-        fail(f"{folder} is there already: a fleet is up, or the folder is another's")
+        fail(f"{folder} already exists: a fleet is up, or the folder is used for something else")
     text = operator.read_text() if operator else ""
-    files = (lambda *_: text) if operator else OPERATOR_FILES[what]
+    operator_file = (lambda *_: text) if operator else OPERATOR_FILES[what]
     try:
         plan = Plan(name="up", instances=instances, hosts=hosts)
-        supervisor.Supervisor(plan, folder, files).run(_show_ready)
+        supervisor.Supervisor(plan, folder, operator_file).run(_show_ready)
     except HarnessError as error:
         shutil.rmtree(folder, ignore_errors=True)
         fail(str(error))
@@ -88,84 +88,82 @@
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 @state_option
 def status(as_json: bool, state: Path | None) -> None:
-    """What runs, and what each limiter says of itself and of the others.
+    """Show the processes, and each limiter's view of the others.
 
-    Exit status 1: not all run and are ready.
+    Exit status 1: a process is not running, or a limiter is not ready.
     """
-    found = _command(state, do="status")
+    document = _send_command(state, do="status")
     if as_json:
-        click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
+        click.echo(orjson.dumps(document, option=orjson.OPT_INDENT_2).decode())
     else:
-        _table(found)
+        _show_table(document)
     all_ready = all(
-        row["state"] == "running" and row.get("ready", True) for row in found["processes"]
+        row["state"] == "running" and row.get("ready", True) for row in document["processes"]
     )
     sys.exit(0 if all_ready else 1)
 
 
-def _table(found: dict[str, Any]) -> None:
-    click.echo(
-        f"{'name':<5} {'pid':>8} {'state':<8} {'starts':>6} {'ready':<6} its view of the others"
-    )
-    for row in found["processes"]:
-        seen = " ".join(
+def _show_table(document: dict[str, Any]) -> None:
+    click.echo(f"{'name':<5} {'pid':>8} {'state':<8} {'starts':>6} {'ready':<6} view of the others")
+    for row in document["processes"]:
+        view = " ".join(
             f"n{number}:{entry['state']}"
             for number, entry in sorted(row.get("view", {}).items(), key=lambda item: int(item[0]))
         )
         ready = {True: "yes", False: "no", None: ""}[row.get("ready")]
         click.echo(
             f"{row['name']:<5} {row['pid'] or '':>8} {row['state']:<8} {row['starts']:>6} "
-            f"{ready:<6} {seen}"
+            f"{ready:<6} {view}"
         )
-    for link in found["links"]:
+    for link in document["links"]:
         click.echo(
             f"link {link['from']} > {link['to']}: {link['faults']} faults, {link['lost']} "
             "datagrams lost"
         )
 
 
-def _simple(verb: str, text: str) -> None:
+def _add_process_command(verb: str, text: str) -> None:
     @fleet.command(verb, help=text)
     @click.argument("name")
     @state_option
     def run(name: str, state: Path | None) -> None:
-        click.echo(_command(state, do=verb, name=name))
+        click.echo(_send_command(state, do=verb, name=name))
 
 
 for _verb, _text in {
-    "kill": "SIGKILL to a limiter or host.",
-    "start": "Start one again that has ended.",
-    "pause": "SIGSTOP: it stands still, its sockets stay open.",
-    "resume": "SIGCONT after `pause`.",
+    "kill": "Send SIGKILL to a limiter or host.",
+    "start": "Restart a limiter or host that has ended.",
+    "pause": "Send SIGSTOP to a limiter or host; its sockets stay open.",
+    "resume": "Send SIGCONT to a paused limiter or host.",
 }.items():
-    _simple(_verb, _text)
+    _add_process_command(_verb, _text)
 
 
 @fleet.command("cut")
 @click.argument("a")
 @click.argument("b")
-@click.option("--one-way", is_flag=True, help="Only what A sends to B is lost.")
+@click.option("--one-way", is_flag=True, help="Lose only what A sends to B.")
 @state_option
 def cut(a: str, b: str, one_way: bool, state: Path | None) -> None:
-    """Lose all that goes between two processes: n0, h0, d (discovery) or c (clients)."""
-    click.echo(_command(state, do="cut", a=a, b=b, one_way=one_way))
+    """Lose all traffic between two processes: n0, h0, d (discovery) or c (clients)."""
+    click.echo(_send_command(state, do="cut", a=a, b=b, one_way=one_way))
 
 
 @fleet.command("heal")
 @state_option
 def heal(state: Path | None) -> None:
-    """Make every link whole."""
-    click.echo(_command(state, do="heal"))
+    """End all link faults."""
+    click.echo(_send_command(state, do="heal"))
 
 
 @fleet.command("down")
 @state_option
 def down(state: Path | None) -> None:
     """End the fleet and remove its files."""
-    click.echo(_command(state, do="down"))
+    click.echo(_send_command(state, do="down"))
 
 
-def _command(state: Path | None, **arguments: Any) -> Any:
+def _send_command(state: Path | None, **arguments: Any) -> Any:
     try:
         return supervisor.command(state or default_state(), **arguments)
     except CommandError as error:
--- a/hazelhollow/fault_injection/command_options.py
+++ b/hazelhollow/fault_injection/command_options.py
@@ -1,4 +1,4 @@
-"""Options and exits that the commands of a cluster and of runs share."""
+"""Options and exit helpers that the commands for clusters and for runs share."""
 
 from __future__ import annotations
 
@@ -16,20 +16,23 @@
     type=click.Choice(["nothing", "view", "replica", "disk", "audit", "control"]),
     default="replica",
     show_default=True,
-    help="What limiters have beyond the platform's: nothing; the view of the fleet; what they "
-    "keep alike too; a disk; the audit; and one budget for all that"
-    " control sends.",
+    help="Features of the limiters beyond the platform's, each value including those before it: "
+    "nothing; membership; replication; state on disk; the audit record; one byte budget for all "
+    "control traffic.",
 )
 
 
 def show_progress() -> Callable[[str], None]:
-    """Shows texts on one line of a terminal; nothing where standard error is none."""
+    """Returns a function that shows progress on one line of the terminal.
+
+    The function does nothing if standard error is not a terminal.
+    """
     if not sys.stderr.isatty():
         return lambda _: None
     return lambda text: click.echo(f"\r\x1b[K{text}", nl=False, err=True)
 
 
 def fail(text: str) -> NoReturn:
-    """Prints one line and ends the program with the status for bad input."""
+    """Prints an error message and exits with the status for invalid input."""
     click.echo(f"hazelhollow: {text}", err=True)
     sys.exit(EXIT_BAD_INPUT)
--- a/hazelhollow/fault_injection/commands.py
+++ b/hazelhollow/fault_injection/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow fleet`: all of its commands, gathered from the modules that define them."""
+"""`hazelhollow fleet`: collects its commands from the modules that define them."""
 
 from __future__ import annotations
 
--- a/hazelhollow/fault_injection/limiter_settings.py
+++ b/hazelhollow/fault_injection/limiter_settings.py
@@ -1,4 +1,4 @@
-"""The settings document that the limiters of a run share, in the form of the platform's pages."""
+"""The settings document of a run's limiters, in the platform's format."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from hazelhollow.fault_injection.plan import FIRST_PLAN_REVISION, Plan, zone_of
 
-WARM_UP_S = 4.0  # of an endpoint
-INITIAL_SPEED = 0.25  # share of an endpoint's speed at its start
+WARM_UP_S = 4.0  # time in which an endpoint reaches its full speed
+INITIAL_SPEED = 0.25  # share of the full speed that an endpoint has when it starts
 ZONE_NAMES = "abcdefgh"
 READ_CLASS = {
     "name": "look",
@@ -34,10 +34,10 @@
 
 
 def settings(plan: Plan, number: int, revision: int = 0) -> dict[str, Any]:
-    """The settings of limiter `number`; all share them but for position and zone.
+    """Returns the settings of limiter `number`; only position and zone differ between limiters.
 
-    Each revision after the first has a request class named after it (`o1`), by which it shows from
-    outside whether it is in force.
+    Each revision after the first has a request class named after it (`o1`), so that a probe can
+    observe from outside whether the revision is in force.
     """
     classes = [READ_CLASS, WRITE_CLASS]
     if revision:
@@ -68,7 +68,10 @@
 
 
 def _gold_plan(plan: Plan, revision: int) -> dict[str, Any]:
-    """A running limiter cannot take a changed rate, which later revisions have."""
+    """Returns the customer plan `gold`.
+
+    From FIRST_PLAN_REVISION on its rate is changed, which a running limiter cannot apply.
+    """
     changed_rate = 1.0 if revision >= FIRST_PLAN_REVISION else 0.0
     return {
         "name": "gold",
--- a/hazelhollow/fault_injection/loopback_cluster.py
+++ b/hazelhollow/fault_injection/loopback_cluster.py
@@ -1,8 +1,8 @@
-"""A cluster on loopback: limiters, endpoints and discovery, with the relay between all of them.
+"""A cluster on loopback: limiters, endpoints and discovery, connected through the relay.
 
-Every process has an address of its own in 127.0.0.0/8, drawn anew for each cluster, so that ports
-can be the usual ones. Limiters are configured with the relay's addresses, one for each pair of
-processes, so that each direction can be given faults of its own.
+Every process has its own address in 127.0.0.0/8, so that it can use the usual ports; the networks
+are chosen at random for each cluster. Limiters are configured with addresses of the relay, one for
+each pair of processes, so that faults can be injected into each direction separately.
 """
 
 from __future__ import annotations
@@ -37,27 +37,28 @@
 from hazelhollow.standins.discovery import Discovery, Host
 from hazelhollow.standins.relay import DatagramRoute, Relay
 
-READY_TIMEOUT_S = 60.0  # for a whole cluster on a busy machine
+READY_TIMEOUT_S = 60.0  # for all limiters of a cluster, on a busy machine
 READY_POLL_S = 0.02
-ENDPOINT_WORK_S = 0.01  # for a request
+ENDPOINT_WORK_S = 0.01  # duration of one request
 ENDPOINT_CORES = 16
-DESCRIPTORS = 8192  # the relay has a socket for each pair
+DESCRIPTORS = 8192  # the relay has a socket for each pair of processes
 
 OperatorFile = Callable[[str, Path], str]
 
 
 class LoopbackCluster:
-    """The processes of one run, their wiring and their files.
+    """The processes of one run, their connections through the relay, and their files.
 
     Args:
-        scheduler: on which the relay and discovery run.
-        plan: numbers of processes, zones, quotas and seed.
-        folder: for all files; each limiter has a folder of its own in it.
-        keep: leaves the folder at the end.
-        operator: gives the text of a limiter's operator file by its name and folder; None: none.
+        scheduler: runs the relay and discovery.
+        plan: gives the numbers of processes, the zones, quotas and the seed.
+        folder: holds all files, with a subfolder for each limiter.
+        keep: keeps the folder when the cluster is closed.
+        operator: returns the text of a limiter's operator file, given its name and folder; None: no
+            operator files.
 
     Raises:
-        HarnessError: addresses are not free.
+        HarnessError: an address cannot be listened on.
     """
 
     def __init__(
@@ -90,22 +91,22 @@
     # Addresses
 
     def own(self, number: int, port: int) -> Address:
-        """An address on which a process itself listens; limiter n has number n + 1."""
+        """Returns an address on which a process itself listens; limiter n has number n + 1."""
         return self.network.own(number, port)
 
     def client_address(self, name: str) -> Address:
-        """Where clients reach a limiter."""
+        """Returns the address at which clients reach a limiter."""
         return self.network.relayed(self.names.index(name) + 1, CLIENT_PORT)
 
     def operator_address(self, name: str) -> Address:
-        """A limiter's operator address, which no fault hits."""
+        """Returns a limiter's operator address, which bypasses the relay and its faults."""
         return self.own(self.names.index(name) + 1, OPERATOR_PORT)
 
     def _relayed_by(self, number: int, limiter: int) -> Address:
-        """The address of a process as that limiter knows it."""
+        """Returns the relay's address through which a limiter reaches a process."""
         return self.network.relayed(number, FIRST_RELAY_PORT + limiter)
 
-    # Wiring
+    # Relayed links and processes
 
     def _connect_limiter(self, limiter: int) -> None:
         sender, own_peer = self.names[limiter], self.own(limiter + 1, PEER_PORT)
@@ -157,7 +158,7 @@
     # Files of limiters
 
     def write_files(self, name: str, revision: int) -> None:
-        """Writes what a limiter reads at its start and at SIGHUP, with settings of a revision."""
+        """Writes the files that a limiter reads at its start and on SIGHUP."""
         home = self.folder / name
         document = self.config(self.names.index(name), revision)
         (home / "config.json").write_bytes(orjson.dumps(document, option=orjson.OPT_INDENT_2))
@@ -168,7 +169,7 @@
             (home / "operator.cue").write_text(text)
 
     def config(self, number: int, revision: int = 0) -> dict[str, Any]:
-        """The platform's configuration document of one limiter."""
+        """Returns the platform's configuration document for one limiter."""
         peers = [
             self.own(peer + 1, PEER_PORT) if peer == number else self._relayed_by(peer + 1, number)
             for peer in range(len(self.names))
@@ -192,17 +193,17 @@
         """Starts all processes and waits until each limiter is ready.
 
         Raises:
-            HarnessError: one ended, or was not ready in time.
+            HarnessError: a limiter ended, or was not ready in time.
         """
         for name in [*self.hosts, *self.names]:
             self.processes.start(name)
         self.await_ready(self.names)
 
     def await_ready(self, names: list[str]) -> None:
-        """Waits until each of these limiters says that it is ready.
+        """Waits until each of these limiters reports that it is ready.
 
         Raises:
-            HarnessError: one ended, or was not ready in time.
+            HarnessError: a limiter ended, or was not ready in time.
         """
         until = self.scheduler.clock() + READY_TIMEOUT_S
         for name in names:
@@ -210,32 +211,34 @@
                 if self.processes.reap(name):
                     process = self.processes.members[name]
                     tail = process.log.read_text(errors="replace")[-600:]
-                    raise HarnessError(f"{name} ended with status {process.status}: {tail}")
+                    raise HarnessError(
+                        f"{name} ended with status {process.status} before it was ready: {tail}"
+                    )
                 if self.scheduler.clock() > until:
                     raise HarnessError(f"{name} was not ready within {READY_TIMEOUT_S:.0f} s")
                 self.scheduler.sleep(READY_POLL_S)
 
     def is_ready(self, name: str) -> bool:
-        """Whether a limiter says at its operator address that it is ready."""
+        """Whether a limiter reports at its operator address that it is ready."""
         return self.call(name, "check").startswith(b"done")
 
     def call(self, name: str, line: str, timeout: float = 1.0) -> bytes:
-        """A call at the operator address of a limiter; empty if it does not answer."""
+        """Calls a limiter's operator address and returns the answer; empty if there is none."""
         return call(self.scheduler, self.operator_address(name), line, timeout)
 
     def set_host(self, name: str, state: str, started: float | None = None) -> None:
-        """Changes what discovery says of an endpoint; `started` in Unix seconds, None: as it is."""
+        """Changes an endpoint's state in discovery, and its start time (Unix seconds) if given."""
         host = self.discovery.hosts[name]
         host.state = state
         host.started = host.started if started is None else started
         self.discovery.change(host)
 
     def stop(self) -> None:
-        """Kills all processes; files stay."""
+        """Kills all processes; the files remain."""
         self.processes.stop()
 
     def close(self) -> None:
-        """Ends everything and removes the folder, unless it is to be kept."""
+        """Ends all processes and sockets, and removes the folder unless it is to be kept."""
         self.processes.close()
         self.relay.close()
         self.discovery.close()
--- a/hazelhollow/fault_injection/operator_call.py
+++ b/hazelhollow/fault_injection/operator_call.py
@@ -1,4 +1,4 @@
-"""One call at a limiter's operator address."""
+"""A single call to a limiter's operator address."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def call(scheduler: Scheduler, address: Address, line: str, timeout: float = 1.0) -> bytes:
-    """Sends one line and gives the answer; empty if nobody answers within `timeout` seconds."""
+    """Sends one line and returns the answer; empty if there is none within `timeout` seconds."""
     driver = stream.connect(scheduler, address, MAX_OUT_BYTES, timeout)
     if isinstance(driver, CloseReason):
         return b""
--- a/hazelhollow/fault_injection/operator_files.py
+++ b/hazelhollow/fault_injection/operator_files.py
@@ -1,4 +1,4 @@
-"""Operator files for the limiters of a run, by what they switch on."""
+"""Operator files for the limiters of a run, by the features that they enable."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from hazelhollow.fault_injection.loopback_cluster import OperatorFile
 
-CONTROL_BYTES_PER_S = 4000.0  # of a limiter's control traffic, headers included
+CONTROL_BYTES_PER_S = 4000.0  # budget of a limiter's control traffic, including headers
 
 
 def logging_file(_name: str, _home: Path) -> str:
-    """Switches on nothing but log lines for a console."""
+    """Enables only log lines for a console."""
     return 'package operator\nlog: format: "console"\n'
 
 
 def view_file(name: str, home: Path) -> str:
-    """Adds membership, whose lines go where the checker and `status` look for them."""
+    """Adds membership, with its history in the file that the checker reads."""
     return logging_file(name, home) + f'fleet: view_file: "{home.parent / name}.view.jsonl"\n'
 
 
 def replica_file(name: str, home: Path) -> str:
-    """Adds replication to membership."""
+    """Adds replication to `view_file`."""
     return view_file(name, home) + "fleet: replicate: {}\n"
 
 
 def disk_file(name: str, home: Path) -> str:
-    """As `replica_file`, with a folder that outlives the process."""
+    """Adds to `replica_file` a state folder that outlives the process."""
     return view_file(name, home) + f'fleet: replicate: state_dir: "{home}"\n'
 
 
@@ -39,7 +39,7 @@
     return audit_file(name, home) + f"fleet: control: bytes_per_s: {bytes_per_s:g}\n"
 
 
-# By the names that `--with` takes.
+# By the value of `--with`.
 OPERATOR_FILES: dict[str, OperatorFile | None] = {
     "nothing": None,
     "view": view_file,
--- a/hazelhollow/fault_injection/overhead.py
+++ b/hazelhollow/fault_injection/overhead.py
@@ -1,4 +1,7 @@
-"""CPU and memory of what an operator file switches on, in calm runs that take turns."""
+"""CPU and memory overhead of the features that operator files enable.
+
+The operator files are compared in alternating runs without faults.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,19 @@
 from hazelhollow.fault_injection.plan import Load, Plan
 from hazelhollow.fault_injection.run import FaultInjectionRun, Progress
 
-UNLIMITED = 1e6  # units and units a second
+UNLIMITED = 1e6  # units, and units per second
 
 
 @dataclass(frozen=True)
 class CostOptions:
-    """The runs to make: limiters, requests a second at each, seconds of load, and rounds."""
+    """The runs to make.
+
+    Attributes:
+        instances: number of limiters.
+        rate: requests per second at each limiter.
+        seconds: duration of the load in each run.
+        rounds: number of runs for each operator file.
+    """
 
     instances: int
     rate: float
@@ -26,12 +36,13 @@
 
 
 def cost(
-    options: CostOptions, ways: dict[str, OperatorFile | None], progress: Progress
+    options: CostOptions, variants: dict[str, OperatorFile | None], progress: Progress
 ) -> dict[str, Any]:
-    """CPU a request in µs and most memory in MB by operator file.
+    """Measures the CPU time per request (µs) and the peak memory (MB) with each operator file.
 
-    Also each one's ratio to the first and to the one before it, taken round by round, so that a
-    machine whose speed drifts does not matter; medians.
+    It also gives the ratio of each CPU time to that of the first variant and to that of the
+    previous one. Ratios are computed round by round, so that a machine whose speed drifts does not
+    distort them. CPU times and ratios are medians.
     """
     plan = Plan(
         name="cost",
@@ -42,34 +53,37 @@
         burst=UNLIMITED,
         load=(Load(customer="00000000b4d65521", rate=options.rate),),
     )
-    cpu: dict[str, list[float]] = {way: [] for way in ways}
-    memory: dict[str, float] = dict.fromkeys(ways, 0.0)
+    cpu: dict[str, list[float]] = {variant: [] for variant in variants}
+    memory: dict[str, float] = dict.fromkeys(variants, 0.0)
     for number in range(options.rounds):
-        order = list(ways) if number % 2 == 0 else list(reversed(ways))  # no way always comes first
-        for way in order:
-            progress(f"round {number + 1} of {options.rounds}, {way}")
-            found = FaultInjectionRun(
+        # The order alternates, so that no variant always runs first.
+        order = list(variants) if number % 2 == 0 else list(reversed(variants))
+        for variant in order:
+            progress(f"round {number + 1} of {options.rounds}, {variant}")
+            figures = FaultInjectionRun(
                 plan,
                 Path(tempfile.mkdtemp(prefix="hazelhollow-cost-")),
-                operator=ways[way],
+                operator=variants[variant],
             ).run()
-            cpu[way].append(found["cpu_per_request_us"])
-            memory[way] = max(memory[way], found["most_memory_mb"])
-    names = list(ways)
+            cpu[variant].append(figures["cpu_per_request_us"])
+            memory[variant] = max(memory[variant], figures["most_memory_mb"])
+    names = list(variants)
     return {
         "requests_per_limiter_s": options.rate,
         "ways": {
-            way: {
-                "cpu_per_request_us": round(statistics.median(cpu[way]), 1),
-                "most_memory_mb": memory[way],
-                "cpu_ratio_to_first": _ratio(cpu[way], cpu[names[0]]),
-                "cpu_ratio_to_before": _ratio(cpu[way], cpu[names[max(0, place - 1)]]),
+            variant: {
+                "cpu_per_request_us": round(statistics.median(cpu[variant]), 1),
+                "most_memory_mb": memory[variant],
+                "cpu_ratio_to_first": _median_ratio(cpu[variant], cpu[names[0]]),
+                "cpu_ratio_to_before": _median_ratio(
+                    cpu[variant], cpu[names[max(0, position - 1)]]
+                ),
             }
-            for place, way in enumerate(names)
+            for position, variant in enumerate(names)
         },
     }
 
 
-def _ratio(values: list[float], references: list[float]) -> float:
+def _median_ratio(values: list[float], references: list[float]) -> float:
     ratios = [value / reference for value, reference in zip(values, references, strict=True)]
     return round(statistics.median(ratios), 4)
--- a/hazelhollow/fault_injection/process_sweeper.py
+++ b/hazelhollow/fault_injection/process_sweeper.py
@@ -1,9 +1,11 @@
-"""Kills the processes of a run when the run's own process is gone. Imports nothing of the rest.
+"""Kills the processes of a run when the run's own process has ended.
 
-`python -m hazelhollow.fault_injection.process_sweeper [--keep] FOLDER` waits for the end of its
-standard input, a pipe from the run. The folder holds the file `pids`, a line `PID START` for each
-process. START is the kernel's start time, so that another process that has got the same number
-since is left alone. Then the folder is removed, unless `--keep` is given.
+`python -m hazelhollow.fault_injection.process_sweeper [--keep] FOLDER` waits until its standard
+input, a pipe from the run, is closed. The file `pids` in the folder has a line `PID START` for each
+process. START is the start time that the kernel reports: it spares another process to which the
+PID has been reassigned. Afterwards the folder is removed, unless `--keep` is given.
+
+This module imports no other module of the package.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 
 
 def start_time(pid: int) -> str:
-    """When a process started, in clock ticks since boot; empty if there is none."""
+    """Returns when a process started, in clock ticks since boot; empty if it does not exist."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[19]
     except (OSError, IndexError):
@@ -26,13 +28,13 @@
 
 
 def sweep(folder: Path) -> list[int]:
-    """Kills the processes that the folder's file names and that still run; their numbers."""
+    """Kills the listed processes that still run and returns their PIDs."""
     try:
         lines = (folder / PIDS_FILE).read_text().splitlines()
     except OSError:
         lines = []
     entries = [line.split() for line in lines]
-    # A line that was cut short by the end of the run has no start time.
+    # A line that was cut short when the run was killed has no start time.
     running = [
         int(entry[0])
         for entry in entries
@@ -44,8 +46,8 @@
 
 
 def main() -> None:
-    """Waits for the end of standard input, then sweeps."""
-    # Ctrl-C goes to the whole process group; the sweeper must end after the others.
+    """Waits until standard input is closed, then kills the remaining processes."""
+    # Ctrl-C signals every process of the group; the sweeper must end after the others.
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
     keep, folder = sys.argv[1] == "--keep", Path(sys.argv[-1])
--- a/hazelhollow/fault_injection/processes.py
+++ b/hazelhollow/fault_injection/processes.py
@@ -1,8 +1,8 @@
-"""The real processes of a run: started, signalled, reaped, and gone when the run is.
+"""Starts, signals and reaps the processes of a run, and ends them with the run.
 
-Two guards make sure that no process outlives the run: each is killed by the kernel when its parent
-dies, and a sweeper process kills what is left when the run's own process is killed with SIGKILL,
-which no handler can catch.
+Two mechanisms ensure that no process outlives the run. The kernel kills each process when its
+parent dies, and a sweeper process kills the remaining ones when the run's own process is killed
+with SIGKILL, which no handler can catch.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 
 from hazelhollow.fault_injection import process_sweeper
 
-_SET_DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG
-_LIBRARY = ctypes.CDLL(None)
+_PR_SET_PDEATHSIG = 1  # from <sys/prctl.h>
+_LIBC = ctypes.CDLL(None)
 
 
 def _die_with_parent() -> None:
-    _LIBRARY.prctl(_SET_DEATH_SIGNAL, signal.SIGKILL)
+    _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 @dataclass
 class Process:
-    """One named process through all its incarnations.
+    """A named process and its incarnations.
 
     Attributes:
-        name: as the plan calls it.
+        name: the process's name in the plan.
         command: argument vector.
-        environment: all variables.
-        log: file that gets its output.
-        popen: the present incarnation; None: it does not run.
-        paused: stopped by SIGSTOP.
-        starts: incarnations so far.
-        cpu: seconds of processor time of the ended incarnations.
-        max_memory_kb: most memory of any ended incarnation.
+        environment: all environment variables.
+        log: file that receives standard output and standard error.
+        popen: the current incarnation; None: the process is not running.
+        paused: whether it is stopped by SIGSTOP.
+        starts: number of incarnations so far.
+        cpu: CPU time of the ended incarnations, in seconds.
+        max_memory_kb: highest peak memory of any ended incarnation, in kB.
         status: exit status of the last ended incarnation.
     """
 
@@ -56,17 +56,17 @@
 
     @property
     def pid(self) -> int:
-        """Number of the process; 0: it does not run."""
+        """The process id; 0 if the process is not running."""
         return self.popen.pid if self.popen else 0
 
     @property
     def running(self) -> bool:
-        """From its start until it was reaped."""
+        """Whether it was started and not yet reaped."""
         return self.popen is not None
 
 
 class ProcessGroup:
-    """The processes of one run, with the sweeper beside them."""
+    """The processes of one run, and their sweeper."""
 
     def __init__(self, folder: Path, keep: bool) -> None:
         self.folder, self.members = folder, dict[str, Process]()
@@ -77,14 +77,14 @@
         self._sweeper = subprocess.Popen(command, stdin=subprocess.PIPE, start_new_session=True)
 
     def add(self, name: str, command: Sequence[str], environment: Mapping[str, str]) -> Process:
-        """Adds a process without starting it; `environment` adds to this process's own."""
+        """Adds a process without starting it; `environment` extends this process's own."""
         log = self.folder / f"{name}.log"
         process = Process(name, command, {**os.environ, **environment}, log)
         self.members[name] = process
         return process
 
     def start(self, name: str) -> None:
-        """Starts a process, unless it runs."""
+        """Starts a process if it is not running."""
         process = self.members[name]
         if process.running:
             return
@@ -104,7 +104,7 @@
             pids.write(f"{process.pid} {started}\n")
 
     def signal(self, name: str, number: int) -> None:
-        """Sends a signal, if the process runs."""
+        """Sends a signal to a process if it is running."""
         process = self.members[name]
         if process.popen is None:
             return
@@ -115,7 +115,10 @@
         os.kill(process.pid, number)
 
     def reap(self, name: str, wait: bool = False) -> bool:
-        """Whether the process has ended; with `wait` returns only when it has."""
+        """Reaps a process if it has ended; returns whether it has.
+
+        With `wait`, waits for its end first.
+        """
         process = self.members[name]
         if process.popen is None:
             return True
@@ -129,12 +132,12 @@
         return True
 
     def kill(self, name: str) -> None:
-        """Kills a process and waits for its end."""
+        """Kills a process and waits until it has ended."""
         self.signal(name, signal.SIGKILL)
         self.reap(name, wait=True)
 
     def cpu_of(self, name: str) -> float:
-        """Seconds of processor time of all incarnations so far."""
+        """Returns the CPU time of all incarnations so far, in seconds."""
         process = self.members[name]
         if process.popen is None:
             return process.cpu
@@ -149,7 +152,7 @@
             self.reap(name, wait=True)
 
     def close(self) -> None:
-        """Kills all processes, then ends the sweeper, which removes the folder unless kept."""
+        """Kills all processes and ends the sweeper, which removes the folder unless it is kept."""
         self.stop()
         if self._sweeper.stdin:
             self._sweeper.stdin.close()
--- a/hazelhollow/fault_injection/run_commands.py
+++ b/hazelhollow/fault_injection/run_commands.py
@@ -26,7 +26,7 @@
 from hazelhollow.fault_injection.plan import DEFAULT_SECONDS, Plan, check, read, write
 from hazelhollow.fault_injection.run import FaultInjectionRun
 
-# Figures that are 0 unless a promise was broken.
+# Figures that are 0 unless a guarantee was violated.
 GUARANTEE_VIOLATIONS = (
     "crashes",
     "lost",
@@ -45,22 +45,22 @@
     "--instances",
     default=None,
     type=click.IntRange(1, 64),
-    help="Limiters; else 5, or 8 for a seed.",
+    help="Number of limiters; by default 5, or 8 with only a seed.",
 )
 seconds_option = click.option(
     "--seconds",
     default=None,
     type=click.FloatRange(5, 3600),
-    help="Of load; else 24, or 60 for a seed.",
+    help="Duration of the load; by default 24, or 60 with only a seed.",
 )
 json_option = click.option(
-    "--json", "file", metavar="FILE", help="Write figures and plan there; `-`: print them."
+    "--json", "file", metavar="FILE", help="Write figures and plan to this file; `-`: print them."
 )
 keep_option = click.option(
     "--keep",
     type=click.Path(path_type=Path),
     metavar="DIR",
-    help="Keep every log and line of the drill in this new folder.",
+    help="Keep all logs and files of the drill in this new folder.",
 )
 
 
@@ -79,9 +79,9 @@
 @click.option(
     "--changes",
     is_flag=True,
-    help="With --seed alone: settings change meanwhile too (see --with audit).",
+    help="With only --seed: also change settings during the run (see --with audit).",
 )
-@click.option("--show", is_flag=True, help="Print the plan and do nothing.")
+@click.option("--show", is_flag=True, help="Print the plan without playing it.")
 def drill(
     name: str | None,
     seed: int | None,
@@ -93,14 +93,15 @@
     changes: bool,
     show: bool,
 ) -> None:
-    """Play a plan of faults on a fleet under load and check what came of it from outside.
+    """Play a plan of faults on a fleet under load and check the results from outside.
 
-    PLAN is a file, or one of the names that `drill --show nothing` lists. Exit status 0: no promise
-    was broken. 1: one was (the figures say which). 2: the drill could not be made.
+    PLAN is a file or the name of a predefined plan (`drill --show nothing` lists the names). Exit
+    status 0: no guarantee was violated. 1: at least one was; the figures show which. 2: the drill
+    could not be run.
     """
     try:
         if name is None and seed is None:
-            raise PlanError("name a plan, or give a seed to draw one from")
+            raise PlanError("neither a plan nor --seed is given: there is nothing to play")
         plan = _plan(name, seed, instances, seconds, changes)
     except (PlanError, OSError) as error:
         fail(str(error))
@@ -118,7 +119,7 @@
     if name in NAMED:
         return named_plan(name, instances or 5, seconds or DEFAULT_SECONDS, seed or 1)
     if not Path(name).exists():
-        return named_plan(name)  # which says what names there are
+        return named_plan(name)  # raises an error that lists the valid names
     return read(Path(name).read_bytes())
 
 
@@ -138,27 +139,31 @@
 @fleet.command("shrink")
 @click.argument("source", metavar="FILE", type=click.Path(exists=True, path_type=Path))
 @click.option(
-    "--trials", default=20, show_default=True, type=click.IntRange(1, 1000), help="Drills at most."
+    "--trials",
+    default=20,
+    show_default=True,
+    type=click.IntRange(1, 1000),
+    help="Maximum number of drills.",
 )
 @json_option
 @with_option
 def shrink_(source: Path, trials: int, file: str | None, what: str) -> None:
-    """Find a smaller plan that breaks the same promise.
+    """Find a smaller plan that violates the same guarantee.
 
-    Exit status 0: found. 1: the plan did not fail again.
+    Exit status 0: the plan failed again and was shrunk. 1: it did not fail again.
     """
     plan = load_plan(source)
-    broken = _broken(_play(plan, None, what)["figures"])
-    if not broken:
-        click.echo("the plan breaks nothing this time", err=True)
+    violated = _violated(_play(plan, None, what)["figures"])
+    if not violated:
+        click.echo("the plan violated no guarantee this time", err=True)
         sys.exit(1)
-    smaller, made = shrink.shrink(
-        plan, lambda trial: bool(broken & _broken(_play(trial, None, what)["figures"])), trials
+    smaller, drills = shrink.shrink(
+        plan, lambda trial: bool(violated & _violated(_play(trial, None, what)["figures"])), trials
     )
     click.echo(
         (
-            f"{len(plan.events)} events became {len(smaller.events)} in {made} drills; it "
-            f"still breaks {', '.join(sorted(broken))}"
+            f"reduced {len(plan.events)} events to {len(smaller.events)} in {drills} drills; "
+            f"still violated: {', '.join(sorted(violated))}"
         ),
         err=True,
     )
@@ -176,34 +181,35 @@
     default=150.0,
     show_default=True,
     type=click.FloatRange(1, 2000),
-    help="Requests a second at each limiter.",
+    help="Requests per second at each limiter.",
 )
 @click.option(
     "--seconds",
     default=10.0,
     show_default=True,
     type=click.FloatRange(5, 600),
-    help="Of load in each run.",
+    help="Duration of the load in each run.",
 )
 @click.option("--rounds", default=5, show_default=True, type=click.IntRange(1, 100))
 def cost_(instances: int, rate: float, seconds: float, rounds: int) -> None:
-    """CPU a request and memory without an operator file, with a bare plan.
+    """Measure CPU per request and memory with and without operator files.
 
-    And with the view, in runs that take turns.
+    Compares no operator file, a minimal one, the membership view and replication, in alternating
+    runs.
     """
-    ways: dict[str, OperatorFile | None] = {
+    variants: dict[str, OperatorFile | None] = {
         "plain": None,
         "operator file": logging_file,
         "view": view_file,
         "replica": replica_file,
     }
     try:
-        found = overhead.cost(
-            overhead.CostOptions(instances, rate, seconds, rounds), ways, show_progress()
+        costs = overhead.cost(
+            overhead.CostOptions(instances, rate, seconds, rounds), variants, show_progress()
         )
     except (HarnessError, OSError) as error:
         fail(str(error))
-    click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
+    click.echo(orjson.dumps(costs, option=orjson.OPT_INDENT_2).decode())
 
 
 def load_plan(source: Path) -> Plan:
@@ -215,7 +221,7 @@
         fail(f"{source}: {error}")
 
 
-def _broken(figures: dict[str, Any]) -> set[str]:
+def _violated(figures: dict[str, Any]) -> set[str]:
     return {key for key in GUARANTEE_VIOLATIONS if figures.get(key)}
 
 
@@ -233,11 +239,11 @@
     return {"figures": figures, "plan": orjson.loads(write(plan))}
 
 
-def _finish(found: dict[str, Any], file: str | None) -> None:
-    """The figures on the top level, beside the plan that they came of."""
-    figures, broken = found["figures"], _broken(found["figures"])
+def _finish(result: dict[str, Any], file: str | None) -> None:
+    """Writes or shows the figures and the plan, and exits with the drill's status."""
+    figures, violated = result["figures"], _violated(result["figures"])
     document = orjson.dumps(
-        {**figures, "broken": sorted(broken), "plan": found["plan"]}, option=orjson.OPT_INDENT_2
+        {**figures, "broken": sorted(violated), "plan": result["plan"]}, option=orjson.OPT_INDENT_2
     )
     if file == "-":
         click.echo(document.decode())
@@ -247,6 +253,6 @@
         click.echo("", err=True)
         for key, value in figures.items():
             click.echo(f"{key:<24} {value}")
-    if broken:
-        click.echo(f"broken: {', '.join(sorted(broken))}", err=True)
-    sys.exit(1 if broken else 0)
+    if violated:
+        click.echo(f"broken: {', '.join(sorted(violated))}", err=True)
+    sys.exit(1 if violated else 0)
--- a/hazelhollow/fault_injection/settings_probes.py
+++ b/hazelhollow/fault_injection/settings_probes.py
@@ -1,7 +1,7 @@
-"""Finds from outside by which settings a limiter serves.
+"""Probes that observe from outside which settings a limiter applies.
 
-At regular intervals each limiter is sent a request of a class that only the newest settings have,
-and one of a class that all settings have.
+At regular intervals a probe sends each limiter one request of a class that only the newest settings
+have, and one of a class that all settings have.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 INTERVAL_S = 0.25
 TIMEOUT_S = 1.0  # for an answer
 MAX_OUT_BYTES = 4096
-FIRST_CUSTOMER = 0xF000  # each limiter's probes have a customer of their own
+FIRST_CUSTOMER = 0xF000  # customer of the first limiter's probes; each limiter has its own
 
 
 class ProbeOptions(NamedTuple):
-    """What probes ask for: the newest revision of the settings, and the size of customers' sets."""
+    """The newest settings revision, and the number of limiters in each customer's set."""
 
     revision: int
     set_size: int
 
 
 class SettingsProber:
-    """Probes one limiter for as long as it runs; writes a JSON line for each pair of requests."""
+    """Probes one limiter periodically and writes a JSON line for each pair of requests."""
 
     def __init__(
         self, scheduler: Scheduler, target: ClientTarget, options: ProbeOptions, out: IO[bytes]
@@ -38,7 +38,7 @@
         self._serial = 0
 
     def run(self) -> None:
-        """Never returns."""
+        """Probes the limiter until the task is stopped."""
         while True:
             self._scheduler.sleep(INTERVAL_S)
             began = self._scheduler.clock()
@@ -55,9 +55,10 @@
             self._out.flush()
 
     def ask(self, kind: str) -> str:
-        """Sends a request of class `kind`.
+        """Sends a request of class `kind` and returns its outcome.
 
-        Gives `served`, `busy`, `unknown` (no such class), or nothing if there was no answer.
+        The outcome is `served`, `busy`, `unknown` (the limiter has no such class), or empty if
+        there was no answer.
         """
         driver = stream.connect(self._scheduler, self._target.address, MAX_OUT_BYTES, TIMEOUT_S)
         if isinstance(driver, CloseReason):
--- a/hazelhollow/fault_injection/shrink.py
+++ b/hazelhollow/fault_injection/shrink.py
@@ -1,6 +1,6 @@
-"""Reduces a plan that fails to a smaller one that still fails.
+"""Reduces a failing plan to a smaller one that still fails.
 
-Knows nothing of how a plan is played.
+This module does not depend on how a plan is played.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from hazelhollow.fault_injection.plan import Plan, end_of_last_fault
 
 LOAD_AFTER_LAST_FAULT_S = 4.0
-MIN_SECONDS = 5.0  # of load
+MIN_SECONDS = 5.0  # duration of the load
 
 
 def shrink(plan: Plan, fails: Callable[[Plan], bool], max_trials: int) -> tuple[Plan, int]:
-    """The smallest plan found that still fails, and the number of trials made.
+    """Returns the smallest failing plan found, and the number of trials made.
 
-    Events are removed first, in halves, then quarters, then one by one; then the time after the
-    last one; then limiters that no event names.
+    It removes events first, in halves, quarters and so on down to single ones, then the time after
+    the last event, and finally limiters that no event names.
     """
     trials = 0
 
--- a/hazelhollow/fault_injection/supervisor.py
+++ b/hazelhollow/fault_injection/supervisor.py
@@ -1,7 +1,7 @@
-"""A cluster that stays up until it is told to end.
+"""Supervisor of a cluster that stays up until a command or a signal ends it.
 
-Its supervisor takes commands at an address that a file in the cluster's folder names: one JSON line
-a connection, with the token of that file.
+It accepts commands on a TCP address that a file in the cluster's folder gives. A connection carries
+one command, a JSON line with the token from that file.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from hazelhollow.net.scheduler import TIMED_OUT, Clock, Scheduler
 from hazelhollow.standins.link_faults import LinkFault
 
-FILE = "rig.json"  # address, token and pid of the supervisor; readable by its owner alone
+FILE = "rig.json"  # the supervisor's address, token and pid; readable only by its owner
 PORT = 7100
-MAX_BYTES = 1 << 16  # of a command or its answer
-TIMEOUT_S = 10.0  # for a command
+MAX_BYTES = 1 << 16  # size of a command or its answer
+TIMEOUT_S = 10.0  # for receiving a command
 REAP_INTERVAL_S = 0.1
 
 
 class Supervisor:
-    """Starts a cluster and carries out commands until one of them ends it."""
+    """Starts a cluster and executes commands until one of them ends it."""
 
     def __init__(self, plan: Plan, folder: Path, operator: OperatorFile | None = None) -> None:
         self.scheduler, self.folder = Scheduler(Clock()), folder
@@ -44,13 +44,13 @@
         self.error: BaseException | None = None
 
     def run(self, ready: Callable[[LoopbackCluster], None]) -> None:
-        """Runs until `down`, SIGTERM, SIGHUP or Ctrl-C; calls `ready` once all limiters are.
+        """Runs until `down`, SIGTERM, SIGHUP or Ctrl-C; calls `ready` when all limiters are ready.
 
-        No process, socket or file is left at the end.
+        No process, socket or file remains afterwards.
         """
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: self.scheduler.stop())
-        self.scheduler.spawn(self._begin, ready, name="begin")
+        self.scheduler.spawn(self._start, ready, name="begin")
         self.scheduler.spawn_supervised(self._reap, "reap")
         try:
             self.scheduler.run()
@@ -60,7 +60,7 @@
         if self.error:
             raise self.error
 
-    def _begin(self, ready: Callable[[LoopbackCluster], None]) -> None:
+    def _start(self, ready: Callable[[LoopbackCluster], None]) -> None:
         try:
             self.cluster.start()
             document = {
@@ -102,7 +102,7 @@
                 return
             received += data or b""
         try:
-            answer = {"done": self._do(orjson.loads(received))}
+            answer = {"done": self._execute(orjson.loads(received))}
         except (CommandError, KeyError, TypeError, orjson.JSONDecodeError) as error:
             answer = {"error": str(error)}
         driver.write(orjson.dumps(answer) + b"\n")
@@ -111,7 +111,7 @@
         if self._stopping:
             self.scheduler.stop()
 
-    def _do(self, command: dict[str, Any]) -> Any:
+    def _execute(self, command: dict[str, Any]) -> Any:
         if not secrets.compare_digest(str(command.get("token", "")), self.token):
             raise CommandError("not the token of this fleet")
         verb = command.get("do")
@@ -122,7 +122,7 @@
             return "down"
         if verb == "heal":
             self.cluster.relay.heal()
-            return "every link is whole"
+            return "all link faults ended"
         if verb == "cut":
             return self._cut(command["a"], command["b"], bool(command.get("one_way")))
         if verb in ("kill", "start", "pause", "resume"):
@@ -130,16 +130,18 @@
         raise CommandError(f"no command {verb!r}")
 
     def _cut(self, a: str, b: str, one_way: bool) -> str:
-        known = {*self.cluster.processes.members, "d", "c"}
+        valid_names = {*self.cluster.processes.members, "d", "c"}
         for name in (a, b):
-            if name not in known:
-                raise CommandError(f"no process {name!r}; there are {', '.join(sorted(known))}")
+            if name not in valid_names:
+                raise CommandError(
+                    f"no process {name!r}; there are {', '.join(sorted(valid_names))}"
+                )
         if a == b:
-            raise CommandError("a link is between two")
+            raise CommandError(f"a link connects two different processes; got {a!r} twice")
         self.cluster.relay.begin(
             LinkFault(partitioned=True), [(a, b)] if one_way else [(a, b), (b, a)]
         )
-        return f"{a} no longer reaches {b}" + ("" if one_way else ", nor the other way")
+        return f"{a} no longer reaches {b}" + ("" if one_way else ", and vice versa")
 
     def _signal(self, verb: str, name: str) -> str:
         processes = self.cluster.processes
@@ -150,10 +152,10 @@
         process = processes.members[name]
         if verb == "start":
             if process.running:
-                raise CommandError(f"{name} runs already")
+                raise CommandError(f"{name} is already running")
             processes.start(name)
         elif not process.running:
-            raise CommandError(f"{name} does not run")
+            raise CommandError(f"{name} is not running")
         else:
             processes.signal(
                 name,
@@ -162,13 +164,13 @@
         return f"{verb} {name}"
 
     def _view(self, name: str) -> dict[str, Any]:
-        """A limiter's membership by number, with states; empty where it keeps none."""
+        """Returns a limiter's membership by member number; empty if it keeps none."""
         first, _, _ = self.cluster.call(name, "fleet").partition(b"\n")
         members: dict[str, Any] = orjson.loads(first)["members"] if first.startswith(b"{") else {}
         return members
 
     def status(self) -> dict[str, Any]:
-        """Processes with their states and memberships, and links that have faults."""
+        """Returns the processes with their states and memberships, and the links with faults."""
         found: dict[str, Any] = {"processes": [], "links": []}
         for name, process in self.cluster.processes.members.items():
             state = (
@@ -193,10 +195,10 @@
 
 
 def command(folder: Path, **arguments: Any) -> Any:
-    """Sends a command to the supervisor whose file is in that folder.
+    """Sends a command to the supervisor whose file is in `folder` and returns its result.
 
     Raises:
-        CommandError: no cluster is up there, or the command was refused.
+        CommandError: no supervisor answers there, or it refused the command.
     """
     try:
         contact = orjson.loads((folder / FILE).read_bytes())
@@ -209,7 +211,7 @@
     except FileNotFoundError:
         raise CommandError(f"no fleet is up in {folder}") from None
     except (OSError, orjson.JSONDecodeError) as error:
-        raise CommandError(f"the fleet of {folder} does not answer: {error}") from None
+        raise CommandError(f"the supervisor of {folder} did not answer: {error}") from None
     if "error" in document:
         raise CommandError(document["error"])
     return document["done"]
