--- a/hazelhollow/standins/__init__.py
+++ b/hazelhollow/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems outside the limiter, written from public specifications."""
+"""Stand-ins for the external systems of a limiter, written from public specifications."""
--- a/hazelhollow/standins/commands.py
+++ b/hazelhollow/standins/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow standin`: stand-ins for outside systems, on loopback only."""
+"""`hazelhollow standin`: stand-ins for external systems, on loopback only."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 @click.group("standin")
 def standin() -> None:
-    """Run a stand-in for an outside system, for trials and tests.
+    """Run a stand-in for an external system, for experiments and tests.
 
-    Stand-ins bind to loopback only and forget everything at their end.
+    Stand-ins bind to loopback only and store nothing permanently.
     """
 
 
@@ -36,26 +36,29 @@
     default="127.0.0.1:0",
     show_default=True,
     metavar="HOST:PORT",
-    help="Port 0: any that is free.",
+    help="Port 0 selects a free port.",
 )
-@click.option("--seed", default=0, show_default=True, help="Of all that is drawn: faults, run ids.")
+@click.option("--seed", default=0, show_default=True, help="Seed of faults and run ids.")
 @click.option(
     "--faults",
     "file",
     metavar="FILE",
-    help="What goes wrong and when; see hazelhollow/standins/redis/faults.cue.",
+    help="Schedule of faults; hazelhollow/standins/redis/faults.cue has the format.",
 )
-@click.option("--password", default="", help="Clients must give it by AUTH or HELLO.")
+@click.option("--password", default="", help="Password that clients must send with AUTH or HELLO.")
 @click.option(
     "--shards",
     default=1,
     show_default=True,
     type=click.IntRange(1, 64),
-    help="More than one: a cluster, a port each.",
+    help="Number of servers; more than one form a cluster, with a port each.",
 )
-@click.option("--tls-cert", metavar="FILE", help="Speak TLS, with this certificate.")
+@click.option("--tls-cert", metavar="FILE", help="Use TLS with this certificate.")
 @click.option(
-    "--tls-key", default="", metavar="FILE", help="Its key, where that is a file of its own."
+    "--tls-key",
+    default="",
+    metavar="FILE",
+    help="Key of the certificate, if it is in a separate file.",
 )
 def redis(
     listen: str,
@@ -66,13 +69,14 @@
     tls_cert: str | None,
     tls_key: str,
 ) -> None:
-    """A store that speaks RESP2 as Redis does, until SIGTERM or Ctrl-C.
+    """Run a store that speaks RESP2 like Redis, until SIGTERM or Ctrl-C.
 
-    Prints `ready HOST:PORT` for each shard once it can be reached. While it runs, any client can
-    say `STANDIN FAULT slow delay 200ms share 0.1 lasts 10s`, `STANDIN CLEAR` and `STANDIN STATS`.
+    Prints `ready HOST:PORT` for each shard once it accepts connections. While it runs, any client
+    can send `STANDIN FAULT slow delay 200ms share 0.1 lasts 10s`, `STANDIN CLEAR` and
+    `STANDIN STATS`.
     """
     try:
-        address = _loopback(listen)
+        address = _parse_loopback_address(listen)
         plan = faults.read_plan(Path(file).read_bytes(), file) if file else []
         secure = tls.server_context(tls_cert, tls_key) if tls_cert else None
     except CueError as error:
@@ -86,8 +90,8 @@
             scheduler, address, server.ServerOptions(seed, password, plan, shards, secure)
         )
     except OSError as error:
-        _cannot_listen(listen, error)
-    _until_signal(scheduler, [started.address for started in servers])
+        _fail_to_listen(listen, error)
+    _run_until_signal(scheduler, [started.address for started in servers])
     for started in servers:
         started.close()
 
@@ -98,91 +102,94 @@
     default="127.0.0.1:0",
     show_default=True,
     metavar="HOST:PORT",
-    help="Port 0: any that is free.",
+    help="Port 0 selects a free port.",
 )
 @click.option(
     "--work",
     default=0.05,
     show_default=True,
     type=click.FloatRange(0.0, 60.0),
-    help="Seconds for each request.",
+    help="Processing time of a request in seconds.",
 )
 @click.option(
     "--cores",
     default=4,
     show_default=True,
     type=click.IntRange(1, 1000),
-    help="Requests that it works on at once.",
+    help="Number of requests that it processes concurrently.",
 )
 @click.option(
     "--cold-for",
     default=0.0,
     show_default=True,
     type=click.FloatRange(0.0, 600.0),
-    help="Seconds until it is at its whole speed.",
+    help="Seconds until it reaches its full speed.",
 )
 @click.option(
     "--cold-from",
     default=0.2,
     show_default=True,
     type=click.FloatRange(0.01, 1.0),
-    help="Share of its speed at the start.",
+    help="Share of the full speed at the start.",
 )
 @click.option(
-    "--journal", metavar="FILE", help="Write a JSON line there for each request that it begins."
+    "--journal",
+    metavar="FILE",
+    help="Write a JSON line to this file for each request that it begins.",
 )
 def node_(
     listen: str, work: float, cores: int, cold_for: float, cold_from: float, journal: str | None
 ) -> None:
-    """A backend host that serves every request after some work, until SIGTERM or Ctrl-C.
+    """Run a backend host that serves every request after a delay, until SIGTERM or Ctrl-C.
 
     Prints `ready HOST:PORT`.
 
-    SIGUSR1 makes it drain (it turns new requests away and finishes what it has), SIGUSR2 ends that.
+    SIGUSR1 makes it drain: it rejects new requests and finishes those that it has. SIGUSR2 ends the
+    draining.
     """
     scheduler = Scheduler(Clock())
     try:
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-        written = os.open(journal, flags, 0o644) if journal else node.NO_JOURNAL
+        descriptor = os.open(journal, flags, 0o644) if journal else node.NO_JOURNAL
         slow_start = node.SlowStart(cold_from, cold_for)
-        options = node.NodeOptions(work, cores, slow_start, written)
-        endpoint = node.Node(scheduler, _loopback(listen), options)
+        options = node.NodeOptions(work, cores, slow_start, descriptor)
+        endpoint = node.Node(scheduler, _parse_loopback_address(listen), options)
     except ValueError as error:
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(2)
     except OSError as error:
-        _cannot_listen(listen, error)
+        _fail_to_listen(listen, error)
     endpoint.start()
     signal.signal(signal.SIGUSR1, lambda *_: setattr(endpoint, "draining", True))
     signal.signal(signal.SIGUSR2, lambda *_: setattr(endpoint, "draining", False))
-    _until_signal(scheduler, [endpoint.address])
+    _run_until_signal(scheduler, [endpoint.address])
     endpoint.close()
     click.echo(f"served {endpoint.served}")
 
 
-def _loopback(listen: str) -> tuple[str, int]:
+def _parse_loopback_address(listen: str) -> tuple[str, int]:
     host, port = platform_config.parse_address(listen, least_port=0)
     if not ipaddress.ip_address(host).is_loopback:
         raise ValueError(f"'{host}' is not a loopback address")
     return host, port
 
 
-def _cannot_listen(listen: str, error: OSError) -> NoReturn:
+def _fail_to_listen(listen: str, error: OSError) -> NoReturn:
     click.echo(f"hazelhollow: cannot listen at {listen}: {error.strerror or error}", err=True)
     sys.exit(2)
 
 
-def _until_signal(scheduler: Scheduler, addresses: list[tuple[str, int]]) -> None:
+def _run_until_signal(scheduler: Scheduler, addresses: list[tuple[str, int]]) -> None:
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: scheduler.stop())
     for host, port in addresses:
         click.echo(f"ready {host}:{port}")
     sys.stdout.flush()
-    scheduler.spawn_supervised(lambda: _wake(scheduler), "wake")
+    scheduler.spawn_supervised(lambda: _wake_periodically(scheduler), "wake")
     scheduler.run()
 
 
-def _wake(scheduler: Scheduler) -> None:
-    """Wakes the loop regularly: a signal's handler runs only between its turns."""
+def _wake_periodically(scheduler: Scheduler) -> None:
+    """Wakes the event loop periodically, since signal handlers run only between its turns."""
     while True:
         scheduler.sleep(SIGNAL_POLL_S)
--- a/hazelhollow/standins/discovery.py
+++ b/hazelhollow/standins/discovery.py
@@ -1,7 +1,7 @@
-"""A stand-in for discovery: the endpoint list, long polls, and per-limiter addresses.
+"""A stand-in for discovery: the endpoint list with long polling and per-limiter addresses.
 
-Each limiter has an agent of its own at its own address. A call without an index is answered at
-once with the complete list; one with the present index is held until something changes.
+Each limiter has its own agent, at its own address. A call without an index is answered immediately
+with the complete list; a call with the current index is held until the list changes.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.scheduler import TIMED_OUT, Scheduler, Task
 
-MAX_HEAD = 8192  # bytes of a call
-MAX_OUT = 1 << 23  # bytes of answers that wait: a list of some 40,000 hosts
-MAX_HOLD_S = 60.0
+MAX_HEAD_BYTES = 8192
+MAX_OUT_BYTES = 1 << 23  # buffered answers of a connection: a list of some 40,000 hosts
+MAX_HOLD_S = 60.0  # a call is held no longer than this
 _CALL = re.compile(rb"GET /discovery/hosts(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1\r\n")
 STATUS_NAMES = {"up": "in_service", "draining": "terminating", "gone": "terminated"}
 
@@ -28,12 +28,12 @@
     """One endpoint of the list.
 
     Attributes:
-        name: as the list names it.
+        name: the endpoint's name in the list.
         addresses: by limiter, the address at which it reaches the endpoint.
-        zone: its availability zone.
+        zone: the endpoint's availability zone.
         state: `up`, `draining` or `gone`.
-        started: Unix seconds of its start; 0: long ago.
-        index: of the list when this entry changed last.
+        started: start time in Unix seconds; 0: long ago.
+        index: index of the list when this entry last changed.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
 @dataclass(eq=False)
 class Discovery:
-    """The list and all agents; while `down`, connections are accepted and never answered."""
+    """The list and all agents; while `down`, connections are accepted but not answered."""
 
     scheduler: Scheduler
     hosts: dict[str, Host] = field(default_factory=dict)
@@ -57,7 +57,7 @@
     _socks: list[socket.socket] = field(default_factory=list)
 
     def listen(self, limiter: str, address: tuple[str, int]) -> tuple[str, int]:
-        """Starts that limiter's agent; gives its address."""
+        """Starts a limiter's agent and returns its address."""
         sock = socket.create_server(address, backlog=64)
         sock.setblocking(False)
         self._socks.append(sock)
@@ -66,14 +66,14 @@
         return bound
 
     def change(self, host: Host) -> None:
-        """Adds or changes an entry and answers the calls that are held."""
+        """Adds or changes an entry and answers the held calls."""
         self.index += 1
         host.index = self.index
         self.hosts[host.name] = host
         self._wake()
 
     def restart(self, index: int) -> None:
-        """Falls back to an older index, as a discovery service does that lost its state."""
+        """Returns to an older index, like a discovery service that has lost its state."""
         self.index = index
         for host in self.hosts.values():
             host.index = min(host.index, index)
@@ -90,12 +90,12 @@
             self.scheduler.wake(task)
 
     def document(self, limiter: str, since: int | None) -> bytes:
-        """The complete list, or what changed after the index `since`.
+        """Returns the complete list, or the entries that changed after the index `since`.
 
-        An index that this incarnation never had gets the complete list.
+        An index that this incarnation has not reached also gets the complete list.
         """
         is_complete = since is None or since > self.index
-        shown = [
+        included = [
             host
             for host in self.hosts.values()
             if (is_complete and host.state != "gone")
@@ -116,7 +116,7 @@
                         "weight": 1.0,
                         "since_ms": int(host.started * 1000),
                     }
-                    for host in shown
+                    for host in included
                 ],
             }
         )
@@ -124,14 +124,17 @@
     def _accept(self, sock: socket.socket, limiter: str) -> None:
         for near in stream.accept_connections(self.scheduler, sock):
             self.scheduler.spawn(
-                self._serve, stream.Stream(self.scheduler, near, MAX_OUT), limiter, name="agent"
+                self._serve,
+                stream.Stream(self.scheduler, near, MAX_OUT_BYTES),
+                limiter,
+                name="agent",
             )
 
     def _serve(self, driver: stream.Stream, limiter: str) -> None:
         received = bytearray()
         while driver.close_reason is None:
             driver.wait()
-            data = driver.read(MAX_HEAD)
+            data = driver.read(MAX_HEAD_BYTES)
             if isinstance(data, CloseReason):
                 driver.close(data)
             elif data:
@@ -140,7 +143,7 @@
                 if end >= 0:
                     self._answer(driver, limiter, bytes(received[: end + 2]))
                     del received[: end + 4]
-                elif len(received) > MAX_HEAD:
+                elif len(received) > MAX_HEAD_BYTES:
                     driver.close(CloseReason.MALFORMED)
 
     def _answer(self, driver: stream.Stream, limiter: str, head: bytes) -> None:
--- a/hazelhollow/standins/link_faults.py
+++ b/hazelhollow/standins/link_faults.py
@@ -1,4 +1,4 @@
-"""Faults of one direction between two processes, and the link that they act on. No I/O."""
+"""Faults of one direction between two processes, and the link that they affect. No I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 @dataclass(frozen=True)
 class LinkFault:
-    """What is wrong with a link in one direction; several faults at once combine by `|`.
+    """A fault of a link in one direction; `|` combines simultaneous faults.
 
     Attributes:
-        partitioned: nothing passes; what was sent meanwhile is lost.
-        stalled: nothing passes; what was sent comes when the stall ends.
-        reset: connections are reset and datagrams lost.
-        delay: seconds added to each datagram and each chunk of a connection.
+        partitioned: nothing passes; data sent during the fault is lost.
+        stalled: nothing passes; data sent during the fault arrives when it ends.
+        reset: connections are reset, and datagrams are lost.
+        delay: seconds added to each datagram and to each chunk of a connection.
         loss: share of datagrams that are lost.
         duplication: share of datagrams that arrive twice.
-        reordering: share of datagrams that later ones overtake.
-        max_datagrams_per_s: datagrams a second that pass at most; 0: no limit.
+        reordering: share of datagrams that are delayed, so that later ones overtake them.
+        max_datagrams_per_s: maximum rate of datagrams that pass; 0: no limit.
     """
 
     partitioned: bool = False
@@ -31,7 +31,7 @@
     max_datagrams_per_s: float = 0.0
 
     def __or__(self, other: LinkFault) -> LinkFault:
-        """Both at once."""
+        """Returns the combination of two simultaneous faults."""
         limits = [limit for limit in (self.max_datagrams_per_s, other.max_datagrams_per_s) if limit]
         return LinkFault(
             self.partitioned or other.partitioned,
@@ -50,15 +50,15 @@
 
 @dataclass(eq=False)
 class Link:
-    """One direction between two processes, with the faults that are active on it.
+    """One direction between two processes, with its active faults.
 
     Attributes:
-        faults: by the number that ends each.
-        active: all of them combined.
-        passed: datagrams that went through.
-        lost: datagrams that did not.
-        bytes: of the datagrams that went through.
-        stalled_sends: what a stall holds back, in order.
+        faults: the active faults, by the number that ends each.
+        active: the combination of all active faults.
+        passed: number of datagrams sent on.
+        lost: number of datagrams lost.
+        bytes: bytes of the datagrams sent on.
+        stalled_sends: send operations that a stall holds back, in order.
     """
 
     faults: dict[int, LinkFault] = field(default_factory=dict)
@@ -67,16 +67,16 @@
     lost: int = 0
     bytes: int = 0
     stalled_sends: list[Callable[[], None]] = field(default_factory=list)
-    _tokens: float = 1.0  # of the limit on datagrams a second
+    _tokens: float = 1.0  # token bucket of `max_datagrams_per_s`, as of `_tokens_at`
     _tokens_at: float = 0.0
 
     def add(self, number: int, fault: LinkFault) -> None:
-        """Activates a fault under a number."""
+        """Activates a fault under the given number."""
         self.faults[number] = fault
         self._combine()
 
     def remove(self, number: int) -> bool:
-        """Ends the fault of that number; whether there was one."""
+        """Ends the fault of that number; returns whether there was one."""
         removed = self.faults.pop(number, None) is not None
         if removed:
             self._combine()
@@ -87,8 +87,8 @@
         for fault in self.faults.values():
             self.active |= fault
 
-    def take_token(self, now: float) -> bool:
-        """Whether the limit on datagrams a second lets one more pass."""
+    def consume_token(self, now: float) -> bool:
+        """Consumes a token of the datagram rate limit; returns whether there was one."""
         rate = self.active.max_datagrams_per_s
         if not rate:
             return True
--- a/hazelhollow/standins/node.py
+++ b/hazelhollow/standins/node.py
@@ -1,7 +1,7 @@
-"""A stand-in for an endpoint: it serves every request after a fixed amount of work.
+"""A stand-in for an endpoint: it serves every request after a fixed processing time.
 
-It works on a bounded number of requests at once, can start slowly, drain, report its load, and
-write a line for each request that it begins.
+It processes a bounded number of requests concurrently, and can start slowly, drain, report its load
+and write a journal line for each request that it begins.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from hazelhollow.net.errors import ProtocolError
 from hazelhollow.net.scheduler import Scheduler
 
-MAX_OUT = 1024 * 1024  # bytes of replies that wait for one connection
-MAX_WAITING = 1000  # requests
-NO_JOURNAL = -1  # in place of a descriptor
+MAX_OUT_BYTES = 1024 * 1024  # buffered replies of one connection
+MAX_QUEUED_REQUESTS = 1000
+NO_JOURNAL = -1  # instead of a file descriptor
 REQUEST_COMMANDS = (b"Q.ASK", b"Q.DO")
 REQUEST_ARGUMENTS = 4  # command, customer, request id, fields
 FIXED_REPLIES = {b"PING": b"+PONG\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
@@ -29,23 +29,23 @@
 
 @dataclass(eq=False)
 class Connection:
-    """One client connection; replies go out in the order of its commands."""
+    """A client connection; replies are sent in the order of its commands."""
 
     driver: stream.Stream
     parser: resp.Parser = field(default_factory=resp.Parser)
-    # One slot for each command, filled when its work is done.
+    # One slot per command; it is filled when the command is done.
     replies: deque[list[bytes]] = field(default_factory=deque)
 
 
 @dataclass(frozen=True)
 class SlowStart:
-    """Speed after the start: from a share `start` linearly to the full one in `lasts` seconds."""
+    """Speed after the start: rises linearly from the share `start` to 1 within `lasts` seconds."""
 
     start: float = 1.0
     lasts: float = 0.0
 
     def speed(self, age: float) -> float:
-        """The share of the full speed at an age in seconds."""
+        """Returns the share of the full speed `age` seconds after the start."""
         return self.start + (1.0 - self.start) * min(1.0, age / self.lasts) if self.lasts else 1.0
 
 
@@ -54,10 +54,10 @@
     """How a stand-in endpoint behaves.
 
     Attributes:
-        work: seconds of work for a request.
-        cores: requests that are worked on at once.
-        slow_start: its speed after the start.
-        journal: descriptor that gets a JSON line for each request as it begins.
+        work: processing time of a request in seconds.
+        cores: number of requests that are processed concurrently.
+        slow_start: the speed after the start.
+        journal: file descriptor that receives a JSON line for each request that begins.
     """
 
     work: float
@@ -67,7 +67,7 @@
 
 
 class QueuedRequest(NamedTuple):
-    """A request that waits for a core, and the slot of its reply."""
+    """A request that waits for a core, and the slot for its reply."""
 
     connection: Connection
     slot: list[bytes]
@@ -76,7 +76,7 @@
 
 
 class Node:
-    """One stand-in endpoint on its listening socket."""
+    """One stand-in endpoint and its listening socket."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
 
     def _accept(self) -> None:
         for sock in stream.accept_connections(self.scheduler, self._sock):
-            connection = Connection(stream.Stream(self.scheduler, sock, MAX_OUT))
+            connection = Connection(stream.Stream(self.scheduler, sock, MAX_OUT_BYTES))
             self.scheduler.spawn(self._serve, connection, name="node connection")
 
     def _serve(self, connection: Connection) -> None:
@@ -125,7 +125,7 @@
         is_request = name in REQUEST_COMMANDS and len(arguments) >= REQUEST_ARGUMENTS
         request_id = arguments[2] if is_request else None
         if isinstance(request_id, bytes):
-            if self.draining or len(self._queue) >= MAX_WAITING:
+            if self.draining or len(self._queue) >= MAX_QUEUED_REQUESTS:
                 self._reply(connection, slot, b"-BUSY\r\n")
             else:
                 self._queue.append(QueuedRequest(connection, slot, request_id, arguments))
@@ -153,7 +153,7 @@
             if isinstance(argument, bytes)
         )
         row = {"t": now, "verb": verb, "customer": customer, "id": request, "fields": fields}
-        # Unbuffered: an endpoint that is killed has begun the request all the same.
+        # Unbuffered: the line must not be lost if the endpoint is killed during the request.
         os.write(self.options.journal, orjson.dumps(row) + b"\n")
 
     def _load_report(self) -> bytes:
@@ -174,6 +174,6 @@
             connection.driver.write(connection.replies.popleft()[0])
 
     def close(self) -> None:
-        """Closes the listening socket; open connections are left to end by themselves."""
+        """Closes the listening socket; open connections end by themselves."""
         self.scheduler.unregister(self._sock.fileno())
         self._sock.close()
--- a/hazelhollow/standins/relay.py
+++ b/hazelhollow/standins/relay.py
@@ -1,8 +1,9 @@
-"""A stand-in for the network between processes of this machine: datagrams and TCP, with faults.
+"""A stand-in for the network between processes of this machine: UDP and TCP, with faults.
 
-Each process has a name (`n0`, `h1`, `d`). What one sends to another goes to a socket of the relay
-that the sender takes for the other's own, and leaves by the one that the receiver takes for the
-sender's. The relay changes no byte.
+Each process has a name (`n0`, `h1`, `d`). For each pair of processes the relay has an address that
+represents the receiver to the sender, and one that represents the sender to the receiver. A
+datagram arrives at the first and is sent on from the second, so that both processes see the peer
+address that they are configured with. The relay does not change any data.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 
 Address = tuple[str, int]
 Pair = tuple[str, str]  # names of sender and receiver
-MAX_STALLED_DATAGRAMS = 2000  # of one direction
+MAX_STALLED_DATAGRAMS = 2000  # held back in one direction
 MAX_DATAGRAM_BYTES = 65536
-DATAGRAMS_A_TURN = 64  # read before other tasks get their turn
+MAX_DATAGRAMS_PER_READ = 64  # read from a socket before other tasks run
 REORDERING_DELAY_S = 0.05
 
 
@@ -31,8 +32,8 @@
     """How datagrams of one direction are relayed.
 
     Attributes:
-        listen: the address that the sender takes for the receiver's.
-        source: the sender's own address; datagrams of others are dropped.
+        listen: the relay's address to which the sender sends.
+        source: the sender's own address; datagrams from other addresses are dropped.
         target: the receiver's own address.
     """
 
@@ -42,7 +43,7 @@
 
 
 class Datagram(NamedTuple):
-    """A datagram on its way: the socket that it leaves by, and its receiver's own address."""
+    """A datagram to send on, the socket to send it from, and the receiver's own address."""
 
     data: bytes
     out: socket.socket
@@ -50,7 +51,7 @@
 
 
 class Relay:
-    """All links between the processes of a run, and the sockets through which they talk."""
+    """All links between the processes of a run, and the sockets that connect them."""
 
     def __init__(self, scheduler: Scheduler, seed: int) -> None:
         self.scheduler, self.random = scheduler, random.Random(seed)
@@ -59,20 +60,20 @@
         self._last_fault = 0
         self._sockets: list[socket.socket] = []
         self._datagram_sockets: dict[Pair, socket.socket] = {}
-        self.on_datagram: Callable[[bytes], None] | None = None  # gets each one that passes
+        self.on_datagram: Callable[[bytes], None] | None = None  # called for each one that passes
 
     def link(self, sender: str, receiver: str) -> Link:
-        """The link of one direction."""
+        """Returns the link from `sender` to `receiver`."""
         return self.links.setdefault((sender, receiver), Link())
 
     def datagram_socket(self, sender: str, receiver: str) -> socket.socket:
-        """The socket that `sender` takes for `receiver`; what it sends seems to be `receiver`'s."""
+        """Returns the socket that represents `receiver` to `sender`."""
         return self._datagram_sockets[sender, receiver]
 
     # Faults
 
     def begin(self, fault: LinkFault, pairs: list[Pair]) -> int:
-        """Activates a fault on each of these directions; gives the number that ends it."""
+        """Activates a fault on each of these directions; returns the number that `end` takes."""
         self._last_fault += 1
         for pair in pairs:
             self.link(*pair).add(self._last_fault, fault)
@@ -83,8 +84,8 @@
     def end(self, number: int) -> None:
         """Ends a fault.
 
-        What a stall held back is sent on; connections of which a partition held bytes back are
-        reset, as their peers would have given up by then.
+        Datagrams held back by a stall are sent on. Connections whose bytes a partition held back
+        are reset, as their peers would have given up by then.
         """
         for pair, link in self.links.items():
             before = link.active
@@ -119,7 +120,7 @@
     # Datagrams
 
     def relay_datagrams(self, sender: str, receiver: str, route: DatagramRoute) -> None:
-        """Relays what `sender` sends to `receiver`."""
+        """Relays the datagrams that `sender` sends to `receiver`."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         sock.bind(route.listen)
@@ -134,18 +135,18 @@
         link, (sender, receiver) = self.link(*pair), pair
         while True:
             self.scheduler.wait(sock.fileno(), READABLE)
-            for _ in range(DATAGRAMS_A_TURN):
+            for _ in range(MAX_DATAGRAMS_PER_READ):
                 try:
                     data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
                 except OSError:
                     break
-                # The socket whose address the receiver takes for the sender's.
+                # The socket that represents the sender to the receiver.
                 out = self._datagram_sockets.get((receiver, sender))
                 if source == route.source and out is not None:
                     self.forward(link, Datagram(data, out, route.target))
 
     def forward(self, link: Link, datagram: Datagram) -> None:
-        """Sends a datagram on under the link's faults: once or twice, now, later or never."""
+        """Applies the link's faults to a datagram: sends it on, delays, duplicates or drops it."""
         fault, now, draw = link.active, self.scheduler.clock(), self.random.random
         send = partial(self._send, link, datagram)
         if fault is NO_FAULT:
@@ -155,7 +156,7 @@
             fault.partitioned
             or fault.reset
             or (fault.loss and draw() < fault.loss)
-            or not link.take_token(now)
+            or not link.consume_token(now)
         ):
             link.lost += 1
             return
@@ -179,7 +180,7 @@
             self.on_datagram(datagram.data)
         try:
             datagram.out.sendto(datagram.data, datagram.target)
-        except OSError:  # nobody listens there, or an earlier datagram's error is reported now
+        except OSError:  # no process listens there, or the error of an earlier datagram is reported
             link.lost += 1
 
     # TCP
@@ -187,7 +188,7 @@
     def relay_connections(
         self, sender: str, receiver: str, listen: Address, target: Address
     ) -> None:
-        """Relays connections that `sender` opens to `listen` to `receiver` at `target`."""
+        """Relays connections that `sender` opens at `listen` to `receiver` at `target`."""
         sock = socket.create_server(listen, backlog=128)
         sock.setblocking(False)
         self._sockets.append(sock)
@@ -202,15 +203,15 @@
                 Direction((sender, receiver), self.link(sender, receiver)),
                 Direction((receiver, sender), self.link(receiver, sender)),
             )
-            connection = RelayedConnection(self.scheduler, near, directions, self._forget)
+            connection = RelayedConnection(self.scheduler, near, directions, self._remove)
             self._connections[connection] = None
             self.scheduler.spawn(connection.run, target, name="relay connection")
 
-    def _forget(self, connection: RelayedConnection) -> None:
+    def _remove(self, connection: RelayedConnection) -> None:
         self._connections.pop(connection, None)
 
     def counts(self) -> dict[str, Counter[str]]:
-        """By direction (`n0>n1`): datagrams and bytes passed, datagrams lost."""
+        """Returns datagrams and bytes passed and datagrams lost, by direction (`n0>n1`)."""
         return {
             f"{sender}>{receiver}": Counter(passed=link.passed, bytes=link.bytes, lost=link.lost)
             for (sender, receiver), link in self.links.items()
--- a/hazelhollow/standins/relayed_connection.py
+++ b/hazelhollow/standins/relayed_connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection through the relay, copied in both directions under the faults of its links."""
+"""A TCP connection through the relay: copies both directions, subject to their links' faults."""
 
 from __future__ import annotations
 
@@ -12,30 +12,36 @@
 from hazelhollow.net.scheduler import Scheduler, Task
 from hazelhollow.standins.link_faults import Link
 
-MAX_WAITING_BYTES = 1 << 20  # of one direction
-TIMEOUT_S = 1.0  # to connect, and to write out what is on its way at the end
+MAX_BUFFERED_BYTES = 1 << 20  # in one direction
+TIMEOUT_S = 1.0  # for connecting, and for sending the remaining bytes when one side has ended
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 seconds
 
 
 @dataclass(eq=False)
 class Direction:
-    """One direction of a connection; `lost_bytes`: a partition has held bytes of it back."""
+    """One direction of a connection.
+
+    Attributes:
+        pair: names of sender and receiver.
+        link: the link whose faults affect the direction.
+        lost_bytes: whether a partition has affected the direction while it had data to pass.
+    """
 
     pair: tuple[str, str]
     link: Link
     lost_bytes: bool = False
 
     def is_blocked(self) -> bool:
-        """Whether nothing may pass now; notes that a partition has held something back."""
+        """Whether nothing may pass now; sets `lost_bytes` if a partition is the reason."""
         fault = self.link.active
         self.lost_bytes |= fault.partitioned
         return fault.partitioned or fault.stalled
 
 
 class RelayedConnection:
-    """A connection from the accepted socket `near` to the one that `run` opens.
+    """A connection between the accepted socket `near` and the one that `run` opens.
 
-    `on_end` is called once, when the connection is over.
+    `on_end` is called when the connection has ended.
     """
 
     def __init__(
@@ -47,13 +53,13 @@
     ) -> None:
         self._scheduler, self._sockets, self._on_end = scheduler, [near], on_end
         self.forward, self.backward = directions
-        self._near = stream.Stream(scheduler, near, MAX_WAITING_BYTES)
+        self._near = stream.Stream(scheduler, near, MAX_BUFFERED_BYTES)
         self._far: stream.Stream | None = None
         self._tasks: list[Task] = []
         self._is_reset = False
 
     def wake(self) -> None:
-        """Looks at the links again: a fault of one has begun or ended."""
+        """Makes the connection's tasks check the links' faults and the reset flag again."""
         for task in self._tasks:
             self._scheduler.wake(task)
 
@@ -62,13 +68,13 @@
         self._tasks.append(self._scheduler.current())
         if self.forward.link.active.reset or self.backward.link.active.reset:
             self.reset()
-        # Both are asked, so that each notes what a partition holds back.
+        # `|` evaluates both directions, so that each records whether a partition holds bytes back.
         while not self._is_reset and self.forward.is_blocked() | self.backward.is_blocked():
             self._scheduler.wait()
         if self._is_reset:
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        far = self._far = stream.Stream(self._scheduler, sock, MAX_WAITING_BYTES)
+        far = self._far = stream.Stream(self._scheduler, sock, MAX_BUFFERED_BYTES)
         self._sockets.append(sock)
         if far.connect(target, self._scheduler.clock() + TIMEOUT_S) or self._is_reset:
             self.reset()
@@ -98,7 +104,7 @@
         self._finish(source, target)
 
     def _finish(self, source: stream.Stream, target: stream.Stream) -> None:
-        """Ends the other side too, once it has received what is on its way."""
+        """Closes both sides once the target has received the buffered bytes."""
         until = self._scheduler.clock() + TIMEOUT_S
         while (
             target.send_buffer and target.close_reason is None and self._scheduler.clock() < until
