--- a/hazelhollow/standins/redis/cluster.py
+++ b/hazelhollow/standins/redis/cluster.py
@@ -1,4 +1,4 @@
-"""The shards of a cluster, and which of them a command's keys belong to."""
+"""The shards of a cluster, and their assignment of keys."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 
 
 class Cluster:
-    """All shards of a cluster, and `me`, the number of the one that this server is."""
+    """All shards of a cluster; `own_number` is the number of this server's shard."""
 
-    def __init__(self, addresses: list[tuple[str, int]], me: int, ids: list[str]) -> None:
+    def __init__(self, addresses: list[tuple[str, int]], own_number: int, ids: list[str]) -> None:
         ranges = slots.slot_ranges(len(addresses))
-        self.me = me
+        self.own_number = own_number
         self.shards = [
             Shard(id_, host, port, span)
             for id_, (host, port), span in zip(ids, addresses, ranges, strict=True)
         ]
 
     def check_keys(self, keys: list[bytes]) -> None:
-        """Checks that all keys are in one slot of this shard.
+        """Checks that all keys are in one slot, and that this shard owns it.
 
         Raises:
-            CommandError: the keys are in several slots, or in another shard's.
+            CommandError: the keys are in several slots, or in a slot of another shard.
         """
         found = {slots.slot_of(key) for key in keys}
         if len(found) > 1:
             raise CommandError("CROSSSLOT Keys in request don't hash to the same slot")
         for slot in found:
-            if slot not in self.shards[self.me].slots:
+            if slot not in self.shards[self.own_number].slots:
                 owner = next(shard for shard in self.shards if slot in shard.slots)
                 raise CommandError(f"MOVED {slot} {owner.host}:{owner.port}")
 
     def slots_reply(self) -> Reply:
-        """CLUSTER SLOTS."""
+        """Returns the reply to CLUSTER SLOTS."""
         return [
             [
                 shard.slots.start,
@@ -55,24 +55,24 @@
         ]
 
     def shards_reply(self) -> Reply:
-        """CLUSTER SHARDS."""
+        """Returns the reply to CLUSTER SHARDS."""
         return [
             [b"slots", [shard.slots.start, shard.slots.stop - 1], b"nodes", [_node_row(shard)]]
             for shard in self.shards
         ]
 
     def nodes_reply(self) -> Reply:
-        """CLUSTER NODES."""
+        """Returns the reply to CLUSTER NODES."""
         lines = [
             f"{shard.id} {shard.host}:{shard.port}@{shard.port} "
-            f"{'myself,' if number == self.me else ''}master"
+            f"{'myself,' if number == self.own_number else ''}master"
             f" - 0 0 {number + 1} connected {shard.slots.start}-{shard.slots.stop - 1}"
             for number, shard in enumerate(self.shards)
         ]
         return ("\n".join(lines) + "\n").encode()
 
     def info_reply(self) -> Reply:
-        """CLUSTER INFO."""
+        """Returns the reply to CLUSTER INFO."""
         rows = {
             "cluster_state": "ok",
             "cluster_slots_assigned": slots.SLOTS,
--- a/hazelhollow/standins/redis/command.py
+++ b/hazelhollow/standins/redis/command.py
@@ -1,4 +1,4 @@
-"""The description of a data command: its handler, arity, whether it writes, where its keys are."""
+"""The description of a data command: handler, arity, effects and the positions of its keys."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class KeyPositions(NamedTuple):
-    """Where a command's keys are among its arguments, as COMMAND INFO says it.
+    """The positions of a command's keys among its arguments, as COMMAND INFO reports them.
 
-    `last` is from the end if negative.
+    A negative `last` counts from the end.
     """
 
     first: int
@@ -29,26 +29,26 @@
 
 
 def arity_fits(arguments: list[bytes], arity: int) -> bool:
-    """Whether there are as many arguments as an arity says.
+    """Whether the number of arguments matches an arity.
 
-    It counts the name, and below 0 means at least so many.
+    The arity includes the command's name; a negative one gives the minimum number of arguments.
     """
     return len(arguments) == arity if arity > 0 else len(arguments) >= -arity
 
 
 @dataclass(frozen=True)
 class Command:
-    """One command on data."""
+    """One data command."""
 
     run: Handler
     arity: int
     writes: bool = False
-    needs_memory: bool = False  # refused when memory is short
+    needs_memory: bool = False  # refused when the server is out of memory
     keys: KeyPositions = NO_KEY
-    in_script: bool = True
+    in_script: bool = True  # allowed in scripts
 
     def keys_of(self, arguments: list[bytes]) -> list[bytes]:
-        """The keys among the arguments of a call."""
+        """Returns the keys among the arguments of a call."""
         first, last, step = self.keys
         return (
             arguments[first : (len(arguments) + last if last < 0 else last) + 1 : step]
@@ -57,20 +57,20 @@
         )
 
     def fits(self, arguments: list[bytes]) -> bool:
-        """Whether a call has as many arguments as it must."""
+        """Whether a call has a valid number of arguments."""
         return arity_fits(arguments, self.arity)
 
 
 def reader(run: Handler, arity: int, keys: KeyPositions = ONE_KEY) -> Command:
-    """A command that only reads."""
+    """Returns a command that only reads."""
     return Command(run, arity, keys=keys)
 
 
 def writer(run: Handler, arity: int, keys: KeyPositions = ONE_KEY) -> Command:
-    """A command that writes and needs memory for it."""
+    """Returns a command that writes and may need more memory."""
     return Command(run, arity, writes=True, needs_memory=True, keys=keys)
 
 
 def remover(run: Handler, arity: int, keys: KeyPositions = ONE_KEY) -> Command:
-    """A command that writes and needs no memory for it."""
+    """Returns a command that writes but needs no more memory."""
     return Command(run, arity, writes=True, keys=keys)
--- a/hazelhollow/standins/redis/connection_commands.py
+++ b/hazelhollow/standins/redis/connection_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the connection itself: AUTH, HELLO, SELECT, CLIENT, RESET."""
+"""Commands on the connection: AUTH, HELLO, SELECT, CLIENT, RESET."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def auth(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """AUTH [user] password."""
+    """Executes AUTH [user] password."""
     user, password = (args[0], args[1]) if len(args) == 2 else (DEFAULT_USER, args[0])
     if not state.password and len(args) == 1:
         raise CommandError(
@@ -28,7 +28,7 @@
 
 
 def hello(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """HELLO [2 [AUTH user password] [SETNAME name]]."""
+    """Executes HELLO [2 [AUTH user password] [SETNAME name]]."""
     if args and args[0] != b"%d" % PROTOCOL:
         if args[0].isdigit():
             raise CommandError("NOPROTO unsupported protocol version")
@@ -73,7 +73,7 @@
 
 
 def select(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """SELECT database."""
+    """Executes SELECT database."""
     database = parse_integer(args[0], "ERR invalid DB index")
     if not 0 <= database < DATABASES:
         raise CommandError("ERR DB index is out of range")
@@ -84,7 +84,7 @@
 
 
 def client(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """CLIENT ID, GETNAME, SETNAME, INFO; others that change nothing here are taken."""
+    """Executes CLIENT ID, GETNAME, SETNAME and INFO; accepts the ignored subcommands."""
     subcommand = args[0].upper()
     if subcommand == b"ID":
         return session.id
@@ -104,7 +104,7 @@
 
 
 def reset(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """RESET: the session as it was when it began."""
+    """Executes RESET: returns the session to its initial state."""
     session.end_transaction()
     session.database, session.name, session.authenticated = 0, b"", not state.password
     return Status(b"RESET")
--- a/hazelhollow/standins/redis/dispatch.py
+++ b/hazelhollow/standins/redis/dispatch.py
@@ -1,6 +1,6 @@
-"""Finds the function that runs a session's command.
+"""Dispatches a session's commands to the functions that execute them.
 
-Checks authentication, cluster slots, open transactions and arity on the way.
+It first checks arity, authentication, cluster slots and open transactions.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 class SessionCommand(NamedTuple):
-    """A command that needs the session or the whole server. `arity` is as in `command.Command`."""
+    """A command that needs the session or the server's state; `arity` is as in `Command`."""
 
     run: Handler
     arity: int
 
 
 def execute(state: ServerState, session: Session, arguments: list[bytes]) -> Reply:
-    """Runs a command, or queues it where a transaction is open.
+    """Runs a command, or queues it if a transaction is open.
 
     Raises:
-        CommandError: the command cannot be run; its text is the error reply.
+        CommandError: the command cannot be run; the error's text is the reply.
     """
     name = arguments[0].upper()
     session_command = SESSION_COMMANDS.get(name)
@@ -70,7 +70,7 @@
 
 
 def _command(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """COMMAND: what clients of a cluster ask to learn where a command's keys are."""
+    """Executes COMMAND, which clients of a cluster send to learn the positions of keys."""
     subcommand = args[0].upper() if args else b"INFO"
     if subcommand == b"COUNT":
         return len(COMMANDS) + len(SESSION_COMMANDS)
--- a/hazelhollow/standins/redis/engine.py
+++ b/hazelhollow/standins/redis/engine.py
@@ -1,7 +1,7 @@
-"""Commands run on the keyspace: which there are, and whether one may run now.
+"""Runs data commands on the keyspace, and checks whether a command may run.
 
-Source: the public command reference (redis.io/docs/latest/commands) at the level of Redis 7.
-Commands of a connection, of transactions and of scripts are not here; `dispatch.py` has them.
+Source: the public command reference (redis.io/docs/latest/commands) as of Redis 7. The commands for
+connections, transactions and scripts are in `dispatch.py`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from hazelhollow.standins.redis.keyspace import Keyspace
 from hazelhollow.standins.redis.values import OUT_OF_MEMORY, CommandError, Reply
 
-MAX_ECHOED = 128  # characters of an argument that an error repeats
+MAX_ECHOED_BYTES = 128  # length of an argument in an error message
 COMMANDS: dict[bytes, Command] = {
     **string_commands.COMMANDS,
     **key_commands.COMMANDS,
@@ -26,12 +26,13 @@
 
 
 class Engine(Keyspace):
-    """A keyspace that runs commands by their arguments."""
+    """A keyspace that runs commands given as lists of arguments."""
 
     def call(self, database: int, arguments: list[bytes], scripted: bool = False) -> Reply:
-        """Runs a command of the tables on a database.
+        """Runs a data command on a database.
 
-        Raises `CommandError` where it cannot be run.
+        Raises:
+            CommandError: the command cannot be run.
         """
         command = find_command(arguments)
         if scripted and not command.in_script:
@@ -40,7 +41,11 @@
         return command.run(self, database, arguments[1:])
 
     def check_may_run(self, command: Command) -> None:
-        """Raises `CommandError` where the server's state forbids the command now."""
+        """Checks that the server's state permits a command.
+
+        Raises:
+            CommandError: the server is read-only or out of memory.
+        """
         if command.writes and self.readonly:
             raise CommandError("READONLY You can't write against a read only replica.")
         if command.needs_memory and self.out_of_memory:
@@ -48,17 +53,18 @@
 
 
 def find_command(arguments: list[bytes]) -> Command:
-    """The command that the arguments call.
+    """Returns the command that the arguments call.
 
-    Raises `CommandError` for an unknown one or a wrong number of arguments.
+    Raises:
+        CommandError: the command is unknown, or the number of arguments is wrong.
     """
     name = arguments[0].upper()
     command = COMMANDS.get(name)
     if command is None:
-        given = arguments[0][:MAX_ECHOED].decode("ascii", "replace")
-        first = b" ".join(b"'%b'" % argument[:MAX_ECHOED] for argument in arguments[1:10]).decode(
-            "ascii", "replace"
-        )
+        given = arguments[0][:MAX_ECHOED_BYTES].decode("ascii", "replace")
+        first = b" ".join(
+            b"'%b'" % argument[:MAX_ECHOED_BYTES] for argument in arguments[1:10]
+        ).decode("ascii", "replace")
         raise CommandError(f"ERR unknown command '{given}', with args beginning with: {first}")
     if not command.fits(arguments):
         raise CommandError(wrong_arguments(name))
@@ -66,5 +72,5 @@
 
 
 def wrong_arguments(name: bytes) -> str:
-    """The error for a call with too many or too few arguments."""
+    """Returns the error text for a call with too many or too few arguments."""
     return f"ERR wrong number of arguments for '{name.decode().lower()}' command"
--- a/hazelhollow/standins/redis/faults.py
+++ b/hazelhollow/standins/redis/faults.py
@@ -1,7 +1,7 @@
-"""Faults of the stand-in by schedule and by seed.
+"""Scheduled and random faults of the stand-in.
 
-A plan is read from a file or extended by an admin command; `FaultSchedule` says what is active
-at an instant. No I/O.
+A plan is read from a file and can be extended by an admin command; `FaultSchedule` determines which
+faults are active at a given time. Apart from reading the schema `faults.cue` there is no I/O.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
     {b"AUTH", b"HELLO", b"CLIENT", b"INFO", b"SELECT", b"QUIT", b"ROLE"}
 )
 OUTCOMES = frozenset({"lost", "cut_before", "cut_after", "half", "garbage"})
-TIMES = frozenset({"at", "lasts", "every", "delay", "age", "by"})  # fields that are spans of time
-MAX_JUNK = 40  # bytes in place of a reply
+DURATION_FIELDS = frozenset({"at", "lasts", "every", "delay", "age", "by"})
+MAX_JUNK_BYTES = 40  # sent instead of a reply
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One line of a plan; times in seconds. `faults.cue` says what the kinds are."""
+    """One entry of a plan, with times in seconds; `faults.cue` describes the fields and kinds."""
 
     kind: str
     at: float = 0.0
@@ -52,18 +52,24 @@
     delay_before: float = 0.0
     delay_after: float = 0.0
     error: str = ""
-    outcome: str = ""  # one of OUTCOMES; empty: the reply goes out as it is
+    outcome: str = ""  # one of OUTCOMES; empty: the reply is sent unchanged
 
 
 def read_plan(data: bytes, file: str) -> list[Fault]:
-    """The faults of a plan file. Raises `CueError`, which says where and why."""
+    """Parses a plan file.
+
+    Raises:
+        CueError: the plan is invalid; the error gives the location and the reason.
+    """
     path = Path(__file__).parent / "faults.cue"
     value = evaluate(parse(data, file), parse(path.read_bytes(), "faults.cue"), "#Plan")
     assert isinstance(value, dict) and isinstance(value["faults"], list)
     rows = []
     for row in value["faults"]:
         assert isinstance(row, dict)
-        rows.append({k: _seconds(str(part)) if k in TIMES else part for k, part in row.items()})
+        rows.append(
+            {k: _seconds(str(part)) if k in DURATION_FIELDS else part for k, part in row.items()}
+        )
     return msgspec.convert(rows, list[Fault])
 
 
@@ -72,32 +78,32 @@
 
 
 class LastingFault(NamedTuple):
-    """A fault that is active from `begin` until `end` (seconds of the schedule's clock)."""
+    """A fault that is active from `begin` to `end`, in seconds of the schedule's clock."""
 
     begin: float
     end: float
     fault: Fault
 
     def is_active(self, now: float) -> bool:
-        """Whether it is active now."""
+        """Whether the fault is active at the time `now`."""
         return self.begin <= now < self.end
 
 
 class MomentaryFault(NamedTuple):
-    """A fault that happens at an instant."""
+    """A fault that takes effect at a single point in time."""
 
     at: float
     fault: Fault
 
 
 class FaultSchedule:
-    """The plan at work. `start` is the time from which it counts."""
+    """The active and pending faults of a plan, whose times count from `start`."""
 
     def __init__(self, plan: list[Fault], seed: int, start: float) -> None:
         self._random = random.Random(seed)
         self._lasting = list[LastingFault]()
         self._momentary = list[MomentaryFault]()
-        self.hits: Counter[str] = Counter()  # commands and moments that faults have hit, by kind
+        self.hits: Counter[str] = Counter()  # by kind, how many times a fault took effect
         for fault in plan:
             self.add(fault, start)
 
@@ -110,16 +116,19 @@
             self._lasting.append(LastingFault(begin, begin + fault.lasts, fault))
 
     def clear(self) -> None:
-        """Ends all faults."""
+        """Removes all active and pending faults."""
         self._lasting.clear()
         self._momentary.clear()
 
     def next_at(self) -> float | None:
-        """When the next momentary fault comes, if there is one."""
+        """Returns the time of the next momentary fault, or None."""
         return min((momentary.at for momentary in self._momentary), default=None)
 
-    def due(self, now: float) -> list[Fault]:
-        """The momentary faults whose time has come, in their order."""
+    def pop_due(self, now: float) -> list[Fault]:
+        """Removes and returns the momentary faults that are due, in order of time.
+
+        A fault with `every` is scheduled again.
+        """
         ready = sorted(
             [m for m in self._momentary if m.at <= now], key=lambda momentary: momentary.at
         )
@@ -131,11 +140,11 @@
         return [momentary.fault for momentary in ready]
 
     def active(self, kind: str, now: float) -> Fault | None:
-        """The fault of that kind that is active now, if there is one."""
+        """Returns an active fault of the given kind, or None."""
         return next((found.fault for found in self._active(kind, now)), None)
 
-    def until(self, kind: str, now: float) -> float:
-        """When the fault of that kind that is active now ends; now, where there is none."""
+    def active_until(self, kind: str, now: float) -> float:
+        """Returns when the active faults of the given kind end; `now` if there are none."""
         return max([found.end for found in self._active(kind, now)], default=now)
 
     def _active(self, kind: str, now: float) -> list[LastingFault]:
@@ -146,7 +155,11 @@
         ]
 
     def effect_on(self, command: bytes, now: float) -> FaultEffect:
-        """Draws for each fault that is active; of the outcomes the first counts."""
+        """Returns the combined effect of the active faults on a command.
+
+        A random draw decides whether a fault with a share below 1 applies. If several faults set an
+        outcome, the first one counts.
+        """
         effect = FaultEffect()
         for lasting in self._lasting:
             fault = lasting.fault
@@ -155,9 +168,9 @@
             ):
                 continue
             if fault.kind == "slow":
-                effect.delay_before += self._draw(fault)
+                effect.delay_before += self._draw_delay(fault)
             elif fault.kind == "late":
-                effect.delay_after += self._draw(fault)
+                effect.delay_after += self._draw_delay(fault)
             elif fault.kind in ERRORS and not (
                 fault.kind == "loading" and command in ALLOWED_WHILE_LOADING
             ):
@@ -170,10 +183,10 @@
         return effect
 
     def junk(self) -> bytes:
-        """Bytes that are no reply."""
-        return self._random.randbytes(self._random.randint(1, MAX_JUNK))
+        """Returns random bytes to send instead of a reply."""
+        return self._random.randbytes(self._random.randint(1, MAX_JUNK_BYTES))
 
-    def _draw(self, fault: Fault) -> float:
+    def _draw_delay(self, fault: Fault) -> float:
         if fault.spread == "constant":
             return fault.delay
         if fault.spread == "uniform":
--- a/hazelhollow/standins/redis/glob.py
+++ b/hazelhollow/standins/redis/glob.py
@@ -1,4 +1,4 @@
-"""Redis's glob patterns, as SCAN takes them."""
+"""Redis's glob patterns, as SCAN accepts them."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def matches(pattern: bytes, key: bytes) -> bool:
-    """Whether a key fits: `*`, `?`, `[..]`, and a backslash before what is meant as it stands.
+    """Whether a key matches a pattern with `*`, `?`, `[..]` and backslash escapes.
 
-    Linear but for `*`.
+    Apart from `*`, matching takes linear time.
     """
     parts: list[bytes] = []
     at = 0
--- a/hazelhollow/standins/redis/key_commands.py
+++ b/hazelhollow/standins/redis/key_commands.py
@@ -1,7 +1,4 @@
-"""Commands on keys of any type and on whole databases.
-
-DEL, EXPIRE, SCAN, FLUSHALL, TIME and the like.
-"""
+"""Commands on keys of any type and on databases: DEL, EXPIRE, SCAN, FLUSHALL, TIME and others."""
 
 from __future__ import annotations
 
@@ -19,9 +16,9 @@
 )
 
 SECOND, MILLISECOND = 1.0, 0.001  # in seconds
-MICROSECONDS = 10**6  # in a second
+MICROSECONDS_PER_S = 10**6
 NO_SUCH_KEY, NO_EXPIRY = -2, -1  # replies of TTL
-SCAN_COUNT = 10  # keys that SCAN looks at where it is not told
+SCAN_COUNT = 10  # keys that SCAN examines if COUNT is not given
 
 
 def _delete(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
@@ -105,8 +102,8 @@
 
 
 def _time(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
-    micros = round(keyspace.now() * MICROSECONDS)
-    return [b"%d" % (micros // MICROSECONDS), b"%d" % (micros % MICROSECONDS)]
+    micros = round(keyspace.now() * MICROSECONDS_PER_S)
+    return [b"%d" % (micros // MICROSECONDS_PER_S), b"%d" % (micros % MICROSECONDS_PER_S)]
 
 
 def _role(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
--- a/hazelhollow/standins/redis/keyspace.py
+++ b/hazelhollow/standins/redis/keyspace.py
@@ -1,7 +1,7 @@
-"""Keys, their values and their expiry. No I/O; the clock is given.
+"""Keys, their values and their expiry. No I/O; the clock is a parameter.
 
-Written for tests: plain dictionaries, one process, bounded sizes. The commands that work on it are
-functions in `*_commands.py`.
+The keyspace is written for tests: it uses plain dictionaries in one process, with bounded sizes.
+The commands that operate on it are functions in `*_commands.py`.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 def empty_databases() -> list[Database]:
-    """The databases of a server that holds nothing."""
+    """Returns the databases of an empty server."""
     return [Database() for _ in range(DATABASES)]
 
 
 class Keyspace:
     """One server's data.
 
-    `clock` gives seconds; `clock_skew` is added to it, so that the server's clock can jump.
+    `clock` returns seconds; `clock_skew` is added to it, so that the server's clock can jump.
     """
 
     def __init__(self, clock: Callable[[], float], seed: int = 0) -> None:
@@ -42,19 +42,19 @@
         self.databases = empty_databases()
         self.run_id = self._new_run_id()
         self.readonly = self.out_of_memory = False
-        self.changes = 0  # keys changed, for WATCH: a new version for each
-        self.frozen_time: float | None = None  # the time that a script sees
+        self.changes = 0  # number of changes; each gives a key its new version, for WATCH
+        self.frozen_time: float | None = None  # the time while a script runs
         self.started_at = self.now()
-        self._expiries: list[tuple[float, int, bytes]] = []  # a heap: when, database, key
+        self._expiries: list[tuple[float, int, bytes]] = []  # heap of time, database and key
 
     # Time and expiry
 
     def now(self) -> float:
-        """Seconds of the server's clock; it stands still while a script runs."""
+        """Returns the server's time in seconds; it does not advance while a script runs."""
         return self._clock() + self.clock_skew if self.frozen_time is None else self.frozen_time
 
     def purge(self) -> None:
-        """Removes the keys whose time has come."""
+        """Removes the keys that have expired."""
         now = self.now()
         while self._expiries and self._expiries[0][0] <= now:
             _, database, key = heapq.heappop(self._expiries)
@@ -63,14 +63,14 @@
                 self.remove(database, key)
 
     def expire(self, database: int, key: bytes, at: float) -> None:
-        """Sets when a key that is there ends."""
+        """Sets the expiry time of an existing key."""
         self.databases[database].entries[key].expires_at = at
         heapq.heappush(self._expiries, (at, database, key))
 
     # Keys
 
     def find(self, database: int, key: bytes) -> Entry | None:
-        """The entry of a key that has not ended."""
+        """Returns the entry of a key; None if the key does not exist or has expired."""
         entry = self.databases[database].entries.get(key)
         if entry and entry.expires_at is not None and entry.expires_at <= self.now():
             self.remove(database, key)
@@ -78,14 +78,14 @@
         return entry
 
     def remove(self, database: int, key: bytes) -> bool:
-        """Removes a key; whether it was there."""
+        """Removes a key; returns whether it existed."""
         if self.databases[database].entries.pop(key, None) is None:
             return False
         self.changes += 1
         return True
 
     def put(self, database: int, key: bytes, value: Value, keep_expiry: bool = True) -> None:
-        """Stores a value that may have been changed in place; an empty collection is no key."""
+        """Stores a value that may have been changed in place; an empty collection is removed."""
         if isinstance(value, dict) and not value:
             self.remove(database, key)
             return
@@ -97,18 +97,22 @@
             self.databases[database].entries[key] = Entry(value, None, self.changes)
 
     def flush(self, databases: range) -> None:
-        """Empties some of the databases."""
+        """Empties the given databases."""
         for database in databases:
             self.databases[database] = Database()
         self.changes += 1
 
     def version(self, database: int, key: bytes) -> int:
-        """The number of a key's last change; 0 for one that is not there."""
+        """Returns the version of a key; 0 if it does not exist."""
         entry = self.find(database, key)
         return entry.version if entry else 0
 
     def string(self, database: int, key: bytes) -> bytes | None:
-        """A string's value. Raises `CommandError` for a key of another type, as the next two do."""
+        """Returns a string's value, or None if the key does not exist.
+
+        Raises:
+            CommandError: the key holds another type.
+        """
         entry = self.find(database, key)
         if entry is None:
             return None
@@ -117,7 +121,11 @@
         return entry.value
 
     def hash(self, database: int, key: bytes) -> Hash:
-        """A hash, or a new one where there is none. What is changed in it must be `put`."""
+        """Returns a hash, or a new one if the key does not exist; changes must be stored by `put`.
+
+        Raises:
+            CommandError: the key holds another type.
+        """
         entry = self.find(database, key)
         if entry is None:
             return {}
@@ -126,7 +134,13 @@
         return entry.value
 
     def sorted_set(self, database: int, key: bytes) -> SortedSet:
-        """A sorted set, or a new one where there is none. What is changed in it must be `put`."""
+        """Returns a sorted set, or a new one if the key does not exist.
+
+        Changes must be stored by `put`.
+
+        Raises:
+            CommandError: the key holds another type.
+        """
         entry = self.find(database, key)
         if entry is None:
             return SortedSet()
@@ -134,14 +148,14 @@
             raise CommandError(WRONG_TYPE)
         return entry.value
 
-    # The server's process
+    # Snapshots and restarts
 
     def snapshot(self) -> list[Database]:
-        """A copy of all data."""
+        """Returns a copy of all data."""
         return copy.deepcopy(self.databases)
 
     def restart(self, data: list[Database] | None = None) -> None:
-        """A new process with a new run id: empty, or with what a snapshot held."""
+        """Simulates a new process with a new run id and either no data or that of a snapshot."""
         self.databases = copy.deepcopy(data) if data is not None else empty_databases()
         self._expiries = [
             (entry.expires_at, number, key)
--- a/hazelhollow/standins/redis/node.py
+++ b/hazelhollow/standins/redis/node.py
@@ -1,8 +1,9 @@
-"""One stand-in server without I/O: bytes of connections in, replies and closes out.
+"""One stand-in server without I/O: received bytes in, replies and connection closes out.
 
-Commands run one at a time in the order of arrival, as in Redis: a delayed one delays all others.
-A driver feeds `Session.feed`, calls `turn` when `next_at` says so, and carries out the returned
-`Output` values. Real sockets, the simulation and the tests all drive this same code.
+Commands run one at a time in the order of their arrival, as in Redis: a delayed command delays all
+others. A driver passes received bytes to `Session.feed`, calls `turn` at the time that `next_at`
+gives, and performs the returned `Output` values. The socket server, the simulation and the tests
+all use this code.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from hazelhollow.standins.redis.snapshots import SnapshotHistory
 from hazelhollow.standins.redis.values import OK, CommandError, Reply, encode
 
-# A restart fault without a given span has the default span of a day: it is over at once.
+# A restart lasting longer has no outage: a fault without `lasts` has the default of a day.
 MAX_OUTAGE_S = 3600.0
 
 
 class Output(NamedTuple):
-    """Bytes for a connection, and whether it ends after them."""
+    """Bytes to send on a connection, and whether to close it afterwards."""
 
     session: Session
     data: bytes
@@ -32,16 +33,16 @@
 
 
 class Delayed(NamedTuple):
-    """The command at the head of the queue, delayed by a fault, and that fault's effect."""
+    """A command taken from the queue and delayed by a fault, and the fault's effect on it."""
 
     request: Request
     effect: faults.FaultEffect
 
 
 class Node:
-    """One server, alone or a shard of a cluster.
+    """One server: a standalone one or a shard of a cluster.
 
-    `clock` gives seconds and may be virtual; `plan` counts from now.
+    `clock` returns seconds and may be virtual. The times of `plan` count from the construction.
     """
 
     def __init__(
@@ -58,14 +59,14 @@
         self._requests: deque[Request] = deque()
         self._delayed: Delayed | None = None
         self._busy_until = 0.0
-        self._outputs: list[tuple[float, int, Output]] = []  # a heap: when, in which order
+        self._outputs: list[tuple[float, int, Output]] = []  # heap ordered by time, then number
         self._down_until = 0.0
-        self._last_number = 0  # of sessions and outputs
+        self._last_number = 0  # sessions and outputs share one sequence of numbers
 
     # Connections
 
     def connect(self) -> Session | None:
-        """A new connection; nothing while the server is down."""
+        """Opens a connection; returns None while the server is down."""
         now = self.clock()
         if now < self._down_until or self.state.faults.active("down", now):
             return None
@@ -76,7 +77,7 @@
         return session
 
     def disconnect(self, session: Session) -> None:
-        """The connection has ended, whoever ended it."""
+        """Removes the session of a connection that either side has closed."""
         session.closed = True
         self.state.sessions.pop(session.id, None)
 
@@ -87,23 +88,25 @@
     # Time
 
     def next_at(self) -> float | None:
-        """When `turn` has something to do next; None until new bytes arrive."""
+        """Returns when `turn` must be called next; None: not before new bytes arrive."""
         times = [self._outputs[0][0]] if self._outputs else []
         if self._requests or self._delayed:
-            times.append(max(self._busy_until, self.state.faults.until("stall", self.clock())))
+            times.append(
+                max(self._busy_until, self.state.faults.active_until("stall", self.clock()))
+            )
         momentary = self.state.faults.next_at()
         if momentary is not None:
             times.append(momentary)
         return min(times, default=None)
 
     def turn(self) -> list[Output]:
-        """Runs the commands that are due and gives the outputs that are due."""
+        """Runs the commands that are due and returns the outputs that are due."""
         now = self.clock()
         state = self.state
         state.engine.purge()
         state.snapshots.record(state.engine, now)
         outputs = list[Output]()
-        for fault in state.faults.due(now):
+        for fault in state.faults.pop_due(now):
             outputs += self._apply_momentary(fault, now)
         if state.faults.active("down", now):
             outputs += self._close_all()
@@ -136,13 +139,13 @@
         if effect.outcome == "cut_before":
             self._send(Output(session, b"", True), now)
             return
-        # Commands of a connection that has closed meanwhile still run, as in Redis: they were read.
+        # Commands received before their connection closed still run, as in Redis.
         reply, closes = self._reply_to(request, effect)
         data = encode(reply)
         if effect.outcome == "lost":
             session.muted = True
         elif effect.outcome:
-            data, closes = self._damaged(data, effect.outcome), True
+            data, closes = self._corrupt(data, effect.outcome), True
         if not session.muted:
             self._send(Output(session, data, closes), now + effect.delay_after)
 
@@ -152,15 +155,15 @@
             return faults.FaultEffect()
         return self.state.faults.effect_on(name, now)
 
-    def _damaged(self, data: bytes, outcome: str) -> bytes:
-        # Drawn for every outcome, so that one seed gives one sequence of draws.
+    def _corrupt(self, data: bytes, outcome: str) -> bytes:
+        # Drawn for every outcome, so that a seed always gives the same sequence of draws.
         junk = self.state.faults.junk()
         if outcome == "half":
             return data[: max(1, len(data) // 2)]
         return junk if outcome == "garbage" else b""
 
     def _send(self, output: Output, at: float) -> None:
-        """A reply cannot overtake the one before it on its connection."""
+        """Schedules an output, not before the previous one of its session."""
         session = output.session
         if not session.closed:
             session.last_reply_at = max(session.last_reply_at, at)
@@ -197,7 +200,7 @@
     # Commands
 
     def _reply_to(self, request: Request, effect: faults.FaultEffect) -> tuple[Reply, bool]:
-        """The reply, and whether the connection ends after it."""
+        """Executes a request; returns the reply and whether to close the connection after it."""
         session, arguments = request.session, request.arguments
         if request.protocol_error:
             return CommandError("ERR " + request.protocol_error), True
--- a/hazelhollow/standins/redis/script_commands.py
+++ b/hazelhollow/standins/redis/script_commands.py
@@ -1,4 +1,4 @@
-"""EVAL, EVALSHA, SCRIPT."""
+"""Commands on scripts: EVAL, EVALSHA, SCRIPT."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def eval_text(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """EVAL script count key ... arg ..."""
+    """Executes EVAL script count key ... arg ..."""
     keys, script_args = _keys_and_args(args)
     return state.scripts.run(session.database, state.scripts.load(args[0]), keys, script_args)
 
 
 def eval_digest(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """EVALSHA digest count key ... arg ..."""
+    """Executes EVALSHA digest count key ... arg ..."""
     keys, script_args = _keys_and_args(args)
     return state.scripts.run(
         session.database, args[0].decode("ascii", "replace"), keys, script_args
@@ -31,13 +31,13 @@
 
 
 def script(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """SCRIPT LOAD, EXISTS, FLUSH."""
+    """Executes SCRIPT LOAD, EXISTS and FLUSH."""
     subcommand = args[0].upper()
     if subcommand == b"LOAD" and len(args) == 2:
         return state.scripts.load(args[1]).encode()
     if subcommand == b"EXISTS" and len(args) > 1:
         digests = [digest.decode("ascii", "replace").lower() for digest in args[1:]]
-        return [int(digest in state.scripts.known) for digest in digests]
+        return [int(digest in state.scripts.loaded) for digest in digests]
     if subcommand == b"FLUSH":
         state.scripts.flush()
         return OK
--- a/hazelhollow/standins/redis/scripts.py
+++ b/hazelhollow/standins/redis/scripts.py
@@ -1,8 +1,8 @@
-"""EVAL in real Lua 5.1 (lupa), with Redis's conversions between Lua and RESP.
+"""Runs scripts in Lua 5.1 (lupa), with Redis's conversions between Lua and RESP.
 
-Source: the public pages "Scripting with Lua" and "Redis Lua API reference". What a script can use
-is what is put in its globals here; a script that runs for too many instructions, or takes too much
-memory, ends with an error.
+Source: the public pages "Scripting with Lua" and "Redis Lua API reference". A script can use only
+the globals that are defined here. A script that executes too many instructions or uses too much
+memory ends with an error.
 """
 
 from __future__ import annotations
@@ -15,12 +15,11 @@
 from hazelhollow.standins.redis.engine import Engine
 from hazelhollow.standins.redis.values import CommandError, NullArray, Reply, Status
 
-MAX_MEMORY = 32 * 2**20  # bytes
+MAX_MEMORY_BYTES = 32 * 2**20
 MAX_INSTRUCTIONS = 5_000_000
 NO_SCRIPT = "NOSCRIPT No matching script. Please use EVAL."
 
-# Errors pass as tables with a field `err`, which is what redis.pcall gives and what redis.call
-# raises.
+# Errors are tables with a field `err`: redis.pcall returns them and redis.call raises them.
 PRELUDE = b"""
 local host, most = ...
 local sethook, setfenv, loadstring, type, error, pcall, tostring =
@@ -87,31 +86,32 @@
 
 
 def script_digest(text: bytes) -> str:
-    """The name of a script: the SHA-1 of its text, in hexadecimal."""
+    """Returns the SHA-1 of a script's text in hexadecimal, by which clients call it."""
     return hashlib.sha1(text).hexdigest()
 
 
 class Scripts:
-    """The scripts that a server knows, and one Lua state in which they run."""
+    """The scripts loaded into a server, and the Lua state in which they run."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine, self._database = engine, 0
-        self.known: dict[str, bytes] = {}
+        self.loaded: dict[str, bytes] = {}  # text by digest
         self._chunks: dict[str, Any] = {}
         self._lua = lupa.LuaRuntime(
             encoding=None,
             unpack_returned_tuples=True,
             register_eval=False,
             register_builtins=False,
-            max_memory=MAX_MEMORY,
+            max_memory=MAX_MEMORY_BYTES,
         )
         prelude = self._lua.compile(PRELUDE)
         self._compile, self._run = prelude(self._call_from_lua, MAX_INSTRUCTIONS)
 
     def load(self, text: bytes) -> str:
-        """Compiles a script and keeps it; gives its digest.
+        """Compiles and stores a script; returns its digest.
 
-        Raises `CommandError` where it is no Lua.
+        Raises:
+            CommandError: the script does not compile.
         """
         digest = script_digest(text)
         if digest not in self._chunks:
@@ -123,17 +123,21 @@
                     f"{problem.decode('utf-8', 'replace')}"
                 )
             self._chunks[digest] = chunk
-        self.known[digest] = text
+        self.loaded[digest] = text
         return digest
 
     def flush(self) -> None:
-        """Forgets all scripts."""
-        self.known.clear()
+        """Removes all scripts."""
+        self.loaded.clear()
 
     def run(self, database: int, digest: str, keys: list[bytes], args: list[bytes]) -> Reply:
-        """A known script on a database. Nothing else runs meanwhile, and the time stands still."""
+        """Runs a loaded script on a database; the server's time does not advance meanwhile.
+
+        Raises:
+            CommandError: the script is not loaded, or it failed.
+        """
         digest = digest.lower()
-        if digest not in self.known:
+        if digest not in self.loaded:
             raise CommandError(NO_SCRIPT)
         self._database = database
         self._engine.frozen_time = self._engine.now()
@@ -149,20 +153,20 @@
             raise CommandError(f"{_text(result[b'fault'])} script: {digest}, on @user_script.")
         return self.to_reply(result)
 
-    # What a script calls
+    # Calls from scripts
 
     def _call_from_lua(self, function: bytes, *arguments: Any) -> Any:
         if function == b"sha1hex":
-            return script_digest(_argument(arguments[0]) or b"").encode()
+            return script_digest(_to_argument(arguments[0]) or b"").encode()
         try:
-            plain = [_argument(argument) for argument in arguments]
-            if not plain or None in plain:
+            converted = [_to_argument(argument) for argument in arguments]
+            if not converted or None in converted:
                 raise CommandError(
                     "ERR Lua redis lib command arguments must be strings or integers"
                 )
             return self._to_lua(
                 self._engine.call(
-                    self._database, [w for w in plain if w is not None], scripted=True
+                    self._database, [c for c in converted if c is not None], scripted=True
                 )
             )
         except CommandError as error:
@@ -178,7 +182,10 @@
         return reply
 
     def to_reply(self, result: Any) -> Reply:
-        """Numbers are cut to integers, `false` is null, and the first nil ends an array."""
+        """Converts a script's result to a reply as Redis does.
+
+        Numbers are truncated to integers, `false` becomes null, and an array ends at its first nil.
+        """
         if result is None or result is False:
             return None
         if result is True:
@@ -203,8 +210,8 @@
     return value.decode("utf-8", "replace") if isinstance(value, bytes) else str(value)
 
 
-def _argument(value: Any) -> bytes | None:
-    """A command's argument as Redis takes it from Lua: a string, or a number as Lua prints it."""
+def _to_argument(value: Any) -> bytes | None:
+    """Converts a Lua string or number to a command's argument; None for any other type."""
     if isinstance(value, bytes):
         return value
     if isinstance(value, bool) or not isinstance(value, int | float):
--- a/hazelhollow/standins/redis/server.py
+++ b/hazelhollow/standins/redis/server.py
@@ -1,4 +1,4 @@
-"""The stand-in on real sockets: a thin driver, one `Node` for each listening address."""
+"""The stand-in on real sockets: a thin driver with one `Node` for each listening address."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hazelhollow.standins.redis.node import Node
 from hazelhollow.standins.redis.session import Session
 
-MAX_OUT = 16 * 1024 * 1024  # bytes that wait for one connection
+MAX_OUT_BYTES = 16 * 1024 * 1024  # buffered replies of one connection
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 seconds
 
 
@@ -46,11 +46,12 @@
     def _accept(self) -> None:
         for sock in stream.accept_connections(self.scheduler, self._sock):
             session = self.node.connect()
-            if session is None:  # down: as near to a refusal as an open port can come
+            # While the node is down, a reset is the closest that an open port comes to a refusal.
+            if session is None:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 sock.close()
                 continue
-            self._streams[session.id] = driver = stream.Stream(self.scheduler, sock, MAX_OUT)
+            self._streams[session.id] = driver = stream.Stream(self.scheduler, sock, MAX_OUT_BYTES)
             if self._secure:
                 self._tls_layers[session.id] = tls.Layer(self._secure)
             self.scheduler.spawn(self._serve, session, driver, name="stand-in connection")
@@ -82,7 +83,7 @@
         return plain
 
     def advance(self) -> None:
-        """Carries out what the node has due and sets a timer for its next turn."""
+        """Performs the node's outputs that are due and sets a timer for its next turn."""
         for output in self.node.turn():
             driver = self._streams.get(output.session.id)
             if driver is None:
@@ -101,7 +102,7 @@
             self._timer = self.scheduler.at(due, self.advance)
 
     def close(self) -> None:
-        """Ends all connections and the listening socket."""
+        """Closes all connections and the listening socket."""
         for driver in list(self._streams.values()):
             driver.close(CloseReason.SHUTDOWN)
         self.scheduler.unregister(self._sock.fileno())
@@ -113,11 +114,11 @@
     """How the servers of a stand-in behave.
 
     Attributes:
-        seed: of all draws of the first server; the others have the numbers after it.
-        password: that clients must give; empty: none.
-        faults: their schedule, counted from the start.
-        shards: servers; more than one form a cluster.
-        secure: TLS, or None.
+        seed: seed of the first server's random draws; the others have the next numbers.
+        password: password that clients must send; empty: none is required.
+        faults: scheduled faults; their times count from the start.
+        shards: number of servers; more than one form a cluster.
+        secure: TLS context; None: no TLS.
     """
 
     seed: int = 0
@@ -133,9 +134,9 @@
 def start(
     scheduler: Scheduler, listen: tuple[str, int], options: ServerOptions = DEFAULT_OPTIONS
 ) -> list[Server]:
-    """Starts the servers; they listen at consecutive ports from that of `listen`.
+    """Starts the servers on consecutive ports, beginning with the port of `listen`.
 
-    With port 0 each listens at any free one.
+    With port 0 each server listens on a free port.
     """
     host, port = listen
     servers = []
--- a/hazelhollow/standins/redis/server_commands.py
+++ b/hazelhollow/standins/redis/server_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the server: INFO, CLUSTER, and STANDIN, by which tests and people make it fail."""
+"""Commands on the server: INFO, CLUSTER, and STANDIN, which injects faults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def info(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """INFO [section ...]."""
+    """Executes INFO [section ...]."""
     wanted = {argument.decode("ascii", "replace").lower() for argument in args}
     lines = []
     for section, rows in _info_sections(state).items():
@@ -50,7 +50,7 @@
 
 
 def cluster(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """CLUSTER KEYSLOT, SLOTS, SHARDS, MYID, NODES, INFO."""
+    """Executes CLUSTER KEYSLOT, SLOTS, SHARDS, MYID, NODES and INFO."""
     subcommand = args[0].upper()
     if subcommand == b"KEYSLOT" and len(args) == 2:
         return slots.slot_of(args[1])
@@ -62,7 +62,7 @@
     if subcommand == b"SHARDS":
         return view.shards_reply()
     if subcommand == b"MYID":
-        return view.shards[view.me].id.encode()
+        return view.shards[view.own_number].id.encode()
     if subcommand == b"NODES":
         return view.nodes_reply()
     if subcommand == b"INFO":
@@ -73,7 +73,7 @@
 
 
 def standin(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """Admin: `STANDIN FAULT kind [name value ...]`, `STANDIN CLEAR`, `STANDIN STATS`."""
+    """Executes STANDIN FAULT kind [name value ...], STANDIN CLEAR and STANDIN STATS."""
     subcommand = args[0].upper()
     if subcommand == b"CLEAR":
         state.faults.clear()
@@ -93,13 +93,15 @@
 def _parse_fault(args: list[bytes]) -> faults.Fault:
     names = [name.decode("ascii", "replace") for name in args[1::2]]
     fields = [("kind", args[0]), *zip(names, args[2::2], strict=True)]
-    text = "faults: [{" + ", ".join(f"{name}: {_cue(name, value)}" for name, value in fields) + "}]"
+    text = (
+        "faults: [{" + ", ".join(f"{name}: {_to_cue(name, value)}" for name, value in fields) + "}]"
+    )
     try:
         return faults.read_plan(text.encode(), "STANDIN")[0]
     except Exception as error:
         raise CommandError(f"ERR {error}") from None
 
 
-def _cue(name: str, value: bytes) -> str:
+def _to_cue(name: str, value: bytes) -> str:
     text = value.decode("ascii", "replace")
     return text if name == "share" else '"' + text.replace("\\", "").replace('"', "") + '"'
--- a/hazelhollow/standins/redis/server_state.py
+++ b/hazelhollow/standins/redis/server_state.py
@@ -1,4 +1,4 @@
-"""What the commands of one stand-in server work on, whoever runs them and when."""
+"""The state of one stand-in server that its commands read and change."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ServerState:
-    """One server's data, scripts, faults, sessions and counts. `clock` gives seconds."""
+    """One server's data, scripts, faults, sessions and counters; `clock` returns seconds."""
 
     def __init__(
         self,
@@ -30,4 +30,4 @@
         self.faults, self.snapshots = faults, snapshots
         self.cluster: Cluster | None = None
         self.sessions: dict[int, Session] = {}
-        self.calls: Counter[str] = Counter()  # by command
+        self.calls: Counter[str] = Counter()  # calls by command name
--- a/hazelhollow/standins/redis/session.py
+++ b/hazelhollow/standins/redis/session.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in: its parser, its state, and the complete commands received."""
+"""One connection to a stand-in: its parser, its state, and its received commands."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class Request(NamedTuple):
     """One command of a session.
 
-    With a `protocol_error` it has no arguments, and the session ends after its reply.
+    A request with a `protocol_error` has no arguments, and the session ends after its reply.
     """
 
     session: Session
@@ -22,9 +22,9 @@
 
 @dataclass(eq=False)
 class Session:
-    """One connection's state.
+    """The state of one connection.
 
-    Its commands go into `requests`, which all sessions of a node share.
+    Received commands are appended to `requests`, the queue that all sessions of a node share.
     """
 
     id: int
@@ -34,15 +34,15 @@
     name: bytes = b""
     transaction: list[list[bytes]] | None = None  # the commands since MULTI
     transaction_failed: bool = False  # an error while commands were queued
-    # versions by database and key
-    watched: dict[tuple[int, bytes], int] = field(default_factory=dict)
-    muted: bool = False  # replies are lost from now on
+    # Versions of watched keys, by database and key.
+    watched_versions: dict[tuple[int, bytes], int] = field(default_factory=dict)
+    muted: bool = False  # a fault drops all further replies
     closed: bool = False
-    last_reply_at: float = 0.0  # when the reply before goes out
+    last_reply_at: float = 0.0  # when the previous reply is sent
     parser: RequestParser = field(default_factory=RequestParser)
 
     def feed(self, data: bytes) -> None:
-        """Bytes as they come; whole commands get in the node's queue."""
+        """Parses received bytes and queues the complete commands."""
         self.parser.feed(data)
         try:
             while not self.closed and (arguments := self.parser.next()) is not None:
@@ -53,6 +53,6 @@
             self.parser.clear()
 
     def end_transaction(self) -> None:
-        """Forgets what was queued and watched."""
+        """Discards the queued commands and the watched keys."""
         self.transaction, self.transaction_failed = None, False
-        self.watched.clear()
+        self.watched_versions.clear()
--- a/hazelhollow/standins/redis/slots.py
+++ b/hazelhollow/standins/redis/slots.py
@@ -1,6 +1,6 @@
-"""Which shard a key belongs to, as the Redis Cluster specification says.
+"""The assignment of keys to hash slots and shards, according to the Redis Cluster specification.
 
-CRC16 of the key or of its hash tag.
+The slot is the CRC16 of the key or of its hash tag.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 SLOTS = 16384
 
 
-def _table() -> list[int]:
+def _make_crc_table() -> list[int]:
     rows = []
     for byte in range(256):
         crc = byte << 8
@@ -18,21 +18,25 @@
     return rows
 
 
-_TABLE = _table()
+_CRC_TABLE = _make_crc_table()
 
 
 def crc16(data: bytes) -> int:
-    """CRC16-CCITT (XModem): the specification's appendix A gives 0x31C3 for `123456789`."""
+    """Returns the CRC16-CCITT (XModem).
+
+    Appendix A of the specification gives 0x31C3 for `123456789`.
+    """
     crc = 0
     for byte in data:
-        crc = ((crc << 8) & 0xFFFF) ^ _TABLE[(crc >> 8) ^ byte]
+        crc = ((crc << 8) & 0xFFFF) ^ _CRC_TABLE[(crc >> 8) ^ byte]
     return crc
 
 
 def slot_of(key: bytes) -> int:
-    """Of the part between the first `{` and the next `}`, where that is not empty.
+    """Returns the slot of a key.
 
-    Else of the whole key.
+    The hash covers the part between the first `{` and the next `}` if it is not empty, otherwise
+    the entire key.
     """
     start = key.find(b"{")
     end = key.find(b"}", start + 1) if start >= 0 else -1
@@ -40,6 +44,6 @@
 
 
 def slot_ranges(shards: int) -> list[range]:
-    """Each shard's slots: equal parts, in order."""
+    """Divides the slots evenly among the shards, in order."""
     edges = [SLOTS * n // shards for n in range(shards + 1)]
     return [range(a, b) for a, b in zip(edges, edges[1:], strict=False)]
--- a/hazelhollow/standins/redis/snapshots.py
+++ b/hazelhollow/standins/redis/snapshots.py
@@ -1,4 +1,4 @@
-"""Copies of a server's data over time, for restarts that come back with old data."""
+"""Periodic copies of a server's data, for simulated restarts with old data."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 from hazelhollow.standins.redis.keyspace import Keyspace
 from hazelhollow.standins.redis.values import Database
 
-SNAPSHOT_EVERY = 1.0  # seconds
+SNAPSHOT_INTERVAL_S = 1.0
 MAX_SNAPSHOTS = 64
 
 
 class Snapshot(NamedTuple):
-    """All data as it was at a time."""
+    """A copy of all data, and the time at which it was made."""
 
     at: float
     data: list[Database]
 
 
 class SnapshotHistory:
-    """The latest snapshots. Off until something will need them."""
+    """The latest snapshots; none are taken unless `enabled`."""
 
     def __init__(self, enabled: bool) -> None:
         self.enabled = enabled
         self._snapshots: deque[Snapshot] = deque(maxlen=MAX_SNAPSHOTS)
 
     def record(self, keyspace: Keyspace, now: float) -> None:
-        """Takes a snapshot, where one is due."""
-        if self.enabled and (not self._snapshots or now - self._snapshots[-1].at >= SNAPSHOT_EVERY):
+        """Takes a snapshot if one is due."""
+        if self.enabled and (
+            not self._snapshots or now - self._snapshots[-1].at >= SNAPSHOT_INTERVAL_S
+        ):
             self._snapshots.append(Snapshot(now, keyspace.snapshot()))
 
     def latest_before(self, at: float) -> list[Database] | None:
-        """The data as it was then.
+        """Returns the data of the latest snapshot that was taken at or before `at`.
 
-        The oldest there is where none is so old; nothing where there is none.
+        If all snapshots are later, returns the oldest one; if there is none, None.
         """
         old = [snapshot for snapshot in self._snapshots if snapshot.at <= at]
         if old:
--- a/hazelhollow/standins/redis/sorted_set_commands.py
+++ b/hazelhollow/standins/redis/sorted_set_commands.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ScoreRange:
-    """Scores from `low` to `high`; an edge may itself be left out."""
+    """Scores from `low` to `high`; each bound may be exclusive."""
 
     low: float
     high: float
@@ -35,11 +35,17 @@
 
 
 def parse_range(low: bytes, high: bytes) -> ScoreRange:
-    """Two edges as commands take them, `(` before one that is left out. Raises `CommandError`."""
-    return ScoreRange(_edge(low), _edge(high), low.startswith(b"("), high.startswith(b"("))
+    """Parses the two bounds of a range; a prefix `(` makes a bound exclusive.
 
+    Raises:
+        CommandError: a bound is not a number.
+    """
+    return ScoreRange(
+        _parse_bound(low), _parse_bound(high), low.startswith(b"("), high.startswith(b"(")
+    )
 
-def _edge(text: bytes) -> float:
+
+def _parse_bound(text: bytes) -> float:
     return parse_float(text.removeprefix(b"("), "ERR min or max is not a float")
 
 
--- a/hazelhollow/standins/redis/string_commands.py
+++ b/hazelhollow/standins/redis/string_commands.py
@@ -24,7 +24,7 @@
 
 @dataclass
 class SetOptions:
-    """What follows key and value in SET; `expires_at` in seconds of the keyspace's clock."""
+    """The options of SET; `expires_at` is in seconds of the keyspace's clock."""
 
     flags: set[bytes]
     expires_at: float | None = None
@@ -41,7 +41,7 @@
 
 def _set(keyspace: Keyspace, database: int, args: list[bytes]) -> Reply:
     key, value = args[0], args[1]
-    options = _set_options(keyspace, args[2:])
+    options = _parse_set_options(keyspace, args[2:])
     old = keyspace.string(database, key) if b"GET" in options.flags else None
     exists = keyspace.find(database, key) is not None
     if (b"NX" in options.flags and exists) or (b"XX" in options.flags and not exists):
@@ -52,7 +52,7 @@
     return old if b"GET" in options.flags else OK
 
 
-def _set_options(keyspace: Keyspace, args: list[bytes]) -> SetOptions:
+def _parse_set_options(keyspace: Keyspace, args: list[bytes]) -> SetOptions:
     options = SetOptions(set())
     arguments = [argument.upper() for argument in args]
     while arguments:
@@ -60,7 +60,7 @@
         if argument in _FLAGS:
             options.flags.add(argument)
         elif argument in _EXPIRIES and options.expires_at is None and arguments:
-            options.expires_at = _expiry(keyspace, argument, arguments.pop(0))
+            options.expires_at = _parse_expiry(keyspace, argument, arguments.pop(0))
         else:
             raise CommandError(SYNTAX)
     if options.flags >= {b"NX", b"XX"} or (
@@ -70,7 +70,7 @@
     return options
 
 
-def _expiry(keyspace: Keyspace, option: bytes, text: bytes) -> float:
+def _parse_expiry(keyspace: Keyspace, option: bytes, text: bytes) -> float:
     amount = parse_integer(text)
     if amount <= 0:
         raise CommandError("ERR invalid expire time in 'set' command")
--- a/hazelhollow/standins/redis/transaction_commands.py
+++ b/hazelhollow/standins/redis/transaction_commands.py
@@ -1,4 +1,4 @@
-"""MULTI, EXEC, DISCARD, WATCH, UNWATCH."""
+"""Commands on transactions: MULTI, EXEC, DISCARD, WATCH, UNWATCH."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from hazelhollow.standins.redis.session import Session
 from hazelhollow.standins.redis.values import NULL_ARRAY, OK, QUEUED, CommandError, Reply
 
-MAX_QUEUED = 10_000  # commands within one MULTI
+MAX_QUEUED_COMMANDS = 10_000  # in one transaction
 
 
 def multi(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """MULTI: what follows is queued."""
+    """Executes MULTI: the commands that follow are queued."""
     if session.transaction is not None:
         raise CommandError("ERR MULTI calls can not be nested")
     session.transaction, session.transaction_failed = [], False
@@ -22,7 +22,7 @@
 def queue(session: Session, arguments: list[bytes]) -> Reply:
     """Queues a command of an open transaction."""
     assert session.transaction is not None
-    if len(session.transaction) >= MAX_QUEUED:
+    if len(session.transaction) >= MAX_QUEUED_COMMANDS:
         raise CommandError("ERR too many commands in a transaction")
     session.transaction.append(arguments)
     return QUEUED
@@ -31,13 +31,13 @@
 def execute_queued(
     state: ServerState, session: Session, run: Callable[[list[bytes]], Reply]
 ) -> Reply:
-    """EXEC: runs each queued command by `run`, or none of them where a watched key has changed."""
+    """Executes EXEC: runs each queued command by `run`, or none if a watched key has changed."""
     if session.transaction is None:
         raise CommandError("ERR EXEC without MULTI")
     queued, failed = session.transaction, session.transaction_failed
     unchanged = all(
         state.engine.version(database, key) == version
-        for (database, key), version in session.watched.items()
+        for (database, key), version in session.watched_versions.items()
     )
     session.end_transaction()
     if failed:
@@ -54,7 +54,7 @@
 
 
 def discard(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """DISCARD."""
+    """Executes DISCARD."""
     if session.transaction is None:
         raise CommandError("ERR DISCARD without MULTI")
     session.end_transaction()
@@ -62,17 +62,17 @@
 
 
 def watch(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """WATCH key ..."""
+    """Executes WATCH key ..."""
     if session.transaction is not None:
         raise CommandError("ERR WATCH inside MULTI is not allowed")
     for key in args:
-        session.watched.setdefault(
+        session.watched_versions.setdefault(
             (session.database, key), state.engine.version(session.database, key)
         )
     return OK
 
 
 def unwatch(state: ServerState, session: Session, args: list[bytes]) -> Reply:
-    """UNWATCH."""
-    session.watched.clear()
+    """Executes UNWATCH."""
+    session.watched_versions.clear()
     return OK
--- a/hazelhollow/standins/redis/values.py
+++ b/hazelhollow/standins/redis/values.py
@@ -1,6 +1,6 @@
-"""Values that the stand-in stores, its replies, and a reply's bytes.
+"""Stored values, replies, and the encoding of replies.
 
-Source of the encoding: the public page on the Redis serialization protocol, version 2.
+Source of the encoding: the public specification of the Redis serialization protocol, version 2.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from typing import Union
 
 MAX_INT, MIN_INT = 2**63 - 1, -(2**63)
-MAX_PLAIN_FLOAT = 1e17  # above it a whole double is written with an exponent
+MAX_PLAIN_FLOAT = 1e17  # from here on an integral double is written with an exponent
 _INT = re.compile(rb"-?(0|[1-9][0-9]*)")
 _FLOAT = re.compile(rb"[+-]?(\d+\.?\d*([eE][+-]?\d+)?|\.\d+([eE][+-]?\d+)?|inf|infinity)", re.I)
 
 
 class Status(bytes):
-    """A simple string: `+OK`."""
+    """A simple string, such as `+OK`."""
 
 
 class CommandError(Exception):
-    """An error reply; its first argument is the code, as clients expect."""
+    """An error reply; its first word is the error code, as clients expect."""
 
     def __init__(self, text: str) -> None:
         super().__init__(text)
@@ -28,7 +28,7 @@
 
 
 class NullArray:
-    """What EXEC replies when a watched key has changed."""
+    """The reply of EXEC if a watched key has changed."""
 
 
 OK, QUEUED, NULL_ARRAY = Status(b"OK"), Status(b"QUEUED"), NullArray()
@@ -47,7 +47,7 @@
     """Scores by member."""
 
     def ranked(self) -> list[tuple[bytes, float]]:
-        """Members and scores by score, those of one score by member."""
+        """Returns members and scores ordered by score, then by member."""
         return sorted(self.items(), key=lambda item: (item[1], item[0]))
 
 
@@ -57,7 +57,7 @@
 
 @dataclass
 class Entry:
-    """One key's value, expiry (seconds of the keyspace's clock) and number of its last change."""
+    """One key's value, its expiry time (seconds of the keyspace's clock) and its version."""
 
     value: Value
     expires_at: float | None = None
@@ -72,21 +72,33 @@
 
 
 def parse_integer(text: bytes, error: str = NOT_INT) -> int:
-    """A 64-bit integer as Redis takes it. Raises `CommandError` with the text `error`."""
+    """Parses a 64-bit integer as Redis does.
+
+    Raises:
+        CommandError: the text is not such an integer; the reply is `error`.
+    """
     if not _INT.fullmatch(text) or text == b"-0" or not MIN_INT <= int(text) <= MAX_INT:
         raise CommandError(error)
     return int(text)
 
 
 def parse_float(text: bytes, error: str = NOT_FLOAT) -> float:
-    """A double as Redis takes it. Raises `CommandError` with the text `error`."""
+    """Parses a double as Redis does.
+
+    Raises:
+        CommandError: the text is not a double; the reply is `error`.
+    """
     if not _FLOAT.fullmatch(text):
         raise CommandError(error)
     return float(text)
 
 
 def add_integers(old: int, amount: int) -> int:
-    """The sum. Raises `CommandError` where it does not fit 64 bits."""
+    """Returns the sum.
+
+    Raises:
+        CommandError: the sum does not fit 64 bits.
+    """
     total = old + amount
     if not MIN_INT <= total <= MAX_INT:
         raise CommandError(OVERFLOW)
@@ -94,7 +106,11 @@
 
 
 def add_floats(old: float, amount: float) -> float:
-    """The sum. Raises `CommandError` where it is not finite."""
+    """Returns the sum.
+
+    Raises:
+        CommandError: the sum is not finite.
+    """
     total = old + amount
     if total - total != 0:
         raise CommandError(NOT_FINITE)
@@ -102,14 +118,14 @@
 
 
 def format_float(value: float) -> bytes:
-    """As Redis arguments a double: at most 17 digits and no needless ones."""
+    """Formats a double as Redis does: at most 17 digits, without superfluous ones."""
     if value == int(value) and abs(value) < MAX_PLAIN_FLOAT:
         return b"%d" % int(value)
     return repr(value).encode()
 
 
 def encode(reply: Reply) -> bytes:
-    """A reply's bytes."""
+    """Returns the encoded reply."""
     if isinstance(reply, Status):
         return b"+%b\r\n" % reply
     if isinstance(reply, bytes):
