--- a/hazelhollow/fault_injection/fault_player.py
+++ b/hazelhollow/fault_injection/fault_player.py
@@ -148,7 +148,7 @@
         if name in self._cluster.hosts:
             self._notify_discovery_later(name)
         if event.what == "restart" and process.status:
-            self.crashes.append(f"{name} ended with status {process.status} when told to end")
+            self.crashes.append(f"{name} ended with status {process.status} after SIGTERM")
         if event.what == "kill" and not event.lasts:
             self._gone.add(name)
             return
--- a/tests/fault_injection/test_discovery.py
+++ b/tests/fault_injection/test_discovery.py
@@ -8,9 +8,9 @@
 from hazelhollow.standins.discovery import Discovery, Host
 
 
-def test_discovery_gives_each_limiter_its_addresses_and_a_snapshot_for_an_unknown_index() -> None:
-    """Each limiter gets the addresses meant for it. After discovery restarts, an index that it no
-    longer knows is answered with a snapshot.
+def test_each_limiter_gets_its_addresses_and_a_snapshot_after_a_restart() -> None:
+    """Each limiter gets its own addresses of the endpoints. After discovery has restarted with an
+    older index, a call with a newer index is answered with a snapshot.
     """
     discovery = Discovery(Scheduler(Clock()))
     discovery.change(Host("h0", {"n0": "a:1", "n1": "b:1"}))
--- a/tests/fault_injection/test_process_group.py
+++ b/tests/fault_injection/test_process_group.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes: the supervisor, its commands, and that no process outlives them."""
+"""Fleets of real processes: the supervisor, its commands, and the end of all processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from hazelhollow.fault_injection.errors import CommandError
 
 
-def test_command_without_its_library_names_it(
+def test_command_whose_library_is_missing_names_it(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """A command needs an optional library that is not installed: it exits with status 2 and names
@@ -40,11 +40,11 @@
 
 @pytest.fixture
 def start_fleet() -> Any:
-    """What a test that fails has left is ended."""
+    """A function that starts fleets; they are killed after the test, even if it fails."""
     started: list[subprocess.Popen[bytes]] = []
 
     def start(folder: Path) -> subprocess.Popen[bytes]:
-        started.append(started_fleet(folder))
+        started.append(start_ready_fleet(folder))
         return started[-1]
 
     yield start
@@ -53,7 +53,7 @@
         process.wait()
 
 
-def started_fleet(folder: Path) -> subprocess.Popen[bytes]:
+def start_ready_fleet(folder: Path) -> subprocess.Popen[bytes]:
     command = [
         sys.executable,
         "-m",
@@ -75,22 +75,22 @@
     return process
 
 
-def wait_until(met: Callable[[], bool], watched: subprocess.Popen[bytes]) -> None:
-    """A condition, however long it takes within a bound that no sound machine needs."""
-    done = select.poll()
+def wait_until(condition: Callable[[], bool], supervisor_process: subprocess.Popen[bytes]) -> None:
+    """Waits for a condition, for at least 30 s: much longer than a working machine needs."""
+    timer = select.poll()  # without descriptors, so that poll() only waits
     for _ in range(3000):
-        if met():
+        if condition():
             return
-        done.poll(10)
-        watched.poll()
-    raise AssertionError("not met")
+        timer.poll(10)
+        supervisor_process.poll()
+    raise AssertionError("the condition was not met within 3000 checks, 10 ms apart")
 
 
 def test_commands_inject_faults_and_down_leaves_nothing(
     tmp_path: Path, start_fleet: Callable[[Path], subprocess.Popen[bytes]]
 ) -> None:
-    """An operator cuts a link, kills and restarts a limiter by command; after `down` no process and
-    no state folder remain.
+    """An operator cuts a link, and kills and restarts a limiter by commands. After `down` no
+    process and no state folder remain.
     """
     folder = tmp_path / "fleet"
     process = start_fleet(folder)
@@ -113,16 +113,16 @@
     assert [(link["from"], link["to"]) for link in status["links"]] == [("n0", "n1")]
     supervisor.command(folder, do="kill", name="n1")
 
-    def rows() -> dict[str, str]:
+    def states() -> dict[str, str]:
         return {
             row["name"]: row["state"]
             for row in supervisor.command(folder, do="status")["processes"]
         }
 
-    wait_until(lambda: rows()["n1"] == "ended", process)
+    wait_until(lambda: states()["n1"] == "ended", process)
     supervisor.command(folder, do="start", name="n1")
     supervisor.command(folder, do="heal")
-    assert supervisor.command(folder, do="status")["links"] == [] and rows()["n1"] == "running"
+    assert supervisor.command(folder, do="status")["links"] == [] and states()["n1"] == "running"
     supervisor.command(folder, do="down")
     assert process.wait() == 0
     assert not any(alive(pid) for pid in pids) and not folder.exists()
@@ -131,7 +131,7 @@
 def test_command_with_a_wrong_token_is_refused(
     tmp_path: Path, start_fleet: Callable[[Path], subprocess.Popen[bytes]]
 ) -> None:
-    """A state file with a forged token, or none at all, must not end somebody else's fleet."""
+    """A state file with a forged token, or a missing one, must not end another user's fleet."""
     folder, other = tmp_path / "fleet", tmp_path / "other"
     process = start_fleet(folder)
     state = json.loads((folder / supervisor.FILE).read_text())
@@ -145,7 +145,7 @@
     assert process.wait() == 0 and not folder.exists()
 
 
-def sweeper_of(folder: Path) -> int:
+def find_sweeper(folder: Path) -> int:
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
             command = path.read_bytes().split(b"\0")
@@ -156,22 +156,22 @@
             and str(folder).encode() in command
         ):
             return int(path.parent.name)
-    raise AssertionError("no process sweeper")
+    raise AssertionError(f"no process sweeper of {folder} is running")
 
 
 @pytest.mark.parametrize("kill_sweeper", [False, True])
 def test_no_process_outlives_a_killed_supervisor(
     tmp_path: Path, kill_sweeper: bool, start_fleet: Callable[[Path], subprocess.Popen[bytes]]
 ) -> None:
-    """The supervisor is killed, and in the second case its process sweeper too, while a limiter is
-    stopped. All processes must end all the same.
+    """The supervisor is killed, and in the second case also its process sweeper, while a limiter is
+    paused. All processes must still end.
     """
     folder = tmp_path / "fleet"
     process = start_fleet(folder)
     pids = [int(line.split()[0]) for line in (folder / "pids").read_text().splitlines()]
-    os.kill(pids[1], signal.SIGSTOP)  # one that stands still must go too
+    os.kill(pids[1], signal.SIGSTOP)  # a paused process must end too
     if kill_sweeper:
-        os.kill(sweeper_of(folder), signal.SIGKILL)
+        os.kill(find_sweeper(folder), signal.SIGKILL)
     process.kill()
     process.wait()
     wait_until(
@@ -182,8 +182,8 @@
 def test_sweeper_spares_a_process_that_reuses_a_listed_pid(
     tmp_path: Path,
 ) -> None:
-    """A listed process ended and its number was given to another. The sweeper tells them apart by
-    their start times and kills only the listed one, even if a line was half written.
+    """A listed process ended, and its PID was assigned to another. The sweeper distinguishes them
+    by their start times and kills only processes that are listed, even if a line is incomplete.
     """
     both = [
         subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) for _ in range(2)
@@ -201,9 +201,9 @@
     both[1].wait()
 
 
-def test_run_with_a_partition_and_a_kill_loses_nothing(tmp_path: Path) -> None:
-    """One limiter is cut off and another killed under load. No request may be lost, doubled or
-    repeated against the rules, and no ceiling passed.
+def test_run_with_a_partition_and_a_kill_violates_no_guarantee(tmp_path: Path) -> None:
+    """One limiter is partitioned and another killed under load. No request may be lost, answered
+    twice or repeated although that is not allowed, and no ceiling may be exceeded.
     """
     source, out = tmp_path / "plan.json", tmp_path / "out.json"
     events = (
@@ -222,16 +222,16 @@
         str(out),
     ]
     assert subprocess.run(command, capture_output=True).returncode == 0
-    found = json.loads(out.read_text())
+    figures = json.loads(out.read_text())
     assert (
-        found["requests"] > 300
-        and found["accepted"] > 100
-        and (found["cuts"], found["kills"]) == (1, 1)
+        figures["requests"] > 300
+        and figures["accepted"] > 100
+        and (figures["cuts"], figures["kills"]) == (1, 1)
     )
     assert {
-        key: found[key]
+        key: figures[key]
         for key in ("lost", "doubled", "untrue_answers", "repeats_not_allowed", "ceilings_passed")
     } == dict.fromkeys(
         ("lost", "doubled", "untrue_answers", "repeats_not_allowed", "ceilings_passed"), 0
     )
-    assert plan.read(json.dumps(found["plan"])).events == events
+    assert plan.read(json.dumps(figures["plan"])).events == events
--- a/tests/fault_injection/test_relay_faults.py
+++ b/tests/fault_injection/test_relay_faults.py
@@ -17,16 +17,19 @@
 
 
 def readable(sock: socket.socket, seconds: float) -> bool:
-    """Not by select(): a run of many tests may hold more descriptors than that can name."""
+    """Whether the socket becomes readable.
+
+    poll() is used because a run of many tests may hold descriptors beyond the range of select().
+    """
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(seconds * 1000))
 
 
 class Net:
-    """Two datagram sockets, `a` and `b`, that know each other by the relay's addresses.
+    """Two datagram sockets, `a` and `b`, that reach each other through the relay.
 
-    The clock is set by hand.
+    The test sets the clock.
     """
 
     def __init__(self) -> None:
@@ -35,9 +38,10 @@
         self.relay = Relay(self.scheduler, seed=1)
         self.socks = {name: self._sock() for name in "ab"}
         own = {name: sock.getsockname() for name, sock in self.socks.items()}
-        self.known = {"a": self._free(), "b": self._free()}  # by whom it stands for
+        # The relay's addresses, by the socket that each represents.
+        self.relayed = {"a": self._free_address(), "b": self._free_address()}
         for sender, receiver in (("a", "b"), ("b", "a")):
-            route = DatagramRoute(self.known[receiver], own[sender], own[receiver])
+            route = DatagramRoute(self.relayed[receiver], own[sender], own[receiver])
             self.relay.relay_datagrams(sender, receiver, route)
 
     @staticmethod
@@ -47,15 +51,15 @@
         sock.setblocking(False)
         return sock
 
-    def _free(self) -> tuple[str, int]:
+    def _free_address(self) -> tuple[str, int]:
         with self._sock() as sock:
             address: tuple[str, int] = sock.getsockname()
             return address
 
-    def send(self, who: str, *texts: str) -> None:
-        other = "b" if who == "a" else "a"
+    def send(self, sender: str, *texts: str) -> None:
+        other = "b" if sender == "a" else "a"
         for text in texts:
-            self.socks[who].sendto(text.encode(), self.known[other])
+            self.socks[sender].sendto(text.encode(), self.relayed[other])
         self.turn()
 
     def turn(self, seconds: float = 0.0) -> None:
@@ -63,15 +67,14 @@
         for _ in range(6):
             self.scheduler.turn(longest=0.001)
 
-    def got(self, who: str) -> list[str]:
-        found = []
-        while readable(self.socks[who], 0.01):
-            data, sender = self.socks[who].recvfrom(100)
-            assert (
-                sender == self.known["b" if who == "a" else "a"]
-            )  # the peer's own, as the receiver knows it
-            found.append(data.decode())
-        return found
+    def receive_all(self, receiver: str) -> list[str]:
+        received = []
+        while readable(self.socks[receiver], 0.01):
+            data, sender = self.socks[receiver].recvfrom(100)
+            # The receiver must see the relay's address that represents the sender.
+            assert sender == self.relayed["b" if receiver == "a" else "a"]
+            received.append(data.decode())
+        return received
 
     def close(self) -> None:
         self.relay.close()
@@ -103,16 +106,16 @@
 def test_fault_affects_only_its_direction(
     network: Net, fault: LinkFault, passes: list[str], other_way: list[str]
 ) -> None:
-    """A fault from a to b changes what b receives and leaves the way from b to a untouched."""
+    """A fault from a to b affects what b receives, but not the direction from b to a."""
     network.relay.begin(fault, [("a", "b")])
     network.send("a", "1", "2")
     network.send("b", "3")
-    assert (network.got("b"), network.got("a")) == (passes, other_way)
+    assert (network.receive_all("b"), network.receive_all("a")) == (passes, other_way)
 
 
-def test_stalled_and_delayed_datagrams_arrive_late_and_partitioned_ones_never(network: Net) -> None:
-    """After a stall or a delay the datagrams that waited arrive; those sent into a partition are
-    lost for good.
+def test_datagrams_arrive_after_a_stall_or_delay_but_not_a_partition(network: Net) -> None:
+    """After a stall or a delay the datagrams that were held back arrive; those sent during a
+    partition are lost.
     """
     for fault, late in (
         (LinkFault(stalled=True), ["x"]),
@@ -123,31 +126,31 @@
         network.send("a", "x")
         network.relay.end(number)
         network.turn(0.6)
-        assert network.got("b") == late
+        assert network.receive_all("b") == late
 
 
 def test_ending_a_fault_leaves_an_overlapping_one_active(network: Net) -> None:
-    """Two partitions overlap on one link. Ending one of them must not heal the link."""
+    """Two partitions overlap on one link. Ending one of them must not restore the link."""
     first = network.relay.begin(LinkFault(partitioned=True), [("a", "b")])
     second = network.relay.begin(LinkFault(partitioned=True), [("a", "b"), ("b", "a")])
     network.relay.end(second)
     network.send("a", "x")
-    assert network.got("b") == []
+    assert network.receive_all("b") == []
     network.relay.end(first)
     network.send("a", "y")
-    assert network.got("b") == ["y"]
+    assert network.receive_all("b") == ["y"]
 
 
 def test_datagram_of_an_unknown_sender_is_dropped(network: Net) -> None:
-    """A forged datagram from a socket that the relay does not know must not reach a peer."""
-    with Net._sock() as stranger:
-        stranger.sendto(b"forged", network.known["b"])
+    """A forged datagram from a socket that is not part of the cluster must not reach a peer."""
+    with Net._sock() as foreign_socket:
+        foreign_socket.sendto(b"forged", network.relayed["b"])
         network.turn()
-        assert network.got("b") == []
+        assert network.receive_all("b") == []
 
 
 class Wire:
-    """A listener behind the relay and one client of it."""
+    """A server and one client that is connected to it through the relay."""
 
     def __init__(self) -> None:
         self.scheduler = Scheduler(Clock())
@@ -157,22 +160,23 @@
             listen = probe.getsockname()
         self.relay.relay_connections("c", "n0", listen, self.server.getsockname())
         self.client = socket.create_connection(listen)
-        self.until(lambda: readable(self.server, 0))
+        self.run_until(lambda: readable(self.server, 0))
         self.far, _ = self.server.accept()
         for sock in (self.client, self.far):
             sock.setblocking(False)
 
-    def until(self, met: Callable[[], bool]) -> None:
+    def run_until(self, condition: Callable[[], bool]) -> None:
         for _ in range(2000):
             self.scheduler.turn(longest=0.005)
-            if met():
+            if condition():
                 return
-        raise AssertionError("not met")
+        raise AssertionError("the condition was not met within 2000 turns of the scheduler")
 
     def receives(self, sock: socket.socket) -> bytes | None:
-        """What has come after some turns.
+        """Returns what has arrived after some turns: None if nothing, b"" at the end of the stream.
 
-        None: nothing, b"": the end; raises ConnectionResetError.
+        Raises:
+            ConnectionResetError: the connection was reset.
         """
         for _ in range(20):
             self.scheduler.turn(longest=0.002)
@@ -187,9 +191,9 @@
             sock.close()
 
 
-def test_stalled_connection_resumes_and_a_partition_resets_one_whose_bytes_it_held() -> None:
-    """A stalled connection delivers its bytes once the stall ends. A partition that swallowed bytes
-    resets the connection when it heals, since the stream has a gap.
+def test_connection_resumes_after_a_stall_and_is_reset_after_a_partition() -> None:
+    """A stalled connection delivers its bytes once the stall ends. A connection whose bytes a
+    partition held back is reset when the partition ends, since the stream has a gap.
     """
     wire = Wire()
     wire.client.send(b"one")
@@ -209,8 +213,10 @@
     wire.close()
 
 
-def test_reset_fault_resets_connections_and_a_close_stays_a_close() -> None:
-    """An orderly close passes the relay as an end of stream; a reset fault shows as a reset."""
+def test_reset_fault_resets_a_connection_and_a_close_ends_it_orderly() -> None:
+    """The relay passes on an orderly close as the end of the stream; a reset fault arrives as a
+    connection reset.
+    """
     wire = Wire()
     wire.far.close()
     assert wire.receives(wire.client) == b""
--- a/tests/standins/test_redis.py
+++ b/tests/standins/test_redis.py
@@ -1,4 +1,4 @@
-"""The stand-in for Redis, checked by an independent client (redis-py) on real sockets."""
+"""The stand-in for Redis, tested with an independent client (redis-py) on real sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import redis
 from click.testing import CliRunner
 from hypothesis import given
-from hypothesis import settings as hyp
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from redis.backoff import NoBackoff
 from redis.retry import Retry
@@ -24,24 +24,24 @@
 from hazelhollow.standins.redis.node import Node
 
 
-class Running:
-    """Stand-ins in a thread of their own, with a clock that tests move."""
+class RunningStandin:
+    """Stand-in servers in a separate thread, with a clock that the test advances."""
 
     def __init__(self, shards: int = 1, **options: Any) -> None:
-        self.offset, self.up, self.servers = 0.0, threading.Event(), list[server.Server]()
-        self.over = False
+        self.clock_offset, self.up, self.servers = 0.0, threading.Event(), list[server.Server]()
+        self.is_stopping = False
         self.thread = threading.Thread(target=self._run, args=(shards, options), daemon=True)
         self.thread.start()
         assert self.up.wait(10)
         self.port = self.servers[0].address[1]
 
     def _run(self, shards: int, options: dict[str, Any]) -> None:
-        scheduler = Scheduler(lambda: time.time() + self.offset)
+        scheduler = Scheduler(lambda: time.time() + self.clock_offset)
         self.servers = server.start(
             scheduler, ("127.0.0.1", 0), server.ServerOptions(shards=shards, **options)
         )
         self.up.set()
-        while not self.over:
+        while not self.is_stopping:
             scheduler.turn(longest=0.005)
         for stand_in in self.servers:
             stand_in.close()
@@ -58,15 +58,15 @@
 
 
 @pytest.fixture
-def standin() -> Iterator[Running]:
-    running = Running(seed=1)
+def standin() -> Iterator[RunningStandin]:
+    running = RunningStandin(seed=1)
     yield running
-    running.over = True
+    running.is_stopping = True
     running.thread.join(5)
 
 
-def ask(connection: Any, line: str) -> Any:
-    """The plain answer to a command of words without spaces; an error's whole text."""
+def send_line(connection: Any, line: str) -> Any:
+    """Returns the reply to a command whose arguments contain no spaces, or the error's text."""
     connection.send_command(*line.split(), check_health=False)
     try:
         return connection.read_response()
@@ -81,7 +81,7 @@
 WRONG = "ResponseError: WRONGTYPE Operation against a key holding the wrong kind of value"
 NOT_INT = "ResponseError: value is not an integer or out of range"
 NOT_FLOAT = "ResponseError: value is not a valid float"
-TABLE: list[tuple[str, Any]] = [
+EXPECTED_REPLIES: list[tuple[str, Any]] = [
     ("PING", b"PONG"),
     ("PING hi", b"hi"),
     ("ECHO hi", b"hi"),
@@ -260,16 +260,16 @@
 ]
 
 
-def test_every_command_answers_as_the_reference_says(standin: Running) -> None:
+def test_commands_reply_as_in_the_reference(standin: RunningStandin) -> None:
     connection = standin.connection()
-    for line, expected in TABLE:
-        got = ask(connection, line)
+    for line, expected in EXPECTED_REPLIES:
+        got = send_line(connection, line)
         if isinstance(expected, str) and isinstance(got, str):
             got = (
                 got.split(" script: ")[0].replace("ResponseError: ERR ", "ResponseError: ").strip()
             )
         assert got == expected, line
-    assert ask(connection, "HELLO 2")[:6] == [
+    assert send_line(connection, "HELLO 2")[:6] == [
         b"server",
         b"redis",
         b"version",
@@ -277,10 +277,10 @@
         b"proto",
         2,
     ]
-    assert len(ask(connection, "TIME")) == 2
+    assert len(send_line(connection, "TIME")) == 2
 
 
-def test_the_client_librarys_own_ways_work(standin: Running) -> None:
+def test_client_library_pipelines_transactions_and_scripts_work(standin: RunningStandin) -> None:
     client = standin.client()
     with client.pipeline(transaction=True) as pipe:
         pipe.watch("k")
@@ -294,20 +294,20 @@
     script = client.register_script("return redis.call('INCRBY', KEYS[1], ARGV[1])")
     assert script(keys=["k"], args=[5]) == 7
     client.script_flush()
-    assert script(keys=["k"], args=[5]) == 12  # it loads the script anew on NOSCRIPT
+    assert script(keys=["k"], args=[5]) == 12  # the client reloads the script after NOSCRIPT
     assert client.info("server")["run_id"] and sorted(client.scan_iter()) == [b"h", b"k"]
 
 
-def test_keys_end_by_the_clock_that_is_given(standin: Running) -> None:
+def test_keys_expire_by_the_injected_clock(standin: RunningStandin) -> None:
     client = standin.client()
     client.set("a", 1, px=1500)
     client.hset("h", "x", 1)
     client.pexpire("h", 5000)
-    standin.offset += 1.4
+    standin.clock_offset += 1.4
     assert client.exists("a") and 0 < client.pttl("a") <= 100
-    standin.offset += 0.2
+    standin.clock_offset += 0.2
     assert not client.exists("a") and client.dbsize() == 1
-    standin.offset += 5
+    standin.clock_offset += 5
     assert client.dbsize() == 0
 
 
@@ -329,7 +329,7 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 1000])
-def test_commands_come_inline_or_as_arrays_split_anywhere(
+def test_inline_and_array_commands_parse_when_split_anywhere(
     data: bytes, answer: bytes, step: int
 ) -> None:
     node, got = Node(lambda: 0.0), b""
@@ -341,9 +341,9 @@
     assert got == answer and session.closed == answer.startswith(b"-ERR Protocol")
 
 
-@hyp(max_examples=200)
+@hypothesis_settings(max_examples=200)
 @given(st.binary(max_size=120))
-def test_no_bytes_stop_the_stand_in(data: bytes) -> None:
+def test_arbitrary_bytes_do_not_disturb_another_session(data: bytes) -> None:
     node = Node(lambda: 0.0)
     session = node.connect()
     assert session
@@ -355,7 +355,10 @@
     assert [out.data for out in node.turn() if out.session is other] == [b"+PONG\r\n"]
 
 
-def test_a_script_that_runs_or_grows_for_ever_is_ended(standin: Running) -> None:
+def test_script_without_bounds_or_with_forbidden_access_fails(standin: RunningStandin) -> None:
+    """Scripts that run for ever, use too much memory or reach outside their globals end with an
+    error, and the server goes on serving.
+    """
     client = standin.client()
     for text in (
         "while true do end",
@@ -370,11 +373,11 @@
     assert client.ping()
 
 
-def test_a_password_is_asked_for() -> None:
-    running = Running(password="secret")
+def test_client_without_the_password_is_refused() -> None:
+    running = RunningStandin(password="secret")
     try:
         with socket.create_connection(("127.0.0.1", running.port)) as plain:
-            for line, word in [
+            for line, expected_text in [
                 ("PING", b"-NOAUTH"),
                 ("AUTH wrong", b"-WRONGPASS"),
                 ("HELLO 2", b"-NOAUTH HELLO"),
@@ -382,21 +385,21 @@
                 ("PING", b"+PONG"),
             ]:
                 plain.sendall(line.encode() + b"\r\n")
-                assert plain.recv(1000).startswith(word)
+                assert plain.recv(1000).startswith(expected_text)
         assert running.client(password="secret").ping()
         with pytest.raises(redis.AuthenticationError):
             running.client(password="no").ping()
     finally:
-        running.over = True
+        running.is_stopping = True
 
 
-def test_a_cluster_spreads_slots_and_sends_clients_on() -> None:
+def test_cluster_distributes_slots_and_redirects_clients() -> None:
     assert slots.crc16(b"123456789") == 0x31C3  # the specification's own example
     assert (
         slots.slot_of(b"a{user}b") == slots.slot_of(b"user")
         and slots.slot_of(b"{}a") == slots.crc16(b"{}a") % 16384
     )
-    running = Running(shards=3)
+    running = RunningStandin(shards=3)
     try:
         cluster: Any = redis.RedisCluster(host="127.0.0.1", port=running.port, protocol=2)
         for n in range(50):
@@ -404,45 +407,47 @@
         assert [int(cluster.get(f"key{n}")) for n in range(50)] == list(range(50))
         assert all(each.node.state.engine.databases[0].entries for each in running.servers)
         connection = running.connection()
-        away = next(
+        foreign_key = next(
             f"k{n}" for n in range(100) if slots.slot_of(b"k%d" % n) in slots.slot_ranges(3)[2]
         )
         port = running.servers[2].address[1]
-        assert f"{slots.slot_of(away.encode())} 127.0.0.1:{port}" in ask(connection, f"GET {away}")
-        assert "CROSSSLOT" in ask(connection, "MGET a b") or "hash to the same slot" in ask(
-            connection, "MGET a b"
+        assert f"{slots.slot_of(foreign_key.encode())} 127.0.0.1:{port}" in send_line(
+            connection, f"GET {foreign_key}"
         )
-        assert "same slot" in ask(connection, "EVAL return(1) 2 a b")
-        assert len(ask(connection, "CLUSTER SHARDS")) == 3
+        assert "CROSSSLOT" in send_line(
+            connection, "MGET a b"
+        ) or "hash to the same slot" in send_line(connection, "MGET a b")
+        assert "same slot" in send_line(connection, "EVAL return(1) 2 a b")
+        assert len(send_line(connection, "CLUSTER SHARDS")) == 3
     finally:
-        running.over = True
+        running.is_stopping = True
 
 
 # Faults
 
 
-def fault(standin: Running, *arguments: object) -> None:
+def inject_fault(standin: RunningStandin, *arguments: object) -> None:
     assert standin.client().execute_command("STANDIN", "FAULT", *arguments)
 
 
-def test_errors_of_a_store_in_trouble(standin: Running) -> None:
+def test_error_fault_makes_commands_fail_until_it_is_cleared(standin: RunningStandin) -> None:
     connection, client = standin.connection(), standin.client()
     assert client.ping()
-    for kind, word, line in [
+    for kind, expected_text, line in [
         ("loading", "BusyLoadingError", "PING"),
         ("readonly", "ReadOnlyError", "SET a 1"),
         ("oom", "OutOfMemoryError", "SET a 1"),
         ("busy", "BUSY", "PING"),
         ("oom", "OutOfMemoryError", "EVAL return(redis.call('SET','a',1)) 0"),
     ]:
-        assert word not in str(ask(connection, line))
-        fault(standin, kind)
-        assert word in ask(connection, line), kind
+        assert expected_text not in str(send_line(connection, line))
+        inject_fault(standin, kind)
+        assert expected_text in send_line(connection, line), kind
         client.execute_command("STANDIN", "CLEAR")
-    assert ask(connection, "DEL a") == 1
+    assert send_line(connection, "DEL a") == 1
 
 
-def test_endings_of_a_connection(standin: Running) -> None:
+def test_connection_fault_ends_it_before_or_after_the_command(standin: RunningStandin) -> None:
     client = standin.client()
     assert client.ping()
     for kind, total in [
@@ -452,8 +457,8 @@
         ("garbage", b"3"),
     ]:
         victim = standin.client()
-        assert victim.ping()  # the handshake of a new connection would be hit too
-        fault(standin, kind, "share", "1", "lasts", "1h")
+        assert victim.ping()  # connects first: the fault would also affect the handshake
+        inject_fault(standin, kind, "share", "1", "lasts", "1h")
         with pytest.raises(
             (
                 redis.ConnectionError,
@@ -465,50 +470,50 @@
         ):
             victim.incr("n")
         client.execute_command("STANDIN", "CLEAR")
-        assert (client.get("n") or b"0") == total, kind  # whether it ran is what the name says
+        assert (client.get("n") or b"0") == total, kind  # only `cut_before` prevents the command
     victim = standin.client(socket_timeout=0.2)
     assert victim.ping()
-    fault(standin, "lost")
+    inject_fault(standin, "lost")
     with pytest.raises(redis.TimeoutError):
         victim.incr("n")
     client.execute_command("STANDIN", "CLEAR")
     assert client.get("n") == b"4"
 
 
-def test_restarts_forget_all_or_the_latest(standin: Running) -> None:
+def test_restart_loses_all_data_or_the_latest_changes(standin: RunningStandin) -> None:
     node, client = standin.servers[0].node, standin.client()
     node.state.snapshots.enabled = True
     client.set("a", 1)
-    standin.offset += 2
+    standin.clock_offset += 2
     client.ping()
-    standin.offset += 10
+    standin.clock_offset += 10
     client.set("a", 2)
     run = client.info("server")["run_id"]
-    held = standin.connection()
-    ask(held, "PING")
-    fault(standin, "restart_old", "age", "5s", "lasts", "0ms")
+    open_connection = standin.connection()
+    send_line(open_connection, "PING")
+    inject_fault(standin, "restart_old", "age", "5s", "lasts", "0ms")
     with pytest.raises(redis.ConnectionError):
-        ask(held, "PING")
+        send_line(open_connection, "PING")
     assert client.get("a") == b"1" and client.info("server")["run_id"] != run
-    fault(standin, "restart_empty", "lasts", "1s")
+    inject_fault(standin, "restart_empty", "lasts", "1s")
     with pytest.raises(redis.ConnectionError):
-        standin.client().ping()  # nobody can connect meanwhile
-    standin.offset += 2
+        standin.client().ping()  # no connection is accepted during the restart
+    standin.clock_offset += 2
     assert standin.client().get("a") is None
 
 
-def test_a_jump_of_the_clock_and_flushed_scripts(standin: Running) -> None:
+def test_clock_jump_moves_time_and_script_flush_unloads_scripts(standin: RunningStandin) -> None:
     client = standin.client()
     before = client.time()[0]
     sha = client.script_load("return 1")
-    fault(standin, "clock_jump", "by", "-1h")
-    fault(standin, "flush_scripts")
+    inject_fault(standin, "clock_jump", "by", "-1h")
+    inject_fault(standin, "flush_scripts")
     assert client.time()[0] < before - 3000
     with pytest.raises(redis.exceptions.NoScriptError):
         client.evalsha(sha, 0)
 
 
-def test_one_slow_command_holds_up_all_and_late_answers_keep_their_order() -> None:
+def test_slow_command_delays_all_and_late_replies_keep_their_order() -> None:
     now = [100.0]
     plan = [
         faults.Fault(kind="slow", delay=0.5, spread="constant", lasts=1.0),
@@ -535,7 +540,7 @@
     assert got == [b":%d\r\n" % n for n in range(1, 6)]
 
 
-def test_the_same_seed_gives_the_same_faults() -> None:
+def test_same_seed_gives_the_same_faults() -> None:
     def run(seed: int) -> list[bytes]:
         plan = [
             faults.Fault(kind=kind, share=0.3) for kind in ("half", "garbage", "loading", "late")
@@ -553,7 +558,7 @@
     assert run(5) == run(5) != run(6)
 
 
-def test_a_plan_of_faults_is_read_from_a_file_and_its_troubles_are_named() -> None:
+def test_fault_plan_is_parsed_and_invalid_options_are_refused() -> None:
     plan = faults.read_plan(
         (
             b'faults: [{kind: "slow", share: 0.1, delay: "20ms"}, {kind: "clock_jump", by: '
@@ -574,7 +579,7 @@
     assert run.exit_code == 2 and "not a loopback address" in run.output
 
 
-def test_ports_in_use_are_an_error_of_one_line() -> None:
+def test_port_in_use_is_reported_with_exit_status_2() -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         run = CliRunner().invoke(
             main, ["standin", "redis", "--listen", f"127.0.0.1:{taken.getsockname()[1]}"]
@@ -583,10 +588,9 @@
 
 
 @given(st.integers(0, 2**32), st.integers(1, 60))
-def test_transactions_and_scripts_are_whole_whatever_is_between_them(seed: int, steps: int) -> None:
-    """Two clients move units between two keys, by script and by WATCH.
-
-    The sum stays and nothing falls below nothing.
+def test_interleaved_transactions_and_scripts_stay_atomic(seed: int, steps: int) -> None:
+    """Two clients move units between two keys, with scripts and with WATCH transactions. The sum
+    must stay the same, and no key may become negative.
     """
     draw, node = random.Random(seed), Node(lambda: 0.0)
     move = (
