--- a/tests/fault_injection/test_relay_faults.py
+++ b/tests/fault_injection/test_relay_faults.py
@@ -56,10 +56,10 @@
             address: tuple[str, int] = sock.getsockname()
             return address
 
-    def send(self, sender: str, *texts: str) -> None:
-        other = "b" if sender == "a" else "a"
+    def send(self, socket_name: str, *texts: str) -> None:
+        other = "b" if socket_name == "a" else "a"
         for text in texts:
-            self.socks[sender].sendto(text.encode(), self.relayed[other])
+            self.socks[socket_name].sendto(text.encode(), self.relayed[other])
         self.turn()
 
     def turn(self, seconds: float = 0.0) -> None:
@@ -67,12 +67,12 @@
         for _ in range(6):
             self.scheduler.turn(longest=0.001)
 
-    def receive_all(self, receiver: str) -> list[str]:
+    def receive_all(self, socket_name: str) -> list[str]:
         received = []
-        while readable(self.socks[receiver], 0.01):
-            data, sender = self.socks[receiver].recvfrom(100)
+        while readable(self.socks[socket_name], 0.01):
+            data, sender = self.socks[socket_name].recvfrom(100)
             # The receiver must see the relay's address that represents the sender.
-            assert sender == self.relayed["b" if receiver == "a" else "a"]
+            assert sender == self.relayed["b" if socket_name == "a" else "a"]
             received.append(data.decode())
         return received
 
