--- a/hazelhollow/fault_injection/clients.py
+++ b/hazelhollow/fault_injection/clients.py
@@ -132,11 +132,11 @@
         answer = self._answer(connection, deadline + GRACE_S)
         if isinstance(answer, CloseReason):
             connection.driver.close(answer)
-            return _outcome_of(answer, is_reused), ""
+            return _outcome_of_close(answer, is_reused), ""
         if not isinstance(connection.parser.next(), resp.NeedMoreData):
             row["extra"] += 1
         target.idle.append(connection)
-        return _read(answer)
+        return _outcome_of_answer(answer)
 
     def _command(self, load: Load, request: str, time_left_ms: int) -> bytes:
         fields = (
@@ -160,7 +160,7 @@
         return answer
 
 
-def _outcome_of(reason: CloseReason, is_reused: bool) -> str:
+def _outcome_of_close(reason: CloseReason, is_reused: bool) -> str:
     if reason is CloseReason.TIMED_OUT:
         return "silent"
     if reason is CloseReason.CLOSED:
@@ -168,7 +168,7 @@
     return "reset"
 
 
-def _read(answer: resp.Value) -> tuple[str, str]:
+def _outcome_of_answer(answer: resp.Value) -> tuple[str, str]:
     first = answer[0] if isinstance(answer, list) and answer else answer
     if isinstance(first, resp.ErrorReply):
         return ("busy" if first.startswith(b"BUSY") else "failed"), first.decode(errors="replace")
--- a/hazelhollow/fault_injection/command_options.py
+++ b/hazelhollow/fault_injection/command_options.py
@@ -8,7 +8,7 @@
 
 import click
 
-EXIT_BAD_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 with_option = click.option(
     "--with",
@@ -35,4 +35,4 @@
 def fail(text: str) -> NoReturn:
     """Prints an error message and exits with the status for invalid input."""
     click.echo(f"hazelhollow: {text}", err=True)
-    sys.exit(EXIT_BAD_INPUT)
+    sys.exit(EXIT_INVALID_INPUT)
--- a/hazelhollow/standins/redis/cluster.py
+++ b/hazelhollow/standins/redis/cluster.py
@@ -35,10 +35,10 @@
         Raises:
             CommandError: the keys are in several slots, or in a slot of another shard.
         """
-        found = {slots.slot_of(key) for key in keys}
-        if len(found) > 1:
+        key_slots = {slots.slot_of(key) for key in keys}
+        if len(key_slots) > 1:
             raise CommandError("CROSSSLOT Keys in request don't hash to the same slot")
-        for slot in found:
+        for slot in key_slots:
             if slot not in self.shards[self.own_number].slots:
                 owner = next(shard for shard in self.shards if slot in shard.slots)
                 raise CommandError(f"MOVED {slot} {owner.host}:{owner.port}")
--- a/hazelhollow/standins/redis/sorted_set_commands.py
+++ b/hazelhollow/standins/redis/sorted_set_commands.py
@@ -16,7 +16,7 @@
     parse_integer,
 )
 
-MAX_SCORES = 100_000
+MAX_SCORES = 100_000  # in one sorted set
 _ZADD_FLAGS = (b"NX", b"XX", b"GT", b"LT", b"CH")
 
 
--- a/tests/standins/test_redis.py
+++ b/tests/standins/test_redis.py
@@ -431,6 +431,9 @@
 
 
 def test_error_fault_makes_commands_fail_until_it_is_cleared(standin: RunningStandin) -> None:
+    """Each kind of error fault makes commands fail with its error, also within a script, until the
+    faults are cleared.
+    """
     connection, client = standin.connection(), standin.client()
     assert client.ping()
     for kind, expected_text, line in [
@@ -448,6 +451,9 @@
 
 
 def test_connection_fault_ends_it_before_or_after_the_command(standin: RunningStandin) -> None:
+    """A fault ends the connection without a reply or with a broken one; only with `cut_before` the
+    command does not run. With `lost` it runs, the connection stays open, and the client times out.
+    """
     client = standin.client()
     assert client.ping()
     for kind, total in [
@@ -470,7 +476,7 @@
         ):
             victim.incr("n")
         client.execute_command("STANDIN", "CLEAR")
-        assert (client.get("n") or b"0") == total, kind  # only `cut_before` prevents the command
+        assert (client.get("n") or b"0") == total, kind  # whether the command ran
     victim = standin.client(socket_timeout=0.2)
     assert victim.ping()
     inject_fault(standin, "lost")
@@ -481,6 +487,9 @@
 
 
 def test_restart_loses_all_data_or_the_latest_changes(standin: RunningStandin) -> None:
+    """After `restart_old` the server has the data of an earlier snapshot and a new run id. After
+    `restart_empty` it has no data, and accepts no connections until the restart is over.
+    """
     node, client = standin.servers[0].node, standin.client()
     node.state.snapshots.enabled = True
     client.set("a", 1)
@@ -514,6 +523,9 @@
 
 
 def test_slow_command_delays_all_and_late_replies_keep_their_order() -> None:
+    """A slow command delays the commands of other connections. Late replies are delayed one by one,
+    but are sent in the order of their commands.
+    """
     now = [100.0]
     plan = [
         faults.Fault(kind="slow", delay=0.5, spread="constant", lasts=1.0),
