--- a/hazelhollow/fault_injection/checker.py
+++ b/hazelhollow/fault_injection/checker.py
@@ -175,47 +175,39 @@
 def settings_figures(folder: Path, plan: dict[str, Any], faults: FaultHistory) -> dict[str, Any]:
     """Finds limiters that still applied older settings when they could have had the newest.
 
-    A limiter could have the newest settings once these were distributed and it was neither down nor
-    behind a cut or stalled link. The probes show which settings it applied.
+    A limiter could have the newest settings once these were distributed and its last outage and the
+    last cut or stall of its links had ended. The probes show which settings it applied.
     """
     probes = read_json_lines(folder / "probes.jsonl")
     if not probes or not faults.settings_changes:
         return {"acted_on_old_after_s_p99": None, "stragglers": None}
     newest = max(revision for _, revision, _ in faults.settings_changes)
-    distributed_at = min(at for at, revision, _ in faults.settings_changes if revision == newest)
+    released_at = min(at for at, revision, _ in faults.settings_changes if revision == newest)
     delays = []
     for name in [f"n{n}" for n in range(plan.get("instances", 5))]:
         old_settings_seen_at = [
             row["t"]
             for row in probes
             if row["to"] == name
-            and row["t"] > distributed_at
+            and row["t"] > released_at
             and row["new"] == "unknown"
             and row["look"] == "served"
         ]
-        link_fault_ends = [
+        link_ends = [
             end
             for (a, b), spans in faults.links.items()
             if name in (a, b)
             for begin, end, what in spans
-            if end > distributed_at and what in ("cut", "stall")
+            if end > released_at and what in ("cut", "stall")
         ]
-        outage_ends = [end for begin, end in faults.down.get(name, []) if end > distributed_at]
+        down_ends = [end for begin, end in faults.down.get(name, []) if end > released_at]
         unexcused = [
-            at
-            for at in old_settings_seen_at
-            if at > max([distributed_at, *link_fault_ends, *outage_ends])
+            at for at in old_settings_seen_at if at > max([released_at, *link_ends, *down_ends])
         ]
         delays.append(
             max(
                 (
-                    at
-                    - max(
-                        [
-                            distributed_at,
-                            *(t for t in [*link_fault_ends, *outage_ends] if t <= at),
-                        ]
-                    )
+                    at - max([released_at, *(t for t in [*link_ends, *down_ends] if t <= at)])
                     for at in unexcused
                 ),
                 default=0.0,
