--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -16,8 +16,8 @@
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.operator_files import disk_file, view_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.net.scheduler import Clock, Scheduler
 
 Event = plan.Event
@@ -32,14 +32,14 @@
 
 def broken_promises(results: dict[str, Any]) -> dict[str, Any]:
     # the results of an audit that is disabled are None
-    return {key: results[key] or 0 for key in BROKEN_PROMISES}
+    return {key: results[key] or 0 for key in GUARANTEE_VIOLATIONS}
 
 
 def state_history(folder: Path, observer: str, number: int) -> list[str]:
     """The sequence of states in which one limiter has seen another."""
     lines = [
         row["members"].get(str(number), ["unknown"])[0]
-        for row in rows(folder / f"{observer}.view.jsonl")
+        for row in read_json_lines(folder / f"{observer}.view.jsonl")
     ]
     return [state for n, state in enumerate(lines) if n == 0 or lines[n - 1] != state]
 
@@ -60,7 +60,7 @@
     results, folder = run_drill(
         tmp_path, plan.Plan(name="many", instances=5, seconds=12.0, events=events, load=load)
     )
-    assert broken_promises(results) == dict.fromkeys(BROKEN_PROMISES, 0)
+    assert broken_promises(results) == dict.fromkeys(GUARANTEE_VIOLATIONS, 0)
     assert results["requests"] > 500 and (results["kills"], results["stalls"], results["cuts"]) == (
         2,
         1,
@@ -80,7 +80,7 @@
         tmp_path, plan.Plan(name="parts", instances=5, seconds=8.0, events=events)
     )
     assert (
-        broken_promises(results) == dict.fromkeys(BROKEN_PROMISES, 0)
+        broken_promises(results) == dict.fromkeys(GUARANTEE_VIOLATIONS, 0)
         and results["settled_s_p99"] < 5.0
     )
     for observer, number in (("n0", 4), ("n4", 0)):
@@ -120,7 +120,7 @@
         )
 
     def view(self, name: str) -> dict[str, Any]:
-        lines = rows(self.folder / f"{name}.view.jsonl")
+        lines = read_json_lines(self.folder / f"{name}.view.jsonl")
         members: dict[str, Any] = lines[-1]["members"] if lines else {}
         return members
 
@@ -146,7 +146,7 @@
     fleet.cluster.processes.signal("n0", signal.SIGCONT)
 
     def acting() -> list[bool]:
-        return [row["acting"] for row in rows(fleet.folder / "n0.view.jsonl")]
+        return [row["acting"] for row in read_json_lines(fleet.folder / "n0.view.jsonl")]
 
     fleet.until(lambda: fleet.all_alive() and acting()[-1])
     assert acting()[0] is False and False in acting()[acting().index(True) :]
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -13,8 +13,8 @@
 from hazelhollow.fault_injection.loopback_cluster import LoopbackCluster
 from hazelhollow.fault_injection.operator_files import disk_file, replica_file
 from hazelhollow.fault_injection.run import FaultInjectionRun
-from hazelhollow.fault_injection.run_commands import BROKEN_PROMISES
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_commands import GUARANTEE_VIOLATIONS
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.net.scheduler import Clock, Scheduler
 from hazelhollow.standins.link_faults import LinkFault
 from tests.membership.test_membership_processes import Fleet
@@ -160,7 +160,7 @@
     fault_plan = plan.Plan(name="x", instances=5, seconds=seconds, events=events)
     result = FaultInjectionRun(fault_plan, folder, operator=operator).run()
     promises = [
-        key for key in BROKEN_PROMISES if key not in ("false_deaths", "views_differ")
+        key for key in GUARANTEE_VIOLATIONS if key not in ("false_deaths", "views_differ")
     ]  # The tests of membership check these two.
     assert {key: result[key] or 0 for key in promises} == dict.fromkeys(promises, 0)
     return result
@@ -174,7 +174,9 @@
     """
     rate, burst = 20.0, 40.0  # of the plan `gold`
     answered_rows = [
-        row for row in rows(folder / "clients.jsonl") if row["outcome"] in ("served", "busy")
+        row
+        for row in read_json_lines(folder / "clients.jsonl")
+        if row["outcome"] in ("served", "busy")
     ]
     level, at, served = burst, 0.0, 0
     for row in sorted(answered_rows, key=lambda row: row["t"]):
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -20,7 +20,7 @@
 from hazelhollow.configuration.audit.reader import read_entries, segment_paths
 from hazelhollow.configuration.audit.segments import SegmentWriter
 from hazelhollow.configuration.versions import Candidate, Phase, Versions
-from hazelhollow.fault_injection.run_files import rows
+from hazelhollow.fault_injection.run_files import read_json_lines
 from hazelhollow.net.override_file import OverrideFile, path_for
 from hazelhollow.replication.overrides import Override
 from hazelhollow.replication.snapshot import SavedAccount, Snapshot
@@ -140,7 +140,7 @@
 
 
 def test_membership_lines_are_read() -> None:
-    first, second = rows(KEPT_FILES / "n0.view.jsonl")
+    first, second = read_json_lines(KEPT_FILES / "n0.view.jsonl")
     assert first == {
         "t": 1_700_000_000.5,
         "me": 0,
