--- a/hazelhollow/early_signals.py
+++ b/hazelhollow/early_signals.py
@@ -14,7 +14,7 @@
 
 
 def hold() -> None:
-    """From now on a signal in NUMBERS does not end the process; `take_received` tells that it came.
+    """From now on a signal in NUMBERS does not end the process; `drain_received` tells it.
 
     SIGHUP, which asks for the configuration to be read again, would else end a process that has not
     read it for the first time.
@@ -23,7 +23,7 @@
         signal.signal(number, _remember)
 
 
-def take_received() -> bytes:
+def drain_received() -> bytes:
     """The numbers of the signals since `hold`, in their order; each is told once."""
     received, _received[:] = bytes(_received), []
     return received
--- a/hazelhollow/net/lifecycle.py
+++ b/hazelhollow/net/lifecycle.py
@@ -60,7 +60,7 @@
         signal.signal(number, lambda *_: None)  # the wakeup descriptor delivers the number
     # Signals received before this point. One that arrives between the handover and this line is
     # handled twice, which is harmless.
-    wakeup.send(early_signals.take_received())
+    wakeup.send(early_signals.drain_received())
     scheduler.spawn_supervised(lambda: watch_signals(service, signal_numbers, reread), "signals")
     service.start()
     if counters_interval:
