--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -130,7 +130,7 @@
     config = _load()
     try:
         lifecycle.serve(
-            config, lambda: platform_config.load(os.environ, again=True), attachment, counters
+            config, lambda: platform_config.load(os.environ, is_reload=True), attachment, counters
         )
     except OSError as error:
         _fail(f"cannot listen: {error.strerror or error}")
--- a/hazelhollow/platform_config.py
+++ b/hazelhollow/platform_config.py
@@ -75,13 +75,13 @@
     document: Mapping[str, Any] = field(default_factory=dict)
 
 
-def load(environment: Mapping[str, str], again: bool = False) -> PlatformConfig:
+def load(environment: Mapping[str, str], is_reload: bool = False) -> PlatformConfig:
     """Reads the file; a variable wins over the file's key of the same name.
 
     Args:
         environment: The process's variables.
-        again: Whether a running limiter reads it again. Then the file is newer than the variables,
-            and it alone says where discovery is.
+        is_reload: Whether a running limiter reads it again. Then the file is newer than the
+            variables, and it alone says where discovery is.
 
     Raises:
         PlatformConfigError: The file cannot be read or used.
@@ -97,7 +97,7 @@
         raise PlatformConfigError(f"{path}: {error}") from None
     if not isinstance(document, dict):
         raise PlatformConfigError(f"{path}: not a JSON object")
-    for key in VARIABLES_AGAIN if again else VARIABLES:
+    for key in VARIABLES_AGAIN if is_reload else VARIABLES:
         if f"RELAY_{key.upper()}" in environment:
             document[key] = environment[f"RELAY_{key.upper()}"]
     try:
--- a/tests/net/test_net_parts.py
+++ b/tests/net/test_net_parts.py
@@ -344,7 +344,7 @@
     assert loaded.peers == (("127.0.0.1", 3),) and loaded.settings.limiter_count == 1
     variables = {"RELAY_CONFIG": str(path), "RELAY_DISCOVERY": "127.0.0.1:9"}
     assert platform_config.load(variables).discovery == ("127.0.0.1", 9)
-    assert platform_config.load(variables, again=True).discovery == (
+    assert platform_config.load(variables, is_reload=True).discovery == (
         "127.0.0.1",
         2,
     )  # at a reload the file is newer than the variables
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -74,7 +74,7 @@
     path = tmp_path / "config.json"
     path.write_text(damaged_config(kind))
     with pytest.raises(PlatformConfigError, match="config.json"):
-        cfg.load({"RELAY_CONFIG": str(path)}, again=True)
+        cfg.load({"RELAY_CONFIG": str(path)}, is_reload=True)
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -84,7 +84,9 @@
     before = stage.service.settings_reload.settings
     path = tmp_path / "config.json"
     path.write_text(damaged_config(kind))
-    stage.service.settings_reload.reload(lambda: cfg.load({"RELAY_CONFIG": str(path)}, again=True))
+    stage.service.settings_reload.reload(
+        lambda: cfg.load({"RELAY_CONFIG": str(path)}, is_reload=True)
+    )
     assert (
         stage.service.settings_reload.settings is before and stage.service.engine.settings is before
     )
