--- a/hazelhollow/bench/simulated_limiter.py
+++ b/hazelhollow/bench/simulated_limiter.py
@@ -205,7 +205,7 @@
             self._flush()
 
     def _flush(self) -> None:
-        data = self._client.take() if self._client else b""
+        data = self._client.drain_output() if self._client else b""
         if data and self._connection:
             self._connection.send_to_store(data)
         self._set_timer()
--- a/hazelhollow/shared_store/client.py
+++ b/hazelhollow/shared_store/client.py
@@ -1,7 +1,7 @@
 """One limiter's client of the store: ledger and link put together. No I/O; times are given.
 
-The driver opens a connection and calls `opened`, then `receive` with what arrives and `take` for
-what is to be written, `closed` at the end, and `advance` at `next_at`. An error that is returned
+The driver opens a connection and calls `opened`, then `receive` with what arrives, `drain_output`
+for what is to be written, `closed` at the end, and `advance` at `next_at`. An error that is returned
 says why the connection must be closed.
 
 | state | how it shows | ends when | then |
@@ -81,7 +81,7 @@
         """Seconds to wait before the next attempt to connect."""
         return self._backoff.next_wait(self._random.random())
 
-    def take(self) -> bytes:
+    def drain_output(self) -> bytes:
         """What is to be written now."""
         if not self.link or not self.link.out:
             return b""
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -127,7 +127,7 @@
         return connection.close_reason.name.lower()
 
     def _flush(self) -> None:
-        data = self.client.take()
+        data = self.client.drain_output()
         if self._stream and data:
             self._stream.write(self._layer.write(data) if self._layer else data)
 
