--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -60,11 +60,11 @@
         except ModuleNotFoundError as error:
             if (error.name or "").startswith("hazelhollow"):
                 raise
-            return _missing(name, error.name or "a library")
+            return _command_without_library(name, error.name or "a library")
         return command
 
 
-def _missing(name: str, library: str) -> click.Command:
+def _command_without_library(name: str, library: str) -> click.Command:
     """Stands for a command whose libraries this installation lacks, so that the others work."""
 
     def explain(**_: object) -> None:
--- a/tests/fault_injection/test_process_group.py
+++ b/tests/fault_injection/test_process_group.py
@@ -24,10 +24,10 @@
     """A command needs an optional library that is not installed: it exits with status 2 and names
     the library, whatever arguments follow.
     """
-    from hazelhollow.cli import _missing
+    from hazelhollow.cli import _command_without_library
 
     with pytest.raises(SystemExit) as ended:
-        _missing("fleet", "msgspec").main(["up", "--instances", "3"])
+        _command_without_library("fleet", "msgspec").main(["up", "--instances", "3"])
     assert ended.value.code == 2 and "'fleet' needs msgspec" in capsys.readouterr().err
 
 
