--- a/hazelhollow/shared_store/__init__.py
+++ b/hazelhollow/shared_store/__init__.py
@@ -1,8 +1,12 @@
-"""The shared store: customers' quotas and ceilings held together by leases in a Redis.
+"""The shared store: enforces customers' quotas and ceilings across limiters by leases in Redis.
 
-No request waits for the store: a limiter leases units ahead of need and spends those.
-`lease_ledger` has the accounting at a limiter (`leased_account`, `lease_pool`, `lease_demand`) and
-`presence` who else reaches the store; `lease.lua` and `presence.lua` are the store's part,
-`scripts` their arguments and answers. `link` is one connection and `client` all of them, without
-I/O; `driver` has the socket. `leased_decisions` puts this before the decision engine.
+No request waits for the store: a limiter leases units ahead of need and spends from those leases.
+
+- `lease_ledger` does the accounting at one limiter, with `leased_account`, `lease_pool` and
+  `lease_demand`; `presence` tracks which limiters reach the store.
+- `lease.lua` and `presence.lua` run in the store; `scripts` encodes their arguments and decodes
+  their answers.
+- `link` is the protocol of one connection and `client` spans all connections, both without I/O;
+  `driver` owns the socket.
+- `leased_decisions` wraps the decision engine.
 """
--- a/hazelhollow/shared_store/client.py
+++ b/hazelhollow/shared_store/client.py
@@ -1,19 +1,20 @@
-"""One limiter's client of the store: ledger and link put together. No I/O; times are given.
+"""One limiter's client of the store: connects the ledger to the current link.
 
-The driver opens a connection and calls `opened`, then `receive` with what arrives, `drain_output`
-for what is to be written, `closed` at the end, and `advance` at `next_at`. An error that is returned
-says why the connection must be closed.
+No I/O; the caller passes the time. The driver opens a connection and calls `opened`, then `receive`
+with incoming bytes, `drain_output` for outgoing bytes, `closed` when the connection has ended, and
+`advance` at `next_at`. If a method returns an error, the connection must be closed for that reason.
 
-| state | how it shows | ends when | then |
+| state | condition | ends when | next state |
 | --- | --- | --- | --- |
 | disconnected | `link` is None, the driver opens a socket | it is open: `opened` | connecting |
 | | | it cannot be opened | backing off |
-| connecting | `link.ready` is False: TLS and handshake | the store has told its time | ready |
+| connecting | `link.ready` is False: TLS and handshake | the store has sent its time | ready |
 | | | an error, the timeout, or the end of the connection | backing off |
 | ready | `link.ready` is True: calls are written | silence, an error, or its end | backing off |
-| backing off | `link` is None, the driver sleeps `retry_in` | the time is over | disconnected |
+| backing off | `link` is None, the driver sleeps `retry_in` | the wait is over | disconnected |
 
-Outside of ready no call is written: each fails at once, since nothing queues for a dead store.
+In the other states no call is written: each fails at once, so that calls do not queue up for an
+unreachable store.
 """
 
 from __future__ import annotations
@@ -28,15 +29,16 @@
 from hazelhollow.shared_store.errors import StoreError, StoreUnavailableError
 from hazelhollow.shared_store.lease_ledger import LeaseLedger
 
-MIN_PAUSE_S = 0.001  # between two looks at the ledger
+MIN_PAUSE_S = 0.001  # between two ticks of the ledger
 
 log = structlog.get_logger(__name__)
 
 
 class StoreClient:
-    """The ledger's calls to the store, through all its connections.
+    """Carries the ledger's calls to the store, over successive connections.
 
-    `seed`: of the random draws of the waits. `counts` are shown to operators under these names.
+    `seed` determines the random waits between attempts to connect. `counts` are shown to operators
+    under their keys.
     """
 
     def __init__(self, ledger: LeaseLedger, store_settings: StoreSettings, seed: int) -> None:
@@ -53,20 +55,20 @@
     # The connection
 
     def opened(self, credentials: link_.Credentials, now: float) -> None:
-        """A connection is open: begins the handshake."""
+        """Begins the handshake on a connection that was just opened."""
         self.link = link_.Link(
             credentials, self.store_settings.call_timeout, self.store_settings.calls_waiting
         )
         self.link.begin(now)
 
     def receive(self, data: bytes, now: float) -> StoreError | None:
-        """Bytes from the store."""
+        """Handles bytes from the store."""
         if self.link is None:
             return StoreUnavailableError("no connection")
         return self._handle(self.link.receive(data, now), now)
 
     def closed(self, now: float) -> None:
-        """The connection has ended, whoever ended it."""
+        """Handles the end of the connection, whichever side closed it."""
         link, self.link = self.link, None
         if link is None:
             return
@@ -78,11 +80,11 @@
         self.ledger.store_disconnected()
 
     def retry_in(self) -> float:
-        """Seconds to wait before the next attempt to connect."""
+        """Returns the seconds to wait before the next attempt to connect."""
         return self._backoff.next_wait(self._random.random())
 
     def drain_output(self) -> bytes:
-        """What is to be written now."""
+        """Removes and returns the bytes to be written to the connection."""
         if not self.link or not self.link.out:
             return b""
         data = bytes(self.link.out)
@@ -92,7 +94,7 @@
     # Calls and time
 
     def pump(self, now: float) -> None:
-        """Writes the ledger's calls; one that cannot be written now fails."""
+        """Writes the ledger's calls; a call that cannot be written now fails."""
         calls, self.ledger.outbox = self.ledger.outbox, []
         for call in calls:
             if not self.link or not self.link.call(call, now):
@@ -100,7 +102,7 @@
                 self.ledger.call_failed(call, now)
 
     def advance(self, now: float) -> StoreError | None:
-        """Does what is due."""
+        """Performs what is due."""
         error = self._handle(self.link.tick(now), now) if self.link else None
         if now >= self._ledger_due:
             self._ledger_due = max(self.ledger.tick(now), now + MIN_PAUSE_S)
@@ -108,18 +110,18 @@
         return error
 
     def next_at(self, now: float) -> float:
-        """When `advance` has something to do."""
+        """Returns the time at which `advance` has something to do."""
         due = self.link.next_due() if self.link else None
         return max(
             min(self._ledger_due, due if due is not None else self._ledger_due), now + MIN_PAUSE_S
         )
 
     def _handle(self, events: list[link_.LinkEvent], now: float) -> StoreError | None:
-        """Tells the ledger; gives the error if the connection must be closed."""
+        """Reports events to the ledger; returns the error if the connection must be closed."""
         for event in events:
             if isinstance(event, link_.Answered):
                 self.counts["answered"] += 1
-                self.slowest_ms = max(self.slowest_ms, event.took * 1000)
+                self.slowest_ms = max(self.slowest_ms, event.elapsed * 1000)
                 self.ledger.answered(event.call, event.answer, now)
             elif isinstance(event, link_.Connected):
                 self.counts["connected"] += 1
--- a/hazelhollow/shared_store/driver.py
+++ b/hazelhollow/shared_store/driver.py
@@ -1,4 +1,4 @@
-"""The socket between the store's client and the store: connects, reads, writes, sets one timer."""
+"""Drives the client's socket to the store: connects, reads, writes, and sets one timer."""
 
 from __future__ import annotations
 
@@ -20,9 +20,11 @@
 
 
 def credentials(store_settings: StoreSettings) -> Credentials:
-    """By the settings; the password is the first line of its file.
+    """Returns the credentials by the settings; the password is the first line of its file.
 
-    Raises OSError or UnicodeDecodeError.
+    Raises:
+        OSError: The password file cannot be read.
+        UnicodeDecodeError: The password file is not UTF-8.
     """
     password = ""
     if store_settings.password_file:
@@ -31,17 +33,22 @@
 
 
 def tls_layer(store_settings: StoreSettings) -> tls.Layer | None:
-    """TLS by the settings; None where they have none. Raises OSError or ssl.SSLError."""
+    """Returns the TLS layer by the settings; None if they do not switch TLS on.
+
+    Raises:
+        OSError: A certificate or key file cannot be read.
+        ssl.SSLError: A file is not a usable certificate or key.
+    """
     if store_settings.tls is None:
         return None
-    made = tls.client_context(
+    context = tls.client_context(
         store_settings.tls.ca_file, store_settings.tls.cert_file, store_settings.tls.key_file
     )
-    return tls.Layer(made, store_settings.tls.server_name or store_settings.address[0])
+    return tls.Layer(context, store_settings.tls.server_name or store_settings.address[0])
 
 
 class SharedStoreDriver:
-    """One limiter's connection to its store, opened again whenever it ends."""
+    """One limiter's connection to its store; reconnects whenever the connection ends."""
 
     def __init__(self, scheduler: Scheduler, client: StoreClient) -> None:
         self.scheduler, self.client = scheduler, client
@@ -50,39 +57,39 @@
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Begins to connect, and goes on doing so until the process ends."""
+        """Starts to connect; reconnects until the process ends."""
         self.scheduler.spawn_supervised(self._run, "store")
         self._advance()
 
     def change(self, store_settings: StoreSettings) -> None:
-        """Opens the connection anew by these settings; the files that they name are read again."""
+        """Reconnects with new settings; the files that they name are read again."""
         self.client.store_settings = store_settings
         if self._stream:
             self._stream.close(CloseReason.MOVED)
 
     def pump(self) -> None:
-        """Writes the ledger's calls, if it has any."""
+        """Writes the ledger's pending calls, if any."""
         self.client.pump(self.scheduler.clock())
         self._flush()
         self._arm()
 
     def _run(self) -> None:
         while True:
-            why = self._run_connection()
+            reason = self._run_connection()
             wait = self.client.retry_in()
             log.warning(
-                "store: no connection",
-                why=why,
+                "store: disconnected, calls fail until reconnected",
+                why=reason,
                 address="{}:{}".format(*self.client.store_settings.address),
                 again_in=round(wait, 3),
             )
             self.scheduler.sleep(wait)
 
     def _run_connection(self) -> str:
-        """One connection, from the attempt to open it to its end; gives why it ended."""
+        """Runs one connection from the attempt to open it to its end; returns why it ended."""
         store_settings = self.client.store_settings
         try:
-            who = credentials(store_settings)
+            login = credentials(store_settings)
             layer = tls_layer(store_settings)
         except (OSError, ssl.SSLError, UnicodeDecodeError) as error:
             return str(error)
@@ -98,7 +105,7 @@
         try:
             if layer:
                 connection.write(layer.begin())
-            self.client.opened(who, self.scheduler.clock())
+            self.client.opened(login, self.scheduler.clock())
             self._flush()
             self._arm()
             return self._read(connection)
@@ -117,8 +124,8 @@
                 return data.name.lower()
             if data:
                 if self._layer:
-                    data, back = self._layer.feed(data)
-                    connection.write(back)
+                    data, tls_reply = self._layer.feed(data)
+                    connection.write(tls_reply)
                 error = self.client.receive(data, self.scheduler.clock())
                 if error:
                     return str(error)
@@ -142,7 +149,7 @@
         self._timer = None
         error = self.client.advance(self.scheduler.clock())
         if error and self._stream:
-            log.warning("store: given up", why=str(error))
+            log.warning("store: closing the connection after an error", why=str(error))
             self._stream.close(CloseReason.STALLED)
         self._flush()
         self._arm()
--- a/hazelhollow/shared_store/errors.py
+++ b/hazelhollow/shared_store/errors.py
@@ -1,26 +1,26 @@
-"""Why a call to the store, or the connection to it, failed: by whose fault.
+"""Errors of calls to the store and of the connection to it, by cause.
 
-They are handed on as values, in `link`'s events and by `client`; the text is what logs say.
+They are passed as values, in the events of `link` and by `client`; their texts appear in logs.
 """
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Something failed between this limiter and its store."""
+    """A call to the store, or the connection to it, failed."""
 
 
 class StoreTimeoutError(StoreError):
-    """The store, or the network on the way, was too slow."""
+    """The store or the network was too slow."""
 
 
 class StoreProtocolError(StoreError):
-    """What arrived cannot be from a Redis that runs our scripts."""
+    """The bytes received cannot be from a Redis that runs the scripts of this package."""
 
 
 class StoreRefusedError(StoreError):
-    """The store answered with an error: credentials, permissions, or a script it has forgotten."""
+    """The store answered with an error: credentials, permissions, or a script not loaded."""
 
 
 class StoreUnavailableError(StoreError):
-    """There is no store to ask: it is loading, a replica, or the connection is gone."""
+    """The store cannot serve calls: it is loading, is a replica, or the connection has ended."""
--- a/hazelhollow/shared_store/lease_ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -1,18 +1,21 @@
-"""The accounting, at one limiter, of the customers' limits that the shared store holds.
+"""One limiter's accounting of the customers' limits that are held in the shared store.
 
-No I/O, no clock: times are given, calls for the store are put into `outbox`. `LeasedDecisions` asks
-it about each request, `StoreClient` writes its calls and hands it the answers.
+No I/O and no clock: the caller passes the time, and calls for the store are appended to `outbox`.
+`LeasedDecisions` queries the ledger about each request. `StoreClient` writes its calls and passes
+it the answers.
 
 Each limit (a rate and a burst) of a customer whose requests come through several limiters has two
 parts:
 
-- the base, `base_share` of it, divided evenly: each limiter refills its own and asks nobody;
-- the pool, the rest, in the store: limiters lease units ahead of need and spend them unasked.
+- The base is `base_share` of the limit, divided evenly. Each limiter refills its own part without
+  contacting the store.
+- The pool is the rest and is kept in the store. Limiters lease units from it ahead of need and
+  spend leased units without further calls.
 
-While a limiter cannot reach the store it has its even share of the pool instead, but only once it
-is certain that the others and the store count it as absent and that all leases from before have
-ended (`Presence`). docs/design/redis-store.md proves that no order of these events admits more than
-the limit; `lease.lua` and `presence.lua` are the store's part.
+A limiter that cannot reach the store uses its even share of the pool instead, but only once it is
+certain that the other limiters and the store count it as absent and that all its earlier leases
+have ended (see `Presence`). docs/design/redis-store.md proves that no order of these events admits
+more than the limit. `lease.lua` and `presence.lua` are the parts that run in the store.
 """
 
 from __future__ import annotations
@@ -38,16 +41,17 @@
     lease_arguments,
 )
 
-# Share of `lease.ahead` to wait before a nearly empty pool is asked again. Units that stay in the
-# pool meanwhile are not lost.
+# Share of `lease.ahead` to wait before leasing again from a nearly empty pool. Units that stay in
+# the pool during the wait are not lost.
 SCARCE_PAUSE_SHARE = 0.25
-IDLE_SHARE = 0.4  # of a lease's term: a customer without a request for so long does not need it
-RETURN_BEFORE_END_S = 0.1  # before a lease's end, when what is left of it goes back
-RETURN_SHARE = 0.1  # of the pool's burst: less than that on lease is not worth a call
-FORGET_AFTER_S = 30.0  # without a request, after which a customer's account is closed
-MAX_ACCOUNTS = 50_000  # past it the longest idle is closed
-# Shown to operators under these names: docs/operators/redis-store.md says what they mean. `late`
-# counts both calls that ran after their deadline and answers to calls that were given up.
+# Share of a lease's term after which the lease of a customer without requests is returned.
+IDLE_SHARE = 0.4
+RETURN_BEFORE_END_S = 0.1  # time before a lease's end at which its unspent units are returned
+RETURN_SHARE = 0.1  # share of the pool's burst; fewer units on lease are not worth a call
+ACCOUNT_IDLE_TIMEOUT_S = 30.0  # time without a request after which an account is closed
+MAX_ACCOUNTS = 50_000  # beyond this number the account that has been idle longest is closed
+# Counter names that are shown to operators; docs/operators/redis-store.md documents them. `late`
+# counts both calls that ran after their deadline and answers to calls that had been given up.
 COUNTERS = (
     "calls",
     "granted",
@@ -65,34 +69,42 @@
 class LeaseLedger:
     """All customers' accounts at one limiter.
 
-    `incarnation` differs from that of every earlier process of this limiter; `now` is its start.
+    Args:
+        settings: Settings of the decision engine.
+        store_settings: Settings of the shared store.
+        incarnation: Differs from that of every earlier process of this limiter.
+        now: Start time of this process.
     """
 
     def __init__(
         self, settings: api.Settings, store_settings: StoreSettings, incarnation: str, now: float
     ) -> None:
         self.settings, self.store_settings = settings, store_settings
-        self.slot = f"{settings.limiter_id}.{incarnation}"  # names the holder of a lease
+        self.slot = f"{settings.limiter_id}.{incarnation}"  # identifies the holder of a lease
         self.plans = {plan.name: plan for plan in settings.plans if self._is_leased(plan)}
-        self.accounts: dict[str, LeasedAccount] = {}  # the longest idle first
-        self._with_leases: dict[str, LeasedAccount] = {}  # those that may hold something on lease
-        self.outbox: list[ScriptCall] = []  # calls to be written; the client empties it
+        self.accounts: dict[str, LeasedAccount] = {}  # by key; least recently used first
+        self._with_leases: dict[str, LeasedAccount] = {}  # accounts that may hold leased units
+        self.outbox: list[ScriptCall] = []  # calls to be written; emptied by the client
         self._terms = AccountTerms(settings, store_settings, now)
         self.presence = Presence(settings.limiter_id, store_settings, now)
         self.sequence = 0
         self.counts = dict.fromkeys(COUNTERS, 0.0)
 
     def _is_leased(self, plan: api.Plan) -> bool:
-        """Whether limits of that plan are held in the store: the chosen, or those with ceilings."""
+        """Whether the plan's limits are held in the store.
+
+        These are the plans listed in the settings or, if none are listed, those with a ceiling.
+        """
         chosen = self.store_settings.plans
         return plan.name in chosen or (plan.ceiling_rate > 0 and not chosen)
 
     # Requests
 
     def account_for(self, request: api.RequestArrived, now: float) -> LeasedAccount | None:
-        """The customer's account, whose pools say what may be admitted now.
+        """Returns the customer's account, whose pools hold the units that may be admitted now.
 
-        None where the store holds none of its limits; otherwise `record` must follow.
+        Returns None if the store holds none of the customer's limits. Otherwise the caller must
+        call `record` with the outcome of the request.
         """
         plan = self.plans.get(request.plan_name)
         if plan is None:
@@ -110,20 +122,21 @@
         return account
 
     def record(self, account: LeasedAccount, units: float, sent: bool, now: float) -> None:
-        """What became of the request that `account_for` was asked for.
+        """Records the outcome of the request for which `account_for` was called.
 
-        `sent`: it was admitted, and its `units` are spent.
+        `sent`: the request was admitted, which spends its `units`.
         """
-        short = not sent and min([pool.available() for pool in account.pools]) < units
-        if sent or short:  # rejected for another reason, it is no demand that a lease could serve
-            account.learn(units, sent, now)
+        lacked_units = not sent and min([pool.available() for pool in account.pools]) < units
+        # A request that was rejected for another reason is not demand that a lease could serve.
+        if sent or lacked_units:
+            account.record_demand(units, sent, now)
         if sent:
             for pool in account.pools:
-                pool.take(units, now)
-        elif short:
+                pool.charge(units, now)
+        elif lacked_units:
             self.counts["refused_dry"] += 1
-        if not account.call and now >= account.next_ask_at:
-            self._lease_if_low(account, units if short else 0.0, now)
+        if not account.call and now >= account.next_lease_at:
+            self._lease_if_low(account, units if lacked_units else 0.0, now)
 
     def _refresh(self, account: LeasedAccount, now: float) -> None:
         account.expire_lease(now)
@@ -140,9 +153,9 @@
     # Calls of the store
 
     def _lease_if_low(self, account: LeasedAccount, refused: float, now: float) -> None:
-        """Leases more where what is here will soon not do, and renews what is in use.
+        """Leases more units if those available will soon run out, and renews leases in use.
 
-        `refused`: the units of a request that was rejected for lack of them; a grant that would not
+        `refused`: units of a request that was just rejected for lack of units; a grant too small to
         admit it is of no use.
         """
         if len(account.limiters) == 1 or not self.presence.may_lease(now):
@@ -160,10 +173,10 @@
         refused: float,
         now: float,
     ) -> None:
-        """Calls `lease.lua`: tells what was spent and is `leased`, and asks for `wanted` more.
+        """Calls `lease.lua`: reports the units spent and on lease, and requests `wanted` more.
 
-        What the store has on lease here beyond `leased` goes back to the pool, so an answer that
-        was lost or came late does no lasting harm.
+        Units that the store records as leased by this limiter beyond `leased` return to the pool,
+        so a lost or late answer does no lasting harm.
         """
         self.sequence += 1
         presence = self.presence
@@ -188,7 +201,7 @@
     # Time
 
     def tick(self, now: float) -> float:
-        """Does what is due; gives the time at which it must be called again."""
+        """Performs what is due; returns the time of the next call."""
         if self.presence.heartbeat_due(now):
             self._send_heartbeat(now)
         if self.presence.becomes_isolated(now):
@@ -198,15 +211,19 @@
         return min(self.presence.next_due(now), next_return)
 
     def _send_heartbeat(self, now: float) -> None:
-        """Drops the even shares before the heartbeat is written: at no moment are there both."""
+        """Sends a heartbeat.
+
+        The even shares are dropped before the heartbeat is written, so that this limiter never has
+        both its even share and access to the pool.
+        """
         for account in self.accounts.values():
             for pool in account.pools:
                 pool.fallback = None
         self._post(self.presence.heartbeat(now))
 
     def _return_leases(self, now: float) -> float:
-        """Returns leases that are idle or about to end; gives when to look again."""
-        look_again_at = math.inf
+        """Returns leased units that are idle or about to end; gives the time of the next check."""
+        next_check_at = math.inf
         for account in list(self._with_leases.values()):
             account.expire_lease(now)
             if not any(pool.leased > 0 for pool in account.pools):
@@ -221,8 +238,8 @@
             ):
                 self._return_lease(account, now)
             else:
-                look_again_at = min(look_again_at, max(return_at, now + RETURN_BEFORE_END_S))
-        return look_again_at
+                next_check_at = min(next_check_at, max(return_at, now + RETURN_BEFORE_END_S))
+        return next_check_at
 
     def _return_lease(self, account: LeasedAccount, now: float) -> None:
         if account.call or not self.presence.may_lease(now):
@@ -236,24 +253,28 @@
     def _close_idle_accounts(self, now: float) -> None:
         while self.accounts:
             oldest = next(iter(self.accounts.values()))
-            if now - oldest.last_used_at <= FORGET_AFTER_S or oldest.call:
+            if now - oldest.last_used_at <= ACCOUNT_IDLE_TIMEOUT_S or oldest.call:
                 break
             del self.accounts[oldest.key]
 
     # The connection to the store
 
     def store_connected(self, store_started_at: float, store_now: float, now: float) -> None:
-        """The store answers. By its clock, its process began at the first and it is the second."""
+        """Handles an established connection.
+
+        `store_started_at` is the start time of the store's process, and `store_now` is the current
+        time, both by the store's clock.
+        """
         self.presence.store_connected(store_started_at, store_now, now)
 
     def store_disconnected(self) -> None:
-        """The connection is gone. What is on lease lasts until its end."""
+        """Handles the loss of the connection. Leases remain valid until they end."""
         self.presence.connected = False
         for account in self.accounts.values():
             account.call = None
 
     def answered(self, call: ScriptCall, answer: list[str], now: float) -> None:
-        """The store's answer in time. `answer`: what the script gave, as text."""
+        """Handles an answer that arrived in time. `answer`: the script's reply as text."""
         if call.kind == "presence":
             if not self.presence.answered(call, decode_presence(answer), now):
                 self.counts["stale"] += 1
@@ -266,13 +287,13 @@
         account.call = None
         decoded = decode_lease(answer)
         if decoded.status == "ok":
-            self._take_grants(call, account, decoded, now)
+            self._apply_grants(call, account, decoded, now)
             return
         self.counts[decoded.status] = self.counts.get(decoded.status, 0) + 1
-        account.next_ask_at = now + self.store_settings.call_timeout
+        account.next_lease_at = now + self.store_settings.call_timeout
         self.presence.heartbeat_soon(now)
 
-    def _take_grants(
+    def _apply_grants(
         self, call: ScriptCall, account: LeasedAccount, answer: LeaseAnswer, now: float
     ) -> None:
         lease = self.store_settings.lease
@@ -283,12 +304,12 @@
             for grant, wanted in zip(grants, call.wanted, strict=True)
         )
         wait = max(answer.wait, SCARCE_PAUSE_SHARE * lease.ahead if scarce else 0.0)
-        account.next_ask_at = now + min(wait, lease.term)
+        account.next_lease_at = now + min(wait, lease.term)
         account.lease_ends_at = call.sent_at + lease.term
         if now >= account.lease_ends_at:
             return
         for pool, leased, grant in zip(account.pools, call.leased, grants, strict=True):
-            pool.forget_spending(call.sent_at)
+            pool.drop_reported_spending(call.sent_at)
             self.counts["granted"] += grant.granted
             self.counts["lost"] += pool.add_grant(
                 leased, grant.confirmed, grant.granted, call.lease_expired
@@ -297,15 +318,18 @@
             self._with_leases[account.key] = account
 
     def call_failed(self, call: ScriptCall, now: float) -> None:
-        """No answer in time, or an error: the call may have run all the same.
+        """Handles a call that got an error or no answer in time; it may have run nevertheless.
 
-        The next call tells what is on lease, by which the store corrects its record.
+        The next call reports the units on lease, and the store corrects its record by them.
         """
         self.counts["given_up"] += 1
         if call.account and call.account.call is call:
             call.account.call = None
-            call.account.next_ask_at = now + self.store_settings.call_timeout
+            call.account.next_lease_at = now + self.store_settings.call_timeout
 
     def answered_late(self) -> None:
-        """A call that had been given up was answered: its units are left for the next to return."""
+        """Counts an answer to a call that had been given up.
+
+        The units that it granted are not used; the next call returns them to the pool.
+        """
         self.counts["late"] += 1
--- a/hazelhollow/shared_store/lease_pool.py
+++ b/hazelhollow/shared_store/lease_pool.py
@@ -1,7 +1,7 @@
 """The units of one limit of one customer that this limiter may spend. No I/O, no clock.
 
-They come from its part of the base (a bucket of its own), from leases, and from a fallback while it
-is isolated from the store.
+The units come from this limiter's part of the base (a local token bucket), from leases, and, while
+the limiter is isolated from the store, from a fallback bucket.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 SPENDING_STEP_S = 0.1  # spending within this time is reported to the store as one step
 MAX_SPENDING_STEPS = 6
-ROUNDING_UNITS = 1e-5  # the store's numbers are texts with six decimals
+ROUNDING_UNITS = 1e-5  # tolerance; the store's numbers are decimal texts with six digits
 
 
 class SpendingStep(NamedTuple):
-    """Units spent out of leases up to the time `until` (seconds of the limiter's clock)."""
+    """Units spent from leases up to the time `until` (in seconds of the limiter's clock)."""
 
     until: float
     units: float
@@ -27,27 +27,27 @@
 class LeasePool:
     """One limit of one customer at this limiter.
 
-    `rate` (units a second) and `burst` (units) are those of the pool that all limiters share.
+    `rate` (units per second) and `burst` (units) are those of the pool that all limiters share.
     """
 
     base: TokenBucket
     rate: float
     burst: float
     leased: float = 0.0  # units on lease that are not spent yet
-    spent_from_leases: float = 0.0  # units since this limiter's process began
-    # the even share of the pool, while the store cannot be reached
+    spent_from_leases: float = 0.0  # total units since the start of this process
+    # This limiter's even share of the pool, while the store cannot be reached.
     fallback: TokenBucket | None = None
-    # not yet reported to the store
+    # Spending that has not been reported to the store.
     recent_spending: list[SpendingStep] = field(default_factory=list)
 
     def available(self) -> float:
-        """Units that may be spent now."""
+        """Returns the units that may be spent now."""
         return self.base.level + self.leased + (self.fallback.level if self.fallback else 0.0)
 
-    def take(self, units: float, now: float) -> None:
-        """Spends units: from leases first, since those end, then from the fallback.
+    def charge(self, units: float, now: float) -> None:
+        """Spends units: from leases first, since leases expire, then from the fallback.
 
-        The rest is charged to the base, which may go below 0 by it.
+        The remainder is charged to the base, whose level may fall below 0.
         """
         from_lease = min(units, self.leased)
         self.leased -= from_lease
@@ -66,7 +66,7 @@
     ) -> None:
         """Refills the fallback, this limiter's even share of the pool among `limiters`.
 
-        With `restart`, or where there is none, begins one that was empty at `isolated_since`.
+        Creates one that was empty at `isolated_since` if there is none or `restart` is set.
         """
         if self.fallback is None or restart:
             self.fallback = TokenBucket(
@@ -77,12 +77,19 @@
     def add_grant(self, leased: float, confirmed: float, granted: float, expired: bool) -> float:
         """Applies the store's answer to a call that reported `leased` units on lease.
 
-        Of these the store confirmed some, and it leased `granted` more. Gives the units that it
-        had lost. `expired`: the lease that was reported has ended since the call was written.
+        Args:
+            leased: Units on lease that the call reported.
+            confirmed: Units of these that the store still records as leased.
+            granted: Units that the store has newly leased.
+            expired: Whether the reported lease has ended since the call was written.
+
+        Returns:
+            The reported units that the store no longer recorded as leased.
         """
         lost = 0.0
         if not expired and confirmed < leased - ROUNDING_UNITS:
-            lost = leased - confirmed  # what was spent of it meanwhile is charged to the base
+            lost = leased - confirmed
+            # Lost units that have been spent since the call was written are charged to the base.
             self.leased -= lost
             if self.leased < 0:
                 self.base.level += self.leased
@@ -90,14 +97,15 @@
         self.leased += granted
         return lost
 
-    def forget_spending(self, until: float) -> None:
-        """Drops the steps up to `until`, which the store has been told of."""
+    def drop_reported_spending(self, until: float) -> None:
+        """Drops the steps up to `until`, which have been reported to the store."""
         self.recent_spending = [step for step in self.recent_spending if step.until > until]
 
     def _record_spending(self, units: float, now: float) -> None:
-        """Notes spending in few steps, each dated by its last part.
+        """Records spending in at most MAX_SPENDING_STEPS steps, each dated by its last part.
 
-        The store refills the pool from the time that a step gives: later is safe, earlier is not.
+        The store refills the pool from the time of a step: a later time is safe, an earlier one
+        could admit more than the limit.
         """
         steps = self.recent_spending
         if steps and now - steps[-1].until < SPENDING_STEP_S:
--- a/hazelhollow/shared_store/leased_account.py
+++ b/hazelhollow/shared_store/leased_account.py
@@ -1,4 +1,4 @@
-"""One customer's limits at this limiter, its use of them, and its call to the store. No I/O."""
+"""One customer's limits at this limiter, its usage, and its pending call to the store. No I/O."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from hazelhollow.operator.settings import StoreSettings
 from hazelhollow.shared_store.lease_pool import LeasePool
 
-RATE_WINDOW_S = 1.5  # over which a customer's rate is averaged
-LARGEST_REQUEST_DECAY = 0.98  # with each request, of the largest one seen lately
-# Where one of the largest requests for each limiter takes no more than this part of a burst, the
-# base has room for it.
+RATE_WINDOW_S = 1.5  # time constant of the average of a customer's rate
+LARGEST_REQUEST_DECAY = 0.98  # factor applied to the largest recent request at each request
+# Share of a limit's burst. If one request of the maximum size at each limiter takes no more than
+# this, each base is made large enough for such a request.
 BASE_ROOM = 0.5
 
 ScriptName = Literal["lease", "presence"]
@@ -24,7 +24,8 @@
 class ScriptCall:
     """One call of a script, from when it is written until it is answered, fails or is given up.
 
-    `account` is the customer's for a lease call; the lists have a number for each of its pools.
+    `account` is the customer's account for a lease call and None for a heartbeat. The lists have
+    one entry for each pool of the account.
     """
 
     kind: ScriptName
@@ -32,16 +33,16 @@
     args: list[str]
     sent_at: float
     account: LeasedAccount | None = None
-    leased: list[float] = field(default_factory=list)  # units on lease when it was written
-    wanted: list[float] = field(default_factory=list)  # units asked for
-    lease_expired: bool = False  # what was on lease when it was written has ended since
+    leased: list[float] = field(default_factory=list)  # units on lease when the call was written
+    wanted: list[float] = field(default_factory=list)  # units requested
+    lease_expired: bool = False  # the lease reported in the call has ended since
 
 
 @dataclass(eq=False)
 class LeasedAccount:
-    """One customer's pools (quota, ceiling or both, in this order) and what is known of its use.
+    """One customer's pools (quota, ceiling or both, in this order) and statistics of its usage.
 
-    `limiters` are the numbers of those that its requests come through.
+    `limiters` are the numbers of the limiters that receive the customer's requests.
     """
 
     key: str
@@ -50,15 +51,16 @@
     last_used_at: float
     quota: LeasePool | None = None
     ceiling: LeasePool | None = None
-    admitted_rate: float = 0.0  # units a second that are admitted here
-    largest_request: float = 1.0  # units, of those seen lately
+    admitted_rate: float = 0.0  # units per second admitted at this limiter, averaged
+    largest_request: float = 1.0  # units of the largest recent request
     lease_ends_at: float = 0.0
-    highest_total: float = 0.0  # of units ever leased, as the store told it
-    next_ask_at: float = 0.0  # the store has nothing before then, or did not answer
-    call: ScriptCall | None = None
-    isolation: int = 0  # the number of the isolation that the pools' fallbacks belong to
+    highest_total: float = 0.0  # highest count of units ever leased that the store reported
+    # No lease call before this time: the pool has no units until then, or a call failed.
+    next_lease_at: float = 0.0
+    call: ScriptCall | None = None  # the pending call
+    isolation: int = 0  # number of the isolation period that the pools' fallbacks belong to
 
-    def learn(self, units: float, sent: bool, now: float) -> None:
+    def record_demand(self, units: float, sent: bool, now: float) -> None:
         """Updates the average rate and the largest request. `sent`: the units were admitted."""
         decay = math.exp((self.last_used_at - now) / RATE_WINDOW_S)
         self.admitted_rate = self.admitted_rate * decay + (units / RATE_WINDOW_S if sent else 0.0)
@@ -66,7 +68,7 @@
         self.last_used_at = now
 
     def expire_lease(self, now: float) -> None:
-        """A lease that was not renewed in time is void."""
+        """Discards the leased units if the lease was not renewed in time."""
         if now >= self.lease_ends_at:
             for pool in self.pools:
                 pool.leased = 0.0
@@ -74,13 +76,13 @@
                 self.call.lease_expired = True
 
     def leased(self) -> list[float]:
-        """Units on lease, by pool."""
+        """Returns the units on lease in each pool."""
         return [pool.leased for pool in self.pools]
 
 
 @dataclass(frozen=True)
 class AccountTerms:
-    """What all accounts of one limiter depend on. `started_at`: when this process began."""
+    """Settings shared by all accounts of one limiter. `started_at`: start of this process."""
 
     settings: api.Settings
     store_settings: StoreSettings
@@ -90,10 +92,11 @@
 def open_leased_account(
     key: str, plan: api.Plan, request: api.RequestArrived, terms: AccountTerms, now: float
 ) -> LeasedAccount | None:
-    """A customer's account; None where the store keeps none of the plan's limits.
+    """Opens a customer's account; returns None if the store holds none of the plan's limits.
 
-    A ceiling's base starts as if it had been empty when this process began: the process before may
-    have spent it. A quota's starts full: each restart may cost its base once more.
+    A ceiling's base starts as if it had been empty when this process started, since the previous
+    process may have spent it. A quota's base starts full, so each restart may admit the base once
+    more.
     """
     settings, store_settings, started_at = terms.settings, terms.store_settings, terms.started_at
     spread = max(1, min(request.set_size, settings.limiter_count))
@@ -102,7 +105,7 @@
     def pool(rate: float, burst: float, starts_full: bool) -> LeasePool:
         base_burst = base_share * burst / spread
         if spread > 1 and spread * settings.max_units <= BASE_ROOM * burst:
-            # so that the first request waits for no lease
+            # The first request can then be admitted without a lease.
             base_burst = max(base_burst, settings.max_units)
         base = TokenBucket(
             base_share * rate / spread, base_burst, base_burst if starts_full else 0.0, started_at
@@ -115,7 +118,7 @@
         quota = pool(plan.rate, plan.burst, starts_full=True)
     if store_settings.hold in ("ceilings", "both") and plan.ceiling_rate > 0:
         ceiling = pool(plan.ceiling_rate, plan.ceiling_burst, starts_full=False)
-    pools = [found for found in (quota, ceiling) if found]
+    pools = [held for held in (quota, ceiling) if held]
     if not pools:
         return None
     limiters = frozenset((request.set_start + n) % settings.limiter_count for n in range(spread))
--- a/hazelhollow/shared_store/leased_decisions.py
+++ b/hazelhollow/shared_store/leased_decisions.py
@@ -1,6 +1,6 @@
-"""The decision engine with leases: a decorator of it, on the path of every request. No I/O.
+"""A decorator of the decision engine that adds leases; on the path of every request. No I/O.
 
-The engine is told what a customer's leases allow, and the ledger what the engine admitted.
+It passes to the engine what a customer's leases allow, and to the ledger what the engine admitted.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class LeasedDecisions:
-    """`inner` with the leases of `ledger`.
+    """Combines the engine `inner` with the leases of `ledger`.
 
     `on_calls` is called when the ledger has calls for the store.
     """
@@ -22,9 +22,10 @@
         self._inner, self._ledger, self._on_calls = inner, ledger, on_calls
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """The inner engine's actions.
+        """Passes an event to the inner engine and returns its actions.
 
-        Before a request of a customer whose limits are leased, it gets an `AllowanceGranted`.
+        For a request of a customer whose limits are leased, the engine first gets an
+        `AllowanceGranted` with the units that are available.
         """
         if not isinstance(event, api.RequestArrived):
             return self._inner.handle(event, now)
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -1,12 +1,13 @@
 """One connection to the store as a state machine: bytes in, bytes out, events for each call.
 
-Knows no socket; `StoreClient` makes a link for each connection. It speaks RESP2 with the commands
-AUTH, SELECT, INFO, TIME, SCRIPT LOAD and EVALSHA. Answers come in the order of the commands, so
-each is matched with the oldest pending command, even one given up long before: a late answer is
-reported as one and is never taken for another call's.
-
-Bounds: `max_pending` commands at once; a store that is silent for SILENCE_FACTOR times a call's
-timeout is given up, since all calls behind the first would wait in vain.
+It does no I/O; `StoreClient` creates a link for each connection. It speaks RESP2 with the commands
+AUTH, SELECT, INFO, TIME, SCRIPT LOAD and EVALSHA. Answers arrive in the order of the commands, so
+each is matched with the oldest pending command, even if that was given up long before. A late
+answer is reported as late and never attributed to another call.
+
+Bounds: at most `max_pending` commands are pending at a time. If the store is silent for
+SILENCE_FACTOR times a call's timeout, the connection is given up, since every call behind the
+unanswered one would time out as well.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 from hazelhollow.shared_store.leased_account import ScriptCall
 from hazelhollow.shared_store.scripts import SCRIPTS, SHAS, answer_text, text_of
 
-SILENCE_FACTOR = 8.0  # times the timeout of a call
+SILENCE_FACTOR = 8.0  # multiple of the timeout of a call
 HANDSHAKE_TIMEOUT_S = 2.0
-MAX_ERROR_BYTES = 80  # of the store's error, that are logged
-# Errors after which this connection is of no use; a new one may be.
+MAX_ERROR_BYTES = 80  # bytes of the store's error text that are logged
+# Errors that will persist on this connection, but maybe not on a new one.
 FATAL_ERRORS = frozenset({"NOAUTH", "NOPERM", "MOVED", "READONLY"})
 
 
 class Credentials(NamedTuple):
-    """Who this limiter is to the store, and which of its databases it uses."""
+    """The login at the store, and the number of the database to use."""
 
     username: str = ""
     password: str = ""
@@ -44,7 +45,11 @@
 
 @dataclass(frozen=True)
 class Connected:
-    """The handshake is done. By the store's clock, in seconds: its process's start, and now."""
+    """The handshake is done.
+
+    `store_started_at` is the start time of the store's process and `store_now` is the current time,
+    both in Unix seconds by the store's clock.
+    """
 
     store_started_at: float
     store_now: float
@@ -52,11 +57,11 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """An answer in time; `took` is in seconds."""
+    """An answer that arrived in time; `elapsed` is in seconds."""
 
     call: ScriptCall
     answer: list[str]
-    took: float
+    elapsed: float
 
 
 @dataclass(frozen=True)
@@ -69,7 +74,7 @@
 
 @dataclass(frozen=True)
 class CallFailed:
-    """An error, or no answer within the timeout: the call may have run all the same."""
+    """An error, or no answer within the timeout; the call may have run nevertheless."""
 
     call: ScriptCall
     error: StoreError
@@ -77,7 +82,7 @@
 
 @dataclass(frozen=True)
 class ConnectionBroken:
-    """The connection is of no more use and must be closed."""
+    """The connection cannot be used any more and must be closed."""
 
     error: StoreError
 
@@ -87,7 +92,7 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command that is not answered yet. Without a call it is a `step` of the handshake."""
+    """A command that is not answered yet: a script call, or else a `step` of the handshake."""
 
     sent_at: float
     call: ScriptCall | None = None
@@ -97,10 +102,14 @@
 
 @dataclass
 class Link:
-    """One connection's lifetime.
-
-    `call_timeout` is in seconds. `out` is what is to be written; who writes it empties it. `ready`:
-    the handshake is done, and calls are taken.
+    """The state of one connection.
+
+    Attributes:
+        credentials: Login and database number.
+        call_timeout: Timeout of a call in seconds.
+        max_pending: Maximum number of commands without an answer.
+        out: Bytes to be written; emptied by the writer.
+        ready: Whether the handshake is done and calls are accepted.
     """
 
     credentials: Credentials
@@ -116,19 +125,21 @@
         self._store_uptime = 0.0  # seconds
 
     def begin(self, now: float) -> None:
-        """The connection is open: authenticates, loads the scripts, asks for role and time."""
+        """Starts the handshake: authenticates, loads the scripts, queries role and time."""
         self._handshake_deadline = now + HANDSHAKE_TIMEOUT_S
-        who = self.credentials
-        if who.password:
-            self._step(now, "auth", "AUTH", *([who.username] if who.username else []), who.password)
-        if who.database:
-            self._step(now, "select", "SELECT", str(who.database))
+        login = self.credentials
+        if login.password:
+            self._send_step(
+                now, "auth", "AUTH", *([login.username] if login.username else []), login.password
+            )
+        if login.database:
+            self._send_step(now, "select", "SELECT", str(login.database))
         for text in SCRIPTS.values():
-            self._step(now, "load", "SCRIPT", "LOAD", text)
-        self._step(now, "info", "INFO")
-        self._step(now, "time", "TIME")
+            self._send_step(now, "load", "SCRIPT", "LOAD", text)
+        self._send_step(now, "info", "INFO")
+        self._send_step(now, "time", "TIME")
 
-    def _step(self, now: float, step: str, *words: str | bytes) -> None:
+    def _send_step(self, now: float, step: str, *words: str | bytes) -> None:
         self._write(words)
         self._pending.append(PendingCommand(now, None, step))
 
@@ -136,7 +147,7 @@
         self.out += resp.encode_command([w if isinstance(w, bytes) else w.encode() for w in words])
 
     def call(self, call: ScriptCall, now: float) -> bool:
-        """Writes a call; False where there is no room for it, which nothing waits for."""
+        """Writes a call; returns False if too many are pending, since calls do not queue."""
         if not self.ready or len(self._pending) >= self.max_pending:
             return False
         self._write(("EVALSHA", SHAS[call.kind], "1", call.key, *call.args))
@@ -144,77 +155,81 @@
         return True
 
     def next_due(self) -> float | None:
-        """When `tick` has something to do; None where it has nothing to wait for."""
+        """Returns the time at which `tick` has something to do; None if nothing is pending."""
         if not self.ready:
             return self._handshake_deadline
-        waiting = next((pending for pending in self._pending if not pending.given_up), None)
-        times = [waiting.sent_at + self.call_timeout] if waiting else []
+        oldest = next((pending for pending in self._pending if not pending.given_up), None)
+        times = [oldest.sent_at + self.call_timeout] if oldest else []
         if self._pending:
             times.append(self._silent_at())
         return min(times, default=None)
 
     def _silent_at(self) -> float:
-        """When the oldest command has been pending for so long that the store counts as silent."""
+        """Returns when the store counts as silent, by the age of the oldest pending command."""
         return self._pending[0].sent_at + SILENCE_FACTOR * self.call_timeout
 
     def tick(self, now: float) -> list[LinkEvent]:
-        """Gives up calls whose time is over, and the connection if the store is silent."""
+        """Gives up calls that have timed out, and the connection if the store is silent."""
         if not self.ready:
             if now < self._handshake_deadline:
                 return []
-            return [ConnectionBroken(StoreTimeoutError("the handshake took too long"))]
+            return [ConnectionBroken(StoreTimeoutError("the handshake timed out"))]
         events = list[LinkEvent]()
         for pending in self._pending:
             if now < pending.sent_at + self.call_timeout:
                 break
-            events += _fail(pending, _no_answer())
+            events += _fail(pending, _timeout_error())
             pending.given_up = pending.call is not None
         if self._pending and now >= self._silent_at():
-            events.append(ConnectionBroken(StoreTimeoutError("silent")))
+            events.append(ConnectionBroken(StoreTimeoutError("the store is silent")))
         return events
 
     def receive(self, data: bytes, now: float) -> list[LinkEvent]:
-        """Bytes as they arrive. After `ConnectionBroken` nothing more may be passed in."""
+        """Handles received bytes; must not be called after a `ConnectionBroken`."""
         events = list[LinkEvent]()
         try:
             self._parser.feed(data)
             while not isinstance(value := self._parser.next(), resp.NeedMoreData):
                 if not self._pending:
-                    error = StoreProtocolError("an answer that nobody asked for")
+                    error = StoreProtocolError("received an answer without a pending command")
                     return [*events, ConnectionBroken(error)]
-                events += self._match(self._pending.popleft(), value, now)
+                events += self._handle_answer(self._pending.popleft(), value, now)
                 if events and isinstance(events[-1], ConnectionBroken):
                     return events
         except ProtocolError as cause:
-            events.append(ConnectionBroken(StoreProtocolError(f"not of the protocol: {cause}")))
+            events.append(ConnectionBroken(StoreProtocolError(f"invalid RESP: {cause}")))
         return events
 
-    def _match(self, pending: PendingCommand, value: resp.Value, now: float) -> list[LinkEvent]:
+    def _handle_answer(
+        self, pending: PendingCommand, value: resp.Value, now: float
+    ) -> list[LinkEvent]:
         if pending.call is None:
-            return self._handshake(pending, value)
+            return self._handle_handshake_answer(pending, value)
         if isinstance(value, resp.ErrorReply):
-            return self._error(pending, value, now)
+            return self._handle_error(pending, value, now)
         answer = answer_text(pending.call.kind, value)
         if answer is None:
-            error = StoreProtocolError("not an answer of the script's")
+            error = StoreProtocolError(f"not an answer of the {pending.call.kind} script")
             return [*_fail(pending, error), ConnectionBroken(error)]
         if now >= pending.sent_at + self.call_timeout:
-            return [*_fail(pending, _no_answer()), LateAnswer(pending.call, answer)]
+            return [*_fail(pending, _timeout_error()), LateAnswer(pending.call, answer)]
         return [Answered(pending.call, answer, now - pending.sent_at)]
 
-    def _error(
+    def _handle_error(
         self, pending: PendingCommand, value: resp.ErrorReply, now: float
     ) -> list[LinkEvent]:
         code = bytes(value).partition(b" ")[0].decode("ascii", "replace")
         if code == "NOSCRIPT":
             for text in SCRIPTS.values():
-                self._step(now, "load", "SCRIPT", "LOAD", text)
+                self._send_step(now, "load", "SCRIPT", "LOAD", text)
         events = _fail(pending, StoreRefusedError(code))
         if code in FATAL_ERRORS:
             events.append(ConnectionBroken(StoreRefusedError(_error_text(value))))
         return events
 
-    def _handshake(self, pending: PendingCommand, value: resp.Value) -> list[LinkEvent]:
+    def _handle_handshake_answer(
+        self, pending: PendingCommand, value: resp.Value
+    ) -> list[LinkEvent]:
         if isinstance(value, resp.ErrorReply):
             error = StoreRefusedError(f"{pending.step}: {_error_text(value)}")
             return [ConnectionBroken(error)]
@@ -229,25 +244,25 @@
         if rows.get("loading") == "1":
             return [ConnectionBroken(StoreUnavailableError("the store is loading"))]
         if rows.get("role") == "slave":
-            return [ConnectionBroken(StoreUnavailableError("a replica"))]
+            return [ConnectionBroken(StoreUnavailableError("the store is a replica"))]
         self._store_uptime = float(rows.get("uptime_in_seconds", "0"))
         return []
 
     def _read_time(self, value: resp.Value) -> list[LinkEvent]:
         if not isinstance(value, list) or len(value) != 2:
-            return [ConnectionBroken(StoreProtocolError("TIME gave no time"))]
+            return [ConnectionBroken(StoreProtocolError("the answer to TIME is not two numbers"))]
         try:
             store_now = float(text_of(value[0])) + float(text_of(value[1])) / 1e6
         except ValueError:
-            return [ConnectionBroken(StoreProtocolError("TIME gave no time"))]
+            return [ConnectionBroken(StoreProtocolError("the answer to TIME is not two numbers"))]
         self.ready = True
-        # The uptime is cut to whole seconds, so this is the latest time at which the process can
-        # have started. One too late closes some customers' pools for a moment; one too early would
-        # trust what an older process wrote.
+        # The uptime is truncated to whole seconds, so this is the latest time at which the store's
+        # process can have started. A time that is too late closes some customers' pools for a
+        # moment; one that is too early would trust records written by an earlier process.
         return [Connected(store_now - self._store_uptime, store_now)]
 
     def close(self) -> list[LinkEvent]:
-        """The connection has ended: all pending calls have failed. The link is not used again."""
+        """Fails all pending calls at the end of the connection. The link is not used again."""
         calls = [pending.call for pending in self._pending if pending.call and not pending.given_up]
         self._pending.clear()
         self.ready = False
@@ -256,11 +271,11 @@
 
 
 def _fail(pending: PendingCommand, error: StoreError) -> list[LinkEvent]:
-    """The failure of a call, unless it has been reported already."""
+    """Returns the failure of a call, unless it has already been reported."""
     return [CallFailed(pending.call, error)] if pending.call and not pending.given_up else []
 
 
-def _no_answer() -> StoreError:
+def _timeout_error() -> StoreError:
     return StoreTimeoutError("no answer in time")
 
 
--- a/hazelhollow/shared_store/scripts.py
+++ b/hazelhollow/shared_store/scripts.py
@@ -1,7 +1,7 @@
 """The store's two scripts: their source, arguments as text, and answers as typed values. No I/O.
 
-`lease.lua` grants, renews and returns leases of one customer; `presence.lua` is a limiter's
-heartbeat and tells which others are present. Their texts name the arguments.
+`lease.lua` grants, renews and returns leases of one customer. `presence.lua` handles a limiter's
+heartbeat and returns which limiters are present. The scripts document their arguments.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 SCRIPTS = {name: (Path(__file__).parent / f"{name}.lua").read_bytes() for name in NAMES}
 SHAS = {name: hashlib.sha1(text).hexdigest() for name, text in SCRIPTS.items()}
 
-MAX_NUMBER = 1e18  # a greater number in an answer is not the scripts'
+MAX_NUMBER = 1e18  # an answer with a greater number does not come from the scripts
 MAX_KEY_LENGTH = 200  # characters of a customer's key
-LEASE_HEAD_PARTS = 3  # an answer's status, total and wait
-PARTS_PER_LIMIT = 3  # after those, for each limit
+LEASE_HEAD_PARTS = 3  # status, total and wait, at the start of an answer
+PARTS_PER_LIMIT = 3  # confirmed, granted and level, for each limit after the head
 
 
 @dataclass(frozen=True)
 class Grant:
     """The store's answer for one limit, in units.
 
-    `confirmed`: still on lease, of what was reported; `granted`: newly leased; `level`: left in
-    the pool.
+    `confirmed`: units reported as leased that the store still records so; `granted`: units newly
+    leased; `level`: units left in the pool.
     """
 
     confirmed: float
@@ -42,8 +42,8 @@
 class LeaseAnswer:
     """The answer of `lease.lua`.
 
-    `status` is `ok`, `late` (its turn came after its deadline) or `stale` (a newer call ran before
-    it); without `ok` there are no grants. `wait`: seconds until asking again is of use.
+    `status` is `ok`, `late` (the call ran after its deadline) or `stale` (a newer call ran before
+    it); unless it is `ok` there are no grants. `wait`: seconds until another call may get units.
     """
 
     status: str
@@ -56,7 +56,7 @@
 class PresenceAnswer:
     """The answer of `presence.lua`: the store's clock in seconds, and the limiters present.
 
-    `present` is None where the call's turn came after its deadline, or after a newer heartbeat.
+    `present` is None if the call ran after its deadline or after a newer heartbeat.
     """
 
     store_now: float
@@ -64,26 +64,27 @@
 
 
 def milliseconds(seconds: float) -> str:
-    """A time or a span as the scripts take it: whole milliseconds."""
+    """Formats a time or duration for the scripts, in integral milliseconds."""
     return f"{seconds * 1000:.0f}"
 
 
 def customer_key(prefix: str, customer: str) -> str:
-    """The store's key of a customer, whose hash tag keeps it on one shard."""
+    """Returns the store's key of a customer; its hash tag keeps it on one shard."""
     plain = "".join(c if c.isalnum() or c in "-_./" else f"%{ord(c):x}" for c in customer)
     return f"{prefix}:{{{plain[:MAX_KEY_LENGTH]}}}"
 
 
 def presence_key(prefix: str) -> str:
-    """The store's key of the record of who is present."""
+    """Returns the store's key of the record of limiters present."""
     return f"{prefix}:{{present}}"
 
 
 @dataclass(frozen=True)
 class LeaseCaller:
-    """Who calls and when: the first arguments of `lease.lua`.
+    """The first arguments of `lease.lua`: the calling limiter and the time of the call.
 
-    `deadline` is by the store's clock, as text; `present`: limiters of the customer's set that are.
+    `deadline` is text, in milliseconds of the store's clock. `present` is the number of limiters of
+    the customer's set that are present.
     """
 
     slot: str  # the limiter's number and incarnation
@@ -102,9 +103,9 @@
     wanted: Sequence[float],
     refused: float,
 ) -> list[str]:
-    """The arguments of `lease.lua`.
+    """Returns the arguments of `lease.lua`.
 
-    `leased` and `wanted`: units by pool. `refused`: units of a request that could not be admitted.
+    `leased` and `wanted`: units by pool. `refused`: units of a request that was just rejected.
     """
     args = [
         caller.slot,
@@ -137,7 +138,11 @@
 
 
 def decode_lease(answer: Sequence[str]) -> LeaseAnswer:
-    """The answer of `lease.lua`, which `answer_text` has checked, or raises ValueError."""
+    """Decodes an answer of `lease.lua` that `answer_text` has checked.
+
+    Raises:
+        ValueError: The answer does not have the form that `answer_text` checks.
+    """
     status = answer[0]
     numbers = [float(part) for part in answer[LEASE_HEAD_PARTS:]] if status == "ok" else []
     grants = [
@@ -147,7 +152,11 @@
 
 
 def decode_presence(answer: Sequence[str]) -> PresenceAnswer:
-    """The answer of `presence.lua`, which `answer_text` has checked, or raises ValueError."""
+    """Decodes an answer of `presence.lua` that `answer_text` has checked.
+
+    Raises:
+        ValueError: The answer does not have the form that `answer_text` checks.
+    """
     store_now = float(answer[0]) / 1000
     if answer[1] == "late":
         return PresenceAnswer(store_now, None)
@@ -155,12 +164,12 @@
 
 
 def text_of(value: resp.Value) -> str:
-    """A RESP value as text."""
+    """Returns a RESP value as text."""
     return value.decode("utf-8", "replace") if isinstance(value, bytes) else str(value)
 
 
 def answer_text(kind: ScriptName, value: resp.Value) -> list[str] | None:
-    """A script's answer as text; None where it does not have the form of one."""
+    """Returns a script's answer as text; None if it does not have the form of one."""
     if (
         not isinstance(value, list)
         or not value
--- a/tests/shared_store/ledger_fleet.py
+++ b/tests/shared_store/ledger_fleet.py
@@ -168,7 +168,7 @@
 def spend_all(fleet: LedgerFleet, account: Any) -> None:
     for pool, bucket in zip(account.pools, (fleet.quota, fleet.ceiling), strict=True):
         units = pool.available()
-        pool.take(units, fleet.now)
+        pool.charge(units, fleet.now)
         bucket.take(units, fleet.now)
 
 
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -191,7 +191,7 @@
         fleet, account = self.fleet, self.account(n)
         for pool, bucket in zip(account.pools, (fleet.quota, fleet.ceiling), strict=True):
             units = max(pool.available(), 0.0) * self.chance.choice([1.0, 1.0, 0.3])
-            pool.take(units, fleet.now)
+            pool.charge(units, fleet.now)
             bucket.take(units, fleet.now)
 
     def trouble(self) -> None:
