--- a/hazelhollow/__init__.py
+++ b/hazelhollow/__init__.py
@@ -1,6 +1,6 @@
-"""A rate limiter that holds quotas by plan across a fleet of limiters.
+"""A rate limiter that enforces per-plan quotas across a fleet of limiters.
 
-The decision engine can be used by itself: `DecisionEngine` and its `Settings`.
+The decision engine can be used on its own: `DecisionEngine` and its `Settings`.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -14,10 +14,10 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Imports the public names when they are used.
+    """Imports the public names on first use.
 
-    The start of a process holds its signals (`early_signals`) before any import that takes time,
-    and every import of a module of this package runs this file first.
+    Importing any module of this package runs this file first, and at the start of a process signals
+    must be held (`early_signals`) before any import that takes time.
     """
     if name == "DecisionEngine":
         from hazelhollow.decisions.engine import DecisionEngine
--- a/hazelhollow/__main__.py
+++ b/hazelhollow/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m hazelhollow`."""
+"""Entry point of `python -m hazelhollow`."""
 
 import sys
 
 
 def run() -> None:
-    """Runs the command line; for `serve` it first holds the signals, as imports take time."""
+    """Runs the command line; for `serve` it holds the signals first, since imports take time."""
     if "serve" in sys.argv[1:2]:
         from hazelhollow import early_signals
 
--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -1,7 +1,7 @@
-"""The command line: `serve` and the small commands; the others are found in their packages.
+"""The command line: `serve` and the small commands; the other commands are in their packages.
 
-`serve` without an operator file is the platform's path: what it does not need is imported only by
-the command that needs it.
+The platform runs `serve` without an operator file. To keep that process small, libraries that it
+does not need are imported only by the commands that need them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from hazelhollow.net.endpoint_list import EndpointList
 from hazelhollow.net.errors import EndpointListError
 
-# Commands in modules that are imported when the command is used: module and attribute.
+# Commands whose modules are imported on first use: module and attribute.
 LAZY_COMMANDS = {
     "ask": ("hazelhollow.request_client", "ask"),
     "bench": ("hazelhollow.bench.commands", "bench"),
@@ -28,18 +28,18 @@
     "standin": ("hazelhollow.standins.commands", "standin"),
 }
 
-# The help of `call`; click keeps the lines after \b as they are.
+# The help of `call`; click does not rewrap the lines after \b.
 CALL_HELP = """\
 Make one call at a limiter's operator address and print its answer.
 
 \b
-hazelhollow call check           done ready, once it serves
-hazelhollow call vars            the figures, as one JSON line, then `end`
-hazelhollow call fleet           who is there, where the operator file switches the view on
-hazelhollow call set-down s-7    leave server s-7 out until `set-up s-7`
+hazelhollow call check           `done ready` once the limiter serves
+hazelhollow call vars            the metrics as one JSON line, then `end`
+hazelhollow call fleet           the members, if the operator file switches membership on
+hazelhollow call set-down s-7    disable server s-7 until `set-up s-7`
 
-Exit status 0 for an answer that begins with `done` (or the figures), 1 for `error`, 2 when
-nobody answers.
+Exit status 0 for an answer that begins with `done` (or the metrics), 1 for `error`, 2 if there is
+no answer.
 """
 
 
@@ -47,11 +47,11 @@
     """A group that imports LAZY_COMMANDS when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names, for the help."""
+        """Returns the names of all commands, for the help."""
         return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """The command of that name, or one that says which library it lacks."""
+        """Returns the command of that name, or one that reports the missing library."""
         if name not in LAZY_COMMANDS:
             return super().get_command(ctx, name)
         module, attribute = LAZY_COMMANDS[name]
@@ -65,14 +65,16 @@
 
 
 def _command_without_library(name: str, library: str) -> click.Command:
-    """Stands for a command whose libraries this installation lacks, so that the others work."""
+    """Returns a placeholder for a command that needs a library that is not installed.
+
+    The placeholder reports the library when it is run; the other commands keep working.
+    """
 
     def explain(**_: object) -> None:
         _fail(f"'{name}' needs {library}: pip install -r requirements-all.txt")
 
-    rest = click.Argument(
-        ["words"], nargs=-1, type=click.UNPROCESSED
-    )  # its own sub-commands are not known here
+    # The command's sub-commands and options are unknown here, so any arguments are accepted.
+    rest = click.Argument(["words"], nargs=-1, type=click.UNPROCESSED)
     text = f"(needs {library}, which is not installed)"
     return click.Command(
         name,
@@ -84,37 +86,36 @@
 
 
 @click.group(
-    cls=LazyGroup, help="A rate limiter that holds quotas by plan across a fleet of gateways."
+    cls=LazyGroup, help="A rate limiter that enforces per-plan quotas across a fleet of gateways."
 )
 def main() -> None:
-    """The commands of hazelhollow."""
+    """Groups the commands of hazelhollow."""
 
 
 @main.command()
 @click.option(
     "--operator",
     metavar="FILE",
-    help="Our own settings (see `config --help`): the shared store, logs.",
+    help="Operator file (see `config --help`): the shared store, the fleet, logs.",
 )
 @click.option(
     "--log-level",
     type=click.Choice(["debug", "info", "warning", "error"]),
     default="info",
     show_default=True,
-    help="What goes to standard error; an operator file says it in its own words.",
+    help="Lowest level that is logged to standard error; an operator file sets its own.",
 )
 @click.option(
     "--counters",
     type=click.FloatRange(min=0.1),
     metavar="SECONDS",
-    help="Print the counters so often, with the time.",
+    help="Print the counters at this interval, with the time.",
 )
 def serve(operator: str | None, log_level: str, counters: float | None) -> None:
-    """Serve until SIGTERM, as the RELAY_ variables say.
+    """Serve until SIGTERM, as configured by the RELAY_ variables.
 
     SIGHUP reads RELAY_CONFIG and the operator file again, SIGUSR1 prints the counters. With
-    --counters, the lines of many limiters can be added up by second: that shows what one of them
-    alone does not.
+    --counters, the lines of many limiters can be summed by second, for the totals of a fleet.
     """
     attachment = None
     if operator is not None:
@@ -138,7 +139,7 @@
 
 @main.command("check-config")
 def check_config() -> None:
-    """Read the configuration and say what it holds, or what is wrong with it."""
+    """Read the configuration and print a summary of it, or what is wrong with it."""
     config = _load()
     click.echo(
         f"{config.name}: gateway {config.settings.limiter_id} of {config.settings.limiter_count}, "
--- a/hazelhollow/early_signals.py
+++ b/hazelhollow/early_signals.py
@@ -1,7 +1,7 @@
-"""Holds the signals that come before there is a limiter to act on them.
+"""Records the signals that arrive before the limiter is ready to handle them.
 
-`__main__` calls `hold` first of all, so this module imports next to nothing; `net.lifecycle` takes
-the signals over when the limiter exists.
+`__main__` calls `hold` before all other imports, so this module imports as little as possible.
+`net.lifecycle` handles the recorded signals once the limiter exists.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 
 def hold() -> None:
-    """From now on a signal in NUMBERS does not end the process; `drain_received` tells it.
+    """Records the signals in NUMBERS from now on, instead of letting them end the process.
 
-    SIGHUP, which asks for the configuration to be read again, would else end a process that has not
-    read it for the first time.
+    Without this, a SIGHUP that requests a reload would end a process that has not yet read its
+    configuration. `drain_received` returns the recorded signals.
     """
     for number in NUMBERS:
-        signal.signal(number, _remember)
+        signal.signal(number, _record)
 
 
 def drain_received() -> bytes:
-    """The numbers of the signals since `hold`, in their order; each is told once."""
+    """Removes and returns the numbers of the recorded signals, in the order of arrival."""
     received, _received[:] = bytes(_received), []
     return received
 
 
-def _remember(number: int, _frame: FrameType | None) -> None:
+def _record(number: int, _frame: FrameType | None) -> None:
     _received.append(number)
--- a/hazelhollow/platform_config.py
+++ b/hazelhollow/platform_config.py
@@ -1,13 +1,12 @@
 """The platform's configuration: the RELAY_ variables and the JSON file that RELAY_CONFIG names.
 
-Read at the start, and again by a running limiter on SIGHUP (`net.settings_reload`). What goes
-beyond the platform is in an operator file, see `hazelhollow.operator`; the package
-`hazelhollow.configuration` distributes settings between limiters and has nothing to do with this
-file.
+It is read at the start, and again by a running limiter on SIGHUP (`net.settings_reload`). Settings
+beyond the platform's are in an operator file, see `hazelhollow.operator`. The package
+`hazelhollow.configuration` distributes settings between limiters and does not use this module.
 
-| variable | in its place without it |
+| variable | value used if it is not set |
 | --- | --- |
-| `RELAY_CONFIG` | needed: the path of the file |
+| `RELAY_CONFIG` | none; it is required: the path of the file |
 | `RELAY_NAME`, `RELAY_LISTEN`, `RELAY_DISCOVERY`, `RELAY_OPERATOR` | the file's key of that name |
 """
 
@@ -26,35 +25,36 @@
 from hazelhollow.simulator.settings_document import parse_settings
 
 Address = tuple[str, int]
-VARIABLES = ("name", "listen", "discovery", "operator")  # RELAY_NAME and so on
-VARIABLES_AGAIN = ("name", "listen", "operator")
+# Keys of the file that a variable overrides (`RELAY_NAME` for `name`), at the start and on reload.
+START_VARIABLES = ("name", "listen", "discovery", "operator")
+RELOAD_VARIABLES = ("name", "listen", "operator")
 
 
 class PlatformConfigError(Exception):
-    """The configuration cannot be used; the text is one plain line that says why and where."""
+    """The configuration cannot be used; the text is one line with the reason and the place."""
 
 
 @dataclass(frozen=True)
 class PlatformConfig:
-    """What the platform tells one limiter.
+    """The platform's configuration of one limiter.
 
     Attributes:
-        name: Of this limiter; names the file of its administrative overrides.
-        listen: Where clients connect; port 0 lets the system pick one.
-        discovery: Where discovery's agent is.
-        seed: Of every random number that the limiter draws.
-        settings: For the decision engine.
-        peer_listen: Where datagrams from other limiters come in; None where there are none.
-        peers: The addresses of all limiters in the order of their numbers.
-        counter: An address that the platform may give and that this limiter does not use.
-        operator: The operator address; None for none.
-        known: The endpoint list as the platform knew it, in discovery's form.
+        name: Name of this limiter, and of the file of its administrative overrides.
+        listen: Address where clients connect; with port 0 the system picks a port.
+        discovery: Address of discovery's agent.
+        seed: Seed of the limiter's random number generators.
+        settings: Settings of the decision engine.
+        peer_listen: Address for datagrams from other limiters; None if there are none.
+        peers: Addresses of all limiters in the order of their numbers.
+        counter: Address that the platform may set; this limiter does not use it.
+        operator: Address for operator calls; None if there is none.
+        known: The endpoint list as the platform knew it, in discovery's format.
         memory_mb: Memory that the process may use, in MiB.
-        sockets: Descriptors that it may use.
-        connect_timeout: Seconds in which a connection to an endpoint has to come up.
+        sockets: File descriptors that the process may use.
+        connect_timeout: Timeout, in seconds, for opening a connection to an endpoint.
         conn_idle: Seconds after which an endpoint closes an idle connection.
-        max_open: Requests at once; more are rejected.
-        document: The settings as the file has them.
+        max_open: Maximum number of concurrent requests; requests beyond it are rejected.
+        document: The settings as they are written in the file.
     """
 
     name: str
@@ -76,12 +76,12 @@
 
 
 def load(environment: Mapping[str, str], is_reload: bool = False) -> PlatformConfig:
-    """Reads the file; a variable wins over the file's key of the same name.
+    """Reads the file; a variable overrides the file's key of the same name.
 
     Args:
-        environment: The process's variables.
-        is_reload: Whether a running limiter reads it again. Then the file is newer than the
-            variables, and it alone says where discovery is.
+        environment: The environment variables of the process.
+        is_reload: Whether a running limiter reads the file again. The file is then newer than the
+            variables, so RELAY_DISCOVERY does not override the address of discovery.
 
     Raises:
         PlatformConfigError: The file cannot be read or used.
@@ -97,7 +97,7 @@
         raise PlatformConfigError(f"{path}: {error}") from None
     if not isinstance(document, dict):
         raise PlatformConfigError(f"{path}: not a JSON object")
-    for key in VARIABLES_AGAIN if is_reload else VARIABLES:
+    for key in RELOAD_VARIABLES if is_reload else START_VARIABLES:
         if f"RELAY_{key.upper()}" in environment:
             document[key] = environment[f"RELAY_{key.upper()}"]
     try:
@@ -130,14 +130,14 @@
 
 
 def parse_address(text: str, least_port: int = 1) -> Address:
-    """Reads `host:port`.
+    """Parses `host:port`.
 
     Args:
-        text: What to read.
-        least_port: 0 where the system may pick a port.
+        text: The text to parse.
+        least_port: Smallest valid port; 0 if the system may pick a port.
 
     Raises:
-        ValueError: It is no address.
+        ValueError: The text is not a valid address.
     """
     host, colon, port = text.rpartition(":")
     if not (
--- a/hazelhollow/request_client.py
+++ b/hazelhollow/request_client.py
@@ -1,4 +1,4 @@
-"""`hazelhollow ask`: requests by hand to a limiter, and what came of them."""
+"""The command `hazelhollow ask`: sends requests to a limiter and shows their outcomes."""
 
 from __future__ import annotations
 
@@ -41,20 +41,20 @@
     default=1,
     show_default=True,
     type=click.IntRange(1, 1_000_000),
-    help="What each draws from the quota.",
+    help="Units that each request draws from the quota.",
 )
 @click.option(
     "--count",
     default=1,
     show_default=True,
     type=click.IntRange(1, 1_000_000),
-    help="So many, one after another.",
+    help="Number of requests, sent one after another.",
 )
 @click.option(
     "--spread",
     default=1,
     show_default=True,
-    help="Limiters that the customer's requests come through.",
+    help="Number of limiters that receive the customer's requests.",
 )
 @click.option(
     "--wait",
@@ -63,7 +63,7 @@
     type=click.FloatRange(0.01, 60.0),
     help="Seconds to wait for each answer.",
 )
-@click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the results as JSON.")
 def ask(
     to: str,
     kind: str,
@@ -77,12 +77,12 @@
 ) -> None:
     """Send requests to a limiter and show the answers.
 
-    Exit status 0: all were served. 1: some were refused or failed. 2: the limiter could not be
-    reached.
+    Exit status 0: all requests were served. 1: some were refused or failed. 2: the limiter could
+    not be reached.
     """
     fields = f"c={kind},t={plan},d={int(wait * 1000)},units={units},spread={spread},first=0"
-    outcomes, shown = Counter[str](), ""
-    began = time.monotonic()
+    outcomes, last_answer = Counter[str](), ""
+    started_at = time.monotonic()
     try:
         address = platform_config.parse_address(to)
         with socket.create_connection(address, timeout=wait + 1) as sock:
@@ -92,16 +92,18 @@
                 sock.sendall(resp.encode_command(words))
                 answer = _receive(sock, parser)
                 outcomes[_outcome(answer)] += 1
-                shown = _text(answer)
+                last_answer = _text(answer)
     except (OSError, ValueError, ProtocolError) as error:
         click.echo(f"hazelhollow: {to}: {error}", err=True)
         sys.exit(2)
-    took = time.monotonic() - began
+    elapsed = time.monotonic() - started_at
     if as_json:
-        click.echo(orjson.dumps({**outcomes, "seconds": round(took, 3), "last": shown}).decode())
+        click.echo(
+            orjson.dumps({**outcomes, "seconds": round(elapsed, 3), "last": last_answer}).decode()
+        )
     else:
-        counts = ", ".join(f"{n} {word}" for word, n in sorted(outcomes.items()))
-        click.echo(f"{counts} in {took:.2f} s; the last answer: {shown}")
+        counts = ", ".join(f"{n} {outcome}" for outcome, n in sorted(outcomes.items()))
+        click.echo(f"{counts} in {elapsed:.2f} s; last answer: {last_answer}")
     sys.exit(0 if outcomes["served"] == count else 1)
 
 
@@ -110,7 +112,7 @@
 
 
 def _outcome(answer: resp.Value) -> str:
-    """The word for it in this command's output."""
+    """Returns the name of the outcome in this command's output."""
     if isinstance(answer, resp.ErrorReply):
         return "refused" if answer.startswith(b"BUSY") else "failed"
     return "served" if isinstance(answer, bytes) else "failed"
@@ -121,7 +123,11 @@
 
 
 def _receive(sock: socket.socket, parser: resp.Parser) -> resp.Value:
-    """The next answer; raises OSError if there is none."""
+    """Returns the next answer.
+
+    Raises:
+        OSError: The limiter closed the connection or did not answer in time.
+    """
     while isinstance(answer := parser.next(), resp.NeedMoreData):
         data = sock.recv(READ_CHUNK_BYTES)
         if not data:
