--- a/hazelhollow/shared_store/lease.lua
+++ b/hazelhollow/shared_store/lease.lua
@@ -1,12 +1,13 @@
--- One customer's limits. KEYS[1] is the customer's record, a hash; it holds one pool of units a limit, and what of it
--- each limiter holds on lease. docs/design/redis-store.md proves the bound:
---   level + leased <= burst at all times, and it grows at the rate at most; so what is spent does too.
+-- Grants, renews and returns leases of one customer. KEYS[1] is the customer's record, a hash; it holds one pool of units for
+-- each limit, and the units of it that each limiter holds on lease. docs/design/redis-store.md proves the bound:
+-- level + leased <= burst at all times, and the sum grows at most at the rate; therefore so do the units spent.
 --
--- ARGV: slot (limiter and life), sequence, caller's ms, store's ms after which this is too late, store's ms of its start,
---       term ms, limiters present, limiters in the set, highest total the caller has seen, number of limits,
---       then for each limit: rate a ms, burst, spent since the slot began, units held, units wanted, units needed, and when
---       what was spent lately was: `ms ago:units,...`, the latest last.
--- Gives {word, total, wait ms, then for each limit: kept, granted, level}. Words: ok, late, stale.
+-- ARGV: slot (limiter and incarnation), sequence, time of the call by the caller's clock, deadline of the call by the store's
+--       clock, start of the store's process by the store's clock, term of a lease, limiters present, limiters in the set,
+--       highest total that the caller has seen, number of limits, then for each limit: rate per ms, burst, units spent since
+--       the slot began, units held, units wanted, units needed, and the recent spending as `ms ago:units,...`, latest last.
+-- Returns {status, total, wait, then for each limit: kept, granted, level}. Status: ok, late or stale.
+-- All times and durations are in ms; `total` counts the units ever leased.
 
 local clock = redis.call('TIME')
 local store_ms = clock[1] * 1000 + math.floor(clock[2] / 1000)
@@ -26,15 +27,17 @@
   return parsed
 end
 
--- Time is what both the store's clock and the callers' clocks say has gone by: one of them that jumps gives nobody units.
--- Head: time at the anchors, the store's and the callers' ms there, the callers' latest ms, store's ms of the last call, time
--- from which the pool fills, limiters present then, units ever leased, time of the last call.
+-- `now` is the record's own time in ms. It advances by the smaller of the times elapsed on the store's clock and on the
+-- callers' clocks, so that a jump of one of them adds no units.
+-- The head consists of: time at the anchors, the store's clock and the callers' clock at the anchors, the callers' latest
+-- clock, the store's clock at the last call, time from which the pool refills, limiters present at the last call, units ever
+-- leased, time of the last call.
 local head = record.head and parse_numbers(record.head)
 local state_lost = not head or head[5] < store_started_ms or head[8] < known_total
 local now, anchor_time, anchor_store_ms, anchor_caller_ms, latest_caller_ms, opens_at, last_present, total, last_time
 if state_lost then
-  -- A new customer, or a store that came back empty or old: nothing is known of what is on lease. It begins closed, for
-  -- as long as any lease from before may last, and then opens at the rate.
+  -- The customer is new, or the store was restored empty or from an old snapshot: the leases that are outstanding are not
+  -- known. The pool stays closed for as long as an earlier lease may last, and then refills from empty at the rate.
   now, anchor_time, anchor_store_ms, anchor_caller_ms, latest_caller_ms, last_time = 0, 0, store_ms, caller_ms, caller_ms, 0
   opens_at, last_present, total = term + MARGIN, present, math.max(known_total, head and head[8] or 0)
 else
@@ -47,7 +50,8 @@
   end
 end
 
--- What is on lease, by slot: sequence, end, then spent and held for each limit. A lease that has ended counts as spent.
+-- Leases by slot: sequence, end, then units spent and units held for each limit. The units of a lease that has ended count
+-- as spent.
 local function ends_at(lease) return lease[2] end
 local function spent_of(lease, i) return lease[1 + 2 * i] end
 local function held_of(lease, i) return lease[2 + 2 * i] end
@@ -69,12 +73,12 @@
 table.sort(ended, function(a, b) return a.at < b.at end)
 local own_is_good = own_lease and ends_at(own_lease) > now
 
--- The pool fills up to its burst less what was on lease at each moment, as far as that can be known now: a lease until it
--- ended, the caller's own until it says that it spent it. (To let the pool fill as if all had been spent long ago would pass
--- the burst.) Both can only be later than they were.
-local counted = math.min(present, last_present)  -- of those that were away meanwhile, the share was theirs
+-- The pool refills up to its burst minus the units on lease at each moment. A lease counts as outstanding until its end, and
+-- the caller's own units until the time at which it reports them spent. Both times can only be later than the actual ones,
+-- which is safe. If the pool refilled as if all units had been spent long ago, the burst would be exceeded.
+local counted = math.min(present, last_present)  -- a limiter absent at either call may have used its share itself
 
--- The moments, in their order, at which units were no longer on lease. `reported` is the caller's `ms ago:units,...`.
+-- The times, in ascending order, at which units ceased to be on lease. `reported` is the caller's `ms ago:units,...`.
 local function releases(i, spent, reported)
   local found = {}
   for _, item in ipairs(ended) do
@@ -85,7 +89,7 @@
     for ago, units in string.gmatch(reported, '([%d.]+):([%d.]+)') do
       steps[#steps + 1] = {at = now - tonumber(ago), units = tonumber(units)}
     end
-    for n = #steps, 1, -1 do  -- the store may have heard of the earlier ones
+    for n = #steps, 1, -1 do  -- earlier steps may have been reported already, so the latest are counted first
       local units = math.min(steps[n].units, left)
       left = left - units
       found[#found + 1] = {at = math.max(steps[n].at, last_time), units = units}
@@ -95,7 +99,7 @@
   return found
 end
 
--- The level now of a pool that had `level` at the last call.
+-- Returns the current level of a pool that had `level` at the last call.
 local function fill(i, rate, burst, level, spent, reported)
   local leased, from = 0, last_time
   for _, lease in ipairs(leases) do leased = leased + held_of(lease, i) end
@@ -106,7 +110,7 @@
   return math.max(math.min(level + rate * math.max(now - math.max(from, opens_at), 0), burst - leased), 0)
 end
 
-local others, held_by_others = 0, {}  -- other limiters that hold something, and how much of each limit
+local others, held_by_others = 0, {}  -- number of other limiters that hold leases, and their units of each limit
 for i = 1, limits do held_by_others[i] = 0 end
 for _, lease in ipairs(leases) do
   if lease ~= own_lease and ends_at(lease) > now then
@@ -127,13 +131,14 @@
   local level = fill(i, rate * counted / set_size, burst * counted / set_size, state_lost and 0 or tonumber(record['l' .. i] or '0'), spent, ARGV[at + 7])
   local kept = 0
   if state_lost then
-    kept = math.min(held, burst)  -- the caller tells what it holds
+    kept = math.min(held, burst)  -- only the caller's report is available
   elseif own_is_good then
     local recorded = math.max(held_of(own_lease, i) - math.max(spent - spent_of(own_lease, i), 0), 0)
     kept = math.min(held, recorded)
-    level = level + recorded - kept  -- what the caller does not hold goes back: answers that it never had, and what is idle
+    level = level + recorded - kept  -- units of lost answers, and units that the caller returns, go back to the pool
   end
-  -- Where others hold leases too, nobody holds more than its part of what is there and on lease, but for one request.
+  -- If other limiters hold leases too, each gets at most an equal part of the units in the pool and on lease, or the units
+  -- needed for one request.
   local part = (level + kept + held_by_others[i]) / (others + 1) - kept
   local granted = math.min(wanted, math.max(part, math.min(level, needed)))
   if granted < needed then
--- a/hazelhollow/shared_store/presence.lua
+++ b/hazelhollow/shared_store/presence.lua
@@ -1,8 +1,10 @@
--- Who is present. KEYS[1] is one hash for the fleet: by limiter, until when it counts as present, by the store's clock and by
--- its own. A limiter that is not present has its even share for itself, so the others must leave it alone.
+-- Records a limiter's heartbeat and returns the limiters present. KEYS[1] is one hash for the fleet: for each limiter, until
+-- when it counts as present by the store's clock and by its own clock, and the time of its last heartbeat by its own clock.
+-- A limiter that is not present uses its even share by itself, so the others must not use that share.
 --
--- ARGV: limiter's number, caller's ms, store's ms after which this is too late, term ms, margin ms between callers' clocks.
--- Gives the store's ms and, as one text, the numbers of those present, or 'late'.
+-- ARGV: limiter's number, time of the call by the caller's clock, deadline of the call by the store's clock, term of a
+--       heartbeat, margin for differences between the callers' clocks; all times and durations in ms.
+-- Returns the store's time in ms and, as one text, the numbers of the limiters present, or 'late'.
 
 local clock = redis.call('TIME')
 local store_ms = clock[1] * 1000 + math.floor(clock[2] / 1000)
@@ -24,7 +26,7 @@
     redis.call('HDEL', KEYS[1], reply[i])
   end
 end
-if own_last_ms and own_last_ms > caller_ms and own_last_ms < caller_ms + LATEST_SKEW then  -- an older call that came late
+if own_last_ms and own_last_ms > caller_ms and own_last_ms < caller_ms + LATEST_SKEW then  -- a newer heartbeat ran before
   return {store_text, 'late'}
 end
 redis.call('HSET', KEYS[1], limiter, string.format('%.0f %.0f %.0f', store_ms + term, caller_ms + term, caller_ms))
