--- a/hazelhollow/operator/__init__.py
+++ b/hazelhollow/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator file: settings beyond the platform's, written in a subset of CUE."""
+"""The operator file: settings beyond the platform's configuration, in a subset of CUE."""
--- a/hazelhollow/operator/commands.py
+++ b/hazelhollow/operator/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow config`: checks an operator file and shows its effective values."""
+"""The command `hazelhollow config`: checks an operator file and shows its effective values."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @click.group("config")
 def config() -> None:
-    """Look at operator files: our own settings, in a subset of CUE.
+    """Check and show operator files, which are written in a subset of CUE.
 
-    An operator file switches on what the platform's JSON does not know, such as the shared store.
-    Start from deploy/operator.cue; hazelhollow/operator/schema.cue lists every setting with its
-    limits and its default.
+    An operator file switches on features beyond the platform's JSON file, such as the shared store.
+    deploy/operator.cue is an example; hazelhollow/operator/schema.cue lists every setting with its
+    limits and default.
     """
 
 
@@ -30,10 +30,10 @@
 @click.argument("file")
 @click.option("--json", "as_json", is_flag=True, help="Print the problems as a JSON list.")
 def check(file: str, as_json: bool) -> None:
-    """Say what is wrong with FILE, all of it at once.
+    """Report all problems of FILE.
 
     Exit status 0: the file can be used. 2: it cannot; each problem is one line with file, line,
-    column, path, what was found and what is allowed.
+    column, path, the value found and the values allowed.
     """
     try:
         load.load(file)
@@ -62,7 +62,7 @@
 def show_values(file: str, as_json: bool) -> None:
     """Print every value that FILE sets, defaults included; secrets are hidden.
 
-    What is printed is itself a good operator file, unless it hid something.
+    The output is itself a valid operator file, unless a secret was hidden.
     """
     try:
         value = mask(load.effective(load.read_bytes_of(file), file), load.SECRETS)
@@ -89,7 +89,7 @@
 
 
 def fail(error: CueError) -> NoReturn:
-    """Prints one line a problem and ends the program with the status for a bad file."""
+    """Prints one line for each problem and exits with the status for an invalid file."""
     for problem in error.problems:
         click.echo(f"hazelhollow: {problem}", err=True)
     sys.exit(EXIT_BAD_FILE)
--- a/hazelhollow/operator/constraints.py
+++ b/hazelhollow/operator/constraints.py
@@ -1,4 +1,4 @@
-"""Bounds on a value: comparisons and patterns, and whether a value keeps to them."""
+"""Bounds on a value: comparisons and patterns, and checks of values against them."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from hazelhollow.operator.errors import Place
 from hazelhollow.operator.kinds import ANY, NUMBER, STRING, kind_of
 
-MAX_PATTERN_CHARACTERS = 200  # characters
+MAX_PATTERN_CHARACTERS = 200
 PATTERN_SIGNS = ("=~", "!~")
-# Repeats of repeats, look-around and back references can take exponential time: such a pattern is
+# Nested repeats, look-around and back references can take exponential time. Such a pattern is
 # rejected, since an operator file must be read in bounded time.
 _UNSAFE_PATTERN = re.compile(r"[+*}][)]+[+*{]|\(\?|\\[0-9]")
 _COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
@@ -36,25 +36,25 @@
     place: Place
 
     def problem(self) -> str:
-        """Why the sign does not go with the operand; nothing where it does."""
+        """Returns why the sign cannot be used with the operand; empty if it can."""
         kind = kind_of(self.operand)
         if self.sign in PATTERN_SIGNS and isinstance(self.operand, str):
             return _pattern_problem(self.operand)
         if kind == "null" and self.sign == "!=":
             return ""
         if self.sign in PATTERN_SIGNS or kind not in NUMBER | STRING:
-            return f"{self.sign} does not go with {kind}"
+            return f"{self.sign} cannot be used with a value of kind {kind}"
         return ""
 
     def kinds(self) -> frozenset[str]:
-        """The kinds of the values that can keep to it."""
+        """Returns the kinds of values that can satisfy the bound."""
         kind = kind_of(self.operand)
         if kind == "null":
             return ANY
         return NUMBER if kind in NUMBER else STRING
 
     def allows(self, value: Any) -> bool:
-        """Whether a value keeps to it."""
+        """Whether a value satisfies the bound."""
         kinds = {kind_of(self.operand), kind_of(value)}
         comparable = len(kinds) == 1 or kinds <= NUMBER
         if not comparable:
@@ -68,5 +68,8 @@
     except re.error as error:
         return f"the pattern {show(pattern)}: {error}"
     if len(pattern) > MAX_PATTERN_CHARACTERS or _UNSAFE_PATTERN.search(pattern):
-        return f"the pattern {show(pattern)}: too long, or repeats within repeats"
+        return (
+            f"the pattern {show(pattern)}: longer than {MAX_PATTERN_CHARACTERS} characters, or has "
+            "repeats within repeats, look-around or back references"
+        )
     return ""
--- a/hazelhollow/operator/describe.py
+++ b/hazelhollow/operator/describe.py
@@ -1,4 +1,4 @@
-"""Writes values and expressions in CUE's notation, for messages and for `config show`."""
+"""Formats values and expressions in CUE notation, for messages and for `config show`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def describe(expr: Expr) -> str:
-    """An expression on one line."""
+    """Returns an expression as one line."""
     if isinstance(expr, Literal):
         return show(expr.value)
     if isinstance(expr, Reference):
@@ -35,7 +35,7 @@
 
 
 def show(value: Any) -> str:
-    """A plain value that is no struct and no list."""
+    """Returns a scalar value as CUE text."""
     if isinstance(value, str):
         return '"' + value.replace("\\", "\\\\").replace('"', '\\"') + '"'
     if value is None:
--- a/hazelhollow/operator/errors.py
+++ b/hazelhollow/operator/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with an operator file, and where. The fault is always the file's author's."""
+"""Problems of an operator file and their places. All are errors in the file, not in the program."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Where something stands: the file's name, line and column from 1."""
+    """A position in a file: the file's name, and line and column counted from 1."""
 
     file: str
     line: int
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """One thing that is wrong: where, at which path, what was found and what is allowed."""
+    """One problem of a file: its place and path, what was found and what is allowed."""
 
     place: Place
     path: str
@@ -34,7 +34,7 @@
 
 
 class CueError(Exception):
-    """The text cannot be used. `problems` are all that was found, in the order of the file."""
+    """The file cannot be used. `problems` has all problems found, in the order of the file."""
 
     def __init__(self, problems: list[Problem]) -> None:
         self.problems = sorted(problems, key=lambda t: (t.place.file, t.place.line, t.place.column))
--- a/hazelhollow/operator/evaluate.py
+++ b/hazelhollow/operator/evaluate.py
@@ -1,9 +1,9 @@
 """Evaluates syntax trees to plain values: unification, closed definitions, defaults, references.
 
-Source: the CUE language specification, sections "Values", "Structs", "References" and "Default
-values". A node stands for one path; it collects its conjuncts (the expressions to be unified there,
-each with its scope) and is evaluated when all are known. The work is bounded, whatever a file
-refers to, so that no operator file can hang a limiter that reads it.
+This follows the CUE language specification, sections "Values", "Structs", "References" and "Default
+values". A node represents one path. It collects its conjuncts (the expressions to be unified there,
+each with its scope) and is evaluated once all have been collected. The work is bounded for every
+file, so that no operator file can hang a limiter that reads it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from hazelhollow.operator.kinds import LIST, NULL, STRUCT, TYPES, kind_of
 from hazelhollow.operator.lists import items_of
 from hazelhollow.operator.nodes import Conjunct, DefinitionUse, Node, Scope, State
-from hazelhollow.operator.structs import DEFINITION, HIDDEN, settle_fields, take_fields
+from hazelhollow.operator.structs import DEFINITION, HIDDEN, add_fields, resolve_fields
 from hazelhollow.operator.syntax_tree import (
     Bound,
     Choice,
@@ -32,7 +32,7 @@
 )
 
 MAX_STEPS = 10_000
-MAX_COMBINATIONS = 64  # of the choices of all disjunctions at one path
+MAX_COMBINATIONS = 64  # combinations of the choices of all disjunctions at one path
 MAX_NESTED_DISJUNCTIONS = 8
 MAX_LEVELS = 32
 
@@ -44,7 +44,10 @@
 
 
 class Fit(NamedTuple):
-    """A combination of choices that unifies: whether all are defaults, its value and its node."""
+    """A combination of choices that unifies, with its value and node.
+
+    `is_default`: each choice is a default, or its disjunction has none.
+    """
 
     is_default: bool
     value: Value
@@ -56,25 +59,25 @@
 
     def __init__(self, own_file: str) -> None:
         self._diagnostics = Diagnostics(own_file)
-        self.places: dict[str, Place] = {}  # where the file bears on each path that has a value
+        self.places: dict[str, Place] = {}  # for each path that has a value, its place in the file
         self._steps = 0
         self._nested_disjunctions = 0
         self._level = 0
 
     @property
     def problems(self) -> list[Problem]:
-        """The problems found so far."""
+        """Returns the problems found so far."""
         return self._diagnostics.problems
 
     # Reporting problems
 
     def _report_value(self, node: Node, place: Place, found: str, allowed: str) -> None:
-        """Reports a value that does not fit; `allowed` is used if no other conjunct limits it."""
+        """Reports a conflicting value; `allowed` is used if no conjunct of the schema limits it."""
         own_place = self._diagnostics.own_place(node, place)
         self._diagnostics.report(node, own_place, found, self._allowed(node) or allowed)
 
     def _allowed(self, node: Node) -> str:
-        """The schema's limits on this node, as CUE writes them; references are resolved once."""
+        """Returns the schema's limits on a node in CUE notation; references are resolved once."""
         limits = []
         for conjunct in node.conjuncts:
             if not self._diagnostics.is_own(conjunct.expr.place):
@@ -90,7 +93,7 @@
     # Expanding conjuncts
 
     def expand(self, node: Node) -> None:
-        """Takes all conjuncts apart into kinds, bounds and fields; fields are not evaluated yet."""
+        """Splits all conjuncts into kinds, bounds and fields, without evaluating the fields."""
         if node.state is not State.NEW:
             return
         node.state = State.OPEN
@@ -99,15 +102,15 @@
             self._steps += 1
             if self._steps > MAX_STEPS:
                 raise WorkLimitError
-            pending[:0] = self._take(node, pending.pop(0))
+            pending[:0] = self._apply(node, pending.pop(0))
         if node.disjunctions:
             self._choose(node)
         if node.fields and "struct" in node.kinds:
-            settle_fields(node, self._diagnostics)
+            resolve_fields(node, self._diagnostics)
         node.state = State.DONE
 
-    def _take(self, node: Node, conjunct: Conjunct) -> list[Conjunct]:
-        """Applies one conjunct to the node, or gives the conjuncts that it consists of."""
+    def _apply(self, node: Node, conjunct: Conjunct) -> list[Conjunct]:
+        """Applies one conjunct to the node, or returns the conjuncts that it consists of."""
         expr = conjunct.expr
         if isinstance(expr, Conjunction):
             return [conjunct.with_expr(part) for part in expr.parts]
@@ -122,7 +125,7 @@
             self._constrain(node, conjunct, expr)
         elif isinstance(expr, Struct):
             self._narrow(node, STRUCT, expr.place)
-            take_fields(node, conjunct, expr, self._diagnostics)
+            add_fields(node, conjunct, expr, self._diagnostics)
         else:
             self._narrow(node, LIST, expr.place)
             node.lists.append((expr, conjunct))
@@ -138,9 +141,9 @@
             )
 
     def _set_value(self, node: Node, value: Concrete, place: Place) -> None:
-        if node.is_known and (node.value != value or kind_of(node.value) != kind_of(value)):
+        if node.is_concrete and (node.value != value or kind_of(node.value) != kind_of(value)):
             self._report_value(node, place, f"{show(value)} is not allowed here", show(node.value))
-        node.value, node.is_known = value, True
+        node.value, node.is_concrete = value, True
 
     def _constrain(self, node: Node, conjunct: Conjunct, expr: Bound) -> None:
         operand = self.value(Node(node.path, expr.place, [Conjunct(expr.operand, conjunct.scope)]))
@@ -162,19 +165,19 @@
                 self._narrow(node, TYPES[name], expr.place)
             return []
         if id(target) in node.followed or target is node:
-            return []  # a reference cycle adds nothing, by the specification
+            return []  # by the specification, a reference cycle adds no constraint
         node.followed.add(id(target))
         return _referred_conjuncts(conjunct, expr, target)
 
     def _target(self, node: Node, conjunct: Conjunct, quiet: bool = False) -> Node | None:
-        """The node that a reference means. Without `quiet`, one that means nothing is reported."""
+        """Returns the node that a reference resolves to; reports its absence unless `quiet`."""
         expr = conjunct.expr
         assert isinstance(expr, Reference)
         first, *rest = expr.names
         scope = conjunct.find_scope(first)
         if scope is None:
             if not quiet and (first not in TYPES or rest):
-                self._diagnostics.report(node, expr.place, f"there is no '{first}' to refer to")
+                self._diagnostics.report(node, expr.place, f"there is no '{first}' in scope")
             return None
         target = scope.node.fields.get(first)
         for name in rest:
@@ -191,7 +194,10 @@
     # Disjunctions
 
     def _choose(self, node: Node) -> None:
-        """Tries all combinations of choices; takes the one that unifies, or the default one."""
+        """Tries all combinations of choices and adopts the one that unifies.
+
+        Of several it adopts the default, and reports a problem if they leave the value ambiguous.
+        """
         fits = self._fits(node)
         best = [fit for fit in fits if fit.is_default] or fits
         if best and all(fit.value == best[0].value for fit in best):
@@ -203,7 +209,7 @@
         self._diagnostics.report(
             node, self._diagnostics.own_place(node, node.place), found, self._allowed(node)
         )
-        node.kinds, node.value, node.is_known = NULL, None, True
+        node.kinds, node.value, node.is_concrete = NULL, None, True
 
     def _fits(self, node: Node) -> list[Fit]:
         combinations = list(product(*[disjunction.choices for disjunction, _ in node.disjunctions]))
@@ -244,7 +250,7 @@
         return Fit(is_default, value, trial)
 
     def _without_disjunctions(self, node: Node) -> list[Conjunct]:
-        """The conjuncts with references and conjunctions resolved and disjunctions left out."""
+        """Returns the conjuncts without disjunctions, with references and conjunctions resolved."""
         flat: list[Conjunct] = []
         pending, followed = list(node.conjuncts), set[int]()
         while pending:
@@ -266,7 +272,10 @@
     # Values
 
     def value(self, node: Node) -> Value:
-        """The plain value; what is wrong or missing is reported and evaluates to null."""
+        """Returns the plain value of a node; invalid and missing values are reported as problems.
+
+        A missing value evaluates to null.
+        """
         self._level += 1
         try:
             if self._level > MAX_LEVELS:
@@ -289,7 +298,7 @@
                 child.place = child.place if is_own else node.place
                 values[label] = self.value(child)
             elif is_own and child.conjuncts and self._nested_disjunctions == 0:
-                # Definitions need not be concrete, but must not contradict themselves.
+                # Definitions need not be concrete, but must not be contradictory.
                 self.expand(child)
         return values
 
@@ -299,9 +308,9 @@
         return [self.value(item) for item in node.items]
 
     def _scalar_value(self, node: Node) -> Value:
-        if not node.is_known:
+        if not node.is_concrete:
             found = (
-                "is no definite value" if self._diagnostics.own_conjuncts(node) else "is missing"
+                "is not a concrete value" if self._diagnostics.own_conjuncts(node) else "is missing"
             )
             self._diagnostics.report(
                 node, self._diagnostics.own_place(node, node.place), found, self._allowed(node)
@@ -317,7 +326,7 @@
 
 
 def _referred_conjuncts(conjunct: Conjunct, reference: Reference, target: Node) -> list[Conjunct]:
-    """What a reference to `target` says; the use of a definition closes the struct."""
+    """Returns the conjuncts of `target`; a reference to a definition closes the struct."""
     uses = conjunct.uses
     if any(name.startswith(DEFINITION) for name in reference.names):
         uses = uses | {DefinitionUse(describe(reference))}
@@ -330,10 +339,10 @@
 
 
 def evaluate(own: Struct, schema: Struct | None = None, definition: str = "") -> Value:
-    """The file's value, unified with a definition of the schema.
+    """Returns the file's value, unified with a definition of the schema.
 
     Raises:
-        CueError: with all problems.
+        CueError: The file has problems; the error has all of them.
     """
     return evaluate_placed(own, schema, definition)[0]
 
@@ -341,7 +350,10 @@
 def evaluate_placed(
     own: Struct, schema: Struct | None, definition: str
 ) -> tuple[Value, dict[str, Place]]:
-    """As `evaluate`, and for each path its place in the file, or that of what encloses it."""
+    """Returns the value as `evaluate` does, and the place of each path in the file.
+
+    The place of a path that is not in the file is that of the enclosing path.
+    """
     evaluator = Evaluator(own.place.file)
     root = Node("", own.place)
     if schema is not None:
@@ -354,7 +366,7 @@
         value = evaluator.value(root)
     except (WorkLimitError, RecursionError):
         bounds = f"{MAX_STEPS} steps, {MAX_LEVELS} levels"
-        problem = Problem(own.place, "", "this takes too much to work out", bounds)
+        problem = Problem(own.place, "", "evaluation takes too much work", bounds)
         raise CueError([*evaluator.problems, problem]) from None
     if evaluator.problems:
         raise CueError(evaluator.problems)
@@ -362,7 +374,7 @@
 
 
 def mask(value: Value, secret: Iterable[str]) -> Value:
-    """The value with what stands at the labels of `secret` hidden."""
+    """Returns a copy of the value with the values at the labels in `secret` hidden."""
     if isinstance(value, dict):
         return {k: "(hidden)" if k in secret and v else mask(v, secret) for k, v in value.items()}
     return [mask(v, secret) for v in value] if isinstance(value, list) else value
--- a/hazelhollow/operator/fleet_subsystems.py
+++ b/hazelhollow/operator/fleet_subsystems.py
@@ -1,7 +1,7 @@
-"""Starts what `fleet` of an operator file switches on, and ends it in the opposite order.
+"""Starts the subsystems that `fleet` in an operator file switches on; stops them in reverse order.
 
-Membership comes first; replication and configuration build on it. All of them send within the
-control budget where there is one.
+Membership is started first, since replication and configuration depend on it. If there is a control
+budget, all of them send within it.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 
 
 @dataclass(frozen=True)
-class Shared:
-    """What the subsystems share with the rest of the attachment.
+class SubsystemContext:
+    """Objects that the subsystems share with the rest of the attachment.
 
     Attributes:
-        authenticator: signs and verifies their datagrams.
-        writer: writes their files beside the event loop.
-        seed: of their random draws.
-        file_revision: revision of the settings that the operator file says now.
+        authenticator: Signs and verifies their datagrams.
+        writer: Writes their files outside the event loop.
+        seed: Seed of their random number generators.
+        file_revision: Returns the revision of the settings in the operator file.
     """
 
     authenticator: MessageAuthenticator
@@ -63,8 +63,10 @@
 class FleetSubsystems:
     """Membership, control budget, replication and configuration of one limiter."""
 
-    def __init__(self, service: Service, settings: FleetSettings, shared: Shared) -> None:
-        self._service, self._settings, self._shared = service, settings, shared
+    def __init__(
+        self, service: Service, settings: FleetSettings, context: SubsystemContext
+    ) -> None:
+        self._service, self._settings, self._context = service, settings, context
         self._limiter_id = service.settings_reload.settings.limiter_id
         self._budget: LimiterBudget | None = None
         self.membership: MembershipDriver | None = None
@@ -72,15 +74,15 @@
         self.configuration: ConfigurationDriver | None = None
 
     def start(self) -> None:
-        """Starts what the file has; nothing where limiters cannot reach each other."""
+        """Starts the subsystems that are configured; none if limiters cannot reach each other."""
         settings, peers = (
             self._service.settings_reload.settings,
             self._service.engine_driver.peers,
         )
         if peers is None or not settings.peers or settings.limiter_count < 2:
             log.warning(
-                "no view of the fleet: the configuration allows no datagrams between "
-                "limiters, or there is one alone"
+                "fleet subsystems not started: the configuration allows no datagrams between "
+                "limiters, or there is only one limiter"
             )
             return
         if self._settings.control:
@@ -92,7 +94,7 @@
             self._start_configuration(peers, self.membership, self._settings.audit)
 
     def _start_control_budget(self, peers: PeerSocket, bytes_per_s: float) -> None:
-        overhead = self._shared.authenticator.overhead_bytes
+        overhead = self._context.authenticator.overhead_bytes
         clock = self._service.scheduler.clock
         self._budget = LimiterBudget(bytes_per_s, peers, clock, overhead)
         usage = self._budget.budget.usage
@@ -103,8 +105,8 @@
 
     def _start_membership(self, peers: PeerSocket) -> MembershipDriver:
         service, settings = self._service, self._service.settings_reload.settings
-        # Where the platform's configuration lists the peers, its addresses are the only ones used.
-        # Limiter 0, or 1 if this is 0: the configuration lists all peers or none.
+        # If the platform's configuration lists the peers, only its addresses are used. It lists all
+        # peers or none, so checking one of them suffices: limiter 0, or 1 if this is limiter 0.
         any_other_member = 1 - min(settings.limiter_id, 1)
         are_listed = peers.has_address(any_other_member)
         uses_seeds = bool(self._settings.seeds) and not are_listed
@@ -113,8 +115,8 @@
             MembershipSettings(
                 settings.limiter_id,
                 settings.limiter_count,
-                self._shared.seed,
-                max_text_bytes(self._shared.authenticator),
+                self._context.seed,
+                max_text_bytes(self._context.authenticator),
                 address=pack_address(*peers.address) if uses_seeds else "",
             ),
             service.scheduler.clock(),
@@ -129,7 +131,7 @@
             gossip_is_paced=self._settings.control is not None,
         )
         driver = MembershipDriver(
-            service.scheduler, peers, membership, self._shared.authenticator, options
+            service.scheduler, peers, membership, self._context.authenticator, options
         )
         service.stats.view = membership.counts
         driver.start()
@@ -137,14 +139,14 @@
 
     def _history_file(self) -> AppendFile | None:
         path = self._settings.view_file
-        return AppendFile(Path(path), self._shared.writer) if path else None
+        return AppendFile(Path(path), self._context.writer) if path else None
 
     def _start_replication(
         self, peers: PeerSocket, membership: MembershipDriver, settings: ReplicationSettings
     ) -> None:
-        service, authenticator, file = self._service, self._shared.authenticator, None
+        service, authenticator, file = self._service, self._context.authenticator, None
         if settings.state_dir:
-            file = SnapshotFile(Path(settings.state_dir), self._limiter_id, self._shared.writer)
+            file = SnapshotFile(Path(settings.state_dir), self._limiter_id, self._context.writer)
         network = Network(
             peers,
             membership,
@@ -157,7 +159,7 @@
             service.engine_driver.notify,
             service.overrides.apply,
         )
-        driver = ReplicationDriver(service.scheduler, network, engine, self._shared.seed, file)
+        driver = ReplicationDriver(service.scheduler, network, engine, self._context.seed, file)
         self.replication = driver
         service.engine_driver.on_count = driver.record_charge
         service.stats.replica = driver.counters
@@ -170,7 +172,7 @@
         incarnation = int(service.scheduler.clock() * MILLISECONDS_PER_S)
         if settings.state_dir:
             segments = SegmentWriter(
-                Path(settings.state_dir), self._limiter_id, incarnation, self._shared.writer
+                Path(settings.state_dir), self._limiter_id, incarnation, self._context.writer
             )
         service.engine_driver.attempts_by_endpoint = Counter()
         service.engine_driver.max_samples = settings.samples
@@ -178,13 +180,13 @@
             service.scheduler,
             peers,
             membership,
-            self._shared.authenticator,
+            self._context.authenticator,
             ServiceLimiter(service),
         )
         options = ConfigurationOptions(
-            self._shared.file_revision,
+            self._context.file_revision,
             AuditRecord(self._limiter_id, incarnation, segments),
-            self._shared.seed,
+            self._context.seed,
             self._budget_of(TrafficRole.CONFIGURATION),
         )
         self.configuration = ConfigurationDriver(connections, options)
@@ -193,14 +195,14 @@
     # While it runs
 
     def may_admit(self) -> bool:
-        """Whether the limiter may be given work.
+        """Whether the limiter may receive new requests.
 
-        As a member that the others know, and on no older settings than theirs.
+        It may if the other members know it and its settings are not older than theirs.
         """
         return self.membership is None or self.membership.may_admit()
 
     def document(self) -> dict[str, Any] | None:
-        """What `call fleet` answers; None without membership."""
+        """Returns the answer to `call fleet`; None without membership."""
         if self.membership is None:
             return None
         document = self.membership.document()
@@ -213,14 +215,14 @@
         return document
 
     def override_set(self, endpoint: str, disabled: bool) -> None:
-        """An operator has disabled or enabled an endpoint at this limiter."""
+        """Publishes that an operator has disabled or enabled an endpoint at this limiter."""
         if self.replication:
             self.replication.set_override(endpoint, disabled)
         if self.configuration:
             self.configuration.publish("operator call")
 
     def end(self) -> None:
-        """The limiter has answered everything and ends."""
+        """Stops the subsystems after the limiter has answered every request."""
         if self.configuration:
             self.configuration.end()
         if self.replication:
--- a/hazelhollow/operator/kinds.py
+++ b/hazelhollow/operator/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of CUE's values, and the names of types that stand for sets of kinds."""
+"""The kinds of CUE values, and the names of the types that stand for sets of kinds."""
 
 from __future__ import annotations
 
@@ -28,5 +28,5 @@
 
 
 def kind_of(value: Any) -> str:
-    """The kind of a plain value."""
+    """Returns the kind of a plain value."""
     return _KIND_OF_TYPE.get(type(value), "null")
--- a/hazelhollow/operator/lists.py
+++ b/hazelhollow/operator/lists.py
@@ -7,7 +7,7 @@
 
 
 def items_of(node: Node, diagnostics: Diagnostics) -> list[Node]:
-    """One node for each item. Closed lists of other lengths are reported."""
+    """Returns one node for each item; reports closed lists whose length differs."""
     count = max(len(literal.items) for literal, _ in node.lists)
     for literal, _ in node.lists:
         length = len(literal.items)
--- a/hazelhollow/operator/live_changes.py
+++ b/hazelhollow/operator/live_changes.py
@@ -1,4 +1,4 @@
-"""Which changes of an operator file a running limiter takes, and which need a restart."""
+"""Determines which changes of an operator file apply at run time, and which need a restart."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hazelhollow.operator.load import flatten
 from hazelhollow.operator.settings import OperatorSettings
 
-# Paths that a running limiter takes, with all below them.
+# Paths whose changes a running limiter applies, including all paths below them.
 LIVE = frozenset(
     {
         "log.level",
@@ -29,14 +29,17 @@
 
 
 class Changes(NamedTuple):
-    """Paths that differ between two files."""
+    """The paths whose values differ between two files."""
 
-    live: list[str]  # that a running limiter takes
-    restart: list[str]  # that need a restart
+    live: list[str]  # paths that a running limiter applies
+    restart: list[str]  # paths that need a restart
 
 
 def changes(old: OperatorSettings, new: OperatorSettings) -> Changes:
-    """Compares two files. A subsystem that comes or goes needs a restart as a whole."""
+    """Compares two files. Switching a subsystem on or off needs a restart.
+
+    In that case only the changes of `log` apply at run time, and `restart` names the subsystems.
+    """
     before, after = flatten(msgspec.to_builtins(old)), flatten(msgspec.to_builtins(new))
     paths = sorted(path for path in {*before, *after} if before.get(path) != after.get(path))
     switched = [
@@ -56,12 +59,12 @@
 
 
 def merged(old: OperatorSettings, new: OperatorSettings) -> OperatorSettings:
-    """The new values where a running limiter takes them, the old ones elsewhere."""
-    value, fresh = msgspec.to_builtins(old), msgspec.to_builtins(new)
+    """Returns the new values for paths that a running limiter applies, else the old ones."""
+    result, changed = msgspec.to_builtins(old), msgspec.to_builtins(new)
     for path in LIVE:
-        old_part, new_part, (*groups, name) = value, fresh, path.split(".")
+        old_part, new_part, (*groups, name) = result, changed, path.split(".")
         for group in groups:
             old_part, new_part = old_part and old_part[group], new_part and new_part[group]
         if old_part and new_part:
             old_part[name] = new_part[name]
-    return msgspec.convert(value, OperatorSettings)
+    return msgspec.convert(result, OperatorSettings)
--- a/hazelhollow/operator/load.py
+++ b/hazelhollow/operator/load.py
@@ -1,6 +1,6 @@
-"""Reads an operator file: text, syntax tree, values, typed settings.
+"""Reads an operator file in steps: text, syntax tree, values, typed settings.
 
-Each step raises `CueError`, which says where in the file and why.
+Each step raises `CueError`, which has the place in the file and the reason.
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
 from hazelhollow.operator.syntax_tree import Struct
 
 SCHEMA = Path(__file__).parent / "schema.cue"
-SECRETS = frozenset({"password", "secret"})  # labels; files that hold secrets are named, not shown
+# Labels whose values are hidden. Paths of files that contain secrets are not hidden.
+SECRETS = frozenset({"password", "secret"})
 _DURATION = re.compile(r"([0-9]+)(ms|s|m|h)")
 PORTS = 65536
-MIN_CALL_TIMEOUTS_PER_TERM = 4  # call timeouts that a lease must outlast
-MIN_HEARTBEATS_PER_TERM = 2  # heartbeats that must fit in the term of one
+MIN_CALL_TIMEOUTS_PER_TERM = 4  # minimum lease term, in call timeouts
+MIN_HEARTBEATS_PER_TERM = 2  # minimum term of a heartbeat, in heartbeat intervals
 _UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 _TIMES = {
     *("store." + name for name in ("call_timeout", "connect_timeout", "retry_least", "retry_most")),
@@ -37,24 +38,24 @@
     """Parses a duration such as `250ms` into seconds.
 
     Raises:
-        ValueError: the text is no duration.
+        ValueError: The text is not a duration.
     """
     match = _DURATION.fullmatch(text)
     if not match:
-        raise ValueError(f"{text!r} is no duration")
+        raise ValueError(f"{text!r} is not a duration: a number followed by ms, s, m or h")
     return int(match[1]) * _UNITS[match[2]]
 
 
 def schema() -> Struct:
-    """The syntax tree of `schema.cue`."""
+    """Returns the syntax tree of `schema.cue`."""
     return parse(SCHEMA.read_bytes(), "schema.cue")
 
 
 def effective(data: bytes, file: str) -> dict[str, Any]:
-    """The file's values with all defaults, as the file writes them (durations are strings).
+    """Returns the file's values with all defaults, in the file's notation (durations are strings).
 
     Raises:
-        CueError: with all problems of the file.
+        CueError: The file has problems; the error has all of them.
     """
     value, places = evaluate_placed(parse(data, file), schema(), "#Operator")
     assert isinstance(value, dict)
@@ -65,10 +66,10 @@
 
 
 def read_bytes_of(path: str) -> bytes:
-    """The file's bytes.
+    """Returns the file's bytes.
 
     Raises:
-        CueError: the file cannot be read.
+        CueError: The file cannot be read.
     """
     try:
         return Path(path).read_bytes()
@@ -77,16 +78,16 @@
 
 
 def load(path: str) -> OperatorSettings:
-    """The typed settings of the file at that path.
+    """Returns the typed settings of the file at that path.
 
     Raises:
-        CueError: with all problems of the file, or with the one that keeps it from being read.
+        CueError: The file cannot be read or has problems; the error has all of them.
     """
     return read(read_bytes_of(path), path)
 
 
 def read(data: bytes, file: str) -> OperatorSettings:
-    """As `load`, of bytes; `file` is the name for messages."""
+    """Returns the typed settings of a file's bytes; `file` is its name in messages."""
     return msgspec.convert(_typed(effective(data, file), ""), OperatorSettings)
 
 
@@ -108,7 +109,7 @@
 
 
 class _Finding(NamedTuple):
-    """A value that no field shows to be wrong by itself."""
+    """A value that the schema allows but a check in this module rejects."""
 
     path: str
     found: str
@@ -136,14 +137,17 @@
 def _store_findings(
     value: dict[str, Any], store: dict[str, Any], earlier: list[_Finding]
 ) -> list[_Finding]:
-    """Adds to the earlier findings; times are compared only where nothing else is wrong."""
+    """Returns the earlier findings and those of the store.
+
+    The terms of leases and heartbeats are compared only if nothing else has been found before.
+    """
     lease, presence, findings = store["lease"], store["presence"], list(earlier)
     port = int(store["address"].rpartition(":")[2])
     if not 0 < port < PORTS:
         findings.append(_Finding("store.address", f"port {port}", "1 to 65535"))
     for path, text in sorted(flatten(value).items()):
         if path in _TIMES and seconds(str(text)) <= 0:
-            findings.append(_Finding(path, str(text), "more than nothing"))
+            findings.append(_Finding(path, str(text), "greater than 0"))
     if not findings and seconds(lease["term"]) < MIN_CALL_TIMEOUTS_PER_TERM * seconds(
         store["call_timeout"]
     ):
@@ -161,7 +165,7 @@
 
 
 def flatten(value: Any, path: str = "") -> dict[str, Any]:
-    """The leaves of nested values by their dotted paths."""
+    """Returns the leaves of nested values by their dotted paths."""
     if not isinstance(value, dict):
         return {path: value}
     return {
--- a/hazelhollow/operator/logs.py
+++ b/hazelhollow/operator/logs.py
@@ -1,4 +1,4 @@
-"""Sets up structlog and the standard `logging` module to write the same lines, JSON or console."""
+"""Configures structlog and `logging` to write lines in the same format, JSON or console."""
 
 from __future__ import annotations
 
--- a/hazelhollow/operator/nodes.py
+++ b/hazelhollow/operator/nodes.py
@@ -1,6 +1,6 @@
-"""The evaluator's state for each path: its conjuncts with their scopes, and their unification.
+"""The evaluator's state of each path: its conjuncts with their scopes, and their unification.
 
-A node is `NEW` until it is expanded, `OPEN` while its conjuncts are taken apart, and `DONE` after.
+A node is `NEW` until it is expanded, `OPEN` during the expansion, and `DONE` after it.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, eq=False)
 class Scope:
-    """The struct in which an expression stands: its labels, its node, and the enclosing scope."""
+    """The struct that encloses an expression: its labels, its node, and the outer scope."""
 
     labels: frozenset[str]
     node: Node
     outer: Scope | None
 
     def find(self, name: str) -> Scope | None:
-        """The innermost scope, from this one outwards, that has the label."""
+        """Returns the innermost scope, from this one outwards, that has the label."""
         scope: Scope | None = self
         while scope and name not in scope.labels:
             scope = scope.outer
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, eq=False)
 class DefinitionUse:
-    """One use of a closed definition: what it does not list is not allowed beside it."""
+    """One use of a closed definition, which disallows fields that the definition does not list."""
 
     name: str
 
@@ -46,11 +46,11 @@
     uses: frozenset[DefinitionUse] = frozenset()
 
     def with_expr(self, expr: Expr) -> Conjunct:
-        """A part of this expression, in the same scope."""
+        """Returns a conjunct for a part of this expression, in the same scope."""
         return Conjunct(expr, self.scope, self.uses)
 
     def find_scope(self, name: str) -> Scope | None:
-        """The scope in which a name that the expression refers to is found."""
+        """Returns the scope that has a name to which the expression refers."""
         return self.scope.find(name) if self.scope else None
 
 
@@ -58,21 +58,21 @@
     """How far a node has been evaluated."""
 
     NEW = "new"
-    OPEN = "open"  # its conjuncts are being taken apart
+    OPEN = "open"  # its conjuncts are being expanded
     DONE = "done"
 
 
 @dataclass(eq=False)
 class Node:
-    """One path, its conjuncts and what they unify to."""
+    """One path, its conjuncts and the result of their unification."""
 
     path: str
     place: Place
     conjuncts: list[Conjunct] = field(default_factory=list)
     state: State = State.NEW
-    kinds: frozenset[str] = ANY  # that the value can still have
+    kinds: frozenset[str] = ANY  # kinds that the value can still have
     value: Concrete = None
-    is_known: bool = False  # `value` is its value
+    is_concrete: bool = False  # whether `value` has been set
     constraints: list[Constraint] = field(default_factory=list)
     fields: dict[str, Node] = field(default_factory=dict)
     field_places: dict[str, Place] = field(default_factory=dict)
@@ -82,16 +82,16 @@
     lists: list[tuple[ListLiteral, Conjunct]] = field(default_factory=list)
     disjunctions: list[tuple[Disjunction, Conjunct]] = field(default_factory=list)
     items: list[Node] | None = None
-    # ids of nodes whose conjuncts it has taken by reference
+    # ids of the nodes whose conjuncts have been added by references
     followed: set[int] = field(default_factory=set)
 
     def child_path(self, label: str) -> str:
-        """The path of a field."""
+        """Returns the path of a field."""
         return f"{self.path}.{label}" if self.path else label
 
     def adopt(self, other: Node) -> None:
-        """Takes over the result of another node for the same path."""
-        self.kinds, self.value, self.is_known = other.kinds, other.value, other.is_known
+        """Replaces the result by that of another node for the same path."""
+        self.kinds, self.value, self.is_concrete = other.kinds, other.value, other.is_concrete
         self.constraints = other.constraints
         self.fields, self.field_places = other.fields, other.field_places
         self.optional, self.required = other.optional, other.required
--- a/hazelhollow/operator/parser.py
+++ b/hazelhollow/operator/parser.py
@@ -1,8 +1,8 @@
 """Parses the text of an operator file into a syntax tree.
 
-The grammar is the subset of CUE in `cue.lark`; source: the CUE language specification, sections
-"Lexical elements" and "Commas". The size of the text and the depth of its brackets are bounded, so
-that no file can take long or exhaust the stack.
+The grammar in `cue.lark` is a subset of CUE; see the CUE language specification, sections "Lexical
+elements" and "Commas". The size of the text and the nesting of its brackets are bounded, so that no
+file can take long or exhaust the stack.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
     Struct,
 )
 
-MAX_BYTES = 256 * 1024  # of a file
-MAX_DEPTH = 32  # brackets within brackets
-MAX_DIGITS = 18  # of a number
-MAX_EXPONENT = 300  # of a number
-MAX_ECHOED = 40  # characters of a token that an error repeats
-MAX_EXPECTED = 8  # names of what could stand at a place, in an error
+MAX_BYTES = 256 * 1024  # size of a file
+MAX_DEPTH = 32  # nested brackets
+MAX_DIGITS = 18  # digits of a number
+MAX_EXPONENT = 300  # absolute value of a number's exponent
+MAX_ECHOED = 40  # characters of a token that an error quotes
+MAX_EXPECTED = 8  # expected tokens that an error lists
 _COMMA_FOLLOWS = {
     "IDENT",
     "TRUE",
@@ -89,18 +89,18 @@
 
 
 class CommaInserter:
-    """Turns a line's end into a comma where CUE does, and bounds the depth of brackets.
+    """Replaces line ends by commas where CUE does, and bounds the nesting of brackets.
 
-    A hook of lark's between its lexer and its parser.
+    lark calls it between its lexer and its parser.
     """
 
     always_accept = ("_NL",)
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
-        """The tokens with those commas.
+        """Yields the tokens with commas inserted.
 
         Raises:
-            UnexpectedToken: brackets are too deep.
+            UnexpectedToken: Brackets are nested deeper than MAX_DEPTH.
         """
         last: Token | None = None
         depth = 0
@@ -124,10 +124,11 @@
 
 
 def parse(data: bytes, file: str) -> Struct:
-    """Parses a file's bytes; `file` is its name for messages.
+    """Parses a file's bytes; `file` is its name in messages.
 
     Raises:
-        CueError: with one problem: after the first, the rest would be guesses.
+        CueError: The text is invalid. The error has only the first problem, since problems after a
+            syntax error would be guesses.
     """
     begin = Place(file, 1, 1)
     if len(data) > MAX_BYTES:
@@ -137,12 +138,14 @@
         return Struct(begin, _Builder(file).fields(_parser().parse(text).children))
     except UnexpectedCharacters as error:
         place = Place(file, error.line, error.column)
-        raise _error(place, f"{error.char!r} cannot stand here", _expected(error.allowed)) from None
+        raise _error(
+            place, f"{error.char!r} is not expected here", _expected(error.allowed)
+        ) from None
     except UnexpectedToken as error:
         token = error.token
         place = Place(file, token.line or text.count("\n") + 1, token.column or 1)
         found = _END_NAMES.get(token.type, repr(str(token)[:MAX_ECHOED]))
-        raise _error(place, f"{found} cannot stand here", _expected(error.expected)) from None
+        raise _error(place, f"{found} is not expected here", _expected(error.expected)) from None
     except LarkError as error:
         raise _error(begin, str(error).splitlines()[0]) from None
 
@@ -170,7 +173,7 @@
 
 
 class _Builder:
-    """Converts lark's tree into the typed one."""
+    """Converts lark's tree into a typed syntax tree."""
 
     def __init__(self, file: str) -> None:
         self.file = file
@@ -196,7 +199,7 @@
         return Field(place, name, str(suffix[0]) if suffix else "", inner)
 
     def expr(self, tree: Any) -> Expr:
-        """One expression; the grammar's rule names the kind."""
+        """Converts one expression, whose kind is the name of the grammar rule."""
         place, parts = self._place(tree), tree.children
         match tree.data:
             case "number":
@@ -264,6 +267,6 @@
 
 
 def _exponent(digits: str) -> int:
-    """The size of a number's exponent, whatever its sign; 0 where there is none."""
+    """Returns the absolute value of a number's exponent; 0 if it has none."""
     _, _, exponent = digits.lower().partition("e")
     return abs(int(exponent)) if exponent else 0
--- a/hazelhollow/operator/schema.cue
+++ b/hazelhollow/operator/schema.cue
@@ -1,5 +1,5 @@
-// What an operator file may say. A file is unified with #Operator; what is not listed here is an error.
-// Durations are a number with ms, s, m or h. Paths are taken from where the program was started.
+// The schema of operator files. A file is unified with #Operator; a field that is not listed here is an error.
+// Durations are a number with ms, s, m or h. Paths are relative to the directory in which the program was started.
 package operator
 
 #Operator: {
@@ -8,32 +8,35 @@
 	fleet?: #Fleet
 }
 
-// The view of the fleet that the limiters keep themselves; its members are the configuration's `peers`. Where it lists none,
-// they find each other by `seeds`: addresses of some, which must be up for others to join.
+// Membership: the view of the fleet that the limiters maintain themselves. The members are the `peers` of the platform's
+// configuration. If it lists none, they find each other by `seeds`: addresses of some members, which must be up for others
+// to join.
 #Fleet: {
 	seeds: [...#Address]
-	keys_file?: string // keys, one a line, of the hash that the view's datagrams end with; the first one seals
+	keys_file?: string // keys, one per line, of the authentication hash at the end of datagrams; the first one signs
 	replicate?: #Replicate
 	audit?: #Audit
 	control?: #Control
-	view_file?: string // gets a JSON line whenever the view changes
+	view_file?: string // a JSON line is appended to it whenever the view changes
 }
 
-// Which limiter acts on which settings; one that is behind is brought up by the others or takes nothing new.
+// Distribution and audit of settings. A limiter with older settings gets the newer ones from the others; until then it
+// accepts no new requests.
 #Audit: {
-	order:      *0 | int & >=0 & <=46655 // of the settings: raised with each change; SIGHUP reads it again
-	state_dir?: string // a folder that outlives the process: for the record of what it acted on
-	samples:    *3 | int & >=0 & <=3000 // requests a second that are written down by their ids; 3000 is about all
+	order:      *0 | int & >=0 & <=46655 // revision of the settings, to be increased with each change; SIGHUP reads it again
+	state_dir?: string // folder that outlives the process, for the record of the settings in force
+	samples:    *3 | int & >=0 & <=3000 // requests per second whose ids are recorded; 3000 is about all requests
 }
 
-// One budget for all that limiters tell each other: the view, the quota gossip, replication, documents of settings.
+// One budget for all traffic between limiters: membership, quota gossip, replication and settings documents.
 #Control: {
-	bytes_per_s: *4000 | number & >=3000 & <=1000000 // of one limiter, with headers, over any ten seconds
+	bytes_per_s: *4000 | number & >=3000 & <=1000000 // of one limiter, including headers, over any ten seconds
 }
 
-// What each has charged whom, and hosts put out by hand, kept alike at all limiters, with catch-up for one that begins.
+// Replication of the units charged to customers and of endpoints that operators have disabled; a limiter that starts
+// catches up with the others.
 #Replicate: {
-	state_dir?: string // a folder that outlives the process: all killed at once begin where they were
+	state_dir?: string // folder that outlives the process; limiters that are all killed at once resume from its snapshots
 }
 
 #Log: {
@@ -48,29 +51,29 @@
 	username?:        string
 	password_file?:   string // its first line is the password
 	tls?:             #Tls
-	prefix:           *"hh" | =~"^[A-Za-z0-9_.-]{1,16}$" // of every key; fleets that share a store differ in it
-	call_timeout:     *"50ms" | #Duration // a call without its answer by then is given up
+	prefix:           *"hh" | =~"^[A-Za-z0-9_.-]{1,16}$" // prefix of every key; must differ between fleets that share a store
+	call_timeout:     *"50ms" | #Duration // a call without an answer after this time is given up
 	connect_timeout:  *"250ms" | #Duration
-	retry_least:      *"50ms" | #Duration // waits between attempts to connect double from here ...
-	retry_most:       *"2s" | #Duration // ... to here
-	calls_waiting:    *256 | int & >=1 & <=4096 // at once, on the one connection; what is beyond is not asked
+	retry_least:      *"50ms" | #Duration // first wait between attempts to connect; the wait doubles after each
+	retry_most:       *"2s" | #Duration // longest wait between attempts to connect
+	calls_waiting:    *256 | int & >=1 & <=4096 // maximum number of pending calls on the connection; further calls fail at once
 	hold:             *"both" | "ceilings" | "quotas" // the limits that are kept in the store
-	plans:            [...string] // whose limits are kept there; empty: those that have a ceiling
+	plans:            [...string] // plans whose limits are kept in the store; empty: those that have a ceiling
 	lease:            #Lease
 	presence:         #Presence
 }
 
-// How much of a customer's limit a limiter takes at a time.
+// How much of a customer's limit a limiter leases at a time.
 #Lease: {
-	term:       *"1500ms" | #Duration // a lease that is not renewed by then is void
-	base_share: *0.25 | number & >=0 & <=0.9 // of each limit, divided evenly and never in the store
-	ahead:      *"600ms" | #Duration // of use, at the customer's rate here, that a limiter holds
+	term:       *"1500ms" | #Duration // a lease that is not renewed within this time expires
+	base_share: *0.25 | number & >=0 & <=0.9 // share of each limit that is divided evenly and never kept in the store
+	ahead:      *"600ms" | #Duration // usage to lease in advance, at the customer's rate at this limiter
 }
 
-// Limiters show the store that they are there; the share of one that does not is kept for it.
+// Limiters send heartbeats to the store; the share of a limiter that sends none is reserved for it.
 #Presence: {
-	every: *"500ms" | #Duration
-	term:  *"1200ms" | #Duration
+	every: *"500ms" | #Duration // interval between heartbeats
+	term:  *"1200ms" | #Duration // a limiter counts as present for this time after a heartbeat
 }
 
 #Tls: {
--- a/hazelhollow/operator/settings.py
+++ b/hazelhollow/operator/settings.py
@@ -1,7 +1,7 @@
 """The operator file's values as frozen records.
 
-`schema.cue` states each value's limits and default. All times are in seconds, paths are strings
-(empty: none).
+`schema.cue` defines each value's limits and default. All durations are in seconds. Paths are
+strings; an empty string means that there is none.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class LogSettings(Settings, frozen=True):
-    """How log lines look and from which level on they are written."""
+    """The format of log lines and the lowest level that is logged."""
 
     format: Literal["json", "console"]
     level: Literal["debug", "info", "warning", "error"]
 
 
 class TlsSettings(Settings, frozen=True):
-    """TLS to the shared store: paths of PEM files, and the name that its certificate must have."""
+    """TLS to the shared store: paths of PEM files, and the name in the store's certificate."""
 
     ca_file: str
     cert_file: str = ""
@@ -35,9 +35,9 @@
     """Leases of units from the shared store.
 
     Attributes:
-        term: seconds for which a lease holds.
-        base_share: share of each limit that never enters the store.
-        ahead: seconds of use that are leased in advance.
+        term: Seconds for which a lease is valid.
+        base_share: Share of each limit that is never kept in the store.
+        ahead: Seconds of usage that are leased in advance.
     """
 
     term: float
@@ -46,14 +46,14 @@
 
 
 class PresenceSettings(Settings, frozen=True):
-    """Heartbeats in the shared store: seconds between two, and until one is void."""
+    """Heartbeats in the shared store: seconds between two, and seconds until one expires."""
 
     every: float
     term: float
 
 
 class StoreSettings(Settings, frozen=True):
-    """The shared store (Redis) and what is kept in it."""
+    """The connection to the shared store (Redis) and the limits that are kept in it."""
 
     address: tuple[str, int]
     database: int
@@ -73,7 +73,7 @@
 
 
 class ReplicationSettings(Settings, frozen=True):
-    """Replication of counts; `state_dir` is a folder for snapshots that outlives the process."""
+    """Replication of counts; `state_dir` is a folder for snapshots that outlive the process."""
 
     state_dir: str = ""
 
@@ -82,9 +82,9 @@
     """Distribution and audit of settings.
 
     Attributes:
-        order: revision of the settings, raised by the operator with each change.
-        state_dir: folder for the audit record, which outlives the process.
-        samples: requests a second that are written to the record.
+        order: Revision of the settings, increased by the operator with each change.
+        state_dir: Folder for the audit record, which outlives the process.
+        samples: Requests per second that are written to the record.
     """
 
     order: int = 0
@@ -93,16 +93,16 @@
 
 
 class ControlSettings(Settings, frozen=True):
-    """The control budget: bytes a second of one limiter's control traffic.
+    """The control budget: bytes per second of one limiter's control traffic.
 
-    Headers included, over any ten seconds.
+    The bytes include headers; the budget holds over any ten seconds.
     """
 
     bytes_per_s: float
 
 
 class FleetSettings(Settings, frozen=True):
-    """Membership, and what builds on it."""
+    """Membership and the subsystems that depend on it."""
 
     seeds: tuple[tuple[str, int], ...] = ()
     keys_file: str = ""
@@ -113,7 +113,7 @@
 
 
 class OperatorSettings(Settings, frozen=True):
-    """The whole file; a part that is absent is switched off."""
+    """The complete operator file; a subsystem that is absent is switched off."""
 
     log: LogSettings
     store: StoreSettings | None = None
--- a/hazelhollow/operator/structs.py
+++ b/hazelhollow/operator/structs.py
@@ -9,11 +9,11 @@
 from hazelhollow.operator.nodes import Conjunct, Node, Scope
 from hazelhollow.operator.syntax_tree import REQUIRED, Field, Struct
 
-DEFINITION = "#"  # labels of definitions begin so
-HIDDEN = (DEFINITION, "_")  # labels that begin so are no part of the value
+DEFINITION = "#"  # first character of the labels of definitions
+HIDDEN = (DEFINITION, "_")  # first characters of the labels that are not part of the value
 
 
-def take_fields(node: Node, conjunct: Conjunct, expr: Struct, diagnostics: Diagnostics) -> None:
+def add_fields(node: Node, conjunct: Conjunct, expr: Struct, diagnostics: Diagnostics) -> None:
     """Adds the fields of one struct to a node."""
     labels = frozenset(field.label for field in expr.fields)
     scope = Scope(labels, node, conjunct.scope)
@@ -22,14 +22,14 @@
     for field in expr.fields:
         part = Conjunct(field.value, scope, conjunct.uses)
         if not field.suffix:
-            _take_regular_field(node, field, part, diagnostics)
+            _add_regular_field(node, field, part, diagnostics)
             continue
         node.optional.setdefault(field.label, []).append(part)
         if field.suffix == REQUIRED:
             node.required[field.label] = field.place
 
 
-def _take_regular_field(
+def _add_regular_field(
     node: Node, field: Field, conjunct: Conjunct, diagnostics: Diagnostics
 ) -> None:
     label = field.label
@@ -40,12 +40,12 @@
     node.fields[label].conjuncts.append(conjunct)
 
 
-def settle_fields(node: Node, diagnostics: Diagnostics) -> None:
+def resolve_fields(node: Node, diagnostics: Diagnostics) -> None:
     """Applies optional and required fields and closedness, once all structs have been added."""
     for label, parts in node.optional.items():
         if label in node.fields:
-            known = {id(conjunct) for conjunct in node.fields[label].conjuncts}
-            node.fields[label].conjuncts += [part for part in parts if id(part) not in known]
+            present = {id(conjunct) for conjunct in node.fields[label].conjuncts}
+            node.fields[label].conjuncts += [part for part in parts if id(part) not in present]
     for label in node.required:
         if label not in node.fields:
             missing = Node(f"{node.path}.{label}", node.place)
--- a/hazelhollow/operator/syntax_tree.py
+++ b/hazelhollow/operator/syntax_tree.py
@@ -1,4 +1,4 @@
-"""The nodes of a parsed operator file. Each has the place in the file where it begins."""
+"""The nodes of a parsed operator file. Each has the place in the file where it starts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Reference:
-    """A name, or names with dots between them."""
+    """A reference to a field: a name, or several names separated by dots."""
 
     place: Place
     names: tuple[str, ...]
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """`>= 1`, `=~ "^a"` and the like: a comparison with what it stands at."""
+    """A comparison that the value must satisfy, such as `>= 1` or `=~ "^a"`."""
 
     place: Place
     sign: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Conjunction:
-    """`A & B`: all of its parts at once."""
+    """`A & B`: the value must satisfy all parts."""
 
     place: Place
     parts: tuple[Expr, ...]
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Disjunction:
-    """`A | *B`: one of its choices."""
+    """`A | *B`: the value is one of the choices."""
 
     place: Place
     choices: tuple[Choice, ...]
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Struct:
-    """Fields in braces, or the whole file."""
+    """Fields in braces, or all fields of a file."""
 
     place: Place
     fields: tuple[Field, ...]
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class ListLiteral:
-    """A list; an open one goes on with values of `rest`, or any."""
+    """A list; an open list may have further items that satisfy `rest`, or any if it is None."""
 
     place: Place
     items: tuple[Expr, ...]
--- a/tests/operator/test_cue.py
+++ b/tests/operator/test_cue.py
@@ -1,4 +1,4 @@
-"""The subset of CUE that operator files are written in: parser, evaluation and messages."""
+"""Tests of the CUE subset that operator files are written in: parser, evaluation, messages."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
         ("l: [...{k: *1 | int}]\nl: [{}, {k: 2}]", {"l": [{"k": 1}, {"k": 2}]}),
         ("#L: {v: int, next?: #L}\nl: #L & {v: 1, next: v: 2}", {"l": {"v": 1, "next": {"v": 2}}}),
         ("least: 3\na: >=least & 3", {"least": 3, "a": 3}),
-        # the innermost is meant
+        # a reference resolves to the innermost scope
         ("a: {b: 1}\nc: {a: 2, d: a}", {"a": {"b": 1}, "c": {"a": 2, "d": 2}}),
         ("a: null\nb: (1 | *2) & >1", {"a": None, "b": 2}),
     ],
@@ -131,11 +131,11 @@
         ),
     ],
 )
-def test_every_problem_is_reported_with_location_path_and_allowed_values(
+def test_every_problem_is_reported_with_place_path_and_allowed_values(
     text: str, expected: list[str]
 ) -> None:
-    """A file has one or several mistakes. Each is reported, not only the first,
-    with its line, its path and what would be allowed.
+    """A file has one or several problems. Each is reported, not only the first, with its line,
+    its path and the values allowed.
     """
     assert problems(text) == expected
 
@@ -147,7 +147,7 @@
         ("a: 1 b: 2", "f.cue:1:6: 'b'"),
         ("a: @", "f.cue:1:4: '@'"),
         ("a: b", "f.cue:1:4: a: there is no 'b'"),
-        ("a: b\nb: a", "f.cue:1:4: a: is no definite value"),
+        ("a: b\nb: a", "f.cue:1:4: a: is not a concrete value"),
         ("a: 1 | 2", "several values fit"),
         ("a: 1\na: 2", "f.cue:2:4: a: 2 is not allowed here; allowed: 1"),
         ('a: "\\(x)"', "the escape"),
@@ -162,19 +162,19 @@
         ("a: >1 & 1", "a: 1 is not allowed"),
         ("a: b.c\nb: 1", "there is no b.c"),
         ("a: 1 & 1.0", "a: 1 & 1.0 is not allowed here"),
-        ("package 1", "'1' cannot stand here"),
+        ("package 1", "'1' is not expected here"),
     ],
 )
-def test_unreadable_input_is_named(text: str, word: str) -> None:
-    """A file that cannot be parsed or has no definite value is refused with the reason."""
+def test_invalid_file_is_rejected_with_the_reason(text: str, word: str) -> None:
+    """A file cannot be parsed, or a value is not concrete: it is rejected with the reason."""
     assert any(word in problem for problem in problems(text, schema=False))
 
 
 @pytest.mark.parametrize(
     "data, word", [(b"a: 1\nb: \xff", "f.cue:2:4: a byte"), (b" " * (MAX_BYTES + 1), "at most")]
 )
-def test_bytes_that_are_not_utf8_or_too_many_are_refused(data: bytes, word: str) -> None:
-    """A file is not UTF-8, or larger than the limit: it is refused with the place."""
+def test_file_not_in_utf8_or_too_large_is_rejected(data: bytes, word: str) -> None:
+    """A file is not UTF-8, or larger than the limit: it is rejected with the place."""
     with pytest.raises(CueError, match=word):
         parse(data, "f.cue")
 
@@ -223,7 +223,7 @@
     )
 )
 def test_any_bytes_give_a_value_or_located_problems(data: bytes) -> None:
-    """Whatever bytes come, the result is a value or problems with a line; nothing else escapes."""
+    """For any bytes the result is a value or problems with a place; nothing else is raised."""
     try:
         evaluate(parse(data, "f.cue"), parse(SCHEMA, "schema.cue"), "#Op")
     except CueError as error:
@@ -235,8 +235,8 @@
 @hypothesis_settings(max_examples=15)
 @given(st.integers(2, 12), st.integers(1, 40))
 def test_evaluation_work_is_bounded(width: int, depth: int) -> None:
-    """References that multiply at every level would take exponential work; evaluation stops
-    and says that it is too much.
+    """References that multiply at every level would take exponential work; evaluation stops and
+    reports that it takes too much work.
     """
     lines = ["x0: {v: 1}"] + [
         f"x{i}: {{{', '.join(f'y{k}: x{i - 1}' for k in range(width))}}}" for i in range(1, depth)
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: its schema, its commands, its reload and the log that it sets up."""
+"""Tests of the operator file: its schema, commands and reload, and the logging that it sets up."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
             "at least four times store.call_timeout",
         ),
         ('store: {address: "a:1", presence: {term: "600ms"}}', "twice store.presence.every"),
-        ('store: {address: "a:1", call_timeout: "0s"}', "more than nothing"),
+        ('store: {address: "a:1", call_timeout: "0s"}', "greater than 0"),
         ('store: {address: "a:1", retry_most: "1ms"}', "at least store.retry_least"),
     ],
 )
 def test_conditions_between_fields_are_checked(text: str, word: str) -> None:
-    """Each field is valid by itself, yet together they cannot work, such as a lease shorter than
-    its calls. The file is refused and the field named.
+    """Each field is valid by itself but not in combination with others, such as a lease that is
+    shorter than a call's timeout. The file is rejected and the field named.
     """
     with pytest.raises(CueError, match=word):
         load.read(text.encode(), "x.cue")
 
 
 def test_config_check_reports_problems_and_exits_with_2(tmp_path: Path) -> None:
-    """`config check` on a bad or missing file prints every problem and exits with status 2, on a
-    good one with 0.
+    """`config check` on an invalid or missing file prints every problem and exits with status 2.
+    On a valid file it exits with 0.
     """
     file = tmp_path / "o.cue"
     file.write_text("log: level: 3\nstore: {}\n")
@@ -68,18 +68,18 @@
 
 
 def test_live_changes_are_applied_and_others_named() -> None:
-    """A changed file holds settings that need a restart. The others take effect at once and those
-    are named.
+    """Some of the changed settings need a restart: they are named, and only the others are applied
+    at run time.
     """
     old = operator('store: {address: "a:1", prefix: "p"}')
     new = operator('log: level: "debug"\nstore: {address: "a:2", prefix: "q", tls: ca_file: "c"}')
-    live, later = live_changes.changes(old, new)
+    live, restart = live_changes.changes(old, new)
     assert {"log.level", "store.address", "store.tls.ca_file"} <= set(live) and all(
         "tls" in p for p in live[2:]
     )
-    assert later == ["store.prefix"]
-    taken = live_changes.merged(old, new)
-    assert taken.store and (taken.store.address, taken.store.prefix, taken.log.level) == (
+    assert restart == ["store.prefix"]
+    applied = live_changes.merged(old, new)
+    assert applied.store and (applied.store.address, applied.store.prefix, applied.log.level) == (
         ("a", 2),
         "p",
         "debug",
@@ -88,11 +88,11 @@
     assert live_changes.merged(old, operator("")).store == old.store
 
 
-def test_reload_of_a_bad_file_changes_nothing(
+def test_reload_of_an_invalid_file_changes_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The file is reloaded while it has a mistake: the settings in force stay. After the mistake is
-    mended the next reload takes effect.
+    """The file is reloaded while it is invalid: the settings in force stay. The next reload, with
+    a valid file, takes effect.
     """
     file = tmp_path / "o.cue"
     file.write_text("")
