--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""The same examples in every run, with no limit on an example's time.
+"""Settings and fixtures of all tests.
 
-CI must give the same verdict every time.
+Hypothesis draws the same examples in every run and has no time limit per example, so that CI gives
+the same verdict every time.
 """
 
 from collections.abc import Iterator
@@ -17,9 +18,9 @@
 
 @pytest.fixture(autouse=True)
 def own_tmpdir(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A limiter keeps its bans in $TMPDIR.
+    """Gives each test its own $TMPDIR.
 
-    Each test has its own, or one test's bans would be another's.
+    A limiter stores its endpoint overrides there, and tests must not see those of other tests.
     """
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""The pytest plugin that reads KNOWN-RED.txt: tests that fail for a real fault that is not mended.
+"""A pytest plugin that reads KNOWN-RED.txt: tests that fail because of a fault not fixed yet.
 
-The file stands at the root, one entry a line: `TEST | COMMAND AND SEED | SEEN | ISSUE`. The tests
-listed there are run and passed over whether they fail or not, and each is printed with its entry;
-one that passes is said to. Any other failure fails the run, and so does a line that is malformed or
-names no test.
+The file is at the root of the repository and has one entry per line: `TEST | COMMAND AND SEED |
+SEEN | ISSUE`. The listed tests are run, but their results do not affect the run's status. Each is
+printed with its entry, and one that passes is marked. Any other failure fails the run, and so does
+a line that is malformed or names a test that does not exist.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class KnownFailure(NamedTuple):
-    """One entry: the test's id, how to see it fail, what was seen, and the open issue."""
+    """One entry: the test's id, the command that reproduces the failure, its symptom, the issue."""
 
     test: str
     command: str
@@ -31,15 +31,16 @@
     issue: str
 
     def reason(self) -> str:
-        """What is printed beside the test's id."""
+        """Returns the text that is printed after the test's id."""
         return f"{self.seen} (`{self.command}`, {self.issue})"
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """All entries; blank lines and lines that begin with `#` hold none.
+    """Returns all entries; blank lines and lines that begin with `#` are skipped.
 
     Raises:
-        ValueError: a line is malformed; the text names the line.
+        ValueError: A line is malformed, a test is listed twice, or there are too many entries; the
+            text names the line.
     """
     entries: list[KnownFailure] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -50,22 +51,22 @@
         except ValueError as error:
             raise ValueError(f"{FILE_NAME}, line {number}: {error}") from None
         if entry.test in [earlier.test for earlier in entries]:
-            raise ValueError(f"{FILE_NAME}, line {number}: {entry.test} stands twice")
+            raise ValueError(f"{FILE_NAME}, line {number}: {entry.test} is listed twice")
         entries.append(entry)
         if len(entries) > MAX_ENTRIES:
-            raise ValueError(f"{FILE_NAME}, line {number}: more than {MAX_ENTRIES} tests")
+            raise ValueError(f"{FILE_NAME}, line {number}: more than {MAX_ENTRIES} entries")
     return entries
 
 
 def _parse_line(line: str) -> KnownFailure:
     fields = [field.strip() for field in line.split(" | ")]
     if len(fields) != len(KnownFailure._fields) or not all(fields):
-        raise ValueError(f"not `{FORM}`")
+        raise ValueError(f"not of the form `{FORM}`")
     entry = KnownFailure(*fields)
     if "::" not in entry.test:
-        raise ValueError(f"{entry.test!r} names no test of a file")
+        raise ValueError(f"{entry.test!r} is not a test id of the form FILE::TEST")
     if not _ISSUE.fullmatch(entry.issue):
-        raise ValueError(f"{entry.issue!r} is not `issue` and its number")
+        raise ValueError(f"{entry.issue!r} is not `issue` followed by a number")
     return entry
 
 
@@ -78,12 +79,12 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Marks the listed tests as expected failures, whose passing is no failure either."""
+    """Marks the listed tests as expected failures; a listed test that passes is no failure."""
     root = [str(config.invocation_params.dir)]
-    is_whole_run = config.args in (config.getini("testpaths"), root)
+    is_full_run = config.args in (config.getini("testpaths"), root)
     for entry in _entries(config):
         matching = [item for item in items if item.nodeid == entry.test]
-        if is_whole_run and not matching:
+        if is_full_run and not matching:
             raise pytest.UsageError(f"{FILE_NAME}: there is no test {entry.test}")
         for item in matching:
             item.add_marker(pytest.mark.xfail(reason=entry.reason(), strict=False))
@@ -96,13 +97,13 @@
         if entry.test in failed:
             state = "fails"
         elif entry.test in passed:
-            state = "PASSES, take its line out"
+            state = "PASSES, remove its line"
         else:
             state = "not run"
         yield f"known red, {state}: {entry.test}: {entry.reason()}"
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter, config: pytest.Config) -> None:
-    """Prints each listed test, so that nobody takes a green run for one without known faults."""
+    """Prints each listed test, so that a green run is not mistaken for one without known faults."""
     for line in _summary_lines(config, terminalreporter):
         terminalreporter.write_line(line)
--- a/tests/long_code.py
+++ b/tests/long_code.py
@@ -12,7 +12,7 @@
 
 
 def long_parts(path: Path) -> Iterator[str]:
-    """A line for the file, if it is long, and one for each of its long functions."""
+    """Yields a line for the file if it is long, and one for each of its long functions."""
     text = path.read_text()
     file_lines = text.count("\n")
     if file_lines > MAX_FILE_LINES:
@@ -26,7 +26,7 @@
 
 
 def main(folder: str) -> None:
-    """Prints the lines for all Python files below the folder; never fails."""
+    """Prints the lines of all Python files below the folder; never fails."""
     found = [line for path in sorted(Path(folder).rglob("*.py")) for line in long_parts(path)]
     print(f"{len(found)} long files and functions, for information:", *found, sep="\n  ")
 
--- a/tests/shared_store/ledger_fleet.py
+++ b/tests/shared_store/ledger_fleet.py
@@ -1,4 +1,4 @@
-"""Ledgers of some limiters, and a link, against the stand-in store; what tests do with them."""
+"""Test helpers: a link, and the ledgers of several limiters, connected to the stand-in store."""
 
 from __future__ import annotations
 
@@ -22,41 +22,44 @@
 BASIC = api.Plan("basic", rate=100.0, burst=100.0)
 
 
-def terms(extra: str = "") -> StoreSettings:
+def store_settings(extra: str = "") -> StoreSettings:
     store = load.read(f'store: {{address: "127.0.0.1:1", {extra}}}'.encode(), "t").store
     assert store
     return store
 
 
-TERMS = terms()
+STORE_SETTINGS = store_settings()
 
 
 class Conversation:
-    """A link and a stand-in node, byte by byte, with a clock that the test moves."""
+    """A link connected to a stand-in node, with a clock that the test sets."""
 
     def __init__(
-        self, plan: list[faults.Fault] | None = None, secret: str = "", **who: Any
+        self, plan: list[faults.Fault] | None = None, secret: str = "", **credentials: Any
     ) -> None:
         self.now = START
         self.node = Node(lambda: self.now, 1, secret, plan)
-        self.link = Link(Credentials(**who), 0.05, 8)
+        self.link = Link(Credentials(**credentials), 0.05, 8)
         session = self.node.connect()
         assert session
         self.session = session
         self.link.begin(self.now)
 
-    def exchange(self, step: int = 1 << 20) -> list[LinkEvent]:
-        """Everything to the store, and what it says by now to the link."""
+    def exchange(self, chunk_bytes: int = 1 << 20) -> list[LinkEvent]:
+        """Delivers the link's output to the store, and the store's answers to the link.
+
+        The answers are delivered in chunks of `chunk_bytes`.
+        """
         self.session.feed(bytes(self.link.out))
         self.link.out.clear()
         events = list[LinkEvent]()
         for out in self.node.turn():
-            for at in range(0, len(out.data), step):
+            for at in range(0, len(out.data), chunk_bytes):
                 if not (events and isinstance(events[-1], ConnectionBroken)):
-                    events += self.link.receive(out.data[at : at + step], self.now)
+                    events += self.link.receive(out.data[at : at + chunk_bytes], self.now)
         return events
 
-    def lease(self, sequence: int = 1, want: float = 10.0) -> ScriptCall:
+    def lease(self, sequence: int = 1, wanted: float = 10.0) -> ScriptCall:
         args = [
             "0.a",
             str(sequence),
@@ -72,7 +75,7 @@
             "40",
             "0",
             "0",
-            str(want),
+            str(wanted),
             "0",
             "",
         ]
@@ -82,19 +85,20 @@
 
 
 class LedgerFleet:
-    """Some limiters' ledgers and one node; calls reach it when the test says so."""
+    """The ledgers of several limiters and one store node; the test decides when calls reach it."""
 
     def __init__(self, limiters: int = 3, base: bool = True) -> None:
         self.now = START
         self.node = Node(lambda: self.now, 1)
-        most = 4.0 if base else 100.0  # with requests so large the base has no room for one
-        told = [
-            api.Settings(n, limiters, (LOOK, BUY), (PLAN, BASIC), max_units=most)
+        largest_request = 4.0 if base else 100.0  # the base has no room for a request of 100 units
+        engine_settings = [
+            api.Settings(n, limiters, (LOOK, BUY), (PLAN, BASIC), max_units=largest_request)
             for n in range(limiters)
         ]
-        self.terms = TERMS if base else terms("lease: base_share: 0.0")
+        self.store_settings = STORE_SETTINGS if base else store_settings("lease: base_share: 0.0")
         self.ledgers = [
-            LeaseLedger(told[n], self.terms, f"l{n}", self.now) for n in range(limiters)
+            LeaseLedger(engine_settings[n], self.store_settings, f"l{n}", self.now)
+            for n in range(limiters)
         ]
         self.ceiling, self.quota = Bucket(40.0, 80.0, START), Bucket(20.0, 40.0, START)
         self.ids = 0
@@ -120,7 +124,7 @@
         return calls
 
     def serve(self, n: int) -> None:
-        """All calls of a limiter run and are answered at once."""
+        """Runs all calls of a limiter and delivers the answers at once."""
         for call in self.calls(n):
             self.ledgers[n].answered(call, self.run(call), self.now)
 
@@ -146,7 +150,7 @@
                 self.serve(n)
 
     def warm(self) -> None:
-        """The customer is known, its pool is open and full."""
+        """Waits until the store knows the customer and its pool is open and full."""
         for n in range(len(self.ledgers)):
             self.ask(n)
             self.serve(n)
@@ -154,7 +158,7 @@
 
 
 def hold(fleet: LedgerFleet, n: int, units: float) -> Any:
-    """A limiter takes so much on lease and spends nothing; gives its account."""
+    """Leases units at a limiter without spending any; returns the customer's account."""
     ledger = fleet.ledgers[n]
     fleet.ask(n, 0.001)
     fleet.calls(n)
@@ -173,7 +177,7 @@
 
 
 def settled() -> LedgerFleet:
-    """Without a base; the customer's pool is full and all limiters are there."""
+    """Returns a fleet without a base: the customer's pool is full, all limiters are present."""
     fleet = LedgerFleet(base=False)
     for _ in range(2):
         for n in range(3):
--- a/tests/shared_store/test_limiter.py
+++ b/tests/shared_store/test_limiter.py
@@ -1,4 +1,4 @@
-"""A whole limiter with the stand-in on sockets, and the bench with its checker."""
+"""Tests of a complete limiter with the stand-in store on sockets, and of the bench's checker."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 from tests.net.scenario import BUY, LOOK, START, Stage
 
 
-def test_a_limiter_on_sockets_leases_from_the_stand_in(tmp_path: Path) -> None:
+def test_limiter_on_sockets_leases_from_the_stand_in(tmp_path: Path) -> None:
     stage_now = [START]
     plan = api.Plan("basic", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_burst=80.0)
-    told = api.Settings(0, 2, (LOOK, BUY), (plan,), zone="a", max_attempts=3, max_units=4.0)
+    engine_settings = api.Settings(
+        0, 2, (LOOK, BUY), (plan,), zone="a", max_attempts=3, max_units=4.0
+    )
     file = tmp_path / "o.cue"
     (tmp_path / "password").write_text("open sesame\nnot this\n")
-    # The stage's clock goes on in steps of 50 ms, so a call may take some of them.
+    # The stage's clock advances in steps of 50 ms, and a call may take several steps.
     file.write_text(
         "store: "
         '{address: "127.0.0.1:1", call_timeout: "300ms", '
@@ -27,14 +29,14 @@
     )
     attached = attach.Attached(str(file), load.load(str(file)))
 
-    class Together(Stage):
-        """The stand-in in the same loop and on the same clock as the limiter."""
+    class StageWithStore(Stage):
+        """Runs the stand-in in the same event loop and on the same clock as the limiter."""
 
         def settle(self, turns: int = 60) -> None:
             stage_now[0] = self.now
             super().settle(turns)
 
-    stage = Together(attached=attached, settings=told)
+    stage = StageWithStore(attached=attached, settings=engine_settings)
     server = Server(stage.scheduler, Node(lambda: stage.now, 1, "open sesame"), ("127.0.0.1", 0))
     server.start()
     file.write_text(file.read_text().replace("127.0.0.1:1", f"127.0.0.1:{server.address[1]}"))
@@ -45,7 +47,7 @@
         and attached.ledger.presence.connected
         and attached.ledger.presence.view == {0}
     )
-    # the pool of a customer that the store does not know opens after a lease's term
+    # For a customer that is new to the store, the pool opens after a lease's term.
     for n in range(80):
         stage.play(f"""
             a send [Q.ASK 00000000b4d65521 {n:016x} c=look,t=basic,d=900,units=1,spread=2,first=0]
@@ -56,7 +58,7 @@
     server.close()
 
 
-def test_the_bench_gives_the_same_figures_for_the_same_seed_and_no_run_is_broken() -> None:
+def test_bench_runs_are_reproducible_by_seed_and_stay_within_limits() -> None:
     jobs = [
         bench.Job(seed, kind, 3, 14.0)
         for kind, seed in [("mixed", 1), ("mixed", 2), ("restart_old", 1), ("down", 1), ("kill", 3)]
@@ -72,7 +74,7 @@
     )
 
 
-def test_the_checker_finds_a_limit_that_is_passed() -> None:
+def test_checker_detects_an_exceeded_limit() -> None:
     bucket = Bucket(10.0, 20.0, 0.0)
     for _ in range(28):
         bucket.take(1.0, 0.0)
--- a/tests/shared_store/test_link.py
+++ b/tests/shared_store/test_link.py
@@ -1,4 +1,4 @@
-"""One connection to the store, byte by byte against the stand-in, with a clock set by hand."""
+"""Tests of one connection to the stand-in store, with a clock that the test sets."""
 
 from __future__ import annotations
 
@@ -21,18 +21,21 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 1 << 20])
-def test_the_link_shakes_hands_and_matches_answers_split_anywhere(step: int) -> None:
+def test_handshake_and_answers_in_chunks_of_any_size_are_matched(step: int) -> None:
     conversation = Conversation(secret="pw", password="pw", database=3)
-    (up,) = conversation.exchange(step)
-    assert isinstance(up, Connected) and up.store_started_at == up.store_now == START
+    (connected,) = conversation.exchange(step)
+    assert (
+        isinstance(connected, Connected)
+        and connected.store_started_at == connected.store_now == START
+    )
     calls = [conversation.lease(n) for n in (1, 2, 3)]
     events = conversation.exchange(step)
-    assert [n.call for n in events if isinstance(n, Answered)] == calls
+    assert [event.call for event in events if isinstance(event, Answered)] == calls
     assert conversation.node.state.engine.databases[3].entries
 
 
 @pytest.mark.parametrize(
-    "who, kind, word",
+    "credentials, kind, word",
     [
         ({"password": "no"}, "", "WRONGPASS"),
         ({}, "", "NOAUTH"),
@@ -40,28 +43,30 @@
         ({"password": "pw"}, "readonly", "replica"),
     ],
 )
-def test_a_store_that_refuses_us_breaks_the_connection_and_says_why(
-    who: dict[str, str], kind: str, word: str
+def test_failed_handshake_breaks_the_connection_with_the_reason(
+    credentials: dict[str, str], kind: str, word: str
 ) -> None:
-    """A wrong password, none, a store that is loading, a replica."""
-    conversation = Conversation([faults.Fault(kind)] if kind else None, secret="pw", **who)
+    """The password is wrong or missing, or the store is loading or a replica."""
+    conversation = Conversation([faults.Fault(kind)] if kind else None, secret="pw", **credentials)
     events = conversation.exchange()
     assert isinstance(events[-1], ConnectionBroken) and word in str(events[-1].error)
     assert not conversation.link.call(ScriptCall("presence", "k", [], START), START)
 
 
-def test_a_late_answer_is_reported_as_one_and_never_taken_for_another_calls() -> None:
-    """An answer arrives after its call was given up and the next was written."""
+def test_late_answer_is_reported_as_late_and_not_matched_to_a_later_call() -> None:
+    """An answer arrives after its call was given up and the next call was written."""
     conversation = Conversation()
     conversation.exchange()
-    first = conversation.lease(1, want=7.0)
+    first = conversation.lease(1, wanted=7.0)
     conversation.session.feed(bytes(conversation.link.out))
     conversation.link.out.clear()
     conversation.now += 0.06
     assert [
-        n.call for n in conversation.link.tick(conversation.now) if isinstance(n, CallFailed)
+        event.call
+        for event in conversation.link.tick(conversation.now)
+        if isinstance(event, CallFailed)
     ] == [first]
-    second = conversation.lease(2, want=5.0)
+    second = conversation.lease(2, wanted=5.0)
     late, answered = conversation.exchange()
     assert (
         isinstance(late, LateAnswer)
@@ -71,8 +76,8 @@
     )
 
 
-def test_a_silent_store_is_given_up_and_a_full_line_takes_no_more() -> None:
-    """The store answers nothing while eight calls are pending."""
+def test_silent_store_breaks_the_connection_and_pending_calls_are_bounded() -> None:
+    """The store answers nothing while eight calls, the maximum, are pending."""
     conversation = Conversation()
     conversation.exchange()
     calls = [conversation.lease(n) for n in range(8)]
@@ -82,16 +87,20 @@
     assert conversation.link.next_due() == conversation.now + 0.05
     conversation.now += 0.05
     assert [
-        n.call for n in conversation.link.tick(conversation.now) if isinstance(n, CallFailed)
+        event.call
+        for event in conversation.link.tick(conversation.now)
+        if isinstance(event, CallFailed)
     ] == calls
-    assert conversation.link.tick(conversation.now) == []  # each is given up once
+    assert conversation.link.tick(conversation.now) == []  # each call is given up only once
     conversation.now += 0.4
-    assert any(isinstance(n, ConnectionBroken) for n in conversation.link.tick(conversation.now))
+    assert any(
+        isinstance(event, ConnectionBroken) for event in conversation.link.tick(conversation.now)
+    )
     assert conversation.link.close() == []
 
 
-def test_scripts_that_the_store_has_forgotten_are_loaded_again() -> None:
-    """SCRIPT FLUSH: the next call fails with NOSCRIPT, the one after it is answered."""
+def test_scripts_are_loaded_again_after_a_script_flush() -> None:
+    """After SCRIPT FLUSH the next call fails with NOSCRIPT, and the one after it is answered."""
     conversation = Conversation([faults.Fault("flush_scripts", at=1.0)])
     conversation.exchange()
     conversation.now += 1.0
@@ -118,8 +127,8 @@
         b"*6\r\n$2\r\nok\r\n$3\r\nnan\r\n$1\r\n0\r\n$1\r\n1\r\n$1\r\n1\r\n$1\r\n1\r\n",
     ],
 )
-def test_what_is_no_answer_of_the_scripts_breaks_the_connection(junk: bytes) -> None:
-    """The store, or what is in its place, sends something else."""
+def test_invalid_answer_breaks_the_connection(junk: bytes) -> None:
+    """The store, or another server at its address, sends what the scripts cannot return."""
     conversation = Conversation()
     conversation.exchange()
     call = conversation.lease()
@@ -127,23 +136,24 @@
         b"\r\n" * 4, conversation.now
     )
     assert isinstance(events[-1], ConnectionBroken)
-    assert [n.call for n in [*events, *conversation.link.close()] if isinstance(n, CallFailed)] == [
-        call
-    ]
+    assert [
+        event.call
+        for event in [*events, *conversation.link.close()]
+        if isinstance(event, CallFailed)
+    ] == [call]
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_make_the_link_raise(data: bytes) -> None:
-    """Whatever arrives, the link must not raise."""
+def test_arbitrary_bytes_do_not_make_the_link_raise(data: bytes) -> None:
     conversation = Conversation()
     conversation.exchange()
     conversation.lease()
     conversation.link.receive(data, conversation.now)
 
 
-def test_waits_double_up_to_their_bound_and_are_drawn() -> None:
-    wait = Backoff(0.05, 2.0)
-    assert [wait.next_wait(1.0) for _ in range(8)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0]
-    assert wait.next_wait(0.0) == 1.0
-    wait.reset()
-    assert wait.next_wait(1.0) == 0.05
+def test_backoff_waits_double_up_to_their_bound_with_jitter() -> None:
+    backoff = Backoff(0.05, 2.0)
+    assert [backoff.next_wait(1.0) for _ in range(8)] == [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0]
+    assert backoff.next_wait(0.0) == 1.0
+    backoff.reset()
+    assert backoff.next_wait(1.0) == 0.05
--- a/tests/shared_store/test_presence.py
+++ b/tests/shared_store/test_presence.py
@@ -1,4 +1,4 @@
-"""Heartbeats, who is present, and the even share of an isolated limiter."""
+"""Tests of heartbeats, the view of limiters present, and the even share of an isolated limiter."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.net.scenario import BUY, LOOK, START
 from tests.shared_store.ledger_fleet import (
     PLAN,
-    TERMS,
+    STORE_SETTINGS,
     Conversation,
     LedgerFleet,
     hold,
@@ -21,23 +21,23 @@
 )
 
 
-def test_a_limiter_without_the_store_has_its_even_share_and_at_no_moment_both() -> None:
-    """A limiter loses its store for ten seconds while the others go on."""
+def test_isolated_limiter_uses_its_even_share_and_never_the_pool_as_well() -> None:
+    """A limiter loses its store for ten seconds while the others keep using it."""
     fleet = LedgerFleet()
     fleet.warm()
     ledger = fleet.ledgers[0]
     ledger.store_disconnected()
-    went = None
-    for _ in range(400):  # the others go on with the store, and all ask as much as they can
+    isolated_at = None
+    for _ in range(400):  # all limiters send as many requests as they can
         fleet.now += 0.025
         for n in range(3):
             fleet.ledgers[n].tick(fleet.now)
             for _ in range(4):
                 (fleet.serve if n else fleet.calls)(n)
                 fleet.ask(n)
-        if ledger.presence.isolated and went is None:
-            went = fleet.now
-    assert went is not None and went - START > 6.0 + 3.0
+        if ledger.presence.isolated and isolated_at is None:
+            isolated_at = fleet.now
+    assert isolated_at is not None and isolated_at - START > 6.0 + 3.0
     assert fleet.ledgers[1].presence.view == frozenset({1, 2})
     assert fleet.quota.lowest >= -1e-6 and fleet.ceiling.lowest >= -1e-6
     fleet.link_up(0)
@@ -52,8 +52,8 @@
     assert fleet.quota.lowest >= -1e-6
 
 
-def test_a_limiter_that_does_not_know_who_is_present_takes_no_lease() -> None:
-    """The last answer about who is present is too old."""
+def test_limiter_with_an_outdated_view_does_not_lease() -> None:
+    """The limiter's view of the limiters present has expired."""
     fleet = LedgerFleet()
     fleet.warm()
     ledger = fleet.ledgers[0]
@@ -63,8 +63,8 @@
     assert ledger.counts["calls"] == before
 
 
-def test_a_share_that_comes_back_to_the_pool_fills_at_the_rate() -> None:
-    """An isolated limiter spends its even share and returns at once."""
+def test_share_that_returns_to_the_pool_refills_at_the_rate() -> None:
+    """An isolated limiter spends its even share and reconnects immediately afterwards."""
     fleet = settled()
     fleet.ledgers[0].store_disconnected()
     for turn in range(40):
@@ -72,7 +72,7 @@
         for n in range(3):
             fleet.ledgers[n].tick(fleet.now)
             (fleet.serve if n else fleet.calls)(n)
-        if turn < 20:  # the pool is not asked in the last seconds before the share comes back
+        if turn < 20:  # nobody leases from the pool in the last seconds before the share returns
             hold(fleet, 1, 0.0)
     account = fleet.ledgers[0].accounts["c/gold"]
     fleet.ledgers[0]._refresh(account, fleet.now)
@@ -87,8 +87,10 @@
     assert fleet.quota.lowest >= -0.1 and fleet.ceiling.lowest >= -0.1
 
 
-def test_more_limiters_than_an_answer_has_parts_are_all_seen() -> None:
-    """A parser that bounds its arrays must not make a large fleet lose its store."""
+def test_presence_answer_lists_all_150_limiters() -> None:
+    """The parser bounds the length of arrays. If each limiter were an element of the answer, that
+    bound would make a large fleet lose its store.
+    """
     conversation = Conversation()
     conversation.exchange()
     for number in range(150):
@@ -98,6 +100,8 @@
         assert conversation.link.call(call, conversation.now)
         (answered,) = conversation.exchange()
     assert isinstance(answered, Answered)
-    ledger = LeaseLedger(api.Settings(149, 150, (LOOK, BUY), (PLAN,)), TERMS, "l", conversation.now)
+    ledger = LeaseLedger(
+        api.Settings(149, 150, (LOOK, BUY), (PLAN,)), STORE_SETTINGS, "l", conversation.now
+    )
     ledger.answered(answered.call, answered.answer, conversation.now)
     assert ledger.presence.view == set(range(150))
--- a/tests/shared_store/test_tls.py
+++ b/tests/shared_store/test_tls.py
@@ -1,4 +1,4 @@
-"""The driver against the stand-in on sockets: TLS, the password, files that change, lost stores."""
+"""Tests of the driver with the stand-in on sockets: TLS, passwords, changed files, outages."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Pair:
-    """A driver and a stand-in in one loop, with a clock that the test moves."""
+    """A driver and a stand-in store in one event loop, with a clock that the test sets."""
 
     def __init__(self, text: str, secure: ssl.SSLContext | None = None, password: str = "") -> None:
         self.now = START
@@ -42,12 +42,12 @@
         self.server.start()
         settings = api.Settings(0, 2, (LOOK, BUY), (PLAN,))
         self.text = text
-        self.ledger = LeaseLedger(settings, self.terms(), "l", self.now)
-        self.client = StoreClient(self.ledger, self.terms(), 1)
+        self.ledger = LeaseLedger(settings, self.store_settings(), "l", self.now)
+        self.client = StoreClient(self.ledger, self.store_settings(), 1)
         self.driver = SharedStoreDriver(self.scheduler, self.client)
         self.driver.start()
 
-    def terms(self) -> StoreSettings:
+    def store_settings(self) -> StoreSettings:
         address = "{}:{}".format(*self.server.address)
         store = load.read(f'store: {{address: "{address}", {self.text}}}'.encode(), "t").store
         assert store
@@ -63,7 +63,7 @@
             self.now += 0.02
 
 
-def test_a_limiter_and_its_store_speak_tls(tmp_path: Path) -> None:
+def test_limiter_connects_to_its_store_over_tls(tmp_path: Path) -> None:
     authority = trustme.CA()
     authority.cert_pem.write_to_path(str(tmp_path / "ca"))
     pair = Pair(
@@ -74,8 +74,10 @@
 
 
 @pytest.mark.parametrize("fault", ["another authority", "another name", "no TLS there", "no file"])
-def test_a_store_that_cannot_be_trusted_is_not_spoken_to(tmp_path: Path, fault: str) -> None:
-    """Another authority or name, no TLS, no file: no password may reach such a store."""
+def test_store_that_fails_tls_verification_gets_no_calls(tmp_path: Path, fault: str) -> None:
+    """The certificate has another authority or name, the store has no TLS, or the authority's file
+    is missing: no password may be sent to such a store.
+    """
     authority, other = trustme.CA(), trustme.CA()
     (other if fault == "another authority" else authority).cert_pem.write_to_path(
         str(tmp_path / "ca")
@@ -92,11 +94,11 @@
     (authority.cert_pem if fault == "another authority" else other.cert_pem).write_to_path(
         str(tmp_path / "ca")
     )
-    pair.settle(0.5)  # still asked for a password
+    pair.settle(0.5)  # the store still requires a password
 
 
-def test_files_are_read_again_when_the_connection_is_opened_anew(tmp_path: Path) -> None:
-    """The files of the authority and the password are wrong at first and then mended."""
+def test_tls_and_password_files_are_read_again_on_reconnect(tmp_path: Path) -> None:
+    """The authority's file and the password file are wrong at first and are then corrected."""
     authority, other = trustme.CA(), trustme.CA()
     other.cert_pem.write_to_path(str(tmp_path / "ca"))
     (tmp_path / "password").write_text("wrong\n")
@@ -107,13 +109,13 @@
     pair.settle(3.0)
     assert not pair.ledger.presence.connected and "AUTH" in pair.server.node.state.calls
     (tmp_path / "password").write_text("right\nnot this line\n")
-    pair.driver.change(pair.terms())
+    pair.driver.change(pair.store_settings())
     pair.settle(3.0)
     assert pair.ledger.presence.connected
 
 
-def test_a_store_that_goes_and_comes_back_is_found_again() -> None:
-    """The store restarts empty and is away for a second."""
+def test_driver_reconnects_after_the_store_restarts() -> None:
+    """The store restarts empty and is unreachable for a second."""
     pair = Pair("")
     pair.settle(0.2)
     assert pair.ledger.presence.connected
@@ -125,8 +127,8 @@
     assert pair.ledger.presence.connected and pair.ledger.presence.view == {0}
 
 
-def test_a_silent_store_costs_a_call_its_timeout_and_then_the_connection() -> None:
-    """The store accepts everything and answers nothing for two seconds."""
+def test_silent_store_fails_calls_and_then_the_connection() -> None:
+    """The store accepts all bytes and answers nothing for two seconds."""
     pair = Pair("")
     pair.settle(0.2)
     pair.server.node.state.faults.add(Fault("lost", lasts=2.0), pair.now)
@@ -136,21 +138,21 @@
     assert pair.ledger.presence.connected
 
 
-def test_a_layer_carries_plain_bytes_both_ways_split_anywhere(tmp_path: Path) -> None:
+def test_tls_layer_carries_bytes_both_ways_in_small_chunks(tmp_path: Path) -> None:
     authority = trustme.CA()
     authority.cert_pem.write_to_path(str(tmp_path / "ca"))
     client = tls.Layer(tls.client_context(str(tmp_path / "ca")), "127.0.0.1")
     server = tls.Layer(tls.server_context(certificate(authority, tmp_path)))
-    wire, back, got, answered = client.begin() + client.write(b"early"), b"", b"", b""
+    to_server, to_client, request, answer = client.begin() + client.write(b"early"), b"", b"", b""
     for _ in range(2000):
-        part, wire = wire[:97], wire[97:]
-        plain, more = server.feed(part) if part else (b"", b"")
-        got, back = got + plain, back + more
-        part, back = back[:97], back[97:]
-        plain, more = client.feed(part) if part else (b"", b"")
-        answered, wire = answered + plain, wire + more
-        if got == b"early" and not answered and not back:
-            back += server.write(b"late" * 10)
-        if len(answered) == 40:
+        chunk, to_server = to_server[:97], to_server[97:]
+        plain, output = server.feed(chunk) if chunk else (b"", b"")
+        request, to_client = request + plain, to_client + output
+        chunk, to_client = to_client[:97], to_client[97:]
+        plain, output = client.feed(chunk) if chunk else (b"", b"")
+        answer, to_server = answer + plain, to_server + output
+        if request == b"early" and not answer and not to_client:
+            to_client += server.write(b"late" * 10)
+        if len(answer) == 40:
             break
-    assert got == b"early" and answered == b"late" * 10
+    assert request == b"early" and answer == b"late" * 10
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,7 +1,4 @@
-"""What the platform starts.
-
-The command of the deploy file, and that nothing in it or in the program is one deployment's.
-"""
+"""Tests of the deploy file: its run command, and that nothing is specific to one deployment."""
 
 from __future__ import annotations
 
@@ -19,8 +16,8 @@
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-# Of the two organisations that run it and of the one that the operators add; those of the sites
-# here are read from them.
+# Names used by the two organisations that run the program and by the one that the operators add.
+# The names of the sites in deploy/sites are read from their files.
 NAMES = {
     "espoo-main",
     "order-place",
@@ -43,7 +40,10 @@
 
 
 def names_of_sites() -> Iterator[str]:
-    """Of sites, tiers, classes, plans, kinds and zones, where a word is nobody else's."""
+    """Yields the names of sites, zones, tiers, grades, classes and tenants.
+
+    Except for sites and zones, only names with a hyphen are used, since others are common words.
+    """
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
         site = tomllib.loads(path.read_text())
         yield site["name"]
@@ -52,7 +52,7 @@
             yield from (one["name"] for one in site.get(part, []) if "-" in one["name"])
 
 
-def test_nothing_in_the_program_or_its_deploy_file_is_one_deployments() -> None:
+def test_program_and_deploy_file_contain_no_name_of_a_deployment() -> None:
     sources = [
         ROOT / "deploy" / "balancer.toml",
         *(ROOT / "hazelhollow").glob("*.py"),
@@ -72,8 +72,8 @@
     return {name: value.strip() for name, _, value in (line.partition(":") for line in lines)}
 
 
-@pytest.mark.skipif(not Path("/proc/self/status").exists(), reason="tells of processes by /proc")
-def test_the_command_becomes_the_limiter_in_one_process_that_no_sighup_ends(tmp_path: Path) -> None:
+@pytest.mark.skipif(not Path("/proc/self/status").exists(), reason="needs /proc")
+def test_run_command_becomes_one_limiter_process_that_survives_sighup(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps({**GOOD, "listen": "127.0.0.1:0"}))
     assert ".venv/bin/python" in DEPLOY["run"]
@@ -84,7 +84,7 @@
     ) as program:
         assert program.stderr
         assert any("listens at" in line for line in program.stderr)
-        # the shell is gone
+        # The shell has been replaced by the limiter.
         assert "serve" in Path(f"/proc/{program.pid}/cmdline").read_text().split("\0")
         assert status(program.pid)["Threads"] == "1"
         assert not Path(f"/proc/{program.pid}/task/{program.pid}/children").read_text().split()
@@ -94,13 +94,16 @@
         assert program.wait(30) == 0
 
 
-def test_a_sighup_before_the_program_reads_anything_is_let_pass(tmp_path: Path) -> None:
-    """In place of the limiter a program that says which signals it began with ignoring."""
-    tail = DEPLOY["run"].partition("exec ")[0] + "exec cat /proc/self/status"
-    said = subprocess.run(
-        ["/bin/sh", "-c", tail], text=True, capture_output=True, timeout=30
+def test_run_command_ignores_sighup_until_the_limiter_handles_it(tmp_path: Path) -> None:
+    """The run command must start the program with SIGHUP ignored, since a SIGHUP that arrives
+    before the limiter handles it would end the process. Here the command starts a program that
+    prints its ignored signals.
+    """
+    probe_command = DEPLOY["run"].partition("exec ")[0] + "exec cat /proc/self/status"
+    output = subprocess.run(
+        ["/bin/sh", "-c", probe_command], text=True, capture_output=True, timeout=30
     ).stdout
     ignored = int(
-        next(line for line in said.splitlines() if line.startswith("SigIgn")).split()[1], 16
+        next(line for line in output.splitlines() if line.startswith("SigIgn")).split()[1], 16
     )
     assert ignored >> (signal.SIGHUP - 1) & 1 and not ignored >> (signal.SIGTERM - 1) & 1
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt, on a small suite of its own run by pytest as a program."""
+"""Tests of the KNOWN-RED.txt plugin, on a small suite that is run by pytest in a subprocess."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
         ("# none\n\na.py::t | run |  | issue 3", "line 3: not"),
         ("a.py::t | cause | issue 31", "line 1: not"),
         ("a.py::t | run | cause | 31", "line 1: '31' is not"),
-        ("a.py | run | cause | issue 31", "names no test"),
+        ("a.py | run | cause | issue 31", "'a.py' is not a test id"),
         (
             "a.py::t | run | cause | issue 31\na.py::t | run | other | issue 32",
-            "line 2: a.py::t stands twice",
+            "line 2: a.py::t is listed twice",
         ),
         (
             "\n".join(f"a.py::t{n} | run | cause | issue 31" for n in range(4)),
@@ -35,12 +35,12 @@
         ),
     ],
 )
-def test_a_bad_line_is_an_error_that_names_it(text: str, why: str) -> None:
+def test_malformed_line_raises_an_error_with_its_number(text: str, why: str) -> None:
     with pytest.raises(ValueError, match=why):
         parse(text)
 
 
-def test_lines_are_read_and_notes_left_out() -> None:
+def test_entries_are_parsed_and_comments_skipped() -> None:
     text = "# note\n\na.py::t | pytest a.py, seed 4 | x lost | issue 3\n"
     assert parse(text) == [KnownFailure("a.py::t", "pytest a.py, seed 4", "x lost", "issue 3")]
 
@@ -54,45 +54,45 @@
     if known is not None:
         (folder / "KNOWN-RED.txt").write_text(known)
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *args]
-    done = subprocess.run(
+    completed = subprocess.run(
         command, cwd=folder, env={"PYTHONPATH": str(ROOT)}, capture_output=True, text=True
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 RED = "suite/test_it.py::test_red | pytest suite | it is false | issue 31\n"
 GREEN = "suite/test_it.py::test_green | pytest suite | was slow | issue 31\n"
 
 
-def test_a_known_red_test_is_passed_over_and_printed(tmp_path: Path) -> None:
-    code, said = run(tmp_path, RED)
+def test_listed_test_that_fails_is_printed_and_does_not_fail_the_run(tmp_path: Path) -> None:
+    code, output = run(tmp_path, RED)
     shown = "suite/test_it.py::test_red: it is false (`pytest suite`, issue 31)"
-    assert code == 0 and f"known red, fails: {shown}" in said
+    assert code == 0 and f"known red, fails: {shown}" in output
 
 
-def test_one_that_passes_is_said_to(tmp_path: Path) -> None:
-    code, said = run(tmp_path, RED + GREEN)
+def test_listed_test_that_passes_is_reported(tmp_path: Path) -> None:
+    code, output = run(tmp_path, RED + GREEN)
     assert (
-        code == 0 and "known red, PASSES, take its line out: suite/test_it.py::test_green" in said
+        code == 0 and "known red, PASSES, remove its line: suite/test_it.py::test_green" in output
     )
 
 
 @pytest.mark.parametrize("known", [None, "", GREEN])
-def test_any_other_failure_fails_the_run(known: str | None, tmp_path: Path) -> None:
+def test_failure_of_an_unlisted_test_fails_the_run(known: str | None, tmp_path: Path) -> None:
     assert run(tmp_path, known)[0] == 1
 
 
-def test_one_that_is_not_found_is_an_error(tmp_path: Path) -> None:
+def test_listed_test_that_does_not_exist_is_an_error(tmp_path: Path) -> None:
     gone = "suite/test_it.py::test_gone | pytest suite | no more | issue 31\n"
-    code, said = run(tmp_path, RED + gone)
-    assert code not in (0, 1) and "there is no test suite/test_it.py::test_gone" in said
+    code, output = run(tmp_path, RED + gone)
+    assert code not in (0, 1) and "there is no test suite/test_it.py::test_gone" in output
 
 
-def test_one_that_was_not_asked_for_is_no_error(tmp_path: Path) -> None:
-    code, said = run(tmp_path, RED, "suite/test_it.py::test_green")
-    assert code == 0 and "known red, not run" in said
+def test_listed_test_that_was_not_selected_is_no_error(tmp_path: Path) -> None:
+    code, output = run(tmp_path, RED, "suite/test_it.py::test_green")
+    assert code == 0 and "known red, not run" in output
 
 
-def test_a_bad_line_stops_the_run(tmp_path: Path) -> None:
-    code, said = run(tmp_path, "suite/test_it.py::test_red\n")
-    assert code not in (0, 1) and "KNOWN-RED.txt, line 1" in said
+def test_malformed_line_stops_the_run(tmp_path: Path) -> None:
+    code, output = run(tmp_path, "suite/test_it.py::test_red\n")
+    assert code not in (0, 1) and "KNOWN-RED.txt, line 1" in output
