--- a/hazelhollow/scale/plots.py
+++ b/hazelhollow/scale/plots.py
@@ -8,7 +8,7 @@
 from matplotlib import pyplot
 
 from hazelhollow.scale.report_observations import coordinate
-from hazelhollow.scale.report_rows import Known, Row, Slope
+from hazelhollow.scale.report_rows import Analysis, Row, Slope
 from hazelhollow.scale.report_text import AXIS_WORDS
 
 matplotlib.use("agg")  # the backend that needs no display
@@ -17,20 +17,20 @@
 FIGURE_SIZE_INCHES = (6.0, 4.0)  # width and height
 
 
-def slopes(known: Known, folder: Path) -> list[Path]:
+def slopes(analysis: Analysis, folder: Path) -> list[Path]:
     """Draws each slope into a folder, which is created if missing; raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    return [_draw(row, slope, known, folder) for row in known.rows for slope in row.slopes]
+    return [_draw(row, slope, analysis, folder) for row in analysis.rows for slope in row.slopes]
 
 
-def _draw(row: Row, slope: Slope, known: Known, folder: Path) -> Path:
-    target = coordinate(known.planned, slope.axis, known.planned)
+def _draw(row: Row, slope: Slope, analysis: Analysis, folder: Path) -> Path:
+    target = coordinate(analysis.planned, slope.axis, analysis.planned)
     measured = [
-        (coordinate(seen.size, slope.axis, known.planned), seen.value)
-        for seen in row.observations
-        if seen.axis is slope.axis
+        (coordinate(observation.size, slope.axis, analysis.planned), observation.value)
+        for observation in row.observations
+        if observation.axis is slope.axis
     ]
-    start, end = slope.curve.least, max(target, slope.curve.most)
+    start, end = slope.curve.smallest_size, max(target, slope.curve.greatest_size)
     sizes = [start + (end - start) * step / STEPS for step in range(STEPS + 1)]
     figure, axes = pyplot.subplots(figsize=FIGURE_SIZE_INCHES)
     axes.plot(sizes, [slope.curve.at(size) for size in sizes], label=f"fitted, {slope.curve.shape}")
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -142,7 +142,7 @@
     return msgspec.structs.replace(figures, limiter_memory_bytes=run.memory_bytes())
 
 
-def summarize(size: Size, found: Sequence[RequestRow], counted_from: float) -> Latency:
+def summarize(size: Size, rows_sent: Sequence[RequestRow], counted_from: float) -> Latency:
     """The figures of the requests that were due from `counted_from` on.
 
     Blocks in which the client was late are left out.
@@ -152,7 +152,7 @@
         BusyMachineError: Requests directly to the server were slow too.
         MeasurementError: There were too few requests, or some were not served.
     """
-    blocks = _blocks(found, counted_from)
+    blocks = _blocks(rows_sent, counted_from)
     on_time = [block for block in blocks if not _client_late(block)]
     counted = [row for block in on_time for row in block]
     through = [row for row in counted if row.to == LIMITER]
@@ -186,10 +186,10 @@
     )
 
 
-def _blocks(found: Sequence[RequestRow], counted_from: float) -> list[list[RequestRow]]:
+def _blocks(rows_sent: Sequence[RequestRow], counted_from: float) -> list[list[RequestRow]]:
     """The requests that were due from `counted_from` on, by blocks of `BLOCK_S`."""
     blocks: dict[int, list[RequestRow]] = {}
-    for row in found:
+    for row in rows_sent:
         if row.due >= counted_from:
             blocks.setdefault(int((row.due - counted_from) / BLOCK_S), []).append(row)
     return list(blocks.values())
@@ -230,7 +230,7 @@
     def play(self) -> list[RequestRow]:
         """Sends all requests and returns what became of them; raises MeasurementError."""
         self._start()
-        self.scheduler.spawn(self._guarded, name="latency")
+        self.scheduler.spawn(self._send_and_stop, name="latency")
         self.scheduler.run()
         if self._error:
             raise self._error
@@ -281,7 +281,7 @@
             "settings": settings(self._plan.size),
         }
 
-    def _guarded(self) -> None:
+    def _send_and_stop(self) -> None:
         try:
             self._await_ready()
             self._send_requests()
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -16,7 +16,7 @@
 from hazelhollow.scale.comparison_plan import FleetPlan
 from hazelhollow.scale.errors import MeasurementError, ResultsError
 from hazelhollow.scale.real import LatencyPlan
-from hazelhollow.scale.report_run_tables import distance
+from hazelhollow.scale.report_run_tables import relative_difference
 from hazelhollow.scale.report_text import shown
 from hazelhollow.scale.results import Latency, Size
 
@@ -66,14 +66,14 @@
     tried again. Exit status 1 if a size gave none.
     """
     try:
-        found = origin.begin("latency", PLANNED, path)
+        stored = origin.begin("latency", PLANNED, path)
         failed = 0
         for servers, routes, rate in chosen or sizes():
             figure = _measure(servers, routes, rate, seconds, tries)
             failed += figure is None
             if figure:
-                found = msgspec.structs.replace(found, latencies=(*found.latencies, figure))
-                results.save(found, path)
+                stored = msgspec.structs.replace(stored, latencies=(*stored.latencies, figure))
+                results.save(stored, path)
     except (OSError, ResultsError) as error:
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(BAD_INPUT)
@@ -116,21 +116,23 @@
     Exit status 1 if one differs by more than its margin, or if there are no figures.
     """
     try:
-        found = origin.begin("compare", PLANNED, path)
+        stored = origin.begin("compare", PLANNED, path)
         plan = FleetPlan(limiters=limiters, deaths=deaths)
-        made = fleet_comparison.compare(plan, lambda line: click.echo(f"  {line}", err=True))
-        results.save(msgspec.structs.replace(found, comparisons=(*found.comparisons, *made)), path)
+        measured = fleet_comparison.compare(plan, lambda line: click.echo(f"  {line}", err=True))
+        results.save(
+            msgspec.structs.replace(stored, comparisons=(*stored.comparisons, *measured)), path
+        )
     except (OSError, ResultsError) as error:
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(BAD_INPUT)
     except MeasurementError as error:
         click.echo(f"no figures: {error}", err=True)
         sys.exit(FAILED)
-    apart = [each for each in made if distance(each) > each.margin]
-    for each in made:
-        verdict = "apart by more than the margin" if each in apart else "alike"
+    exceeding = [each for each in measured if relative_difference(each) > each.margin]
+    for each in measured:
+        verdict = "apart by more than the margin" if each in exceeding else "alike"
         click.echo(
             f"{each.figure}: real {shown(each.real, each.unit)}, hollow "
             f"{shown(each.hollow, each.unit)}, {verdict}"
         )
-    sys.exit(FAILED if apart else 0)
+    sys.exit(FAILED if exceeding else 0)
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -39,7 +39,7 @@
 END_CHECK_INTERVAL_S = 0.1  # between checks whether the clients have ended
 REAP_INTERVAL_S = 0.01  # between checks whether a killed process has ended
 
-MembershipLine = Mapping[str, Sequence[Any]]
+Membership = Mapping[str, Sequence[Any]]
 """A line of a membership file: state and incarnation by limiter number."""
 
 
@@ -104,7 +104,7 @@
 
     def play(self) -> Figures:
         """Plays the fleet and returns its figures; raises HarnessError or MeasurementError."""
-        self.scheduler.spawn(self._guarded, name="fleet")
+        self.scheduler.spawn(self._play_and_stop, name="fleet")
         self.scheduler.run()
         if self._error:
             raise self._error
@@ -114,7 +114,7 @@
         """Ends all processes and removes all files."""
         self.cluster.close()
 
-    def _guarded(self) -> None:
+    def _play_and_stop(self) -> None:
         try:
             self._play()
         except BaseException as error:
@@ -132,7 +132,7 @@
         self.figures |= self._at_rest()
         self._progress("under load")
         self.figures |= self._under_load()
-        deaths = [self._kill_one(number) for number in self._victims()]
+        deaths = [self._kill_one(number) for number in self._limiters_to_kill()]
         self.figures["agreed after one death, median"] = statistics.mean(
             median for median, _ in deaths
         )
@@ -140,7 +140,7 @@
             worst for _, worst in deaths
         )
 
-    def _victims(self) -> list[int]:
+    def _limiters_to_kill(self) -> list[int]:
         return [
             (number + 1) * self._plan.limiters // (self._plan.deaths + 1)
             for number in range(self._plan.deaths)
@@ -148,17 +148,18 @@
 
     def _agreed_after_start(self) -> float:
         """Seconds from the last member's start until every member holds all as alive for good."""
-        lines = self._lines(self.cluster.names)
+        lines = self._membership_lines(self.cluster.names)
         begun = max(
-            _incarnation_start(view, number) for number, view in enumerate(_last_views(lines))
+            _incarnation_start(view, number)
+            for number, view in enumerate(_latest_memberships(lines))
         )
-        wanted = {str(number): ALIVE for number in range(self._plan.limiters)}
-        return max(settled(of_member, wanted) for of_member in lines) - begun
+        expected = {str(number): ALIVE for number in range(self._plan.limiters)}
+        return max(settled_at(member_lines, expected) for member_lines in lines) - begun
 
     def _at_rest(self) -> Figures:
         cpu = self._processor_s()
-        counted = self._measure_traffic(self._plan.rest_s)
-        figures = {f"{what} at rest, {role}": value for (what, role), value in counted.items()}
+        traffic = self._measure_traffic(self._plan.rest_s)
+        figures = {f"{what} at rest, {role}": value for (what, role), value in traffic.items()}
         spent = (self._processor_s() - cpu) / self._plan.limiters / self._plan.rest_s
         return {**figures, "processor for control at rest": spent}
 
@@ -170,12 +171,12 @@
             for target, load in self._loads():
                 self.scheduler.spawn(clients.run, target, load, begin, end, name="clients")
             self.scheduler.sleep(self._plan.rest_s)
-            counted = self._measure_traffic(self._plan.rest_s)
+            traffic = self._measure_traffic(self._plan.rest_s)
             while clients.open or self.scheduler.clock() < end:
                 self.scheduler.sleep(END_CHECK_INTERVAL_S)
         return {
             f"{what} under load, {role}": value
-            for (what, role), value in counted.items()
+            for (what, role), value in traffic.items()
             if role is Role.GOSSIP
         }
 
@@ -211,18 +212,23 @@
         while not self.cluster.processes.reap(name):
             self.scheduler.sleep(REAP_INTERVAL_S)
         self.scheduler.sleep(self._plan.death_s)
-        wanted = {str(n): DEAD if n == number else ALIVE for n in range(self._plan.limiters)}
+        expected = {str(n): DEAD if n == number else ALIVE for n in range(self._plan.limiters)}
         others = [other for other in self.cluster.names if other != name]
-        seconds = [settled(lines, wanted) - killed_at for lines in self._lines(others)]
+        seconds = [
+            settled_at(lines, expected) - killed_at for lines in self._membership_lines(others)
+        ]
         self.cluster.processes.start(name)
         self.cluster.await_ready([name])
         self._await_all_alive()
         return statistics.median(seconds), max(seconds)
 
     def _await_all_alive(self) -> None:
-        wanted = {str(number): ALIVE for number in range(self._plan.limiters)}
+        expected = {str(number): ALIVE for number in range(self._plan.limiters)}
         until = self.scheduler.clock() + RESTART_TIMEOUT_S
-        while any(states(view) != wanted for view in _last_views(self._lines(self.cluster.names))):
+        while any(
+            states(view) != expected
+            for view in _latest_memberships(self._membership_lines(self.cluster.names))
+        ):
             if self.scheduler.clock() > until:
                 raise MeasurementError(
                     f"a limiter that was started again was not known within {RESTART_TIMEOUT_S:g} s"
@@ -244,39 +250,39 @@
     def _processor_s(self) -> float:
         return sum(self.cluster.processes.cpu_of(name) for name in self.cluster.names)
 
-    def _lines(self, names: Iterable[str]) -> list[list[dict[str, Any]]]:
+    def _membership_lines(self, names: Iterable[str]) -> list[list[dict[str, Any]]]:
         return [rows(view_file(self._folder, name)) for name in names]
 
 
-def states(view: MembershipLine) -> dict[str, str]:
+def states(view: Membership) -> dict[str, str]:
     """The state of each limiter, by number."""
     return {number: str(entry[0]) for number, entry in view.items()}
 
 
-def settled(lines: Sequence[Mapping[str, Any]], wanted: Mapping[str, str]) -> float:
+def settled_at(lines: Sequence[Mapping[str, Any]], expected: Mapping[str, str]) -> float:
     """Unix seconds at which a member's states became the wanted ones for good.
 
     Args:
         lines: The memberships that the member wrote, in their order.
-        wanted: States by number.
+        expected: States by number.
 
     Raises:
         MeasurementError: The last states are not the wanted ones.
     """
     since: float | None = None
     for line in lines:
-        right = states(line["members"]) == wanted
-        since = (line["t"] if since is None else since) if right else None
+        matches = states(line["members"]) == expected
+        since = (line["t"] if since is None else since) if matches else None
     if since is None:
         raise MeasurementError("a limiter did not come to hold what is so")
     return since
 
 
-def _last_views(lines: Iterable[Sequence[Mapping[str, Any]]]) -> list[MembershipLine]:
-    return [of_member[-1]["members"] if of_member else {} for of_member in lines]
+def _latest_memberships(lines: Iterable[Sequence[Mapping[str, Any]]]) -> list[Membership]:
+    return [member_lines[-1]["members"] if member_lines else {} for member_lines in lines]
 
 
-def _incarnation_start(view: MembershipLine, number: int) -> float:
+def _incarnation_start(view: Membership, number: int) -> float:
     """Unix seconds of a member's start, by its own membership."""
     entry = view.get(str(number))
     if entry is None:
--- a/hazelhollow/scale/report_claims.py
+++ b/hazelhollow/scale/report_claims.py
@@ -22,8 +22,10 @@
     RoleSums,
 )
 
-NEAR = 1.5  # factor by which a measured figure may differ from a claim and confirm it
-PLAN = "first-look"  # plan of runs for these figures alone, whose base differs from the others'
+CONFIRMING_FACTOR = 1.5  # factor by which a measured figure may differ from a claim and confirm it
+FIRST_LOOK_PLAN = (
+    "first-look"  # plan of runs for these figures alone, whose base differs from the others'
+)
 SIZE_TOLERANCE = 0.25  # part of a size by which a run may differ from the wanted one
 
 Measure = Callable[[Sequence[Results]], float | None]
@@ -50,16 +52,16 @@
 
     text: str
     unit: str
-    first: float
+    claimed: float
     measure: Measure
 
 
-def verdict(first: float, measured: float | None) -> Verdict:
+def verdict(claimed: float, measured: float | None) -> Verdict:
     """Whether a measured figure confirms the first one."""
     if measured is None:
         return Verdict.NOT_RUN
-    near = first / NEAR <= measured <= first * NEAR
-    return Verdict.CONFIRMED if near else Verdict.REFUTED
+    confirmed = claimed / CONFIRMING_FACTOR <= measured <= claimed * CONFIRMING_FACTOR
+    return Verdict.CONFIRMED if confirmed else Verdict.REFUTED
 
 
 # Finding a figure in results
@@ -67,13 +69,13 @@
 
 def _points(results: Sequence[Results], **sizes: int) -> Iterator[Point]:
     """Points whose size has about these values."""
-    for of_file in results:
-        for point in of_file.points:
-            if all(_is_about(getattr(point.size, name), value) for name, value in sizes.items()):
+    for file_results in results:
+        for point in file_results.points:
+            if all(_is_near(getattr(point.size, name), value) for name, value in sizes.items()):
                 yield point
 
 
-def _is_about(value: int, wanted: int) -> bool:
+def _is_near(value: int, wanted: int) -> bool:
     return abs(value - wanted) <= SIZE_TOLERANCE * wanted
 
 
--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -37,7 +37,7 @@
 TENANTS = 4  # any number will do: the plans in the settings do not depend on the tenants
 
 
-class Routes(StrEnum):
+class RouteKind(StrEnum):
     """How much the routes of a document have in common."""
 
     ALIKE = "alike"
@@ -56,26 +56,26 @@
     """
 
     routes: int
-    kind: Routes
+    kind: RouteKind
     size: int
     characters: int
     pieces: int
 
     @property
-    def travels(self) -> bool:
+    def distributable(self) -> bool:
         """Whether members can distribute it to each other."""
         return self.pieces <= MAX_PIECES and self.size <= MAX_DOCUMENT_BYTES
 
 
 def documents() -> Iterator[Document]:
     """The document of each kind and number of routes."""
-    for kind in Routes:
+    for kind in RouteKind:
         for routes in COUNTS:
             yield make_document(routes, kind)
 
 
 @cache
-def make_document(routes: int, kind: Routes) -> Document:
+def make_document(routes: int, kind: RouteKind) -> Document:
     """The document of that many routes, cut into pieces as configuration does it."""
     document = _document(routes, kind)
     source = DocumentSource(1, document)
@@ -85,30 +85,30 @@
 
 
 @cache
-def most(kind: Routes) -> int:
+def max_routes(kind: RouteKind) -> int:
     """The most routes, in steps of `STEP`, whose document can be distributed."""
     low, high = 0, SEARCH_MULTIPLE * PLANNED.routes // STEP
     while low < high:
         middle = (low + high + 1) // 2
-        if make_document(middle * STEP, kind).travels:
+        if make_document(middle * STEP, kind).distributable:
             low = middle
         else:
             high = middle - 1
     return low * STEP
 
 
-def _document(routes: int, kind: Routes) -> dict[str, Any]:
+def _document(routes: int, kind: RouteKind) -> dict[str, Any]:
     size = msgspec.structs.replace(PLANNED, routes=routes, tenants=TENANTS)
     terms = FleetTerms()
     document = settings.document(size, populate(size, terms, seed=1).quotas, terms)
-    if kind is Routes.UNLIKE:
+    if kind is RouteKind.UNLIKE:
         document["grades"] = [
-            _unlike(number, grade) for number, grade in enumerate(document["grades"])
+            _unlike_route(number, grade) for number, grade in enumerate(document["grades"])
         ]
     return document
 
 
-def _unlike(number: int, grade: dict[str, Any]) -> dict[str, Any]:
+def _unlike_route(number: int, grade: dict[str, Any]) -> dict[str, Any]:
     digest = hashlib.sha256(str(number).encode()).hexdigest()
     deadline = 0.5 + int(digest[:4], 16) / 10_000
     return {
@@ -126,7 +126,7 @@
     size: int
 
     @property
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         """Whether a limiter accepts an answer of that size."""
         return self.size <= http1.MAX_BODY_BYTES
 
--- a/hazelhollow/scale/report_fit.py
+++ b/hazelhollow/scale/report_fit.py
@@ -9,7 +9,7 @@
 import msgspec
 
 # Difference of two sums of squares, as a part of the squared values, below which linear is chosen.
-SAME_FIT = 1e-9
+SAME_FIT_TOLERANCE = 1e-9
 
 
 class Shape(StrEnum):
@@ -42,15 +42,15 @@
     shape: Shape
     intercept: float
     slope: float
-    least: float
-    most: float
+    smallest_size: float
+    greatest_size: float
     samples: int
     error: float
 
     def at(self, size: float) -> float:
         """The figure at a size, at least 0; a falling curve stays constant beyond the range."""
         if self.slope < 0.0:
-            size = min(size, self.most)
+            size = min(size, self.greatest_size)
         return max(0.0, self.intercept + self.slope * _scaled(self.shape, size))
 
     def growth(self, size: float, start: float) -> float:
@@ -66,12 +66,12 @@
     sizes = {sample.size for sample in samples}
     if len(sizes) < 2:
         return None
-    linear = _fit(Shape.LINEAR, samples)
+    linear = _least_squares(Shape.LINEAR, samples)
     if len(sizes) == 2 or min(sizes) <= 0.0:
         return linear
-    logarithmic = _fit(Shape.LOGARITHMIC, samples)
-    noise = SAME_FIT * sum(sample.value**2 for sample in samples)
-    better = _squares(logarithmic, samples) + noise < _squares(linear, samples)
+    logarithmic = _least_squares(Shape.LOGARITHMIC, samples)
+    noise = SAME_FIT_TOLERANCE * sum(sample.value**2 for sample in samples)
+    better = _squared_error(logarithmic, samples) + noise < _squared_error(linear, samples)
     return logarithmic if better else linear
 
 
@@ -79,15 +79,15 @@
     return size if shape is Shape.LINEAR else math.log(size)
 
 
-def _fit(shape: Shape, samples: Sequence[Sample]) -> Fit:
+def _least_squares(shape: Shape, samples: Sequence[Sample]) -> Fit:
     scaled = [_scaled(shape, sample.size) for sample in samples]
     mean_x = sum(scaled) / len(samples)
     mean_y = sum(sample.value for sample in samples) / len(samples)
-    spread = sum((x - mean_x) ** 2 for x in scaled)
-    common = sum(
+    variation = sum((x - mean_x) ** 2 for x in scaled)
+    covariation = sum(
         (x - mean_x) * (sample.value - mean_y) for x, sample in zip(scaled, samples, strict=True)
     )
-    slope = common / spread
+    slope = covariation / variation
     intercept = mean_y - slope * mean_x
     greatest = max(abs(sample.value) for sample in samples) or 1.0
     distances = [
@@ -97,14 +97,14 @@
         shape=shape,
         intercept=intercept,
         slope=slope,
-        least=min(sample.size for sample in samples),
-        most=max(sample.size for sample in samples),
+        smallest_size=min(sample.size for sample in samples),
+        greatest_size=max(sample.size for sample in samples),
         samples=len(samples),
         error=max(distances) / greatest,
     )
 
 
-def _squares(curve: Fit, samples: Sequence[Sample]) -> float:
+def _squared_error(curve: Fit, samples: Sequence[Sample]) -> float:
     return sum(
         (curve.intercept + curve.slope * _scaled(curve.shape, sample.size) - sample.value) ** 2
         for sample in samples
--- a/hazelhollow/scale/report_observations.py
+++ b/hazelhollow/scale/report_observations.py
@@ -99,12 +99,12 @@
     if point.memory_bytes > 0.0:
         yield MEMORY, Observation(point.axis, point.size, point.memory_bytes)
     for event in point.events:
-        if point.whole_fleet and _belongs(event.kind, point.axis):
+        if point.whole_fleet and _counts_along(event.kind, point.axis):
             for quantity, value in _of_event(event, point.timed(event)):
                 yield quantity, Observation(point.axis, point.size, value)
 
 
-def _belongs(kind: EventKind, axis: Axis) -> bool:
+def _counts_along(kind: EventKind, axis: Axis) -> bool:
     """Whether an event's figures count: changes of settings grow by routes, others by limiters."""
     return axis is Axis.ALL or (
         axis is Axis.CONFIGURATION if kind in CONFIGURATION_EVENTS else axis is Axis.LIMITERS
@@ -117,10 +117,10 @@
     Where only a few limiters of many were played, those of roles with datagrams do not count, as
     most peers were missing; only the turns of gossip do, which go through the limiter's tenants.
     """
-    alone = sums.role in ROLES_WITH_DATAGRAMS and not point.whole_fleet
-    if not alone and point.seconds >= MIN_SECONDS:
+    peers_missing = sums.role in ROLES_WITH_DATAGRAMS and not point.whole_fleet
+    if not peers_missing and point.seconds >= MIN_SECONDS:
         yield from _rates(point, sums, planned)
-    if sums.calls and (not alone or sums.role is Role.GOSSIP):
+    if sums.calls and (not peers_missing or sums.role is Role.GOSSIP):
         yield role_quantity(sums.role, Resource.LONGEST_TURN), sums.longest_turn_s
         yield role_quantity(sums.role, Resource.TURN_P99), sums.turn_p99_s
 
@@ -173,19 +173,24 @@
     )
     for latency in latencies:
         if latency.size.requests_per_s == rate:
-            yield from _of_latency(latency, _least(latencies))
+            yield from _of_latency(latency, _smallest_measured(latencies))
 
 
-def _least(latencies: Sequence[Latency]) -> tuple[int, int]:
+def _smallest_measured(latencies: Sequence[Latency]) -> tuple[int, int]:
     """The fewest servers and routes that were measured."""
     servers = min(latency.size.servers for latency in latencies)
     routes = min(latency.size.routes for latency in latencies)
     return servers, routes
 
 
-def _of_latency(latency: Latency, least: tuple[int, int]) -> Iterator[tuple[Quantity, Observation]]:
+def _of_latency(
+    latency: Latency, smallest: tuple[int, int]
+) -> Iterator[tuple[Quantity, Observation]]:
     """The axis follows from what exceeds the least measured; the least itself lies on both axes."""
-    more_servers, more_routes = latency.size.servers > least[0], latency.size.routes > least[1]
+    more_servers, more_routes = (
+        latency.size.servers > smallest[0],
+        latency.size.routes > smallest[1],
+    )
     axes = {
         (True, True): (Axis.ALL,),
         (True, False): (Axis.SERVERS,),
--- a/hazelhollow/scale/report_order.py
+++ b/hazelhollow/scale/report_order.py
@@ -13,17 +13,17 @@
 
 from hazelhollow.scale import budgets
 from hazelhollow.scale.budgets import Budget
-from hazelhollow.scale.report_documents import Routes, most
+from hazelhollow.scale.report_documents import RouteKind, max_routes
 from hazelhollow.scale.report_observations import coordinate
-from hazelhollow.scale.report_rows import Known, Mark, Row
+from hazelhollow.scale.report_rows import Analysis, Mark, Row
 from hazelhollow.scale.results import Axis, Size
 
 # Budgets whose rows are added up; of all others the greatest row counts.
 ADDED_UP = (budgets.CONTROL_CPU, budgets.CONTROL_BYTES)
-LEAST = 0.001  # fraction of the plan from which the search goes on
-MOST = 10.0  # fraction of the plan at which the search ends
-STEPS = 400  # of the search, evenly spaced on a logarithmic scale
-HALVINGS = 40  # of the step in which a budget is passed
+MIN_FRACTION = 0.001  # fraction of the plan from which the search goes on
+MAX_FRACTION = 10.0  # fraction of the plan at which the search ends
+SEARCH_STEPS = 400  # of the search, evenly spaced on a logarithmic scale
+BISECTIONS = 40  # of the step in which a budget is passed
 
 
 class BudgetSum(msgspec.Struct, frozen=True, kw_only=True):
@@ -31,14 +31,14 @@
 
     Attributes:
         budget: The budget.
-        known: Rows whose figure is known.
-        unknown: All other rows.
+        rows_with_figure: Rows whose figure is known.
+        rows_without_figure: All other rows.
         value: Their sum, or the greatest; None where no row is known.
     """
 
     budget: Budget
-    known: tuple[Row, ...]
-    unknown: tuple[Row, ...]
+    rows_with_figure: tuple[Row, ...]
+    rows_without_figure: tuple[Row, ...]
     value: float | None
 
     @property
@@ -67,26 +67,28 @@
     share: float | None
     mark: Mark
     fitted: bool
-    without: tuple[Axis, ...] = ()
+    unmeasured_axes: tuple[Axis, ...] = ()
 
 
-def sums(known: Known) -> tuple[BudgetSum, ...]:
+def sums(analysis: Analysis) -> tuple[BudgetSum, ...]:
     """The total of each budget, in the order of `BUDGETS`."""
-    return tuple(_sum(budget, known) for budget in budgets.BUDGETS)
+    return tuple(_sum(budget, analysis) for budget in budgets.BUDGETS)
 
 
-def order(known: Known, more: Sequence[Passing] = ()) -> tuple[Passing, ...]:
+def order(analysis: Analysis, additional: Sequence[Passing] = ()) -> tuple[Passing, ...]:
     """When each row and total with a budget passes it, the first to pass first.
 
     Those that do not pass follow, and those that are not known come last.
 
     Args:
-        known: The rows.
-        more: What is known without runs.
+        analysis: The rows.
+        additional: Passings that are known without runs.
     """
-    passings = [_row_passing(row, known) for row in known.rows if row.quantity.budget]
-    passings += [_sum_passing(total, known) for total in sums(known) if total.budget in ADDED_UP]
-    return tuple(sorted([*passings, *more], key=_rank))
+    passings = [_row_passing(row, analysis) for row in analysis.rows if row.quantity.budget]
+    passings += [
+        _sum_passing(total, analysis) for total in sums(analysis) if total.budget in ADDED_UP
+    ]
+    return tuple(sorted([*passings, *additional], key=_rank))
 
 
 def document_passings(planned: Size) -> tuple[Passing, ...]:
@@ -95,12 +97,12 @@
         Passing(
             name=f"settings document of {kind} routes: handed on at all",
             budget=budgets.CHANGE_WORST,
-            fraction=most(kind) / planned.routes,
-            share=math.inf if most(kind) < planned.routes else 0.0,
+            fraction=max_routes(kind) / planned.routes,
+            share=math.inf if max_routes(kind) < planned.routes else 0.0,
             mark=Mark.MODELLED,
             fitted=True,
         )
-        for kind in Routes
+        for kind in RouteKind
     )
 
 
@@ -114,11 +116,11 @@
     Returns:
         0 if it is above already at `LEAST`, None if it is not above up to `MOST`.
     """
-    before = LEAST
-    if _above(value(LEAST), limit):
+    before = MIN_FRACTION
+    if _above(value(MIN_FRACTION), limit):
         return 0.0
-    for step in range(1, STEPS + 1):
-        fraction = LEAST * (MOST / LEAST) ** (step / STEPS)
+    for step in range(1, SEARCH_STEPS + 1):
+        fraction = MIN_FRACTION * (MAX_FRACTION / MIN_FRACTION) ** (step / SEARCH_STEPS)
         if _above(value(fraction), limit):
             return _bisect(value, limit, before, fraction)
         before = fraction
@@ -130,7 +132,7 @@
 
 
 def _bisect(value: Callable[[float], float | None], limit: float, low: float, high: float) -> float:
-    for _ in range(HALVINGS):
+    for _ in range(BISECTIONS):
         middle = (low + high) / 2.0
         if _above(value(middle), limit):
             high = middle
@@ -139,26 +141,26 @@
     return high
 
 
-def _sum(budget: Budget, known: Known) -> BudgetSum:
-    rows = [row for row in known.rows if row.quantity.budget == budget]
+def _sum(budget: Budget, analysis: Analysis) -> BudgetSum:
+    rows = [row for row in analysis.rows if row.quantity.budget == budget]
     with_figure = tuple(row for row in rows if row.figure.value is not None)
     values = [row.figure.value for row in with_figure if row.figure.value is not None]
-    together = sum(values) if budget in ADDED_UP else max(values, default=0.0)
+    combined = sum(values) if budget in ADDED_UP else max(values, default=0.0)
     return BudgetSum(
         budget=budget,
-        known=with_figure,
-        unknown=tuple(row for row in rows if row.figure.value is None),
-        value=together if values else None,
+        rows_with_figure=with_figure,
+        rows_without_figure=tuple(row for row in rows if row.figure.value is None),
+        value=combined if values else None,
     )
 
 
-def _row_passing(row: Row, known: Known) -> Passing:
+def _row_passing(row: Row, analysis: Analysis) -> Passing:
     budget = row.quantity.budget
     assert budget is not None
-    figure, fitted = row.figure, bool(row.slopes) or row.never_from is not None
-    fraction = passes_at(lambda fraction: row.at(fraction, known.planned), budget.limit)
+    figure, fitted = row.figure, bool(row.slopes) or row.unreached_from is not None
+    fraction = passes_at(lambda fraction: row.at(fraction, analysis.planned), budget.limit)
     if not fitted:
-        fraction = row.seen_above(budget.limit, known.planned)
+        fraction = row.lowest_fraction_above(budget.limit, analysis.planned)
     return Passing(
         name=row.quantity.name,
         budget=budget,
@@ -166,33 +168,41 @@
         share=None if figure.value is None else figure.value / budget.limit,
         mark=Mark.MEASURED if fraction is not None and not fitted else figure.mark,
         fitted=fitted,
-        without=figure.without,
+        unmeasured_axes=figure.unmeasured_axes,
     )
 
 
-def _sum_passing(total: BudgetSum, known: Known) -> Passing:
+def _sum_passing(total: BudgetSum, analysis: Analysis) -> Passing:
     """By the slopes, or by the least run whose rows together exceed the budget, if that is less."""
     limit = total.budget.limit
-    by_slopes = passes_at(lambda fraction: _sum_at(total.known, fraction, known), limit)
-    seen = _seen_above((*total.known, *total.unknown), limit, known.planned)
-    by_run = seen is not None and (by_slopes is None or seen < by_slopes)
+    by_slopes = passes_at(
+        lambda fraction: _sum_at(total.rows_with_figure, fraction, analysis), limit
+    )
+    lowest_run = _lowest_fraction_above(
+        (*total.rows_with_figure, *total.rows_without_figure), limit, analysis.planned
+    )
+    run_is_lower = lowest_run is not None and (by_slopes is None or lowest_run < by_slopes)
     return Passing(
         name=f"sum: {total.budget.name}",
         budget=total.budget,
-        fraction=seen if by_run else by_slopes,
-        share=None if by_run or total.value is None else total.value / limit,
-        mark=Mark.MEASURED if by_run else Mark.UNKNOWN if total.value is None else Mark.MODELLED,
-        fitted=not by_run and any(row.slopes for row in total.known),
+        fraction=lowest_run if run_is_lower else by_slopes,
+        share=None if run_is_lower or total.value is None else total.value / limit,
+        mark=Mark.MEASURED
+        if run_is_lower
+        else Mark.UNKNOWN
+        if total.value is None
+        else Mark.MODELLED,
+        fitted=not run_is_lower and any(row.slopes for row in total.rows_with_figure),
     )
 
 
-def _seen_above(rows: Sequence[Row], limit: float, planned: Size) -> float | None:
+def _lowest_fraction_above(rows: Sequence[Row], limit: float, planned: Size) -> float | None:
     """The least fraction of the plan at which the rows of one run exceeded the limit together."""
     totals: dict[tuple[Axis, Size], dict[str, float]] = {}
     for row in rows:
-        for seen in row.observations:
-            by_row = totals.setdefault((seen.axis, seen.size), {})
-            by_row[row.quantity.name] = max(seen.value, by_row.get(row.quantity.name, 0.0))
+        for observation in row.observations:
+            by_row = totals.setdefault((observation.axis, observation.size), {})
+            by_row[row.quantity.name] = max(observation.value, by_row.get(row.quantity.name, 0.0))
     above = [
         coordinate(size, axis, planned) / coordinate(planned, axis, planned)
         for (axis, size), by_row in totals.items()
@@ -201,8 +211,8 @@
     return min(above, default=None)
 
 
-def _sum_at(rows: Sequence[Row], fraction: float, known: Known) -> float | None:
-    values = [value for row in rows if (value := row.at(fraction, known.planned)) is not None]
+def _sum_at(rows: Sequence[Row], fraction: float, analysis: Analysis) -> float | None:
+    values = [value for row in rows if (value := row.at(fraction, analysis.planned)) is not None]
     return sum(values) if values else None
 
 
--- a/hazelhollow/scale/report_page.py
+++ b/hazelhollow/scale/report_page.py
@@ -24,42 +24,42 @@
     """
     lines: list[str] = []
     seen = set[str]()
-    inside = ""
+    open_block = ""
     for number, line in enumerate(page.split("\n"), 1):
         marker = _MARKER.match(line)
         if marker is None:
-            if not inside:
+            if not open_block:
                 lines.append(line)
             continue
         kind, name = marker[1], marker[2]
         lines.append(line)
         if kind == "table":
-            _check_begin(name, inside, seen, tables, number)
-            inside = name
+            _check_begin(name, open_block, seen, tables, number)
+            open_block = name
             seen.add(name)
             lines += ["", *tables[name].split("\n"), ""]
         else:
-            _check_end(name, inside, number)
-            inside = ""
-    if inside:
-        raise PageError(f"the block {inside!r} has no end")
+            _check_end(name, open_block, number)
+            open_block = ""
+    if open_block:
+        raise PageError(f"the block {open_block!r} has no end")
     return "\n".join(lines)
 
 
-def _check_end(name: str, inside: str, number: int) -> None:
+def _check_end(name: str, open_block: str, number: int) -> None:
     """Raises PageError unless the block that ends at a line is the open one."""
-    if inside != name:
+    if open_block != name:
         raise PageError(
-            f"line {number}: the end of {name!r} where {inside or 'no block'!r} is open"
+            f"line {number}: the end of {name!r} where {open_block or 'no block'!r} is open"
         )
 
 
 def _check_begin(
-    name: str, inside: str, seen: set[str], tables: Mapping[str, str], number: int
+    name: str, open_block: str, seen: set[str], tables: Mapping[str, str], number: int
 ) -> None:
     """Raises PageError unless a block of that name may begin at a line."""
-    if inside:
-        raise PageError(f"line {number}: {name!r} begins within {inside!r}")
+    if open_block:
+        raise PageError(f"line {number}: {name!r} begins within {open_block!r}")
     if name in seen:
         raise PageError(f"line {number}: a second block {name!r}")
     if name not in tables:
--- a/hazelhollow/scale/report_rows.py
+++ b/hazelhollow/scale/report_rows.py
@@ -61,7 +61,7 @@
     value: float | None
     mark: Mark
     factor: float = 1.0
-    without: tuple[Axis, ...] = ()
+    unmeasured_axes: tuple[Axis, ...] = ()
     rate: float = 0.0
 
 
@@ -77,7 +77,7 @@
 
     axis: Axis
     curve: Fit
-    held: float
+    base_size: float
     figure: Figure
 
 
@@ -96,14 +96,16 @@
     observations: tuple[Observation, ...]
     slopes: tuple[Slope, ...]
     figure: Figure
-    never_from: float | None = None
+    unreached_from: float | None = None
 
-    def seen_above(self, limit: float, planned: Size) -> float | None:
+    def lowest_fraction_above(self, limit: float, planned: Size) -> float | None:
         """The least fraction of the plan at which a run gave more than the limit.
 
         None where none did.
         """
-        above = [_fraction(seen, planned) for seen in self.observations if seen.value > limit]
+        above = [
+            _fraction(observed, planned) for observed in self.observations if observed.value > limit
+        ]
         return min(above, default=None)
 
     def at(self, fraction: float, planned: Size) -> float | None:
@@ -112,12 +114,12 @@
         It is the greater of the axes' growth added up and of the runs in which all grew together.
         None without a slope.
         """
-        if self.never_from is not None and fraction >= self.never_from:
+        if self.unreached_from is not None and fraction >= self.unreached_from:
             return math.inf
         return _value(self.slopes, fraction, planned)
 
 
-class Known(msgspec.Struct, frozen=True):
+class Analysis(msgspec.Struct, frozen=True):
     """The rows of one set of results, by quantity."""
 
     planned: Size
@@ -128,30 +130,35 @@
         return next((row for row in self.rows if row.quantity == quantity), None)
 
 
-def analyse(results: Sequence[Results], planned: Size = budgets.PLANNED) -> Known:
+def analyse(results: Sequence[Results], planned: Size = budgets.PLANNED) -> Analysis:
     """The rows of all quantities that the results have or that always have a row.
 
     They stand in the order of roles, the process and events.
     """
     found: dict[Quantity, list[Observation]] = {quantity: [] for quantity in expected_quantities()}
-    for of_file in results:
-        for quantity, observation in observations(of_file, planned):
+    for file_results in results:
+        for quantity, observation in observations(file_results, planned):
             found.setdefault(quantity, []).append(observation)
-    return Known(planned, tuple(_row(quantity, seen, planned) for quantity, seen in found.items()))
+    return Analysis(
+        planned, tuple(_row(quantity, observed, planned) for quantity, observed in found.items())
+    )
 
 
-def _row(quantity: Quantity, seen: Sequence[Observation], planned: Size) -> Row:
-    reached = [each for each in seen if math.isfinite(each.value)]
+def _row(quantity: Quantity, observed: Sequence[Observation], planned: Size) -> Row:
+    reached = [each for each in observed if math.isfinite(each.value)]
     slopes = tuple(_slopes(reached, planned))
-    never = [_fraction(each, planned) for each in seen if not math.isfinite(each.value)]
-    if not never:
+    unreached = [_fraction(each, planned) for each in observed if not math.isfinite(each.value)]
+    if not unreached:
         return Row(
-            quantity, tuple(seen), slopes, _figure(reached, slopes, needed_axes(quantity), planned)
+            quantity,
+            tuple(observed),
+            slopes,
+            _figure(reached, slopes, needed_axes(quantity), planned),
         )
-    least = min(never)
-    mark = Mark.MEASURED if max(never) >= 1.0 else Mark.EXTRAPOLATED
-    figure = Figure(value=math.inf, mark=mark, factor=max(1.0, 1.0 / max(never)))
-    return Row(quantity, tuple(seen), slopes, figure, least)
+    first_unreached = min(unreached)
+    mark = Mark.MEASURED if max(unreached) >= 1.0 else Mark.EXTRAPOLATED
+    figure = Figure(value=math.inf, mark=mark, factor=max(1.0, 1.0 / max(unreached)))
+    return Row(quantity, tuple(observed), slopes, figure, first_unreached)
 
 
 def _fraction(observation: Observation, planned: Size) -> float:
@@ -160,9 +167,9 @@
     return coordinate(observation.size, axis, planned) / coordinate(planned, axis, planned)
 
 
-def _slopes(seen: Sequence[Observation], planned: Size) -> Iterator[Slope]:
+def _slopes(observed: Sequence[Observation], planned: Size) -> Iterator[Slope]:
     by_axis: dict[Axis, list[Observation]] = defaultdict(list)
-    for observation in seen:
+    for observation in observed:
         by_axis[observation.axis].append(observation)
     for axis in Axis:
         samples = [
@@ -171,26 +178,30 @@
         ]
         curve = fit(samples)
         if curve is not None:
-            held = _held(axis, seen, curve, planned)
-            yield Slope(axis, curve, held, _along(axis, curve, samples, planned))
+            base_size = _base_size(axis, observed, curve, planned)
+            yield Slope(axis, curve, base_size, _figure_along(axis, curve, samples, planned))
 
 
-def _held(axis: Axis, seen: Iterable[Observation], curve: Fit, planned: Size) -> float:
+def _base_size(axis: Axis, observed: Iterable[Observation], curve: Fit, planned: Size) -> float:
     """The most frequent size along this axis in the runs along others, or else the least."""
     others = Counter(
-        coordinate(each.size, axis, planned) for each in seen if each.axis not in (axis, Axis.ALL)
+        coordinate(each.size, axis, planned)
+        for each in observed
+        if each.axis not in (axis, Axis.ALL)
     )
-    return others.most_common(1)[0][0] if others and axis is not Axis.ALL else curve.least
+    return others.most_common(1)[0][0] if others and axis is not Axis.ALL else curve.smallest_size
 
 
-def _along(axis: Axis, curve: Fit, samples: Sequence[Sample], planned: Size) -> Figure:
+def _figure_along(axis: Axis, curve: Fit, samples: Sequence[Sample], planned: Size) -> Figure:
     target = coordinate(planned, axis, planned)
     at_size = [sample.value for sample in samples if sample.size == target]
     if at_size:
         return Figure(value=sum(at_size) / len(at_size), mark=Mark.MEASURED)
-    if curve.most >= target:
+    if curve.greatest_size >= target:
         return Figure(value=curve.at(target), mark=Mark.MEASURED)
-    return Figure(value=curve.at(target), mark=Mark.EXTRAPOLATED, factor=target / curve.most)
+    return Figure(
+        value=curve.at(target), mark=Mark.EXTRAPOLATED, factor=target / curve.greatest_size
+    )
 
 
 def needed_axes(quantity: Quantity) -> tuple[Axis, ...]:
@@ -206,32 +217,38 @@
 
 
 def _figure(
-    seen: Sequence[Observation], slopes: Sequence[Slope], axes: Sequence[Axis], planned: Size
+    observed: Sequence[Observation], slopes: Sequence[Slope], axes: Sequence[Axis], planned: Size
 ) -> Figure:
-    without = tuple(axis for axis in axes if not _covers(axis, seen, slopes, planned))
-    rate = max((each.size.requests_per_s for each in seen), default=0.0)
-    known = tuple(axis for axis in axes if axis not in without)
-    at_plan = [each.value for each in seen if known and _reaches(each.size, known, planned)]
+    unmeasured_axes = tuple(axis for axis in axes if not _covers(axis, observed, slopes, planned))
+    rate = max((each.size.requests_per_s for each in observed), default=0.0)
+    measured_axes = tuple(axis for axis in axes if axis not in unmeasured_axes)
+    at_plan = [
+        each.value
+        for each in observed
+        if measured_axes and _reaches(each.size, measured_axes, planned)
+    ]
     if at_plan:
-        return Figure(value=max(at_plan), mark=Mark.MEASURED, without=without, rate=rate)
+        return Figure(
+            value=max(at_plan), mark=Mark.MEASURED, unmeasured_axes=unmeasured_axes, rate=rate
+        )
     value = _value(slopes, 1.0, planned)
     if value is None:
-        return Figure(value=None, mark=Mark.UNKNOWN, without=without)
+        return Figure(value=None, mark=Mark.UNKNOWN, unmeasured_axes=unmeasured_axes)
     factor = max(slope.figure.factor for slope in slopes)
     mark = Mark.MODELLED if len(slopes) > 1 else slopes[0].figure.mark
-    return Figure(value=value, mark=mark, factor=factor, without=without, rate=rate)
+    return Figure(value=value, mark=mark, factor=factor, unmeasured_axes=unmeasured_axes, rate=rate)
 
 
 def _covers(
-    axis: Axis, seen: Sequence[Observation], slopes: Sequence[Slope], planned: Size
+    axis: Axis, observed: Sequence[Observation], slopes: Sequence[Slope], planned: Size
 ) -> bool:
     """Whether the axis has a slope, or was at the planned size in all runs."""
     same = (axis, Axis.ALL, Axis.CONFIGURATION) if axis is Axis.ROUTES else (axis, Axis.ALL)
     return any(slope.axis in same for slope in slopes) or (
-        bool(seen)
+        bool(observed)
         and all(
             coordinate(each.size, axis, planned) >= coordinate(planned, axis, planned)
-            for each in seen
+            for each in observed
         )
     )
 
@@ -252,9 +269,9 @@
     values = []
     single = [slope for slope in slopes if slope.axis is not Axis.ALL]
     if single:
-        base = max(slope.curve.at(slope.held) for slope in single)
+        base = max(slope.curve.at(slope.base_size) for slope in single)
         growth = sum(
-            slope.curve.growth(_scaled(slope.axis, fraction, planned), slope.held)
+            slope.curve.growth(_scaled(slope.axis, fraction, planned), slope.base_size)
             for slope in single
         )
         values.append(max(0.0, base + growth))
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -17,15 +17,15 @@
 )
 from hazelhollow.scale.results import Comparison, Event, Latency, Point
 
-LATE = "the machine was too slow"
+TOO_SLOW = "the machine was too slow"
 
 
 def _points(runs: Runs) -> Iterable[tuple[str, Point]]:
     """All points, each with the program that it is of."""
-    for state, group in (("now", runs.now), ("before", runs.before)):
+    for program, group in (("now", runs.now), ("before", runs.before)):
         for run in group:
             for point in run.results.points:
-                yield state, point
+                yield program, point
 
 
 def events_table(runs: Runs) -> str:
@@ -47,8 +47,8 @@
             "refused with room",
         ],
         (
-            [state, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
-            for state, point in _points(runs)
+            [program, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
+            for program, point in _points(runs)
             if point.whole_fleet
             for event in point.events
         ),
@@ -59,7 +59,7 @@
     spread, quotas = event.until_agreed, event.quotas
     seconds = [shown(value, "s") for value in (spread.median, spread.p99, spread.worst)]
     return [
-        *(seconds if timed else [LATE] * len(seconds)),
+        *(seconds if timed else [TOO_SLOW] * len(seconds)),
         f"{spread.reached} of {spread.of}",
         shown(event.worst_ten_seconds_bytes_mean, "B/s"),
         shown(event.worst_second_bytes_most, "B/s"),
@@ -84,7 +84,7 @@
         ],
         (
             [
-                state,
+                program,
                 AXIS_WORDS[point.axis],
                 size_text(point.size),
                 digits(point.quotas.asked),
@@ -96,7 +96,7 @@
                     else None
                 ),
             ]
-            for state, point in _points(runs)
+            for program, point in _points(runs)
             if point.quotas
         ),
     )
@@ -119,13 +119,13 @@
         ],
         (
             [
-                state,
+                program,
                 size_text(latency.size),
                 f"{latency.requests:,}",
                 percent(latency.left_out),
                 *_latency_cells(latency),
             ]
-            for state, group in (("now", runs.now), ("before", runs.before))
+            for program, group in (("now", runs.now), ("before", runs.before))
             for run in group
             for latency in run.results.latencies
         ),
@@ -152,29 +152,29 @@
         ["program", "figure", "real", "hollow", "apart by", "margin", "alike"],
         (
             [
-                state,
+                program,
                 comparison.figure,
                 shown(comparison.real, comparison.unit),
                 shown(comparison.hollow, comparison.unit),
-                *_alike_cells(comparison),
+                *_difference_cells(comparison),
             ]
-            for state, group in (("now", runs.now), ("before", runs.before))
+            for program, group in (("now", runs.now), ("before", runs.before))
             for run in group
             for comparison in run.results.comparisons
         ),
     )
 
 
-def _alike_cells(comparison: Comparison) -> list[str]:
-    apart = distance(comparison)
+def _difference_cells(comparison: Comparison) -> list[str]:
+    deviation = relative_difference(comparison)
     return [
-        percent(apart),
+        percent(deviation),
         percent(comparison.margin),
-        "yes" if apart <= comparison.margin else "**no**",
+        "yes" if deviation <= comparison.margin else "**no**",
     ]
 
 
-def distance(comparison: Comparison) -> float:
+def relative_difference(comparison: Comparison) -> float:
     """By how much the hollow figure differs, as a part of the real comparison."""
     if comparison.real == comparison.hollow:
         return 0.0
--- a/hazelhollow/scale/report_runs.py
+++ b/hazelhollow/scale/report_runs.py
@@ -26,11 +26,11 @@
     now: tuple[Run, ...]
     before: tuple[Run, ...] = ()
 
-    def of_the_plan(self) -> Runs:
+    def without_first_look(self) -> Runs:
         """Without the runs that only repeat the first look's figures, as their base differs."""
         return Runs(
             *(
-                tuple(run for run in group if run.results.plan != report_claims.PLAN)
+                tuple(run for run in group if run.results.plan != report_claims.FIRST_LOOK_PLAN)
                 for group in (self.now, self.before)
             )
         )
--- a/hazelhollow/scale/report_tables.py
+++ b/hazelhollow/scale/report_tables.py
@@ -6,7 +6,7 @@
 
 from hazelhollow.scale import budgets
 from hazelhollow.scale.report_claims import CLAIMS, verdict
-from hazelhollow.scale.report_documents import Routes, documents, most, server_lists
+from hazelhollow.scale.report_documents import RouteKind, documents, max_routes, server_lists
 from hazelhollow.scale.report_order import (
     ADDED_UP,
     BudgetSum,
@@ -15,7 +15,7 @@
     order,
     sums,
 )
-from hazelhollow.scale.report_rows import Known, Mark, analyse
+from hazelhollow.scale.report_rows import Analysis, Mark, analyse
 from hazelhollow.scale.report_run_tables import (
     comparison_table,
     events_table,
@@ -31,7 +31,7 @@
     percent,
     shown,
     table,
-    without_text,
+    unmeasured_text,
 )
 from hazelhollow.scale.results import EventKind
 
@@ -41,7 +41,7 @@
 
 def tables(runs: Runs) -> dict[str, str]:
     """Each table by the name that its block of the page has."""
-    planned = runs.of_the_plan()
+    planned = runs.without_first_look()
     now = analyse([run.results for run in planned.now])
     before = analyse([run.results for run in planned.before])
     return {
@@ -94,7 +94,7 @@
     )
 
 
-def figures_table(now: Known, before: Known) -> str:
+def figures_table(now: Analysis, before: Analysis) -> str:
     """Each quantity at the planned size."""
     rows = []
     for row in now.rows:
@@ -116,7 +116,7 @@
     return table(["part", "quantity", "at the plan", "how known", "of its budget", "before"], rows)
 
 
-def slopes_table(known: Known) -> str:
+def slopes_table(analysis: Analysis) -> str:
     """Each fitted curve with the range measured."""
     return table(
         ["part", "quantity", "axis", "formula", "measured from", "to", "at the plan", "how known"],
@@ -126,12 +126,12 @@
                 row.quantity.resource,
                 AXIS_WORDS[slope.axis],
                 formula(slope.curve, row.quantity.unit),
-                digits(slope.curve.least),
-                digits(slope.curve.most),
+                digits(slope.curve.smallest_size),
+                digits(slope.curve.greatest_size),
                 shown(slope.figure.value, row.quantity.unit),
                 mark_text(slope.figure),
             ]
-            for row in known.rows
+            for row in analysis.rows
             for slope in row.slopes
         ),
     )
@@ -149,7 +149,7 @@
                 "sum" if total.budget in ADDED_UP else "dearest",
                 _sum_text(total),
                 _left_text(total),
-                ", ".join(row.quantity.part for row in total.unknown) or "none",
+                ", ".join(row.quantity.part for row in total.rows_without_figure) or "none",
                 shown(earlier.value, unit),
             ]
         )
@@ -159,22 +159,22 @@
 def _sum_text(total: BudgetSum) -> str:
     if total.value is None:
         return str(Mark.UNKNOWN)
-    least = "at least " if total.unknown else ""
-    return least + shown(total.value, total.budget.unit)
+    bound = "at least " if total.rows_without_figure else ""
+    return bound + shown(total.value, total.budget.unit)
 
 
 def _left_text(total: BudgetSum) -> str:
     """What is left, at most so much where parts are not known."""
     if total.left is None:
         return str(Mark.UNKNOWN)
-    most = "at most " if total.unknown else ""
-    return most + shown(total.left, total.budget.unit)
+    bound = "at most " if total.rows_without_figure else ""
+    return bound + shown(total.left, total.budget.unit)
 
 
 def order_table(passings: Sequence[Passing]) -> str:
     """The order in which budgets are passed, and below it what is not known."""
-    known = [passing for passing in passings if passing.mark is not Mark.UNKNOWN]
-    unknown = [passing.name for passing in passings if passing.mark is Mark.UNKNOWN]
+    ranked = [passing for passing in passings if passing.mark is not Mark.UNKNOWN]
+    unranked = [passing.name for passing in passings if passing.mark is Mark.UNKNOWN]
     text = table(
         ["", "what", "budget", "passed at", "of its budget at the plan", "how known"],
         (
@@ -184,12 +184,14 @@
                 f"{passing.budget.name}, {shown(passing.budget.limit, passing.budget.unit)}",
                 _passed(passing),
                 percent(passing.share),
-                passing.mark + without_text(passing.without) if passing.fitted else ONE_SIZE,
+                passing.mark + unmeasured_text(passing.unmeasured_axes)
+                if passing.fitted
+                else ONE_SIZE,
             ]
-            for place, passing in enumerate(known, 1)
+            for place, passing in enumerate(ranked, 1)
         ),
     )
-    return f"{text}\n\nNot known: {'; '.join(unknown)}." if unknown else text
+    return f"{text}\n\nNot known: {'; '.join(unranked)}." if unranked else text
 
 
 def _passed(passing: Passing) -> str:
@@ -211,9 +213,9 @@
         rows.append(
             [
                 claim.text,
-                shown(claim.first, claim.unit),
+                shown(claim.claimed, claim.unit),
                 shown(earlier, claim.unit),
-                verdict(claim.first, earlier),
+                verdict(claim.claimed, earlier),
                 shown(later, claim.unit),
             ]
         )
@@ -231,17 +233,17 @@
                 f"{document.size:,}",
                 f"{document.characters:,}",
                 f"{document.pieces:,}",
-                "yes" if document.travels else "**no**",
+                "yes" if document.distributable else "**no**",
             ]
             for document in documents()
         ),
     )
     reach = "; ".join(
         (
-            f"{kind} routes: up to {most(kind):,}, "
-            f"{percent(most(kind) / budgets.PLANNED.routes)} of the plan"
+            f"{kind} routes: up to {max_routes(kind):,}, "
+            f"{percent(max_routes(kind) / budgets.PLANNED.routes)} of the plan"
         )
-        for kind in Routes
+        for kind in RouteKind
     )
     return f"{text}\n\nWorked out from the code, not run. The most that can be handed on, {reach}."
 
@@ -251,7 +253,7 @@
     return table(
         ["servers", "bytes of a whole list", "taken by a limiter"],
         (
-            [f"{each.servers:,}", f"{each.size:,}", "yes" if each.taken else "**no**"]
+            [f"{each.servers:,}", f"{each.size:,}", "yes" if each.accepted else "**no**"]
             for each in server_lists()
         ),
     )
--- a/hazelhollow/scale/report_text.py
+++ b/hazelhollow/scale/report_text.py
@@ -87,14 +87,14 @@
     text = str(figure.mark)
     if figure.mark is Mark.EXTRAPOLATED or (figure.mark is Mark.MODELLED and figure.factor > 1.0):
         text += f" ({digits(figure.factor)} times the measured size)"
-    if figure.without and figure.mark is not Mark.UNKNOWN:
-        text += without_text(figure.without)
+    if figure.unmeasured_axes and figure.mark is not Mark.UNKNOWN:
+        text += unmeasured_text(figure.unmeasured_axes)
     if 0.0 < figure.rate < MIN_RATE_SHARE * budgets.PLANNED.requests_per_s:
         text += f", at {figure.rate:g} requests/s"
     return text
 
 
-def without_text(axes: Sequence[Axis]) -> str:
+def unmeasured_text(axes: Sequence[Axis]) -> str:
     """The axes along which nothing is known; an empty text for none."""
     return ", without " + ", ".join(axes) if axes else ""
 
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -282,7 +282,7 @@
 def test_a_membership_is_settled_from_when_it_is_right_for_good(
     lines: list[dict[str, Any]], since: float
 ) -> None:
-    assert real_fleet.settled(lines, {"0": "alive", "1": "dead"}) == since
+    assert real_fleet.settled_at(lines, {"0": "alive", "1": "dead"}) == since
 
 
 @pytest.mark.parametrize("lines", [[], [line(1, "alive", "dead"), line(2, "alive", "suspect")]])
@@ -291,7 +291,7 @@
 ) -> None:
     """A member still suspects another at the end. It has no time of agreement."""
     with pytest.raises(MeasurementError):
-        real_fleet.settled(lines, {"0": "alive", "1": "dead"})
+        real_fleet.settled_at(lines, {"0": "alive", "1": "dead"})
 
 
 def hollow_point(cpu_s: float, reached: int = 4) -> results.Point:
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -23,7 +23,14 @@
 from hazelhollow.scale.report_claims import CLAIMS, Verdict, verdict
 from hazelhollow.scale.report_commands import report as report_command
 from hazelhollow.scale.report_fit import Sample, Shape, fit
-from hazelhollow.scale.report_order import LEAST, MOST, document_passings, order, passes_at, sums
+from hazelhollow.scale.report_order import (
+    MAX_FRACTION,
+    MIN_FRACTION,
+    document_passings,
+    order,
+    passes_at,
+    sums,
+)
 from hazelhollow.scale.report_page import render
 from hazelhollow.scale.report_quantities import (
     ADDED_P99,
@@ -33,7 +40,7 @@
     role_quantity,
 )
 from hazelhollow.scale.report_rows import Mark, analyse
-from hazelhollow.scale.report_run_tables import distance
+from hazelhollow.scale.report_run_tables import relative_difference
 from hazelhollow.scale.report_runs import Run, Runs
 from hazelhollow.scale.report_tables import tables
 from hazelhollow.scale.report_text import percent, shown
@@ -132,7 +139,10 @@
     assert curve is not None and curve.shape is Shape.LINEAR
     greatest = max(abs(intercept + slope * x) for x in sizes)
     assert math.isclose(curve.slope, slope, rel_tol=1e-6, abs_tol=1e-9 * greatest)
-    assert curve.error < 1e-6 and (curve.least, curve.most) == (min(sizes), max(sizes))
+    assert curve.error < 1e-6 and (curve.smallest_size, curve.greatest_size) == (
+        min(sizes),
+        max(sizes),
+    )
 
 
 @given(SIZES, st.floats(0, 10), st.floats(1, 100))
@@ -188,9 +198,9 @@
 
 def test_shares_and_bytes_are_of_one_limiter_and_count_headers() -> None:
     at_plan = point(Axis.ALL, budgets.PLANNED, role(cpu_s=2.0, bytes_out=2000, datagrams_out=100))
-    known = analyse([gathered(at_plan)])
-    processor = known.row(role_quantity(Role.VIEW, Resource.PROCESSOR))
-    sent = known.row(role_quantity(Role.VIEW, Resource.BYTES_SENT))
+    analysis = analyse([gathered(at_plan)])
+    processor = analysis.row(role_quantity(Role.VIEW, Resource.PROCESSOR))
+    sent = analysis.row(role_quantity(Role.VIEW, Resource.BYTES_SENT))
     assert processor and processor.figure.value == pytest.approx(2.0 / LIMITER_SECONDS)
     assert sent and sent.figure.value == pytest.approx((2000 + 28 * 100) / LIMITER_SECONDS)
     assert processor.figure.mark is Mark.MEASURED
@@ -209,9 +219,9 @@
 ) -> None:
     whole = msgspec.structs.replace(budgets.PLANNED, requests_per_s=rate)
     requests = msgspec.structs.replace(role(Role.REQUESTS, cpu_s=20.0), calls=calls)
-    known = analyse([gathered(point(Axis.ALL, whole, requests, role(cpu_s=20.0)))])
-    found = known.row(role_quantity(Role.REQUESTS, Resource.PROCESSOR))
-    view = known.row(role_quantity(Role.VIEW, Resource.PROCESSOR))
+    analysis = analyse([gathered(point(Axis.ALL, whole, requests, role(cpu_s=20.0)))])
+    found = analysis.row(role_quantity(Role.REQUESTS, Resource.PROCESSOR))
+    view = analysis.row(role_quantity(Role.VIEW, Resource.PROCESSOR))
     assert found and found.figure.value == pytest.approx(cost)
     assert view and view.figure.value == pytest.approx(0.01)
 
@@ -223,26 +233,26 @@
 
     As a share of a core.
     """
-    held = getattr(BASE, field)
+    base_size = getattr(BASE, field)
     return [
         point(
             axis,
             size(**{field: x}),
-            role(Role.TIMERS, cpu_s=LIMITER_SECONDS * (base + per_one * (x - held))),
+            role(Role.TIMERS, cpu_s=LIMITER_SECONDS * (base + per_one * (x - base_size))),
         )
         for x in sizes
     ]
 
 
 def test_one_axis_is_extrapolated_by_how_far_the_plan_lies_beyond_it() -> None:
-    known = analyse(
+    analysis = analyse(
         [gathered(*linear_points(Axis.LIMITERS, "limiters", (50, 100, 310), 1e-5, 0.001))]
     )
-    row = known.row(role_quantity(Role.TIMERS, Resource.PROCESSOR))
+    row = analysis.row(role_quantity(Role.TIMERS, Resource.PROCESSOR))
     assert row and row.figure.mark is Mark.EXTRAPOLATED
     assert row.figure.factor == pytest.approx(3.0)
     assert row.figure.value == pytest.approx(0.001 + 1e-5 * 880)
-    assert row.figure.without == (Axis.SERVERS, Axis.ROUTES, Axis.TENANTS)
+    assert row.figure.unmeasured_axes == (Axis.SERVERS, Axis.ROUTES, Axis.TENANTS)
 
 
 def test_two_axes_are_added_from_where_each_was_held() -> None:
@@ -253,7 +263,7 @@
     row = analyse([gathered(*points)]).row(role_quantity(Role.TIMERS, Resource.PROCESSOR))
     assert row and row.figure.mark is Mark.MODELLED
     assert row.figure.value == pytest.approx(0.001 + 1e-5 * 880 + 1e-6 * 13_800)
-    assert [slope.held for slope in row.slopes] == [50, 200]
+    assert [slope.base_size for slope in row.slopes] == [50, 200]
     assert [slope.figure.mark for slope in row.slopes] == [Mark.MEASURED, Mark.EXTRAPOLATED]
     assert row.figure.factor == pytest.approx(2.0)
 
@@ -273,18 +283,18 @@
     assert (
         row and row.figure.value == pytest.approx(0.02) and row.figure.factor == pytest.approx(5.0)
     )
-    assert row.figure.without == ()
+    assert row.figure.unmeasured_axes == ()
 
 
 @pytest.mark.parametrize("points", [(), (point(Axis.LIMITERS, BASE, role()),)])
 def test_without_a_slope_there_is_no_number(points: tuple[results.Point, ...]) -> None:
-    known = analyse([gathered(*points)])
-    for row in known.rows:
+    analysis = analyse([gathered(*points)])
+    for row in analysis.rows:
         assert row.figure.value is None and row.figure.mark is Mark.UNKNOWN
     assert "0" not in shown(None, "s")
-    for passing in order(known):
+    for passing in order(analysis):
         assert passing.fraction is None and passing.share is None and passing.mark is Mark.UNKNOWN
-    for total in sums(known):
+    for total in sums(analysis):
         assert total.value is None and total.left is None
 
 
@@ -294,12 +304,12 @@
         point(Axis.CONFIGURATION, size(routes=routes), events=(event(kind, p99, reached),))
         for routes, p99, reached in ((110, 1.0, 50), (1100, 1.1, 50), (5500, 2.0, 49))
     ]
-    known = analyse([gathered(*points)])
-    row = known.row(event_quantity(kind, field))
-    assert row and row.figure.value == math.inf and row.never_from == pytest.approx(0.5)
-    passing = next(each for each in order(known) if each.name == row.quantity.name)
+    analysis = analyse([gathered(*points)])
+    row = analysis.row(event_quantity(kind, field))
+    assert row and row.figure.value == math.inf and row.unreached_from == pytest.approx(0.5)
+    passing = next(each for each in order(analysis) if each.name == row.quantity.name)
     assert passing.fraction == pytest.approx(0.5, rel=1e-6)
-    change = next(each for each in sums(known) if each.budget is budgets.CHANGE_P99)
+    change = next(each for each in sums(analysis) if each.budget is budgets.CHANGE_P99)
     assert change.value == math.inf
     assert (
         shown(change.value, "s") == "not within the run"
@@ -330,7 +340,7 @@
     assert max(each.value for each in row.observations) < 1.0 and row.slopes[0].curve.at(
         200
     ) == pytest.approx(0.001)
-    assert row.figure.value == pytest.approx(0.003) and row.figure.without == (
+    assert row.figure.value == pytest.approx(0.003) and row.figure.unmeasured_axes == (
         Axis.ROUTES,
         Axis.TENANTS,
     )
@@ -390,8 +400,8 @@
     ],
 )
 def test_a_role_is_fitted_along_the_axes_that_it_follows(axis: Axis, parts: set[str]) -> None:
-    known = analyse([gathered(point(axis, BASE, *(role(name) for name in Role)))])
-    assert {row.quantity.part for row in known.rows if row.observations} - {"process"} == parts
+    analysis = analyse([gathered(point(axis, BASE, *(role(name) for name in Role)))])
+    assert {row.quantity.part for row in analysis.rows if row.observations} - {"process"} == parts
 
 
 @pytest.mark.parametrize(
@@ -407,8 +417,8 @@
 def test_an_event_counts_along_the_axis_that_it_belongs_to(
     kind: EventKind, axis: Axis, counts: bool
 ) -> None:
-    known = analyse([gathered(point(axis, BASE, events=(event(kind, 2.0),)))])
-    row = known.row(event_quantity(kind, Resource.SETTLED_P99))
+    analysis = analyse([gathered(point(axis, BASE, events=(event(kind, 2.0),)))])
+    row = analysis.row(event_quantity(kind, Resource.SETTLED_P99))
     assert row and bool(row.observations) is counts
 
 
@@ -416,10 +426,10 @@
     slow = (f"zone_lost: workers fell behind the clock: {results.NO_TIMES}",)
     events = (event(EventKind.ZONE_LOST, 2.0), event(EventKind.ZONE_BACK, 2.5))
     slow_run = gathered(point(Axis.LIMITERS, BASE, events=events, notes=slow))
-    known = analyse([slow_run])
+    analysis = analyse([slow_run])
     for kind, seconds in ((EventKind.ZONE_LOST, 0), (EventKind.ZONE_BACK, 1)):
         rows = [
-            known.row(event_quantity(kind, resource))
+            analysis.row(event_quantity(kind, resource))
             for resource in (Resource.SETTLED_P99, Resource.WORST_SECOND)
         ]
         assert [len(row.observations) for row in rows if row] == [seconds, 1]
@@ -431,10 +441,10 @@
     partial = msgspec.structs.replace(
         point(Axis.ALL, budgets.PLANNED, role(turn=0.3), role(Role.REQUESTS)), seconds=0.01
     )
-    known = analyse([gathered(partial)])
+    analysis = analyse([gathered(partial)])
     for name in (Role.VIEW, Role.REQUESTS):
-        processor = known.row(role_quantity(name, Resource.PROCESSOR))
-        turn = known.row(role_quantity(name, Resource.LONGEST_TURN))
+        processor = analysis.row(role_quantity(name, Resource.PROCESSOR))
+        turn = analysis.row(role_quantity(name, Resource.LONGEST_TURN))
         assert processor and not processor.observations and turn and turn.observations
 
 
@@ -484,7 +494,11 @@
     processor, sent = found[budgets.CONTROL_CPU.name], found[budgets.CONTROL_BYTES.name]
     assert processor.value == pytest.approx(0.03) and processor.left == pytest.approx(-0.005)
     assert sent.value == pytest.approx(6000) and sent.left == pytest.approx(-2000)
-    assert {row.quantity.part for row in processor.unknown} == {"list", "replication", "audit"}
+    assert {row.quantity.part for row in processor.rows_without_figure} == {
+        "list",
+        "replication",
+        "audit",
+    }
     assert found[budgets.CONTROL_MEMORY.name].value == pytest.approx(20e6)
     assert found[budgets.REQUEST_CPU.name].value == pytest.approx(0.5)
 
@@ -512,8 +526,8 @@
         )
         for limiters in (50, 100, 200)
     ]
-    known = analyse([gathered(*points)])
-    found = {each.name: each for each in order(known)}
+    analysis = analyse([gathered(*points)])
+    found = {each.name: each for each in order(analysis)}
     assert found["audit: processor"].fraction == 0.0
     assert found["gossip: bytes sent"].fraction == pytest.approx(100 / 930, rel=0.01)
     assert found["view: processor"].fraction == pytest.approx(250 / 930, rel=0.01)
@@ -565,7 +579,7 @@
     assert found["gossip: processor"].fraction is None
 
 
-@given(st.floats(2 * LEAST, 0.99 * MOST), st.floats(0.01, 100))
+@given(st.floats(2 * MIN_FRACTION, 0.99 * MAX_FRACTION), st.floats(0.01, 100))
 def test_a_passing_is_found_where_the_value_meets_the_limit(where: float, limit: float) -> None:
     fraction = passes_at(lambda f: limit * f / where, limit)
     assert fraction == pytest.approx(where, rel=1e-3)
@@ -584,7 +598,7 @@
     comparison = results.Comparison(
         figure="bytes", unit="B/s", real=real, hollow=hollow, margin=0.25
     )
-    assert distance(comparison) == pytest.approx(apart)
+    assert relative_difference(comparison) == pytest.approx(apart)
 
 
 @pytest.mark.parametrize(
@@ -669,7 +683,7 @@
         point(Axis.SERVERS, msgspec.structs.replace(three, servers=n), role(Role.REQUESTS))
         for n in (14, 14_000)
     ]
-    first = msgspec.structs.replace(gathered(*points), plan=report_claims.PLAN)
+    first = msgspec.structs.replace(gathered(*points), plan=report_claims.FIRST_LOOK_PLAN)
     found = tables(Runs((), (Run("before-a", first),)))
     assert found["order-before"].count("not known") == 0 and "| 1 |" not in found["order-before"]
     assert found["claims"].count("not run") == len(CLAIMS) - 2
@@ -683,22 +697,24 @@
 # The settings document
 
 
-@pytest.mark.parametrize("kind", report_documents.Routes)
-def test_a_document_has_its_routes_and_unlike_ones_take_more(kind: report_documents.Routes) -> None:
+@pytest.mark.parametrize("kind", report_documents.RouteKind)
+def test_a_document_has_its_routes_and_unlike_ones_take_more(
+    kind: report_documents.RouteKind,
+) -> None:
     hundred, thousand = (report_documents.make_document(routes, kind) for routes in (100, 1_000))
-    assert 9 < thousand.size / hundred.size < 11 and hundred.travels
+    assert 9 < thousand.size / hundred.size < 11 and hundred.distributable
     assert hundred.pieces == -(-hundred.characters // codec.PIECE_CHARACTERS)
-    alike = report_documents.make_document(1_000, report_documents.Routes.ALIKE)
+    alike = report_documents.make_document(1_000, report_documents.RouteKind.ALIKE)
     assert thousand.characters >= alike.characters
 
 
-@pytest.mark.parametrize("kind", report_documents.Routes)
+@pytest.mark.parametrize("kind", report_documents.RouteKind)
 def test_the_most_routes_that_travel_do_and_a_step_more_do_not(
-    kind: report_documents.Routes,
+    kind: report_documents.RouteKind,
 ) -> None:
-    routes = report_documents.most(kind)
-    assert report_documents.make_document(routes, kind).travels
-    assert not report_documents.make_document(routes + report_documents.STEP, kind).travels
+    routes = report_documents.max_routes(kind)
+    assert report_documents.make_document(routes, kind).distributable
+    assert not report_documents.make_document(routes + report_documents.STEP, kind).distributable
 
 
 def test_a_list_of_servers_grows_with_its_entries_and_is_taken_up_to_the_bound() -> None:
@@ -706,14 +722,14 @@
     assert [each.servers for each in lists] == sorted(each.servers for each in lists)
     each = {round(each.size / each.servers) for each in lists}
     assert max(each) - min(each) <= 1
-    assert report_documents.ServerList(1, http1.MAX_BODY_BYTES).taken
-    assert not report_documents.ServerList(1, http1.MAX_BODY_BYTES + 1).taken
+    assert report_documents.ServerList(1, http1.MAX_BODY_BYTES).accepted
+    assert not report_documents.ServerList(1, http1.MAX_BODY_BYTES + 1).accepted
 
 
 def test_a_document_that_cannot_be_handed_on_passes_its_budget_where_it_stops() -> None:
     found = {each.name: each for each in order(analyse([]), document_passings(budgets.PLANNED))}
     unlike = found["settings document of unlike routes: handed on at all"]
-    stops = report_documents.most(report_documents.Routes.UNLIKE)
+    stops = report_documents.max_routes(report_documents.RouteKind.UNLIKE)
     assert unlike.fraction == pytest.approx(stops / budgets.PLANNED.routes)
     assert (unlike.share == math.inf) is (stops < budgets.PLANNED.routes)
     assert unlike.mark is Mark.MODELLED and next(iter(found)) == unlike.name
@@ -839,8 +855,8 @@
 
 
 def test_memory_counts_once_for_the_whole_process() -> None:
-    known = analyse(
+    analysis = analyse(
         [gathered(point(Axis.ALL, budgets.PLANNED, role(Role.VIEW), role(Role.GOSSIP)))]
     )
-    row = known.row(MEMORY)
+    row = analysis.row(MEMORY)
     assert row and row.figure.value == pytest.approx(20e6) and len(row.observations) == 1
