--- a/hazelhollow/scale/report_fit.py
+++ b/hazelhollow/scale/report_fit.py
@@ -1,4 +1,4 @@
-"""A figure as a function of one size: least squares, linear or logarithmic by the better fit."""
+"""Least-squares fit of a figure over one size: linear or logarithmic, whichever fits better."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 import msgspec
 
-# Difference of two sums of squares, as a part of the squared values, below which linear is chosen.
+# The logarithmic curve is chosen only if it lowers the sum of squared errors by more than this
+# fraction of the sum of the squared values.
 SAME_FIT_TOLERANCE = 1e-9
 
 
@@ -20,23 +21,23 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """A figure that was measured at a size."""
+    """The value of a figure, measured at one size."""
 
     size: float
     value: float
 
 
 class Fit(msgspec.Struct, frozen=True, kw_only=True):
-    """The curve `intercept + slope * size`, or with the natural logarithm of the size.
+    """The curve `intercept + slope * size`, or `intercept + slope * ln(size)`.
 
     Attributes:
-        shape: Whether the size or its logarithm counts.
+        shape: Whether the curve is over the size or its natural logarithm.
         intercept: In the figure's unit.
         slope: In the figure's unit.
-        least: Least size measured.
-        most: Greatest size measured.
+        smallest_size: Smallest size measured.
+        greatest_size: Greatest size measured.
         samples: Number of samples.
-        error: Greatest distance of a sample from the curve, as a part of the greatest value.
+        error: Greatest absolute residual, as a fraction of the greatest absolute value.
     """
 
     shape: Shape
@@ -48,20 +49,21 @@
     error: float
 
     def at(self, size: float) -> float:
-        """The figure at a size, at least 0; a falling curve stays constant beyond the range."""
+        """Returns the figure at a size, at least 0; flat above `greatest_size` if it falls."""
         if self.slope < 0.0:
             size = min(size, self.greatest_size)
         return max(0.0, self.intercept + self.slope * _scaled(self.shape, size))
 
     def growth(self, size: float, start: float) -> float:
-        """By how much the figure at `size` exceeds the one at `start`; may be negative."""
+        """Returns the figure at `size` minus the figure at `start`; it may be negative."""
         return self.at(size) - self.at(start)
 
 
 def fit(samples: Sequence[Sample]) -> Fit | None:
-    """The curve that fits better, or None for fewer than two sizes.
+    """Returns the better of both fits, or None for samples at fewer than two different sizes.
 
-    With two sizes, or one that has no logarithm, the curve is linear.
+    The curve is linear if there are only two sizes, which both shapes fit, or if a size is not
+    positive and has no logarithm.
     """
     sizes = {sample.size for sample in samples}
     if len(sizes) < 2:
--- a/hazelhollow/scale/report_observations.py
+++ b/hazelhollow/scale/report_observations.py
@@ -1,4 +1,4 @@
-"""Observations of the capacity report: which values of results count for which quantity."""
+"""Observations of the capacity report: the values of results that count for each quantity."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 )
 
 # The axes along which a role's figures are meaningful. Traffic between limiters does not depend on
-# the servers. The cost of a request does not depend on the limiters, as the settings name as many
-# as planned in every run that grows something else.
+# the number of servers. The cost of a request does not depend on the number of limiters played: in
+# every run along another axis, the settings name the planned number of limiters.
 AXES_OF_ROLE = {
     Role.REQUESTS: (Axis.SERVERS, Axis.ROUTES, Axis.TENANTS, Axis.ALL),
     Role.LIST: (Axis.SERVERS, Axis.ROUTES, Axis.ALL),
@@ -43,9 +43,9 @@
     Role.AUDIT: (Axis.LIMITERS, Axis.ALL),
     Role.TIMERS: tuple(Axis),
 }
-MIN_SECONDS = 1.0  # of measuring; a shorter run was broken off and has no rates
-# A request's arrival and its answer. A run in which each tenant sends a request at first has more
-# turns than its rate explains.
+MIN_SECONDS = 1.0  # a shorter measurement was aborted, and its rates are not valid
+# One turn for a request's arrival and one for its answer. A run in which each tenant sends an extra
+# request at the start has more turns than its rate accounts for.
 TURNS_OF_A_REQUEST = 2.0
 
 
@@ -53,9 +53,9 @@
     """One value of a quantity at one size.
 
     Attributes:
-        axis: What grew in the run.
-        size: The size.
-        value: In the quantity's unit; infinite for what some members did not reach in the run.
+        axis: The axis that was varied in the run.
+        size: The size at which the value was measured.
+        value: In the quantity's unit; infinite if some members did not settle within the run.
     """
 
     axis: Axis
@@ -64,7 +64,7 @@
 
 
 def coordinate(size: Size, axis: Axis, planned: Size) -> float:
-    """The size along an axis; for the axis `all`, the number of limiters as a part of the plan."""
+    """Returns the size along an axis; along `all`, limiters as a fraction of the planned number."""
     if axis is Axis.ALL:
         return size.limiters / planned.limiters
     if axis is Axis.CONFIGURATION:
@@ -80,11 +80,11 @@
 
 
 def observations(results: Results, planned: Size) -> Iterator[tuple[Quantity, Observation]]:
-    """All observations in results, with their quantities.
+    """Returns all observations in results, with their quantities.
 
     Args:
         results: The results.
-        planned: The size to design for; requests count at its rate.
+        planned: The planned size; the cost of requests is scaled to its request rate.
     """
     for point in results.points:
         yield from _of_point(point, planned)
@@ -105,17 +105,18 @@
 
 
 def _counts_along(kind: EventKind, axis: Axis) -> bool:
-    """Whether an event's figures count: changes of settings grow by routes, others by limiters."""
+    """Whether an event counts along an axis: routes for configuration changes, else limiters."""
     return axis is Axis.ALL or (
         axis is Axis.CONFIGURATION if kind in CONFIGURATION_EVENTS else axis is Axis.LIMITERS
     )
 
 
 def _of_role(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
-    """Figures of one role at one point.
+    """Returns the figures of one role at one point.
 
-    Where only a few limiters of many were played, those of roles with datagrams do not count, as
-    most peers were missing; only the turns of gossip do, which go through the limiter's tenants.
+    If only some of the fleet's limiters were played, figures of roles with datagrams do not count,
+    as most peers were missing. The turns of gossip are an exception: their length depends on the
+    limiter's own tenants.
     """
     peers_missing = sums.role in ROLES_WITH_DATAGRAMS and not point.whole_fleet
     if not peers_missing and point.seconds >= MIN_SECONDS:
@@ -126,7 +127,7 @@
 
 
 def _rates(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
-    """Means over the measured limiters, a second of the run's clock."""
+    """Returns means over the measured limiters, per second of the run's clock."""
     limiter_seconds = max(1, point.hollow) * point.seconds
     if sums.role in ROLES_WITH_DATAGRAMS:
         size = sums.bytes_out + HEADER_BYTES * sums.datagrams_out
@@ -146,7 +147,7 @@
 
 
 def _of_event(event: Event, timed: bool) -> Iterator[tuple[Quantity, float]]:
-    """Figures of one event; seconds are infinite where not all members agreed within the run."""
+    """Returns figures of one event; seconds are infinite unless all members agreed in the run."""
     spread = event.until_agreed
     all_agreed = spread.reached == spread.of
     if timed:
@@ -165,7 +166,7 @@
 def _of_latencies(
     latencies: Sequence[Latency], planned: Size
 ) -> Iterator[tuple[Quantity, Observation]]:
-    """Latencies at the rate that is nearest to the plan; at others a limiter is less busy."""
+    """Returns the latencies at the rate nearest to the planned one, as load affects latency."""
     rate = min(
         (latency.size.requests_per_s for latency in latencies),
         key=lambda rate: abs(rate - planned.requests_per_s),
@@ -177,7 +178,7 @@
 
 
 def _smallest_measured(latencies: Sequence[Latency]) -> tuple[int, int]:
-    """The fewest servers and routes that were measured."""
+    """Returns the smallest numbers of servers and of routes that were measured."""
     servers = min(latency.size.servers for latency in latencies)
     routes = min(latency.size.routes for latency in latencies)
     return servers, routes
@@ -186,7 +187,11 @@
 def _of_latency(
     latency: Latency, smallest: tuple[int, int]
 ) -> Iterator[tuple[Quantity, Observation]]:
-    """The axis follows from what exceeds the least measured; the least itself lies on both axes."""
+    """Returns observations of one latency, along the axis that it belongs to.
+
+    The axis is the one along which its size is above the smallest; the smallest size itself belongs
+    to both axes.
+    """
     more_servers, more_routes = (
         latency.size.servers > smallest[0],
         latency.size.routes > smallest[1],
