--- a/hazelhollow/scale/report_order.py
+++ b/hazelhollow/scale/report_order.py
@@ -1,7 +1,7 @@
 """Totals by budget, what is left of each, and the order in which budgets are passed.
 
-`report_tables` shows both. A budget is passed at the least fraction of the planned size at which a
-row or a total exceeds it, all axes growing alike.
+`report_tables` renders the totals and the order. A budget is passed at the lowest fraction of the
+planned size at which a row or a total exceeds it, with all axes at the same fraction.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from hazelhollow.scale.report_rows import Analysis, Mark, Row
 from hazelhollow.scale.results import Axis, Size
 
-# Budgets whose rows are added up; of all others the greatest row counts.
+# Budgets whose rows are added up; for every other budget only the greatest row counts.
 ADDED_UP = (budgets.CONTROL_CPU, budgets.CONTROL_BYTES)
-MIN_FRACTION = 0.001  # fraction of the plan from which the search goes on
+MIN_FRACTION = 0.001  # fraction of the plan at which the search starts
 MAX_FRACTION = 10.0  # fraction of the plan at which the search ends
-SEARCH_STEPS = 400  # of the search, evenly spaced on a logarithmic scale
-BISECTIONS = 40  # of the step in which a budget is passed
+SEARCH_STEPS = 400  # evenly spaced on a logarithmic scale
+BISECTIONS = 40  # of the search step within which a budget is passed
 
 
 class BudgetSum(msgspec.Struct, frozen=True, kw_only=True):
-    """What the rows of one budget use of it at the planned size.
+    """The use of one budget by its rows at the planned size.
 
     Attributes:
         budget: The budget.
         rows_with_figure: Rows whose figure is known.
         rows_without_figure: All other rows.
-        value: Their sum, or the greatest; None where no row is known.
+        value: The sum of the known figures, or the greatest of them; None if none is known.
     """
 
     budget: Budget
@@ -43,22 +43,23 @@
 
     @property
     def left(self) -> float | None:
-        """What is left of the budget; negative where it is passed."""
+        """What is left of the budget; negative if it is passed, None if its use is not known."""
         return None if self.value is None else self.budget.limit - self.value
 
 
 class Passing(msgspec.Struct, frozen=True, kw_only=True):
-    """When a row or a total passes its budget.
+    """The fraction of the plan at which a row or a total passes its budget.
 
     Attributes:
         name: Of the row or total.
         budget: The budget.
-        fraction: Of the plan; 0: at any size; None: not up to `MOST`, or not known.
-        share: Of its budget at the planned size; None: not known.
-        mark: How it is known.
-        fitted: Whether it follows from a slope; else from runs at single sizes, so that it may be
-            passed earlier.
-        without: Axes along which nothing was measured.
+        fraction: Fraction of the plan; 0: at any size; None: not known, or not passed up to
+            `MAX_FRACTION`.
+        share: Fraction of the budget used at the planned size; None: not known.
+        mark: How the fraction was obtained.
+        fitted: Whether the fraction follows from a slope. If not, it follows from runs at single
+            sizes, and the budget may already be passed at a smaller size.
+        unmeasured_axes: Axes along which nothing was measured.
     """
 
     name: str
@@ -71,14 +72,14 @@
 
 
 def sums(analysis: Analysis) -> tuple[BudgetSum, ...]:
-    """The total of each budget, in the order of `BUDGETS`."""
+    """Returns the total of each budget, in the order of `BUDGETS`."""
     return tuple(_sum(budget, analysis) for budget in budgets.BUDGETS)
 
 
 def order(analysis: Analysis, additional: Sequence[Passing] = ()) -> tuple[Passing, ...]:
-    """When each row and total with a budget passes it, the first to pass first.
+    """Returns the passings of all rows and totals with a budget, the lowest fraction first.
 
-    Those that do not pass follow, and those that are not known come last.
+    Rows and totals that do not pass their budget follow, and unknown ones come last.
 
     Args:
         analysis: The rows.
@@ -92,7 +93,7 @@
 
 
 def document_passings(planned: Size) -> tuple[Passing, ...]:
-    """When a settings document grows too large to be distributed, and so never takes effect."""
+    """Returns when a settings document becomes too large to distribute, so never takes effect."""
     return tuple(
         Passing(
             name=f"settings document of {kind} routes: handed on at all",
@@ -107,14 +108,15 @@
 
 
 def passes_at(value: Callable[[float], float | None], limit: float) -> float | None:
-    """The least fraction of the plan at which a value is above a limit.
+    """Returns the lowest fraction of the plan at which a value is above a limit.
 
     Args:
-        value: The value by fraction of the plan; None: not known.
+        value: Returns the value at a fraction of the plan; None: not known.
         limit: The limit.
 
     Returns:
-        0 if it is above already at `LEAST`, None if it is not above up to `MOST`.
+        0 if the value is already above the limit at `MIN_FRACTION`; None if it stays within the
+        limit up to `MAX_FRACTION`.
     """
     before = MIN_FRACTION
     if _above(value(MIN_FRACTION), limit):
@@ -173,7 +175,11 @@
 
 
 def _sum_passing(total: BudgetSum, analysis: Analysis) -> Passing:
-    """By the slopes, or by the least run whose rows together exceed the budget, if that is less."""
+    """Returns the passing of a total, from the lower of two fractions.
+
+    One follows from the slopes, the other from the smallest run whose rows together exceed the
+    budget.
+    """
     limit = total.budget.limit
     by_slopes = passes_at(
         lambda fraction: _sum_at(total.rows_with_figure, fraction, analysis), limit
@@ -197,7 +203,7 @@
 
 
 def _lowest_fraction_above(rows: Sequence[Row], limit: float, planned: Size) -> float | None:
-    """The least fraction of the plan at which the rows of one run exceeded the limit together."""
+    """Returns the lowest fraction of the plan at which a run's rows exceed the limit in total."""
     totals: dict[tuple[Axis, Size], dict[str, float]] = {}
     for row in rows:
         for observation in row.observations:
@@ -217,7 +223,7 @@
 
 
 def _rank(passing: Passing) -> tuple[int, float, float]:
-    """Key of the order: passed, not passed, not known; then the fraction, then the share."""
+    """Returns the sort key: passed, not passed, not known; then the fraction, then the share."""
     share = -(passing.share or 0.0)
     if passing.mark is Mark.UNKNOWN:
         return 2, 0.0, share
--- a/hazelhollow/scale/report_rows.py
+++ b/hazelhollow/scale/report_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the capacity report: each quantity at the planned size, and how that is known.
+"""The rows of the capacity report: each quantity at the planned size, and how it was obtained.
 
 `analyse` groups observations by quantity, fits a curve along each axis and derives the figure at
 the planned size.
@@ -6,9 +6,9 @@
 | mark | when |
 | --- | --- |
 | measured at size | a run had the planned size along all axes that the quantity depends on |
-| extrapolated | one curve was carried beyond the sizes measured |
+| extrapolated | one curve was evaluated beyond the measured sizes |
 | modelled | the growth along several axes was added up |
-| not known | there is no curve |
+| not known | no curve could be fitted |
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class Mark(StrEnum):
-    """How a figure at the planned size is known."""
+    """How a figure at the planned size was obtained."""
 
     MEASURED = "measured at size"
     EXTRAPOLATED = "extrapolated"
@@ -51,11 +51,11 @@
     """A figure at the planned size.
 
     Attributes:
-        value: In the unit of its quantity; None where it is not known.
-        mark: How it is known.
-        factor: The planned size divided by the greatest one measured, if that is smaller; else 1.
-        without: Axes along which nothing was measured.
-        rate: Most requests a second and limiter in the runs; 0: not said.
+        value: In the unit of its quantity; None if it is not known.
+        mark: How it was obtained.
+        factor: The planned size divided by the greatest measured size, but at least 1.
+        unmeasured_axes: Axes that the figure depends on and along which nothing was measured.
+        rate: Highest request rate per limiter in the runs, in requests a second; 0: not given.
     """
 
     value: float | None
@@ -66,13 +66,13 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A quantity along one axis, all others constant.
+    """A quantity along one axis, with all other axes constant.
 
     Attributes:
-        axis: What grows.
+        axis: The axis that is varied.
         curve: Fitted to the observations.
-        held: The size along this axis in the runs along the others.
-        figure: With this axis alone at the planned size.
+        base_size: The constant size along this axis in the runs along the other axes.
+        figure: The figure with this axis alone at the planned size.
     """
 
     axis: Axis
@@ -82,14 +82,15 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """All that is known of one quantity.
+    """One quantity with its observations, slopes and figure.
 
     Attributes:
         quantity: The quantity.
-        observations: All of them.
+        observations: All observations of the quantity.
         slopes: One for each axis along which a curve could be fitted.
-        figure: At the planned size.
-        never_from: Least fraction of the plan at which it was not reached within the run, or None.
+        figure: The figure at the planned size.
+        unreached_from: Lowest fraction of the plan at which some members did not settle within the
+            run; None if all did in every run.
     """
 
     quantity: Quantity
@@ -99,20 +100,17 @@
     unreached_from: float | None = None
 
     def lowest_fraction_above(self, limit: float, planned: Size) -> float | None:
-        """The least fraction of the plan at which a run gave more than the limit.
-
-        None where none did.
-        """
+        """Returns the lowest fraction of the plan at which a run exceeded the limit, or None."""
         above = [
             _fraction(observed, planned) for observed in self.observations if observed.value > limit
         ]
         return min(above, default=None)
 
     def at(self, fraction: float, planned: Size) -> float | None:
-        """The value with every axis at that fraction of the plan.
+        """Returns the value with every axis at that fraction of the plan; None without a slope.
 
-        It is the greater of the axes' growth added up and of the runs in which all grew together.
-        None without a slope.
+        The value is the greater of two estimates: the sum of the growth along single axes, and the
+        curve of the runs in which all axes grew together.
         """
         if self.unreached_from is not None and fraction >= self.unreached_from:
             return math.inf
@@ -120,20 +118,20 @@
 
 
 class Analysis(msgspec.Struct, frozen=True):
-    """The rows of one set of results, by quantity."""
+    """The rows that follow from one set of results, one for each quantity."""
 
     planned: Size
     rows: tuple[Row, ...]
 
     def row(self, quantity: Quantity) -> Row | None:
-        """The row of a quantity, if there is one."""
+        """Returns the row of a quantity, or None if there is none."""
         return next((row for row in self.rows if row.quantity == quantity), None)
 
 
 def analyse(results: Sequence[Results], planned: Size = budgets.PLANNED) -> Analysis:
-    """The rows of all quantities that the results have or that always have a row.
+    """Returns the rows of all quantities that occur in the results or always have a row.
 
-    They stand in the order of roles, the process and events.
+    The rows are in the order of roles, the process and events.
     """
     found: dict[Quantity, list[Observation]] = {quantity: [] for quantity in expected_quantities()}
     for file_results in results:
@@ -162,7 +160,7 @@
 
 
 def _fraction(observation: Observation, planned: Size) -> float:
-    """The observation's size along its axis, as a part of the plan."""
+    """Returns the observation's size along its axis, as a fraction of the planned size."""
     axis = observation.axis
     return coordinate(observation.size, axis, planned) / coordinate(planned, axis, planned)
 
@@ -183,7 +181,7 @@
 
 
 def _base_size(axis: Axis, observed: Iterable[Observation], curve: Fit, planned: Size) -> float:
-    """The most frequent size along this axis in the runs along others, or else the least."""
+    """Returns the most frequent size in the runs along other axes, else the smallest measured."""
     others = Counter(
         coordinate(each.size, axis, planned)
         for each in observed
@@ -205,7 +203,7 @@
 
 
 def needed_axes(quantity: Quantity) -> tuple[Axis, ...]:
-    """The axes that the figure of a quantity at the planned size depends on."""
+    """Returns the axes that the figure of a quantity at the planned size depends on."""
     if quantity.part in CONFIGURATION_EVENTS:
         return Axis.LIMITERS, Axis.ROUTES
     if quantity.part in set(EventKind):
@@ -242,7 +240,7 @@
 def _covers(
     axis: Axis, observed: Sequence[Observation], slopes: Sequence[Slope], planned: Size
 ) -> bool:
-    """Whether the axis has a slope, or was at the planned size in all runs."""
+    """Whether there is a slope along the axis, or all runs had at least its planned size."""
     same = (axis, Axis.ALL, Axis.CONFIGURATION) if axis is Axis.ROUTES else (axis, Axis.ALL)
     return any(slope.axis in same for slope in slopes) or (
         bool(observed)
@@ -260,11 +258,11 @@
 
 
 def _value(slopes: Sequence[Slope], fraction: float, planned: Size) -> float | None:
-    """The value with every axis at that fraction of the plan.
+    """Returns the value with every axis at that fraction of the plan.
 
-    Base: the greatest of the axes' values at the constant sizes, as runs along one axis may cost
-    less than those along another. Each axis adds its growth from there. Runs in which all axes grew
-    give a value of their own; the greater one counts.
+    The base is the greatest of the axes' values at their base sizes, since runs along one axis may
+    cost less than those along another. Each axis adds its growth from its base size. Runs in which
+    all axes grew together give a second value; the greater of the two is returned.
     """
     values = []
     single = [slope for slope in slopes if slope.axis is not Axis.ALL]
