--- a/hazelhollow/scale/report_claims.py
+++ b/hazelhollow/scale/report_claims.py
@@ -1,7 +1,8 @@
-"""Figures of a first look, each compared with what the runs measured.
+"""Claims: figures of a first look, found before there were runs, compared with those of the runs.
 
-A claim is confirmed if the measured figure is within a factor of `NEAR`, refuted if it is not, or
-not run. Each function that returns a `Measure` finds one kind of figure in results.
+A claim is confirmed if the measured figure is within a factor of `CONFIRMING_FACTOR`, refuted if
+it is not, and "not run" if no run measured it. Each function that returns a `Measure` looks up one
+kind of figure in results.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
     RoleSums,
 )
 
-CONFIRMING_FACTOR = 1.5  # factor by which a measured figure may differ from a claim and confirm it
-FIRST_LOOK_PLAN = (
-    "first-look"  # plan of runs for these figures alone, whose base differs from the others'
-)
-SIZE_TOLERANCE = 0.25  # part of a size by which a run may differ from the wanted one
+# A claim is confirmed if measured and claimed figure differ at most by this factor.
+CONFIRMING_FACTOR = 1.5
+# The plan whose runs only check the claims. Its base size differs from that of the other plans.
+FIRST_LOOK_PLAN = "first-look"
+SIZE_TOLERANCE = 0.25  # fraction by which the size of a run may differ from that of a claim
 
 Measure = Callable[[Sequence[Results]], float | None]
-"""Finds a figure in results; None where it was not run."""
+"""Looks up a figure in results; returns None if no run measured it."""
 
 
 class Verdict(StrEnum):
-    """What the runs say of a claim."""
+    """The outcome of comparing a claim with the runs."""
 
     CONFIRMED = "confirmed"
     REFUTED = "refuted"
@@ -44,10 +45,10 @@
     """A figure of the first look.
 
     Attributes:
-        text: As the table shows it.
-        unit: Of the figure.
-        first: The figure.
-        measure: Finds the same figure in results.
+        text: Description that the table shows.
+        unit: Unit of the figure.
+        claimed: Value from the first look.
+        measure: Looks up the same figure in results.
     """
 
     text: str
@@ -57,26 +58,26 @@
 
 
 def verdict(claimed: float, measured: float | None) -> Verdict:
-    """Whether a measured figure confirms the first one."""
+    """Returns whether a measured figure confirms the claimed one."""
     if measured is None:
         return Verdict.NOT_RUN
     confirmed = claimed / CONFIRMING_FACTOR <= measured <= claimed * CONFIRMING_FACTOR
     return Verdict.CONFIRMED if confirmed else Verdict.REFUTED
 
 
-# Finding a figure in results
+# Looking up figures in results
 
 
 def _points(results: Sequence[Results], **sizes: int) -> Iterator[Point]:
-    """Points whose size has about these values."""
+    """Yields the points whose size is within `SIZE_TOLERANCE` of these values."""
     for file_results in results:
         for point in file_results.points:
             if all(_is_near(getattr(point.size, name), value) for name, value in sizes.items()):
                 yield point
 
 
-def _is_near(value: int, wanted: int) -> bool:
-    return abs(value - wanted) <= SIZE_TOLERANCE * wanted
+def _is_near(value: int, claimed_size: int) -> bool:
+    return abs(value - claimed_size) <= SIZE_TOLERANCE * claimed_size
 
 
 def _role(point: Point, role: Role) -> RoleSums | None:
@@ -84,7 +85,7 @@
 
 
 def request_cost(**sizes: int) -> Measure:
-    """Processor seconds a request, its answer included."""
+    """Returns a measure of processor seconds per request, including its answer."""
 
     def measure(results: Sequence[Results]) -> float | None:
         for point in _points(results, **sizes):
@@ -97,7 +98,7 @@
 
 
 def mean_turn(role: Role, **sizes: int) -> Measure:
-    """Processor seconds of a role's mean call, on the axis of servers."""
+    """Returns a measure of mean processor seconds per call of a role, on the axis of servers."""
 
     def measure(results: Sequence[Results]) -> float | None:
         for point in _points(results, **sizes):
@@ -110,7 +111,7 @@
 
 
 def longest_turn(role: Role, axis: Axis, **sizes: int) -> Measure:
-    """Processor seconds of a role's longest call, on an axis."""
+    """Returns a measure of processor seconds of a role's longest call, on an axis."""
 
     def measure(results: Sequence[Results]) -> float | None:
         for point in _points(results, **sizes):
@@ -133,7 +134,7 @@
 
 
 def agreement(kind: EventKind, limiters: int) -> Measure:
-    """Seconds until the last member agreed; None if not all did."""
+    """Returns a measure of seconds until the last member agreed; None if not all did."""
 
     def measure(results: Sequence[Results]) -> float | None:
         found = _event(results, kind, limiters)
@@ -146,7 +147,7 @@
 
 
 def event_bytes(kind: EventKind, limiters: int) -> Measure:
-    """Bytes a second in the worst ten seconds, mean over all members."""
+    """Returns a measure of bytes per second in the worst ten seconds, mean over all members."""
 
     def measure(results: Sequence[Results]) -> float | None:
         found = _event(results, kind, limiters)
@@ -156,7 +157,7 @@
 
 
 def bytes_sent(role: Role, **sizes: int) -> Measure:
-    """Bytes a second of a role's datagrams, of one member and without headers."""
+    """Returns a measure of a role's bytes sent per second and member, without headers."""
 
     def measure(results: Sequence[Results]) -> float | None:
         for point in _points(results, **sizes):
@@ -169,7 +170,7 @@
 
 
 def latency(figure: Callable[[Latency], float], **sizes: int) -> Measure:
-    """A figure of latency at exactly that size; the greatest if it was measured more than once."""
+    """Returns a measure of latency at exactly that size; the greatest of several measurements."""
 
     def measure(results: Sequence[Results]) -> float | None:
         found = [
--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -1,8 +1,9 @@
-"""Sizes of the settings document by its number of routes, and of the list of servers.
+"""Sizes of the settings document by number of routes, and of the server list by length.
 
-They are computed by the code that distributes them, without a run. Documents whose routes differ
-only in a number compress far better than those of a real site. Both are therefore computed: alike
-ones, as scale runs use them, and ones whose names and times have nothing in common.
+The sizes are computed without a run, by the code that distributes these documents. A document whose
+routes differ only in a number compresses far better than one of a real site. Therefore both kinds
+are computed: alike routes, as scale runs use them, and unlike routes, whose names and times have
+nothing in common.
 """
 
 from __future__ import annotations
@@ -29,30 +30,30 @@
 from hazelhollow.standins.discovery import Discovery, Host
 
 COUNTS = (100, 1_000, 5_500, PLANNED.routes)
-STEP = 50  # routes; the precision of `most`
-SEARCH_MULTIPLE = 6  # of the planned routes, up to which `most` searches
-NAME_DIGITS = 16  # of routes that have nothing in common
+STEP = 50  # routes; the precision of `max_routes`
+SEARCH_MULTIPLE = 6  # of the planned routes; the upper end of the search in `max_routes`
+NAME_DIGITS = 16  # hexadecimal digits in the name of an unlike route
 SERVERS = (200, 2_000, PLANNED.servers)
 LIMITER = "limiter"
-TENANTS = 4  # any number will do: the plans in the settings do not depend on the tenants
+TENANTS = 4  # an arbitrary number: the plans in the settings do not depend on the tenants
 
 
 class RouteKind(StrEnum):
-    """How much the routes of a document have in common."""
+    """Whether the routes of a document resemble each other."""
 
     ALIKE = "alike"
     UNLIKE = "unlike"
 
 
 class Document(msgspec.Struct, frozen=True):
-    """A settings document as it is distributed.
+    """The encoded size of a settings document.
 
     Attributes:
         routes: Number of routes.
-        kind: How much the routes have in common.
+        kind: Whether the routes resemble each other.
         size: Bytes of its JSON.
         characters: Length of its compressed text.
-        pieces: Datagrams of one transfer.
+        pieces: Number of pieces (one datagram each) of one transfer.
     """
 
     routes: int
@@ -63,12 +64,12 @@
 
     @property
     def distributable(self) -> bool:
-        """Whether members can distribute it to each other."""
+        """Whether the document is small enough for members to distribute it to each other."""
         return self.pieces <= MAX_PIECES and self.size <= MAX_DOCUMENT_BYTES
 
 
 def documents() -> Iterator[Document]:
-    """The document of each kind and number of routes."""
+    """Yields the document of each kind and each number of routes in `COUNTS`."""
     for kind in RouteKind:
         for routes in COUNTS:
             yield make_document(routes, kind)
@@ -76,7 +77,7 @@
 
 @cache
 def make_document(routes: int, kind: RouteKind) -> Document:
-    """The document of that many routes, cut into pieces as configuration does it."""
+    """Returns the sizes of a document, encoded and split as for distribution."""
     document = _document(routes, kind)
     source = DocumentSource(1, document)
     size = len(orjson.dumps(shared_settings(document), option=orjson.OPT_SORT_KEYS))
@@ -86,7 +87,7 @@
 
 @cache
 def max_routes(kind: RouteKind) -> int:
-    """The most routes, in steps of `STEP`, whose document can be distributed."""
+    """Returns the greatest multiple of `STEP` routes whose document can be distributed."""
     low, high = 0, SEARCH_MULTIPLE * PLANNED.routes // STEP
     while low < high:
         middle = (low + high + 1) // 2
@@ -120,20 +121,20 @@
 
 
 class ServerList(msgspec.Struct, frozen=True):
-    """A complete list of servers as discovery sends it; `size` in bytes."""
+    """A complete server list as discovery sends it; `size` is in bytes."""
 
     servers: int
     size: int
 
     @property
     def accepted(self) -> bool:
-        """Whether a limiter accepts an answer of that size."""
+        """Whether a limiter accepts a response body of that size."""
         return self.size <= http1.MAX_BODY_BYTES
 
 
 @cache
 def server_lists() -> tuple[ServerList, ...]:
-    """The list for each number of servers."""
+    """Returns the server list for each number of servers in `SERVERS`."""
     return tuple(ServerList(count, _list_size(count)) for count in SERVERS)
 
 
--- a/hazelhollow/scale/report_quantities.py
+++ b/hazelhollow/scale/report_quantities.py
@@ -1,4 +1,4 @@
-"""The quantities of the capacity report: what is measured, in which unit, against which budget."""
+"""The quantities of the capacity report, each with its unit and the budget that limits it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 # Roles that send datagrams to other limiters.
 ROLES_WITH_DATAGRAMS = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
 CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
-PROCESS = "process"  # the part of quantities that belong to a limiter as a whole
+PROCESS = "process"  # the `part` of quantities that are measured for a whole limiter process
 
 
 class Resource(StrEnum):
-    """What a quantity is measured in."""
+    """What is measured of a role, an event or the process."""
 
     PROCESSOR = "processor"
     BYTES_SENT = "bytes sent"
@@ -36,13 +36,13 @@
 
 
 class Quantity(msgspec.Struct, frozen=True):
-    """What a row of the report is about.
+    """A measured resource of one part of a limiter, the subject of one row of the report.
 
     Attributes:
         part: A role, an event or the whole process.
         resource: What is measured of it.
         unit: Of its values.
-        budget: The budget that it draws on, if any.
+        budget: The budget that limits it, if any.
     """
 
     part: str
@@ -52,12 +52,12 @@
 
     @property
     def name(self) -> str:
-        """As tables and pictures show it."""
+        """The name that tables and plots show."""
         return f"{self.part}: {self.resource}"
 
 
 def role_quantity(role: Role, resource: Resource) -> Quantity:
-    """The quantity of a role, with the budget that it draws on."""
+    """Returns the quantity of a role, with the budget that limits it."""
     control = role in CONTROL_ROLES
     if resource is Resource.PROCESSOR:
         return Quantity(
@@ -66,13 +66,14 @@
     if resource in (Resource.BYTES_SENT, Resource.BYTES_RECEIVED):
         sent = resource is Resource.BYTES_SENT and control
         return Quantity(role, resource, "B/s", budgets.CONTROL_BYTES if sent else None)
-    # Of control, the 99th percentile only says how often turns are long; the longest one counts.
+    # For control roles the longest turn is held to the budget; the 99th percentile only shows how
+    # often turns are long.
     rare = resource is Resource.TURN_P99 and control
     return Quantity(role, resource, "s", None if rare else budgets.TURN)
 
 
 def event_quantity(kind: EventKind, resource: Resource) -> Quantity:
-    """The quantity of an event; those of changes of configuration have a budget."""
+    """Returns the quantity of an event; only bytes and configuration changes have a budget."""
     if resource is Resource.WORST_SECOND:
         return Quantity(kind, resource, "B/s")
     if resource is Resource.WORST_TEN_SECONDS:
@@ -90,10 +91,10 @@
 
 
 def expected_quantities() -> Iterator[Quantity]:
-    """Quantities that have a row even where nothing was measured."""
+    """Returns the quantities that have a row even if nothing was measured."""
     for role in Role:
         if role is Role.TIMERS:
-            continue  # the roles' own timers count as theirs
+            continue  # the time of a role's timers is counted for that role
         yield role_quantity(role, Resource.PROCESSOR)
         if role in ROLES_WITH_DATAGRAMS:
             yield role_quantity(role, Resource.BYTES_SENT)
