--- a/hazelhollow/scale/report.py
+++ b/hazelhollow/scale/report.py
@@ -1,4 +1,4 @@
-"""The capacity report: files of results become tables, and tables the marked blocks of a page."""
+"""The capacity report: renders results files as tables in the marked blocks of a page."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from hazelhollow.scale.report_tables import tables
 from hazelhollow.scale.results import load
 
-EARLIER = "before-"  # prefix of files with results of an earlier program
+EARLIER = "before-"  # prefix of files with results of an earlier version of the program
 
 
 def read(files: Sequence[Path]) -> Runs:
-    """Reads the results of these files, in the order of their names.
+    """Reads the results of these files, in order of file name.
 
     Raises:
         OSError: A file cannot be read.
-        ResultsError: A file holds no results, or their planned size is not that of the others.
+        ResultsError: A file holds no valid results, or its planned size differs from that of the
+            others.
     """
     runs = [Run(file.name, load(file)) for file in sorted(files, key=lambda file: file.name)]
     for run in runs:
@@ -32,15 +33,15 @@
 
 
 def write_page(page: Path, runs: Runs) -> None:
-    """Fills the blocks of the page. Raises OSError or PageError."""
+    """Rewrites the blocks of the page; raises OSError or PageError."""
     page.write_text(rendered(page, runs))
 
 
 def is_current(page: Path, runs: Runs) -> bool:
-    """Whether the page holds what the runs give. Raises OSError or PageError."""
+    """Whether the page is up to date with the runs; raises OSError or PageError."""
     return page.read_text() == rendered(page, runs)
 
 
 def rendered(page: Path, runs: Runs) -> str:
-    """The page's text with its blocks filled."""
+    """Returns the page's text with its blocks rendered from the runs."""
     return render(page.read_text(), tables(runs))
--- a/hazelhollow/scale/report_commands.py
+++ b/hazelhollow/scale/report_commands.py
@@ -1,4 +1,4 @@
-"""`scale report`: the capacity page from files of results."""
+"""`scale report`: renders the capacity page from results files."""
 
 from __future__ import annotations
 
@@ -14,30 +14,31 @@
 from hazelhollow.scale.report_tables import tables
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-DIFFERS = 1  # exit status of --check where page and data differ
-BAD_INPUT = 2  # exit status where a file cannot be used
+DIFFERS = 1  # exit status of --check if the page is out of date
+BAD_INPUT = 2  # exit status if a file cannot be read or is invalid
 
 
 @click.command("report")
 @click.argument("files", nargs=-1, required=True, type=FILE)
 @click.option(
-    "--page", type=FILE, help="Fill the marked blocks of this page; its other text stays."
+    "--page", type=FILE, help="Rewrite the marked blocks of this page; its other text is kept."
 )
 @click.option(
     "--check",
     is_flag=True,
-    help="Write nothing; exit status 1 if the page is not what the files give.",
+    help="Write nothing; exit with status 1 if the page is out of date.",
 )
 @click.option(
     "--plot",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Draw each slope into this folder.",
+    help="Plot each fitted curve into this folder.",
 )
 def report(files: tuple[Path, ...], page: Path | None, check: bool, plot: Path | None) -> None:
-    """Tables at the planned size from files that `scale run` wrote.
+    """Render tables of the figures at the planned size.
 
-    Files whose names begin with `before-` are of an earlier program and are shown beside the
-    others. Without --page the tables are printed. --plot needs requirements-plot.txt.
+    The files are those that `scale run`, `scale latency` and `scale compare` write. Files whose
+    names begin with `before-` hold results of an earlier version and are shown for comparison.
+    Without --page the tables are printed. --plot needs the packages in requirements-plot.txt.
     """
     if check and page is None:
         raise click.UsageError("--check needs --page")
@@ -63,7 +64,10 @@
 
 def _check(page: Path, runs: Runs) -> None:
     if not reports.is_current(page, runs):
-        click.echo(f"{page} is not what the files give: run the command without --check", err=True)
+        click.echo(
+            f"{page} is out of date with the results files: run the command without --check",
+            err=True,
+        )
         sys.exit(DIFFERS)
 
 
--- a/hazelhollow/scale/report_page.py
+++ b/hazelhollow/scale/report_page.py
@@ -1,4 +1,4 @@
-"""Marked blocks of a Markdown page: the program writes what is in them, people what is around."""
+"""Renders generated tables into the marked blocks of a Markdown page; other text is kept."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 def render(page: str, tables: Mapping[str, str]) -> str:
-    """The page with each block filled anew; tables without a block are left out.
+    """Returns the page with the contents of each block replaced; other tables are omitted.
 
     Args:
         page: The page's text.
-        tables: Text by name of the block.
+        tables: Text of each block, by name of the block.
 
     Raises:
-        PageError: A block has no end, an unknown name, or a name that another one has.
+        PageError: A block has no end marker, an unknown name or a duplicate name, or blocks are
+            nested.
     """
     lines: list[str] = []
     seen = set[str]()
@@ -42,25 +43,27 @@
             _check_end(name, open_block, number)
             open_block = ""
     if open_block:
-        raise PageError(f"the block {open_block!r} has no end")
+        raise PageError(f"block {open_block!r} has no end marker")
     return "\n".join(lines)
 
 
 def _check_end(name: str, open_block: str, number: int) -> None:
-    """Raises PageError unless the block that ends at a line is the open one."""
+    """Raises PageError unless the end marker belongs to the open block."""
     if open_block != name:
         raise PageError(
-            f"line {number}: the end of {name!r} where {open_block or 'no block'!r} is open"
+            f"line {number}: end marker of {name!r}, but {open_block or 'no block'!r} is open"
         )
 
 
 def _check_begin(
     name: str, open_block: str, seen: set[str], tables: Mapping[str, str], number: int
 ) -> None:
-    """Raises PageError unless a block of that name may begin at a line."""
+    """Raises PageError unless a block of that name may begin at this line."""
     if open_block:
-        raise PageError(f"line {number}: {name!r} begins within {open_block!r}")
+        raise PageError(f"line {number}: block {name!r} begins inside block {open_block!r}")
     if name in seen:
-        raise PageError(f"line {number}: a second block {name!r}")
+        raise PageError(f"line {number}: duplicate block {name!r}")
     if name not in tables:
-        raise PageError(f"line {number}: no table {name!r}; there are {', '.join(sorted(tables))}")
+        raise PageError(
+            f"line {number}: unknown table {name!r}; expected one of {', '.join(sorted(tables))}"
+        )
--- a/hazelhollow/scale/report_runs.py
+++ b/hazelhollow/scale/report_runs.py
@@ -1,4 +1,4 @@
-"""The results of a capacity report, by file and by the program that was measured."""
+"""The input of a capacity report: results by file and by version of the measured program."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class Run(msgspec.Struct, frozen=True):
-    """Results with the name of the file that they came from."""
+    """Results with the name of the file that holds them."""
 
     name: str
     results: Results
 
 
 class Runs(msgspec.Struct, frozen=True):
-    """The results of a report.
+    """The results that a report is rendered from.
 
     Attributes:
-        now: Results that the figures are made of.
-        before: Results of an earlier program, shown beside them.
+        now: Results of the current program, from which the figures are derived.
+        before: Results of an earlier version, shown for comparison.
     """
 
     now: tuple[Run, ...]
     before: tuple[Run, ...] = ()
 
     def without_first_look(self) -> Runs:
-        """Without the runs that only repeat the first look's figures, as their base differs."""
+        """Returns the runs without those of the first-look plan, whose base size differs."""
         return Runs(
             *(
                 tuple(run for run in group if run.results.plan != report_claims.FIRST_LOOK_PLAN)
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -760,15 +760,15 @@
 @pytest.mark.parametrize(
     ("text", "why"),
     [
-        ("<!-- table: sums -->\n", "has no end"),
-        ("<!-- end: sums -->", "where 'no block' is open"),
-        ("<!-- table: sums -->\n<!-- end: order -->", "where 'sums' is open"),
-        ("<!-- table: sums -->\n<!-- table: order -->", "begins within"),
+        ("<!-- table: sums -->\n", "has no end marker"),
+        ("<!-- end: sums -->", "but 'no block' is open"),
+        ("<!-- table: sums -->\n<!-- end: order -->", "but 'sums' is open"),
+        ("<!-- table: sums -->\n<!-- table: order -->", "begins inside"),
         (
             "<!-- table: sums -->\n<!-- end: sums -->\n<!-- table: sums -->\n<!-- end: sums -->",
-            "a second block",
+            "duplicate block",
         ),
-        ("<!-- table: nothing -->\n<!-- end: nothing -->", "no table 'nothing'"),
+        ("<!-- table: nothing -->\n<!-- end: nothing -->", "unknown table 'nothing'"),
     ],
 )
 def test_markers_that_do_not_fit_are_reported(text: str, why: str) -> None:
