--- a/hazelhollow/scale/plots.py
+++ b/hazelhollow/scale/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of fitted curves. Only this module imports matplotlib, which is optional."""
+"""Plots of fitted curves. Only this module imports matplotlib, an optional dependency."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from hazelhollow.scale.report_rows import Analysis, Row, Slope
 from hazelhollow.scale.report_text import AXIS_WORDS
 
-matplotlib.use("agg")  # the backend that needs no display
+matplotlib.use("agg")  # a backend that needs no display
 
-STEPS = 60  # points of a drawn curve
+STEPS = 60  # line segments of a plotted curve
 FIGURE_SIZE_INCHES = (6.0, 4.0)  # width and height
 
 
 def slopes(analysis: Analysis, folder: Path) -> list[Path]:
-    """Draws each slope into a folder, which is created if missing; raises OSError."""
+    """Plots each slope into a folder, which is created if missing; raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     return [_draw(row, slope, analysis, folder) for row in analysis.rows for slope in row.slopes]
 
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the capacity report with a line for each thing that was measured."""
+"""Tables of the capacity report with one line per event, point, latency or comparison."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _points(runs: Runs) -> Iterable[tuple[str, Point]]:
-    """All points, each with the program that it is of."""
+    """Yields all points, each with the version of the program that was measured."""
     for program, group in (("now", runs.now), ("before", runs.before)):
         for run in group:
             for point in run.results.points:
@@ -29,7 +29,7 @@
 
 
 def events_table(runs: Runs) -> str:
-    """Each event of each run, and its effects."""
+    """Returns a table of the events of all runs and their effects."""
     return table(
         [
             "program",
@@ -71,7 +71,7 @@
 
 
 def quotas_table(runs: Runs) -> str:
-    """What each run admitted, against one token bucket that sees every request."""
+    """Returns a table of units admitted, compared with one token bucket that sees every request."""
     return table(
         [
             "program",
@@ -103,7 +103,7 @@
 
 
 def latency_table(runs: Runs) -> str:
-    """The latency that a limiter adds to a request."""
+    """Returns a table of the latency that a limiter adds to a request."""
     return table(
         [
             "program",
@@ -147,7 +147,7 @@
 
 
 def comparison_table(runs: Runs) -> str:
-    """Hollow limiters against real processes."""
+    """Returns a table that compares hollow limiters with real processes."""
     return table(
         ["program", "figure", "real", "hollow", "apart by", "margin", "alike"],
         (
@@ -175,7 +175,7 @@
 
 
 def relative_difference(comparison: Comparison) -> float:
-    """By how much the hollow figure differs, as a part of the real comparison."""
+    """Returns how far the hollow figure is from the real one, as a fraction of the real one."""
     if comparison.real == comparison.hollow:
         return 0.0
     return (
--- a/hazelhollow/scale/report_tables.py
+++ b/hazelhollow/scale/report_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the capacity page as Markdown, from results alone."""
+"""Renders the tables of the capacity page as Markdown."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def tables(runs: Runs) -> dict[str, str]:
-    """Each table by the name that its block of the page has."""
+    """Returns each table by the name of its block on the page."""
     planned = runs.without_first_look()
     now = analyse([run.results for run in planned.now])
     before = analyse([run.results for run in planned.before])
@@ -62,7 +62,7 @@
 
 
 def runs_table(runs: Iterable[Run]) -> str:
-    """Which file was measured where, on which commit."""
+    """Returns a table of the results files with the commit and machine of each."""
     return table(
         [
             "file",
@@ -95,7 +95,7 @@
 
 
 def figures_table(now: Analysis, before: Analysis) -> str:
-    """Each quantity at the planned size."""
+    """Returns a table of each quantity at the planned size."""
     rows = []
     for row in now.rows:
         if row.quantity.part in EVENTS and not row.observations:
@@ -117,7 +117,7 @@
 
 
 def slopes_table(analysis: Analysis) -> str:
-    """Each fitted curve with the range measured."""
+    """Returns a table of the fitted curves with the range of sizes measured."""
     return table(
         ["part", "quantity", "axis", "formula", "measured from", "to", "at the plan", "how known"],
         (
@@ -138,7 +138,7 @@
 
 
 def sums_table(now: Sequence[BudgetSum], before: Sequence[BudgetSum]) -> str:
-    """Each budget with what is left of it."""
+    """Returns a table of the budgets with what is left of each."""
     rows = []
     for total, earlier in zip(now, before, strict=True):
         unit = total.budget.unit
@@ -164,7 +164,7 @@
 
 
 def _left_text(total: BudgetSum) -> str:
-    """What is left, at most so much where parts are not known."""
+    """Returns what is left of a budget, as an upper bound if some rows have no figure."""
     if total.left is None:
         return str(Mark.UNKNOWN)
     bound = "at most " if total.rows_without_figure else ""
@@ -172,7 +172,7 @@
 
 
 def order_table(passings: Sequence[Passing]) -> str:
-    """The order in which budgets are passed, and below it what is not known."""
+    """Returns a table of the order in which budgets are passed, and a list of unknown passings."""
     ranked = [passing for passing in passings if passing.mark is not Mark.UNKNOWN]
     unranked = [passing.name for passing in passings if passing.mark is Mark.UNKNOWN]
     text = table(
@@ -205,7 +205,7 @@
 
 
 def claims_table(runs: Runs) -> str:
-    """Figures of a first look, what the program of that time gave here, and what it gives now."""
+    """Returns a table of the claims beside the figures of the earlier and the current runs."""
     before, now = ([run.results for run in group] for group in (runs.before, runs.now))
     rows = []
     for claim in CLAIMS:
@@ -223,7 +223,7 @@
 
 
 def documents_table() -> str:
-    """The settings document by its routes."""
+    """Returns a table of the settings document by number of routes."""
     text = table(
         ["routes", "", "bytes", "characters compressed", "pieces", "members can hand it on"],
         (
@@ -238,18 +238,18 @@
             for document in documents()
         ),
     )
-    reach = "; ".join(
+    limits = "; ".join(
         (
             f"{kind} routes: up to {max_routes(kind):,}, "
             f"{percent(max_routes(kind) / budgets.PLANNED.routes)} of the plan"
         )
         for kind in RouteKind
     )
-    return f"{text}\n\nWorked out from the code, not run. The most that can be handed on, {reach}."
+    return f"{text}\n\nWorked out from the code, not run. The most that can be handed on, {limits}."
 
 
 def lists_table() -> str:
-    """The whole list of servers by its length."""
+    """Returns a table of the complete server list by number of servers."""
     return table(
         ["servers", "bytes of a whole list", "taken by a limiter"],
         (
--- a/hazelhollow/scale/report_text.py
+++ b/hazelhollow/scale/report_text.py
@@ -1,4 +1,4 @@
-"""Values and tables of the capacity report as text."""
+"""Formats values and tables of the capacity report as text."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 NONE = "-"
 NO_RUN = "no run yet"
 NEVER = "not within the run"
-MIN_RATE_SHARE = 0.9  # of the planned requests; below it a figure says at how many it was measured
+# A figure measured at less than this fraction of the planned request rate is shown with its rate.
+MIN_RATE_SHARE = 0.9
 PREFIXES = ((1e6, "M"), (1e3, "k"), (1.0, ""))
 SECONDS = ((1.0, "s"), (1e-3, "ms"), (1e-6, "µs"))
 AXIS_WORDS = {
@@ -27,7 +28,7 @@
 
 
 def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """A Markdown table, or `NO_RUN` where there are no rows."""
+    """Returns a Markdown table, or `NO_RUN` if there are no rows."""
     lines = [_line(row) for row in rows]
     if not lines:
         return NO_RUN
@@ -39,7 +40,7 @@
 
 
 def shown(value: float | None, unit: str) -> str:
-    """A value with three digits, its unit and a fitting prefix; None: not known."""
+    """Returns a value with three significant digits, prefix and unit; `NONE` if not known."""
     if value is None:
         return NONE
     if math.isinf(value):
@@ -55,7 +56,7 @@
 
 
 def digits(value: float) -> str:
-    """Three significant digits; whole numbers from a hundred on."""
+    """Returns a number with three significant digits; from 100 on it is rounded to an integer."""
     if value == 0.0:
         return "0"
     places = max(0, 2 - math.floor(math.log10(abs(value))))
@@ -63,14 +64,14 @@
 
 
 def percent(share: float | None) -> str:
-    """A share as a percentage; None: not known."""
+    """Returns a share as a percentage; `NONE` if not known."""
     if share is None:
         return NONE
     return "without bound" if math.isinf(share) else f"{digits(100.0 * share)}%"
 
 
 def size_text(size: Size) -> str:
-    """A size in one cell."""
+    """Returns a size as the text of one table cell."""
     return (
         f"{size.limiters:,} limiters, {size.servers:,} servers, {size.routes:,} routes, "
         f"{size.tenants:,} tenants, "
@@ -79,10 +80,10 @@
 
 
 def mark_text(figure: Figure) -> str:
-    """How a figure is known.
+    """Returns how a figure was obtained.
 
-    With how far it was extrapolated, along which axes nothing is known, and, if they were few, at
-    how many requests a second it was measured.
+    The text includes the factor of extrapolation, the axes along which nothing was measured, and
+    the request rate of the runs if it was below `MIN_RATE_SHARE` of the planned rate.
     """
     text = str(figure.mark)
     if figure.mark is Mark.EXTRAPOLATED or (figure.mark is Mark.MODELLED and figure.factor > 1.0):
@@ -95,12 +96,12 @@
 
 
 def unmeasured_text(axes: Sequence[Axis]) -> str:
-    """The axes along which nothing is known; an empty text for none."""
+    """Returns the axes along which nothing was measured; an empty text for none."""
     return ", without " + ", ".join(axes) if axes else ""
 
 
 def formula(curve: Fit, unit: str) -> str:
-    """The fitted curve, where N is the size along its axis and `unit` that of its values."""
+    """Returns the fitted curve as a formula of N, the size along its axis."""
     size = "N" if curve.shape is Shape.LINEAR else "ln N"
     sign = "+" if curve.slope >= 0.0 else "-"
     return (
