--- a/hazelhollow/scale/budgets.py
+++ b/hazelhollow/scale/budgets.py
@@ -38,14 +38,14 @@
     derived: bool = False
 
 
-ADDED_LATENCY = Budget(name="added to a request, 99 in 100", unit="s", limit=0.0014)
+ADDED_LATENCY = Budget(name="added to a request, 99th percentile", unit="s", limit=0.0014)
 CONTROL_CPU = Budget(name="processor for control", unit="core", limit=0.025)
 CONTROL_MEMORY = Budget(name="memory", unit="B", limit=256e6)
 CONTROL_BYTES = Budget(name="bytes sent for control", unit="B/s", limit=4_000.0)
 WORST_BYTES = Budget(
     name="bytes sent for control, worst ten seconds", unit="B/s", limit=CONTROL_BYTES.limit
 )
-CHANGE_P99 = Budget(name="a change in force, 99 in 100", unit="s", limit=6.0)
+CHANGE_P99 = Budget(name="a change in force, 99th percentile", unit="s", limit=6.0)
 CHANGE_WORST = Budget(name="a change in force, worst", unit="s", limit=10.0)
 REQUEST_CPU = Budget(name="processor for requests", unit="core", limit=1.0, derived=True)
 TURN = Budget(name="one turn of the loop", unit="s", limit=ADDED_LATENCY.limit, derived=True)
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -95,7 +95,9 @@
         return None
     median = figure.limiter_median_s - figure.direct_median_s
     p99 = figure.limiter_p99_s - figure.direct_p99_s
-    click.echo(f"  added: median {1000 * median:.2f} ms, 99 in 100 {1000 * p99:.2f} ms", err=True)
+    click.echo(
+        f"  added: median {1000 * median:.2f} ms, 99th percentile {1000 * p99:.2f} ms", err=True
+    )
     return figure
 
 
--- a/hazelhollow/scale/report_claims.py
+++ b/hazelhollow/scale/report_claims.py
@@ -271,7 +271,7 @@
         latency(_added_median, servers=200, routes=1),
     ),
     Claim(
-        "the same, 99 in 100 (1.9 to 2.4 ms)",
+        "the same, 99th percentile (1.9 to 2.4 ms)",
         "s",
         2.15e-3,
         latency(_added_p99, servers=200, routes=1),
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -36,7 +36,7 @@
             "event",
             "size",
             "settled: median",
-            "99 in 100",
+            "99th percentile",
             "worst",
             "reached",
             "bytes a second: worst ten, mean member",
@@ -111,11 +111,11 @@
             "requests",
             "left out, client late",
             "straight: median",
-            "99 in 100",
+            "99th percentile",
             "through: median",
-            "99 in 100",
+            "99th percentile",
             "added: median",
-            "99 in 100",
+            "99th percentile",
         ],
         (
             [
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -672,7 +672,7 @@
     assert claimed("the same, 10,000 customers charged in 1.5 s", found) == 4.0
     assert claimed("the same, 200 members in bytes", found) == 900.0
     assert claimed("the same, 200 members", found) == pytest.approx(4.0)
-    assert claimed("the same, 99 in 100 (1.9 to 2.4 ms)", found) == pytest.approx(0.002)
+    assert claimed("the same, 99th percentile (1.9 to 2.4 ms)", found) == pytest.approx(0.002)
     assert claimed("memory of a limiter, 200 servers, 1 class", found) == 30e6
     assert claimed("agreement at the start, 50 members", found) is None
 
