--- a/hazelhollow/scale/report_order.py
+++ b/hazelhollow/scale/report_order.py
@@ -96,7 +96,7 @@
     """Returns when a settings document becomes too large to distribute, so never takes effect."""
     return tuple(
         Passing(
-            name=f"settings document of {kind} routes: handed on at all",
+            name=f"settings document of {kind} routes: distributable at all",
             budget=budgets.CHANGE_WORST,
             fraction=max_routes(kind) / planned.routes,
             share=math.inf if max_routes(kind) < planned.routes else 0.0,
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -39,12 +39,12 @@
             "99th percentile",
             "worst",
             "reached",
-            "bytes a second: worst ten, mean member",
-            "worst one, worst member",
+            "bytes per second: worst ten seconds, mean member",
+            "worst second, worst member",
             "longest turn",
             "false deaths",
-            "let in beyond quotas",
-            "refused with room",
+            "admitted beyond quotas",
+            "rejected within quotas",
         ],
         (
             [program, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
@@ -78,9 +78,9 @@
             "axis",
             "size",
             "asked",
-            "let in",
-            "beyond, of what was let in",
-            "refused with room, of what was asked",
+            "units admitted",
+            "beyond quotas, of units admitted",
+            "rejected within quotas, of units asked",
         ],
         (
             [
@@ -109,10 +109,10 @@
             "program",
             "size",
             "requests",
-            "left out, client late",
-            "straight: median",
+            "excluded, client late",
+            "direct: median",
             "99th percentile",
-            "through: median",
+            "through the limiter: median",
             "99th percentile",
             "added: median",
             "99th percentile",
@@ -149,7 +149,7 @@
 def comparison_table(runs: Runs) -> str:
     """Returns a table that compares hollow limiters with real processes."""
     return table(
-        ["program", "figure", "real", "hollow", "apart by", "margin", "alike"],
+        ["program", "figure", "real", "hollow", "relative difference", "margin", "alike"],
         (
             [
                 program,
--- a/hazelhollow/scale/report_tables.py
+++ b/hazelhollow/scale/report_tables.py
@@ -69,7 +69,7 @@
             "commit",
             "began",
             "machine",
-            "load at the begin",
+            "load at the start",
             "points",
             "latencies",
             "comparisons",
@@ -113,13 +113,24 @@
                 shown(earlier.figure.value if earlier else None, row.quantity.unit),
             ]
         )
-    return table(["part", "quantity", "at the plan", "how known", "of its budget", "before"], rows)
+    return table(
+        ["part", "quantity", "at planned size", "how obtained", "share of budget", "before"], rows
+    )
 
 
 def slopes_table(analysis: Analysis) -> str:
     """Returns a table of the fitted curves with the range of sizes measured."""
     return table(
-        ["part", "quantity", "axis", "formula", "measured from", "to", "at the plan", "how known"],
+        [
+            "part",
+            "quantity",
+            "axis",
+            "formula",
+            "measured from",
+            "to",
+            "at planned size",
+            "how obtained",
+        ],
         (
             [
                 row.quantity.part,
@@ -153,7 +164,7 @@
                 shown(earlier.value, unit),
             ]
         )
-    return table(["budget", "limit", "by", "at the plan", "left", "not known", "before"], rows)
+    return table(["budget", "limit", "by", "at planned size", "left", "not known", "before"], rows)
 
 
 def _sum_text(total: BudgetSum) -> str:
@@ -176,7 +187,7 @@
     ranked = [passing for passing in passings if passing.mark is not Mark.UNKNOWN]
     unranked = [passing.name for passing in passings if passing.mark is Mark.UNKNOWN]
     text = table(
-        ["", "what", "budget", "passed at", "of its budget at the plan", "how known"],
+        ["", "what", "budget", "passed at", "share of budget at planned size", "how obtained"],
         (
             [
                 str(place),
@@ -196,11 +207,11 @@
 
 def _passed(passing: Passing) -> str:
     if passing.fraction is None:
-        return "not up to ten times the plan" if passing.fitted else "not at the plan; no slope"
+        return "not up to ten times the plan" if passing.fitted else "not at planned size; no slope"
     if passing.fraction == 0.0:
         return "any size"
     if not passing.fitted:
-        return f"{percent(passing.fraction)} of the plan or before; no slope"
+        return f"{percent(passing.fraction)} of the plan or below; no slope"
     return f"{percent(passing.fraction)} of the plan"
 
 
@@ -225,7 +236,7 @@
 def documents_table() -> str:
     """Returns a table of the settings document by number of routes."""
     text = table(
-        ["routes", "", "bytes", "characters compressed", "pieces", "members can hand it on"],
+        ["routes", "", "bytes", "characters compressed", "pieces", "members can distribute it"],
         (
             [
                 f"{document.routes:,}",
@@ -245,13 +256,13 @@
         )
         for kind in RouteKind
     )
-    return f"{text}\n\nWorked out from the code, not run. The most that can be handed on, {limits}."
+    return f"{text}\n\nComputed, not run. Largest document that members can distribute, {limits}."
 
 
 def lists_table() -> str:
     """Returns a table of the complete server list by number of servers."""
     return table(
-        ["servers", "bytes of a whole list", "taken by a limiter"],
+        ["servers", "bytes of the complete list", "accepted by a limiter"],
         (
             [f"{each.servers:,}", f"{each.size:,}", "yes" if each.accepted else "**no**"]
             for each in server_lists()
--- a/hazelhollow/scale/report_text.py
+++ b/hazelhollow/scale/report_text.py
@@ -97,7 +97,7 @@
 
 def unmeasured_text(axes: Sequence[Axis]) -> str:
     """Returns the axes along which nothing was measured; an empty text for none."""
-    return ", without " + ", ".join(axes) if axes else ""
+    return ", not measured along " + ", ".join(axes) if axes else ""
 
 
 def formula(curve: Fit, unit: str) -> str:
@@ -106,7 +106,7 @@
     sign = "+" if curve.slope >= 0.0 else "-"
     return (
         f"{shown(curve.intercept, unit)} {sign} {shown(abs(curve.slope), unit)} x {size} "
-        f"({curve.samples} points, off by {percent(curve.error)} at most)"
+        f"({curve.samples} points, error at most {percent(curve.error)})"
     )
 
 
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -559,7 +559,7 @@
     assert lost.fraction == pytest.approx(0.1) and lost.mark is Mark.MEASURED and lost.share is None
     assert back.fraction is None and back.mark is Mark.UNKNOWN
     assert (
-        "10.0% of the plan or before; no slope" in tables(Runs((Run("a", gathered_run),)))["order"]
+        "10.0% of the plan or below; no slope" in tables(Runs((Run("a", gathered_run),)))["order"]
     )
 
 
@@ -728,7 +728,7 @@
 
 def test_a_document_that_cannot_be_handed_on_passes_its_budget_where_it_stops() -> None:
     found = {each.name: each for each in order(analyse([]), document_passings(budgets.PLANNED))}
-    unlike = found["settings document of unlike routes: handed on at all"]
+    unlike = found["settings document of unlike routes: distributable at all"]
     stops = report_documents.max_routes(report_documents.RouteKind.UNLIKE)
     assert unlike.fraction == pytest.approx(stops / budgets.PLANNED.routes)
     assert (unlike.share == math.inf) is (stops < budgets.PLANNED.routes)
