--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -1,11 +1,11 @@
-"""The latency that one real limiter adds to a request.
+"""Measures the latency that one real limiter adds to a request.
 
-Real processes on loopback, and a client that sends requests on a fixed schedule (an open loop),
-alternately through the limiter and directly to the server.
+A limiter and a server run as real processes on loopback. A client sends requests on a fixed
+schedule (an open loop), alternately through the limiter and directly to the server.
 
-Latency is counted from the scheduled time of a request, so that waiting behind a slow limiter
-counts. Blocks of time in which the client itself was late are left out: their latency would be the
-client's.
+Latency is counted from the scheduled time of a request, so that time spent waiting behind a slow
+limiter is included. Blocks of time in which the client itself was late are excluded, because their
+latency would include the client's own delay.
 """
 
 from __future__ import annotations
@@ -42,29 +42,31 @@
 
 CUSTOMER = "00000000b4d65521"
 PLAN = "gold"
-ROUTE = "look"  # the route of all requests, among those of the settings
-UNBOUNDED = 1e6  # units a second and burst of that plan: nothing is rejected
-READY_TIMEOUT_S = 60.0  # for a limiter with a long list and many routes on a busy machine
+ROUTE = "look"  # the route of all requests; the settings define further ones
+UNBOUNDED = 1e6  # rate (units per second) and burst of the plan, so that nothing is rejected
+READY_TIMEOUT_S = 60.0  # for a limiter with a long server list and many routes on a busy machine
 CHECK_INTERVAL_S = 0.05  # between checks of whether a process is ready or requests have ended
-WARM_UP_S = 2.0  # in which requests are sent and not counted
-DRAIN_TIMEOUT_S = 3.0  # for requests that are in flight at the end
-MAX_CLIENT_DELAY_P99_S = 0.0005  # by which the client may send its requests late
-# Of requests directly to a server that does no work; above it the machine is too busy.
+WARM_UP_S = 2.0  # time at the start in which requests are sent but not counted
+DRAIN_TIMEOUT_S = 3.0  # for requests in flight at the end
+# Greatest 99th percentile of the client's delay in sending; above it the client counts as late.
+MAX_CLIENT_DELAY_P99_S = 0.0005
+# Greatest 99th percentile of latency directly to a server that does no work; above it the machine
+# is too busy to measure.
 MAX_DIRECT_P99_S = 0.003
-BLOCK_S = 0.1  # blocks in which the client was late are left out
-MIN_REQUESTS = 500  # for a meaningful 99th percentile
+BLOCK_S = 0.1  # length of a block; blocks in which the client was late are excluded
+MIN_REQUESTS = 500  # on each path, for a meaningful 99th percentile
 LIMITER, SERVER = "limiter", "server"
 
 Measure = Callable[["LatencyPlan"], Latency]
 
 
 class LatencyPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """A measurement of latency.
+    """The parameters of one measurement of latency.
 
     Attributes:
-        size: Its number of limiters is that of the settings; one limiter runs.
-        seconds: In which requests are counted.
-        seed: Of the limiter and the client.
+        size: Size of the fleet that the settings describe; only one limiter runs.
+        seconds: Length of the period in which requests are counted.
+        seed: Random seed of the limiter and the client.
     """
 
     size: Size
@@ -73,37 +75,37 @@
 
 
 class MicrosecondPoller:
-    """A poller whose timeouts are exact to the microsecond.
+    """A poller with the interface of `select.poll` and microsecond timeouts.
 
-    `select.poll` rounds its timeout up to a whole millisecond, so that requests would be late by
-    half of one on the mean. `select.select` does not; its greater cost does not matter for the few
-    descriptors of this client.
+    `select.poll` rounds its timeout up to a full millisecond, which would make requests late by
+    half a millisecond on average. `select.select` does not round; its higher cost does not matter
+    for the few descriptors of this client.
     """
 
     def __init__(self) -> None:
         self._interest: dict[int, int] = {}
-        self._coarse = select.poll()
+        self._poll = select.poll()
 
     def register(self, fd: int, events: int, /) -> None:
-        """As select.poll's."""
+        """Registers a descriptor, like select.poll."""
         self._interest[fd] = events
-        self._coarse.register(fd, events)
+        self._poll.register(fd, events)
 
     def unregister(self, fd: int, /) -> None:
-        """As select.poll's."""
+        """Unregisters a descriptor, like select.poll."""
         del self._interest[fd]
-        self._coarse.unregister(fd)
+        self._poll.unregister(fd)
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
-        """As select.poll's; `timeout` in milliseconds."""
+        """Waits like select.poll; `timeout` is in milliseconds."""
         reads = [fd for fd, events in self._interest.items() if events & select.POLLIN]
         writes = [fd for fd, events in self._interest.items() if events & select.POLLOUT]
         try:
             ready = any(select.select(reads, writes, [], timeout / 1000.0))
-        # A descriptor that was closed and is still registered, or is too large for select.
+        # A descriptor was closed but is still registered, or is too large for select.
         except (OSError, ValueError):
-            return self._coarse.poll(timeout)
-        return self._coarse.poll(0) if ready else []
+            return self._poll.poll(timeout)
+        return self._poll.poll(0) if ready else []
 
 
 class RequestRow(msgspec.Struct, frozen=True):
@@ -112,9 +114,9 @@
     Attributes:
         to: `LIMITER` or `SERVER`.
         due: Scheduled time.
-        began: When it was sent.
-        end: When its answer arrived.
-        outcome: What became of it.
+        began: Time at which it was sent.
+        end: Time at which its answer arrived.
+        outcome: Outcome that the client recorded, `served` for success.
     """
 
     to: str
@@ -125,11 +127,11 @@
 
 
 def measure_latency(plan: LatencyPlan) -> Latency:
-    """Measures once.
+    """Measures the latency once.
 
     Raises:
-        LateClientError: The client was late too often.
-        BusyMachineError: Requests directly to the server were slow too.
+        LateClientError: The client was late in too many blocks.
+        BusyMachineError: Requests sent directly to the server were slow as well.
         MeasurementError: Requests were not served, or the limiter did not start.
     """
     folder = Path(tempfile.mkdtemp(prefix="hazelhollow-latency-"))
@@ -142,23 +144,23 @@
     return msgspec.structs.replace(figures, limiter_memory_bytes=run.memory_bytes())
 
 
-def summarize(size: Size, rows_sent: Sequence[RequestRow], counted_from: float) -> Latency:
-    """The figures of the requests that were due from `counted_from` on.
+def summarize(size: Size, sent: Sequence[RequestRow], counted_from: float) -> Latency:
+    """Computes the figures of the requests that were due at or after `counted_from`.
 
-    Blocks in which the client was late are left out.
+    Blocks in which the client was late are excluded.
 
     Raises:
-        LateClientError: Too few requests are left.
-        BusyMachineError: Requests directly to the server were slow too.
+        LateClientError: Too few requests are left after the exclusion of late blocks.
+        BusyMachineError: Requests sent directly to the server were slow as well.
         MeasurementError: There were too few requests, or some were not served.
     """
-    blocks = _blocks(rows_sent, counted_from)
+    blocks = _blocks(sent, counted_from)
     on_time = [block for block in blocks if not _client_late(block)]
     counted = [row for block in on_time for row in block]
     through = [row for row in counted if row.to == LIMITER]
     direct = [row for row in counted if row.to == SERVER]
     if min(len(through), len(direct)) < MIN_REQUESTS:
-        text = f"{len(through)} and {len(direct)} requests are too few"
+        text = f"{len(through)} and {len(direct)} requests are too few (minimum {MIN_REQUESTS})"
         if len(on_time) == len(blocks):
             raise MeasurementError(text)
         raise LateClientError(
@@ -172,8 +174,8 @@
     direct_p99 = quantile([row.end - row.due for row in direct], 0.99)
     if direct_p99 > MAX_DIRECT_P99_S:
         raise BusyMachineError(
-            f"straight to the server one request in 100 took {1000 * direct_p99:.2f} "
-            "ms: no figure"
+            f"99th percentile directly to the server is {1000 * direct_p99:.2f} ms, above "
+            f"{1000 * MAX_DIRECT_P99_S:g} ms: the machine is too busy"
         )
     return Latency(
         size=size,
@@ -186,10 +188,10 @@
     )
 
 
-def _blocks(rows_sent: Sequence[RequestRow], counted_from: float) -> list[list[RequestRow]]:
-    """The requests that were due from `counted_from` on, by blocks of `BLOCK_S`."""
+def _blocks(sent: Sequence[RequestRow], counted_from: float) -> list[list[RequestRow]]:
+    """Groups the requests that were due at or after `counted_from` into blocks of `BLOCK_S`."""
     blocks: dict[int, list[RequestRow]] = {}
-    for row in rows_sent:
+    for row in sent:
         if row.due >= counted_from:
             blocks.setdefault(int((row.due - counted_from) / BLOCK_S), []).append(row)
     return list(blocks.values())
@@ -200,19 +202,21 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """The least value that at least this share of the values does not exceed.
+    """Returns the smallest value that at least this share of the values does not exceed.
 
-    `values` is not empty.
+    `values` must not be empty.
     """
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
 
 
 class LatencyRun:
-    """One server, one limiter, discovery and the client; call `play` once, then `close`.
+    """A run of one server, one limiter, discovery and the client.
+
+    Call `play` once, then `close`.
 
     Args:
-        plan: What is measured.
+        plan: Parameters of the measurement.
         folder: An empty folder for all files of the run.
     """
 
@@ -223,12 +227,12 @@
         self._processes = ProcessGroup(folder, keep=False)
         self._discovery = Discovery(self.scheduler)
         self._error: BaseException | None = None
-        self._file = folder / "clients.jsonl"
-        self._out = self._file.open("wb")
+        self._rows_file = folder / "clients.jsonl"
+        self._rows_out = self._rows_file.open("wb")
         self.counted_from = 0.0
 
     def play(self) -> list[RequestRow]:
-        """Sends all requests and returns what became of them; raises MeasurementError."""
+        """Sends all requests and returns their outcomes; raises MeasurementError."""
         self._start()
         self.scheduler.spawn(self._send_and_stop, name="latency")
         self.scheduler.run()
@@ -236,28 +240,30 @@
             raise self._error
         return [
             RequestRow(row["to"], row["due"], row["t"], row["end"], row["outcome"])
-            for row in rows(self._file)
+            for row in rows(self._rows_file)
         ]
 
     def close(self) -> None:
-        """Ends all processes and removes all files."""
-        self._out.close()
+        """Ends all processes and removes the files of the run."""
+        self._rows_out.close()
         self._processes.close()
         self._discovery.close()
 
     def memory_bytes(self) -> float:
-        """The most memory that the limiter held, its start included; known once it has ended."""
+        """Returns the limiter's peak memory, including its start-up; valid once it has ended."""
         return self._processes.members[LIMITER].max_memory_kb * 1024.0
 
     def _start(self) -> None:
-        agent = self._discovery.listen(LIMITER, self._network.own(1, DISCOVERY_PORT))
+        discovery_address = self._discovery.listen(LIMITER, self._network.own(1, DISCOVERY_PORT))
         server = self._address_text(2, ENDPOINT_PORT)
         for number in range(self._plan.size.servers):
             name = f"s-{number:05d}"
             self._discovery.index = 1
             self._discovery.hosts[name] = Host(name, {LIMITER: server}, index=1)
         config = self._folder / "config.json"
-        config.write_bytes(orjson.dumps(self._config(f"{agent[0]}:{agent[1]}")))
+        config.write_bytes(
+            orjson.dumps(self._config(f"{discovery_address[0]}:{discovery_address[1]}"))
+        )
         python = [sys.executable, "-m", "hazelhollow"]
         node = [*python, "standin", "node", "--listen", server, "--work", "0", "--cores", "1000"]
         self._processes.add(SERVER, node, {})
@@ -296,20 +302,20 @@
         while not call(self.scheduler, operator_address, "check").startswith(b"done"):
             if self._processes.reap(LIMITER):
                 tail = self._processes.members[LIMITER].log.read_text(errors="replace")[-600:]
-                raise MeasurementError(f"the limiter ended: {tail}")
+                raise MeasurementError(f"the limiter exited before it was ready: {tail}")
             if self.scheduler.clock() > until:
                 raise MeasurementError(f"the limiter was not ready within {READY_TIMEOUT_S:g} s")
             self.scheduler.sleep(CHECK_INTERVAL_S)
 
     def _send_requests(self) -> None:
-        """Each way gets a request every 1/rate seconds; the two ways alternate evenly."""
+        """Sends a request on each path every 1/rate seconds; the two paths alternate evenly."""
         size = self._plan.size
         begin = self.scheduler.clock() + 2 * CHECK_INTERVAL_S
         self.counted_from = begin + WARM_UP_S
         end = self.counted_from + self._plan.seconds
         load = Load(customer=CUSTOMER, plan=PLAN, kind=ROUTE, rate=size.requests_per_s)
         shorten_collector_pauses()
-        clients = Clients(self.scheduler, self._plan.seed, self._out, set_size=1)
+        clients = Clients(self.scheduler, self._plan.seed, self._rows_out, set_size=1)
         for number, (name, host, port) in enumerate(
             ((LIMITER, 1, CLIENT_PORT), (SERVER, 2, ENDPOINT_PORT))
         ):
@@ -319,11 +325,11 @@
         until = self.scheduler.clock() + DRAIN_TIMEOUT_S
         while clients.open and self.scheduler.clock() < until:
             self.scheduler.sleep(CHECK_INTERVAL_S)
-        self._out.flush()
+        self._rows_out.flush()
 
 
 def settings(size: Size) -> dict[str, Any]:
-    """The settings of one limiter at that size, under which nothing is rejected."""
+    """Returns the settings of one limiter of a fleet of that size; they reject no request."""
     names = [ROUTE, *(f"route-{number:05d}" for number in range(1, size.routes))]
     return {
         "position": 0,
@@ -353,22 +359,22 @@
     progress: Callable[[str], None],
     measure: Measure = measure_latency,
 ) -> Latency:
-    """Measures until the machine was idle enough.
+    """Repeats a measurement until the machine was idle enough for a valid result.
 
     Args:
-        plan: What is measured.
-        tries: How often at most.
-        progress: Called with a line of text for each attempt without a figure.
-        measure: Measures once.
+        plan: Parameters of the measurement.
+        tries: Maximum number of attempts.
+        progress: Called with a line of text for each attempt on a busy machine.
+        measure: Makes one measurement.
 
     Raises:
-        MeasurementError: The last attempt found the machine busy, or one failed otherwise.
+        MeasurementError: The machine was busy in all attempts, or one attempt failed otherwise.
     """
     for number in range(1, tries + 1):
         try:
             return measure(plan)
         except BusyMachineError as error:
-            progress(f"try {number} of {tries}: {error}")
+            progress(f"attempt {number} of {tries}: {error}")
             if number == tries:
                 raise
-    raise AssertionError("no tries")
+    raise AssertionError(f"tries is {tries}, must be at least 1")
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -1,6 +1,7 @@
-"""`scale latency`: what one real limiter adds to a request.
+"""The commands `scale latency` and `scale compare`, which measure real processes.
 
-`scale compare`: real processes against hollow limiters.
+`scale latency` measures the latency that one real limiter adds to a request. `scale compare`
+compares a fleet of real processes with hollow limiters.
 """
 
 from __future__ import annotations
@@ -21,17 +22,20 @@
 from hazelhollow.scale.results import Latency, Size
 
 PLANNED = budgets.PLANNED
-# What `scale latency` grows: requests a second, servers and routes.
+# Sizes that `scale latency` measures: requests per second, servers and routes.
 RATES = (50.0, 100.0, PLANNED.requests_per_s)
 SERVERS = (200, 2_000, PLANNED.servers)
 ROUTES = (1, 1_000, PLANNED.routes)
-FAILED = 1  # exit status where a size gave no figure
-BAD_INPUT = 2  # exit status where a file cannot be used
-TRIES = 3  # of each size on a busy machine, unless an option says otherwise
+FAILED = 1  # exit status if a measurement failed, or if compared figures differ too much
+BAD_INPUT = 2  # exit status if a file cannot be used
+TRIES = 3  # default number of attempts for each size on a busy machine
 
 
 def sizes() -> list[tuple[int, int, float]]:
-    """Servers, routes and requests a second: each grown alone, then servers and routes together."""
+    """Returns the sizes to measure, as servers, routes and requests per second.
+
+    Each is varied alone; the last size has both servers and routes at their planned numbers.
+    """
     rates = [(SERVERS[0], ROUTES[0], rate) for rate in RATES]
     servers = [(count, ROUTES[0], RATES[-1]) for count in SERVERS[1:]]
     routes = [(SERVERS[0], count, RATES[-1]) for count in ROUTES[1:]]
@@ -45,7 +49,7 @@
     type=click.Path(path_type=Path, dir_okay=False),
     required=True,
     metavar="FILE",
-    help="Where the figures go, one after another. Those that the file has already stay in it.",
+    help="Results file; figures are added to those that it already holds.",
 )
 @click.option(
     "--size",
@@ -53,17 +57,18 @@
     type=(click.IntRange(1), click.IntRange(1), click.FloatRange(1.0, 1000.0)),
     multiple=True,
     metavar="SERVERS ROUTES RATE",
-    help="Play this size; may be given again. [default: each grown alone, then together]",
+    help="Measure this size; may be repeated. [default: each varied alone, then together]",
 )
 @click.option("--seconds", type=click.FloatRange(1.0, 120.0), default=10.0, show_default=True)
 @click.option("--tries", type=click.IntRange(1, 20), default=TRIES, show_default=True)
 def latency(
     path: Path, chosen: Sequence[tuple[int, int, float]], seconds: float, tries: int
 ) -> None:
-    """Requests at times laid down ahead, through a real limiter and straight to its server.
+    """Measure the latency that one real limiter adds to a request.
 
-    Wants a quiet machine: where the client itself was late there is no figure, and the size is
-    tried again. Exit status 1 if a size gave none.
+    Requests are sent on a fixed schedule, through the limiter and directly to its server. The
+    machine must be idle: if the client itself was late, the attempt gives no figure and the size is
+    measured again. The exit status is 1 if a size gave no figure.
     """
     try:
         stored = origin.begin("latency", PLANNED, path)
@@ -78,7 +83,7 @@
         click.echo(f"hazelhollow: {error}", err=True)
         sys.exit(BAD_INPUT)
     if failed:
-        click.echo(f"{failed} sizes gave no figure", err=True)
+        click.echo(f"{failed} sizes could not be measured", err=True)
         sys.exit(FAILED)
 
 
@@ -108,14 +113,14 @@
     type=click.Path(path_type=Path, dir_okay=False),
     required=True,
     metavar="FILE",
-    help="Where the figures go, beside those that the file has.",
+    help="Results file; figures are added to those that it already holds.",
 )
 @click.option("--limiters", type=click.IntRange(2, 12), default=12, show_default=True)
 @click.option("--deaths", type=click.IntRange(1, 10), default=3, show_default=True)
 def compare(path: Path, limiters: int, deaths: int) -> None:
-    """The same figures from real processes and from hollow limiters, all of them on this machine.
+    """Compare figures of real processes with those of hollow limiters, both on this machine.
 
-    Exit status 1 if one differs by more than its margin, or if there are no figures.
+    The exit status is 1 if a figure differs by more than its margin, or if a measurement failed.
     """
     try:
         stored = origin.begin("compare", PLANNED, path)
@@ -132,7 +137,7 @@
         sys.exit(FAILED)
     exceeding = [each for each in measured if relative_difference(each) > each.margin]
     for each in measured:
-        verdict = "apart by more than the margin" if each in exceeding else "alike"
+        verdict = f"differ by more than {100 * each.margin:g}%" if each in exceeding else "alike"
         click.echo(
             f"{each.figure}: real {shown(each.real, each.unit)}, hollow "
             f"{shown(each.hollow, each.unit)}, {verdict}"
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -1,8 +1,8 @@
-"""Figures of a fleet of real processes, to be compared with those of hollow limiters.
+"""Measures a fleet of real processes, for comparison with hollow limiters.
 
-The limiters run in a cluster of the fault-injection harness. Their datagrams are counted by its
-relay, their processor time comes from the operating system, and agreement from the membership that
-each limiter writes to a file.
+The limiters run in a cluster of the fault-injection harness. Its relay counts their datagrams, the
+operating system reports their processor time, and the time of agreement follows from the membership
+that each limiter writes to a file.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 from hazelhollow.scale.topology import make_topology
 
 ALIVE, DEAD = "alive", "dead"
-RESTART_TIMEOUT_S = 20.0  # within which all hold a limiter that was started again as alive
+RESTART_TIMEOUT_S = 20.0  # within which all members must see a restarted limiter as alive
 CHECK_INTERVAL_S = 0.25  # between checks of the limiters' memberships
-END_CHECK_INTERVAL_S = 0.1  # between checks whether the clients have ended
-REAP_INTERVAL_S = 0.01  # between checks whether a killed process has ended
+END_CHECK_INTERVAL_S = 0.1  # between checks of whether the clients have ended
+REAP_INTERVAL_S = 0.01  # between checks of whether a killed process has ended
 
 Membership = Mapping[str, Sequence[Any]]
-"""A line of a membership file: state and incarnation by limiter number."""
+"""One member's view of the fleet: state and incarnation by limiter number."""
 
 
 def operator_file(name: str, home: Path) -> str:
-    """An operator file like `deploy/fleet.cue`, which also has the membership written down."""
+    """Returns an operator file like `deploy/fleet.cue` that also enables the membership file."""
     return (
         'package operator\nlog: format: "console"\nfleet: view_file: '
         f'"{view_file(home.parent, name)}"\n'
@@ -53,17 +53,17 @@
 
 
 def view_file(folder: Path, name: str) -> Path:
-    """Where a limiter writes its membership."""
+    """Returns the path of the file to which a limiter writes its membership."""
     return folder / f"{name}.view.jsonl"
 
 
 class RealFleet(LoopbackCluster):
-    """A cluster of the harness whose limiters have the settings of hollow ones.
+    """A cluster of the harness whose limiters have the same settings as hollow limiters.
 
     Attributes:
         population: The tenants.
         datagrams: Datagrams that the limiters sent, by role.
-        bytes: Bytes of these, headers included.
+        bytes: Bytes of these datagrams, including headers.
     """
 
     def __init__(self, scheduler: Scheduler, plan: FleetPlan, folder: Path) -> None:
@@ -78,7 +78,7 @@
         self.relay.on_datagram = self._count_datagram
 
     def config(self, number: int, order: int = 0) -> dict[str, Any]:
-        """The configuration of a limiter."""
+        """Returns the configuration of a limiter."""
         return super().config(number, order) | {
             "settings": own_document(self._shared, number, self._topology)
         }
@@ -90,7 +90,7 @@
 
 
 class RealRun:
-    """One real fleet through a start, a time without requests, load and deaths.
+    """A run of one real fleet: start, a period without requests, load, and deaths.
 
     Call `play` once, then `close`.
     """
@@ -103,7 +103,7 @@
         self.figures: Figures = {}
 
     def play(self) -> Figures:
-        """Plays the fleet and returns its figures; raises HarnessError or MeasurementError."""
+        """Runs the fleet and returns its figures; raises HarnessError or MeasurementError."""
         self.scheduler.spawn(self._play_and_stop, name="fleet")
         self.scheduler.run()
         if self._error:
@@ -111,7 +111,7 @@
         return self.figures
 
     def close(self) -> None:
-        """Ends all processes and removes all files."""
+        """Ends all processes and removes the files of the run."""
         self.cluster.close()
 
     def _play_and_stop(self) -> None:
@@ -147,14 +147,14 @@
         ]
 
     def _agreed_after_start(self) -> float:
-        """Seconds from the last member's start until every member holds all as alive for good."""
+        """Returns seconds from the last start until all members see all as alive for good."""
         lines = self._membership_lines(self.cluster.names)
-        begun = max(
-            _incarnation_start(view, number)
-            for number, view in enumerate(_latest_memberships(lines))
+        started_at = max(
+            _incarnation_start(membership, number)
+            for number, membership in enumerate(_latest_memberships(lines))
         )
         expected = {str(number): ALIVE for number in range(self._plan.limiters)}
-        return max(settled_at(member_lines, expected) for member_lines in lines) - begun
+        return max(settled_at(member_lines, expected) for member_lines in lines) - started_at
 
     def _at_rest(self) -> Figures:
         cpu = self._processor_s()
@@ -164,7 +164,7 @@
         return {**figures, "processor for control at rest": spent}
 
     def _under_load(self) -> Figures:
-        """Traffic of gossip alone, as no other traffic depends on the load."""
+        """Measures gossip traffic under load; other traffic does not depend on the load."""
         begin, end = self.scheduler.clock(), self.scheduler.clock() + 2 * self._plan.rest_s
         with (self._folder / "clients.jsonl").open("wb") as out:
             clients = Clients(self.scheduler, self._plan.seed, out, self._plan.limiters)
@@ -181,7 +181,7 @@
         }
 
     def _loads(self) -> Iterable[tuple[ClientTarget, Load]]:
-        """The load of each tenant at each limiter: its mean rate, evenly spaced."""
+        """Yields the load of each tenant at each limiter: its mean rate, evenly spaced."""
         plan, population = self._plan, self.cluster.population
         parts = split(population, range(plan.limiters), plan.limiters)
         for number, name in enumerate(self.cluster.names):
@@ -201,9 +201,9 @@
                 )
 
     def _kill_one(self, number: int) -> tuple[float, float]:
-        """Kills a limiter; returns median and worst seconds until the others hold it dead for good.
+        """Kills a limiter; returns median and worst seconds until the others see it dead for good.
 
-        Afterwards it is started again, and all hold it as alive when this returns.
+        Then restarts it and waits until all members see it as alive.
         """
         name = self.cluster.names[number]
         self._progress(f"{name} is killed")
@@ -226,17 +226,17 @@
         expected = {str(number): ALIVE for number in range(self._plan.limiters)}
         until = self.scheduler.clock() + RESTART_TIMEOUT_S
         while any(
-            states(view) != expected
-            for view in _latest_memberships(self._membership_lines(self.cluster.names))
+            states(membership) != expected
+            for membership in _latest_memberships(self._membership_lines(self.cluster.names))
         ):
             if self.scheduler.clock() > until:
                 raise MeasurementError(
-                    f"a limiter that was started again was not known within {RESTART_TIMEOUT_S:g} s"
+                    f"not all members saw a restarted limiter as alive in {RESTART_TIMEOUT_S:g} s"
                 )
             self.scheduler.sleep(CHECK_INTERVAL_S)
 
     def _measure_traffic(self, seconds: float) -> dict[tuple[str, Role], float]:
-        """Datagrams and bytes a second and limiter by role, headers included."""
+        """Returns datagrams and bytes (with headers) per second and limiter, by role."""
         datagrams, sizes = Counter(self.cluster.datagrams), Counter(self.cluster.bytes)
         began = self.scheduler.clock()
         self.scheduler.sleep(seconds)
@@ -254,27 +254,27 @@
         return [rows(view_file(self._folder, name)) for name in names]
 
 
-def states(view: Membership) -> dict[str, str]:
-    """The state of each limiter, by number."""
-    return {number: str(entry[0]) for number, entry in view.items()}
+def states(membership: Membership) -> dict[str, str]:
+    """Returns the state of each limiter, by number."""
+    return {number: str(entry[0]) for number, entry in membership.items()}
 
 
 def settled_at(lines: Sequence[Mapping[str, Any]], expected: Mapping[str, str]) -> float:
-    """Unix seconds at which a member's states became the wanted ones for good.
+    """Returns the Unix time from which a member's states were the expected ones for good.
 
     Args:
-        lines: The memberships that the member wrote, in their order.
-        expected: States by number.
+        lines: The memberships that the member wrote, in order.
+        expected: Expected state of each limiter, by number.
 
     Raises:
-        MeasurementError: The last states are not the wanted ones.
+        MeasurementError: The last states are not the expected ones.
     """
     since: float | None = None
     for line in lines:
         matches = states(line["members"]) == expected
         since = (line["t"] if since is None else since) if matches else None
     if since is None:
-        raise MeasurementError("a limiter did not come to hold what is so")
+        raise MeasurementError(f"a limiter's last membership is not the expected one: {expected}")
     return since
 
 
@@ -282,16 +282,16 @@
     return [member_lines[-1]["members"] if member_lines else {} for member_lines in lines]
 
 
-def _incarnation_start(view: Membership, number: int) -> float:
-    """Unix seconds of a member's start, by its own membership."""
-    entry = view.get(str(number))
+def _incarnation_start(membership: Membership, number: int) -> float:
+    """Returns the Unix time of a member's start, from the incarnation in its own membership."""
+    entry = membership.get(str(number))
     if entry is None:
-        raise MeasurementError(f"limiter {number} does not know itself")
+        raise MeasurementError(f"limiter {number} is missing from its own membership")
     return float(entry[1]) / INCARNATIONS_PER_S
 
 
 def real_figures(plan: FleetPlan, progress: Progress) -> Figures:
-    """Figures of real processes; raises HarnessError or MeasurementError."""
+    """Returns figures of real processes; raises HarnessError or MeasurementError."""
     run = RealRun(plan, Path(tempfile.mkdtemp(prefix="hazelhollow-compare-")), progress)
     try:
         return run.play()
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -106,7 +106,7 @@
         (
             client_rows(straight=2 * real.MAX_DIRECT_P99_S),
             BusyMachineError,
-            "one request in 100 took 6.00 ms",
+            r"directly to the server is 6\.00 ms, above 3 ms",
         ),
         (
             client_rows(outcome="busy"),
