--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -1,6 +1,7 @@
-"""Measurements with real processes.
+"""Tests of the measurements with real processes.
 
-What is made of the client's rows, when there is no figure, and that nothing is left running.
+They check how the client's request rows become figures, when a measurement raises an error instead,
+and that no process is left running.
 """
 
 from __future__ import annotations
@@ -43,21 +44,21 @@
 def client_rows(
     count: int = 1000,
     late: float = 0.0,
-    straight: float = 0.001,
-    through: float = 0.002,
+    direct_s: float = 0.001,
+    limiter_s: float = 0.002,
     outcome: str = "served",
 ) -> list[RequestRow]:
-    """Requests of both ways in turn, due every hundredth of a second from 0 on."""
+    """Requests on both paths, one on each every 10 ms from 0 s on."""
     found = []
     for number in range(count):
         due = number / 100
-        found.append(RequestRow(LIMITER, due, due + late, due + through, outcome))
-        found.append(RequestRow(SERVER, due, due + late, due + straight, "served"))
+        found.append(RequestRow(LIMITER, due, due + late, due + limiter_s, outcome))
+        found.append(RequestRow(SERVER, due, due + late, due + direct_s, "served"))
     return found
 
 
-def test_latency_counts_from_the_time_at_which_a_request_was_due() -> None:
-    """The client sends late. Counted from the sending, a slow limiter would look fast."""
+def test_latency_is_counted_from_the_scheduled_time() -> None:
+    """The client sends late. Counted from the time of sending, a slow limiter would look fast."""
     late = real.MAX_CLIENT_DELAY_P99_S / 2
     found = real.summarize(SIZE, client_rows(late=late), 0.0)
     assert found.limiter_median_s == pytest.approx(0.002) and found.limiter_p99_s == pytest.approx(
@@ -66,8 +67,8 @@
     assert found.direct_median_s == pytest.approx(0.001) and found.requests == 1000
 
 
-def test_stretches_in_which_the_client_was_late_are_left_out() -> None:
-    """The client was late for two seconds. Its delay would be counted as the limiter's."""
+def test_blocks_in_which_the_client_was_late_are_excluded() -> None:
+    """The client was late for two seconds. Its delay must not count as latency of the limiter."""
     slow = [
         RequestRow(row.to, row.due, row.began + 0.02, row.end + 0.02, row.outcome)
         if row.due < 2.0
@@ -86,12 +87,13 @@
     assert real.summarize(SIZE, slow_limiter, 0.0).limiter_p99_s == pytest.approx(0.022)
 
 
-def test_what_was_due_before_the_counting_is_left_out() -> None:
-    cold = [
+def test_requests_due_before_the_counted_period_are_excluded() -> None:
+    """Slow or failed requests of the warm-up must not enter the figures."""
+    warm_up = [
         RequestRow(LIMITER, -1.0, -1.0, 5.0, "served"),
         RequestRow(SERVER, -1.0, -1.0, 5.0, "failed"),
     ] * 500
-    assert real.summarize(SIZE, cold + client_rows(), 0.0).limiter_p99_s == pytest.approx(0.002)
+    assert real.summarize(SIZE, warm_up + client_rows(), 0.0).limiter_p99_s == pytest.approx(0.002)
 
 
 @pytest.mark.parametrize(
@@ -104,7 +106,7 @@
         ),
         (client_rows(count=real.MIN_REQUESTS - 1), MeasurementError, "too few"),
         (
-            client_rows(straight=2 * real.MAX_DIRECT_P99_S),
+            client_rows(direct_s=2 * real.MAX_DIRECT_P99_S),
             BusyMachineError,
             r"directly to the server is 6\.00 ms, above 3 ms",
         ),
@@ -116,16 +118,16 @@
         ([], MeasurementError, "too few"),
     ],
 )
-def test_there_is_no_figure_where_it_would_mislead(
+def test_unreliable_measurement_raises_instead_of_giving_a_figure(
     rows: list[RequestRow], error: type[Exception], why: str
 ) -> None:
-    """The client or the machine was slow, or requests failed. There is an error, not a figure."""
+    """The client or the machine was slow, or requests failed: a figure would be misleading."""
     with pytest.raises(error, match=why):
         real.summarize(SIZE, rows, 0.0)
 
 
 @given(st.lists(st.floats(0, 10), min_size=1, max_size=200), st.floats(0.01, 1.0))
-def test_a_quantile_is_the_least_value_that_the_share_does_not_exceed(
+def test_quantile_is_the_smallest_value_that_covers_the_share(
     values: list[float], share: float
 ) -> None:
     found = real.quantile(values, share)
@@ -134,72 +136,72 @@
     assert sum(value < found for value in values) < share * len(values) + 1e-9
 
 
-def test_a_late_client_is_tried_again_and_at_the_end_there_is_no_figure() -> None:
-    """The client is late in some attempts. Another one follows, as often as allowed."""
-    said: list[str] = []
-    played: list[LatencyPlan] = []
+def test_late_client_is_measured_again_until_attempts_are_used_up() -> None:
+    """The client is late in some attempts. Each is repeated, up to the allowed number."""
+    messages: list[str] = []
+    attempts: list[LatencyPlan] = []
     figure = real.summarize(SIZE, client_rows(), 0.0)
 
-    def late_until(good: int) -> real.Measure:
+    def late_until(good_attempt: int) -> real.Measure:
         def play(plan: LatencyPlan) -> Latency:
-            played.append(plan)
-            if len(played) < good:
+            attempts.append(plan)
+            if len(attempts) < good_attempt:
                 raise LateClientError("late")
             return figure
 
         return play
 
     plan = LatencyPlan(size=SIZE)
-    assert real.measure_again(plan, 3, said.append, late_until(3)) is figure
-    assert len(played) == 3 and len(said) == 2
-    played.clear()
+    assert real.measure_again(plan, 3, messages.append, late_until(3)) is figure
+    assert len(attempts) == 3 and len(messages) == 2
+    attempts.clear()
     with pytest.raises(LateClientError):
-        real.measure_again(plan, 2, said.append, late_until(9))
-    assert len(played) == 2
+        real.measure_again(plan, 2, messages.append, late_until(9))
+    assert len(attempts) == 2
 
 
-def test_the_poller_never_wakes_before_its_time_and_tells_what_is_ready() -> None:
-    poller, (ours, other) = real.MicrosecondPoller(), socket.socketpair()
-    with ours, other:
-        poller.register(ours.fileno(), select.POLLIN)
+def test_poller_never_wakes_early_and_returns_ready_descriptors() -> None:
+    poller, (near_end, far_end) = real.MicrosecondPoller(), socket.socketpair()
+    with near_end, far_end:
+        poller.register(near_end.fileno(), select.POLLIN)
         for wait_ms in (0.0, 0.3, 1.4, 5.2):
             began = time.monotonic()
             assert poller.poll(wait_ms) == []
             assert time.monotonic() - began >= wait_ms / 1000
-        other.send(b"x")
-        assert poller.poll(1000.0) == [(ours.fileno(), select.POLLIN)]
-        number = ours.fileno()
-        ours.close()
-        assert poller.poll(1000.0) == [(number, select.POLLNVAL)]  # closed and still registered
+        far_end.send(b"x")
+        assert poller.poll(1000.0) == [(near_end.fileno(), select.POLLIN)]
+        number = near_end.fileno()
+        near_end.close()
+        assert poller.poll(1000.0) == [(number, select.POLLNVAL)]  # closed but still registered
         poller.unregister(number)
         assert poller.poll(0.0) == []
 
 
-def test_the_poller_takes_descriptors_beyond_what_select_does() -> None:
-    """A descriptor above 1,023 makes select raise. The poller must fall back to poll."""
+def test_poller_accepts_descriptors_above_the_limit_of_select() -> None:
+    """A descriptor above 1,023 makes select raise; the poller must fall back to poll."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(2048, hard)), hard))
-    poller, (ours, other) = real.MicrosecondPoller(), socket.socketpair()
-    far = fcntl.fcntl(ours.fileno(), fcntl.F_DUPFD, 1024)
+    poller, (near_end, far_end) = real.MicrosecondPoller(), socket.socketpair()
+    high_fd = fcntl.fcntl(near_end.fileno(), fcntl.F_DUPFD, 1024)
     try:
-        poller.register(far, select.POLLIN)
+        poller.register(high_fd, select.POLLIN)
         assert poller.poll(0.0) == []
-        other.send(b"x")
-        assert poller.poll(1000.0) == [(far, select.POLLIN)]
+        far_end.send(b"x")
+        assert poller.poll(1000.0) == [(high_fd, select.POLLIN)]
     finally:
-        os.close(far)
-        ours.close()
-        other.close()
+        os.close(high_fd)
+        near_end.close()
+        far_end.close()
 
 
-def test_the_settings_hold_as_many_routes_as_the_size_says() -> None:
+def test_settings_have_the_number_of_routes_of_the_size() -> None:
     found = real.settings(SIZE)
     names = [grade["name"] for grade in found["grades"]]
     assert len(names) == len(set(names)) == 3 and names[0] == real.ROUTE
     assert found["balancers"] == 930
 
 
-def test_real_processes_serve_both_ways_in_turn_and_none_is_left(tmp_path: Path) -> None:
+def test_latency_run_alternates_both_paths_and_leaves_no_process(tmp_path: Path) -> None:
     folder = tmp_path / "run"
     folder.mkdir()
     run = real.LatencyRun(LatencyPlan(size=SIZE, seconds=1.0), folder)
@@ -208,18 +210,21 @@
         pids = [int(line.split()[0]) for line in (folder / "pids").read_text().splitlines()]
         counted = [row for row in found if row.due >= run.counted_from]
         assert all(
-            "served" in {row.outcome for row in counted if row.to == way}
-            for way in (LIMITER, SERVER)
+            "served" in {row.outcome for row in counted if row.to == path}
+            for path in (LIMITER, SERVER)
         )
-        ways = {
-            way: sorted(row.due for row in counted if row.to == way) for way in (LIMITER, SERVER)
+        due_times = {
+            path: sorted(row.due for row in counted if row.to == path) for path in (LIMITER, SERVER)
         }
-        assert abs(len(ways[LIMITER]) - len(ways[SERVER])) <= 1 and len(ways[LIMITER]) >= 49
-        gaps = [b - a for a, b in zip(ways[LIMITER], ways[LIMITER][1:], strict=False)]
+        assert (
+            abs(len(due_times[LIMITER]) - len(due_times[SERVER])) <= 1
+            and len(due_times[LIMITER]) >= 49
+        )
+        gaps = [b - a for a, b in zip(due_times[LIMITER], due_times[LIMITER][1:], strict=False)]
         assert gaps == pytest.approx(
             [1 / 50] * len(gaps)
-        )  # scheduled, whatever became of the earlier ones
-        assert abs(ways[SERVER][0] - ways[LIMITER][0]) == pytest.approx(1 / 100)
+        )  # on schedule, independent of earlier outcomes
+        assert abs(due_times[SERVER][0] - due_times[LIMITER][0]) == pytest.approx(1 / 100)
     finally:
         run.close()
     assert len(pids) == 2 and run.memory_bytes() > 1e6
@@ -229,7 +234,7 @@
     assert not folder.exists()
 
 
-def test_each_size_is_grown_alone_and_all_are_planned_together() -> None:
+def test_sizes_are_varied_alone_and_planned_together_at_the_end() -> None:
     found = real_commands.sizes()
     planned = budgets.PLANNED
     assert len(found) == len(set(found))
@@ -238,7 +243,7 @@
     assert max(grown) == 1
 
 
-def test_figures_are_added_to_those_in_the_file_and_a_size_without_one_is_reported(
+def test_latency_command_appends_figures_and_reports_failed_sizes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     figure = real.summarize(SIZE, client_rows(), 0.0)
@@ -262,7 +267,7 @@
     assert result.exit_code == 2 and "Traceback" not in result.output
 
 
-# Real processes against hollow limiters
+# Comparison of real processes with hollow limiters
 
 
 def line(at: float, *states: str) -> dict[str, Any]:
@@ -275,21 +280,21 @@
     [
         ([line(1, "alive", "dead")], 1.0),
         ([line(1, "alive"), line(2, "alive", "dead"), line(3, "alive", "dead")], 2.0),
-        # for good
+        # It matched at 1 s, but not for good.
         ([line(1, "alive", "dead"), line(2, "alive", "alive"), line(3, "alive", "dead")], 3.0),
     ],
 )
-def test_a_membership_is_settled_from_when_it_is_right_for_good(
+def test_membership_settles_when_it_matches_for_good(
     lines: list[dict[str, Any]], since: float
 ) -> None:
     assert real_fleet.settled_at(lines, {"0": "alive", "1": "dead"}) == since
 
 
 @pytest.mark.parametrize("lines", [[], [line(1, "alive", "dead"), line(2, "alive", "suspect")]])
-def test_a_membership_that_is_not_right_at_the_end_has_no_figure(
+def test_membership_that_does_not_match_at_the_end_raises(
     lines: list[dict[str, Any]],
 ) -> None:
-    """A member still suspects another at the end. It has no time of agreement."""
+    """A member that still suspects another at the end has no time of agreement."""
     with pytest.raises(MeasurementError):
         real_fleet.settled_at(lines, {"0": "alive", "1": "dead"})
 
@@ -334,7 +339,7 @@
     )
 
 
-def test_hollow_figures_are_of_one_limiter_and_leave_requests_and_lists_out() -> None:
+def test_hollow_figures_are_per_limiter_without_requests_and_lists() -> None:
     found = hollow_figures.figures_at_rest(hollow_point(cpu_s=0.4))
     assert found["processor for control at rest"] == pytest.approx(5 * 0.4 / 40)
     assert found["datagrams at rest, view"] == pytest.approx(10)
@@ -342,8 +347,8 @@
     assert not any(name.endswith(("requests", "list", "timers")) for name in found)
 
 
-def test_hollow_limiters_that_did_not_agree_give_no_figure() -> None:
-    """One of four members never agreed. Its seconds must not pass for a figure."""
+def test_hollow_limiters_that_did_not_agree_raise() -> None:
+    """One of four members never agreed, so the seconds of the others are not a valid figure."""
     assert (
         hollow_figures.agreed(hollow_point(1.0), results.EventKind.START).until_agreed.worst == 3.0
     )
@@ -352,7 +357,7 @@
             hollow_figures.agreed(hollow_point(1.0, reached), kind)
 
 
-def test_figures_that_only_one_side_has_are_not_compared() -> None:
+def test_figures_of_only_one_side_are_not_compared() -> None:
     found = fleet_comparison.comparisons(
         {"bytes at rest, view": 100.0, "agreed after x": 1.0},
         {"bytes at rest, view": 90.0, "datagrams": 3.0},
@@ -362,7 +367,7 @@
     ]
 
 
-def test_a_real_fleet_gives_each_figure_that_hollow_limiters_give_and_none_is_left(
+def test_real_fleet_gives_all_hollow_figures_and_leaves_no_process(
     tmp_path: Path,
 ) -> None:
     folder = tmp_path / "run"
@@ -383,16 +388,16 @@
     } <= set(found)
     assert all(name.split()[0] in fleet_comparison.UNITS for name in found)
     assert found["datagrams at rest, view"] > 0 and found["bytes under load, gossip"] > 0
-    assert len(pids) == 3 + plan.servers + 1  # and the one that was started again
+    assert len(pids) == 3 + plan.servers + 1  # plus the one that was restarted
     for pid in pids:
         with pytest.raises(ProcessLookupError):
             os.kill(pid, 0)
 
 
-def test_a_hollow_limiter_asks_the_shared_loop_how_old_its_knowledge_is() -> None:
-    """The scheduler of an incarnation has no loop of its own, so it asks the shared one."""
+def test_hollow_limiter_takes_the_time_since_poll_from_the_shared_loop() -> None:
+    """The scheduler of an incarnation has no loop of its own, so it must use the shared one."""
     now = [100.0]
     shared = scheduler.Scheduler(lambda: now[0])
-    own = IncarnationScheduler(shared, Meter())
+    own_scheduler = IncarnationScheduler(shared, Meter())
     now[0] = 100.4
-    assert own.time_since_poll() == shared.time_since_poll() == pytest.approx(0.4)
+    assert own_scheduler.time_since_poll() == shared.time_since_poll() == pytest.approx(0.4)
