--- a/hazelhollow/scale/plots.py
+++ b/hazelhollow/scale/plots.py
@@ -33,7 +33,9 @@
     start, end = slope.curve.smallest_size, max(target, slope.curve.greatest_size)
     sizes = [start + (end - start) * step / STEPS for step in range(STEPS + 1)]
     figure, axes = pyplot.subplots(figsize=FIGURE_SIZE_INCHES)
-    axes.plot(sizes, [slope.curve.at(size) for size in sizes], label=f"fitted, {slope.curve.shape}")
+    axes.plot(
+        sizes, [slope.curve.value_at(size) for size in sizes], label=f"fitted, {slope.curve.shape}"
+    )
     axes.plot(
         [size for size, _ in measured], [value for _, value in measured], "o", label="measured"
     )
--- a/hazelhollow/scale/real_commands.py
+++ b/hazelhollow/scale/real_commands.py
@@ -18,7 +18,7 @@
 from hazelhollow.scale.errors import MeasurementError, ResultsError
 from hazelhollow.scale.real import LatencyPlan
 from hazelhollow.scale.report_run_tables import relative_difference
-from hazelhollow.scale.report_text import shown
+from hazelhollow.scale.report_text import format_value
 from hazelhollow.scale.results import Latency, Size
 
 PLANNED = budgets.PLANNED
@@ -139,7 +139,7 @@
     for each in measured:
         verdict = f"differ by more than {100 * each.margin:g}%" if each in exceeding else "alike"
         click.echo(
-            f"{each.figure}: real {shown(each.real, each.unit)}, hollow "
-            f"{shown(each.hollow, each.unit)}, {verdict}"
+            f"{each.figure}: real {format_value(each.real, each.unit)}, hollow "
+            f"{format_value(each.hollow, each.unit)}, {verdict}"
         )
     sys.exit(FAILED if exceeding else 0)
--- a/hazelhollow/scale/report.py
+++ b/hazelhollow/scale/report.py
@@ -11,7 +11,7 @@
 from hazelhollow.scale.report_tables import tables
 from hazelhollow.scale.results import load
 
-EARLIER = "before-"  # prefix of files with results of an earlier version of the program
+EARLIER_PREFIX = "before-"  # prefix of files with results of an earlier version of the program
 
 
 def read(files: Sequence[Path]) -> Runs:
@@ -27,8 +27,8 @@
         if run.results.planned != runs[0].results.planned:
             raise ResultsError(f"{run.name}: another planned size than {runs[0].name}")
     return Runs(
-        now=tuple(run for run in runs if not run.name.startswith(EARLIER)),
-        before=tuple(run for run in runs if run.name.startswith(EARLIER)),
+        now=tuple(run for run in runs if not run.name.startswith(EARLIER_PREFIX)),
+        before=tuple(run for run in runs if run.name.startswith(EARLIER_PREFIX)),
     )
 
 
--- a/hazelhollow/scale/report_commands.py
+++ b/hazelhollow/scale/report_commands.py
@@ -14,7 +14,7 @@
 from hazelhollow.scale.report_tables import tables
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-DIFFERS = 1  # exit status of --check if the page is out of date
+OUTDATED = 1  # exit status of --check if the page is out of date
 BAD_INPUT = 2  # exit status if a file cannot be read or is invalid
 
 
@@ -68,7 +68,7 @@
             f"{page} is out of date with the results files: run the command without --check",
             err=True,
         )
-        sys.exit(DIFFERS)
+        sys.exit(OUTDATED)
 
 
 def _plot(runs: Runs, folder: Path) -> None:
--- a/hazelhollow/scale/report_documents.py
+++ b/hazelhollow/scale/report_documents.py
@@ -30,7 +30,7 @@
 from hazelhollow.standins.discovery import Discovery, Host
 
 COUNTS = (100, 1_000, 5_500, PLANNED.routes)
-STEP = 50  # routes; the precision of `max_routes`
+ROUTES_STEP = 50  # routes; the precision of `max_routes`
 SEARCH_MULTIPLE = 6  # of the planned routes; the upper end of the search in `max_routes`
 NAME_DIGITS = 16  # hexadecimal digits in the name of an unlike route
 SERVERS = (200, 2_000, PLANNED.servers)
@@ -87,15 +87,15 @@
 
 @cache
 def max_routes(kind: RouteKind) -> int:
-    """Returns the greatest multiple of `STEP` routes whose document can be distributed."""
-    low, high = 0, SEARCH_MULTIPLE * PLANNED.routes // STEP
+    """Returns the greatest multiple of `ROUTES_STEP` routes whose document can be distributed."""
+    low, high = 0, SEARCH_MULTIPLE * PLANNED.routes // ROUTES_STEP
     while low < high:
         middle = (low + high + 1) // 2
-        if make_document(middle * STEP, kind).distributable:
+        if make_document(middle * ROUTES_STEP, kind).distributable:
             low = middle
         else:
             high = middle - 1
-    return low * STEP
+    return low * ROUTES_STEP
 
 
 def _document(routes: int, kind: RouteKind) -> dict[str, Any]:
--- a/hazelhollow/scale/report_fit.py
+++ b/hazelhollow/scale/report_fit.py
@@ -48,7 +48,7 @@
     samples: int
     error: float
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Returns the figure at a size, at least 0; flat above `greatest_size` if it falls."""
         if self.slope < 0.0:
             size = min(size, self.greatest_size)
@@ -56,7 +56,7 @@
 
     def growth(self, size: float, start: float) -> float:
         """Returns the figure at `size` minus the figure at `start`; it may be negative."""
-        return self.at(size) - self.at(start)
+        return self.value_at(size) - self.value_at(start)
 
 
 def fit(samples: Sequence[Sample]) -> Fit | None:
--- a/hazelhollow/scale/report_observations.py
+++ b/hazelhollow/scale/report_observations.py
@@ -43,10 +43,10 @@
     Role.AUDIT: (Axis.LIMITERS, Axis.ALL),
     Role.TIMERS: tuple(Axis),
 }
-MIN_SECONDS = 1.0  # a shorter measurement was aborted, and its rates are not valid
+MIN_MEASURED_S = 1.0  # a shorter measurement was aborted, and its rates are not valid
 # One turn for a request's arrival and one for its answer. A run in which each tenant sends an extra
 # request at the start has more turns than its rate accounts for.
-TURNS_OF_A_REQUEST = 2.0
+MAX_TURNS_PER_REQUEST = 2.0
 
 
 class Observation(msgspec.Struct, frozen=True):
@@ -87,20 +87,20 @@
         planned: The planned size; the cost of requests is scaled to its request rate.
     """
     for point in results.points:
-        yield from _of_point(point, planned)
-    yield from _of_latencies(results.latencies, planned)
+        yield from _point_observations(point, planned)
+    yield from _latencies_at_planned_rate(results.latencies, planned)
 
 
-def _of_point(point: Point, planned: Size) -> Iterator[tuple[Quantity, Observation]]:
+def _point_observations(point: Point, planned: Size) -> Iterator[tuple[Quantity, Observation]]:
     for sums in point.roles:
         if point.axis in AXES_OF_ROLE[sums.role]:
-            for quantity, value in _of_role(point, sums, planned):
+            for quantity, value in _role_values(point, sums, planned):
                 yield quantity, Observation(point.axis, point.size, value)
     if point.memory_bytes > 0.0:
         yield MEMORY, Observation(point.axis, point.size, point.memory_bytes)
     for event in point.events:
         if point.whole_fleet and _counts_along(event.kind, point.axis):
-            for quantity, value in _of_event(event, point.timed(event)):
+            for quantity, value in _event_values(event, point.timed(event)):
                 yield quantity, Observation(point.axis, point.size, value)
 
 
@@ -111,7 +111,7 @@
     )
 
 
-def _of_role(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
+def _role_values(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
     """Returns the figures of one role at one point.
 
     If only some of the fleet's limiters were played, figures of roles with datagrams do not count,
@@ -119,7 +119,7 @@
     limiter's own tenants.
     """
     peers_missing = sums.role in ROLES_WITH_DATAGRAMS and not point.whole_fleet
-    if not peers_missing and point.seconds >= MIN_SECONDS:
+    if not peers_missing and point.seconds >= MIN_MEASURED_S:
         yield from _rates(point, sums, planned)
     if sums.calls and (not peers_missing or sums.role is Role.GOSSIP):
         yield role_quantity(sums.role, Resource.LONGEST_TURN), sums.longest_turn_s
@@ -135,7 +135,7 @@
     if sums.role is Role.REQUESTS:
         if sums.calls and point.size.requests_per_s:
             turns = min(
-                sums.calls / limiter_seconds / point.size.requests_per_s, TURNS_OF_A_REQUEST
+                sums.calls / limiter_seconds / point.size.requests_per_s, MAX_TURNS_PER_REQUEST
             )
             request_cpu_s = turns * sums.cpu_s / sums.calls
             yield (
@@ -146,7 +146,7 @@
         yield role_quantity(sums.role, Resource.PROCESSOR), sums.cpu_s / limiter_seconds
 
 
-def _of_event(event: Event, timed: bool) -> Iterator[tuple[Quantity, float]]:
+def _event_values(event: Event, timed: bool) -> Iterator[tuple[Quantity, float]]:
     """Returns figures of one event; seconds are infinite unless all members agreed in the run."""
     spread = event.until_agreed
     all_agreed = spread.reached == spread.of
@@ -163,7 +163,7 @@
     yield event_quantity(event.kind, Resource.WORST_SECOND), event.worst_second_bytes_most
 
 
-def _of_latencies(
+def _latencies_at_planned_rate(
     latencies: Sequence[Latency], planned: Size
 ) -> Iterator[tuple[Quantity, Observation]]:
     """Returns the latencies at the rate nearest to the planned one, as load affects latency."""
@@ -174,7 +174,7 @@
     )
     for latency in latencies:
         if latency.size.requests_per_s == rate:
-            yield from _of_latency(latency, _smallest_measured(latencies))
+            yield from _latency_observations(latency, _smallest_measured(latencies))
 
 
 def _smallest_measured(latencies: Sequence[Latency]) -> tuple[int, int]:
@@ -184,7 +184,7 @@
     return servers, routes
 
 
-def _of_latency(
+def _latency_observations(
     latency: Latency, smallest: tuple[int, int]
 ) -> Iterator[tuple[Quantity, Observation]]:
     """Returns observations of one latency, along the axis that it belongs to.
--- a/hazelhollow/scale/report_order.py
+++ b/hazelhollow/scale/report_order.py
@@ -19,7 +19,7 @@
 from hazelhollow.scale.results import Axis, Size
 
 # Budgets whose rows are added up; for every other budget only the greatest row counts.
-ADDED_UP = (budgets.CONTROL_CPU, budgets.CONTROL_BYTES)
+SUMMED_BUDGETS = (budgets.CONTROL_CPU, budgets.CONTROL_BYTES)
 MIN_FRACTION = 0.001  # fraction of the plan at which the search starts
 MAX_FRACTION = 10.0  # fraction of the plan at which the search ends
 SEARCH_STEPS = 400  # evenly spaced on a logarithmic scale
@@ -87,7 +87,7 @@
     """
     passings = [_row_passing(row, analysis) for row in analysis.rows if row.quantity.budget]
     passings += [
-        _sum_passing(total, analysis) for total in sums(analysis) if total.budget in ADDED_UP
+        _sum_passing(total, analysis) for total in sums(analysis) if total.budget in SUMMED_BUDGETS
     ]
     return tuple(sorted([*passings, *additional], key=_rank))
 
@@ -107,7 +107,7 @@
     )
 
 
-def passes_at(value: Callable[[float], float | None], limit: float) -> float | None:
+def passing_fraction(value: Callable[[float], float | None], limit: float) -> float | None:
     """Returns the lowest fraction of the plan at which a value is above a limit.
 
     Args:
@@ -147,7 +147,7 @@
     rows = [row for row in analysis.rows if row.quantity.budget == budget]
     with_figure = tuple(row for row in rows if row.figure.value is not None)
     values = [row.figure.value for row in with_figure if row.figure.value is not None]
-    combined = sum(values) if budget in ADDED_UP else max(values, default=0.0)
+    combined = sum(values) if budget in SUMMED_BUDGETS else max(values, default=0.0)
     return BudgetSum(
         budget=budget,
         rows_with_figure=with_figure,
@@ -160,7 +160,9 @@
     budget = row.quantity.budget
     assert budget is not None
     figure, fitted = row.figure, bool(row.slopes) or row.unreached_from is not None
-    fraction = passes_at(lambda fraction: row.at(fraction, analysis.planned), budget.limit)
+    fraction = passing_fraction(
+        lambda fraction: row.value_at(fraction, analysis.planned), budget.limit
+    )
     if not fitted:
         fraction = row.lowest_fraction_above(budget.limit, analysis.planned)
     return Passing(
@@ -181,7 +183,7 @@
     budget.
     """
     limit = total.budget.limit
-    by_slopes = passes_at(
+    by_slopes = passing_fraction(
         lambda fraction: _sum_at(total.rows_with_figure, fraction, analysis), limit
     )
     lowest_run = _lowest_fraction_above(
@@ -218,7 +220,9 @@
 
 
 def _sum_at(rows: Sequence[Row], fraction: float, analysis: Analysis) -> float | None:
-    values = [value for row in rows if (value := row.at(fraction, analysis.planned)) is not None]
+    values = [
+        value for row in rows if (value := row.value_at(fraction, analysis.planned)) is not None
+    ]
     return sum(values) if values else None
 
 
--- a/hazelhollow/scale/report_rows.py
+++ b/hazelhollow/scale/report_rows.py
@@ -106,11 +106,11 @@
         ]
         return min(above, default=None)
 
-    def at(self, fraction: float, planned: Size) -> float | None:
+    def value_at(self, fraction: float, planned: Size) -> float | None:
         """Returns the value with every axis at that fraction of the plan; None without a slope.
 
         The value is the greater of two estimates: the sum of the growth along single axes, and the
-        curve of the runs in which all axes grew together.
+        curve of the runs in which all axes grew together. From `unreached_from` on it is infinite.
         """
         if self.unreached_from is not None and fraction >= self.unreached_from:
             return math.inf
@@ -196,9 +196,9 @@
     if at_size:
         return Figure(value=sum(at_size) / len(at_size), mark=Mark.MEASURED)
     if curve.greatest_size >= target:
-        return Figure(value=curve.at(target), mark=Mark.MEASURED)
+        return Figure(value=curve.value_at(target), mark=Mark.MEASURED)
     return Figure(
-        value=curve.at(target), mark=Mark.EXTRAPOLATED, factor=target / curve.greatest_size
+        value=curve.value_at(target), mark=Mark.EXTRAPOLATED, factor=target / curve.greatest_size
     )
 
 
@@ -267,13 +267,13 @@
     values = []
     single = [slope for slope in slopes if slope.axis is not Axis.ALL]
     if single:
-        base = max(slope.curve.at(slope.base_size) for slope in single)
+        base = max(slope.curve.value_at(slope.base_size) for slope in single)
         growth = sum(
             slope.curve.growth(_scaled(slope.axis, fraction, planned), slope.base_size)
             for slope in single
         )
         values.append(max(0.0, base + growth))
-    values += [slope.curve.at(fraction) for slope in slopes if slope.axis is Axis.ALL]
+    values += [slope.curve.value_at(fraction) for slope in slopes if slope.axis is Axis.ALL]
     return max(values) if values else None
 
 
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -9,9 +9,9 @@
 from hazelhollow.scale.report_text import (
     AXIS_WORDS,
     NONE,
-    digits,
-    percent,
-    shown,
+    format_number,
+    format_percent,
+    format_value,
     size_text,
     table,
 )
@@ -57,16 +57,18 @@
 
 def _event_cells(event: Event, timed: bool) -> list[str]:
     spread, quotas = event.until_agreed, event.quotas
-    seconds = [shown(value, "s") for value in (spread.median, spread.p99, spread.worst)]
+    seconds = [format_value(value, "s") for value in (spread.median, spread.p99, spread.worst)]
     return [
         *(seconds if timed else [TOO_SLOW] * len(seconds)),
         f"{spread.reached} of {spread.of}",
-        shown(event.worst_ten_seconds_bytes_mean, "B/s"),
-        shown(event.worst_second_bytes_most, "B/s"),
-        NONE if event.longest_turn_s is None else shown(event.longest_turn_s, "s"),
+        format_value(event.worst_ten_seconds_bytes_mean, "B/s"),
+        format_value(event.worst_second_bytes_most, "B/s"),
+        NONE if event.longest_turn_s is None else format_value(event.longest_turn_s, "s"),
         str(event.false_deaths),
-        percent(quotas.beyond / quotas.let_in) if quotas and quotas.let_in else NONE,
-        percent(quotas.refused_with_room / quotas.asked) if quotas and quotas.asked else NONE,
+        format_percent(quotas.beyond / quotas.let_in) if quotas and quotas.let_in else NONE,
+        format_percent(quotas.refused_with_room / quotas.asked)
+        if quotas and quotas.asked
+        else NONE,
     ]
 
 
@@ -87,10 +89,12 @@
                 program,
                 AXIS_WORDS[point.axis],
                 size_text(point.size),
-                digits(point.quotas.asked),
-                digits(point.quotas.let_in),
-                percent(point.quotas.beyond / point.quotas.let_in if point.quotas.let_in else None),
-                percent(
+                format_number(point.quotas.asked),
+                format_number(point.quotas.let_in),
+                format_percent(
+                    point.quotas.beyond / point.quotas.let_in if point.quotas.let_in else None
+                ),
+                format_percent(
                     point.quotas.refused_with_room / point.quotas.asked
                     if point.quotas.asked
                     else None
@@ -122,7 +126,7 @@
                 program,
                 size_text(latency.size),
                 f"{latency.requests:,}",
-                percent(latency.left_out),
+                format_percent(latency.left_out),
                 *_latency_cells(latency),
             ]
             for program, group in (("now", runs.now), ("before", runs.before))
@@ -134,7 +138,7 @@
 
 def _latency_cells(latency: Latency) -> list[str]:
     return [
-        shown(value, "s")
+        format_value(value, "s")
         for value in (
             latency.direct_median_s,
             latency.direct_p99_s,
@@ -154,8 +158,8 @@
             [
                 program,
                 comparison.figure,
-                shown(comparison.real, comparison.unit),
-                shown(comparison.hollow, comparison.unit),
+                format_value(comparison.real, comparison.unit),
+                format_value(comparison.hollow, comparison.unit),
                 *_difference_cells(comparison),
             ]
             for program, group in (("now", runs.now), ("before", runs.before))
@@ -168,8 +172,8 @@
 def _difference_cells(comparison: Comparison) -> list[str]:
     deviation = relative_difference(comparison)
     return [
-        percent(deviation),
-        percent(comparison.margin),
+        format_percent(deviation),
+        format_percent(comparison.margin),
         "yes" if deviation <= comparison.margin else "**no**",
     ]
 
--- a/hazelhollow/scale/report_tables.py
+++ b/hazelhollow/scale/report_tables.py
@@ -8,7 +8,7 @@
 from hazelhollow.scale.report_claims import CLAIMS, verdict
 from hazelhollow.scale.report_documents import RouteKind, documents, max_routes, server_lists
 from hazelhollow.scale.report_order import (
-    ADDED_UP,
+    SUMMED_BUDGETS,
     BudgetSum,
     Passing,
     document_passings,
@@ -25,11 +25,11 @@
 from hazelhollow.scale.report_runs import Run, Runs
 from hazelhollow.scale.report_text import (
     AXIS_WORDS,
-    digits,
+    format_number,
+    format_percent,
+    format_value,
     formula,
     mark_text,
-    percent,
-    shown,
     table,
     unmeasured_text,
 )
@@ -81,10 +81,10 @@
                 run.results.began,
                 (
                     f"{run.results.machine.cores} cores, "
-                    f"{shown(run.results.machine.memory_bytes, 'B')}, Python "
+                    f"{format_value(run.results.machine.memory_bytes, 'B')}, Python "
                     f"{run.results.machine.python}"
                 ),
-                digits(run.results.machine.load),
+                format_number(run.results.machine.load),
                 str(len(run.results.points)),
                 str(len(run.results.latencies)),
                 str(len(run.results.comparisons)),
@@ -107,10 +107,10 @@
             [
                 row.quantity.part,
                 row.quantity.resource,
-                shown(value, row.quantity.unit),
+                format_value(value, row.quantity.unit),
                 mark_text(row.figure),
-                percent(value / budget.limit if budget and value is not None else None),
-                shown(earlier.figure.value if earlier else None, row.quantity.unit),
+                format_percent(value / budget.limit if budget and value is not None else None),
+                format_value(earlier.figure.value if earlier else None, row.quantity.unit),
             ]
         )
     return table(
@@ -137,9 +137,9 @@
                 row.quantity.resource,
                 AXIS_WORDS[slope.axis],
                 formula(slope.curve, row.quantity.unit),
-                digits(slope.curve.smallest_size),
-                digits(slope.curve.greatest_size),
-                shown(slope.figure.value, row.quantity.unit),
+                format_number(slope.curve.smallest_size),
+                format_number(slope.curve.greatest_size),
+                format_value(slope.figure.value, row.quantity.unit),
                 mark_text(slope.figure),
             ]
             for row in analysis.rows
@@ -156,12 +156,12 @@
         rows.append(
             [
                 total.budget.name + (" (derived)" if total.budget.derived else ""),
-                shown(total.budget.limit, unit),
-                "sum" if total.budget in ADDED_UP else "dearest",
+                format_value(total.budget.limit, unit),
+                "sum" if total.budget in SUMMED_BUDGETS else "dearest",
                 _sum_text(total),
                 _left_text(total),
                 ", ".join(row.quantity.part for row in total.rows_without_figure) or "none",
-                shown(earlier.value, unit),
+                format_value(earlier.value, unit),
             ]
         )
     return table(["budget", "limit", "by", "at planned size", "left", "not known", "before"], rows)
@@ -171,7 +171,7 @@
     if total.value is None:
         return str(Mark.UNKNOWN)
     bound = "at least " if total.rows_without_figure else ""
-    return bound + shown(total.value, total.budget.unit)
+    return bound + format_value(total.value, total.budget.unit)
 
 
 def _left_text(total: BudgetSum) -> str:
@@ -179,7 +179,7 @@
     if total.left is None:
         return str(Mark.UNKNOWN)
     bound = "at most " if total.rows_without_figure else ""
-    return bound + shown(total.left, total.budget.unit)
+    return bound + format_value(total.left, total.budget.unit)
 
 
 def order_table(passings: Sequence[Passing]) -> str:
@@ -192,9 +192,9 @@
             [
                 str(place),
                 passing.name,
-                f"{passing.budget.name}, {shown(passing.budget.limit, passing.budget.unit)}",
+                f"{passing.budget.name}, {format_value(passing.budget.limit, passing.budget.unit)}",
                 _passed(passing),
-                percent(passing.share),
+                format_percent(passing.share),
                 passing.mark + unmeasured_text(passing.unmeasured_axes)
                 if passing.fitted
                 else ONE_SIZE,
@@ -211,8 +211,8 @@
     if passing.fraction == 0.0:
         return "any size"
     if not passing.fitted:
-        return f"{percent(passing.fraction)} of the plan or below; no slope"
-    return f"{percent(passing.fraction)} of the plan"
+        return f"{format_percent(passing.fraction)} of the plan or below; no slope"
+    return f"{format_percent(passing.fraction)} of the plan"
 
 
 def claims_table(runs: Runs) -> str:
@@ -224,10 +224,10 @@
         rows.append(
             [
                 claim.text,
-                shown(claim.claimed, claim.unit),
-                shown(earlier, claim.unit),
+                format_value(claim.claimed, claim.unit),
+                format_value(earlier, claim.unit),
                 verdict(claim.claimed, earlier),
-                shown(later, claim.unit),
+                format_value(later, claim.unit),
             ]
         )
     return table(["figure", "first look", "measured before", "", "now"], rows)
@@ -252,7 +252,7 @@
     limits = "; ".join(
         (
             f"{kind} routes: up to {max_routes(kind):,}, "
-            f"{percent(max_routes(kind) / budgets.PLANNED.routes)} of the plan"
+            f"{format_percent(max_routes(kind) / budgets.PLANNED.routes)} of the plan"
         )
         for kind in RouteKind
     )
--- a/hazelhollow/scale/report_text.py
+++ b/hazelhollow/scale/report_text.py
@@ -39,7 +39,7 @@
     return "| " + " | ".join(cells) + " |"
 
 
-def shown(value: float | None, unit: str) -> str:
+def format_value(value: float | None, unit: str) -> str:
     """Returns a value with three significant digits, prefix and unit; `NONE` if not known."""
     if value is None:
         return NONE
@@ -48,14 +48,14 @@
     if unit == "s":
         return _seconds(value)
     if unit == "core":
-        return f"{digits(100.0 * value)}% of a core"
+        return f"{format_number(100.0 * value)}% of a core"
     for size, prefix in PREFIXES:
         if abs(value) >= size:
-            return f"{digits(value / size)} {prefix}{unit}"
-    return f"{digits(value)} {unit}"
+            return f"{format_number(value / size)} {prefix}{unit}"
+    return f"{format_number(value)} {unit}"
 
 
-def digits(value: float) -> str:
+def format_number(value: float) -> str:
     """Returns a number with three significant digits; from 100 on it is rounded to an integer."""
     if value == 0.0:
         return "0"
@@ -63,11 +63,11 @@
     return f"{value:,.{min(places, 6)}f}"
 
 
-def percent(share: float | None) -> str:
+def format_percent(share: float | None) -> str:
     """Returns a share as a percentage; `NONE` if not known."""
     if share is None:
         return NONE
-    return "without bound" if math.isinf(share) else f"{digits(100.0 * share)}%"
+    return "without bound" if math.isinf(share) else f"{format_number(100.0 * share)}%"
 
 
 def size_text(size: Size) -> str:
@@ -87,7 +87,7 @@
     """
     text = str(figure.mark)
     if figure.mark is Mark.EXTRAPOLATED or (figure.mark is Mark.MODELLED and figure.factor > 1.0):
-        text += f" ({digits(figure.factor)} times the measured size)"
+        text += f" ({format_number(figure.factor)} times the measured size)"
     if figure.unmeasured_axes and figure.mark is not Mark.UNKNOWN:
         text += unmeasured_text(figure.unmeasured_axes)
     if 0.0 < figure.rate < MIN_RATE_SHARE * budgets.PLANNED.requests_per_s:
@@ -105,13 +105,14 @@
     size = "N" if curve.shape is Shape.LINEAR else "ln N"
     sign = "+" if curve.slope >= 0.0 else "-"
     return (
-        f"{shown(curve.intercept, unit)} {sign} {shown(abs(curve.slope), unit)} x {size} "
-        f"({curve.samples} points, error at most {percent(curve.error)})"
+        f"{format_value(curve.intercept, unit)} {sign} "
+        f"{format_value(abs(curve.slope), unit)} x {size} "
+        f"({curve.samples} points, error at most {format_percent(curve.error)})"
     )
 
 
 def _seconds(value: float) -> str:
     for size, unit in SECONDS:
         if abs(value) >= size:
-            return f"{digits(value / size)} {unit}"
-    return f"{digits(value * 1e6)} µs"
+            return f"{format_number(value / size)} {unit}"
+    return f"{format_number(value * 1e6)} µs"
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -28,7 +28,7 @@
     MIN_FRACTION,
     document_passings,
     order,
-    passes_at,
+    passing_fraction,
     sums,
 )
 from hazelhollow.scale.report_page import render
@@ -43,7 +43,7 @@
 from hazelhollow.scale.report_run_tables import relative_difference
 from hazelhollow.scale.report_runs import Run, Runs
 from hazelhollow.scale.report_tables import tables
-from hazelhollow.scale.report_text import percent, shown
+from hazelhollow.scale.report_text import format_percent, format_value
 from hazelhollow.scale.results import Axis, EventKind, Role
 
 ROOT = Path(__file__).parents[2]
@@ -190,12 +190,12 @@
     """A falling line carried beyond the measured sizes would hide the cost of larger fleets."""
     curve = fit([Sample(10, 5.0), Sample(20, 4.0)])
     assert curve is not None
-    assert curve.at(20) == curve.at(1000) == pytest.approx(4.0)
+    assert curve.value_at(20) == curve.value_at(1000) == pytest.approx(4.0)
 
 
 def test_fit_below_zero_is_clamped_to_zero() -> None:
     curve = fit([Sample(10, 1.0), Sample(20, 11.0)])
-    assert curve is not None and curve.at(1) == 0.0
+    assert curve is not None and curve.value_at(1) == 0.0
 
 
 # Rows and marks
@@ -301,7 +301,7 @@
     analysis = analyse([make_results(*points)])
     for row in analysis.rows:
         assert row.figure.value is None and row.figure.mark is Mark.UNKNOWN
-    assert "0" not in shown(None, "s")
+    assert "0" not in format_value(None, "s")
     for passing in order(analysis):
         assert passing.fraction is None and passing.share is None and passing.mark is Mark.UNKNOWN
     for total in sums(analysis):
@@ -323,8 +323,8 @@
     change = next(each for each in sums(analysis) if each.budget is budgets.CHANGE_P99)
     assert change.value == math.inf
     assert (
-        shown(change.value, "s") == "not within the run"
-        and percent(passing.share) == "without bound"
+        format_value(change.value, "s") == "not within the run"
+        and format_percent(passing.share) == "without bound"
     )
 
 
@@ -349,7 +349,7 @@
     found = [latency(200, 1, 0.001), latency(14_000, 1, 0.003), latency(200, 1, 9.0, rate=50.0)]
     row = analyse([make_results(latencies=found)]).row(ADDED_P99)
     assert row and [slope.axis for slope in row.slopes] == [Axis.SERVERS]
-    assert max(each.value for each in row.observations) < 1.0 and row.slopes[0].curve.at(
+    assert max(each.value for each in row.observations) < 1.0 and row.slopes[0].curve.value_at(
         200
     ) == pytest.approx(0.001)
     assert row.figure.value == pytest.approx(0.003) and row.figure.unmeasured_axes == (
@@ -598,11 +598,11 @@
 
 @given(st.floats(2 * MIN_FRACTION, 0.99 * MAX_FRACTION), st.floats(0.01, 100))
 def test_passing_is_where_the_value_meets_the_limit(where: float, limit: float) -> None:
-    fraction = passes_at(lambda f: limit * f / where, limit)
+    fraction = passing_fraction(lambda f: limit * f / where, limit)
     assert fraction == pytest.approx(where, rel=1e-3)
-    assert passes_at(lambda f: 0.5 * limit, limit) is None
-    assert passes_at(lambda f: 2 * limit, limit) == 0.0
-    assert passes_at(lambda f: None, limit) is None
+    assert passing_fraction(lambda f: 0.5 * limit, limit) is None
+    assert passing_fraction(lambda f: 2 * limit, limit) == 0.0
+    assert passing_fraction(lambda f: None, limit) is None
 
 
 @pytest.mark.parametrize(
@@ -636,7 +636,7 @@
 def test_values_are_shown_with_three_digits_and_unit(
     value: float | None, unit: str, text: str
 ) -> None:
-    assert shown(value, unit) == text
+    assert format_value(value, unit) == text
 
 
 # Claims
@@ -736,7 +736,9 @@
 ) -> None:
     routes = report_documents.max_routes(kind)
     assert report_documents.make_document(routes, kind).distributable
-    assert not report_documents.make_document(routes + report_documents.STEP, kind).distributable
+    assert not report_documents.make_document(
+        routes + report_documents.ROUTES_STEP, kind
+    ).distributable
 
 
 def test_server_list_grows_linearly_and_is_accepted_up_to_the_limit() -> None:
