--- a/hazelhollow/scale/report_observations.py
+++ b/hazelhollow/scale/report_observations.py
@@ -1,4 +1,4 @@
-"""Observations of the capacity report: which values of results count for which quantity."""
+"""Observations of the capacity report: the values of results that count for each quantity."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 )
 
 # The axes along which a role's figures are meaningful. Traffic between limiters does not depend on
-# the servers. The cost of a request does not depend on the limiters, as the settings name as many
-# as planned in every run that grows something else.
+# the number of servers. The cost of a request does not depend on the number of limiters played: in
+# every run along another axis, the settings name the planned number of limiters.
 AXES_OF_ROLE = {
     Role.REQUESTS: (Axis.SERVERS, Axis.ROUTES, Axis.TENANTS, Axis.ALL),
     Role.LIST: (Axis.SERVERS, Axis.ROUTES, Axis.ALL),
@@ -43,19 +43,19 @@
     Role.AUDIT: (Axis.LIMITERS, Axis.ALL),
     Role.TIMERS: tuple(Axis),
 }
-MIN_SECONDS = 1.0  # of measuring; a shorter run was broken off and has no rates
-# A request's arrival and its answer. A run in which each tenant sends a request at first has more
-# turns than its rate explains.
-TURNS_OF_A_REQUEST = 2.0
+MIN_MEASURED_S = 1.0  # a shorter measurement was aborted, and its rates are not valid
+# One turn for a request's arrival and one for its answer. A run in which each tenant sends an extra
+# request at the start has more turns than its rate accounts for.
+MAX_TURNS_PER_REQUEST = 2.0
 
 
 class Observation(msgspec.Struct, frozen=True):
     """One value of a quantity at one size.
 
     Attributes:
-        axis: What grew in the run.
-        size: The size.
-        value: In the quantity's unit; infinite for what some members did not reach in the run.
+        axis: The axis that was varied in the run.
+        size: The size at which the value was measured.
+        value: In the quantity's unit; infinite if some members did not settle within the run.
     """
 
     axis: Axis
@@ -64,7 +64,7 @@
 
 
 def coordinate(size: Size, axis: Axis, planned: Size) -> float:
-    """The size along an axis; for the axis `all`, the number of limiters as a part of the plan."""
+    """Returns the size along an axis; along `all`, limiters as a fraction of the planned number."""
     if axis is Axis.ALL:
         return size.limiters / planned.limiters
     if axis is Axis.CONFIGURATION:
@@ -80,53 +80,54 @@
 
 
 def observations(results: Results, planned: Size) -> Iterator[tuple[Quantity, Observation]]:
-    """All observations in results, with their quantities.
+    """Returns all observations in results, with their quantities.
 
     Args:
         results: The results.
-        planned: The size to design for; requests count at its rate.
+        planned: The planned size; the cost of requests is scaled to its request rate.
     """
     for point in results.points:
-        yield from _of_point(point, planned)
-    yield from _of_latencies(results.latencies, planned)
+        yield from _point_observations(point, planned)
+    yield from _latencies_at_planned_rate(results.latencies, planned)
 
 
-def _of_point(point: Point, planned: Size) -> Iterator[tuple[Quantity, Observation]]:
+def _point_observations(point: Point, planned: Size) -> Iterator[tuple[Quantity, Observation]]:
     for sums in point.roles:
         if point.axis in AXES_OF_ROLE[sums.role]:
-            for quantity, value in _of_role(point, sums, planned):
+            for quantity, value in _role_values(point, sums, planned):
                 yield quantity, Observation(point.axis, point.size, value)
     if point.memory_bytes > 0.0:
         yield MEMORY, Observation(point.axis, point.size, point.memory_bytes)
     for event in point.events:
-        if point.whole_fleet and _belongs(event.kind, point.axis):
-            for quantity, value in _of_event(event, point.timed(event)):
+        if point.whole_fleet and _counts_along(event.kind, point.axis):
+            for quantity, value in _event_values(event, point.timed(event)):
                 yield quantity, Observation(point.axis, point.size, value)
 
 
-def _belongs(kind: EventKind, axis: Axis) -> bool:
-    """Whether an event's figures count: changes of settings grow by routes, others by limiters."""
+def _counts_along(kind: EventKind, axis: Axis) -> bool:
+    """Whether an event counts along an axis: routes for configuration changes, else limiters."""
     return axis is Axis.ALL or (
         axis is Axis.CONFIGURATION if kind in CONFIGURATION_EVENTS else axis is Axis.LIMITERS
     )
 
 
-def _of_role(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
-    """Figures of one role at one point.
+def _role_values(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
+    """Returns the figures of one role at one point.
 
-    Where only a few limiters of many were played, those of roles with datagrams do not count, as
-    most peers were missing; only the turns of gossip do, which go through the limiter's tenants.
+    If only some of the fleet's limiters were played, figures of roles with datagrams do not count,
+    as most peers were missing. The turns of gossip are an exception: their length depends on the
+    limiter's own tenants.
     """
-    alone = sums.role in ROLES_WITH_DATAGRAMS and not point.whole_fleet
-    if not alone and point.seconds >= MIN_SECONDS:
+    peers_missing = sums.role in ROLES_WITH_DATAGRAMS and not point.whole_fleet
+    if not peers_missing and point.seconds >= MIN_MEASURED_S:
         yield from _rates(point, sums, planned)
-    if sums.calls and (not alone or sums.role is Role.GOSSIP):
+    if sums.calls and (not peers_missing or sums.role is Role.GOSSIP):
         yield role_quantity(sums.role, Resource.LONGEST_TURN), sums.longest_turn_s
         yield role_quantity(sums.role, Resource.TURN_P99), sums.turn_p99_s
 
 
 def _rates(point: Point, sums: RoleSums, planned: Size) -> Iterator[tuple[Quantity, float]]:
-    """Means over the measured limiters, a second of the run's clock."""
+    """Returns means over the measured limiters, per second of the run's clock."""
     limiter_seconds = max(1, point.hollow) * point.seconds
     if sums.role in ROLES_WITH_DATAGRAMS:
         size = sums.bytes_out + HEADER_BYTES * sums.datagrams_out
@@ -134,7 +135,7 @@
     if sums.role is Role.REQUESTS:
         if sums.calls and point.size.requests_per_s:
             turns = min(
-                sums.calls / limiter_seconds / point.size.requests_per_s, TURNS_OF_A_REQUEST
+                sums.calls / limiter_seconds / point.size.requests_per_s, MAX_TURNS_PER_REQUEST
             )
             request_cpu_s = turns * sums.cpu_s / sums.calls
             yield (
@@ -145,8 +146,8 @@
         yield role_quantity(sums.role, Resource.PROCESSOR), sums.cpu_s / limiter_seconds
 
 
-def _of_event(event: Event, timed: bool) -> Iterator[tuple[Quantity, float]]:
-    """Figures of one event; seconds are infinite where not all members agreed within the run."""
+def _event_values(event: Event, timed: bool) -> Iterator[tuple[Quantity, float]]:
+    """Returns figures of one event; seconds are infinite unless all members agreed in the run."""
     spread = event.until_agreed
     all_agreed = spread.reached == spread.of
     if timed:
@@ -162,10 +163,10 @@
     yield event_quantity(event.kind, Resource.WORST_SECOND), event.worst_second_bytes_most
 
 
-def _of_latencies(
+def _latencies_at_planned_rate(
     latencies: Sequence[Latency], planned: Size
 ) -> Iterator[tuple[Quantity, Observation]]:
-    """Latencies at the rate that is nearest to the plan; at others a limiter is less busy."""
+    """Returns the latencies at the rate nearest to the planned one, as load affects latency."""
     rate = min(
         (latency.size.requests_per_s for latency in latencies),
         key=lambda rate: abs(rate - planned.requests_per_s),
@@ -173,19 +174,28 @@
     )
     for latency in latencies:
         if latency.size.requests_per_s == rate:
-            yield from _of_latency(latency, _least(latencies))
+            yield from _latency_observations(latency, _smallest_measured(latencies))
 
 
-def _least(latencies: Sequence[Latency]) -> tuple[int, int]:
-    """The fewest servers and routes that were measured."""
+def _smallest_measured(latencies: Sequence[Latency]) -> tuple[int, int]:
+    """Returns the smallest numbers of servers and of routes that were measured."""
     servers = min(latency.size.servers for latency in latencies)
     routes = min(latency.size.routes for latency in latencies)
     return servers, routes
 
 
-def _of_latency(latency: Latency, least: tuple[int, int]) -> Iterator[tuple[Quantity, Observation]]:
-    """The axis follows from what exceeds the least measured; the least itself lies on both axes."""
-    more_servers, more_routes = latency.size.servers > least[0], latency.size.routes > least[1]
+def _latency_observations(
+    latency: Latency, smallest: tuple[int, int]
+) -> Iterator[tuple[Quantity, Observation]]:
+    """Returns observations of one latency, along the axis that it belongs to.
+
+    The axis is the one along which its size is above the smallest; the smallest size itself belongs
+    to both axes.
+    """
+    more_servers, more_routes = (
+        latency.size.servers > smallest[0],
+        latency.size.routes > smallest[1],
+    )
     axes = {
         (True, True): (Axis.ALL,),
         (True, False): (Axis.SERVERS,),
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the capacity report with a line for each thing that was measured."""
+"""Tables of the capacity report with one line per event, point, latency or comparison."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 from hazelhollow.scale.report_text import (
     AXIS_WORDS,
     NONE,
-    digits,
-    percent,
-    shown,
+    format_number,
+    format_percent,
+    format_value,
     size_text,
     table,
 )
 from hazelhollow.scale.results import Comparison, Event, Latency, Point
 
-LATE = "the machine was too slow"
+TOO_SLOW = "the machine was too slow"
 
 
 def _points(runs: Runs) -> Iterable[tuple[str, Point]]:
-    """All points, each with the program that it is of."""
-    for state, group in (("now", runs.now), ("before", runs.before)):
+    """Yields all points, each with the version of the program that was measured."""
+    for program, group in (("now", runs.now), ("before", runs.before)):
         for run in group:
             for point in run.results.points:
-                yield state, point
+                yield program, point
 
 
 def events_table(runs: Runs) -> str:
-    """Each event of each run, and its effects."""
+    """Returns a table of the events of all runs and their effects."""
     return table(
         [
             "program",
             "event",
             "size",
             "settled: median",
-            "99 in 100",
+            "99th percentile",
             "worst",
             "reached",
-            "bytes a second: worst ten, mean member",
-            "worst one, worst member",
+            "bytes per second: worst ten seconds, mean member",
+            "worst second, worst member",
             "longest turn",
             "false deaths",
-            "let in beyond quotas",
-            "refused with room",
+            "admitted beyond quotas",
+            "rejected within quotas",
         ],
         (
-            [state, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
-            for state, point in _points(runs)
+            [program, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
+            for program, point in _points(runs)
             if point.whole_fleet
             for event in point.events
         ),
@@ -57,75 +57,79 @@
 
 def _event_cells(event: Event, timed: bool) -> list[str]:
     spread, quotas = event.until_agreed, event.quotas
-    seconds = [shown(value, "s") for value in (spread.median, spread.p99, spread.worst)]
+    seconds = [format_value(value, "s") for value in (spread.median, spread.p99, spread.worst)]
     return [
-        *(seconds if timed else [LATE] * len(seconds)),
+        *(seconds if timed else [TOO_SLOW] * len(seconds)),
         f"{spread.reached} of {spread.of}",
-        shown(event.worst_ten_seconds_bytes_mean, "B/s"),
-        shown(event.worst_second_bytes_most, "B/s"),
-        NONE if event.longest_turn_s is None else shown(event.longest_turn_s, "s"),
+        format_value(event.worst_ten_seconds_bytes_mean, "B/s"),
+        format_value(event.worst_second_bytes_most, "B/s"),
+        NONE if event.longest_turn_s is None else format_value(event.longest_turn_s, "s"),
         str(event.false_deaths),
-        percent(quotas.beyond / quotas.let_in) if quotas and quotas.let_in else NONE,
-        percent(quotas.refused_with_room / quotas.asked) if quotas and quotas.asked else NONE,
+        format_percent(quotas.beyond / quotas.let_in) if quotas and quotas.let_in else NONE,
+        format_percent(quotas.refused_with_room / quotas.asked)
+        if quotas and quotas.asked
+        else NONE,
     ]
 
 
 def quotas_table(runs: Runs) -> str:
-    """What each run admitted, against one token bucket that sees every request."""
+    """Returns a table of units admitted, compared with one token bucket that sees every request."""
     return table(
         [
             "program",
             "axis",
             "size",
             "asked",
-            "let in",
-            "beyond, of what was let in",
-            "refused with room, of what was asked",
+            "units admitted",
+            "beyond quotas, of units admitted",
+            "rejected within quotas, of units asked",
         ],
         (
             [
-                state,
+                program,
                 AXIS_WORDS[point.axis],
                 size_text(point.size),
-                digits(point.quotas.asked),
-                digits(point.quotas.let_in),
-                percent(point.quotas.beyond / point.quotas.let_in if point.quotas.let_in else None),
-                percent(
+                format_number(point.quotas.asked),
+                format_number(point.quotas.let_in),
+                format_percent(
+                    point.quotas.beyond / point.quotas.let_in if point.quotas.let_in else None
+                ),
+                format_percent(
                     point.quotas.refused_with_room / point.quotas.asked
                     if point.quotas.asked
                     else None
                 ),
             ]
-            for state, point in _points(runs)
+            for program, point in _points(runs)
             if point.quotas
         ),
     )
 
 
 def latency_table(runs: Runs) -> str:
-    """The latency that a limiter adds to a request."""
+    """Returns a table of the latency that a limiter adds to a request."""
     return table(
         [
             "program",
             "size",
             "requests",
-            "left out, client late",
-            "straight: median",
-            "99 in 100",
-            "through: median",
-            "99 in 100",
+            "excluded, client late",
+            "direct: median",
+            "99th percentile",
+            "through the limiter: median",
+            "99th percentile",
             "added: median",
-            "99 in 100",
+            "99th percentile",
         ],
         (
             [
-                state,
+                program,
                 size_text(latency.size),
                 f"{latency.requests:,}",
-                percent(latency.left_out),
+                format_percent(latency.left_out),
                 *_latency_cells(latency),
             ]
-            for state, group in (("now", runs.now), ("before", runs.before))
+            for program, group in (("now", runs.now), ("before", runs.before))
             for run in group
             for latency in run.results.latencies
         ),
@@ -134,7 +138,7 @@
 
 def _latency_cells(latency: Latency) -> list[str]:
     return [
-        shown(value, "s")
+        format_value(value, "s")
         for value in (
             latency.direct_median_s,
             latency.direct_p99_s,
@@ -147,35 +151,35 @@
 
 
 def comparison_table(runs: Runs) -> str:
-    """Hollow limiters against real processes."""
+    """Returns a table that compares hollow limiters with real processes."""
     return table(
-        ["program", "figure", "real", "hollow", "apart by", "margin", "alike"],
+        ["program", "figure", "real", "hollow", "relative difference", "margin", "alike"],
         (
             [
-                state,
+                program,
                 comparison.figure,
-                shown(comparison.real, comparison.unit),
-                shown(comparison.hollow, comparison.unit),
-                *_alike_cells(comparison),
+                format_value(comparison.real, comparison.unit),
+                format_value(comparison.hollow, comparison.unit),
+                *_difference_cells(comparison),
             ]
-            for state, group in (("now", runs.now), ("before", runs.before))
+            for program, group in (("now", runs.now), ("before", runs.before))
             for run in group
             for comparison in run.results.comparisons
         ),
     )
 
 
-def _alike_cells(comparison: Comparison) -> list[str]:
-    apart = distance(comparison)
+def _difference_cells(comparison: Comparison) -> list[str]:
+    deviation = relative_difference(comparison)
     return [
-        percent(apart),
-        percent(comparison.margin),
-        "yes" if apart <= comparison.margin else "**no**",
+        format_percent(deviation),
+        format_percent(comparison.margin),
+        "yes" if deviation <= comparison.margin else "**no**",
     ]
 
 
-def distance(comparison: Comparison) -> float:
-    """By how much the hollow figure differs, as a part of the real comparison."""
+def relative_difference(comparison: Comparison) -> float:
+    """Returns how far the hollow figure is from the real one, as a fraction of the real one."""
     if comparison.real == comparison.hollow:
         return 0.0
     return (
--- a/hazelhollow/scale/report_tables.py
+++ b/hazelhollow/scale/report_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the capacity page as Markdown, from results alone."""
+"""Renders the tables of the capacity page as Markdown."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from hazelhollow.scale import budgets
 from hazelhollow.scale.report_claims import CLAIMS, verdict
-from hazelhollow.scale.report_documents import Routes, documents, most, server_lists
+from hazelhollow.scale.report_documents import RouteKind, documents, max_routes, server_lists
 from hazelhollow.scale.report_order import (
-    ADDED_UP,
+    SUMMED_BUDGETS,
     BudgetSum,
     Passing,
     document_passings,
     order,
     sums,
 )
-from hazelhollow.scale.report_rows import Known, Mark, analyse
+from hazelhollow.scale.report_rows import Analysis, Mark, analyse
 from hazelhollow.scale.report_run_tables import (
     comparison_table,
     events_table,
@@ -25,13 +25,13 @@
 from hazelhollow.scale.report_runs import Run, Runs
 from hazelhollow.scale.report_text import (
     AXIS_WORDS,
-    digits,
+    format_number,
+    format_percent,
+    format_value,
     formula,
     mark_text,
-    percent,
-    shown,
     table,
-    without_text,
+    unmeasured_text,
 )
 from hazelhollow.scale.results import EventKind
 
@@ -40,8 +40,8 @@
 
 
 def tables(runs: Runs) -> dict[str, str]:
-    """Each table by the name that its block of the page has."""
-    planned = runs.of_the_plan()
+    """Returns each table by the name of its block on the page."""
+    planned = runs.without_first_look()
     now = analyse([run.results for run in planned.now])
     before = analyse([run.results for run in planned.before])
     return {
@@ -62,14 +62,14 @@
 
 
 def runs_table(runs: Iterable[Run]) -> str:
-    """Which file was measured where, on which commit."""
+    """Returns a table of the results files with the commit and machine of each."""
     return table(
         [
             "file",
             "commit",
             "began",
             "machine",
-            "load at the begin",
+            "load at the start",
             "points",
             "latencies",
             "comparisons",
@@ -81,10 +81,10 @@
                 run.results.began,
                 (
                     f"{run.results.machine.cores} cores, "
-                    f"{shown(run.results.machine.memory_bytes, 'B')}, Python "
+                    f"{format_value(run.results.machine.memory_bytes, 'B')}, Python "
                     f"{run.results.machine.python}"
                 ),
-                digits(run.results.machine.load),
+                format_number(run.results.machine.load),
                 str(len(run.results.points)),
                 str(len(run.results.latencies)),
                 str(len(run.results.comparisons)),
@@ -94,8 +94,8 @@
     )
 
 
-def figures_table(now: Known, before: Known) -> str:
-    """Each quantity at the planned size."""
+def figures_table(now: Analysis, before: Analysis) -> str:
+    """Returns a table of each quantity at the planned size."""
     rows = []
     for row in now.rows:
         if row.quantity.part in EVENTS and not row.observations:
@@ -107,103 +107,116 @@
             [
                 row.quantity.part,
                 row.quantity.resource,
-                shown(value, row.quantity.unit),
+                format_value(value, row.quantity.unit),
                 mark_text(row.figure),
-                percent(value / budget.limit if budget and value is not None else None),
-                shown(earlier.figure.value if earlier else None, row.quantity.unit),
+                format_percent(value / budget.limit if budget and value is not None else None),
+                format_value(earlier.figure.value if earlier else None, row.quantity.unit),
             ]
         )
-    return table(["part", "quantity", "at the plan", "how known", "of its budget", "before"], rows)
+    return table(
+        ["part", "quantity", "at planned size", "how obtained", "share of budget", "before"], rows
+    )
 
 
-def slopes_table(known: Known) -> str:
-    """Each fitted curve with the range measured."""
+def slopes_table(analysis: Analysis) -> str:
+    """Returns a table of the fitted curves with the range of sizes measured."""
     return table(
-        ["part", "quantity", "axis", "formula", "measured from", "to", "at the plan", "how known"],
+        [
+            "part",
+            "quantity",
+            "axis",
+            "formula",
+            "measured from",
+            "to",
+            "at planned size",
+            "how obtained",
+        ],
         (
             [
                 row.quantity.part,
                 row.quantity.resource,
                 AXIS_WORDS[slope.axis],
                 formula(slope.curve, row.quantity.unit),
-                digits(slope.curve.least),
-                digits(slope.curve.most),
-                shown(slope.figure.value, row.quantity.unit),
+                format_number(slope.curve.smallest_size),
+                format_number(slope.curve.greatest_size),
+                format_value(slope.figure.value, row.quantity.unit),
                 mark_text(slope.figure),
             ]
-            for row in known.rows
+            for row in analysis.rows
             for slope in row.slopes
         ),
     )
 
 
 def sums_table(now: Sequence[BudgetSum], before: Sequence[BudgetSum]) -> str:
-    """Each budget with what is left of it."""
+    """Returns a table of the budgets with what is left of each."""
     rows = []
     for total, earlier in zip(now, before, strict=True):
         unit = total.budget.unit
         rows.append(
             [
                 total.budget.name + (" (derived)" if total.budget.derived else ""),
-                shown(total.budget.limit, unit),
-                "sum" if total.budget in ADDED_UP else "dearest",
+                format_value(total.budget.limit, unit),
+                "sum" if total.budget in SUMMED_BUDGETS else "dearest",
                 _sum_text(total),
                 _left_text(total),
-                ", ".join(row.quantity.part for row in total.unknown) or "none",
-                shown(earlier.value, unit),
+                ", ".join(row.quantity.part for row in total.rows_without_figure) or "none",
+                format_value(earlier.value, unit),
             ]
         )
-    return table(["budget", "limit", "by", "at the plan", "left", "not known", "before"], rows)
+    return table(["budget", "limit", "by", "at planned size", "left", "not known", "before"], rows)
 
 
 def _sum_text(total: BudgetSum) -> str:
     if total.value is None:
         return str(Mark.UNKNOWN)
-    least = "at least " if total.unknown else ""
-    return least + shown(total.value, total.budget.unit)
+    bound = "at least " if total.rows_without_figure else ""
+    return bound + format_value(total.value, total.budget.unit)
 
 
 def _left_text(total: BudgetSum) -> str:
-    """What is left, at most so much where parts are not known."""
+    """Returns what is left of a budget, as an upper bound if some rows have no figure."""
     if total.left is None:
         return str(Mark.UNKNOWN)
-    most = "at most " if total.unknown else ""
-    return most + shown(total.left, total.budget.unit)
+    bound = "at most " if total.rows_without_figure else ""
+    return bound + format_value(total.left, total.budget.unit)
 
 
 def order_table(passings: Sequence[Passing]) -> str:
-    """The order in which budgets are passed, and below it what is not known."""
-    known = [passing for passing in passings if passing.mark is not Mark.UNKNOWN]
-    unknown = [passing.name for passing in passings if passing.mark is Mark.UNKNOWN]
+    """Returns a table of the order in which budgets are passed, and a list of unknown passings."""
+    ranked = [passing for passing in passings if passing.mark is not Mark.UNKNOWN]
+    unranked = [passing.name for passing in passings if passing.mark is Mark.UNKNOWN]
     text = table(
-        ["", "what", "budget", "passed at", "of its budget at the plan", "how known"],
+        ["", "what", "budget", "passed at", "share of budget at planned size", "how obtained"],
         (
             [
                 str(place),
                 passing.name,
-                f"{passing.budget.name}, {shown(passing.budget.limit, passing.budget.unit)}",
+                f"{passing.budget.name}, {format_value(passing.budget.limit, passing.budget.unit)}",
                 _passed(passing),
-                percent(passing.share),
-                passing.mark + without_text(passing.without) if passing.fitted else ONE_SIZE,
+                format_percent(passing.share),
+                passing.mark + unmeasured_text(passing.unmeasured_axes)
+                if passing.fitted
+                else ONE_SIZE,
             ]
-            for place, passing in enumerate(known, 1)
+            for place, passing in enumerate(ranked, 1)
         ),
     )
-    return f"{text}\n\nNot known: {'; '.join(unknown)}." if unknown else text
+    return f"{text}\n\nNot known: {'; '.join(unranked)}." if unranked else text
 
 
 def _passed(passing: Passing) -> str:
     if passing.fraction is None:
-        return "not up to ten times the plan" if passing.fitted else "not at the plan; no slope"
+        return "not up to ten times the plan" if passing.fitted else "not at planned size; no slope"
     if passing.fraction == 0.0:
         return "any size"
     if not passing.fitted:
-        return f"{percent(passing.fraction)} of the plan or before; no slope"
-    return f"{percent(passing.fraction)} of the plan"
+        return f"{format_percent(passing.fraction)} of the plan or below; no slope"
+    return f"{format_percent(passing.fraction)} of the plan"
 
 
 def claims_table(runs: Runs) -> str:
-    """Figures of a first look, what the program of that time gave here, and what it gives now."""
+    """Returns a table of the claims beside the figures of the earlier and the current runs."""
     before, now = ([run.results for run in group] for group in (runs.before, runs.now))
     rows = []
     for claim in CLAIMS:
@@ -211,19 +224,19 @@
         rows.append(
             [
                 claim.text,
-                shown(claim.first, claim.unit),
-                shown(earlier, claim.unit),
-                verdict(claim.first, earlier),
-                shown(later, claim.unit),
+                format_value(claim.claimed, claim.unit),
+                format_value(earlier, claim.unit),
+                verdict(claim.claimed, earlier),
+                format_value(later, claim.unit),
             ]
         )
     return table(["figure", "first look", "measured before", "", "now"], rows)
 
 
 def documents_table() -> str:
-    """The settings document by its routes."""
+    """Returns a table of the settings document by number of routes."""
     text = table(
-        ["routes", "", "bytes", "characters compressed", "pieces", "members can hand it on"],
+        ["routes", "", "bytes", "characters compressed", "pieces", "members can distribute it"],
         (
             [
                 f"{document.routes:,}",
@@ -231,27 +244,27 @@
                 f"{document.size:,}",
                 f"{document.characters:,}",
                 f"{document.pieces:,}",
-                "yes" if document.travels else "**no**",
+                "yes" if document.distributable else "**no**",
             ]
             for document in documents()
         ),
     )
-    reach = "; ".join(
+    limits = "; ".join(
         (
-            f"{kind} routes: up to {most(kind):,}, "
-            f"{percent(most(kind) / budgets.PLANNED.routes)} of the plan"
+            f"{kind} routes: up to {max_routes(kind):,}, "
+            f"{format_percent(max_routes(kind) / budgets.PLANNED.routes)} of the plan"
         )
-        for kind in Routes
+        for kind in RouteKind
     )
-    return f"{text}\n\nWorked out from the code, not run. The most that can be handed on, {reach}."
+    return f"{text}\n\nComputed, not run. Largest document that members can distribute, {limits}."
 
 
 def lists_table() -> str:
-    """The whole list of servers by its length."""
+    """Returns a table of the complete server list by number of servers."""
     return table(
-        ["servers", "bytes of a whole list", "taken by a limiter"],
+        ["servers", "bytes of the complete list", "accepted by a limiter"],
         (
-            [f"{each.servers:,}", f"{each.size:,}", "yes" if each.taken else "**no**"]
+            [f"{each.servers:,}", f"{each.size:,}", "yes" if each.accepted else "**no**"]
             for each in server_lists()
         ),
     )
