--- a/hazelhollow/scale/load.py
+++ b/hazelhollow/scale/load.py
@@ -90,8 +90,8 @@
         first: First limiter of the set that serves it.
         spread: Number of limiters in that set.
         usage: Name of its usage pattern.
-        asks: Requests a second outside of spikes.
-        top: Requests a second at most.
+        base_rate: Requests a second outside of spikes.
+        peak_rate: Requests a second during a spike; the base rate for a tenant without spikes.
         skew: Exponent of the weights by which its requests are split over its limiters.
         spike: Start of the first spike, period and duration, in seconds; no duration: no spikes.
     """
@@ -101,8 +101,8 @@
     first: int
     spread: int
     usage: str
-    asks: float
-    top: float
+    base_rate: float
+    peak_rate: float
     skew: float
     spike: tuple[float, float, float]
 
@@ -115,7 +115,7 @@
         """Requests a second at a time, in seconds since the run began."""
         first, period, duration = self.spike
         in_spike = duration and (at - first) % period < duration
-        return self.top if in_spike else self.asks
+        return self.peak_rate if in_spike else self.base_rate
 
 
 class DrawnRequest(NamedTuple):
@@ -143,7 +143,8 @@
     scale = size.requests_per_s * size.limiters / unscaled
     quota_scale = scale or 1.0  # without any requests the quotas stay unscaled
     tenants = tuple(
-        tenant._replace(asks=tenant.asks * scale, top=tenant.top * scale) for tenant in drawn
+        tenant._replace(base_rate=tenant.base_rate * scale, peak_rate=tenant.peak_rate * scale)
+        for tenant in drawn
     )
     quotas = tuple(
         Quota(
@@ -168,18 +169,26 @@
     )
     least = min(terms.spread_least or limiters // 2 or 1, limiters)
     spread = rng.randint(least, min(terms.spread_most or limiters, limiters))
-    asks = rate * pattern.use * rng.uniform(0.85, 1.15)
+    base_rate = rate * pattern.use * rng.uniform(0.85, 1.15)
     skew = round(rng.uniform(0.21, 1.2), 1)  # few values, so that sums of weights are kept
-    top = rate * SPIKE_MULTIPLE if spiky else asks
+    peak_rate = rate * SPIKE_MULTIPLE if spiky else base_rate
     return Tenant(
-        number, quota, rng.randrange(limiters), spread, pattern.name, asks, top, skew, spike
+        number,
+        quota,
+        rng.randrange(limiters),
+        spread,
+        pattern.name,
+        base_rate,
+        peak_rate,
+        skew,
+        spike,
     )
 
 
 def _mean_rate(tenant: Tenant) -> float:
     """Requests a second, spikes included."""
     _, period, duration = tenant.spike
-    return tenant.asks + (tenant.top - tenant.asks) * duration / period
+    return tenant.base_rate + (tenant.peak_rate - tenant.base_rate) * duration / period
 
 
 @lru_cache(100_000)
@@ -226,7 +235,7 @@
         self._rng = random.Random(f"requests {seed} {limiter}")
         self._routes = routes
         self.tenants = [tenant for tenant, _ in parts]
-        self._cumulative_rates = list(accumulate(tenant.top * part for tenant, part in parts))
+        self._cumulative_rates = list(accumulate(tenant.peak_rate * part for tenant, part in parts))
 
     def __iter__(self) -> Iterator[DrawnRequest]:
         """Arrivals by thinning: drawn at the tenants' highest rates, accepted by the present ones.
@@ -237,7 +246,7 @@
         while sums and sums[-1] > 0.0:
             at += rng.expovariate(sums[-1])
             tenant = self.tenants[min(bisect(sums, rng.random() * sums[-1]), len(sums) - 1)]
-            accepted = rng.random() * tenant.top < tenant.rate(at)
+            accepted = rng.random() * tenant.peak_rate < tenant.rate(at)
             route = (
                 int(self._routes ** rng.random()) - 1
             )  # about Zipf: as often as 1 / (number + 1)
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -185,7 +185,7 @@
         parts = split(population, range(plan.limiters), plan.limiters)
         for number, name in enumerate(self.cluster.names):
             target = ClientTarget(name, number, self.cluster.client_address(name))
-            total = sum(tenant.asks * part for tenant, part in parts[number])
+            total = sum(tenant.base_rate * part for tenant, part in parts[number])
             for tenant, part in parts[number]:
                 yield (
                     target,
@@ -193,7 +193,7 @@
                         customer=f"{tenant.number:016x}",
                         plan=population.quotas[tenant.quota].name,
                         kind=route_name(tenant.number % plan.routes),
-                        rate=plan.requests_per_s * tenant.asks * part / total,
+                        rate=plan.requests_per_s * tenant.base_rate * part / total,
                         units=2,
                         first=tenant.first,
                     ),
