--- a/hazelhollow/scale/report_claims.py
+++ b/hazelhollow/scale/report_claims.py
@@ -135,7 +135,7 @@
 
     def measure(results: Sequence[Results]) -> float | None:
         found = _event(results, kind, limiters)
-        if found is None or not found[0].timed(found[1]):
+        if found is None or not found[0].has_valid_times(found[1]):
             return None
         spread = found[1].until_agreed
         return spread.worst if spread.reached == spread.of else None
--- a/hazelhollow/scale/report_observations.py
+++ b/hazelhollow/scale/report_observations.py
@@ -100,7 +100,7 @@
         yield MEMORY, Observation(point.axis, point.size, point.memory_bytes)
     for event in point.events:
         if point.whole_fleet and _belongs(event.kind, point.axis):
-            for quantity, value in _of_event(event, point.timed(event)):
+            for quantity, value in _of_event(event, point.has_valid_times(event)):
                 yield quantity, Observation(point.axis, point.size, value)
 
 
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -47,7 +47,12 @@
             "refused with room",
         ],
         (
-            [state, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
+            [
+                state,
+                event.kind,
+                size_text(point.size),
+                *_event_cells(event, point.has_valid_times(event)),
+            ]
             for state, point in _points(runs)
             if point.whole_fleet
             for event in point.events
--- a/hazelhollow/scale/results.py
+++ b/hazelhollow/scale/results.py
@@ -185,7 +185,7 @@
         """Whether all limiters of the size were played, so that traffic is that of the size."""
         return self.hollow + self.real >= self.size.limiters
 
-    def timed(self, event: Event) -> bool:
+    def has_valid_times(self, event: Event) -> bool:
         """Whether the event's seconds are valid: no note says that the machine was too slow."""
         return not any(
             note.startswith(f"{event.kind.value}:") and note.endswith(NO_TIMES)
