--- a/hazelhollow/scale/hollow.py
+++ b/hazelhollow/scale/hollow.py
@@ -1,10 +1,10 @@
-"""A hollow limiter: a limiter's real decisions and drivers, without clients and servers.
+"""A hollow limiter: the real decisions and drivers of a limiter, without clients and servers.
 
-An `Incarnation` is one run of a limiter: the real decision engine, membership, replication and
-configuration with their drivers, from its start to its end. `scale.fleet` creates, starts and ends
-incarnations. Attempts are answered by modelled servers, and requests come from the modelled load
+An `Incarnation` is one run of a limiter, from its start to its end: the real decision engine,
+membership, replication and configuration with their drivers. `scale.fleet` creates, starts and ends
+incarnations. Modelled servers answer the attempts, and the modelled load sends the requests
 (`scale.modelled_endpoints`). The limiters of a process share one scheduler, which each incarnation
-sees through an `IncarnationScheduler`.
+accesses through an `IncarnationScheduler`.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 from hazelhollow.simulator.fields import Fields
 from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 
-MAX_OPEN_REQUESTS = 20_000  # as in the configuration of a real limiter
+MAX_OPEN_REQUESTS = 20_000  # the same as in the configuration of a real limiter
 KEY = b"the key of a scale run, which is no secret"
 
 
@@ -53,27 +53,27 @@
 
     Args:
         document: The settings document.
-        order: Its revision.
-        settings: The parsed document; parsed here if it is not given.
+        revision: The document's revision.
+        settings: The parsed document; the constructor parses the document if this is None.
     """
 
     def __init__(
-        self, document: Mapping[str, Any], order: int, settings: api.Settings | None = None
+        self, document: Mapping[str, Any], revision: int, settings: api.Settings | None = None
     ) -> None:
-        self.document, self.order = document, order
+        self.document, self.revision = document, revision
         self.settings = settings or parse_settings(Fields("settings", dict(document)))
 
 
 @dataclass(frozen=True)
 class IncarnationHost:
-    """What the process gives to each incarnation of a limiter.
+    """What a process provides to each incarnation of a limiter.
 
     Attributes:
         scheduler: The scheduler of the process.
         meter: The meter of the process.
         peers: The socket of the limiter.
-        record_changed: Called with every record that changes in the limiter's member table.
-        settings_applied: Called with the limiter's number when it has applied new settings.
+        record_changed: Called with each record that changes in the limiter's member table.
+        settings_applied: Called with the limiter's number after it has applied new settings.
     """
 
     scheduler: Scheduler
@@ -86,15 +86,15 @@
 class Incarnation:
     """One run of a hollow limiter, from its start to its end.
 
-    States: created, `start` once, then `leave` or `crash` once. Implements
-    `configuration.state.ConfigurableLimiter`, by which configuration reads and changes the
-    limiter.
+    Lifecycle: constructor, then `start` once, then `leave` or `crash` once. Implements
+    `configuration.state.ConfigurableLimiter`, through which the configuration driver reads and
+    changes the limiter.
 
     Args:
-        host: What the process gives to it.
+        host: What the process provides.
         initial: The settings to start with.
         terms: How the fleet is set up.
-        seed: Of all random draws of this incarnation.
+        seed: Seed of all random draws of this incarnation.
     """
 
     def __init__(
@@ -102,10 +102,11 @@
     ) -> None:
         self._host, self._meter, self._peers = host, host.meter, host.peers
         self.scheduler = IncarnationScheduler(host.scheduler, host.meter)
-        self._document, self.order = initial.document, initial.order
+        self._document, self.revision = initial.document, initial.revision
         self._settings = initial.settings
-        # Settings that were found to be valid, and the document that they were parsed from.
-        self._checked: tuple[Mapping[str, Any] | None, api.Settings] = (None, initial.settings)
+        # The document that was validated last and the settings parsed from it, so that applying it
+        # does not parse it again.
+        self._validated: tuple[Mapping[str, Any] | None, api.Settings] = (None, initial.settings)
         self._seed, self._terms = seed, terms
         self.stats = Stats()
         self._budget: LimiterBudget | None = None
@@ -128,7 +129,7 @@
     # Start and end
 
     def start(self, servers: tuple[api.EndpointEntry, ...]) -> None:
-        """Gives it its list of servers and starts the subsystems that the fleet's terms name."""
+        """Sets the list of servers and starts the subsystems that the fleet's terms name."""
         self._peers.attach_incarnation(self.stats, self.engine_driver.gossip_received)
         self.update_servers(api.EndpointsUpdated("full", servers))
         authenticator = MessageAuthenticator([KEY] if self._terms.sealed else [])
@@ -199,32 +200,32 @@
         self.engine_driver.attempts_by_endpoint = Counter()
         self.configuration = ConfigurationDriver(
             Connections(self.scheduler, self._peers, membership, authenticator, self),
-            ConfigurationOptions(lambda: self.order, record, self._seed, budget),
+            ConfigurationOptions(lambda: self.revision, record, self._seed, budget),
         )
         self._meter.measure_call(Role.AUDIT, self.configuration.start)
 
     def _role_budget(self, role: TrafficRole) -> RoleBudget | None:
-        """The part of the control budget that a role has; None where there is no budget."""
+        """Returns a role's part of the control budget; None if the fleet has no budget."""
         return self._budget.for_role(role) if self._budget else None
 
     def _on_duplicate(self) -> None:
-        """Membership met a process with the same number, which a run never starts."""
-        raise AssertionError(f"limiter {self._settings.limiter_id} met a duplicate")
+        """Fails the run: membership found a second process with this number; a run starts none."""
+        raise AssertionError(f"a second process has limiter id {self._settings.limiter_id}")
 
     def leave(self) -> None:
-        """Ends it gracefully: its peers are notified first."""
+        """Ends the incarnation gracefully, after notifying its peers."""
         if self.membership:
             self._meter.measure_call(Role.VIEW, self.membership.leave)
         self.crash()
 
     def crash(self) -> None:
-        """Ends it at once; its peers are not notified."""
+        """Ends the incarnation at once, without notifying its peers."""
         self.scheduler.alive, self._peers.dead = False, True
 
-    # Events from outside
+    # Input from discovery, clients and operators
 
     def update_servers(self, event: api.EndpointsUpdated) -> None:
-        """Discovery reports the list of servers, or a change to it."""
+        """Applies the list of servers that discovery reports, or a change to it."""
         self._meter.measure_call(Role.LIST, self.engine_driver.notify, event)
 
     def submit(self, request: api.RequestArrived) -> bool:
@@ -234,34 +235,34 @@
         return hollow.admitted
 
     def next_request_id(self) -> str:
-        """An id for a request that is unique in this incarnation."""
+        """Returns a request id that is unique in this incarnation."""
         self._last_request += 1
         return f"{self._settings.limiter_id}-{self._last_request}"
 
-    def change_settings(self, document: Mapping[str, Any], order: int) -> None:
-        """An operator gives this limiter a new revision of the settings."""
-        self._meter.measure_call(Role.AUDIT, self._change_settings, document, order)
+    def change_settings(self, document: Mapping[str, Any], revision: int) -> None:
+        """Applies a new revision of the settings, as an operator would at this limiter."""
+        self._meter.measure_call(Role.AUDIT, self._change_settings, document, revision)
 
-    def _change_settings(self, document: Mapping[str, Any], order: int) -> None:
-        self.order = order
+    def _change_settings(self, document: Mapping[str, Any], revision: int) -> None:
+        self.revision = revision
         error = self.apply_settings(document)
         assert not error, error
 
-    # What configuration calls (configuration.state.ConfigurableLimiter)
+    # Implementation of configuration.state.ConfigurableLimiter
 
     def settings_document(self) -> Mapping[str, Any]:
-        """The settings document in force."""
+        """Returns the settings document in force."""
         return self._document
 
     def check_settings(self, document: Mapping[str, Any]) -> str:
-        """What is wrong with a document, or an empty text."""
+        """Returns what is wrong with a document, or an empty string if it is valid."""
         try:
-            self._checked = document, self._parse(self._with_own(document))
+            self._validated = document, self._parse(self._with_own_placement(document))
         except (WireError, ValueError) as error:
             return str(error)
         return ""
 
-    def _with_own(self, document: Mapping[str, Any]) -> dict[str, Any]:
+    def _with_own_placement(self, document: Mapping[str, Any]) -> dict[str, Any]:
         return {**document, **{name: self._document[name] for name in ("position", "zone")}}
 
     def _parse(self, document: dict[str, Any]) -> api.Settings:
@@ -269,29 +270,30 @@
         return parse_settings(Fields("settings", document), known)
 
     def apply_settings(self, document: Mapping[str, Any]) -> str:
-        """Applies settings of the operator or of a peer; returns what is wrong with them, if any.
+        """Applies settings of the operator or of a peer.
 
-        As `net.settings_reload.SettingsReload.apply` does.
+        Returns what is wrong with them, or an empty string, as
+        `net.settings_reload.SettingsReload.apply` does.
         """
-        error = self.check_settings(document) if document is not self._checked[0] else ""
+        error = self.check_settings(document) if document is not self._validated[0] else ""
         if error:
             return error
-        settings = self._checked[1]
-        self._document, self._settings = self._with_own(document), settings
+        settings = self._validated[1]
+        self._document, self._settings = self._with_own_placement(document), settings
         self.engine.reconfigure(settings)
         self._host.settings_applied(settings.limiter_id)
         return ""
 
     def endpoint_list(self) -> tuple[int, str]:
-        """Revision and source of the list of servers."""
+        """Returns the revision and the source of the list of servers; both are constant."""
         return 1, "127.0.0.1:0"
 
     def disabled_hosts(self) -> set[str]:
-        """Servers that an operator has disabled: none."""
+        """Returns an empty set: operators disable no servers in a scale run."""
         return set()
 
     def request_counts(self) -> dict[str, int]:
-        """Requests by what became of them."""
+        """Returns the number of requests by outcome."""
         stats = self.stats
         return {
             "requests": stats.requests,
@@ -301,7 +303,7 @@
         }
 
     def drain_attempts(self) -> Counter[str]:
-        """Attempts by server since the last call."""
+        """Returns the attempts by server since the last call and resets the counts."""
         counts, self.engine_driver.attempts_by_endpoint = (
             self.engine_driver.attempts_by_endpoint or Counter(),
             Counter(),
@@ -309,5 +311,5 @@
         return counts
 
     def drain_samples(self) -> list[str]:
-        """Samples of requests: none."""
+        """Returns an empty list: hollow limiters sample no requests."""
         return []
--- a/hazelhollow/scale/incarnation_scheduler.py
+++ b/hazelhollow/scale/incarnation_scheduler.py
@@ -1,7 +1,7 @@
-"""The shared scheduler of a process, as one incarnation of a hollow limiter sees it.
+"""A view of a process's shared scheduler for one incarnation of a hollow limiter.
 
-Every timer's call is measured as the role of the object that set it, and no call is made once the
-incarnation has ended.
+The callback of every timer is measured as the role of the object that set the timer. Callbacks are
+dropped once the incarnation has ended.
 """
 
 from __future__ import annotations
@@ -27,18 +27,19 @@
 
 
 def timer_role(call: Callable[..., object]) -> Role:
-    """The role that a timer's call is measured as, by the object that set the timer."""
+    """Returns the role that a timer's callback is measured as, by the object that set the timer."""
     owner = getattr(call, "__self__", None)
-    # The engine's one timer is its gossip's; the driver's other timers are those of requests.
+    # The engine has a single timer, which sends gossip; all other timers of its driver belong to
+    # requests.
     if isinstance(owner, EngineDriver):
         return Role.GOSSIP if getattr(call, "__name__", "") == "_timer_fired" else Role.REQUESTS
     return next((role for kind, role in ROLE_BY_DRIVER if isinstance(owner, kind)), Role.TIMERS)
 
 
 class IncarnationScheduler(Scheduler):
-    """The shared scheduler as one incarnation sees it.
+    """The shared scheduler as one incarnation uses it.
 
-    It measures every call and makes none once `alive` is false.
+    Measures every callback, and makes none once `alive` is false.
 
     Args:
         shared: The scheduler of the process.
@@ -51,15 +52,15 @@
         self.alive = True
 
     def __getattr__(self, name: str) -> Any:
-        """Attributes that are not kept here, such as the time of the last poll, are shared."""
+        """Delegates attributes that this object lacks, such as the last poll's time."""
         return getattr(self._shared, name)
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Calls at a time, as `Scheduler.at` does."""
+        """Schedules a callback for a time, as `Scheduler.at` does."""
         return self._shared.at(when, self._call_if_alive, timer_role(call), call, args)
 
     def time_since_poll(self) -> float:
-        """Seconds since the shared loop polled."""
+        """Returns the seconds since the shared loop last polled."""
         return self._shared.time_since_poll()
 
     def _call_if_alive(
@@ -69,5 +70,5 @@
             self._meter.measure_call(role, call, *args)
 
     def later(self, call: Callable[[], object]) -> None:
-        """Calls at the end of the present turn of the loop."""
+        """Schedules a callback for the end of the current turn of the loop."""
         self._shared.at_end_of_turn(lambda: self._call_if_alive(Role.REQUESTS, call, ()))
