--- a/hazelhollow/scale/clock.py
+++ b/hazelhollow/scale/clock.py
@@ -1,7 +1,8 @@
-"""The clock of a scale run: it runs slower than real time, by the same factor in all processes.
+"""The clock of a scale run, which may run slower than real time.
 
-A machine that cannot play a large fleet in real time plays it on a dilated clock. `DilatedClock` is
-the scheduler's clock and `DilatedPoller` its poller, so that all timers follow.
+A machine that cannot play a large fleet in real time plays it on a dilated clock: all processes
+slow their clocks by the same factor. The scheduler uses `DilatedClock` as its clock and
+`DilatedPoller` as its poller, so that all timers run on the dilated clock.
 """
 
 from __future__ import annotations
@@ -16,24 +17,25 @@
     """Unix time that advances by one second in `dilation` seconds of real time.
 
     Attributes:
-        began: Reading of the monotonic clock, which all processes share, at which this one starts.
-        shows: Unix seconds that this clock shows at `began`.
+        monotonic_start: Reading of the monotonic clock, which all processes share, at which this
+            clock starts.
+        unix_start: Unix seconds that this clock shows at its start.
         dilation: Real seconds for one second of this clock.
         monotonic: Reads the machine's monotonic clock in seconds.
     """
 
-    began: float
-    shows: float
+    monotonic_start: float
+    unix_start: float
     dilation: float
     monotonic: Callable[[], float] = time.monotonic
 
     def __call__(self) -> float:
-        """Unix seconds of the run now."""
-        return self.shows + (self.monotonic() - self.began) / self.dilation
+        """Returns the Unix time of the run in seconds."""
+        return self.unix_start + (self.monotonic() - self.monotonic_start) / self.dilation
 
 
 class DilatedPoller:
-    """`select.epoll` as the scheduler's poller, with timeouts in the run's time.
+    """An epoll poller for the scheduler, with timeouts on the run's clock.
 
     Args:
         dilation: Real seconds for one second of the run's clock.
@@ -44,7 +46,7 @@
         self._registered = set[int]()
 
     def register(self, fd: int, events: int, /) -> None:
-        """Watches a descriptor, or changes the events that it is watched for."""
+        """Registers a descriptor, or changes the events that it is registered for."""
         if fd in self._registered:
             self._epoll.modify(fd, events)
         else:
@@ -52,12 +54,16 @@
             self._epoll.register(fd, events)
 
     def unregister(self, fd: int, /) -> None:
-        """Stops watching a descriptor."""
+        """Removes a descriptor."""
         self._registered.discard(fd)
         self._epoll.unregister(fd)
 
     def poll(self, timeout: float, /) -> list[tuple[int, int]]:
-        """Descriptors that are ready, with their events; `timeout`: milliseconds of the run."""
+        """Returns the ready descriptors with their events.
+
+        Args:
+            timeout: Milliseconds on the run's clock.
+        """
         return self._epoll.poll(timeout / 1000 * self._dilation)
 
     def close(self) -> None:
--- a/hazelhollow/scale/fleet.py
+++ b/hazelhollow/scale/fleet.py
@@ -1,8 +1,8 @@
 """The limiters of one process of a scale run.
 
-`HollowFleet` owns the members of its process: it starts and ends their incarnations, sends them
-their requests, and carries out the planned events. Events are the same in every process; each
-process applies them to its own members and to its copy of the `GroundTruth`. The worker calls it.
+`HollowFleet` owns the members of a process: it starts and ends their incarnations, sends them
+their requests, and carries out the planned events. Every process receives the same events and
+applies them to its own members and to its copy of the `GroundTruth`. The worker calls it.
 """
 
 from __future__ import annotations
@@ -29,23 +29,26 @@
 from hazelhollow.scale.results import EventKind
 from hazelhollow.scale.topology import make_topology, no_cut, region_partition
 
-LIST_CHANGE_INTERVAL_S = 1.0  # between changes of the list of servers
-# Limiters times routes from which the limiters of a process share one settings object, to save
-# memory.
+LIST_CHANGE_INTERVAL_S = 1.0  # between changes to the list of servers
+# From this number of limiters times routes on, the limiters of a process share one settings object
+# to save memory.
 SHARED_SETTINGS_FROM = 200_000
-HOSTS_PER_SUBNET = 250  # last numbers that the limiters' addresses use
-RESTART_DIVISOR = 10  # one limiter in so many restarts,
-RESTART_REMAINDER = 3  # those whose numbers leave this remainder
+HOSTS_PER_SUBNET = 250  # values of the last octet that the limiters' addresses use
+# A restart of a tenth of the fleet restarts the limiters whose number modulo the divisor equals the
+# remainder.
+RESTART_DIVISOR = 10
+RESTART_REMAINDER = 3
 CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
 
 
 class Member:
-    """One limiter through all its incarnations, and how it was seen to agree.
+    """One limiter through all its incarnations, and the observations of its agreement.
 
     Attributes:
-        incarnation: The one that runs; None while the limiter is down.
-        incarnations: How many have been created.
-        acts_on: When it applied the latest settings, in Unix seconds; None: not since the event.
+        incarnation: The incarnation that runs; None while the limiter is down.
+        incarnations: Number of incarnations created so far.
+        settings_applied_at: When it last applied settings, in Unix seconds; None if it has applied
+            none since the latest event.
     """
 
     def __init__(
@@ -54,21 +57,22 @@
         self.number, self.peers, self.watcher, self.requests = number, peers, watcher, requests
         self.incarnation: Incarnation | None = None
         self.incarnations = 0
-        self.acts_on: float | None = None
+        self.settings_applied_at: float | None = None
 
 
 class HollowFleet:
-    """The limiters of one process. `begin` starts the run, `silence` and `close` end it.
+    """The limiters of one process. `begin` starts the run, `end_incarnations` and `close` end it.
 
     Args:
         job: The process's part of the point.
         population: All tenants of the run.
-        scheduler: Of the process.
-        meter: Of the process.
-        current_second: The second of the present window, for bytes by second.
+        scheduler: The scheduler of the process.
+        meter: The meter of the process.
+        current_second: Returns the second of the current window, for bytes by second.
 
     Attributes:
-        rows: Of each request: seconds since the run began, tenant, units, whether it was admitted.
+        rows: Four numbers for each request: seconds since the run began, tenant, units, and whether
+            it was admitted.
     """
 
     def __init__(
@@ -88,9 +92,9 @@
         self._topology = make_topology(job.size.limiters, job.fleet)
         self._servers = settings.servers(job.size, job.fleet)
         self._document = settings.document(job.size, population.quotas, job.fleet)
-        self._order = 0
+        self._revision = 0
         self._shared_settings: InitialSettings | None = None
-        self._began = 0.0
+        self._run_start = 0.0
         self._played = set[int]()
         self.members = dict(self._make_members(current_second))
         self._first_incarnations = {
@@ -100,8 +104,8 @@
     def _make_members(self, current_second: Callable[[], int]) -> Iterator[tuple[int, Member]]:
         job = self._job
         parts = split(self._population, job.here, job.size.limiters)
-        for place, number in enumerate(job.here):
-            address = f"{job.net}.{1 + place // HOSTS_PER_SUBNET}.{1 + place % HOSTS_PER_SUBNET}"
+        for index, number in enumerate(job.here):
+            address = f"{job.net}.{1 + index // HOSTS_PER_SUBNET}.{1 + index % HOSTS_PER_SUBNET}"
             peers = HollowPeerSocket(
                 self._scheduler, self.network, number, (address, 0), current_second
             )
@@ -116,15 +120,15 @@
                 ),
             )
 
-    def begin(self, addresses: dict[int, tuple[str, int]], began: float) -> None:
-        """Connects the members and starts the run's clock.
+    def begin(self, addresses: dict[int, tuple[str, int]], run_start: float) -> None:
+        """Configures the peer addresses of all members and starts receiving datagrams.
 
         Args:
-            addresses: Of all limiters that are played, by number.
-            began: When the run begins, in Unix seconds.
+            addresses: Addresses of all limiters that are played, by number.
+            run_start: When the run begins, in Unix seconds.
         """
-        self._began, self._played = began, set(addresses)
-        self.truth.up_since = dict.fromkeys(self._played, began)
+        self._run_start, self._played = run_start, set(addresses)
+        self.truth.up_since = dict.fromkeys(self._played, run_start)
         all_addresses = {
             n: addresses.get(n) or absent_address(n) for n in range(self._job.size.limiters)
         }
@@ -135,21 +139,21 @@
             self._scheduler.spawn_supervised(member.peers.run, "peers")
 
     def _at(self, at_s: float, call: Callable[..., object], *args: Any) -> None:
-        self._scheduler.at(self._began + at_s, call, *args)
+        self._scheduler.at(self._run_start + at_s, call, *args)
 
     # Incarnations
 
     def start_at(self, number: int, at_s: float) -> None:
-        """Schedules a member's first incarnation, and its requests from the start of the run on."""
+        """Schedules a member's first incarnation, and its requests from the run's start on."""
         member = self.members[number]
         self._at(at_s, self._start, member, self._first_incarnations.pop(number))
         requests = iter(member.requests)
         first = next(requests, None)
         if first:
-            self._at(first.at, self._arrive, member, requests, first)
+            self._at(first.at, self._on_arrival, member, requests, first)
 
     def on_process_pause(self) -> None:
-        """Notifies each limiter that the process was paused, as a scheduler of its own would."""
+        """Notifies each limiter that the process was paused, as its own scheduler would."""
         for member in self.members.values():
             if member.incarnation and member.incarnation.scheduler.on_process_pause:
                 member.incarnation.scheduler.on_process_pause()
@@ -157,16 +161,16 @@
     def _initial_settings(self, number: int) -> InitialSettings:
         document = settings.own_document(self._document, number, self._topology)
         if not self.shares_settings:
-            return InitialSettings(document, self._order)
-        if self._shared_settings is None or self._shared_settings.order != self._order:
-            self._shared_settings = InitialSettings(document, self._order)
+            return InitialSettings(document, self._revision)
+        if self._shared_settings is None or self._shared_settings.revision != self._revision:
+            self._shared_settings = InitialSettings(document, self._revision)
         own = {"limiter_id": number, "zone": document["zone"]}
-        parsed = _replace(self._shared_settings.settings, own)
-        return InitialSettings(document, self._order, parsed)
+        parsed = _copy_with(self._shared_settings.settings, own)
+        return InitialSettings(document, self._revision, parsed)
 
     def _make_incarnation(self, member: Member) -> Incarnation:
         member.incarnations += 1
-        # A hash of integers is the same in every process.
+        # Unlike the hash of a string, that of integers is the same in every process.
         seed = hash((self._job.seed, member.number, member.incarnations))
         host = IncarnationHost(
             self._scheduler,
@@ -187,24 +191,24 @@
         self._scheduler.at(due, self._change_list, member, incarnation, change)
 
     def _change_list(self, member: Member, incarnation: Incarnation, change: int) -> None:
-        """One server starts draining, or is back; an incarnation that has ended gets no news."""
+        """Sets one server to draining or back to up; does nothing if the incarnation has ended."""
         if member.incarnation is not incarnation:
             return
         server = self._servers[change // 2 % len(self._servers)]
-        entry = _replace(server, {"state": "up" if change % 2 else "draining"})
+        entry = _copy_with(server, {"state": "up" if change % 2 else "draining"})
         incarnation.update_servers(api.EndpointsUpdated("change", (entry,)))
         self._schedule_list_change(member, incarnation, change + 1)
 
     # Requests
 
-    def _arrive(
+    def _on_arrival(
         self, member: Member, requests: Iterator[DrawnRequest], drawn: DrawnRequest
     ) -> None:
         if member.incarnation:
             self._submit(member.incarnation, drawn)
-        following = next(requests, None)
-        if following:
-            self._at(following.at, self._arrive, member, requests, following)
+        next_request = next(requests, None)
+        if next_request:
+            self._at(next_request.at, self._on_arrival, member, requests, next_request)
 
     def _submit(self, incarnation: Incarnation, drawn: DrawnRequest) -> None:
         tenant = self._population.tenants[drawn.tenant]
@@ -218,13 +222,13 @@
             tenant.first,
             tenant.spread,
         )
-        at = self._scheduler.clock() - self._began
+        at = self._scheduler.clock() - self._run_start
         self.rows.extend((at, drawn.tenant, drawn.units, incarnation.submit(request)))
 
     def request_for_every_tenant(self, overdue: Callable[[], bool]) -> None:
         """Sends one request of each tenant to each of its limiters, as fast as possible.
 
-        Stops early when `overdue` says so, or at a limiter that is down.
+        Stops early once `overdue` returns true, or at a limiter that is down.
         """
         for member in self.members.values():
             for tenant in member.requests.tenants:
@@ -233,7 +237,7 @@
                 self._submit(member.incarnation, _first_request(tenant, self._job.size.routes))
 
     def refusals(self) -> dict[str, int]:
-        """Rejections by the incarnations that run, by reason."""
+        """Returns the rejections of all running incarnations by reason."""
         counts = Counter[str]()
         for member in self.members.values():
             if member.incarnation:
@@ -243,13 +247,18 @@
     # Events
 
     def apply_event(self, kind: EventKind, at_s: float) -> None:
-        """Carries out an event that is planned for a second of the run, in every process alike.
+        """Carries out an event and resets the measurements of its window.
 
-        Resets what is measured by event: bytes by second and each member's agreement.
+        Every process applies the same event. The measurements that it resets are the bytes by
+        second and each member's agreement.
+
+        Args:
+            kind: The event.
+            at_s: When it is planned, in seconds since the run began.
         """
         for member in self.members.values():
             member.peers.bytes_by_second.clear()
-            member.acts_on = None
+            member.settings_applied_at = None
         self._apply(kind, at_s)
         for member in self.members.values():
             if member.incarnation and member.incarnation.membership:
@@ -273,17 +282,17 @@
         elif kind is EventKind.REGION_HEALED:
             self.truth.is_cut = self.network.is_cut = no_cut
         elif kind in CONFIGURATION_EVENTS:
-            self._configure(kind)
+            self._change_configuration(kind)
 
     def _restart(self, numbers: set[int], at_s: float) -> None:
-        back_s = at_s + self._job.fleet.restart_s
+        restart_at_s = at_s + self._job.fleet.restart_s
         for number in numbers:
-            self.truth.up_since[number] = self._began + back_s
+            self.truth.up_since[number] = self._run_start + restart_at_s
             member = self.members.get(number)
             if member and member.incarnation:
                 member.incarnation.leave()
                 member.incarnation = None
-                self._at(back_s, self._start, member)
+                self._at(restart_at_s, self._start, member)
 
     def _crash(self, numbers: set[int]) -> None:
         for number in numbers:
@@ -294,57 +303,63 @@
                 member.incarnation = None
 
     def _restart_all_down(self, at_s: float) -> None:
-        """Starts all limiters that are down; the planned second counts as their start."""
+        """Starts all limiters that are down; the event's planned time counts as their start."""
         for number in self._played - set(self.truth.up_since):
-            self.truth.up_since[number] = self._began + at_s
+            self.truth.up_since[number] = self._run_start + at_s
             if number in self.members:
                 self._start(self.members[number])
 
-    def _configure(self, kind: EventKind) -> None:
-        """An operator changes the settings at one limiter; the others are to follow it."""
-        self._order += 1
+    def _change_configuration(self, kind: EventKind) -> None:
+        """Changes the settings at one limiter, as an operator would; the others must adopt them."""
+        self._revision += 1
         routes = range(self._job.size.routes) if kind is EventKind.CONFIGURATION_WHOLE else (0,)
-        self._document = settings.changed(self._document, routes, self._order)
+        self._document = settings.changed(self._document, routes, self._revision)
         origin = self.members.get(min(self.truth.up_since))
         if origin and origin.incarnation:
             document = settings.own_document(self._document, origin.number, self._topology)
-            origin.incarnation.change_settings(document, self._order)
+            origin.incarnation.change_settings(document, self._revision)
 
     def _settings_applied(self, number: int) -> None:
-        self.members[number].acts_on = self._scheduler.clock()
+        self.members[number].settings_applied_at = self._scheduler.clock()
 
     # Observations
 
     def seconds_until_agreed(self, kind: EventKind, at_s: float) -> list[float | None]:
-        """For each member that is up: seconds from the event until it agreed for good, or None."""
+        """Returns, for each member that is up, the seconds from the event until it agreed for good.
+
+        A member that does not agree has None.
+        """
         up = [member for member in self.members.values() if member.incarnation]
-        moments = [
-            member.acts_on if kind in CONFIGURATION_EVENTS else member.watcher.right_since
+        agreement_times = [
+            member.settings_applied_at
+            if kind in CONFIGURATION_EVENTS
+            else member.watcher.agreed_since
             for member in up
         ]
         return [
-            None if moment is None else max(0.0, moment - self._began - at_s) for moment in moments
+            None if time is None else max(0.0, time - self._run_start - at_s)
+            for time in agreement_times
         ]
 
     def traffic(self) -> Traffic:
-        """Bytes sent since the last event."""
+        """Returns the bytes sent since the last event."""
         return sum_traffic(member.peers.bytes_by_second for member in self.members.values())
 
     def falsely_dead(self) -> list[int]:
-        """Limiters falsely considered dead by a member of this process since the last event."""
+        """Returns the limiters that members here falsely considered dead since the last event."""
         up = [member for member in self.members.values() if member.incarnation]
         return sorted(set().union(*(member.watcher.falsely_dead for member in up)))
 
     # End of the run
 
-    def silence(self) -> None:
-        """Ends all incarnations, so that nothing more is sent."""
+    def end_incarnations(self) -> None:
+        """Ends all incarnations, so that no more datagrams are sent."""
         for member in self.members.values():
             if member.incarnation:
                 member.incarnation.crash()
 
     def dropped_datagrams(self) -> int:
-        """Datagrams that the operating system dropped at these sockets; raises OSError."""
+        """Returns how many datagrams the system dropped at the members' sockets; raises OSError."""
         return dropped_datagrams({member.peers.inode() for member in self.members.values()})
 
     def close(self) -> None:
@@ -357,10 +372,11 @@
     return DrawnRequest(0.0, tenant.number, tenant.number % routes, 1)
 
 
-def _replace(record: Any, values: dict[str, Any]) -> Any:
-    """A copy of a frozen dataclass with other values, without the checks of its constructor.
+def _copy_with(record: Any, values: dict[str, Any]) -> Any:
+    """Returns a copy of a frozen dataclass with some values replaced, without its checks.
 
-    The checks of settings with many routes take long, and the original has passed them.
+    The constructor's checks of settings with many routes take long, and the original has passed
+    them.
     """
     copy = object.__new__(type(record))
     copy.__dict__.update(record.__dict__ | values)
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -226,7 +226,7 @@
 
     def _settle(self) -> None:
         """Ends all limiters and receives the datagrams in transit, so that the ledger balances."""
-        self.fleet.silence()
+        self.fleet.end_incarnations()
         self._scheduler.on_process_pause = None
         until = time.monotonic() + IN_TRANSIT_S
         while time.monotonic() < until:
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -271,17 +271,17 @@
             _record(2, MemberState.ALIVE, 3.0),
         ]
     )
-    assert watcher.wrong == {2}, "a record of an earlier incarnation"
+    assert watcher.mismatched == {2}, "a record of an earlier incarnation"
     watcher.record_changed(_record(2, MemberState.ALIVE, 8.1))
-    assert watcher.right_since == 10.0
+    assert watcher.agreed_since == 10.0
     now[0] = 11.0
     watcher.record_changed(_record(1, MemberState.SUSPECT, 1.5))
-    assert watcher.right_since is None and not watcher.falsely_dead
+    assert watcher.agreed_since is None and not watcher.falsely_dead
     watcher.record_changed(_record(1, MemberState.DEAD, 1.5))
     assert watcher.falsely_dead == {1}
     now[0] = 12.0
     watcher.record_changed(_record(1, MemberState.ALIVE, 1.5))
-    assert watcher.right_since == 12.0, "right for good from the last time on"
+    assert watcher.agreed_since == 12.0, "right for good from the last time on"
 
 
 def test_limiters_beyond_a_partition_are_rightly_dead() -> None:
@@ -292,7 +292,7 @@
     watcher.reset(
         [_record(n, MemberState.ALIVE if n < 2 else MemberState.DEAD, 1.0) for n in range(4)]
     )
-    assert not watcher.wrong and not watcher.falsely_dead
+    assert not watcher.mismatched and not watcher.falsely_dead
 
 
 def test_quotas_are_compared_with_one_token_bucket_by_tenant() -> None:
