--- a/hazelhollow/scale/coordinator.py
+++ b/hazelhollow/scale/coordinator.py
@@ -1,11 +1,11 @@
 """The coordinator of a scale run: plays each point of a plan.
 
-For each attempt at a point it starts the workers, exchanges messages with them through a folder of
-their own (`scale.messages`), watches them, and assembles their reports into one point. Where the
-workers cannot keep up with the clock it tries again with a slower one.
+For each attempt at a point it starts the workers, exchanges messages with them through a folder
+(`scale.messages`), monitors them, and assembles their reports into one point. If the workers cannot
+keep up with the clock, it makes another attempt with a slower one.
 
-Workers belong to a process group of the fault-injection harness: they end with this process,
-whatever ends it, and the process sweeper removes what is left.
+Workers belong to a process group of the fault-injection harness: they end when this process ends
+for any reason, and the process sweeper removes what they leave.
 """
 
 from __future__ import annotations
@@ -25,24 +25,25 @@
 from hazelhollow.fault_injection.processes import ProcessGroup
 from hazelhollow.scale import messages, truth
 from hazelhollow.scale.errors import ClockTooFastError, RunError
-from hazelhollow.scale.messages import Bound, Job, Report, Wired
+from hazelhollow.scale.messages import BoundAddresses, FleetAddresses, Job, Report
 from hazelhollow.scale.origin import total_memory
 from hazelhollow.scale.plan import Plan, PlannedPoint
 from hazelhollow.scale.point_assembly import assemble_point
 from hazelhollow.scale.results import Point
 
-MEMORY_SHARE = 0.5  # of the machine's memory, that the workers may use together
-# The first guess of the dilation: processor seconds of a limiter a second, and of a request.
+MEMORY_SHARE = 0.5  # of the machine's memory: the most that the workers may use together
+# The first dilation is estimated from these processor seconds of a limiter a second and of a
+# request, so that the limiters of a worker use this share of its core.
 LIMITER_CPU_S = 0.025
 REQUEST_CPU_S = 0.0006
-CORE_SHARE = 0.6  # of a worker's core, that the guess fills
-MAX_ATTEMPTS = 4  # at a point, each with a slower clock
+CORE_SHARE = 0.6
+MAX_ATTEMPTS = 4  # at a point, each with a slower clock than the one before
 SLOWDOWN = 2.0  # factor by which the clock is slowed where workers fell behind at the start
-START_DELAY_S = 0.3  # real seconds from the last message to the workers to the clock's start
-REPORT_GRACE_S = 60.0  # real seconds after a point's end within which its workers report
-BIND_TIMEOUT_S = 300.0  # real seconds within which workers build their limiters
+START_DELAY_S = 0.3  # real seconds from the last message to the workers until the clock starts
+REPORT_GRACE_S = 60.0  # real seconds that the workers have after a point's end to report
+BIND_TIMEOUT_S = 300.0  # real seconds that the workers have to create their limiters
 CHECK_INTERVAL_S = 0.2  # real seconds between checks of the workers
-# Range of the second numbers of the workers' loopback networks (127.x); each gets its own.
+# Range of the second octet of the workers' loopback networks (127.x); each worker has its own.
 FIRST_NETWORK, LAST_NETWORK = 16, 230
 
 
@@ -51,7 +52,7 @@
 
     Args:
         plan: The plan.
-        progress: Called with a line of text now and then.
+        progress: Called with lines of text that report the progress.
     """
 
     def __init__(self, plan: Plan, progress: Callable[[str], None]) -> None:
@@ -63,7 +64,7 @@
         Raises:
             RunError: A worker failed, or the workers used too much memory or time.
         """
-        dilation = planned.terms.dilation or self._guess_dilation(planned)
+        dilation = planned.terms.dilation or self._estimate_dilation(planned)
         for attempt in range(1, MAX_ATTEMPTS + 1):
             may_slow = not planned.terms.dilation and attempt < MAX_ATTEMPTS
             try:
@@ -71,11 +72,11 @@
             except ClockTooFastError:
                 dilation *= SLOWDOWN
                 self._progress(
-                    f"the workers fell behind; again with a clock {dilation:.2f} times slower"
+                    f"the workers fell behind the clock; trying again with dilation {dilation:.2f}"
                 )
         raise AssertionError("the last attempt never asks for a slower clock")
 
-    def _guess_dilation(self, planned: PlannedPoint) -> float:
+    def _estimate_dilation(self, planned: PlannedPoint) -> float:
         size, limiters = planned.size, planned.terms.present or planned.size.limiters
         cost = math.ceil(limiters / self._worker_count(limiters)) * (
             LIMITER_CPU_S + REQUEST_CPU_S * size.requests_per_s
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True)
 class AttemptTerms:
-    """What one attempt at a point plays.
+    """Parameters of one attempt at a point.
 
     Attributes:
         plan: The plan that the point belongs to.
@@ -123,9 +124,9 @@
     """One attempt at a point: its workers, and the folder through which messages are exchanged.
 
     Args:
-        terms: What is played.
-        folder: An empty folder; the process group removes it.
-        processes: The group that the workers join.
+        terms: Parameters of the attempt.
+        folder: An empty folder, which the process group removes.
+        processes: The process group that the workers join.
     """
 
     def __init__(self, terms: AttemptTerms, folder: Path, processes: ProcessGroup) -> None:
@@ -139,7 +140,7 @@
 
         Raises:
             RunError: A worker ended early, or the workers use too much memory.
-            TimeoutError: A worker's message did not come in time.
+            TimeoutError: A worker's message did not arrive in time.
             OSError: A message could not be written or read.
             msgspec.DecodeError: A message is malformed.
         """
@@ -147,24 +148,28 @@
         for number, job in enumerate(jobs):
             messages.write(job, self._folder / f"{number}.job")
             self._start(number)
-        bound = [self._wait(number, "bound", Bound, BIND_TIMEOUT_S) for number in range(workers)]
+        bound = [
+            self._wait(number, "bound", BoundAddresses, BIND_TIMEOUT_S) for number in range(workers)
+        ]
         addresses = {
             number: address
-            for job, of_worker in zip(jobs, bound, strict=True)
-            for number, address in zip(job.here, of_worker.addresses, strict=True)
+            for job, worker_addresses in zip(jobs, bound, strict=True)
+            for number, address in zip(job.here, worker_addresses.addresses, strict=True)
         }
         messages.write(
-            Wired(addresses=addresses, began=time.monotonic() + START_DELAY_S, shows=time.time()),
+            FleetAddresses(
+                addresses=addresses, began=time.monotonic() + START_DELAY_S, shows=time.time()
+            ),
             self._folder / "wired",
         )
         progress(
             f"{self.limiters} limiters in {workers} workers, dilation {self._terms.dilation:g}"
         )
-        longest = self._terms.planned.terms.most_real_s + REPORT_GRACE_S
-        return [self._wait(number, "report", Report, longest) for number in range(workers)]
+        timeout_s = self._terms.planned.terms.most_real_s + REPORT_GRACE_S
+        return [self._wait(number, "report", Report, timeout_s) for number in range(workers)]
 
     def _jobs(self, workers: int) -> list[Job]:
-        """Limiters are dealt out in turn, so that each worker has some of every zone."""
+        """Creates the workers' jobs; limiters are assigned in turn, so that each has all zones."""
         first = random.Random(os.urandom(8)).randint(FIRST_NETWORK, LAST_NETWORK)
         terms, planned = self._terms, self._terms.planned
         return [
@@ -189,21 +194,21 @@
         self._names.append(name)
 
     def _wait(
-        self, number: int, what: str, kind: type[messages.Message], seconds: float
+        self, number: int, name: str, kind: type[messages.Message], seconds: float
     ) -> messages.Message:
-        """Waits for a worker's message and checks on all workers meanwhile.
+        """Waits for a worker's message, and checks periodically that all workers are healthy.
 
         Raises:
             RunError: A worker ended without its report, or the workers use too much memory.
-            TimeoutError: The message did not come in time.
+            TimeoutError: The message did not arrive in time.
         """
-        until = time.monotonic() + seconds
-        while (found := messages.read(self._folder / f"{number}.{what}", kind)) is None:
-            if time.monotonic() > until:
-                raise TimeoutError(f"worker {number}: no {what} after {seconds:.0f} s")
+        deadline = time.monotonic() + seconds
+        while (message := messages.read(self._folder / f"{number}.{name}", kind)) is None:
+            if time.monotonic() > deadline:
+                raise TimeoutError(f"worker {number} sent no {name} message within {seconds:.0f} s")
             self._check_workers()
             time.sleep(CHECK_INTERVAL_S)
-        return found
+        return message
 
     def _check_workers(self) -> None:
         for number, name in enumerate(self._names):
@@ -211,18 +216,20 @@
             if ended and not (self._folder / f"{number}.report").exists():
                 log = (self._folder / f"{name}.log").read_text(errors="replace")
                 lines = log.strip().splitlines()
-                raise RunError(f"worker {number} ended: {lines[-1] if lines else 'without a word'}")
+                raise RunError(
+                    f"worker {number} ended: {lines[-1] if lines else 'it logged nothing'}"
+                )
         used = sum(_resident_bytes(self._processes.members[name].pid) for name in self._names)
         if used > MEMORY_SHARE * total_memory():
             raise RunError(f"the workers use {used >> 20} MB, more than their share of the memory")
 
     def rows(self) -> list[truth.Row]:
-        """All requests of the point in the order of their times."""
+        """Returns all requests of the point in the order of their times."""
         return truth.read_rows(sorted(self._folder.glob("*.requests")))
 
 
 def _resident_bytes(pid: int) -> int:
-    """Resident memory of a process; 0 if it does not run."""
+    """Returns the resident memory of a process in bytes; 0 if the process does not run."""
     if not pid:
         return 0
     try:
--- a/hazelhollow/scale/messages.py
+++ b/hazelhollow/scale/messages.py
@@ -1,13 +1,13 @@
-"""Messages between the coordinator and its workers: JSON files in the run's folder.
+"""Messages between the coordinator and its workers, as JSON files in the run's folder.
 
 | file | from | to | message |
 | --- | --- | --- | --- |
 | `NUMBER.job` | coordinator | worker | `Job` |
-| `NUMBER.bound` | worker | coordinator | `Bound` |
-| `wired` | coordinator | all workers | `Wired` |
+| `NUMBER.bound` | worker | coordinator | `BoundAddresses` |
+| `wired` | coordinator | all workers | `FleetAddresses` |
 | `NUMBER.report` | worker | coordinator | `Report` |
 
-Each file appears complete or not at all.
+Each file appears under its name only once it is complete.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from hazelhollow.scale.plan import AxisPlan, FleetTerms
 from hazelhollow.scale.results import EventKind, Role, Size
 
-POLL_INTERVAL_S = 0.02  # between checks whether a file is there
+POLL_INTERVAL_S = 0.02  # between checks whether a file exists
 Message = TypeVar("Message", bound=msgspec.Struct)
 
 
@@ -35,11 +35,11 @@
         size: Size of the whole fleet and of what surrounds it.
         terms: The plan of the axis.
         fleet: How the fleet is set up.
-        seed: Of the run.
+        seed: Seed of the run.
         here: Numbers of the worker's limiters.
         dilation: Real seconds for one second of the run's clock.
         may_slow: Whether a worker that falls behind at the start may ask for a slower clock.
-        net: The first two numbers of its limiters' addresses.
+        net: The first two octets of its limiters' addresses.
     """
 
     size: Size
@@ -52,17 +52,17 @@
     net: str
 
 
-class Bound(msgspec.Struct, frozen=True, kw_only=True):
+class BoundAddresses(msgspec.Struct, frozen=True, kw_only=True):
     """The addresses at which a worker's limiters listen, in the order of its job."""
 
     addresses: tuple[tuple[str, int], ...]
 
 
-class Wired(msgspec.Struct, frozen=True, kw_only=True):
+class FleetAddresses(msgspec.Struct, frozen=True, kw_only=True):
     """The addresses of all limiters, and the start of the run's clock.
 
     Attributes:
-        addresses: By number.
+        addresses: Address of each limiter by its number.
         began: Reading of the machine's monotonic clock, in seconds, at which the run begins.
         shows: Unix seconds that the run's clock shows then.
     """
@@ -73,12 +73,12 @@
 
 
 class Lag(msgspec.Struct):
-    """How far a worker fell behind its clock, by periodic checks.
+    """How far a worker fell behind its clock, measured by periodic checks.
 
     Attributes:
         looks: Number of checks.
-        late: Checks that were late.
-        worst_s: How late the latest was, in seconds of the run's clock.
+        late: Number of checks that were late.
+        worst_s: Lateness of the latest check, in seconds of the run's clock.
     """
 
     looks: int = 0
@@ -92,8 +92,8 @@
         self.worst_s = max(self.worst_s, other.worst_s)
 
 
-class SeenEvent(msgspec.Struct, kw_only=True):
-    """One event as a worker's members saw it.
+class ObservedEvent(msgspec.Struct, kw_only=True):
+    """One event as a worker's members observed it.
 
     Attributes:
         kind: The event.
@@ -103,8 +103,8 @@
             good, or None.
         traffic: Bytes that the members sent in the window.
         members: Number of the worker's members.
-        lag: Of the worker in the window.
-        falsely_dead: Limiters that a member considered dead without cause.
+        lag: Lag of the worker in the window.
+        falsely_dead: Limiters that a member considered dead although they were up and reachable.
         longest_turn_s: Processor seconds of the longest measured call.
     """
 
@@ -125,19 +125,19 @@
     Attributes:
         limiters: Number of its limiters.
         seconds: Length of the measurement on the run's clock.
-        measured_at_s: When it began, in seconds since the run began.
+        measured_at_s: When the measurement began, in seconds since the run began.
         roles: Totals by role.
         ledger: Datagrams of the whole run.
-        events: Events that it saw to their end.
-        lag: While measuring.
-        memory_before: Bytes that the process held before its limiters.
-        memory_after: Bytes that it held at the end of measuring.
+        events: Events that it observed to their end.
+        lag: Lag while measuring.
+        memory_before: Bytes of memory that the process used before it created its limiters.
+        memory_after: Bytes of memory that it used at the end of the measurement.
         processor_s: Processor seconds of the process while measuring.
-        waited_s: Real seconds meanwhile in which it waited for a processor.
+        waited_s: Real seconds of the measurement in which it waited for a processor.
         loop_s: Mean processor seconds of the reference loop.
-        refusals: By reason, from the start to the end of measuring.
-        missing: Why the point ended early, or an empty text.
-        behind: It asks for a slower clock and has measured nothing.
+        refusals: Rejected requests by reason, from the start to the end of the measurement.
+        missing: Why the point ended early, or an empty string.
+        behind: Whether it asks for a slower clock and has measured nothing.
         shared_settings: Whether its limiters share one settings object.
     """
 
@@ -146,7 +146,7 @@
     measured_at_s: float = 0.0
     roles: dict[Role, RoleTotals] = {}
     ledger: DatagramLedger = msgspec.field(default_factory=DatagramLedger)
-    events: list[SeenEvent] = []
+    events: list[ObservedEvent] = []
     lag: Lag = msgspec.field(default_factory=Lag)
     memory_before: int = 0
     memory_after: int = 0
@@ -160,14 +160,17 @@
 
 
 def write(message: msgspec.Struct, path: Path) -> None:
-    """Writes a message, so that it appears complete or not at all; raises OSError."""
-    part = path.with_suffix(".part")
-    part.write_bytes(msgspec.json.encode(message))
-    os.replace(part, path)
+    """Writes a message atomically: to a temporary file that is then renamed. Raises OSError."""
+    temporary = path.with_suffix(".part")
+    temporary.write_bytes(msgspec.json.encode(message))
+    os.replace(temporary, path)
 
 
 def read(path: Path, kind: type[Message]) -> Message | None:
-    """The message, or None if it is not there; raises msgspec.DecodeError if it is malformed."""
+    """Reads a message.
+
+    Returns None if the file does not exist; raises msgspec.DecodeError if it is malformed.
+    """
     try:
         return msgspec.json.decode(path.read_bytes(), type=kind)
     except FileNotFoundError:
@@ -176,9 +179,9 @@
 
 def wait_for(path: Path, kind: type[Message], seconds: float) -> Message:
     """Waits for a message; raises TimeoutError after that many seconds."""
-    until = time.monotonic() + seconds
-    while (found := read(path, kind)) is None:
-        if time.monotonic() > until:
-            raise TimeoutError(f"{path.name}: nothing after {seconds:g} s")
+    deadline = time.monotonic() + seconds
+    while (message := read(path, kind)) is None:
+        if time.monotonic() > deadline:
+            raise TimeoutError(f"message {path.name} did not arrive within {seconds:g} s")
         time.sleep(POLL_INTERVAL_S)
-    return found
+    return message
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -32,30 +32,38 @@
 from hazelhollow.scale.fleet import HollowFleet
 from hazelhollow.scale.load import populate
 from hazelhollow.scale.measure import Meter, reference_loop_ns
-from hazelhollow.scale.messages import Bound, Job, Lag, Report, SeenEvent, Wired
+from hazelhollow.scale.messages import (
+    BoundAddresses,
+    FleetAddresses,
+    Job,
+    Lag,
+    ObservedEvent,
+    Report,
+)
 from hazelhollow.scale.plan import PlannedEvent
 from hazelhollow.scale.results import EventKind
 
-START_SPREAD_S = 0.25  # over which the limiters start, at random
+START_SPREAD_S = 0.25  # within which the limiters start, at random times
 LAG_CHECK_INTERVAL_S = 0.25  # between checks of how far the worker lags behind its clock
-LATE_CHECK_S = 0.1  # from which such a check counts as late
-MAX_LATE_SHARE = 0.05  # of the checks; above it the worker counts as too slow
-MAX_LAG_S = 0.5  # of any check; above it the worker counts as too slow
-MAX_LATE_SHARE_AT_START = 0.2  # above it the worker asks for a slower clock
+LATE_CHECK_S = 0.1  # lag above which a check counts as late
+# The worker counts as too slow above this share of late checks, or if any check is later than this.
+MAX_LATE_SHARE = 0.05
+MAX_LAG_S = 0.5
+MAX_LATE_SHARE_AT_START = 0.2  # share of late checks above which it asks for a slower clock
 MESSAGE_TIMEOUT_S = 300.0  # real seconds within which all workers bind their sockets
 IN_TRANSIT_S = 0.5  # real seconds after the end in which datagrams in transit are received
-CLOSE_BEFORE_S = 0.001  # a window closes so long before the next event
+CLOSE_BEFORE_S = 0.001  # from the close of a window to the next event
 
 
 def memory_bytes() -> int:
-    """Resident memory of this process."""
+    """Returns the resident memory of this process in bytes."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def waited_s() -> float:
-    """Real seconds in which this process was runnable and waited for a processor.
+def processor_wait_s() -> float:
+    """Returns the real seconds in which this process was runnable but waited for a processor.
 
-    0 where the operating system does not tell.
+    Returns 0 where the operating system does not report them.
     """
     try:
         return int(Path("/proc/self/schedstat").read_text().split()[1]) / 1e9
@@ -69,7 +77,9 @@
 
 
 class Worker:
-    """Plays a worker's part of a point: `bound`, `wire_up`, `play` and `close`, in that order.
+    """Plays a worker's part of a point.
+
+    Call `bound_addresses`, `connect`, `play` and `close` in that order.
 
     Args:
         job: The worker's part of the point.
@@ -87,24 +97,26 @@
         self.fleet = HollowFleet(job, population, self._scheduler, self._meter, self._window_second)
         self._report.shared_settings = self.fleet.shares_settings
         self._scheduler.on_process_pause = self.fleet.on_process_pause
-        self._began = self._window_began = 0.0  # Unix seconds of the run's clock
-        self._real_until = 0.0  # reading of the machine's monotonic clock
-        self._processor_s = self._waited_s = 0.0  # at the begin of measuring
-        self._began_measuring: float | None = None
-        # Until then one request of every tenant kept the worker busy: no check could be in time.
-        self._burst_over = 0.0
+        self._run_start = self._window_began = 0.0  # Unix seconds of the run's clock
+        # Reading of the machine's monotonic clock at which the point ends early.
+        self._deadline = 0.0
+        self._processor_s = self._processor_wait_s = 0.0  # readings when measuring began
+        self._measuring_since: float | None = None
+        # End of the burst of one request of every tenant. The burst blocks the loop, so that no lag
+        # check can run in time before it ends.
+        self._burst_end = 0.0
         self._ended = False
 
-    def bound(self) -> Bound:
-        """The addresses at which its limiters listen, in the order of the job."""
-        return Bound(
+    def bound_addresses(self) -> BoundAddresses:
+        """Returns the addresses at which its limiters listen, in the order of the job."""
+        return BoundAddresses(
             addresses=tuple(member.peers.address for member in self.fleet.members.values())
         )
 
-    def wire_up(self, wired: Wired) -> None:
-        """Connects the limiters with all others and starts the clock."""
+    def connect(self, wired: FleetAddresses) -> None:
+        """Connects the limiters with all others and sets the start of the run's clock."""
         self._clock = DilatedClock(wired.began, wired.shows, self._job.dilation)
-        self._began = self._window_began = wired.shows
+        self._run_start = self._window_began = wired.shows
         self.fleet.begin(wired.addresses, wired.shows)
 
     # Time
@@ -114,39 +126,42 @@
 
     def _check_lag(self, due: float) -> None:
         """Records how late this check is and how fast the machine is, and schedules the next."""
-        late = self._scheduler.clock() - max(due, self._burst_over)
+        lateness = self._scheduler.clock() - max(due, self._burst_end)
         self._lag.looks += 1
-        self._lag.late += late > LATE_CHECK_S
-        self._lag.worst_s = max(self._lag.worst_s, late)
+        self._lag.late += lateness > LATE_CHECK_S
+        self._lag.worst_s = max(self._lag.worst_s, lateness)
         self._loop_times_ns.append(reference_loop_ns())
-        following = max(due + LAG_CHECK_INTERVAL_S, self._scheduler.clock())
-        self._scheduler.at(following, self._check_lag, following)
+        next_due = max(due + LAG_CHECK_INTERVAL_S, self._scheduler.clock())
+        self._scheduler.at(next_due, self._check_lag, next_due)
 
     def _at(self, at_s: float, call: Callable[..., object], *args: Any) -> None:
-        self._scheduler.at(self._began + at_s, call, *args)
+        self._scheduler.at(self._run_start + at_s, call, *args)
 
     def _overdue(self) -> bool:
-        return time.monotonic() > self._real_until
+        return time.monotonic() > self._deadline
 
     # Stages of a point
 
-    def play(self, real_until: float) -> Report:
+    def play(self, deadline: float) -> Report:
         """Plays the point and returns the report.
 
         Args:
-            real_until: Reading of the machine's monotonic clock at which it ends early.
+            deadline: Reading of the machine's monotonic clock at which the point ends early.
 
         Raises:
-            OSError: The operating system does not tell how many datagrams it has dropped.
+            OSError: The operating system does not report how many datagrams it has dropped.
         """
-        self._real_until = real_until
+        self._deadline = deadline
         self._schedule()
         while not self._ended and not self._overdue():
             self._scheduler.turn()
         if not self._ended:
-            passed, allowed = self._scheduler.clock() - self._began, self._job.terms.most_real_s
+            elapsed, allowed = (
+                self._scheduler.clock() - self._run_start,
+                self._job.terms.most_real_s,
+            )
             self._report.missing = (
-                f"ended after {allowed:g} s of real time, {passed:.1f} s into the run"
+                f"ended after {allowed:g} s of real time, {elapsed:.1f} s into the run"
             )
             if not self._report.seconds:
                 self._stop_measuring()
@@ -158,13 +173,13 @@
         starts = [rng.uniform(0.0, START_SPREAD_S) for _ in range(self._job.size.limiters)]
         for number in self.fleet.members:
             self.fleet.start_at(number, starts[number])
-        self._scheduler.at(self._began, self._check_lag, self._began)
+        self._scheduler.at(self._run_start, self._check_lag, self._run_start)
         self._at(self._job.terms.settle_s, self._begin_measuring)
 
     def _begin_measuring(self) -> None:
-        """Ends the stage of the start and begins to measure.
+        """Ends the start stage and begins to measure.
 
-        Where the clock was too fast for the start, the point ends and is played again.
+        If the clock was too fast for the start, ends the point; the coordinator plays it again.
         """
         if self._job.may_slow and self._lag.late > MAX_LATE_SHARE_AT_START * self._lag.looks:
             self._report.behind = self._ended = True
@@ -172,12 +187,12 @@
         self._close_window(EventKind.START, 0.0, self._job.terms.settle_s)
         if self._job.terms.every_tenant_first:
             self.fleet.request_for_every_tenant(self._overdue)
-            self._burst_over = self._scheduler.clock()
+            self._burst_end = self._scheduler.clock()
         self._lag, self._loop_times_ns = Lag(), []
-        self._meter.take_totals()
-        self._began_measuring = self._scheduler.clock()
-        self._processor_s, self._waited_s = time.process_time(), waited_s()
-        self._scheduler.at(self._began_measuring + self._job.terms.seconds, self._end_measuring)
+        self._meter.drain_totals()
+        self._measuring_since = self._scheduler.clock()
+        self._processor_s, self._processor_wait_s = time.process_time(), processor_wait_s()
+        self._scheduler.at(self._measuring_since + self._job.terms.seconds, self._end_measuring)
 
     def _end_measuring(self) -> None:
         self._stop_measuring()
@@ -188,27 +203,27 @@
         self._at(at, self._finish)
 
     def _stop_measuring(self) -> None:
-        began, report = self._began_measuring, self._report
-        if began is None:
+        measuring_since, report = self._measuring_since, self._report
+        if measuring_since is None:
             return
-        report.measured_at_s = began - self._began
-        report.seconds = self._scheduler.clock() - began
-        report.roles = self._meter.take_totals()
+        report.measured_at_s = measuring_since - self._run_start
+        report.seconds = self._scheduler.clock() - measuring_since
+        report.roles = self._meter.drain_totals()
         report.processor_s = time.process_time() - self._processor_s
-        report.waited_s = waited_s() - self._waited_s
+        report.waited_s = processor_wait_s() - self._processor_wait_s
         report.memory_after = memory_bytes() - self.fleet.rows.itemsize * len(self.fleet.rows)
         report.lag, report.refusals = self._lag, self.fleet.refusals()
         report.loop_s = sum(self._loop_times_ns) / max(1, len(self._loop_times_ns)) / 1e9
 
     def _begin_event(self, event: PlannedEvent, at_s: float) -> None:
         self._window_began, self._lag = self._scheduler.clock(), Lag()
-        self._meter.take_totals()
+        self._meter.drain_totals()
         self.fleet.apply_event(event.kind, at_s)
         end_s = at_s + event.window_s - CLOSE_BEFORE_S
         self._at(end_s, self._close_window, event.kind, at_s, event.window_s)
 
     def _close_window(self, kind: EventKind, at_s: float, window_s: float) -> None:
-        seen = SeenEvent(
+        observed = ObservedEvent(
             kind=kind,
             at_s=at_s,
             window_s=window_s,
@@ -219,13 +234,13 @@
             falsely_dead=self.fleet.falsely_dead(),
             longest_turn_s=self._meter.longest_turn_s(),
         )
-        self._report.events.append(seen)
+        self._report.events.append(observed)
 
     def _finish(self) -> None:
         self._ended = True
 
     def _settle(self) -> None:
-        """Ends all limiters and receives the datagrams in transit, so that the ledger balances."""
+        """Ends all limiters and receives the datagrams in transit so that the ledger balances."""
         self.fleet.end_incarnations()
         self._scheduler.on_process_pause = None
         until = time.monotonic() + IN_TRANSIT_S
@@ -241,13 +256,13 @@
 
 
 def run(folder: Path, number: int) -> None:
-    """Plays one worker's part; raises TimeoutError if the coordinator's messages do not come."""
+    """Plays one worker's part; raises TimeoutError if a message of the coordinator is missing."""
     job = messages.wait_for(folder / f"{number}.job", Job, MESSAGE_TIMEOUT_S)
     worker = Worker(job)
     shorten_collector_pauses()  # as in a real limiter
-    messages.write(worker.bound(), folder / f"{number}.bound")
-    wired = messages.wait_for(folder / "wired", Wired, MESSAGE_TIMEOUT_S)
-    worker.wire_up(wired)
+    messages.write(worker.bound_addresses(), folder / f"{number}.bound")
+    wired = messages.wait_for(folder / "wired", FleetAddresses, MESSAGE_TIMEOUT_S)
+    worker.connect(wired)
     report = worker.play(wired.began + job.terms.most_real_s)
     worker.close()
     (folder / f"{number}.requests").write_bytes(worker.fleet.rows.tobytes())
@@ -255,7 +270,7 @@
 
 
 def main() -> None:
-    """Runs a worker; arguments: the run's folder and the worker's number."""
+    """Runs a worker; the command's arguments are the run's folder and the worker's number."""
     logging.basicConfig(level="ERROR", stream=sys.stderr)
     run(Path(sys.argv[1]), int(sys.argv[2]))
 
