--- a/hazelhollow/scale/measure.py
+++ b/hazelhollow/scale/measure.py
@@ -1,8 +1,8 @@
 """Processor time and datagrams by role, summed over the limiters of one process.
 
-A worker has one `Meter`. Every call into a limiter goes through `Meter.measure_call`, and every
-datagram through `record_sent` or `record_received`. The coordinator adds up the workers'
-`RoleTotals` and `Traffic` and converts them to the records of `scale.results`.
+A worker has one `Meter`. `Meter.measure_call` makes and measures every call into a limiter;
+`record_sent` and `record_received` count every datagram. The coordinator adds up the `RoleTotals`
+and `Traffic` of all workers and converts them to the records of `scale.results`.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from hazelhollow.replication import codec as replication_codec
 from hazelhollow.scale.results import HEADER_BYTES, Role, RoleSums
 
-STEPS_PER_DOUBLING = 16  # histogram steps for each doubling of a call's time
-REFERENCE_LOOP_STEPS = 2000  # iterations of the loop that gauges the machine's speed
+STEPS_PER_DOUBLING = 16  # histogram steps for each doubling of a call's duration
+REFERENCE_LOOP_STEPS = 2000  # iterations of the loop that measures the machine's speed
 ROLES_BY_LETTER = {
     membership_codec.DIALECT[0]: Role.VIEW,
     replication_codec.DIALECT[0]: Role.REPLICATION,
@@ -30,7 +30,7 @@
 
 
 def datagram_role(text: str) -> Role:
-    """The role that a datagram belongs to, by its first letter; gossip where no other matches."""
+    """Returns the role of a datagram by its first letter; gossip if no other role matches."""
     return ROLES_BY_LETTER.get(text[:1], Role.GOSSIP)
 
 
@@ -39,9 +39,9 @@
 
     Attributes:
         calls: Calls from outside into a limiter.
-        cpu_ns: Processor nanoseconds of these calls, and of reading datagrams.
+        cpu_ns: Processor nanoseconds of these calls and of reading datagrams.
         longest_ns: Processor nanoseconds of the longest call.
-        turns: Histogram of the calls' times: number of calls by `histogram_step`.
+        turns: Histogram of the calls' durations: number of calls by `histogram_step`.
         datagrams_out: Datagrams sent.
         bytes_out: Bytes of their text, without headers.
         datagrams_in: Datagrams received.
@@ -66,30 +66,30 @@
             self.turns[step] = self.turns.get(step, 0) + count
 
     def p99_ns(self) -> float:
-        """The 99th percentile of the calls' times, in nanoseconds.
+        """Returns the 99th percentile of the calls' durations in nanoseconds.
 
-        It is the upper end of a histogram step, and never more than the longest call.
+        It is the upper bound of a histogram step, but at most the longest call.
         """
-        left = 0.99 * sum(self.turns.values())
+        remaining = 0.99 * sum(self.turns.values())
         for step in sorted(self.turns):
-            left -= self.turns[step]
-            if left <= 0:
+            remaining -= self.turns[step]
+            if remaining <= 0:
                 return min(math.exp2((step + 1) / STEPS_PER_DOUBLING), float(self.longest_ns))
         return 0.0
 
 
 def histogram_step(nanoseconds: int) -> int:
-    """The histogram step of a call that took that long."""
+    """Returns the histogram step of a call of that duration."""
     return int(math.log2(max(nanoseconds, 1)) * STEPS_PER_DOUBLING)
 
 
 def zero_totals() -> dict[Role, RoleTotals]:
-    """Totals of every role before anything was measured."""
+    """Returns zero totals for every role."""
     return {role: RoleTotals() for role in Role}
 
 
 def to_records(totals_by_role: dict[Role, RoleTotals]) -> tuple[RoleSums, ...]:
-    """Converts totals to result records: seconds, and the histogram as its 99th percentile."""
+    """Converts totals to result records, with the histogram reduced to its 99th percentile."""
     return tuple(
         RoleSums(
             role=role,
@@ -109,8 +109,9 @@
 class Meter:
     """Measures the limiters of one process.
 
-    A measured call is one from outside into a limiter. A call made within a measured call counts as
-    part of the outer one. The thread's processor time is read before and after.
+    A measured call is one from outside into a limiter. A call within a measured call counts as part
+    of the outer one. The meter reads the thread's processor time before and after each measured
+    call.
 
     Args:
         processor_ns: Reads the processor time in nanoseconds.
@@ -122,7 +123,7 @@
         self.totals = zero_totals()
 
     def measure_call(self, role: Role, call: Callable[..., Any], *args: Any) -> Any:
-        """Makes the call, counts it even where it raises, and returns its result."""
+        """Makes the call, counts it even if it raises, and returns its result."""
         if self._in_call:
             return call(*args)
         self._in_call, before = True, self._processor_ns()
@@ -157,13 +158,13 @@
         totals.datagrams_in += 1
         totals.bytes_in += size
 
-    def take_totals(self) -> dict[Role, RoleTotals]:
+    def drain_totals(self) -> dict[Role, RoleTotals]:
         """Returns the totals so far and resets them."""
-        taken, self.totals = self.totals, zero_totals()
-        return taken
+        drained, self.totals = self.totals, zero_totals()
+        return drained
 
     def longest_turn_s(self) -> float:
-        """Processor seconds of the longest call of any role since the last reset."""
+        """Returns the processor seconds of the longest call of any role since the last reset."""
         return max(totals.longest_ns for totals in self.totals.values()) / 1e9
 
 
@@ -186,21 +187,23 @@
             self.most[second] = max(self.most.get(second, 0), size)
 
     def worst_mean_rate(self, seconds: int, members: int, window_s: float) -> float:
-        """Bytes a second of the mean member in the worst stretch of the window.
+        """Returns the bytes a second of the mean member in the worst interval of the window.
 
         Args:
-            seconds: Length of the stretch; the whole window where that is shorter.
+            seconds: Length of the interval; capped at the length of the window.
             members: Number of limiters.
             window_s: Length of the window in seconds.
         """
         length = max(1, min(seconds, math.floor(window_s)))
         starts = range(min(self.sums, default=0), max(self.sums, default=0) + 1)
-        stretches = [sum(self.sums.get(start + n, 0) for n in range(length)) for start in starts]
-        return max(stretches, default=0) / length / max(members, 1)
+        interval_sums = [
+            sum(self.sums.get(start + n, 0) for n in range(length)) for start in starts
+        ]
+        return max(interval_sums, default=0) / length / max(members, 1)
 
 
 def sum_traffic(counters: Iterable[Counter[int]]) -> Traffic:
-    """The traffic of limiters whose bytes by second are given."""
+    """Returns the traffic of several limiters, given the bytes by second of each."""
     total = Traffic()
     for counter in counters:
         total.add(Traffic(dict(counter), dict(counter)))
@@ -208,12 +211,12 @@
 
 
 def size_on_wire(text_bytes: int) -> int:
-    """Bytes of a datagram with its IPv4 and UDP headers."""
+    """Returns the bytes of a datagram including its IPv4 and UDP headers."""
     return text_bytes + HEADER_BYTES
 
 
 def reference_loop_ns() -> int:
-    """Processor nanoseconds of a fixed loop of plain Python: how fast the machine is now."""
+    """Returns the processor nanoseconds of a fixed Python loop, which gauge the machine's speed."""
     before, total = time.thread_time_ns(), 0
     for step in range(REFERENCE_LOOP_STEPS):
         total += step & 7
--- a/hazelhollow/scale/modelled_endpoints.py
+++ b/hazelhollow/scale/modelled_endpoints.py
@@ -1,4 +1,4 @@
-"""What surrounds a hollow limiter: modelled servers, and requests with their modelled clients."""
+"""The environment of a hollow limiter: modelled servers, and requests with modelled clients."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     """A connection pool of modelled servers: each attempt is answered after a random time.
 
     Args:
-        scheduler: Of the incarnation.
-        seed: Of the service times.
+        scheduler: The scheduler of the incarnation.
+        seed: Seed of the service times.
         service_s: Mean service time in seconds.
     """
 
@@ -33,26 +33,26 @@
         done: Callable[[AttemptResult], None],
         look: Callable[[], object] = lambda: None,
     ) -> Attempt:
-        """Starts an attempt, which is sent at once and completely."""
+        """Starts an attempt; its request counts as completely sent at once."""
         now = self._scheduler.clock()
         attempt = Attempt(name, command, done, look, now)
         self._scheduler.at(now + service_time(self._rng, self._service_s), self.answer, attempt)
         return attempt
 
     def answer(self, attempt: Attempt) -> None:
-        """The server of an attempt has answered."""
+        """Completes an attempt with the modelled server's answer."""
         attempt.finish(AttemptResult("ok"))
 
     def abort(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Ends an attempt whose request was sent."""
+        """Ends an attempt whose request was sent, with the status of that reason."""
         attempt.finish(AttemptResult(attempt_status(reason, True)))
 
     def withdraw(self, attempt: Attempt, reason: CloseReason) -> None:
-        """Does nothing: every attempt has been sent completely at once."""
+        """Does nothing: no attempt is still unsent, since all are sent completely at once."""
 
 
 class HollowRequest:
-    """A modelled request together with its client, which records whether it was admitted."""
+    """A modelled request and its client; records whether the request was admitted."""
 
     __slots__ = ("request", "admitted")
 
@@ -60,20 +60,20 @@
         self.request, self.admitted = request, False
 
     def command(self, wait_ms: int) -> bytes:
-        """The bytes to forward; a request that is forwarded has been admitted."""
+        """Returns the bytes to forward, and records that the request was admitted."""
         del wait_ms  # modelled servers have no deadline
         self.admitted = True
         return b""
 
     def send_value(self, value: bytes) -> None:
-        """Drops the answer."""
+        """Discards the answer."""
 
     def send_busy(self, retry_after_ms: int) -> None:
-        """Drops a rejection; modelled clients do not retry."""
+        """Discards a rejection; modelled clients do not retry."""
 
     def send_failure(self) -> None:
-        """Drops an error."""
+        """Discards an error."""
 
     def has_disconnected(self) -> bool:
-        """False: modelled clients wait for their answer."""
+        """Returns False: modelled clients wait for their answer."""
         return False
--- a/hazelhollow/scale/network.py
+++ b/hazelhollow/scale/network.py
@@ -2,8 +2,8 @@
 
 `HollowPeerSocket` is the `PeerSocket` of one limiter through all its incarnations. All sockets of a
 process share one `NetworkState`: the meter, the partition in force and the ledger of datagrams. At
-the end of a run the ledger must balance: what was sent is what was received, cut, addressed to dead
-limiters, or dropped by the operating system.
+the end of a run the ledger must balance: each datagram that was sent has been received, dropped by
+a partition, addressed to a limiter that is down or absent, or dropped by the operating system.
 """
 
 from __future__ import annotations
@@ -26,22 +26,25 @@
 UDP_TABLE = Path("/proc/net/udp")
 INODE_COLUMN = 9  # of that table
 DROPS_COLUMN = 12  # of that table
-RECEIVE_BUFFER_BYTES = 1 << 18  # of a socket whose process has other limiters to run meanwhile
-ABSENT_PORT = 9  # nobody listens there: of limiters that the settings name and the run leaves out
-ABSENT_HOSTS_PER_SUBNET = 250  # last numbers that addresses of such limiters use
+# The buffer must hold the datagrams that arrive while the process runs its other limiters.
+RECEIVE_BUFFER_BYTES = 1 << 18
+# Absent limiters are those that the settings name and the run leaves out. Nothing listens at their
+# port.
+ABSENT_PORT = 9
+ABSENT_HOSTS_PER_SUBNET = 250  # values of the last octet that addresses of absent limiters use
 
 
 class DatagramLedger(msgspec.Struct):
     """Datagrams of all limiters of a process over a whole run.
 
-    Datagrams of a limiter to its own address count as neither sent nor received.
+    Datagrams that a limiter sends to its own address count as neither sent nor received.
 
     Attributes:
-        out: Sent.
-        came: Received and handled.
-        cut: Received, and dropped by the partition in force.
-        to_dead: Addressed to limiters that are down or not part of the run.
-        dropped: Dropped by the operating system for lack of buffer space.
+        out: Datagrams sent.
+        came: Datagrams received and handled.
+        cut: Datagrams received but dropped by the partition in force.
+        to_dead: Datagrams addressed to limiters that are down or absent.
+        dropped: Datagrams dropped by the operating system because a buffer was full.
     """
 
     out: int = 0
@@ -56,12 +59,12 @@
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
     def lost(self) -> int:
-        """Datagrams that were sent and not handled, whatever the reason."""
+        """Returns the number of datagrams that were sent but not handled, for any reason."""
         return self.cut + self.to_dead + self.dropped
 
 
 class MeteredSocket(socket.socket):
-    """A socket that adds the processor time of reading a datagram to the datagram's role."""
+    """A socket that charges the processor time of reading a datagram to the datagram's role."""
 
     meter: Meter
 
@@ -76,7 +79,7 @@
 
 
 class NetworkState:
-    """What the sockets of one process share: the meter, the partition in force and the ledger."""
+    """State shared by the sockets of a process: the meter, the partition in force, the ledger."""
 
     def __init__(self, meter: Meter) -> None:
         self.meter, self.ledger = meter, DatagramLedger()
@@ -86,14 +89,14 @@
 class HollowPeerSocket(PeerSocket):
     """The socket of one limiter, through all its incarnations.
 
-    While no incarnation runs (`dead`), datagrams are counted and dropped.
+    While no incarnation runs (`dead`), it counts and drops all datagrams that it receives.
 
     Args:
-        scheduler: Of the process.
-        network: What the sockets of the process share.
+        scheduler: The scheduler of the process.
+        network: State shared by the sockets of the process.
         number: The limiter's number.
         listen: Address to bind.
-        current_second: The second of the present window, for `bytes_by_second`.
+        current_second: Returns the second of the current window, for `bytes_by_second`.
     """
 
     def __init__(
@@ -115,13 +118,13 @@
         self.bytes_by_second = Counter[int]()
 
     def attach_incarnation(self, stats: Stats, on_message: Callable[[int, str], None]) -> None:
-        """A new incarnation of the limiter receives what comes from now on."""
+        """Delivers all later datagrams to a new incarnation of the limiter."""
         self._stats, self.on_message, self.on_unknown_sender = stats, on_message, None
         self.dead = False
         self.on_sent = None
 
     def send(self, address: tuple[str, int] | None, text: str) -> None:
-        """Sends a datagram, as `PeerSocket.send` does, and counts it if it left."""
+        """Sends a datagram, as `PeerSocket.send` does, and counts it if it was sent."""
         before = self._stats.told
         super().send(address, text)
         if self._stats.told == before:
@@ -134,7 +137,8 @@
 
     def _handle_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
         network, role = self._network, datagram_role(data[:1].decode("latin-1"))
-        # Membership's message to a process that may have the same number.
+        # Membership's announcement to its own address, which detects another process with the same
+        # number. It leaves through another socket and is therefore not in the ledger.
         if sender[0] == self.address[0]:
             if not self.dead:
                 network.meter.measure_call(Role.VIEW, super()._handle_datagram, data, sender)
@@ -150,7 +154,7 @@
             network.meter.measure_call(role, super()._handle_datagram, data, sender)
 
     def inode(self) -> int:
-        """The inode by which the system's table of sockets names this one."""
+        """Returns the inode that identifies this socket in the system's table of sockets."""
         return Path(f"/proc/self/fd/{self._sock.fileno()}").stat().st_ino
 
     def close(self) -> None:
@@ -160,20 +164,20 @@
 
 
 def absent_address(number: int) -> tuple[str, int]:
-    """The address of a limiter that the settings name and the run leaves out."""
+    """Returns the address of an absent limiter, at which nothing listens."""
     subnet, host = divmod(number, ABSENT_HOSTS_PER_SUBNET)
     return f"127.1.{subnet}.{1 + host}", ABSENT_PORT
 
 
 def dropped_datagrams(inodes: set[int]) -> int:
-    """Datagrams that the operating system has dropped at these sockets.
+    """Returns the number of datagrams that the operating system has dropped at these sockets.
 
     Raises:
-        OSError: The system does not tell.
+        OSError: The system's table of sockets cannot be read.
     """
     rows = [line.split() for line in UDP_TABLE.read_text().splitlines()[1:]]
     return sum(int(row[DROPS_COLUMN]) for row in rows if int(row[INODE_COLUMN]) in inodes)
 
 
 def _ignore_message(_sender: int, _text: str) -> None:
-    """No incarnation runs yet."""
+    """Ignores a message that arrives before the first incarnation is attached."""
--- a/hazelhollow/scale/point_assembly.py
+++ b/hazelhollow/scale/point_assembly.py
@@ -1,8 +1,8 @@
-"""One point of the results from the reports of all workers.
+"""Assembles one point of the results from the reports of all workers.
 
-The coordinator calls `assemble_point` once all workers have reported. Totals are added up, each
-event becomes one record, quotas are judged over all requests, and notes say what a reader of the
-figures must know.
+The coordinator calls `assemble_point` after all workers have reported. It adds up the totals,
+merges each event into one record, compares all requests with their quotas, and writes the notes
+that a reader of the figures needs.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from hazelhollow.scale import measure, truth
 from hazelhollow.scale.load import populate
-from hazelhollow.scale.messages import Lag, Report, SeenEvent
+from hazelhollow.scale.messages import Lag, ObservedEvent, Report
 from hazelhollow.scale.network import DatagramLedger
 from hazelhollow.scale.plan import Plan, PlannedPoint
 from hazelhollow.scale.results import NO_TIMES, Event, Point, Quotas, Spread
@@ -27,25 +27,25 @@
     reports: Sequence[Report],
     rows: Sequence[truth.Row],
 ) -> Point:
-    """What the workers measured together.
+    """Returns the point that the workers measured together.
 
     Args:
         plan: The plan that the point belongs to.
         planned: The point.
         dilation: Real seconds for one second of the run's clock.
-        reports: Of all workers.
+        reports: The reports of all workers.
         rows: All requests in the order of their times.
     """
     limiters = sum(report.limiters for report in reports)
     seconds = sum(report.limiters * report.seconds for report in reports) / limiters
     events = _by_event(reports)
-    total_quotas, *quotas_by_event = truth.judge(
+    total_quotas, *quotas_by_event = truth.measure_quotas(
         rows, populate(planned.size, planned.fleet, plan.seed), _windows(reports, events)
     )
     totals = measure.zero_totals()
     for report in reports:
-        for role, of_worker in report.roles.items():
-            totals[role].add(of_worker)
+        for role, worker_totals in report.roles.items():
+            totals[role].add(worker_totals)
     growth = sum(report.memory_after - report.memory_before for report in reports)
     return Point(
         axis=planned.axis,
@@ -60,47 +60,60 @@
         memory_bytes=max(0.0, growth / limiters),
         quotas=total_quotas,
         events=tuple(
-            _event(seen, quotas) for seen, quotas in zip(events, quotas_by_event, strict=True)
+            _event(observations, quotas)
+            for observations, quotas in zip(events, quotas_by_event, strict=True)
         ),
         notes=tuple(_notes(plan, planned, reports)),
     )
 
 
 def _windows(
-    reports: Sequence[Report], events: Sequence[Sequence[SeenEvent]]
+    reports: Sequence[Report], events: Sequence[Sequence[ObservedEvent]]
 ) -> list[truth.Window]:
-    """The time of measuring, then the window of each event."""
+    """Returns the window of the measurement, then that of each event."""
     shortest = min(report.seconds for report in reports)
     measured_at = max(report.measured_at_s for report in reports)
     windows = [truth.Window(measured_at, measured_at + shortest)]
-    windows += [truth.Window(seen[0].at_s, seen[0].at_s + seen[0].window_s) for seen in events]
+    windows += [
+        truth.Window(observations[0].at_s, observations[0].at_s + observations[0].window_s)
+        for observations in events
+    ]
     return windows
 
 
-def _by_event(reports: Sequence[Report]) -> list[list[SeenEvent]]:
-    """Events that all workers have seen to their end, each with what every worker saw."""
-    return [list(same) for same in zip(*(report.events for report in reports), strict=False)]
+def _by_event(reports: Sequence[Report]) -> list[list[ObservedEvent]]:
+    """Groups the workers' observations by event; drops events that a worker did not complete."""
+    return [
+        list(observations)
+        for observations in zip(*(report.events for report in reports), strict=False)
+    ]
 
 
-def _event(seen: Sequence[SeenEvent], quotas: Quotas) -> Event:
-    traffic, members = measure.Traffic(), sum(by_worker.members for by_worker in seen)
-    for by_worker in seen:
-        traffic.add(by_worker.traffic)
+def _event(observations: Sequence[ObservedEvent], quotas: Quotas) -> Event:
+    traffic, members = measure.Traffic(), sum(observation.members for observation in observations)
+    for observation in observations:
+        traffic.add(observation.traffic)
     return Event(
-        kind=seen[0].kind,
-        at_s=seen[0].at_s,
-        until_agreed=spread([value for by_worker in seen for value in by_worker.until]),
-        worst_second_bytes_mean=traffic.worst_mean_rate(1, members, seen[0].window_s),
+        kind=observations[0].kind,
+        at_s=observations[0].at_s,
+        until_agreed=spread([value for observation in observations for value in observation.until]),
+        worst_second_bytes_mean=traffic.worst_mean_rate(1, members, observations[0].window_s),
         worst_second_bytes_most=float(max(traffic.most.values(), default=0)),
-        worst_ten_seconds_bytes_mean=traffic.worst_mean_rate(10, members, seen[0].window_s),
-        false_deaths=len({number for by_worker in seen for number in by_worker.falsely_dead}),
+        worst_ten_seconds_bytes_mean=traffic.worst_mean_rate(10, members, observations[0].window_s),
+        false_deaths=len(
+            {number for observation in observations for number in observation.falsely_dead}
+        ),
         quotas=quotas,
-        longest_turn_s=max(by_worker.longest_turn_s for by_worker in seen),
+        longest_turn_s=max(observation.longest_turn_s for observation in observations),
     )
 
 
 def spread(values: Sequence[float | None]) -> Spread:
-    """Median, 99th percentile and worst of the members that agreed, and how many did not (None)."""
+    """Returns median, 99th percentile and worst of the members that agreed, and their number.
+
+    Args:
+        values: Seconds of each member; None for a member that did not agree.
+    """
     reached = sorted(value for value in values if value is not None)
     if not reached:
         return Spread(median=0.0, p99=0.0, worst=0.0, reached=0, of=len(values))
@@ -114,15 +127,15 @@
 
 
 def _quantile(ordered: Sequence[float], share: float) -> float:
-    """The least value that at least this share of the sorted values does not exceed."""
+    """Returns the least of the sorted values that at least this share of them does not exceed."""
     return ordered[min(len(ordered) - 1, math.ceil(share * len(ordered)) - 1)]
 
 
-# Notes, in the order in which results have them
+# Notes, in their order in the results
 
 
 def _notes(plan: Plan, planned: PlannedPoint, reports: Sequence[Report]) -> list[str]:
-    """What a reader of the figures must know."""
+    """Returns the notes that a reader of the figures needs."""
     notes = _ledger_notes(reports)
     notes += [f"worker {n}: {report.missing}" for n, report in enumerate(reports) if report.missing]
     notes += _lag_notes(reports)
@@ -170,31 +183,31 @@
 
 
 def _processor_notes(reports: Sequence[Report]) -> list[str]:
-    of_roles = sum(totals.cpu_ns for report in reports for totals in report.roles.values()) / 1e9
-    whole = sum(report.processor_s for report in reports)
-    if not whole:
+    role_cpu_s = sum(totals.cpu_ns for report in reports for totals in report.roles.values()) / 1e9
+    process_cpu_s = sum(report.processor_s for report in reports)
+    if not process_cpu_s:
         return []
     waited = sum(report.waited_s for report in reports)
     return [
-        f"the workers ran for {whole:.1f} s while measuring, and waited {waited:.1f} "
+        f"the workers ran for {process_cpu_s:.1f} s while measuring, and waited {waited:.1f} "
         "s for a processor",
-        f"{1 - of_roles / whole:.0%} of the workers' processor time is of no role: the "
+        f"{1 - role_cpu_s / process_cpu_s:.0%} of the workers' processor time is of no role: the "
         "load, the loop, the collector",
     ]
 
 
 def _lag_notes(reports: Sequence[Report]) -> list[str]:
-    """Where the figures of time are not valid because workers were too slow."""
+    """Returns a note for each stage whose times are invalid because workers were too slow."""
     measuring = Lag()
     for report in reports:
         measuring.add(report.lag)
     notes = [_lag_note("measuring", measuring)] if fell_behind(measuring) else []
-    for seen in _by_event(reports):
+    for observations in _by_event(reports):
         lag = Lag()
-        for by_worker in seen:
-            lag.add(by_worker.lag)
+        for observation in observations:
+            lag.add(observation.lag)
         if fell_behind(lag):
-            notes.append(_lag_note(seen[0].kind.value, lag))
+            notes.append(_lag_note(observations[0].kind.value, lag))
     return notes
 
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -202,7 +202,7 @@
     assert (meter.totals[Role.VIEW].calls, meter.totals[Role.VIEW].cpu_ns) == (2, 25)
     assert meter.totals[Role.GOSSIP].calls == 0
     assert (
-        sum(meter.take_totals()[Role.VIEW].turns.values()) == 2
+        sum(meter.drain_totals()[Role.VIEW].turns.values()) == 2
         and meter.totals[Role.VIEW].calls == 0
     )
 
@@ -307,7 +307,9 @@
         truth.Row(1.0, 0, 3.0, False),
         truth.Row(9.0, 0, 1.0, True),
     ]
-    first, second = truth.judge(rows, population, [truth.Window(0.0, 2.0), truth.Window(2.0, 10.0)])
+    first, second = truth.measure_quotas(
+        rows, population, [truth.Window(0.0, 2.0), truth.Window(2.0, 10.0)]
+    )
     assert (first.asked, first.let_in, first.beyond, first.refused_with_room) == (
         11.0,
         6.0,
