--- a/hazelhollow/scale/load.py
+++ b/hazelhollow/scale/load.py
@@ -1,8 +1,8 @@
-"""The modelled load: tenants by usage pattern, and the requests of one limiter, from a seed.
+"""The modelled load: tenants by usage pattern, and the requests of each limiter, from a seed.
 
 A tenant's requests are split over its limiters by uneven weights. A Poisson stream that is split at
 random is a Poisson stream at each limiter. Each limiter's requests are therefore drawn
-independently, and are the same whichever process runs the limiter.
+independently and do not depend on the process that runs the limiter.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from hazelhollow.scale.plan import FleetTerms
 from hazelhollow.scale.results import Size
 
-# Units of a request; each is drawn equally often.
+# Units of a request; each entry is equally likely.
 UNITS = (1, 1, 1, 2, 2, 2, 3, 3, 4, 6)
 MEAN_UNITS = sum(UNITS) / len(UNITS)
 MAX_UNITS = max(UNITS)
-SPIKE_MULTIPLE = 6.0  # of its plan's rate, that a spiky tenant requests during a spike
-MIN_BURST_UNITS = 2.0 * MAX_UNITS  # so that the largest request always fits
+SPIKE_MULTIPLE = 6.0  # a spiky tenant's rate during a spike, as a multiple of its plan's rate
+MIN_BURST_UNITS = 2.0 * MAX_UNITS  # so that the largest request always fits into the burst
 
 
 class UsagePattern(NamedTuple):
     """A usage pattern.
 
     Attributes:
-        name: As it stands in `Tenant.usage`.
-        share: Share of the tenants that have it.
-        use: Mean use as a part of the plan's rate.
+        name: Name of the pattern, as in `Tenant.usage`.
+        share: Share of the tenants with this pattern.
+        use: Mean use as a fraction of the plan's rate.
     """
 
     name: str
@@ -50,13 +50,13 @@
 
 
 class Tariff(NamedTuple):
-    """A tenants' plan before it is scaled to the size.
+    """A plan of tenants before it is scaled to the size.
 
     Attributes:
-        name: As it stands in the settings.
+        name: Name of the plan, as in the settings.
         rate: Units a second.
-        burst_s: Burst, in seconds of the rate.
-        share: Share of the tenants that have it.
+        burst_s: Burst in seconds of the rate.
+        share: Share of the tenants with this plan.
     """
 
     name: str
@@ -74,7 +74,7 @@
 
 
 class Quota(NamedTuple):
-    """A plan as it stands in the settings: `rate` in units a second, `burst` in units."""
+    """A plan as in the settings: `rate` in units a second, `burst` in units."""
 
     name: str
     rate: float
@@ -93,7 +93,8 @@
         base_rate: Requests a second outside of spikes.
         peak_rate: Requests a second during a spike; the base rate for a tenant without spikes.
         skew: Exponent of the weights by which its requests are split over its limiters.
-        spike: Start of the first spike, period and duration, in seconds; no duration: no spikes.
+        spike: Start of the first spike, period and duration in seconds; a duration of 0 means no
+            spikes.
     """
 
     number: int
@@ -108,11 +109,11 @@
 
     @property
     def name(self) -> str:
-        """The tenant's name in requests."""
+        """Returns the tenant's name in requests."""
         return f"tenant-{self.number:06d}"
 
     def rate(self, at: float) -> float:
-        """Requests a second at a time, in seconds since the run began."""
+        """Returns the requests a second at a time, given in seconds since the run began."""
         first, period, duration = self.spike
         in_spike = duration and (at - first) % period < duration
         return self.peak_rate if in_spike else self.base_rate
@@ -129,19 +130,19 @@
 
 @dataclass(frozen=True)
 class Population:
-    """All tenants of a run and the quotas that they have."""
+    """All tenants of a run and their quotas."""
 
     tenants: Sequence[Tenant]
     quotas: Sequence[Quota]
 
 
 def populate(size: Size, terms: FleetTerms, seed: int) -> Population:
-    """The tenants, with rates and quotas scaled to the requests a second of the size."""
+    """Draws the tenants; scales rates and quotas to the size's requests a second."""
     rng = random.Random(f"tenants {seed}")
     drawn = [_tenant(rng, number, size.limiters, terms) for number in range(size.tenants)]
     unscaled = sum(_mean_rate(tenant) for tenant in drawn)
     scale = size.requests_per_s * size.limiters / unscaled
-    quota_scale = scale or 1.0  # without any requests the quotas stay unscaled
+    quota_scale = scale or 1.0  # a load of 0 requests a second leaves the quotas unscaled
     tenants = tuple(
         tenant._replace(base_rate=tenant.base_rate * scale, peak_rate=tenant.peak_rate * scale)
         for tenant in drawn
@@ -170,7 +171,7 @@
     least = min(terms.spread_least or limiters // 2 or 1, limiters)
     spread = rng.randint(least, min(terms.spread_most or limiters, limiters))
     base_rate = rate * pattern.use * rng.uniform(0.85, 1.15)
-    skew = round(rng.uniform(0.21, 1.2), 1)  # few values, so that sums of weights are kept
+    skew = round(rng.uniform(0.21, 1.2), 1)  # few distinct values, so that weight sums are cached
     peak_rate = rate * SPIKE_MULTIPLE if spiky else base_rate
     return Tenant(
         number,
@@ -186,7 +187,7 @@
 
 
 def _mean_rate(tenant: Tenant) -> float:
-    """Requests a second, spikes included."""
+    """Returns the mean requests a second, including spikes."""
     _, period, duration = tenant.spike
     return tenant.base_rate + (tenant.peak_rate - tenant.base_rate) * duration / period
 
@@ -197,22 +198,22 @@
 
 
 def weight(tenant: Tenant, limiter: int, limiters: int) -> float:
-    """The part of a tenant's requests that goes to a limiter; 0 outside of its set."""
-    place = (limiter - tenant.first) % limiters
-    if place >= tenant.spread:
+    """Returns the fraction of a tenant's requests that goes to a limiter; 0 outside of its set."""
+    offset = (limiter - tenant.first) % limiters
+    if offset >= tenant.spread:
         return 0.0
-    rank = (place + tenant.number) % tenant.spread
+    rank = (offset + tenant.number) % tenant.spread
     return float((rank + 1) ** -tenant.skew / _total_weight(tenant.spread, tenant.skew))
 
 
 def split(
-    population: Population, here: Sequence[int], limiters: int
+    population: Population, numbers: Sequence[int], limiters: int
 ) -> dict[int, list[tuple[Tenant, float]]]:
-    """For each limiter `here`: the tenants that it serves, and which part of their requests."""
-    parts_by_limiter: dict[int, list[tuple[Tenant, float]]] = {number: [] for number in here}
+    """Returns, for each limiter in `numbers`, its tenants and its fraction of their requests."""
+    parts_by_limiter: dict[int, list[tuple[Tenant, float]]] = {number: [] for number in numbers}
     for tenant in population.tenants:
-        places = [(tenant.first + place) % limiters for place in range(tenant.spread)]
-        for number in places if len(places) < len(here) else here:
+        serving = [(tenant.first + offset) % limiters for offset in range(tenant.spread)]
+        for number in serving if len(serving) < len(numbers) else numbers:
             part = weight(tenant, number, limiters) if number in parts_by_limiter else 0.0
             if part:
                 parts_by_limiter[number].append((tenant, part))
@@ -223,10 +224,10 @@
     """The requests of one limiter in the order of their times, drawn as they are iterated.
 
     Args:
-        parts: The limiter's tenants, and which part of their requests goes to it.
+        parts: The limiter's tenants, and the fraction of their requests that goes to it.
         routes: Number of routes.
         limiter: The limiter's number.
-        seed: Of the run.
+        seed: Seed of the run.
     """
 
     def __init__(
@@ -238,9 +239,9 @@
         self._cumulative_rates = list(accumulate(tenant.peak_rate * part for tenant, part in parts))
 
     def __iter__(self) -> Iterator[DrawnRequest]:
-        """Arrivals by thinning: drawn at the tenants' highest rates, accepted by the present ones.
+        """Draws arrivals by thinning: at the tenants' peak rates, accepted by their current rates.
 
-        Ends at once where no tenant sends requests.
+        Ends at once if no tenant sends requests.
         """
         rng, sums, at = self._rng, self._cumulative_rates, 0.0
         while sums and sums[-1] > 0.0:
@@ -249,12 +250,12 @@
             accepted = rng.random() * tenant.peak_rate < tenant.rate(at)
             route = (
                 int(self._routes ** rng.random()) - 1
-            )  # about Zipf: as often as 1 / (number + 1)
+            )  # about Zipf's law: proportional to 1 / (number + 1)
             units = rng.choice(UNITS)
             if accepted:
                 yield DrawnRequest(at, tenant.number, min(max(route, 0), self._routes - 1), units)
 
 
 def service_time(rng: random.Random, mean: float) -> float:
-    """Draws the seconds that a modelled server takes, exponential with that mean."""
+    """Draws a modelled server's service time, which is exponential with that mean in seconds."""
     return -mean * math.log(1.0 - rng.random())
--- a/hazelhollow/scale/origin.py
+++ b/hazelhollow/scale/origin.py
@@ -12,27 +12,27 @@
 
 
 def total_memory() -> int:
-    """Bytes of the machine's memory."""
+    """Returns the size of the machine's memory in bytes."""
     return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
 
 
 def begin(plan: str, planned: Size, file: Path) -> Results:
-    """The results in a file, to be added to, or new ones if there is no file.
+    """Reads the results to extend from a file, or creates new ones if the file does not exist.
 
     Args:
         plan: Name of the plan, for new results.
         planned: The size to design for, for new results.
-        file: Where results may be.
+        file: The file that may hold results.
 
     Raises:
         OSError: The file cannot be read.
-        ResultsError: It holds no results of this format.
+        ResultsError: The file holds no results of this format.
     """
     return load(file) if file.exists() else fresh(plan, planned)
 
 
 def fresh(plan: str, planned: Size) -> Results:
-    """Results without any figures, of this program on this machine now."""
+    """Creates results without figures for this program on this machine."""
     return Results(
         format=FORMAT,
         plan=plan,
@@ -49,7 +49,7 @@
 
 
 def commit() -> str:
-    """The commit that the program runs from, with `-dirty` if files have changed; or `unknown`."""
+    """Returns the program's commit, with `-dirty` if files are modified, or `unknown`."""
     command = [
         "git",
         "-C",
--- a/hazelhollow/scale/results.py
+++ b/hazelhollow/scale/results.py
@@ -1,7 +1,7 @@
 """Results of scale runs as typed records, written to and read from JSON.
 
-The names of the fields are those of the files; `FORMAT` is raised when a field changes its meaning.
-Totals stand as they were measured: rates, slopes and shares of a budget are derived by the report.
+The names of the fields are those in the files; `FORMAT` is raised when a field changes its meaning.
+Totals are stored as measured: the report derives rates, slopes and shares of a budget from them.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from hazelhollow.scale.errors import ResultsError
 
 FORMAT = 1  # raised when a field changes its meaning
-# The end of a note on an event for which the machine was too slow.
+# End of the note on an event or stage for which the machine was too slow.
 NO_TIMES = "no figures of time"
 HEADER_BYTES = 28  # of IPv4 and UDP, for each datagram
 
 
 class Axis(StrEnum):
-    """What grows from one point to the next while the rest stays."""
+    """What grows from one point to the next while everything else stays the same."""
 
     LIMITERS = "limiters"
     SERVERS = "servers"
@@ -93,13 +93,13 @@
 
 
 class Quotas(msgspec.Struct, frozen=True, kw_only=True):
-    """Units over the whole fleet, against one token bucket a tenant that sees every request.
+    """Units over the whole fleet, compared with one token bucket per tenant for all requests.
 
     Attributes:
         asked: Units of all requests.
         let_in: Units of requests that were admitted.
-        beyond: Units that were admitted beyond the quota.
-        refused_with_room: Units that were rejected though the quota had capacity.
+        beyond: Units that were admitted in excess of the quota.
+        refused_with_room: Units that were rejected although the quota had capacity.
     """
 
     asked: float
@@ -119,20 +119,20 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """An event of a run, and its effects. Bytes are those of one member, headers included.
+    """An event of a run and its effects. Bytes are those of one member, including headers.
 
     Attributes:
         kind: What happened.
-        at_s: When, in seconds since the run began.
+        at_s: When it happened, in seconds since the run began.
         until_agreed: Seconds from the event until a member's membership (for a configuration: the
-            settings that it acts on) was right for good.
+            settings that it acts on) was correct for good.
         worst_second_bytes_mean: Bytes in the worst second, mean over all members.
-        worst_second_bytes_most: Bytes in any second of the member that sent the most.
+        worst_second_bytes_most: Most bytes that any member sent in one second.
         worst_ten_seconds_bytes_mean: Bytes a second in the worst ten, mean over all members.
-        false_deaths: Limiters that a member considered dead without cause.
-        quotas: Units while it was observed.
+        false_deaths: Limiters that a member considered dead although they were up and reachable.
+        quotas: Units while the event was observed.
         longest_turn_s: Processor seconds of the longest call of any role at any member; None in
-            files that are older than the field.
+            files that were written before this field existed.
     """
 
     kind: EventKind
@@ -152,18 +152,18 @@
     Attributes:
         axis: What grows from one point to the next.
         size: The size.
-        seed: Of the run.
-        seconds: Length of the measurement on the run's clock, of the mean limiter.
+        seed: Seed of the run.
+        seconds: Length of the measurement on the run's clock, mean over the limiters.
         dilation: Real seconds for one second of the run's clock.
         hollow: Number of hollow limiters that were played.
         real: Number of real limiters that were played.
         roles: Totals by role.
-        memory_bytes: Of one hollow limiter, from the growth of its process.
-        loop_s: Mean processor seconds of a fixed loop while measuring, which tell how fast the
-            machine was then.
+        memory_bytes: Memory of one hollow limiter, from the growth of its process.
+        loop_s: Mean processor seconds of a fixed loop while measuring, which show how fast the
+            machine was.
         quotas: Units while measuring.
-        events: What happened after the measurement.
-        notes: What a reader of the figures must know.
+        events: Events after the measurement.
+        notes: What a reader of the figures needs to know.
     """
 
     axis: Axis
@@ -182,11 +182,11 @@
 
     @property
     def whole_fleet(self) -> bool:
-        """Whether all limiters of the size were played, so that traffic is that of the size."""
+        """Whether all limiters of the size were played, so that the traffic is that of the size."""
         return self.hollow + self.real >= self.size.limiters
 
     def has_valid_times(self, event: Event) -> bool:
-        """Whether the event's seconds are valid: no note says that the machine was too slow."""
+        """Whether the event's times are valid: no note says that the machine was too slow."""
         return not any(
             note.startswith(f"{event.kind.value}:") and note.endswith(NO_TIMES)
             for note in self.notes
@@ -196,17 +196,17 @@
 class Latency(msgspec.Struct, frozen=True, kw_only=True):
     """Latency through one real limiter and directly to the server, interleaved.
 
-    Seconds are counted from the intended start of a request to its answer.
+    A latency is the time from the intended start of a request to its answer.
 
     Attributes:
         size: The size.
-        requests: Requests through the limiter that count.
+        requests: Number of requests through the limiter that were evaluated.
         direct_median_s: Median directly to the server.
         direct_p99_s: 99th percentile directly to the server.
         limiter_median_s: Median through the limiter.
         limiter_p99_s: 99th percentile through the limiter.
-        limiter_memory_bytes: Most memory that the limiter held; 0: not measured.
-        left_out: Part of the run that does not count because the load generator was late.
+        limiter_memory_bytes: Peak memory of the limiter; 0: not measured.
+        left_out: Fraction of the run that was not evaluated because the load generator was late.
     """
 
     size: Size
@@ -224,10 +224,10 @@
 
     Attributes:
         figure: What was measured.
-        unit: Of both values.
+        unit: Unit of both values.
         real: Value of real processes.
         hollow: Value of hollow limiters.
-        margin: By which they may differ, as a part of the real value.
+        margin: Allowed difference as a fraction of the real value.
     """
 
     figure: str
@@ -250,15 +250,15 @@
     """The contents of a file of results.
 
     Attributes:
-        format: `FORMAT` of the program that wrote it.
+        format: `FORMAT` of the program that wrote the file.
         plan: Name of the plan, or of the command.
-        commit: Of the program that was measured.
-        began: When the file was begun, in UTC.
+        commit: Commit of the program that was measured.
+        began: When the file was created, in UTC.
         machine: What the program ran on.
         planned: The size to design for.
-        points: Of scale runs.
-        latencies: Of `scale latency`.
-        comparisons: Of `scale compare`.
+        points: Points of scale runs.
+        latencies: Results of `scale latency`.
+        comparisons: Results of `scale compare`.
     """
 
     format: int
@@ -278,11 +278,11 @@
 
 
 def load(path: Path) -> Results:
-    """Reads results; raises OSError, or ResultsError if the file holds none of this format."""
+    """Reads results; raises OSError, or ResultsError if the file has another format."""
     try:
         results: Results = msgspec.json.decode(path.read_bytes(), type=Results)
     except msgspec.DecodeError as error:
         raise ResultsError(f"{path}: {error}") from error
     if results.format != FORMAT:
-        raise ResultsError(f"{path}: format {results.format}, this program reads {FORMAT}")
+        raise ResultsError(f"{path}: format {results.format}; this program reads format {FORMAT}")
     return results
--- a/hazelhollow/scale/settings.py
+++ b/hazelhollow/scale/settings.py
@@ -1,6 +1,6 @@
 """The settings of the limiters of a scale run, and their list of servers.
 
-The documents have the form that operators give them (`simulator.settings_document` reads them).
+The documents have the format of operators' documents, which `simulator.settings_document` reads.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from hazelhollow.scale.results import Size
 from hazelhollow.scale.topology import Topology
 
-DEADLINE_S = 2.0  # of each route: an answer after it has no weight
+DEADLINE_S = 2.0  # of each route; an answer after its deadline counts for nothing
 LATENCY_OBJECTIVE_S = 0.5  # of each route
 CELLS = 32  # over which the servers are distributed
 
 
 def route_name(number: int) -> str:
-    """The name of a route."""
+    """Returns the name of a route."""
     return f"route-{number:05d}"
 
 
 def document(size: Size, quotas: Sequence[Quota], terms: FleetTerms) -> dict[str, Any]:
-    """The settings that all limiters share."""
+    """Returns the settings that all limiters share."""
     return {
         "balancers": size.limiters,
         "step": 0.001,
@@ -62,32 +62,32 @@
     }
 
 
-def changed(before: dict[str, Any], routes: Sequence[int], change: int) -> dict[str, Any]:
-    """The next revision of a document: these routes have another deadline.
+def changed(before: dict[str, Any], routes: Sequence[int], revision: int) -> dict[str, Any]:
+    """Returns the next revision of a document, in which some routes have another deadline.
 
     Args:
-        before: The document to start from; it is not changed.
-        routes: Numbers of the routes.
-        change: The revision; the deadlines grow by this many milliseconds.
+        before: The document to start from, which is not modified.
+        routes: Numbers of the routes to change.
+        revision: The new revision; the deadlines exceed `DEADLINE_S` by as many milliseconds.
     """
     grades = list(before["grades"])
     for number in routes:
-        grades[number] = _route(number, DEADLINE_S + change / 1000)
+        grades[number] = _route(number, DEADLINE_S + revision / 1000)
     return {**before, "grades": grades}
 
 
 def own_document(shared: dict[str, Any], number: int, topology: Topology) -> dict[str, Any]:
-    """The shared settings with one limiter's position and zone."""
+    """Returns the shared settings with one limiter's position and zone."""
     return {**shared, "position": number, "zone": zone_name(topology.zone(number))}
 
 
 def zone_name(zone: int) -> str:
-    """The name of a zone."""
+    """Returns the name of a zone."""
     return f"zone-{zone}"
 
 
 def servers(size: Size, terms: FleetTerms) -> tuple[api.EndpointEntry, ...]:
-    """The list of servers, assigned to the zones in turn."""
+    """Returns the list of servers, which are assigned to the zones in turn."""
     return tuple(
         api.EndpointEntry(
             f"server-{n:05d}", "up", zone_name(n % terms.zones), n % CELLS, 1.0 + n % 2
--- a/hazelhollow/scale/topology.py
+++ b/hazelhollow/scale/topology.py
@@ -1,6 +1,7 @@
 """The topology of a fleet: regions of zones of racks, and which pairs of limiters are partitioned.
 
-A limiter's place follows from its number alone, so that every process of a run agrees on it.
+A limiter's rack, zone and region are computed from its number alone, so that all processes of a run
+agree on them.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Topology(NamedTuple):
-    """Limiters in the order of their numbers over the racks; those of a zone are adjacent."""
+    """Assigns limiters to racks in the order of their numbers; those of a zone are adjacent."""
 
     limiters: int
     regions: int
@@ -23,30 +24,30 @@
     racks: int
 
     def zone(self, number: int) -> int:
-        """The zone of a limiter."""
+        """Returns the zone of a limiter."""
         return number * self.zones // self.limiters
 
     def region(self, number: int) -> int:
-        """The region of a limiter."""
+        """Returns the region of a limiter."""
         return self.zone(number) * self.regions // self.zones
 
     def rack(self, number: int) -> int:
-        """The rack of a limiter."""
+        """Returns the rack of a limiter."""
         return number * self.racks // self.limiters
 
 
 def make_topology(limiters: int, terms: FleetTerms) -> Topology:
-    """The topology of that many limiters; with fewer limiters than racks some racks are empty."""
+    """Creates the topology of that many limiters; if they are fewer than racks, some are empty."""
     return Topology(limiters, terms.regions, terms.zones, terms.racks)
 
 
 def no_cut(_source: int, _target: int) -> bool:
-    """The predicate of a network without a partition."""
+    """Returns False: the predicate of a network without a partition."""
     return False
 
 
 def region_partition(topology: Topology, region: int) -> CutPredicate:
-    """A partition, in both directions, between one region and all others."""
+    """Returns the predicate of a two-way partition between one region and all others."""
     return lambda source, target: (topology.region(source) == region) != (
         topology.region(target) == region
     )
