--- a/hazelhollow/scale/budgets.py
+++ b/hazelhollow/scale/budgets.py
@@ -1,8 +1,8 @@
 """The planned size of the fleet, and the budgets of one limiter at that size.
 
-The operators' figures stand as they gave them. Where a unit has two readings the smaller one holds:
-a kilobyte is 1,000 bytes. Two limits are derived: a limiter is one process on one core, and a turn
-of its loop delays every request that arrives meanwhile.
+The operators' figures are used as given. If a unit has two definitions, the smaller one applies: a
+kilobyte is 1,000 bytes. Two limits are derived: `REQUEST_CPU`, since a limiter is one process on
+one core, and `TURN`, since a turn of its loop delays every request that arrives meanwhile.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
     """A limit on what one limiter may use.
 
     Attributes:
-        name: As tables show it.
-        unit: Of the limit.
-        limit: The most that is allowed.
-        derived: Whether it follows from other figures and was not given by the operators.
+        name: Name of the budget in tables.
+        unit: Unit of the limit.
+        limit: The highest value that is allowed.
+        derived: Whether the limit follows from other figures and was not given by the operators.
     """
 
     name: str
--- a/hazelhollow/scale/commands.py
+++ b/hazelhollow/scale/commands.py
@@ -1,4 +1,4 @@
-"""`hazelhollow scale`: what limiters cost as everything around them grows."""
+"""The command `hazelhollow scale`: what limiters cost as everything around them grows."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from hazelhollow.scale.report_commands import report
 from hazelhollow.scale.results import Axis, Point, Results
 
-FAILED = 1  # exit status where a point could not be played
+FAILED = 1  # exit status if a point could not be played
 
 
 @click.group(help="Measure what limiters cost as everything around them grows.")
 def scale() -> None:
-    """The group of the commands; its help is that of the decorator."""
+    """Groups the commands; the decorator holds the help text."""
 
 
 scale.add_command(compare)
@@ -39,53 +39,54 @@
     type=click.Path(path_type=Path, dir_okay=False),
     required=True,
     metavar="FILE",
-    help="Where the points go, one after another. Those that the file has already stay in it.",
+    help="File to which each point is appended; points that it already holds are kept.",
 )
 @click.option(
     "--axis",
     "axes",
     multiple=True,
     type=click.Choice([axis.value for axis in Axis]),
-    help="Play these axes alone.",
+    help="Play only these axes.",
 )
 @click.option(
-    "--value", "values", multiple=True, type=int, help="Of each axis, play these values alone."
+    "--value", "values", multiple=True, type=int, help="Play only these values of each axis."
 )
 def run(plan_name: str, path: Path, axes: Sequence[str], values: Sequence[int]) -> None:
     """Play a plan (small, axes, together, or a TOML file) and write what was measured.
 
-    Hollow limiters run the real decisions, view, replication and audit over loopback, and a
-    modelled load. A run that is broken off keeps the points that it has; a second one adds to them.
+    Hollow limiters run the real decisions, membership view, replication and audit over loopback,
+    under a modelled load. An interrupted run keeps the points measured so far; a later run adds to
+    them.
     """
     try:
         plan = plans.load(plan_name)
-        found = origin.begin(plan.name, plan.planned, path)
+        stored = origin.begin(plan.name, plan.planned, path)
     except (PlanError, ResultsError, OSError) as error:
         raise click.ClickException(str(error)) from error
     failed = 0
     for planned in plan.points():
-        if _wanted(planned, axes, values):
+        if _is_selected(planned, axes, values):
             began = time.monotonic()
             point = _play(plan, planned)
             if point is None:
                 failed += 1
                 continue
-            found = _add(found, point, path)
+            stored = _append_point(stored, point, path)
             seconds = time.monotonic() - began
             click.echo(f"  {_summary(point)} ({seconds:.0f} s of real time)", err=True)
     if failed:
-        click.echo(f"{failed} points could not be played", err=True)
+        click.echo(f"points that could not be played: {failed}", err=True)
         raise SystemExit(FAILED)
 
 
-def _wanted(planned: PlannedPoint, axes: Sequence[str], values: Sequence[int]) -> bool:
+def _is_selected(planned: PlannedPoint, axes: Sequence[str], values: Sequence[int]) -> bool:
     if axes and planned.axis.value not in axes:
         return False
-    return not values or _value(planned) in values
+    return not values or _axis_value(planned) in values
 
 
-def _value(planned: PlannedPoint) -> int:
-    """The value of the field that grows along the point's axis."""
+def _axis_value(planned: PlannedPoint) -> int:
+    """Returns the value of the field that grows along the point's axis."""
     name = plans.FIELD_OF_AXIS.get(
         planned.axis, "limiters" if planned.axis is Axis.ALL else "routes"
     )
@@ -93,8 +94,8 @@
 
 
 def _play(plan: Plan, planned: PlannedPoint) -> Point | None:
-    """Plays a point; None if it could not be played."""
-    click.echo(f"{planned.axis.value} {_value(planned)} ...", err=True)
+    """Plays a point; returns None if it could not be played."""
+    click.echo(f"{planned.axis.value} {_axis_value(planned)} ...", err=True)
     try:
         point = Coordinator(plan, lambda line: click.echo(f"  {line}", err=True)).play(planned)
     except RunError as error:
@@ -103,14 +104,14 @@
     return point
 
 
-def _add(found: Results, point: Point, path: Path) -> Results:
-    """Adds a point to the results and writes them; raises OSError."""
+def _append_point(stored: Results, point: Point, path: Path) -> Results:
+    """Appends a point to the results and writes them; raises OSError."""
     commit = origin.commit()
-    if commit != found.commit:  # an earlier program began the file
+    if commit != stored.commit:  # another version of the program created the file
         point = msgspec.structs.replace(point, notes=(*point.notes, f"measured at commit {commit}"))
-    found = msgspec.structs.replace(found, points=(*found.points, point))
-    results.save(found, path)
-    return found
+    stored = msgspec.structs.replace(stored, points=(*stored.points, point))
+    results.save(stored, path)
+    return stored
 
 
 def _summary(point: Point) -> str:
@@ -121,6 +122,6 @@
         if totals.calls
     )
     return (
-        f"a core's part by role: {cores}; {point.memory_bytes / 2**20:.1f} MB; dilation "
+        f"share of a core by role: {cores}; {point.memory_bytes / 2**20:.1f} MB; dilation "
         f"{point.dilation:g}"
     )
--- a/hazelhollow/scale/comparison_plan.py
+++ b/hazelhollow/scale/comparison_plan.py
@@ -1,4 +1,4 @@
-"""What `scale compare` plays, and the form of its figures.
+"""The plan of `scale compare`, and the format of its figures.
 
 `real_fleet` and `hollow_figures` both play a `FleetPlan` and return `Figures`, which
 `fleet_comparison` compares by name.
@@ -16,9 +16,9 @@
 ROLES_WITH_DATAGRAMS = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
 
 Progress = Callable[[str], None]
-"""Called with a line of text now and then."""
+"""Called with lines of text that report the progress."""
 Figures = dict[str, float]
-"""Values by name; the first word of a name tells the unit."""
+"""Values by name; the first word of a name determines the unit."""
 
 
 class FleetPlan(msgspec.Struct, frozen=True, kw_only=True):
@@ -29,12 +29,12 @@
         servers: Number of servers.
         routes: Number of routes.
         tenants: Number of tenants.
-        requests_per_s: Requests a second of one limiter under load.
+        requests_per_s: Requests a second of each limiter under load.
         settle_s: Seconds from the start to the first measurement.
         rest_s: Length of each measurement in seconds.
-        deaths: Limiters that are killed, one after another.
+        deaths: Number of limiters that are killed, one after another.
         death_s: Seconds for which each death is observed.
-        seed: Of all random draws.
+        seed: Seed of all random draws.
     """
 
     limiters: int = 12
@@ -50,7 +50,7 @@
 
     @property
     def size(self) -> Size:
-        """The size under load."""
+        """Returns the size under load."""
         return Size(
             limiters=self.limiters,
             servers=self.servers,
@@ -61,9 +61,9 @@
 
     @property
     def terms(self) -> FleetTerms:
-        """How the fleet is set up: every tenant at all limiters, and no keys.
+        """Returns how the fleet is set up: every tenant at all limiters, without authentication.
 
-        Each limiter has a rack of its own, so that a lost rack is one death.
+        Each limiter has its own rack, so that the loss of a rack is one death.
         """
         return FleetTerms(
             regions=1,
--- a/hazelhollow/scale/errors.py
+++ b/hazelhollow/scale/errors.py
@@ -1,14 +1,14 @@
 """Errors of scale runs.
 
-The caller's input is wrong (`PlanError`, `ResultsError`, `PageError`), or a measurement could not
-be made on this machine (`RunError`, `MeasurementError`). The text of each is shown to the operator.
+`PlanError`, `ResultsError` and `PageError` report invalid input; `RunError` and `MeasurementError`
+report a measurement that could not be made on this machine. The operator sees the text of each.
 """
 
 from __future__ import annotations
 
 
 class PlanError(ValueError):
-    """A plan cannot be played; the text names the file, the place in it, and the reason."""
+    """A plan cannot be played; the text names the file, the location in it, and the reason."""
 
 
 class ResultsError(ValueError):
@@ -16,7 +16,7 @@
 
 
 class PageError(ValueError):
-    """A page's markers do not fit the tables; the text names the marker."""
+    """A page's markers do not match the tables; the text names the marker."""
 
 
 class RunError(Exception):
@@ -32,8 +32,8 @@
 
 
 class BusyMachineError(MeasurementError):
-    """The figures would be those of a busy machine; another attempt may find it idle."""
+    """The machine was too busy for valid figures; another attempt may find it idle."""
 
 
 class LateClientError(BusyMachineError):
-    """The load generator itself was late, so that the figures would be its own."""
+    """The load generator was late, so that the figures would measure its own delay."""
--- a/hazelhollow/scale/hollow_figures.py
+++ b/hazelhollow/scale/hollow_figures.py
@@ -1,4 +1,4 @@
-"""Figures of hollow limiters, to be compared with those of real processes."""
+"""Figures of hollow limiters, which are compared with those of real processes."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from hazelhollow.scale.results import HEADER_BYTES, Axis, Event, EventKind, Point, Role
 from hazelhollow.scale.worker import START_SPREAD_S
 
-IDLE_RATE_PER_S = 0.001  # requests a second: in effect none
+IDLE_RATE_PER_S = 0.001  # requests a second; practically none
 CONTROL_ROLES = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT, Role.TIMERS)
 
 
 def hollow_figures(plan: FleetPlan, progress: Progress) -> Figures:
-    """Of hollow limiters.
+    """Plays a fleet of hollow limiters and returns its figures.
 
-    At rest with a death, by as many seeds as there are deaths, and under load. Raises RunError or
-    MeasurementError.
+    Plays it at rest with one death, once for each planned death with its own seed, and once under
+    load. Raises RunError or MeasurementError.
     """
     idle = [
         _play(plan, IDLE_RATE_PER_S, plan.seed + number, progress, death=True)
@@ -47,7 +47,7 @@
 
 
 def figures_at_rest(point: Point) -> Figures:
-    """Traffic by role, and the processor time of all roles of control, without requests."""
+    """Returns the traffic by role and the processor time of all control roles, without requests."""
     limiter_s = point.hollow * point.seconds
     control = sum(sums.cpu_s for sums in point.roles if sums.role in CONTROL_ROLES)
     return {**_traffic(point, "at rest"), "processor for control at rest": control / limiter_s}
@@ -65,10 +65,10 @@
 
 
 def agreed(point: Point, kind: EventKind) -> Event:
-    """The event of that kind; raises MeasurementError unless all members agreed after it."""
+    """Returns the event of that kind; raises MeasurementError if a member did not agree."""
     event = next((event for event in point.events if event.kind is kind), None)
     if event is None or event.until_agreed.reached < event.until_agreed.of:
-        raise MeasurementError(f"hollow limiters did not agree after {kind}")
+        raise MeasurementError(f"not all hollow limiters agreed after the event {kind}")
     return event
 
 
--- a/hazelhollow/scale/plan.py
+++ b/hazelhollow/scale/plan.py
@@ -1,8 +1,8 @@
 """Plans of scale runs: typed records, read from TOML.
 
-Reading validates a plan completely: one that cannot be played is rejected with the place of the
-fault. `Plan.points` turns a plan into the points that the coordinator plays. Names of fields are
-those of the TOML files.
+`read` validates a plan completely: it rejects one that cannot be played, with the location of the
+error. `Plan.points` yields the points that the coordinator plays. The names of the fields are those
+in the TOML files.
 """
 
 from __future__ import annotations
@@ -16,13 +16,16 @@
 from hazelhollow.scale.errors import PlanError
 from hazelhollow.scale.results import Axis, EventKind, Size
 
-FOLDER = Path(__file__).parent / "plans"  # the plans that come with the program
+PLANS_FOLDER = Path(__file__).parent / "plans"  # of the plans that come with the program
 MAX_WORKERS = 16
 MAX_LIMITERS = 1000
 MIN_WINDOW_S = 1.0
-# Events that undo another one, which must come before them.
-PAIRS = {EventKind.ZONE_BACK: EventKind.ZONE_LOST, EventKind.REGION_HEALED: EventKind.REGION_CUT}
-# The field of a size that grows along an axis.
+# Events that undo another one, with the event that must come before them.
+PREREQUISITE_EVENT = {
+    EventKind.ZONE_BACK: EventKind.ZONE_LOST,
+    EventKind.REGION_HEALED: EventKind.REGION_CUT,
+}
+# The field of `Size` that grows along each axis.
 FIELD_OF_AXIS = {
     Axis.SERVERS: "servers",
     Axis.ROUTES: "routes",
@@ -36,8 +39,8 @@
 
     Attributes:
         kind: What happens.
-        window_s: Seconds of the run's clock for which its effects are observed; the next event
-            follows them.
+        window_s: Seconds of the run's clock for which its effects are observed, until the next
+            event.
     """
 
     kind: EventKind
@@ -45,7 +48,7 @@
 
     def __post_init__(self) -> None:
         if self.window_s < MIN_WINDOW_S:
-            raise ValueError(f"window_s: less than {MIN_WINDOW_S:g} s")
+            raise ValueError(f"window_s: must be at least {MIN_WINDOW_S:g} s")
 
 
 class FleetTerms(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -56,14 +59,14 @@
         zones: Number of zones in all regions together.
         racks: Number of racks in all zones together.
         spread_least: Fewest limiters that serve one tenant; 0: half of the fleet.
-        spread_most: Most limiters that serve one tenant; 0: the whole fleet.
+        spread_most: Most limiters that serve one tenant; 0: the entire fleet.
         inbox_per_s: The settings' `inbox_per_s`: gossip datagrams a second for one limiter.
-        service_s: Mean seconds that a modelled server takes.
+        service_s: Mean service time of a modelled server in seconds.
         restart_s: Seconds from a limiter's end to its next start.
         sealed: Whether datagrams are authenticated.
         replicate: Whether quota counts are replicated.
         audit: Whether configuration is distributed and audited.
-        control_bytes_per_s: Budget of a limiter's control traffic, headers included; 0: none.
+        control_bytes_per_s: Budget of a limiter's control traffic, including headers; 0: none.
     """
 
     regions: int = 3
@@ -82,33 +85,34 @@
     def __post_init__(self) -> None:
         if not 0 < self.regions <= self.zones <= self.racks or self.zones % self.regions:
             raise ValueError(
-                "regions, zones, racks: each must hold at least one of the next, all alike many"
+                "regions, zones, racks: must satisfy 0 < regions <= zones <= racks, with zones a "
+                "multiple of regions"
             )
         if not 0 <= self.spread_least <= self.spread_most:
-            raise ValueError("spread_least: above spread_most, or below nothing")
+            raise ValueError("spread_least: must be 0 to spread_most")
         if self.control_bytes_per_s and self.control_bytes_per_s < MIN_BYTES_PER_S:
-            raise ValueError(f"control_bytes_per_s: less than {MIN_BYTES_PER_S:g}")
+            raise ValueError(f"control_bytes_per_s: must be 0 or at least {MIN_BYTES_PER_S:g}")
         if min(self.inbox_per_s, self.service_s, self.restart_s) <= 0:
-            raise ValueError("inbox_per_s, service_s, restart_s: not above zero")
+            raise ValueError("inbox_per_s, service_s, restart_s: must be above 0")
 
 
 class AxisPlan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The points of one axis: the base with one value changed or, for `all`, the sizes named.
+    """The points of one axis: the base size with one value changed, or the sizes of the axis `all`.
 
     Attributes:
         axis: What grows.
-        values: Values of the axis's field; none for the axis `all`.
-        sizes: Sizes of the axis `all`; none for others.
-        base: Size to change, in place of the plan's.
-        fleet: How the fleet is set up, in place of the plan's.
-        present: Limiters that are played, of those that the settings name; 0: all.
+        values: Values of the axis's field; empty for the axis `all`.
+        sizes: Sizes of the axis `all`; empty for other axes.
+        base: Base size, in place of the plan's.
+        fleet: How the fleet is set up, in place of the plan's terms.
+        present: Number of limiters that are played, of those that the settings name; 0: all.
         settle_s: Seconds from the start of the limiters to the measurement.
         seconds: Length of the measurement.
         dilation: Real seconds for one second of the run's clock; 0: as many as the workers need.
-        every_tenant_first: Each tenant sends one request to each of its limiters right before the
-            measurement.
+        every_tenant_first: Whether each tenant sends one request to each of its limiters right
+            before the measurement.
         events: Events after the measurement.
-        most_real_s: Real seconds after which a point ends, complete or not.
+        most_real_s: Real seconds after which a point ends, even if it is incomplete.
     """
 
     axis: Axis
@@ -131,21 +135,25 @@
                 f"axis {self.axis.value}: give {'sizes' if needs_sizes else 'values'} alone"
             )
         if any(value < 1 for value in self.values):
-            raise ValueError("values: one is below 1")
+            raise ValueError("values: each must be at least 1")
         if self.settle_s <= 0 or self.seconds <= 0 or self.most_real_s <= 0 or self.dilation < 0:
-            raise ValueError("settle_s, seconds, most_real_s: not above zero, or dilation below it")
+            raise ValueError(
+                "settle_s, seconds, most_real_s: must be above 0, and dilation at least 0"
+            )
         if self.events and self.every_tenant_first:
             raise ValueError(
-                "events: none where every_tenant_first, which takes as long as it takes"
+                "events: not allowed with every_tenant_first, whose duration is not planned"
             )
-        seen = set[EventKind]()
+        earlier = set[EventKind]()
         for event in self.events:
             if event.kind is EventKind.START:
                 raise ValueError("events: start is always the first and is not named")
-            undone = PAIRS.get(event.kind)
-            if undone and undone not in seen:
-                raise ValueError(f"events: {event.kind.value} without {undone.value} before it")
-            seen.add(event.kind)
+            prerequisite = PREREQUISITE_EVENT.get(event.kind)
+            if prerequisite and prerequisite not in earlier:
+                raise ValueError(
+                    f"events: {event.kind.value} without {prerequisite.value} before it"
+                )
+            earlier.add(event.kind)
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -153,11 +161,11 @@
 
     Attributes:
         name: The plan's name.
-        seed: Of all random draws.
-        base: The size that axes change.
-        axes: What is measured.
+        seed: Seed of all random draws.
+        base: The size of which each axis changes one value.
+        axes: The axes to measure.
         planned: The size to design for.
-        workers: Processes that share the limiters.
+        workers: Number of processes that share the limiters.
         fleet: How the fleet is set up.
     """
 
@@ -171,7 +179,7 @@
 
     def __post_init__(self) -> None:
         if not 1 <= self.workers <= MAX_WORKERS:
-            raise ValueError(f"workers: not 1 to {MAX_WORKERS}")
+            raise ValueError(f"workers: must be 1 to {MAX_WORKERS}")
         for point in self.points():
             if not 2 <= point.size.limiters <= MAX_LIMITERS:
                 raise ValueError(f"limiters: {point.size.limiters} is not 2 to {MAX_LIMITERS}")
@@ -184,22 +192,23 @@
                 or point.size.requests_per_s < 0
             ):
                 raise ValueError(
-                    "base, sizes: servers, routes or tenants below 1, or requests_per_s below 0"
+                    "base, sizes: servers, routes and tenants must be at least 1, and "
+                    "requests_per_s at least 0"
                 )
 
     def points(self) -> Iterator[PlannedPoint]:
-        """All points, axis by axis, in the order of the plan."""
+        """Yields all points, axis by axis, in the order of the plan."""
         for terms in self.axes:
             for size in terms.sizes or [self._size_of(terms, value) for value in terms.values]:
                 yield PlannedPoint(terms.axis, size, terms, terms.fleet or self.fleet)
 
     def _size_of(self, terms: AxisPlan, value: int) -> Size:
-        name = FIELD_OF_AXIS.get(terms.axis, "routes")  # routes are what grows of a configuration
+        name = FIELD_OF_AXIS.get(terms.axis, "routes")  # a configuration grows by its routes
         return msgspec.structs.replace(terms.base or self.base, **{name: value})
 
 
 class PlannedPoint(msgspec.Struct, frozen=True):
-    """One point to be measured: its size, the plan of its axis, and how the fleet is set up."""
+    """One point to measure: its size, the plan of its axis, and how the fleet is set up."""
 
     axis: Axis
     size: Size
@@ -208,7 +217,7 @@
 
 
 def read(text: str, source: str) -> Plan:
-    """Reads a plan from its text; `source` is named in errors. Raises PlanError."""
+    """Parses a plan; errors name `source`. Raises PlanError."""
     try:
         plan: Plan = msgspec.toml.decode(text, type=Plan)
     except (msgspec.DecodeError, ValueError) as error:
@@ -217,13 +226,15 @@
 
 
 def load(name: str) -> Plan:
-    """Reads a plan by its name, if it comes with the program, or by its path. Raises PlanError."""
-    path = FOLDER / f"{name}.toml"
+    """Loads a plan by the name of one that comes with the program, or by path. Raises PlanError."""
+    path = PLANS_FOLDER / f"{name}.toml"
     if not path.exists():
         path = Path(name)
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        known = ", ".join(sorted(file.stem for file in FOLDER.glob("*.toml")))
-        raise PlanError(f"{name}: no such plan ({error}); there are {known}") from error
+        available = ", ".join(sorted(file.stem for file in PLANS_FOLDER.glob("*.toml")))
+        raise PlanError(
+            f"{name}: cannot be read ({error}); plans that come with the program: {available}"
+        ) from error
     return read(text, str(path))
--- a/hazelhollow/scale/settings.py
+++ b/hazelhollow/scale/settings.py
@@ -14,7 +14,7 @@
 from hazelhollow.scale.results import Size
 from hazelhollow.scale.topology import Topology
 
-DEADLINE_S = 2.0  # of each route; an answer after its deadline counts for nothing
+DEADLINE_S = 2.0  # of each route; an answer after its deadline has no value
 LATENCY_OBJECTIVE_S = 0.5  # of each route
 CELLS = 32  # over which the servers are distributed
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -109,7 +109,9 @@
         plan.load("no-such-plan")
 
 
-@pytest.mark.parametrize("path", sorted(plan.FOLDER.glob("*.toml")), ids=lambda path: path.stem)
+@pytest.mark.parametrize(
+    "path", sorted(plan.PLANS_FOLDER.glob("*.toml")), ids=lambda path: path.stem
+)
 def test_plans_that_come_with_the_program_can_be_read(path: Path) -> None:
     loaded = plan.load(path.stem)
     assert loaded.name == path.stem and list(loaded.points())
