--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -1,6 +1,6 @@
-"""Scale runs: plans, the modelled load, partitions, meters and the facts they are judged by.
+"""Scale runs: plans, the modelled load, partitions, meters, ground truth and quota reference.
 
-The last part runs the small plan from end to end, in real processes.
+The last part runs the small plan end to end in real processes.
 """
 
 from __future__ import annotations
@@ -49,14 +49,14 @@
 planned = { limiters = 930, servers = 14000, routes = 11000, tenants = 73000,\
  requests_per_s = 204.0 }
 """
-END_WITHIN_S = 20.0  # a killed run's processes
+END_TIMEOUT_S = 20.0  # within which the processes of a killed run end
 AXIS = '[[axes]]\naxis = "servers"\nvalues = [2, 9]\n'
 
 
 # Plans
 
 
-def test_a_plan_grows_one_value_and_leaves_the_rest() -> None:
+def test_axis_of_a_plan_changes_one_value_of_the_base_size() -> None:
     points = list(plan.read(HEAD + AXIS, "here").points())
     assert [(point.axis, point.size.servers, point.size.routes) for point in points] == [
         (Axis.SERVERS, 2, 3),
@@ -98,13 +98,13 @@
         ("name = ", "here:"),
     ],
 )
-def test_a_bad_plan_says_where(text: str, message: str) -> None:
+def test_invalid_plan_is_rejected_with_the_location_of_the_error(text: str, message: str) -> None:
     with pytest.raises(PlanError) as found:
         plan.read(text, "here")
     assert str(found.value).startswith("here:") and message in str(found.value)
 
 
-def test_a_plan_that_is_not_there_names_those_that_are() -> None:
+def test_error_for_a_missing_plan_lists_the_available_plans() -> None:
     with pytest.raises(PlanError, match="small"):
         plan.load("no-such-plan")
 
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize(
     "path", sorted(plan.PLANS_FOLDER.glob("*.toml")), ids=lambda path: path.stem
 )
-def test_plans_that_come_with_the_program_can_be_read(path: Path) -> None:
+def test_plan_that_comes_with_the_program_can_be_loaded(path: Path) -> None:
     loaded = plan.load(path.stem)
     assert loaded.name == path.stem and list(loaded.points())
 
@@ -120,32 +120,33 @@
 # The load
 
 
-def _requests(seed: int, limiter: int, here: tuple[int, ...]) -> list[load.DrawnRequest]:
+def _requests(seed: int, limiter: int, numbers: tuple[int, ...]) -> list[load.DrawnRequest]:
     population = load.populate(SIZE, FleetTerms(), seed)
-    parts = load.split(population, here, SIZE.limiters)
+    parts = load.split(population, numbers, SIZE.limiters)
     return list(islice(load.Requests(parts[limiter], SIZE.routes, limiter, seed), 300))
 
 
-def test_a_seed_gives_the_same_requests_in_whichever_process() -> None:
+def test_requests_depend_on_seed_and_limiter_but_not_on_the_process() -> None:
+    """Processes hold different limiters, and each must draw the requests of a limiter alike."""
     assert _requests(3, 5, (5,)) == _requests(3, 5, tuple(range(40)))
     assert _requests(3, 5, (5,)) != _requests(4, 5, (5,))
     assert _requests(3, 5, (5,)) != _requests(3, 6, (5, 6))
     population = load.populate(SIZE, FleetTerms(), 3)
     parts = load.split(population, (5,), SIZE.limiters)[5]
     first, other = (next(iter(load.Requests(parts, SIZE.routes, number, 3))) for number in (5, 6))
-    assert first != other, "limiters of the same tenants draw their own"
+    assert first != other, "limiters with the same tenants drew the same requests"
 
 
-def test_a_tenants_requests_are_split_over_its_set_alone() -> None:
+def test_requests_of_a_tenant_are_split_over_the_limiters_of_its_set_only() -> None:
     population = load.populate(SIZE, FleetTerms(spread_least=3, spread_most=9), 1)
     for tenant in population.tenants:
         parts = [load.weight(tenant, number, SIZE.limiters) for number in range(SIZE.limiters)]
-        within = {(tenant.first + place) % SIZE.limiters for place in range(tenant.spread)}
+        serving = {(tenant.first + offset) % SIZE.limiters for offset in range(tenant.spread)}
         assert sum(parts) == pytest.approx(1.0)
-        assert {number for number, part in enumerate(parts) if part} == within
+        assert {number for number, part in enumerate(parts) if part} == serving
 
 
-def test_tenants_ask_for_as_much_as_the_size_says() -> None:
+def test_total_request_rate_is_that_of_the_size() -> None:
     population = load.populate(SIZE, FleetTerms(), 2)
     parts = load.split(population, range(SIZE.limiters), SIZE.limiters)
     seconds, count = 60.0, 0
@@ -160,7 +161,7 @@
     }
 
 
-def test_nobody_asks_where_no_requests_are_planned() -> None:
+def test_size_with_no_requests_a_second_yields_no_requests() -> None:
     silent = msgspec.structs.replace(SIZE, requests_per_s=0.0)
     population = load.populate(silent, FleetTerms(), 1)
     assert all(quota.rate > 0.0 for quota in population.quotas)
@@ -173,7 +174,7 @@
 
 
 @given(st.integers(1, 200), st.integers(0, 199), st.integers(0, 199))
-def test_a_cut_region_is_cut_both_ways_and_from_the_others_alone(
+def test_region_partition_drops_both_directions_between_regions_only(
     limiters: int, source: int, target: int
 ) -> None:
     source, target = source % limiters, target % limiters
@@ -186,7 +187,7 @@
     )
 
 
-def test_zones_lie_within_regions_and_racks_within_zones() -> None:
+def test_each_zone_is_in_one_region_and_each_rack_in_one_zone() -> None:
     layout = topology.make_topology(930, FleetTerms())
     places = {(layout.region(n), layout.zone(n), layout.rack(n)) for n in range(930)}
     assert len(places) == 60 and len({(region, zone) for region, zone, _ in places}) == 6
@@ -195,7 +196,7 @@
 # Meters
 
 
-def test_roles_add_up_and_a_call_within_a_call_is_part_of_it() -> None:
+def test_nested_call_counts_as_part_of_the_outer_call() -> None:
     ticks = iter(range(0, 1000, 10))
     meter = Meter(lambda: next(ticks))
     meter.measure_call(Role.VIEW, lambda: meter.measure_call(Role.GOSSIP, lambda: None))
@@ -209,8 +210,8 @@
     )
 
 
-def test_a_call_that_fails_is_counted_and_the_next_one_too() -> None:
-    """A measured call raises. If the meter stayed within it, no later call would be counted."""
+def test_call_that_raises_is_counted_and_so_is_the_next_call() -> None:
+    """If the meter still counted itself inside a call that raised, it would count no later call."""
     meter = Meter()
     with pytest.raises(ZeroDivisionError):
         meter.measure_call(Role.LIST, lambda: 1 / 0)
@@ -219,34 +220,34 @@
 
 
 @given(st.lists(st.integers(1, 10**10), min_size=1, max_size=200), st.integers(1, 5))
-def test_sums_of_processes_add_up_and_bound_the_ninety_ninth(
+def test_merged_role_totals_add_up_and_their_p99_is_within_bounds(
     times: list[int], processes: int
 ) -> None:
     parts = [RoleTotals() for _ in range(processes)]
-    for place, spent in enumerate(times):
-        Meter._count(parts[place % processes], spent)
-    whole = RoleTotals()
+    for index, spent in enumerate(times):
+        Meter._count(parts[index % processes], spent)
+    merged = RoleTotals()
     for part in parts:
-        whole.add(part)
-    assert (whole.calls, whole.cpu_ns, whole.longest_ns) == (len(times), sum(times), max(times))
+        merged.add(part)
+    assert (merged.calls, merged.cpu_ns, merged.longest_ns) == (len(times), sum(times), max(times))
     exact = sorted(times)[max(0, -(-99 * len(times) // 100) - 1)]
-    assert exact * 0.999 <= whole.p99_ns() <= max(times)
+    assert exact * 0.999 <= merged.p99_ns() <= max(times)
 
 
 @pytest.mark.parametrize(
     ("seconds", "window_s", "expected"), [(1, 20.0, 300.0), (10, 20.0, 60.0), (10, 4.0, 150.0)]
 )
-def test_the_worst_stretch_is_divided_by_its_own_length(
+def test_worst_mean_rate_divides_by_the_interval_within_the_window(
     seconds: int, window_s: float, expected: float
 ) -> None:
-    whole = Traffic()
-    whole.add(Traffic({0: 400, 1: 200}, {0: 400, 1: 200}))
-    whole.add(Traffic({0: 200, 3: 400}, {0: 200, 3: 400}))
-    assert whole.worst_mean_rate(seconds, 2, window_s) == pytest.approx(expected)
-    assert whole.most == {0: 400, 1: 200, 3: 400}
+    total = Traffic()
+    total.add(Traffic({0: 400, 1: 200}, {0: 400, 1: 200}))
+    total.add(Traffic({0: 200, 3: 400}, {0: 200, 3: 400}))
+    assert total.worst_mean_rate(seconds, 2, window_s) == pytest.approx(expected)
+    assert total.most == {0: 400, 1: 200, 3: 400}
 
 
-def test_a_clock_that_is_dilated_passes_slower_and_from_where_it_starts() -> None:
+def test_dilated_clock_starts_at_its_unix_start_and_advances_slower() -> None:
     now = [100.0]
     clock = DilatedClock(100.0, 5000.0, 4.0, lambda: now[0])
     assert clock() == 5000.0
@@ -257,12 +258,12 @@
 # Agreement and quotas
 
 
-def _record(number: int, state: MemberState, began: float) -> Record:
-    return Record(number, round(began * INCARNATIONS_PER_S), 0, state)
+def _record(number: int, state: MemberState, started_at: float) -> Record:
+    return Record(number, round(started_at * INCARNATIONS_PER_S), 0, state)
 
 
-def test_a_member_agrees_when_its_records_match_the_facts() -> None:
-    """A live member is held dead for a while: a false death, and agreement counts anew."""
+def test_member_agrees_once_all_its_records_match_the_ground_truth() -> None:
+    """A live member is considered dead for a while: a false death, which restarts the agreement."""
     now, facts = [10.0], GroundTruth(3)
     facts.up_since = {0: 1.0, 1: 1.0, 2: 8.0}
     watcher = MembershipWatcher(0, facts, lambda: now[0])
@@ -273,7 +274,7 @@
             _record(2, MemberState.ALIVE, 3.0),
         ]
     )
-    assert watcher.mismatched == {2}, "a record of an earlier incarnation"
+    assert watcher.mismatched == {2}, "the record of an earlier incarnation must not match"
     watcher.record_changed(_record(2, MemberState.ALIVE, 8.1))
     assert watcher.agreed_since == 10.0
     now[0] = 11.0
@@ -283,10 +284,10 @@
     assert watcher.falsely_dead == {1}
     now[0] = 12.0
     watcher.record_changed(_record(1, MemberState.ALIVE, 1.5))
-    assert watcher.agreed_since == 12.0, "right for good from the last time on"
+    assert watcher.agreed_since == 12.0, "agreement must count from the last mismatch"
 
 
-def test_limiters_beyond_a_partition_are_rightly_dead() -> None:
+def test_dead_records_of_partitioned_limiters_match_the_ground_truth() -> None:
     facts = GroundTruth(4)
     facts.up_since = dict.fromkeys(range(4), 1.0)
     facts.is_cut = lambda source, target: (source < 2) != (target < 2)
@@ -297,15 +298,15 @@
     assert not watcher.mismatched and not watcher.falsely_dead
 
 
-def test_quotas_are_compared_with_one_token_bucket_by_tenant() -> None:
+def test_quota_figures_use_one_token_bucket_per_tenant_as_reference() -> None:
     population = load.Population(
         (load.Tenant(0, 0, 0, 1, "calm", 1.0, 1.0, 1.0, (0.0, 1.0, 0.0)),),
         (load.Quota("one", 1.0, 4.0),),
     )
     rows = [
         truth.Row(0.0, 0, 3.0, True),
-        truth.Row(0.0, 0, 3.0, True),  # one unit is left
-        truth.Row(1.0, 0, 2.0, False),  # two are
+        truth.Row(0.0, 0, 3.0, True),  # one unit is available
+        truth.Row(1.0, 0, 2.0, False),  # two units are available
         truth.Row(1.0, 0, 3.0, False),
         truth.Row(9.0, 0, 1.0, True),
     ]
@@ -330,19 +331,19 @@
     ("values", "expected"),
     [([None, 1.0, 3.0], (1.0, 3.0, 2, 3)), ([None], (0.0, 0.0, 0, 1)), ([], (0.0, 0.0, 0, 0))],
 )
-def test_spreads_say_how_many_got_there(
+def test_spread_counts_the_members_that_agreed(
     values: list[float | None], expected: tuple[float, float, int, int]
 ) -> None:
     found = point_assembly.spread(values)
     assert (found.median, found.worst, found.reached, found.of) == expected
 
 
-def test_a_change_of_one_route_changes_one_and_each_limiter_has_its_own_place() -> None:
+def test_one_route_change_changes_one_route_and_zones_are_per_limiter() -> None:
     population = load.populate(SIZE, FleetTerms(), 1)
     before = settings.document(SIZE, population.quotas, FleetTerms())
     after = settings.changed(before, (4,), 1)
     pairs = zip(before["grades"], after["grades"], strict=True)
-    assert [place for place, (old, new) in enumerate(pairs) if old != new] == [4]
+    assert [index for index, (old, new) in enumerate(pairs) if old != new] == [4]
     layout = topology.make_topology(40, FleetTerms())
     assert settings.own_document(after, 39, layout)["zone"] == "zone-5"
 
@@ -358,7 +359,7 @@
     )
 
 
-def test_reports_of_workers_become_one_point() -> None:
+def test_reports_of_workers_are_merged_into_one_point() -> None:
     planned = _tiny()
     small = plan.read(HEAD + AXIS, "here")
     reports = [_report(3, 8.0, 5), _report(1, 4.0, 7)]
@@ -380,11 +381,11 @@
     ]
 
 
-# From end to end
+# End to end
 
 
 def _processes(folder: Path) -> list[int]:
-    """Processes whose folder for temporary files is that one."""
+    """Returns the processes whose temporary directory is that folder."""
     found = list[int]()
     for process in Path("/proc").glob("[0-9]*"):
         try:
@@ -401,7 +402,9 @@
     return subprocess.run(command, env=environment, capture_output=True, text=True, timeout=120)
 
 
-def test_the_small_plan_from_end_to_end(tmp_path: Path) -> None:
+def test_small_plan_yields_a_complete_point_and_leaves_nothing_behind(
+    tmp_path: Path,
+) -> None:
     out, work = tmp_path / "small.json", tmp_path / "work"
     work.mkdir()
     done = _run(work, "small", "--json", str(out))
@@ -424,11 +427,13 @@
     assert "cut 0," not in point.notes[0], point.notes[0]
     assert not _processes(work) and not list(work.iterdir())
     again = _run(work, "small", "--json", str(out), "--value", "5")
-    assert again.returncode == 0 and len(load_results(out).points) == 1, "what the file has stays"
+    assert (
+        again.returncode == 0 and len(load_results(out).points) == 1
+    ), "the file must keep its point"
 
 
 def _wait_for_end(pid: int) -> bool:
-    """Whether the process ends in time."""
+    """Whether the process ends within the timeout."""
     try:
         handle = os.pidfd_open(pid)
     except ProcessLookupError:
@@ -436,13 +441,13 @@
     poller = select.poll()
     poller.register(handle, select.POLLIN)
     try:
-        return bool(poller.poll(END_WITHIN_S * 1000))
+        return bool(poller.poll(END_TIMEOUT_S * 1000))
     finally:
         os.close(handle)
 
 
-def test_a_run_that_is_killed_leaves_nothing(tmp_path: Path) -> None:
-    """The run is killed while its workers play. They and the files must go without it."""
+def test_killed_run_leaves_no_processes_and_no_files(tmp_path: Path) -> None:
+    """The run is killed with SIGKILL while its workers play, so that it cannot clean up itself."""
     out = tmp_path.parent / "killed.json"
     command = [sys.executable, "-m", "hazelhollow", "scale", "run", "small", "--json", str(out)]
     environment = {**os.environ, "TMPDIR": str(tmp_path)}
@@ -453,7 +458,7 @@
                 break
         started = [pid for pid in _processes(tmp_path) if pid != run.pid]
         run.kill()
-    assert len(started) == 3, "two workers and the process sweeper"
+    assert len(started) == 3, "expected two workers and the process sweeper"
     assert all([_wait_for_end(pid) for pid in started])
     assert not _processes(tmp_path) and not list(tmp_path.iterdir())
 
@@ -470,10 +475,10 @@
     return coordinator.Coordinator(small, lambda line: None).play(point)
 
 
-def test_workers_that_grow_too_large_are_ended(
+def test_point_whose_workers_use_too_much_memory_fails_without_files(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """Workers use more than half of the memory. The point fails and no file is left."""
+    """The workers use more than half of the machine's memory, here set to 1 MB."""
     monkeypatch.setattr(coordinator, "total_memory", lambda: 1 << 20)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(tempfile, "tempdir", None)
@@ -482,14 +487,14 @@
     assert not list(tmp_path.iterdir())
 
 
-def test_a_point_that_takes_too_long_ends_and_says_so() -> None:
-    """A point exceeds its real time. It ends with what was measured, and a note says so."""
+def test_point_that_exceeds_its_real_time_ends_early_with_a_note() -> None:
+    """The point keeps what was measured until then; without the note it would look complete."""
     point = _play(_tiny(seconds=100.0, most_real_s=3.0))
     assert point.seconds < 100.0
     assert [note for note in point.notes if "ended after 3 s of real time" in note], point.notes
 
 
-def test_every_tenant_asks_once_before_measuring_and_not_within_it() -> None:
+def test_every_tenant_first_sends_its_requests_before_the_measurement() -> None:
     point = _tiny(every_tenant_first=True)
     size = msgspec.structs.replace(point.size, tenants=150, requests_per_s=0.0)
     played = _play(
@@ -497,11 +502,11 @@
     )
     requests = next(totals for totals in played.roles if totals.role is Role.REQUESTS)
     assert requests.calls < 150 and played.quotas
-    assert [note for note in played.notes if note.startswith("refused")], "they came"
+    assert [note for note in played.notes if note.startswith("refused")], "no request came"
 
 
-def test_a_worker_that_fails_is_reported_with_its_last_line() -> None:
-    """A worker cannot parse its settings. The error names the worker and the cause."""
+def test_failed_worker_is_reported_with_the_last_line_of_its_log() -> None:
+    """The settings cannot be parsed; the error must name the worker and the cause."""
     point = _tiny()
     broken = msgspec.structs.replace(
         point, size=msgspec.structs.replace(point.size, servers=-1, routes=0)
@@ -514,14 +519,14 @@
     ("looks", "late", "worst_s", "behind"),
     [(0, 0, 0.0, False), (100, 5, 0.2, False), (100, 6, 0.2, True), (100, 1, 0.6, True)],
 )
-def test_workers_fall_behind_by_share_or_by_the_worst(
+def test_worker_is_behind_by_the_share_of_late_checks_or_by_the_worst(
     looks: int, late: int, worst_s: float, behind: bool
 ) -> None:
     assert worker.fell_behind(messages.Lag(looks, late, worst_s)) == behind
 
 
-def test_a_plan_that_cannot_be_read_ends_the_command_with_a_line(tmp_path: Path) -> None:
-    """A plan names an unknown axis. The command ends with its place and no traceback."""
+def test_invalid_plan_ends_the_command_with_an_error_and_no_traceback(tmp_path: Path) -> None:
+    """The plan names an unknown axis; the error must give its location."""
     bad = tmp_path / "bad.toml"
     bad.write_text(HEAD + '[[axes]]\naxis = "hosts"\nvalues = [1]\n')
     done = _run(tmp_path, str(bad), "--json", str(tmp_path / "out.json"))
