--- a/hazelhollow/scale/coordinator.py
+++ b/hazelhollow/scale/coordinator.py
@@ -38,7 +38,7 @@
 REQUEST_CPU_S = 0.0006
 CORE_SHARE = 0.6
 MAX_ATTEMPTS = 4  # at a point, each with a slower clock than the one before
-SLOWDOWN = 2.0  # factor by which the clock is slowed where workers fell behind at the start
+SLOWDOWN = 2.0  # factor by which the clock is slowed if workers fell behind at the start
 START_DELAY_S = 0.3  # real seconds from the last message to the workers until the clock starts
 REPORT_GRACE_S = 60.0  # real seconds that the workers have after a point's end to report
 BIND_TIMEOUT_S = 300.0  # real seconds that the workers have to create their limiters
@@ -194,7 +194,7 @@
         self._names.append(name)
 
     def _wait(
-        self, number: int, name: str, kind: type[messages.Message], seconds: float
+        self, number: int, message_name: str, kind: type[messages.Message], seconds: float
     ) -> messages.Message:
         """Waits for a worker's message, and checks periodically that all workers are healthy.
 
@@ -203,12 +203,14 @@
             TimeoutError: The message did not arrive in time.
         """
         deadline = time.monotonic() + seconds
-        while (message := messages.read(self._folder / f"{number}.{name}", kind)) is None:
+        while (received := messages.read(self._folder / f"{number}.{message_name}", kind)) is None:
             if time.monotonic() > deadline:
-                raise TimeoutError(f"worker {number} sent no {name} message within {seconds:.0f} s")
+                raise TimeoutError(
+                    f"worker {number} sent no {message_name} message within {seconds:.0f} s"
+                )
             self._check_workers()
             time.sleep(CHECK_INTERVAL_S)
-        return message
+        return received
 
     def _check_workers(self) -> None:
         for number, name in enumerate(self._names):
--- a/hazelhollow/scale/fleet.py
+++ b/hazelhollow/scale/fleet.py
@@ -104,8 +104,10 @@
     def _make_members(self, current_second: Callable[[], int]) -> Iterator[tuple[int, Member]]:
         job = self._job
         parts = split(self._population, job.here, job.size.limiters)
-        for index, number in enumerate(job.here):
-            address = f"{job.net}.{1 + index // HOSTS_PER_SUBNET}.{1 + index % HOSTS_PER_SUBNET}"
+        for ordinal, number in enumerate(job.here):
+            address = (
+                f"{job.net}.{1 + ordinal // HOSTS_PER_SUBNET}.{1 + ordinal % HOSTS_PER_SUBNET}"
+            )
             peers = HollowPeerSocket(
                 self._scheduler, self.network, number, (address, 0), current_second
             )
--- a/hazelhollow/scale/messages.py
+++ b/hazelhollow/scale/messages.py
@@ -32,7 +32,7 @@
     """One worker's part of a point.
 
     Attributes:
-        size: Size of the whole fleet and of what surrounds it.
+        size: Size of the entire fleet and of its environment.
         terms: The plan of the axis.
         fleet: How the fleet is set up.
         seed: Seed of the run.
@@ -180,8 +180,8 @@
 def wait_for(path: Path, kind: type[Message], seconds: float) -> Message:
     """Waits for a message; raises TimeoutError after that many seconds."""
     deadline = time.monotonic() + seconds
-    while (message := read(path, kind)) is None:
+    while (received := read(path, kind)) is None:
         if time.monotonic() > deadline:
             raise TimeoutError(f"message {path.name} did not arrive within {seconds:g} s")
         time.sleep(POLL_INTERVAL_S)
-    return message
+    return received
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -127,7 +127,7 @@
 
 
 def test_requests_depend_on_seed_and_limiter_but_not_on_the_process() -> None:
-    """Processes hold different limiters, and each must draw the requests of a limiter alike."""
+    """Processes hold different limiters; a limiter's requests must be the same in each of them."""
     assert _requests(3, 5, (5,)) == _requests(3, 5, tuple(range(40)))
     assert _requests(3, 5, (5,)) != _requests(4, 5, (5,))
     assert _requests(3, 5, (5,)) != _requests(3, 6, (5, 6))
@@ -224,8 +224,8 @@
     times: list[int], processes: int
 ) -> None:
     parts = [RoleTotals() for _ in range(processes)]
-    for index, spent in enumerate(times):
-        Meter._count(parts[index % processes], spent)
+    for call_number, spent in enumerate(times):
+        Meter._count(parts[call_number % processes], spent)
     merged = RoleTotals()
     for part in parts:
         merged.add(part)
@@ -240,11 +240,11 @@
 def test_worst_mean_rate_divides_by_the_interval_within_the_window(
     seconds: int, window_s: float, expected: float
 ) -> None:
-    total = Traffic()
-    total.add(Traffic({0: 400, 1: 200}, {0: 400, 1: 200}))
-    total.add(Traffic({0: 200, 3: 400}, {0: 200, 3: 400}))
-    assert total.worst_mean_rate(seconds, 2, window_s) == pytest.approx(expected)
-    assert total.most == {0: 400, 1: 200, 3: 400}
+    combined = Traffic()
+    combined.add(Traffic({0: 400, 1: 200}, {0: 400, 1: 200}))
+    combined.add(Traffic({0: 200, 3: 400}, {0: 200, 3: 400}))
+    assert combined.worst_mean_rate(seconds, 2, window_s) == pytest.approx(expected)
+    assert combined.most == {0: 400, 1: 200, 3: 400}
 
 
 def test_dilated_clock_starts_at_its_unix_start_and_advances_slower() -> None:
@@ -343,7 +343,7 @@
     before = settings.document(SIZE, population.quotas, FleetTerms())
     after = settings.changed(before, (4,), 1)
     pairs = zip(before["grades"], after["grades"], strict=True)
-    assert [index for index, (old, new) in enumerate(pairs) if old != new] == [4]
+    assert [route for route, (old, new) in enumerate(pairs) if old != new] == [4]
     layout = topology.make_topology(40, FleetTerms())
     assert settings.own_document(after, 39, layout)["zone"] == "zone-5"
 
