--- a/hazelhollow/scale/coordinator.py
+++ b/hazelhollow/scale/coordinator.py
@@ -32,11 +32,10 @@
 from hazelhollow.scale.results import Point
 
 MEMORY_SHARE = 0.5  # of the machine's memory: the most that the workers may use together
-# The first dilation is estimated from these processor seconds of a limiter a second and of a
-# request, so that the limiters of a worker use this share of its core.
-LIMITER_CPU_S = 0.025
-REQUEST_CPU_S = 0.0006
-CORE_SHARE = 0.6
+# The dilation of the first attempt is estimated from these values.
+LIMITER_CPU_S = 0.025  # processor seconds of a limiter per second, without requests
+REQUEST_CPU_S = 0.0006  # processor seconds of a request
+CORE_SHARE = 0.6  # share of a worker's core that its limiters may use
 MAX_ATTEMPTS = 4  # at a point, each with a slower clock than the one before
 SLOWDOWN = 2.0  # factor by which the clock is slowed if workers fell behind at the start
 START_DELAY_S = 0.3  # real seconds from the last message to the workers until the clock starts
--- a/hazelhollow/scale/fleet.py
+++ b/hazelhollow/scale/fleet.py
@@ -35,7 +35,7 @@
 SHARED_SETTINGS_FROM = 200_000
 HOSTS_PER_SUBNET = 250  # values of the last octet that the limiters' addresses use
 # A restart of a tenth of the fleet restarts the limiters whose number modulo the divisor equals the
-# remainder.
+# remainder, which is first reduced modulo the number of limiters that are up.
 RESTART_DIVISOR = 10
 RESTART_REMAINDER = 3
 CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
--- a/hazelhollow/scale/worker.py
+++ b/hazelhollow/scale/worker.py
@@ -46,10 +46,9 @@
 START_SPREAD_S = 0.25  # within which the limiters start, at random times
 LAG_CHECK_INTERVAL_S = 0.25  # between checks of how far the worker lags behind its clock
 LATE_CHECK_S = 0.1  # lag above which a check counts as late
-# The worker counts as too slow above this share of late checks, or if any check is later than this.
-MAX_LATE_SHARE = 0.05
-MAX_LAG_S = 0.5
-MAX_LATE_SHARE_AT_START = 0.2  # share of late checks above which it asks for a slower clock
+MAX_LATE_SHARE = 0.05  # share of late checks above which the worker counts as too slow
+MAX_LAG_S = 0.5  # lag of any check above which the worker counts as too slow
+MAX_LATE_SHARE_AT_START = 0.2  # above this share the worker asks for a slower clock
 MESSAGE_TIMEOUT_S = 300.0  # real seconds within which all workers bind their sockets
 IN_TRANSIT_S = 0.5  # real seconds after the end in which datagrams in transit are received
 CLOSE_BEFORE_S = 0.001  # from the close of a window to the next event
@@ -102,8 +101,8 @@
         self._deadline = 0.0
         self._processor_s = self._processor_wait_s = 0.0  # readings when measuring began
         self._measuring_since: float | None = None
-        # End of the burst of one request of every tenant. The burst blocks the loop, so that no lag
-        # check can run in time before it ends.
+        # End of the burst of one request of every tenant. The burst blocks the loop, so that a lag
+        # check that is due during it cannot run in time.
         self._burst_end = 0.0
         self._ended = False
 
@@ -113,11 +112,11 @@
             addresses=tuple(member.peers.address for member in self.fleet.members.values())
         )
 
-    def connect(self, wired: FleetAddresses) -> None:
+    def connect(self, fleet_addresses: FleetAddresses) -> None:
         """Connects the limiters with all others and sets the start of the run's clock."""
-        self._clock = DilatedClock(wired.began, wired.shows, self._job.dilation)
-        self._run_start = self._window_began = wired.shows
-        self.fleet.begin(wired.addresses, wired.shows)
+        self._clock = DilatedClock(fleet_addresses.began, fleet_addresses.shows, self._job.dilation)
+        self._run_start = self._window_began = fleet_addresses.shows
+        self.fleet.begin(fleet_addresses.addresses, fleet_addresses.shows)
 
     # Time
 
@@ -261,9 +260,9 @@
     worker = Worker(job)
     shorten_collector_pauses()  # as in a real limiter
     messages.write(worker.bound_addresses(), folder / f"{number}.bound")
-    wired = messages.wait_for(folder / "wired", FleetAddresses, MESSAGE_TIMEOUT_S)
-    worker.connect(wired)
-    report = worker.play(wired.began + job.terms.most_real_s)
+    fleet_addresses = messages.wait_for(folder / "wired", FleetAddresses, MESSAGE_TIMEOUT_S)
+    worker.connect(fleet_addresses)
+    report = worker.play(fleet_addresses.began + job.terms.most_real_s)
     worker.close()
     (folder / f"{number}.requests").write_bytes(worker.fleet.rows.tobytes())
     messages.write(report, folder / f"{number}.report")
