--- a/hazelhollow/scale/report_observations.py
+++ b/hazelhollow/scale/report_observations.py
@@ -100,7 +100,7 @@
         yield MEMORY, Observation(point.axis, point.size, point.memory_bytes)
     for event in point.events:
         if point.whole_fleet and _counts_along(event.kind, point.axis):
-            for quantity, value in _event_values(event, point.timed(event)):
+            for quantity, value in _event_values(event, point.has_valid_times(event)):
                 yield quantity, Observation(point.axis, point.size, value)
 
 
--- a/hazelhollow/scale/report_run_tables.py
+++ b/hazelhollow/scale/report_run_tables.py
@@ -47,7 +47,12 @@
             "rejected within quotas",
         ],
         (
-            [program, event.kind, size_text(point.size), *_event_cells(event, point.timed(event))]
+            [
+                program,
+                event.kind,
+                size_text(point.size),
+                *_event_cells(event, point.has_valid_times(event)),
+            ]
             for program, point in _points(runs)
             if point.whole_fleet
             for event in point.events
