--- a/hazelhollow/net/connection_pool.py
+++ b/hazelhollow/net/connection_pool.py
@@ -118,7 +118,7 @@
             connection = endpoint.idle.pop(position)
             if now - connection.idle_since >= self._idle_timeout:
                 self.close_connection(connection, CloseReason.IDLE)
-            elif not connection.stream or not connection.stream.is_open_and_quiet():
+            elif not connection.stream or not connection.stream.is_open_without_unread_input():
                 # A request written to it would be reset, and might have been executed all the same.
                 self.close_connection(connection, CloseReason.CLOSED)
             else:
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -176,7 +176,7 @@
             not self._awaits_first_command()
             and self._has_sent_all_answers()
             and self.reader.is_between_commands()
-            and self._stream.is_open_and_quiet()
+            and self._stream.is_open_without_unread_input()
         )
 
     def held_bytes(self) -> int:
--- a/hazelhollow/net/stream.py
+++ b/hazelhollow/net/stream.py
@@ -167,13 +167,14 @@
         """Blocks the current task until it is woken, and stops polling the socket.
 
         Every poll costs CPU for each registered descriptor, and most connections to endpoints are
-        idle. If the other side closes one, `is_open_and_quiet` detects it before the next use.
+        idle. If the other side closes one, `is_open_without_unread_input` detects it before the
+        next use.
         """
         self._task = self.scheduler.current()
         self.scheduler.unregister(self._fd)
         self.scheduler.wait()
 
-    def is_open_and_quiet(self) -> bool:
+    def is_open_without_unread_input(self) -> bool:
         """Whether the other side has neither closed the connection nor sent anything unread."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -44,7 +44,7 @@
 
 def send_after_check(monkeypatch: pytest.MonkeyPatch, end: socket.socket, payload: bytes) -> None:
     """Makes the client send data between the limiter's check of its socket and the next step."""
-    original = stream.Stream.is_open_and_quiet
+    original = stream.Stream.is_open_without_unread_input
 
     def check_then_send(self: stream.Stream) -> bool:
         found = original(self)
@@ -52,7 +52,7 @@
             end.sendall(payload)
         return found
 
-    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_send)
+    monkeypatch.setattr(stream.Stream, "is_open_without_unread_input", check_then_send)
 
 
 def client_with_unread_answer(stage: Stage, name: str = "a") -> socket.socket:
--- a/tests/net/test_endpoint_connections_end.py
+++ b/tests/net/test_endpoint_connections_end.py
@@ -86,7 +86,7 @@
         f"b send {ask(9)}\ns1 expect {ask(9)}\ns1 send {VALUE}\nb expect $2\\r\\nhi\nwait 0.35"
     )
     (connection,) = stage.service.pool._endpoints["s1"].idle
-    end, original = stage.ends["s1"].pop(), stream.Stream.is_open_and_quiet
+    end, original = stage.ends["s1"].pop(), stream.Stream.is_open_without_unread_input
 
     def check_then_reset(self: stream.Stream) -> bool:
         found = original(self)
@@ -95,7 +95,7 @@
             end.close()
         return found
 
-    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_reset)
+    monkeypatch.setattr(stream.Stream, "is_open_without_unread_input", check_then_reset)
     stage.play(f"a send {command(kind, 1)}")
     fully_sent = stage.service.stats.dispatches > 1
     if retried or not fully_sent:  # after a failed write the endpoint has nothing
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_renewed_terms.py
@@ -590,7 +590,7 @@
     """
     stage = Stage(hosts=1)
     idle_clients(stage, 0, 1)
-    real_check = stream.Stream.is_open_and_quiet
+    real_check = stream.Stream.is_open_without_unread_input
 
     def check_then_reset(self: stream.Stream) -> bool:
         is_open = real_check(self)
@@ -599,7 +599,7 @@
             stage.ends["i0"].pop().close()
         return is_open
 
-    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_reset)
+    monkeypatch.setattr(stream.Stream, "is_open_without_unread_input", check_then_reset)
     assert stage.service.frontend.free_descriptor()
     assert (
         not stage.service.frontend.sessions.sessions
