--- a/hazelhollow/net/answer_slot.py
+++ b/hazelhollow/net/answer_slot.py
@@ -46,7 +46,7 @@
 
     def send_busy(self, retry_after_ms: int) -> None:
         """Answers `-BUSY MS`, or `-BUSY` if the wait is 0; `engine_driver` lists the reasons."""
-        self.session.fruitless_limit.spend()
+        self.session.unserved_command_limit.spend()
         self.set_answer(b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n")
 
     def send_failure(self) -> None:
@@ -55,7 +55,7 @@
 
     def send_error(self, why: str) -> None:
         """Answers an invalid command with an error line that gives the reason."""
-        self.session.fruitless_limit.spend()
+        self.session.unserved_command_limit.spend()
         self.set_answer(b"-ERR %b\r\n" % why.encode())
 
     def has_disconnected(self) -> bool:
--- a/hazelhollow/net/command_reader.py
+++ b/hazelhollow/net/command_reader.py
@@ -104,7 +104,7 @@
         self._parser = resp.Parser()
 
     def _read_commands(self, session: Session) -> None:
-        limit = session.fruitless_limit
+        limit = session.unserved_command_limit
         for _ in range(MAX_COMMANDS_PER_TURN):
             if len(session.slots) >= MAX_PIPELINED or limit.tokens < 0.0:
                 break
@@ -142,7 +142,7 @@
                 # for it here.
                 frontend.when_ready(lambda: self._submit(arguments, slot, arrived_since))
             return
-        slot.session.fruitless_limit.spend()
+        slot.session.unserved_command_limit.spend()
         if verb == b"PING":
             frontend.when_ready(lambda: slot.set_answer(b"+PONG\r\n"))
         elif verb in (b"CLIENT", b"SELECT"):
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -25,8 +25,8 @@
 from hazelhollow.net.answer_slot import AnswerSlot
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.command_reader import MAX_PIPELINED, CommandReader
-from hazelhollow.net.fruitless_limit import FruitlessLimit
 from hazelhollow.net.scheduler import PEER_CLOSED, READABLE, SOCKET_ERROR, TIMED_OUT, WOKEN
+from hazelhollow.net.unserved_command_limit import UnservedCommandLimit
 
 if TYPE_CHECKING:
     from hazelhollow.net.frontend import Frontend
@@ -54,7 +54,7 @@
     Attributes:
         reader: Reads the commands.
         slots: The commands whose answers have not been written yet, in their order.
-        fruitless_limit: Throttles the connection if too many of its commands lead to no work.
+        unserved_command_limit: Throttles the connection if too many of its commands are not served.
         idle_since: When the last answer was written.
         finishing: Whether the session is to be closed as soon as it is between requests.
         accepting_commands: While `finishing`: whether commands are still read until then.
@@ -65,7 +65,9 @@
         self._frontend, self._stream = frontend, connection
         self.reader = CommandReader(frontend, now)
         self.slots: deque[AnswerSlot] = deque()
-        self.fruitless_limit: FruitlessLimit = FruitlessLimit(frontend.scheduler.clock)
+        self.unserved_command_limit: UnservedCommandLimit = UnservedCommandLimit(
+            frontend.scheduler.clock
+        )
         self._connected_at = self.idle_since = now
         self._send_progress = (0, 0.0)  # bytes sent, and since when no more
         self.finishing = False
@@ -235,7 +237,7 @@
             if self._linger_reason:
                 break
             if bits == TIMED_OUT:
-                self.fruitless_limit.refill()
+                self.unserved_command_limit.refill()
                 self.reader.feed(self, b"")
             elif bits != WOKEN and bits & (PEER_CLOSED | SOCKET_ERROR):
                 return CloseReason.CLOSED if bits & PEER_CLOSED else CloseReason.RESET
@@ -267,8 +269,8 @@
             or len(self._stream.send_buffer) > MAX_UNSENT_BYTES // 2
         ):
             return None, 0
-        if self.fruitless_limit.tokens < 0.0:
-            return self.fruitless_limit.available_at(), 0
+        if self.unserved_command_limit.tokens < 0.0:
+            return self.unserved_command_limit.available_at(), 0
         if self.reader.has_more:
             return self._frontend.scheduler.clock(), 0  # next turn, after other connections
         return None, READABLE
--- a/hazelhollow/net/fruitless_limit.py
+++ b/hazelhollow/net/unserved_command_limit.py
@@ -1,4 +1,4 @@
-"""A token bucket per client connection for commands that lead to no work at an endpoint.
+"""A token bucket per client connection for commands that are answered without being served.
 
 A client that retries immediately, however often it is rejected, must not use more than its share of
 the CPU. Rejections, errors and commands that are not requests each take one token; a connection
@@ -13,7 +13,7 @@
 BURST = 200.0
 
 
-class FruitlessLimit:
+class UnservedCommandLimit:
     """The token bucket of one connection.
 
     Attributes:
@@ -26,7 +26,7 @@
         self.tokens, self._clock, self._refilled_at = BURST, clock, clock()
 
     def spend(self) -> None:
-        """Takes a token for a command that led to no work."""
+        """Takes a token for a command that was answered without being served."""
         self.refill()
         self.tokens -= 1.0
 
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -260,7 +260,7 @@
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 def test_disconnection_of_a_throttled_client_is_noticed(how: str) -> None:
-    """A client throttled for fruitless commands disconnects while nothing is read from it.
+    """A client throttled for unserved commands disconnects while nothing is read from it.
 
     The disconnection must be noticed all the same.
     """
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -19,10 +19,10 @@
     MAX_COMMANDS_PER_TURN,
     MAX_PIPELINED,
 )
-from hazelhollow.net.fruitless_limit import BURST, TOKENS_PER_S
 from hazelhollow.net.lifecycle import print_counters_every
 from hazelhollow.net.scheduler import Poller
 from hazelhollow.net.session import MAX_UNSENT_BYTES
+from hazelhollow.net.unserved_command_limit import BURST, TOKENS_PER_S
 from hazelhollow.platform_config import PlatformConfig, PlatformConfigError
 from tests.net.scenario import Stage
 
@@ -724,7 +724,7 @@
 
     It must be closed after STALL_TIMEOUT_S and hold no more memory than its buffers.
     """
-    monkeypatch.setattr("hazelhollow.net.fruitless_limit.BURST", 1e6)
+    monkeypatch.setattr("hazelhollow.net.unserved_command_limit.BURST", 1e6)
     stage = Stage(hosts=1)
     stage._end("a").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stage.play("wait 0.6")
