--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_adverse_event_orders.py
@@ -1,4 +1,8 @@
-"""Conditions of docs/design/standing-test.md, each with an unfavourable order of events forced."""
+"""Failures of discovery, disconnects, lack of descriptors and signals, each at a bad moment.
+
+The cases are the conditions of docs/design/standing-test.md; each test forces the order of events
+in which the condition is hardest to meet.
+"""
 
 from __future__ import annotations
 
