--- a/hazelhollow/net/override_file.py
+++ b/hazelhollow/net/override_file.py
@@ -87,6 +87,6 @@
 
     def _reject(self, problem: str) -> set[str] | None:
         if problem != self._last_problem:
-            log.warning("override file %s %s; it is not taken", self.path, problem)
+            log.warning("bans: %s %s; it is not taken", self.path, problem)
             self._last_problem = problem
         return None
