--- a/hazelhollow/net/administrative_overrides.py
+++ b/hazelhollow/net/administrative_overrides.py
@@ -1,4 +1,4 @@
-"""Endpoints that an operator has disabled; they receive no new requests, whatever discovery says.
+"""Endpoints that an operator has disabled: they get no new requests, even if discovery lists them.
 
 Three sources change the set: a call at the operator address, a call at a peer (if an operator file
 enables their replication), and the override file, which a second process of this limiter may have
--- a/hazelhollow/net/close_reason.py
+++ b/hazelhollow/net/close_reason.py
@@ -40,7 +40,7 @@
         reason: Why the connection ended.
         sent_all: Whether the last byte of the request had been sent. Before that, no endpoint can
             have started the request, and unsent bytes are dropped; after that, the request may have
-            been executed, whatever ended the connection.
+            been executed, regardless of what ended the connection.
     """
     if sent_all:
         return _STATUS_IF_SENT.get(reason, "reset")
--- a/hazelhollow/net/command_reader.py
+++ b/hazelhollow/net/command_reader.py
@@ -9,8 +9,9 @@
 | PARTIAL | `awaiting_since` is the time of that part | the rest of the command: BETWEEN |
 | STOPPED | `stopped` | |
 
-In FIRST and PARTIAL the session gives up after `session.COMMAND_TIMEOUT_S`. Input that violates the
-protocol leads to STOPPED from every state: the client gets one error after its outstanding answers.
+After `session.COMMAND_TIMEOUT_S` in FIRST or PARTIAL the session is closed if nothing has arrived;
+an incomplete command is rejected. Input that violates the protocol leads to STOPPED from every
+state: the client gets one error after its outstanding answers.
 """
 
 from __future__ import annotations
@@ -123,7 +124,7 @@
             self.awaiting_since, self.first_command_until, self.had_first_command = None, 0.0, True
             self._execute(arguments, slot)
             if self._bad_commands >= MAX_BAD_COMMANDS:
-                # Each bad command has been answered. The client would take a further error about
+                # Each bad command has been answered. The client would mistake a further error about
                 # the end of the connection for the answer to its next command.
                 self._frontend.stats.malformed += 1
                 self.stopped = True
--- a/hazelhollow/net/connection_pool.py
+++ b/hazelhollow/net/connection_pool.py
@@ -119,7 +119,7 @@
             if now - connection.idle_since >= self._idle_timeout:
                 self.close_connection(connection, CloseReason.IDLE)
             elif not connection.stream or not connection.stream.is_open_without_unread_input():
-                # A request written to it would be reset, and might have been executed all the same.
+                # A request written to it would be reset, and might still have been executed.
                 self.close_connection(connection, CloseReason.CLOSED)
             else:
                 connection.attempt, attempt.connection = attempt, connection
@@ -273,7 +273,7 @@
 
         Raises:
             EndpointError: The answer arrived before its request was sent completely. It cannot
-                belong to that request, and later bytes could be taken for another request's answer.
+                belong to that request, and later bytes could be mistaken for the answer to another.
         """
         if not connection.has_sent_all():
             raise EndpointError("the answer arrived before its request was sent")
--- a/hazelhollow/net/discovery_watch.py
+++ b/hazelhollow/net/discovery_watch.py
@@ -11,8 +11,8 @@
 | RETRY | | 0.1 s pause | CONNECTING |
 | SLOW | the call that timed out | 2.0 s more | an answer or timeout: it ends |
 
-After a failure the next call asks for the full list, because it is not known which changes
-discovery regards as delivered. The pause before it is fixed and short, because a drain that
+After a failure the next call requests the full list, because it is not known which changes
+discovery regards as delivered. The pause before that call is fixed and short, because a drain that
 discovery regards as delivered must be obeyed within 0.3 s. At most one SLOW runs in parallel to the
 other states: the answer of an agent that is slow but alive is still used, unless a newer list has
 arrived in the meantime.
@@ -36,7 +36,7 @@
 from hazelhollow.net.stats import Stats
 
 PATH = "/discovery/hosts"
-LONG_POLL_S = 1.5  # for which discovery may hold a call; bounds how late its silence is noticed
+LONG_POLL_S = 1.5  # for which discovery may hold a call; a longer time delays noticing its failure
 SILENCE_TIMEOUT_S = 0.5  # after LONG_POLL_S; the call then counts as lost
 # The agent normally accepts and answers at once. After these timeouts it is asked again, while a
 # late answer to the first call is still accepted for SLOW_ANSWER_TIMEOUT_S.
@@ -49,7 +49,7 @@
 
 
 class DiscoveryWatch:
-    """Polls discovery without end and applies its answers to the endpoint list.
+    """Polls discovery continuously and applies its answers to the endpoint list.
 
     Attributes:
         address: Discovery's address.
@@ -88,7 +88,7 @@
                     connection.close(CloseReason.MOVED)
 
     def run(self) -> None:
-        """Polls discovery without end."""
+        """Polls discovery; never returns."""
         while True:
             reason = CloseReason.BROKEN_HERE
             try:
@@ -192,7 +192,9 @@
             if isinstance(response, CloseReason):
                 return response
             if response.status != 200:
-                self._log.warning("discovery: status %d", response.status)
+                self._log.warning(
+                    "discovery: answered with status %d, expected 200", response.status
+                )
                 return CloseReason.MALFORMED
             self._apply_list(response.body)
             if not response.keep_alive:
--- a/hazelhollow/net/engine_driver.py
+++ b/hazelhollow/net/engine_driver.py
@@ -109,8 +109,8 @@
             duplicate = self.open_requests.get(request.id)
         if duplicate:
             # Every request of a customer has its own id, also a client's retry. The first request
-            # gets the answer; an endpoint's answer to a second one with that id could not be
-            # assigned.
+            # gets the answer. If two requests of that id were in flight, an endpoint's answer could
+            # not be assigned to either.
             self._stats.failed += 1
             self._stats.reply(request.class_name, "error")
             responder.send_failure()
@@ -132,7 +132,7 @@
         """Records that the client has disconnected and needs no answer any more.
 
         Attempts whose request has not been sent completely are withdrawn: no endpoint can have
-        started to execute it, however long the connection takes to come up.
+        started to execute it, however long the connection takes to be established.
         """
         if not opened.answered:
             self._stats.clients_gone += 1
@@ -188,8 +188,8 @@
         """Returns the units that the request used according to the endpoint, 0 if not given.
 
         The units count for every successful answer, also if the client has disconnected, since the
-        endpoint did the work. Impossible figures are ignored; the value of such an answer has been
-        passed on to the client all the same.
+        endpoint did the work. Invalid figures are ignored; the client has already been sent the
+        value of such an answer.
         """
         if result.status != "ok" or not self.max_settled_units:
             return 0.0
--- a/hazelhollow/net/frontend.py
+++ b/hazelhollow/net/frontend.py
@@ -1,8 +1,8 @@
 """The client-facing side: the listening socket, its sessions, and their periodic check.
 
-The frontend accepts clients while the session limit and the descriptors allow it, holds requests
-back until the limiter is ready, and every quarter of a second ends sessions that have timed out or
-hold too much memory.
+The frontend accepts clients while the session limit and the descriptors allow it, delays requests
+until the limiter is ready, and every quarter of a second ends sessions that have timed out or hold
+too much memory.
 """
 
 from __future__ import annotations
--- a/hazelhollow/net/lifecycle.py
+++ b/hazelhollow/net/lifecycle.py
@@ -74,7 +74,7 @@
 def watch_signals(
     service: Service, signal_numbers: socket.socket, reread: Callable[[], PlatformConfig]
 ) -> None:
-    """Handles, without end, the signals whose numbers arrive as bytes on a socket."""
+    """Handles the signals whose numbers arrive as bytes on a socket; never returns."""
     while True:
         service.scheduler.wait(signal_numbers.fileno(), READABLE)
         for number in signal_numbers.recv(MAX_SIGNALS_PER_READ):
@@ -92,7 +92,7 @@
 
 
 def print_counters_every(service: Service, seconds: float) -> None:
-    """Prints the counters, without end, when the clock is at a multiple of `seconds`."""
+    """Starts a task that prints the counters at each multiple of `seconds` of the clock."""
 
     def run() -> None:
         clock = service.scheduler.clock
--- a/hazelhollow/net/open_request.py
+++ b/hazelhollow/net/open_request.py
@@ -45,7 +45,7 @@
         """Rejects the request; the client may retry after that time, if it is not 0."""
 
     def send_failure(self) -> None:
-        """Reports that the request failed; it may have been executed all the same."""
+        """Reports that the request failed; it may nevertheless have been executed."""
 
     def has_disconnected(self) -> bool:
         """Whether the client has disconnected, according to the operating system.
--- a/hazelhollow/net/operator_address.py
+++ b/hazelhollow/net/operator_address.py
@@ -58,7 +58,7 @@
         self.address: tuple[str, int] = self._sock.getsockname()
 
     def run(self) -> None:
-        """Accepts callers without end."""
+        """Accepts callers; never returns."""
         for sock in stream.accept_connections(self._scheduler, self._sock):
             if len(self._callers) >= MAX_CALLERS:
                 oldest = next(iter(self._callers))
--- a/hazelhollow/net/peer_socket.py
+++ b/hazelhollow/net/peer_socket.py
@@ -87,7 +87,7 @@
             self._stats.untold += 1
 
     def run(self) -> None:
-        """Receives datagrams without end."""
+        """Receives datagrams; never returns."""
         while True:
             self._scheduler.wait(self._sock.fileno(), READABLE)
             for _ in range(MAX_READS_PER_TURN):
--- a/hazelhollow/net/pooled_connection.py
+++ b/hazelhollow/net/pooled_connection.py
@@ -16,7 +16,7 @@
 the only way to CLOSED.
 
 SETTLING exists because an endpoint may send an answer twice, and the second copy may still be in
-transit when the first has been read. It would be taken for the answer to a request that is sent
+transit when the first has been read. It would be mistaken for the answer to a request that is sent
 immediately.
 """
 
--- a/hazelhollow/net/service.py
+++ b/hazelhollow/net/service.py
@@ -95,7 +95,7 @@
         self.frontend = self._build_frontend(config, descriptors)
         self.frontend.close_idle_endpoint_connection = self.pool.close_longest_idle
         # Connections to endpoints and discovery serve all clients, so an idle client's connection
-        # may be closed to free a descriptor for one.
+        # may be closed to free a descriptor for one of them.
         self.pool.free_descriptor = self.frontend.free_descriptor
         self.discovery_watch.free_descriptor = self.frontend.free_descriptor
         self.started_at, self._has_first_list = scheduler.clock(), False
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -39,7 +39,8 @@
 LINGER_S = 1.0  # for the client to close a connection whose sending side was closed here
 MAX_LINGER_BYTES = 1 << 20  # that the client may still send meanwhile
 FIRST_COMMAND_GRACE_S = 0.25  # for a new connection's first command during a shutdown
-# Reasons that leave no answer outstanding, but the client must be able to read those already sent.
+# For these reasons, a session without an outstanding answer is closed so that the client can still
+# read the answers already sent.
 ORDERLY_REASONS = (
     CloseReason.IDLE,
     CloseReason.NO_DESCRIPTOR,
@@ -69,7 +70,7 @@
             frontend.scheduler.clock
         )
         self._connected_at = self.idle_since = now
-        self._send_progress = (0, 0.0)  # bytes sent, and since when no more
+        self._send_progress = (0, 0.0)  # bytes sent, and since when this number has not grown
         self.finishing = False
         self.accepting_commands = True
         self._linger_reason: CloseReason | None = None  # why the sending side was closed
@@ -90,8 +91,8 @@
         """Ends the session; a client's connection ends in no other place.
 
         If no answer is outstanding, only the sending side is closed, and the session's own task
-        keeps reading until the client closes too. Otherwise the socket is closed and open requests
-        are given up.
+        keeps reading until the client closes too. Otherwise the socket is closed, and the engine
+        driver is notified of the disconnect of each open request's client.
         """
         if self._linger_reason:
             return
@@ -173,7 +174,10 @@
         return self._stream.peer_has_closed()
 
     def is_between_requests(self) -> bool:
-        """Whether it may be closed: no answer is outstanding and no part of a command unread."""
+        """Whether the session may be closed without losing an answer or a command.
+
+        No answer is outstanding, and no part of a command has been received or waits in the socket.
+        """
         return (
             not self._awaits_first_command()
             and self._has_sent_all_answers()
