--- a/hazelhollow/decisions/actions.py
+++ b/hazelhollow/decisions/actions.py
@@ -20,7 +20,7 @@
     Attributes:
         id: The request. Its attempts are numbered from 0 in the order of these actions.
         endpoint: The endpoint to send it to.
-        timeout: Seconds after which the attempt ends; 0 lets it run until the client gives up.
+        timeout: Seconds after which the attempt ends; 0 lets it run until the request's deadline.
         send_by: The time after which a request that has not been sent completely must not be sent:
             a connection may be established only after the deduplication window.
     """
--- a/hazelhollow/decisions/admission.py
+++ b/hazelhollow/decisions/admission.py
@@ -2,8 +2,8 @@
 
 The checks run in this order, and the first that fails rejects the request:
 
-1. Its class and plan exist, it asks for units, and it has time left.
-2. Membership lets this limiter take new work.
+1. Its class and plan exist, and its units and the time left are above 0.
+2. Membership allows this limiter to admit new work.
 3. `quota.py`: the ceiling has capacity, and so has the quota or the excess units.
 4. `load_shedding.py`: an endpoint may get it, and its expected wait is short enough.
 
--- a/hazelhollow/decisions/attempts.py
+++ b/hazelhollow/decisions/attempts.py
@@ -73,7 +73,7 @@
         context.actions.append(StartAttempt(request.event.id, endpoint.entry.name, send_by=send_by))
 
     def end(self, event: AttemptEnded) -> None:
-        """Handles the end of an attempt: settles the charge, then retries or gives up.
+        """Handles the end of an attempt: settles the charge, then retries or ends the request.
 
         The end of an attempt that is not in flight is ignored.
         """
@@ -92,10 +92,10 @@
             self._quota.settle(request, event.true_units)
         request.ended = request.ended or event.final
         if not request.ended and not request.has_attempt_in_flight():
-            self._retry_or_give_up(request, cost_of_retry(attempt, event))
+            self._retry_or_end(request, cost_of_retry(attempt, event))
         self._pending.forget_if_done(event.id)
 
-    def _retry_or_give_up(self, request: PendingRequest, cost: float) -> None:
+    def _retry_or_end(self, request: PendingRequest, cost: float) -> None:
         """Starts another attempt if one is allowed and can be in time; else ends the request."""
         context, work = self._context, self._load.work_of(request)
         endpoint, delay = self._selection.choose(request, work)
@@ -140,9 +140,9 @@
         waited = event.elapsed - attempt.work > load.queue_wait
         if status in ("ok", "error", "full"):
             endpoint.last_progress_at = self._context.now
-        # An answer that is late while others hardly wait counts as a failure of this endpoint,
-        # whatever the cause: the endpoint may stop answering next. In an overload all answers are
-        # late, and ejection would make the overload worse.
+        # At low queue wait, a late answer counts as a failure of this endpoint regardless of its
+        # cause, since the endpoint may stop answering next. In an overload all answers are late,
+        # and ejection would make the overload worse.
         slow = event.elapsed > request.request_class.latency_objective and not load.is_overloaded()
         if status == "ok":
             load.learn_answer(attempt, request, event.elapsed)
--- a/hazelhollow/decisions/endpoint_selection.py
+++ b/hazelhollow/decisions/endpoint_selection.py
@@ -166,7 +166,7 @@
         return self._subset
 
     def unavailable(self) -> set[str]:
-        """Returns the names of endpoints that get no new work: not up, silent or fully ejected."""
+        """Returns the endpoints that get no new work: not up, silent or ejected for every class."""
         table = self._table
         unhealthy = {
             name
--- a/hazelhollow/decisions/events.py
+++ b/hazelhollow/decisions/events.py
@@ -59,8 +59,8 @@
         class_name: Its request class.
         plan_name: The customer's plan.
         customer: The customer to charge.
-        units: The units that it asks for.
-        time_left: Seconds until the client gives up.
+        units: The units that it requests.
+        time_left: Seconds until the client stops waiting for the answer.
         set_start: The number of the first limiter that this customer's requests are sent to.
         set_size: The number of limiters that they are sent to, counted from `set_start`.
         is_retry: Whether the client marked the request as a retry.
--- a/hazelhollow/decisions/gossip/codec.py
+++ b/hazelhollow/decisions/gossip/codec.py
@@ -115,17 +115,17 @@
     return text
 
 
-def number36(text: str, most: int) -> int:
-    """Parses a number written by `base36`.
+def number36(text: str, limit: int) -> int:
+    """Parses a number written by `base36`, which must be below `limit`.
 
     Raises:
-        ValueError: The text is not such a number, or the number is not below `most`. The text is
-            checked first because int() also accepts signs, spaces and underscores.
+        ValueError: The text is not such a number, or the number is too high.
     """
+    # int() also accepts signs, spaces and underscores
     if not (text.isascii() and text.isalnum() and text == text.lower()):
         raise ValueError(text)
     number = int(text, 36)
-    if number >= most:
+    if number >= limit:
         raise ValueError(text)
     return number
 
--- a/hazelhollow/decisions/gossip/composer.py
+++ b/hazelhollow/decisions/gossip/composer.py
@@ -110,8 +110,8 @@
     def _own_observations(self) -> list[str]:
         """Returns the loads of endpoints, the busiest first, or their most recent failures."""
         if self._context.small_fleet:
-            work = self._pending.work_in_flight(self._table.endpoints)
-            loads = sorted([(work, tag) for tag, work in work.items()], reverse=True)
+            work_by_tag = self._pending.work_in_flight(self._table.endpoints)
+            loads = sorted([(work, tag) for tag, work in work_by_tag.items()], reverse=True)
             return [codec.encode(codec.LoadReport(tag, work)) for work, tag in loads[:MAX_LOADS]]
         failures = self._outliers.latest_failures(MAX_FAILURES, FAILURE_AGE_S)
         return [codec.encode(codec.FailureReport(*failure)) for failure in failures]
--- a/hazelhollow/decisions/gossip/receiver.py
+++ b/hazelhollow/decisions/gossip/receiver.py
@@ -24,7 +24,7 @@
 from hazelhollow.decisions.state.peer_loads import PeerLoads
 from hazelhollow.decisions.state.replicated_accounts import ReplicatedAccounts
 
-MAX_AGE_PERIODS = 1  # age of a report that is applied: the current and the previous period are open
+MAX_AGE_PERIODS = 1  # of an applied report: only the current and the previous period are open
 LOGGED_CHARACTERS = 40  # length of the quoted text of an unusable datagram
 
 
--- a/hazelhollow/decisions/gossip/scheduler.py
+++ b/hazelhollow/decisions/gossip/scheduler.py
@@ -7,9 +7,10 @@
   decisions. The first hub announces it; another hub does if the first is late.
 - The final charges of a period are sent to the same limiters in the rounds after its end.
 
-A limiter sends at most `SENT_SHARE` of the datagrams that one limiter can take in, so that the
-average limiter receives no more than that. Updates beyond the limit wait. Under a byte budget
-(`gossip_bytes_per_s`) updates wait in a `GossipOutbox`, and the most useful ones are sent first.
+A limiter sends at most `SENT_SHARE` of the datagrams per second that one limiter can process, so
+that the average limiter receives no more than that. Updates beyond the limit wait. Under a byte
+budget (`gossip_bytes_per_s`) updates wait in a `GossipOutbox`, and the most useful ones are sent
+first.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 from hazelhollow.decisions.state.token_bucket import TokenBucket
 
 ROUNDS_PER_PERIOD = 15
-SENT_SHARE = 0.8  # highest send rate, as a share of the datagrams that one limiter can take in
+SENT_SHARE = 0.8  # maximum send rate, as a share of the rate that one limiter can process
 LEVEL = -1  # stands for a period in updates that announce an account's level
 BUSY_SHARE = 0.6  # share of its rate that a customer must use for its level to be announced
 # Shares of the burst: a level is announced if it, or the level that members assume, is below the
--- a/hazelhollow/decisions/load_shedding.py
+++ b/hazelhollow/decisions/load_shedding.py
@@ -34,7 +34,8 @@
 # The wait limit of a class of less than mean value is multiplied by (value / mean value) to this
 # power.
 YIELD_POWER = 2.0
-# Of the deadline: values of the time left that differ by less count as the same client timeout.
+# Share of the deadline: two values of the time left that differ by no more count as the same client
+# timeout.
 TIME_LEFT_TOLERANCE = 0.01
 MIN_DEMAND_SHARE = 0.01  # a class's share of the demand counts as at least this
 
@@ -107,8 +108,8 @@
 
         This is the shortest objective among the classes of at least its value, so that a class with
         a long objective does not fill the queues. It is reduced for a class of less than mean value
-        (`YIELD_POWER`). The value of the least valuable class is raised first by the weight of the
-        worst-served class in the objective function (`class_weight`). In a large fleet, whose
+        (`YIELD_POWER`). For this reduction the value of the least valuable class is raised, since
+        the worst-served class has a weight of its own (`class_weight`). In a large fleet, whose
         limiters do not see the queues, the limit is the tightest objective, scaled by the class's
         value relative to the highest.
         """
--- a/hazelhollow/decisions/outlier_detection.py
+++ b/hazelhollow/decisions/outlier_detection.py
@@ -77,7 +77,7 @@
 
 
 def get_or_create_record(endpoint: Endpoint, class_name: str, now: float) -> OutlierRecord:
-    """Returns the record of a class, created if absent; drops expired records at the limit."""
+    """Returns the record of a class, created if absent; drops expired ones at MAX_RECORDS."""
     record = endpoint.outlier_records.get(class_name)
     if record is None:
         if len(endpoint.outlier_records) >= MAX_RECORDS:
--- a/hazelhollow/decisions/quota.py
+++ b/hazelhollow/decisions/quota.py
@@ -40,9 +40,8 @@
 
 # About one gossip round; charges made by peers in this time may not have been received yet.
 PROPAGATION_DELAY_S = 0.06
-# Shares of the burst. Where a hub has announced a level, requests are admitted at random while the
-# level is below the first; the second applies to sets so large that one hub can't notify all
-# members within a second.
+# Shares of the burst below which requests are admitted at random, once a hub has announced a level.
+# The second applies to sets so large that one hub can't notify all members within a second.
 ANNOUNCED_RESERVE_SHARE = 1.0
 SLOWLY_ANNOUNCED_RESERVE_SHARE = 2.0
 MAX_OPEN_LIMIT_RISK = 0.04  # accepted probability of exceeding an open limit
@@ -69,7 +68,7 @@
         self.excess_units = 0.0
 
     def grant_allowance(self, event: AllowanceGranted) -> None:
-        """Sets the levels of limits that are kept elsewhere, right before the request.
+        """Sets the levels of limits that are kept elsewhere, for the request that follows.
 
         Such a quota is not refilled at the plan's rate, nor changed by reports of peers.
         """
@@ -110,9 +109,9 @@
         return not plan.rate or account.quota.level >= request.event.units + reserve
 
     def _may_open(self, account: Account, limit: int, peers_rate: float) -> bool:
-        """Whether one more request may be in flight, with a limit of `limit` in the set together.
+        """Whether one more request may be in flight, where the entire set may have `limit`.
 
-        It may within this limiter's even share. Beyond that, it may if the set is unlikely to
+        Up to this limiter's even share, it may. Beyond the share, it may if the set is unlikely to
         exceed the limit: such limits are small, and fixed shares alone would reject requests that
         the set has room for. `peers_rate` is the rate that peers charged, in units per second.
         """
--- a/hazelhollow/decisions/settings.py
+++ b/hazelhollow/decisions/settings.py
@@ -80,7 +80,7 @@
         plans: The plans.
         zone: The zone of this limiter; attempts to other zones cost `cross_zone_price`.
         tick: The resolution of the driver's timers, in seconds.
-        max_units: The most units that one request may ask for.
+        max_units: The maximum number of units of one request.
         post_paid: Whether a request states estimated units and the answer carries the true ones.
         max_attempts: The maximum number of attempts per request, including the first.
         hedging: Accepted but ignored: hedged requests are not supported, and a request has at most
--- a/hazelhollow/decisions/startup_quota.py
+++ b/hazelhollow/decisions/startup_quota.py
@@ -21,7 +21,7 @@
 from hazelhollow.decisions.settings import Plan
 from hazelhollow.decisions.state.accounts import MAX_DIRECT_SET, Account
 
-MAX_START_DIFFERENCE_S = 1.0  # between limiters that are taken to have started together
+MAX_START_DIFFERENCE_S = 1.0  # between limiters that count as started together
 PEER_DISCOVERY_TIME_S = 3.0  # time after the start within which all peers must have sent gossip
 # Of the rest of the burst, with a membership protocol: limiters that started together may all have
 # run before and been killed together.
@@ -94,7 +94,7 @@
     def complete_catch_up(self, accounts: Iterable[Account]) -> None:
         """Adds the rest of the burst to accounts that the completed catch-up did not name.
 
-        It was left to others as a precaution, and nobody used it.
+        That rest was withheld because other limiters might have charged it, and none did.
         """
         if self.complete_since != math.inf:
             return
--- a/hazelhollow/decisions/state/accounts.py
+++ b/hazelhollow/decisions/state/accounts.py
@@ -38,7 +38,7 @@
         level: Initial level of the quota, in units.
         now: The current time.
         limiter_started_at: The start time of this incarnation of the limiter.
-        unused_before: Whether nobody is known to have charged before the limiter started.
+        unused_before: Whether nothing can have been charged before the limiter started.
         counts_replicated: Whether counts of closed periods are kept for replication.
     """
 
@@ -113,8 +113,8 @@
         self.quota = TokenBucket(plan.rate, plan.burst, opening.level, now)
         self.announced = TokenBucket(plan.rate, plan.burst, plan.burst, now)
         self.has_announcement = False
-        # The ceiling starts empty unless nobody is known to have used it before: an earlier
-        # incarnation of this limiter may have spent it.
+        # The ceiling starts empty unless it is known to be unused: an earlier incarnation of this
+        # limiter may have spent it.
         ceiling_level = plan.ceiling_burst if opening.unused_before else 0.0
         self.ceiling = TokenBucket(0.0, 0.0, ceiling_level, started_at)
         self.charges = PeriodCharges(0)
@@ -328,7 +328,7 @@
     def reclaim(self, unused: tuple[tuple[int, float], ...], limiter_count: int) -> float:
         """Returns this customer's units in the shares that members left unused.
 
-        `unused` holds members and the seconds of their share that nobody used. Where counts are
+        `unused` holds members and the seconds of their share that were not used. Where counts are
         replicated, the units are taken from the members' reserves and are limited to them.
         """
         members, reclaimed = self.members(limiter_count) if unused else [], 0.0
--- a/hazelhollow/decisions/state/class_statistics.py
+++ b/hazelhollow/decisions/state/class_statistics.py
@@ -1,4 +1,4 @@
-"""Learned statistics of request classes: units, work, value, demand and the patience of clients.
+"""Learned statistics of request classes: units, work, value, demand and how long clients wait.
 
 Work is the time in seconds that an endpoint takes for a request. The value of a class is its
 priority weight per second of work. No request requires an iteration over all classes.
--- a/hazelhollow/decisions/state/pending_requests.py
+++ b/hazelhollow/decisions/state/pending_requests.py
@@ -71,7 +71,7 @@
         max_attempts: The limit in the settings at its arrival; later settings may have a lower one.
         arrived_at: The time of its arrival.
         objective_at: The time at which its latency objective ends.
-        deadline: The time at which the client gives up.
+        deadline: The time at which the client stops waiting for the answer.
         attempts: The attempts in the order of their start; an attempt's number is its index.
         size: Its units, rounded and limited to `MAX_LEARNED_SIZE`.
         within_quota: Whether the quota has room for it and is charged if it is admitted.
