--- a/tests/net/test_adverse_event_orders.py
+++ b/tests/net/test_adverse_event_orders.py
@@ -40,7 +40,7 @@
 )
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
-STEP_S = 0.05  # by which the clock advances
+STEP_S = 0.05  # by which the clock advances in `Agent.run`
 MAX_DRAIN_DELAY_S = 3.0  # the operators' page allows 6
 EMPTY_LIST = orjson.dumps(
     {"index": 1, "snapshot": True, "endpoints": []}
@@ -283,7 +283,7 @@
 def test_hanging_call_does_not_block_a_later_slow_answer() -> None:
     """The watch waits for one slow call at a time.
 
-    A slow call that is never answered must be given up soon enough for a later one.
+    A slow call that is never answered must time out soon enough for a later one.
     """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -144,7 +144,7 @@
     assert read_until_closed(stage, stage._end("a")).startswith(b"$2\r\nhi\r\n-ERR protocol error")
 
 
-def test_client_never_closes_lingering_session_ends_after_linger_time() -> None:
+def test_lingering_session_ends_after_linger_time_without_client_close() -> None:
     """The limiter has closed a connection, and its client never does.
 
     After LINGER_S its descriptor must be free again.
@@ -171,7 +171,7 @@
     assert frontend.sessions.lingering
 
 
-def test_descriptor_needed_lingering_session_is_closed_first() -> None:
+def test_lingering_session_is_closed_first_to_free_a_descriptor() -> None:
     """No descriptor is left.
 
     A session that only waits for its client to close must be closed before one that is in use.
@@ -240,12 +240,12 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_disconnection_behind_unread_commands_is_noticed(
+def test_disconnection_behind_unread_commands_is_detected(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client has reached its pipeline limit, so nothing more is read from it, and disconnects.
 
-    The end of its stream lies behind unread commands, and must be noticed all the same.
+    The end of its stream lies behind unread commands, and must still be detected.
     """
     stage = Stage(hosts=1)
     never_decide(monkeypatch, stage)
@@ -259,10 +259,10 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_disconnection_of_a_throttled_client_is_noticed(how: str) -> None:
+def test_disconnection_of_a_throttled_client_is_detected(how: str) -> None:
     """A client throttled for unserved commands disconnects while nothing is read from it.
 
-    The disconnection must be noticed all the same.
+    The disconnection must still be detected.
     """
     stage = Stage(hosts=1)
     for number in range(40):  # each is rejected immediately, so the client is soon throttled
@@ -284,7 +284,7 @@
 
 
 def block_connects(stage: Stage, name: str = "s1") -> list[socket.socket]:
-    """Fills the accept queue of an endpoint, so that further connections do not come up."""
+    """Fills the accept queue of an endpoint, so that further connections are not established."""
     stage.listeners[name].listen(0)
     fillers = []
     for _ in range(2):
@@ -295,7 +295,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
-def test_client_disconnects_while_endpoint_connects_request_is_never_sent(
+def test_request_is_never_sent_if_client_leaves_during_the_connect(
     how: str,
 ) -> None:
     """The client disconnects while the connection to the endpoint is being established.
@@ -311,7 +311,7 @@
     assert stage.service.stats.dispatches == 0 and len(fillers) == 2
 
 
-def test_client_disconnects_while_request_half_sent_rest_is_not_sent() -> None:
+def test_rest_of_a_half_sent_request_is_not_sent_after_a_disconnect() -> None:
     """The client disconnects while a large request is half sent.
 
     The endpoint cannot have started to execute it, so the rest must never be sent.
@@ -335,7 +335,7 @@
     assert not stage.service.pool._connections and not stage.service.engine_driver.open_requests
 
 
-def test_clients_disconnect_at_mixed_stages_nothing_is_sent_later() -> None:
+def test_nothing_is_sent_for_clients_that_disconnect_at_mixed_stages() -> None:
     """Clients disconnect while requests wait for a connection, in a pipeline or for readiness.
 
     Requests without an attempt at that time must never get one.
@@ -407,7 +407,7 @@
 def test_late_second_copy_of_an_answer_goes_to_no_other_request() -> None:
     """An endpoint sends its answer twice, the second copy some milliseconds late.
 
-    The copy must not be taken for the answer to the next request on that connection.
+    The copy must not be mistaken for the answer to the next request on that connection.
     """
     stage = Stage(hosts=1)
     stage.play(f"a send {ask(1)}\ns1 expect {ask(1)}\ns1 send {VALUE}\na expect $2\\r\\nhi")
@@ -442,7 +442,7 @@
 
 @pytest.mark.parametrize("left", [0.0, 0.2])
 def test_retry_connected_after_the_dedup_window_is_never_sent(left: float) -> None:
-    """A retry starts within the deduplication window, and its connection comes up after it.
+    """A retry starts within the deduplication window, and its connection is established after it.
 
     If it were sent then, the request might be executed twice.
     """
@@ -534,11 +534,11 @@
         )
 
 
-def test_attempt_aborted_as_its_connection_comes_up_is_not_sent() -> None:
-    """An attempt is aborted in the turn in which its connection comes up."""
+def test_attempt_aborted_as_its_connection_is_established_is_not_sent() -> None:
+    """An attempt is aborted in the turn in which its connection is established."""
     stage = Stage(hosts=1)
     attempt = stage.service.pool.start("s1", b"x" * 10, lambda result: None)
-    stage.scheduler._run()  # the connection is up by now, but the task has not noticed it yet
+    stage.scheduler._run()  # the connection is established, but its task has not run yet
     stage.service.pool.abort(attempt, CloseReason.CANCELLED)
     stage.settle()
     end = stage._end("s1")
@@ -681,7 +681,7 @@
 
 
 @pytest.mark.parametrize("death", WATCH_FAILURES)
-def test_watch_fails_complete_list_is_requested_and_applied(death: str) -> None:
+def test_complete_list_is_requested_and_applied_after_a_watch_failure(death: str) -> None:
     """The watch on discovery fails.
 
     The complete list must be requested and applied within 2.6 s, even if the first calls are not
@@ -698,7 +698,7 @@
     stage.play(f"disco expect {WATCH.format(2)}")
 
 
-def test_discovery_moved_between_calls_complete_list_is_requested() -> None:
+def test_complete_list_is_requested_if_discovery_moves_between_calls() -> None:
     """A reload changes the discovery address while the watch connects or pauses between calls.
 
     It must request the complete list, and not continue from the version of the old discovery.
@@ -720,7 +720,7 @@
 def test_list_received_before_its_timeout_but_unread_is_applied() -> None:
     """The limiter is late, and the list is already in the socket when the timeout passes.
 
-    A limiter that is always late would otherwise give up every call.
+    A limiter that is always late would otherwise let every call time out.
     """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}")
@@ -734,7 +734,7 @@
 def test_discovery_answering_after_the_timeout_is_still_used() -> None:
     """Discovery answers each call only after the next one was made.
 
-    Its answers must be used all the same, also after its address has changed.
+    Its answers must still be used, also after its address has changed.
     """
     stage = Stage(hosts=2)
     stage.play(f"disco expect {GET}\nwait 0.7")
@@ -798,7 +798,7 @@
     )
 
 
-def test_endpoint_disabled_before_sending_attempt_goes_to_another() -> None:
+def test_unsent_attempt_to_a_disabled_endpoint_goes_to_another() -> None:
     """An operator disables an endpoint while an attempt to it waits for its connection.
 
     The request must go to another endpoint.
--- a/tests/net/test_endpoint_connections_end.py
+++ b/tests/net/test_endpoint_connections_end.py
@@ -46,7 +46,9 @@
 
 @pytest.mark.parametrize("case", MAY_HAVE_RUN)
 @pytest.mark.parametrize("how", ["reset", "close", "half an answer", "no answer of the protocol"])
-def test_connection_ends_long_after_sending_request_may_have_run(case: str, how: str) -> None:
+def test_request_may_have_run_if_its_connection_ends_long_after_sending(
+    case: str, how: str
+) -> None:
     """A connection ends long after the complete request was sent.
 
     The request may have run, so it is retried only if its class allows that.
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("case", MAY_HAVE_RUN)
-def test_endpoint_resets_connection_on_reuse_request_may_have_run(
+def test_request_may_have_run_if_a_reused_connection_is_reset(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The endpoint resets an idle connection between the limiter's check and its write.
@@ -105,7 +107,7 @@
     assert not stage.service.engine_driver.open_requests
 
 
-def test_answer_trickling_forever_is_given_up_at_the_deadline() -> None:
+def test_answer_that_is_never_completed_is_aborted_at_the_deadline() -> None:
     """An endpoint sends its answer byte by byte and never completes it.
 
     The client must be answered at its deadline.
@@ -125,8 +127,8 @@
     )
 
 
-def test_connection_up_after_its_attempt_was_given_up_carries_nothing() -> None:
-    """A connection comes up after its attempt was given up.
+def test_connection_established_after_its_attempt_ended_carries_nothing() -> None:
+    """A connection is established after its attempt has ended.
 
     Nothing may be sent on it, and it must be closed.
     """
@@ -163,7 +165,7 @@
     assert not got and stage.service.stats.dispatches == 1
 
 
-def test_endpoint_drains_while_request_half_sent_request_is_answered() -> None:
+def test_half_sent_request_is_answered_if_its_endpoint_drains() -> None:
     """An endpoint starts to drain while a request to it is half sent.
 
     That request must be sent completely and answered.
@@ -194,7 +196,7 @@
     assert stage.service.stats.attempts == 1
 
 
-def test_reload_makes_class_safe_request_in_flight_keeps_its_rule() -> None:
+def test_request_in_flight_keeps_its_rule_if_a_reload_makes_it_safe() -> None:
     """A reload makes a class safe to repeat while one of its requests is in flight.
 
     That request may have run, and must keep the rule under which it arrived.
@@ -207,7 +209,7 @@
     assert stage.service.stats.attempts == 1
 
 
-def test_reload_extends_dedup_window_request_in_flight_keeps_its_own() -> None:
+def test_request_in_flight_keeps_its_dedup_window_over_a_reload() -> None:
     """A reload extends the deduplication window while a request is in flight.
 
     That request may have run, and must keep the shorter window.
--- a/tests/net/test_net_parts.py
+++ b/tests/net/test_net_parts.py
@@ -224,7 +224,7 @@
 def test_http_response_without_length_is_complete_only_at_the_end() -> None:
     """A body without a length is complete when the connection ends.
 
-    A part of a response must never be taken for a complete one.
+    A part of a response must never be treated as a complete one.
     """
     parser = http1.Parser()
     parser.feed(b"HTTP/1.1 200 OK\r\n\r\n{}")
@@ -241,7 +241,7 @@
         assert parser.next() is None and parser.end() is None
 
 
-def test_connection_ends_after_last_byte_status_never_denies_execution() -> None:
+def test_status_of_a_completely_sent_request_never_denies_execution() -> None:
     """Every close reason has a status.
 
     Once the complete request was sent, it may have run, and no status may say that it did not.
@@ -259,7 +259,7 @@
     )
 
 
-def test_wall_clock_set_back_clock_never_goes_back() -> None:
+def test_clock_never_goes_back_if_the_wall_clock_is_set_back() -> None:
     """The wall clock is set back while the limiter runs; the engine must not see time go back."""
     wall, steady = iter([5000.0, 10.0]), iter([7.0, 7.5, 8.0])
     clock = Clock(lambda: next(wall), lambda: next(steady))
--- a/tests/net/test_scenarios.py
+++ b/tests/net/test_scenarios.py
@@ -301,7 +301,7 @@
     Stage(hosts=1, discovery_answered=name not in BEFORE_DISCOVERY).play(SCENARIOS[name])
 
 
-def test_client_disconnects_engine_is_notified_and_answer_still_read() -> None:
+def test_disconnect_notifies_the_engine_and_the_answer_is_still_read() -> None:
     """A client disconnects while its attempt is in flight.
 
     The engine must be notified, and the endpoint's answer read, so that the connection can be
@@ -349,7 +349,7 @@
         gc.enable()
 
 
-def test_connection_refused_request_goes_to_another_endpoint() -> None:
+def test_request_goes_to_another_endpoint_after_a_refused_connection() -> None:
     """An endpoint refuses the connection.
 
     The request cannot have run, so it goes to another endpoint even if it is not idempotent.
@@ -362,8 +362,8 @@
     assert set(stage.service.stats.outcomes) <= {"ok", "connect_failed"}
 
 
-def test_endpoint_drains_before_sending_attempt_ends_as_connect_failed() -> None:
-    """A connection comes up after its endpoint has started to drain.
+def test_unsent_attempt_to_a_draining_endpoint_ends_as_connect_failed() -> None:
+    """A connection is established after its endpoint has started to drain.
 
     The drain must take effect within 250 ms, so the request must go to another endpoint.
     """
@@ -404,7 +404,7 @@
         return found
 
 
-def test_engine_raises_at_one_request_only_that_request_fails(
+def test_engine_error_at_one_request_fails_only_that_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The engine raises an exception at one request; later requests must still be served."""
@@ -422,7 +422,7 @@
     assert stage.service.stats.errors == 1 and seen == sorted(seen)
 
 
-def test_engine_raises_at_timer_timer_fires_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timer_fires_again_after_an_engine_error(monkeypatch: pytest.MonkeyPatch) -> None:
     """The engine raises an exception at a timer, before it has set the next one.
 
     Without another call of that timer, all periodic work would stop.
@@ -466,7 +466,7 @@
         disco.2 expect GET /discovery/hosts HTTP/1.1\\r\\n**\\r\\n""")
 
 
-def test_engine_never_decides_request_fails_at_its_deadline(
+def test_request_without_a_decision_fails_at_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The engine never decides on a request; the client must get an error at the deadline."""
@@ -476,7 +476,7 @@
     assert not stage.service.engine_driver.open_requests and stage.service.stats.rescued == 1
 
 
-def test_sigterm_serves_on_and_exits_once_all_is_answered() -> None:
+def test_requests_are_served_after_sigterm_until_all_are_answered() -> None:
     """SIGTERM arrives while a request is in flight.
 
     New requests are served for a while, all accepted ones are answered, then the process ends.
@@ -522,7 +522,7 @@
     stage.play(f"disco expect nothing\na send {ask(1)}\ns1 expect {ask(1)}")
 
 
-def test_session_limit_reached_longest_idle_session_is_closed() -> None:
+def test_longest_idle_session_is_closed_at_the_session_limit() -> None:
     """Clients have reached the session limit.
 
     A new client must replace the connection that has been idle longest, never one in use.
@@ -614,7 +614,7 @@
 def test_client_retrying_rejections_immediately_is_throttled() -> None:
     """A client retries each rejected request immediately.
 
-    Without throttling it would take the CPU from all other clients.
+    Without throttling it would use the CPU time of all other clients.
     """
     stage = Stage(hosts=1)
     for number in range(40):
@@ -673,7 +673,7 @@
     )
 
 
-def test_session_limit_reached_silent_sessions_are_closed_first(
+def test_silent_sessions_are_closed_first_at_the_session_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Sessions without a command are closed before those that have sent one."""
@@ -728,7 +728,7 @@
     stage = Stage(hosts=1)
     stage._end("a").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stage.play("wait 0.6")
-    for _ in range(300):  # answers of 2 KiB that nobody reads
+    for _ in range(300):  # answers of 2 KiB that the client does not read
         try:
             stage._end("a").sendall(resp.encode_command([b"INFO"]) * 60)
         except BlockingIOError:
@@ -761,7 +761,7 @@
     assert stage.service.stats.requests == MAX_PIPELINED + 20
 
 
-def test_total_client_memory_exceeded_closes_the_largest_session(
+def test_largest_session_is_closed_if_total_client_memory_is_exceeded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Slow clients are each within their bound but exceed the total together."""
@@ -812,7 +812,7 @@
 def test_bad_commands_until_close_get_exactly_one_answer_each() -> None:
     """A client sends bad commands until its connection is closed.
 
-    An additional error would be taken for the answer to the client's next command.
+    An additional error would be mistaken for the answer to the client's next command.
     """
     stage = Stage(hosts=1)
     end = stage._end("a")
@@ -845,7 +845,7 @@
     assert stage.service.stats.requests == 1
 
 
-def test_discovery_never_answers_configured_list_is_used_after_timeout() -> None:
+def test_configured_list_is_used_if_discovery_does_not_answer_in_time() -> None:
     """Discovery never answers.
 
     After READY_WITHOUT_DISCOVERY_AFTER_S the configured list is used.
