--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -51,7 +51,7 @@
 def test_failures_reported_by_peers_eject_an_endpoint_for_the_class() -> None:
     """Each limiter of a large fleet sees too few failures to eject an endpoint by itself.
 
-    The failures seen by all of them together must eject it.
+    The failures that all of them report must together eject it.
     """
     engine = make(0, limiter_count=LARGE_FLEET)
     tag = engine.endpoints["s1"].tag
@@ -94,7 +94,7 @@
 ) -> None:
     """A zone is lost, and attempts fail immediately.
 
-    This must not be taken for an overload; full queues must.
+    This must not count as an overload; full queues must.
     """
     engine = make(0, limiter_count=LARGE_FLEET)
     engine.handle(endpoint_list("full", *(entry(f"s{i}") for i in range(60))), 100.0)
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -121,8 +121,8 @@
     few = api.Plan("few", rate=100.0, burst=300.0, open_limit=6)
     assert open_requests_admitted(make(plans=(few,)), 1.0) == 6
     key = base36(crc32(b"c") % 36**5)
-    # per second by each of two peers; each takes a sixth of a second
-    for units, most in (
+    # Units charged per second by each of two peers; a request takes a sixth of a second.
+    for units, expected in (
         (4, 4),
         (10, 2),
         (90, 2),
@@ -130,21 +130,21 @@
         engine = make(plans=(few,))
         for peer in (1, 2):
             engine.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10 * units)}"), 1.9)
-        assert open_requests_admitted(engine, 1.9) == most
+        assert open_requests_admitted(engine, 1.9) == expected
 
 
 def test_reported_open_requests_of_peers_decay_as_they_are_expected_to_end() -> None:
     few, key = api.Plan("few", rate=100.0, burst=300.0, open_limit=6), base36(crc32(b"c") % 36**5)
-    for elapsed, most in ((0.0, 2), (0.9, 5)):
+    for elapsed, expected in ((0.0, 2), (0.9, 5)):
         engine = make(plans=(few,))
         for peer in (1, 2):
             engine.handle(api.GossipReceived(peer, f"h10x {key}:0:0:3:0:{base36(10)}:2"), 1.0)
-        assert open_requests_admitted(engine, 1.0 + elapsed) == most
+        assert open_requests_admitted(engine, 1.0 + elapsed) == expected
 
 
 def test_quota_reserves_units_for_charges_of_peers_not_yet_received() -> None:
     quick, key = api.Plan("quick", rate=1.0, burst=100.0), base36(crc32(b"c") % 36**5)
-    for received, most in ((0, 10), (50, 8)):
+    for received, expected in ((0, 10), (50, 8)):
         engine = make(plans=(quick,))
         ask(engine, 1.9, plan_name="quick", units=0.001)
         engine.handle(api.GossipReceived(1, f"h10x {key}:0:0:3:0:{base36(10 * received)}"), 1.9)
@@ -154,5 +154,5 @@
                 bool(actions_of(ask(engine, 1.9, plan_name="quick"), api.StartAttempt))
                 for _ in range(20)
             )
-            == most
+            == expected
         )
--- a/tests/decisions/test_replicated_accounts.py
+++ b/tests/decisions/test_replicated_accounts.py
@@ -39,8 +39,8 @@
         self.all = [self.new_engine(n, members) for n in range(members)]
         self.closed: dict[tuple[str, int, str], api.ReplicateCount] = {}
         self.links: set[tuple[int, int]] = {(a, b) for a in range(members) for b in range(members)}
-        for one in self.all:
-            one.handle(api.AccountReplicated(""), self.now)
+        for engine in self.all:
+            engine.handle(api.AccountReplicated(""), self.now)
 
     def new_engine(self, engine_number: int, members: int) -> DecisionEngine:
         settings_ = replace(
@@ -51,10 +51,10 @@
             peers=True,
             gossip_messages_per_s=1000.0,
         )
-        one = DecisionEngine(settings_, seed=engine_number)
-        one.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(6))), self.now)
-        one.handle(self.view(members), self.now)
-        return one
+        engine = DecisionEngine(settings_, seed=engine_number)
+        engine.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(6))), self.now)
+        engine.handle(self.view(members), self.now)
+        return engine
 
     def view(self, members: int, lost: tuple[int, ...] = ()) -> api.MembershipChanged:
         return api.MembershipChanged(
@@ -109,8 +109,8 @@
         until = self.now + seconds
         while self.now < until:
             self.now += ROUND_S
-            for number, one in enumerate(self.all):
-                self.carry(number, one.handle(api.TimerFired("beat"), self.now))
+            for number, engine in enumerate(self.all):
+                self.carry(number, engine.handle(api.TimerFired("beat"), self.now))
 
     def deliver_counts(self, number: int) -> None:
         """Delivers the closed counts of all other members to one member."""
@@ -149,47 +149,47 @@
 
     After the counts have been delivered, each charge must be counted exactly once.
     """
-    one = Cluster()
+    cluster = Cluster()
     for number in range(3):
-        one.ask(number)  # from here on all members have the account
+        cluster.ask(number)  # from here on all members have the account
     for step, a, b in plan:
         if step == "ask":
-            one.ask(a)
+            cluster.ask(a)
         elif step == "beat":
-            one.run_rounds()
+            cluster.run_rounds()
         elif step == "second":
-            one.run_rounds(1.0)
+            cluster.run_rounds(1.0)
         elif step == "tell":
-            one.deliver_counts(a)
+            cluster.deliver_counts(a)
         elif step == "cut":
-            one.links -= {(a, b)}
+            cluster.links -= {(a, b)}
         else:
-            one.links |= {(a, b)}
+            cluster.links |= {(a, b)}
         for number in range(3):  # no member counts more than all charges together
-            assert one.units_left(number) >= 1000.0 - one.charged - 0.1
-    one.links = set()  # without gossip, the counts alone must be sufficient
-    one.run_rounds(4.0)
+            assert cluster.units_left(number) >= 1000.0 - cluster.charged - 0.1
+    cluster.links = set()  # without gossip, the counts alone must be sufficient
+    cluster.run_rounds(4.0)
     for number in range(3):
-        one.deliver_counts(number)
-        one.deliver_counts(number)
-        assert one.units_left(number) == pytest.approx(1000.0 - one.charged, abs=0.1)
+        cluster.deliver_counts(number)
+        cluster.deliver_counts(number)
+        assert cluster.units_left(number) == pytest.approx(1000.0 - cluster.charged, abs=0.1)
 
 
 def test_lost_charges_are_missing_until_counts_are_delivered() -> None:
     """Shows that the previous test fails without the counts."""
-    one = Cluster()
-    one.links = set()
+    cluster = Cluster()
+    cluster.links = set()
     for number in (0, 1, 1):
-        one.ask(number)
-    one.run_rounds(4.0)
-    assert one.units_left(0) == pytest.approx(999.0, abs=0.1)
-    one.deliver_counts(0)
-    assert one.units_left(0) == pytest.approx(997.0, abs=0.1)
+        cluster.ask(number)
+    cluster.run_rounds(4.0)
+    assert cluster.units_left(0) == pytest.approx(999.0, abs=0.1)
+    cluster.deliver_counts(0)
+    assert cluster.units_left(0) == pytest.approx(997.0, abs=0.1)
 
 
-def restart(one: Cluster, number: int) -> DecisionEngine:
-    one.all[number] = one.new_engine(number, len(one.all))
-    return one.all[number]
+def restart(cluster: Cluster, number: int) -> DecisionEngine:
+    cluster.all[number] = cluster.new_engine(number, len(cluster.all))
+    return cluster.all[number]
 
 
 @settings(max_examples=60, deadline=None)
@@ -204,32 +204,32 @@
     before: int, between: int, after: int, own: bool, wait: float
 ) -> None:
     """A member is killed and restarts without state while the others continue to charge."""
-    one = Cluster()
+    cluster = Cluster()
     for number in (0, 1, 2):
-        one.ask(number)
+        cluster.ask(number)
     for _ in range(before):
-        one.ask(1)
-    one.run_rounds(wait)
-    new = restart(one, 2)
+        cluster.ask(1)
+    cluster.run_rounds(wait)
+    new = restart(cluster, 2)
     if own:
-        one.ask(2)  # admitted from its reduced initial level
+        cluster.ask(2)  # admitted from its reduced initial level
     for _ in range(between):
-        one.ask(0)
-    one.run_rounds()
-    account_copy = one.all[1].replicated_accounts.copy_of(next(iter(one.all[1].accounts)))
+        cluster.ask(0)
+    cluster.run_rounds()
+    account_copy = cluster.all[1].replicated_accounts.copy_of(next(iter(cluster.all[1].accounts)))
     for _ in range(after):
-        one.ask(0)
-    one.run_rounds()  # gossip continues while the copy is in transit
+        cluster.ask(0)
+    cluster.run_rounds()  # gossip continues while the copy is in transit
     assert account_copy is not None and account_copy.level is not None
-    new.handle(account_copy, one.now)
-    new.handle(account_copy, one.now)  # delivered twice
-    assert one.units_left(2) == pytest.approx(1000.0 - one.charged, abs=0.1)
-    one.ask(0)
-    one.links = set()
-    one.run_rounds(4.0)
-    one.deliver_counts(2)
-    new.handle(account_copy._replace(level=500.0), one.now)  # late copy from another peer
-    assert one.units_left(2) == pytest.approx(1000.0 - one.charged, abs=0.1)
+    new.handle(account_copy, cluster.now)
+    new.handle(account_copy, cluster.now)  # delivered twice
+    assert cluster.units_left(2) == pytest.approx(1000.0 - cluster.charged, abs=0.1)
+    cluster.ask(0)
+    cluster.links = set()
+    cluster.run_rounds(4.0)
+    cluster.deliver_counts(2)
+    new.handle(account_copy._replace(level=500.0), cluster.now)  # late copy from another peer
+    assert cluster.units_left(2) == pytest.approx(1000.0 - cluster.charged, abs=0.1)
 
 
 def test_counts_of_a_dead_member_come_from_receivers_of_its_reports() -> None:
@@ -237,30 +237,30 @@
 
     The members that received its reports must replicate them.
     """
-    one = Cluster()
+    cluster = Cluster()
     for number in range(3):
-        one.ask(number)
-    one.run_rounds(3.0)
-    one.deliver_counts(0)  # tells member 0 the period in which the count of member 1 starts
-    one.links -= {(1, 2)}
-    one.ask(1)
-    one.run_rounds()
-    one.all[1] = one.new_engine(1, 3)  # its own count is lost
-    one.all[1].context.incarnation = "zzz"
-    one.run_rounds(4.0)
-    assert one.units_left(2) == pytest.approx(997.0, abs=0.1)
-    one.deliver_counts(2)
-    assert one.units_left(2) == pytest.approx(996.0, abs=0.1)
+        cluster.ask(number)
+    cluster.run_rounds(3.0)
+    cluster.deliver_counts(0)  # tells member 0 the period in which the count of member 1 starts
+    cluster.links -= {(1, 2)}
+    cluster.ask(1)
+    cluster.run_rounds()
+    cluster.all[1] = cluster.new_engine(1, 3)  # its own count is lost
+    cluster.all[1].context.incarnation = "zzz"
+    cluster.run_rounds(4.0)
+    assert cluster.units_left(2) == pytest.approx(997.0, abs=0.1)
+    cluster.deliver_counts(2)
+    assert cluster.units_left(2) == pytest.approx(996.0, abs=0.1)
 
 
 def test_customer_unknown_to_peers_gets_full_burst_after_catch_up() -> None:
-    one = Cluster(plan="fast")
-    new = restart(one, 2)
-    assert one.ask(2, "early")
+    cluster = Cluster(plan="fast")
+    new = restart(cluster, 2)
+    assert cluster.ask(2, "early")
     account = next(iter(new.accounts.values()))
     assert account.quota.level < 40.0 / 3
-    new.handle(api.AccountReplicated(""), one.now)
-    one.ask(2, "late")
+    new.handle(api.AccountReplicated(""), cluster.now)
+    cluster.ask(2, "late")
     assert list(new.accounts.values())[1].quota.level == 39.0
 
 
@@ -270,38 +270,38 @@
     Units that the other side used of its reserve must not be charged again, and the rest of the
     reserve must return to the quota.
     """
-    one = Cluster(plan="fast")
+    cluster = Cluster(plan="fast")
     for number in range(3):
-        one.ask(number)
-    one.run_rounds()
-    key = next(iter(one.all[0].accounts))
-    account = one.all[0].accounts[key]
+        cluster.ask(number)
+    cluster.run_rounds()
+    key = next(iter(cluster.all[0].accounts))
+    account = cluster.all[0].accounts[key]
     level = account.quota.level
-    one.links = set()
-    one.all[0].handle(one.view(3, lost=(2,)), one.now)
+    cluster.links = set()
+    cluster.all[0].handle(cluster.view(3, lost=(2,)), cluster.now)
     assert account.reserved_for_unreachable == {2: pytest.approx(level / 3, abs=0.1)}
-    one.run_rounds(3.0)
-    one.all[0].handle(one.view(3), one.now)
+    cluster.run_rounds(3.0)
+    cluster.all[0].handle(cluster.view(3), cluster.now)
     reserve = account.reserved_for_unreachable[2]
     assert reserve == pytest.approx(level / 3 + 20.0 / 3 * 3.0, abs=1.0)
-    incarnation, through = one.all[2].context.incarnation, one.all[0].context.period - 2
+    incarnation, through = cluster.all[2].context.incarnation, cluster.all[0].context.period - 2
     reported_units = sum(
         v for (reporter, _), v in account.charges.reported.items() if reporter == f"2.{incarnation}"
     )
     counted = reported_units + account.charges.closed_counts[f"2.{incarnation}"][2]  # type: ignore[index]
-    one.all[0].handle(
+    cluster.all[0].handle(
         api.AccountReplicated(
             key, "fast", 0, 3, (api.ReplicatedCount(2, incarnation, 1000, through, counted + 10.0),)
         ),
-        one.now,
+        cluster.now,
     )
     assert (
         account.reserved_for_unreachable[2] == pytest.approx(reserve - 10.0) and account.debt == 0.0
     )
-    one.run_rounds(1.0)
+    cluster.run_rounds(1.0)
     assert account.reserved_for_unreachable  # more counts may be in transit
     account.quota.level = 0.0
-    one.run_rounds(COUNT_SETTLE_S + 1.0)
+    cluster.run_rounds(COUNT_SETTLE_S + 1.0)
     assert not account.reserved_for_unreachable and not account.returning
     assert account.quota.level == pytest.approx(
         40.0, abs=0.1
@@ -313,17 +313,17 @@
 
     Customers must not be rejected until all of the debt is repaid.
     """
-    one = Cluster(plan="fast")
+    cluster = Cluster(plan="fast")
     for number in range(3):
-        one.ask(number)
-    one.run_rounds(1.0)
-    account = next(iter(one.all[0].accounts.values()))
+        cluster.ask(number)
+    cluster.run_rounds(1.0)
+    account = next(iter(cluster.all[0].accounts.values()))
     account.charge_unreported(1, 30.0)
-    account.quota.level, account.quota.updated_at = 0.0, one.now
+    account.quota.level, account.quota.updated_at = 0.0, cluster.now
     served = 0
     for _ in range(40):  # four seconds of demand above the rate
-        one.now += ROUND_S
-        served += sum(one.ask(0) for _ in range(5))
+        cluster.now += ROUND_S
+        served += sum(cluster.ask(0) for _ in range(5))
     assert account.debt == 0.0
     assert served == pytest.approx(4.0 * 20.0 - 30.0, abs=2.0)
     assert DEBT_REPAYMENT_SHARE < 1.0
@@ -334,47 +334,48 @@
 
     No more units may be returned than were reserved for it.
     """
-    one = Cluster(plan="fast")
-    one.ask(0)
-    account = next(iter(one.all[0].accounts.values()))
+    cluster = Cluster(plan="fast")
+    cluster.ask(0)
+    account = next(iter(cluster.all[0].accounts.values()))
     account.reserved_for_unreachable, account.quota.level = {2: 3.0}, 0.0
-    account.quota.updated_at = one.now
-    one.all[0].handle(
-        api.MembershipChanged(True, (0, 1, 2), unused=((2, 5.0),), counts_replicated=True), one.now
+    account.quota.updated_at = cluster.now
+    cluster.all[0].handle(
+        api.MembershipChanged(True, (0, 1, 2), unused=((2, 5.0),), counts_replicated=True),
+        cluster.now,
     )
     assert account.quota.level == 3.0 and account.reserved_for_unreachable[2] == 0.0
 
 
 def test_permanently_dead_member_costs_no_more_than_its_reserve() -> None:
     """A member dies and never returns. No more than its own share of the quota may be lost."""
-    one = Cluster(plan="fast")
-    one.ask(0)
-    account = next(iter(one.all[0].accounts.values()))
-    one.all[0].handle(one.view(3, lost=(2,)), one.now)
-    one.all[0].handle(
-        api.MembershipChanged(True, (0, 1), counts_replicated=True), one.now + 5.0
+    cluster = Cluster(plan="fast")
+    cluster.ask(0)
+    account = next(iter(cluster.all[0].accounts.values()))
+    cluster.all[0].handle(cluster.view(3, lost=(2,)), cluster.now)
+    cluster.all[0].handle(
+        api.MembershipChanged(True, (0, 1), counts_replicated=True), cluster.now + 5.0
     )  # taken over: the member is neither present nor unreachable
-    one.now += 5.0
-    one.run_rounds(COUNT_SETTLE_S + 1.0)
+    cluster.now += 5.0
+    cluster.run_rounds(COUNT_SETTLE_S + 1.0)
     assert (
         account.reserved_for_unreachable and account.returning
     )  # kept until the member's use is known
-    one.all[0].handle(one.view(3), one.now)
-    one.run_rounds(1.0)
+    cluster.all[0].handle(cluster.view(3), cluster.now)
+    cluster.run_rounds(1.0)
     assert not account.reserved_for_unreachable
 
 
 def test_count_of_an_unknown_customer_is_ignored_once_burst_is_refilled() -> None:
-    one = Cluster(plan="fast")
+    cluster = Cluster(plan="fast")
     for age, total, left in ((10, 30.0, None), (1, 35.0, 25.0)):
-        key, since = gossip.base36(36**4 + age), int(one.now) - age
-        one.all[0].handle(
+        key, since = gossip.base36(36**4 + age), int(cluster.now) - age
+        cluster.all[0].handle(
             api.AccountReplicated(
                 key, "fast", 0, 3, (api.ReplicatedCount(1, "xy", since, since, total),)
             ),
-            one.now,
+            cluster.now,
         )
-        account = one.all[0].accounts.get(key)
+        account = cluster.all[0].accounts.get(key)
         assert (account is None) == (left is None)
         if account and left is not None:
             assert account.quota.level - account.debt == pytest.approx(left, abs=0.1)
@@ -382,54 +383,54 @@
 
 @pytest.mark.parametrize("change", [{"plan_name": "gone"}, {"set_size": 0}, {"set_size": 9}])
 def test_account_that_does_not_match_the_settings_has_no_effect(change: dict[str, object]) -> None:
-    one = Cluster()
+    cluster = Cluster()
     event = api.AccountReplicated(
         "abc", "slow", 0, 3, (api.ReplicatedCount(1, "xy", 999, 999, 10.0),), 5.0
     )
-    one.all[0].handle(event._replace(**change), one.now)  # type: ignore[arg-type]
-    assert not one.all[0].accounts
+    cluster.all[0].handle(event._replace(**change), cluster.now)  # type: ignore[arg-type]
+    assert not cluster.all[0].accounts
 
 
 def test_large_set_hubs_merge_counts_and_others_adopt_announced_level() -> None:
-    one = Cluster(12, "fast")
-    one.ask(0)
-    key = next(iter(one.all[0].accounts))
-    hubs = one.all[0].accounts[key].hubs
+    cluster = Cluster(12, "fast")
+    cluster.ask(0)
+    key = next(iter(cluster.all[0].accounts))
+    hubs = cluster.all[0].accounts[key].hubs
     hub, other = hubs[0], next(n for n in range(12) if n not in hubs)
     for number in (hub, other):
-        one.ask(number)
-        before = one.units_left(number) if number == hub else 0.0
-        one.all[number].handle(
+        cluster.ask(number)
+        before = cluster.units_left(number) if number == hub else 0.0
+        cluster.all[number].handle(
             api.AccountReplicated(
                 key, "fast", 0, 12, (api.ReplicatedCount(11, "xy", 1000, 1000, 9.0),)
             ),
-            one.now,
+            cluster.now,
         )
-        account = one.all[number].accounts[key]
+        account = cluster.all[number].accounts[key]
         if number == hub:
             assert account.quota.level - account.debt == pytest.approx(before - 9.0)
         else:
             assert account.debt == 0.0
-    new = restart(one, other)
-    new.handle(api.AccountReplicated(key, "fast", 0, 12, (), 5.0), one.now)
+    new = restart(cluster, other)
+    new.handle(api.AccountReplicated(key, "fast", 0, 12, (), 5.0), cluster.now)
     assert new.accounts[key].quota.level == 5.0 and new.accounts[key].has_announcement
 
 
 def test_engine_without_replication_keeps_no_counts() -> None:
-    one = DecisionEngine(replace(SETTINGS, plans=(SLOW, FAST)), seed=1)
-    one.handle(endpoint_list("full", entry("s1")), 1000.0)
-    ask(one, 1000.1, "look", plan_name="slow")
+    engine = DecisionEngine(replace(SETTINGS, plans=(SLOW, FAST)), seed=1)
+    engine.handle(endpoint_list("full", entry("s1")), 1000.0)
+    ask(engine, 1000.1, "look", plan_name="slow")
     for turn in range(40):
         assert not [
             a
-            for a in one.handle(api.TimerFired("beat"), 1000.1 + turn / 10)
+            for a in engine.handle(api.TimerFired("beat"), 1000.1 + turn / 10)
             if isinstance(a, api.ReplicateCount)
         ]
-    account = next(iter(one.accounts.values()))
+    account = next(iter(engine.accounts.values()))
     assert (
         account.charges.closed_counts is None
         and not account.reserved_for_unreachable
-        and one.replicated_accounts.copy_of(next(iter(one.accounts))) is None
+        and engine.replicated_accounts.copy_of(next(iter(engine.accounts))) is None
     )
 
 
@@ -459,13 +460,13 @@
 
 
 def test_account_with_a_reserve_is_not_removed() -> None:
-    one = Cluster(plan="fast")
-    one.ask(0)
-    account: Account = next(iter(one.all[0].accounts.values()))
+    cluster = Cluster(plan="fast")
+    cluster.ask(0)
+    account: Account = next(iter(cluster.all[0].accounts.values()))
     account.reserved_for_unreachable[1] = 3.0
-    one.now += 30.0
-    one.run_rounds(2.0)
-    assert one.all[0].accounts
+    cluster.now += 30.0
+    cluster.run_rounds(2.0)
+    assert cluster.all[0].accounts
     account.reserved_for_unreachable = {}
-    one.run_rounds(2.0)
-    assert not one.all[0].accounts
+    cluster.run_rounds(2.0)
+    assert not cluster.all[0].accounts
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -93,9 +93,9 @@
 def test_attempt_aborted_at_once_costs_little_of_the_retry_budget() -> None:
     """Many immediate resets cost the endpoints nothing.
 
-    If they used up the retry budget, requests would fail without need.
+    If they used up the retry budget, requests would fail although a retry could succeed.
     """
-    for elapsed, most in ((0.0002, 200), (0.5, 30)):
+    for elapsed, max_retries in ((0.0002, 200), (0.5, 30)):
         engine, retried = make(), 0
         for number in range(200):
             (send,) = actions_of(ask(engine, 1.0 + number, customer=str(number)), api.StartAttempt)
@@ -106,7 +106,7 @@
                 engine.handle(
                     api.AttemptEnded(send.id, 1, further.endpoint, "ok", 0.1, True), 1.0 + number
                 )
-        assert 0.9 * most <= retried <= most
+        assert 0.9 * max_retries <= retried <= max_retries
 
 
 def retries_after_hang(
@@ -114,7 +114,7 @@
 ) -> tuple[list[str], str]:
     """Returns the endpoints of the retries of a hung attempt, and the endpoint of that attempt.
 
-    Some normal requests are answered before.
+    Thirty other requests are answered before it starts.
     """
     for number in range(30):
         for send in actions_of(
--- a/tests/decisions/test_unreachable_members.py
+++ b/tests/decisions/test_unreachable_members.py
@@ -24,7 +24,7 @@
         st.frozensets(st.integers(0, RING - 1), max_size=5),  # unreachable members
         st.lists(
             st.tuples(st.integers(0, RING - 1), st.floats(0.0, 2.0)), max_size=2
-        ),  # members and seconds of their share that nobody used
+        ),  # members and seconds of their share that were not used
     ),
     min_size=1,
     max_size=8,
