--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -32,7 +32,7 @@
 HARD = api.Plan("hard", rate=4.0, burst=12.0, excess_cost=1.0, ceiling_rate=8.0, ceiling_burst=24.0)
 
 
-def make(own_id: int = 0, **changes: Any) -> DecisionEngine:
+def make_engine(own_id: int = 0, **changes: Any) -> DecisionEngine:
     values: dict[str, object] = dict(
         limiter_id=own_id,
         limiter_count=3,
@@ -145,7 +145,7 @@
     endpoints: int, classes: int, customers: int, limiters: int = LIMITERS
 ) -> DecisionEngine:
     """Returns an engine with `customers` open accounts, each of a set of three limiters."""
-    engine = make(
+    engine = make_engine(
         1, limiter_count=limiters, classes=request_classes(classes), gossip_messages_per_s=60.0
     )
     engine.handle(endpoint_list("full", *endpoint_entries(endpoints)), 100.0)
@@ -158,7 +158,7 @@
 
 def engine_with_charges(customers: int, limiters: int = 3) -> DecisionEngine:
     """Returns an engine that charged each of `customers` customers once within 1.5 seconds."""
-    engine = make(0, limiter_count=limiters, gossip_messages_per_s=60.0)
+    engine = make_engine(0, limiter_count=limiters, gossip_messages_per_s=60.0)
     engine.handle(api.TimerFired("beat"), 100.0)
     engine.gossip.messages.level = 0.0
     for number in range(customers):
@@ -171,7 +171,7 @@
     return engine
 
 
-ENGINE_SETTINGS = make().settings
+ENGINE_SETTINGS = make_engine().settings
 
 
 def table_of(*entries: api.EndpointEntry) -> EndpointTable:
--- a/tests/decisions/test_bounds.py
+++ b/tests/decisions/test_bounds.py
@@ -12,13 +12,13 @@
     ENGINE_SETTINGS,
     LIMITERS,
     engine_with_charges,
-    make,
+    make_engine,
     request_classes,
 )
 
 
 def test_large_set_selects_busiest_members_first_then_random_others() -> None:
-    account = Account(make().context.plans["basic"], "3", Opening(1.0, 0.0, 0.0, False))
+    account = Account(make_engine().context.plans["basic"], "3", Opening(1.0, 0.0, 0.0, False))
     account.place_set(7, 500, replace(ENGINE_SETTINGS, limiter_count=600))
     account.charges.reported = {
         ("9.aa", 5): 2.0,
@@ -42,7 +42,7 @@
 
 
 def test_endpoint_with_expired_failures_of_many_classes_keeps_few_records() -> None:
-    engine = make(0, limiter_count=LIMITERS, classes=request_classes(300))
+    engine = make_engine(0, limiter_count=LIMITERS, classes=request_classes(300))
     endpoint = engine.endpoints["s0"]
     for number in range(300):
         engine.context.now = 100.0 + number
@@ -51,7 +51,7 @@
 
 
 def test_only_latest_failures_are_reported_and_old_ones_are_dropped() -> None:
-    engine = make(0, limiter_count=LIMITERS)
+    engine = make_engine(0, limiter_count=LIMITERS)
     for number, tag in enumerate("abcab"):
         engine.context.now = 100.0 + number
         engine.outliers.record_for_gossip(tag, "k")
--- a/tests/decisions/test_class_statistics.py
+++ b/tests/decisions/test_class_statistics.py
@@ -22,7 +22,7 @@
 from hazelhollow.simulator.fields import Fields
 from hazelhollow.simulator.settings_document import KnownSettings, parse_settings
 from tests.decisions.helpers import (
-    make,
+    make_engine,
     request_classes,
 )
 
@@ -86,7 +86,7 @@
     limiters: int,
     weight: float,
 ) -> None:
-    engine = make(0, limiter_count=limiters, classes=classes, class_weight=weight)
+    engine = make_engine(0, limiter_count=limiters, classes=classes, class_weight=weight)
     weight_by_class, work = dict[str, float](), 0.0
     for turn, (number, units, factor) in enumerate(learned):
         if turn == 20:
@@ -227,7 +227,7 @@
 
 def test_gossip_resolves_tags_of_classes_added_by_a_change() -> None:
     one, two, three = request_classes(3)
-    engine = make(1, classes=(one, two))
+    engine = make_engine(1, classes=(one, two))
     engine.reconfigure(replace(engine.settings, classes=(two, three)))
     assert engine.receiver.class_of == {
         gossip.name_tag(kind.name): kind.name for kind in (two, three)
--- a/tests/decisions/test_cost.py
+++ b/tests/decisions/test_cost.py
@@ -36,7 +36,7 @@
     engine_of_size,
     engine_with_charges,
     entry,
-    make,
+    make_engine,
     table_of,
 )
 
@@ -189,7 +189,7 @@
 
 def test_old_updates_for_absent_peers_are_dropped_over_several_rounds() -> None:
     peers = 4 * MAX_AWAY_PEERS + 3
-    engine = make(0, limiter_count=peers + 2)
+    engine = make_engine(0, limiter_count=peers + 2)
     engine.handle(api.MembershipChanged(True, (0, peers + 1)), 100.0)  # one other member is up
     for peer in range(1, peers + 2):
         engine.gossip.unsent[peer] = {("a", 100): "", ("b", 102): "", ("c", 103): ""}
@@ -215,7 +215,7 @@
 
     Each of three members charged one unit to each customer in period 100.
     """
-    engine = make(0, limiter_count=3)
+    engine = make_engine(0, limiter_count=3)
     engine.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
     for number in range(customers):
         account = engine.customer_accounts.get(
@@ -284,7 +284,7 @@
 def test_closing_counts_costs_nothing_for_customers_without_charges() -> None:
     costs = []
     for idle in (0, 5000):
-        engine = make(0, limiter_count=3)
+        engine = make_engine(0, limiter_count=3)
         engine.handle(api.MembershipChanged(True, (0, 1, 2), counts_replicated=True), 100.0)
         for number in range(idle):
             engine.customer_accounts.get(gossip.base36(number), engine.context.plans["basic"], 0, 3)
--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -16,19 +16,19 @@
     endpoint_entries,
     endpoint_list,
     entry,
-    make,
+    make_engine,
 )
 
 
 def test_request_without_a_usable_endpoint_is_rejected_at_once() -> None:
     """The endpoint list is empty. The client must get its answer at once."""
-    engine = make()
+    engine = make_engine()
     engine.handle(endpoint_list("full"), 99.0)
     assert len(actions_of(ask(engine, 100.0), api.RejectRequest)) == 1
 
 
 def test_draining_or_gone_endpoint_gets_no_new_work() -> None:
-    engine = make()
+    engine = make_engine()
     engine.handle(
         endpoint_list("change", entry("s0", state="draining"), entry("s2", state="gone")), 99.0
     )
@@ -46,7 +46,7 @@
 
     It must get no new work until it answers.
     """
-    engine = make()
+    engine = make_engine()
     (hung,) = actions_of(ask(engine, 1.0), api.StartAttempt)
     for name, endpoint in engine.endpoints.items():
         endpoint.work_factor = 1.0 if name == hung.endpoint else 5.0  # it would be preferred
@@ -60,7 +60,7 @@
 
 def test_small_fleet_compares_all_endpoints_up_to_a_maximum() -> None:
     for count in (MAX_COMPARED, MAX_COMPARED + 1, 500):
-        engine = make(0, limiter_count=3)
+        engine = make_engine(0, limiter_count=3)
         engine.handle(endpoint_list("full", *endpoint_entries(count)), 100.0)
         candidates_by_round = [candidates for _, candidates in engine.selection.rounds()]
         assert all(len(candidates) == MAX_COMPARED for candidates in candidates_by_round)
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("limiters", [3, LIMITERS])
 def test_only_endpoint_that_is_up_is_found_among_many(limiters: int) -> None:
-    engine = make(0, limiter_count=limiters)
+    engine = make_engine(0, limiter_count=limiters)
     engine.handle(
         endpoint_list(
             "full", *(replace(e, state="draining") for e in endpoint_entries(500)), entry("last")
@@ -92,7 +92,7 @@
         dedup_window=2.0,
     )
     for turn in range(10):
-        engine = make(turn % 3, limiter_count=limiters, classes=(order,))
+        engine = make_engine(turn % 3, limiter_count=limiters, classes=(order,))
         engine.handle(endpoint_list("full", *endpoint_entries(500)), 100.0)
         (send,) = actions_of(ask(engine, 100.0, "order"), api.StartAttempt)
         (second,) = actions_of(answer(engine, send, 100.1, "reset"), api.StartAttempt)
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -12,18 +12,18 @@
     ask,
     endpoint_list,
     entry,
-    make,
+    make_engine,
 )
 
 
 def test_invalid_requests_are_rejected_once_and_at_once() -> None:
-    engine = make()
+    engine = make_engine()
     for invalid in ({"class_name": "x"}, {"plan_name": "x"}, {"units": 0.0}, {"time_left": 0.0}):
         assert len(actions_of(ask(engine, 100.0, **invalid), api.RejectRequest)) == 1
 
 
 def test_customers_that_never_return_leave_no_state() -> None:
-    engine = make()
+    engine = make_engine()
     for i in range(2000):
         for send in actions_of(ask(engine, 100.0 + i * 0.01, customer=f"k{i}"), api.StartAttempt):
             answer(engine, send, 100.0 + i * 0.01)
@@ -38,7 +38,7 @@
 
 def test_same_events_and_seed_produce_the_same_actions() -> None:
     def run() -> list[api.Action]:
-        engine, actions = make(), []
+        engine, actions = make_engine(), []
         for i in range(50):
             actions += ask(engine, 100.0 + i / 10, id=f"q{i}", customer=f"{i % 5}")
         return actions
@@ -58,11 +58,11 @@
 )
 def test_invalid_setting_is_named_in_the_error(name: str, value: object) -> None:
     with pytest.raises(ValueError, match=name):
-        make(**{str(name): value})  # type: ignore[arg-type]
+        make_engine(**{str(name): value})  # type: ignore[arg-type]
 
 
 def test_one_time_customers_and_failing_endpoints_leave_bounded_state() -> None:
-    engine, max_accounts = make(), 0
+    engine, max_accounts = make_engine(), 0
     for second in range(1, 60):
         engine.handle(api.TimerFired("beat"), float(second))
         for n in range(20):
@@ -87,7 +87,7 @@
 
 def test_account_with_charges_still_being_reported_is_kept() -> None:
     """A new account would count the repeatedly reported total as a new charge."""
-    engine, header, identities = make(), "h{}0x ", set()
+    engine, header, identities = make_engine(), "h{}0x ", set()
     charge = f"{base36(77)}:0:0:3:0:"
     for tenth in range(10, 50):
         engine.handle(api.TimerFired("beat"), tenth / 10)
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -13,7 +13,7 @@
     count_admitted,
     endpoint_list,
     entry,
-    make,
+    make_engine,
 )
 
 
@@ -29,7 +29,7 @@
 
     If its charges counted each time, requests of customers with units left would be rejected.
     """
-    one, other = make(0), make(1)
+    one, other = make_engine(0), make_engine(1)
     assert count_admitted(one, 100.0, 9) == 9
     for message in gossip_round(one, 100.1, to=1) * 3:
         other.handle(message, 100.2)
@@ -41,7 +41,7 @@
 
     The next one must include its charges, or a peer would admit the same units again.
     """
-    one, other = make(0), make(1)
+    one, other = make_engine(0), make_engine(1)
     count_admitted(one, 100.0, 5)
     gossip_round(one, 100.1, to=1)  # lost
     count_admitted(one, 100.2, 4)
@@ -55,7 +55,7 @@
 
     The period that it reports is closed, so it must have no effect.
     """
-    one, other = make(0), make(1)
+    one, other = make_engine(0), make_engine(1)
     count_admitted(one, 100.0, 9)
     messages = gossip_round(one, 100.1, to=1)
     for message in messages:
@@ -64,7 +64,7 @@
 
 
 def test_charges_are_sent_only_to_other_members_of_the_set() -> None:
-    one = make(0)
+    one = make_engine(0)
     count_admitted(one, 100.0, 3, set_size=2)
     sends = actions_of(one.handle(api.TimerFired("beat"), 100.1), api.SendGossip)
     assert [t.limiter_id for t in sends if ":" in t.text] == [1]
@@ -72,7 +72,7 @@
 
 def test_loads_that_fill_a_datagram_do_not_displace_charges() -> None:
     """Loads of many endpoints can fill a datagram, but all charges must still be sent."""
-    one = make(0, limiter_count=8)
+    one = make_engine(0, limiter_count=8)
     one.handle(endpoint_list("full", *(entry(f"x{i}") for i in range(80))), 99.0)
     for i in range(60):
         ask(one, 100.0, customer=f"k{i}")
@@ -116,7 +116,7 @@
 
     No part of it may be applied, not even the valid reports.
     """
-    engine = make(0)
+    engine = make_engine(0)
     fields = {"k": _key_of("c"), "p": base36(100 % 36), "old": base36(97 % 36)}
     engine.handle(api.GossipReceived(1, text.format(**fields)), 100.0)
     assert count_admitted(engine, 100.0, 30) == 12 and not engine.endpoints["s0"].outlier_records
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("sender", [7, -1, 0])
 def test_datagram_with_a_sender_that_is_no_peer_has_no_effect(sender: int) -> None:
     """The sender's number is not that of a peer, so its charges must not be applied."""
-    engine = make(0)
+    engine = make_engine(0)
     text = f"h{base36(100 % 36)}0aa {_key_of('c')}:0:0:3:0:2i"
     engine.handle(api.GossipReceived(sender, text), 100.0)
     assert count_admitted(engine, 100.0, 30) == 12
@@ -136,6 +136,6 @@
 
 
 def _key_of(customer: str) -> str:
-    engine = make(2)
+    engine = make_engine(2)
     ask(engine, 100.0, customer=customer)
     return next(iter(engine.accounts))
--- a/tests/decisions/test_gossip_byte_budget.py
+++ b/tests/decisions/test_gossip_byte_budget.py
@@ -25,14 +25,14 @@
     answer,
     ask,
     count_admitted,
-    make,
+    make_engine,
 )
 
 BUDGET = 600.0  # bytes per second
 
 
 def budgeted(limiters: int = 3, budget: float = BUDGET, **changes: float) -> DecisionEngine:
-    engine = make(0, limiter_count=limiters, gossip_bytes_per_s=budget, **changes)
+    engine = make_engine(0, limiter_count=limiters, gossip_bytes_per_s=budget, **changes)
     engine.handle(api.TimerFired("beat"), 100.0)
     return engine
 
@@ -174,8 +174,8 @@
 
 def test_large_fleet_sends_at_once_unless_the_budget_is_low() -> None:
     """Without a byte budget there is no outbox, and updates are always sent at once."""
-    assert make(0).gossip.outbox is None
-    assert sent_gossip(ask(make(0, limiter_count=40), 100.0, set_size=30))
+    assert make_engine(0).gossip.outbox is None
+    assert sent_gossip(ask(make_engine(0, limiter_count=40), 100.0, set_size=30))
     low_engine = budgeted(40)
     # More than half of the burst is left.
     assert sent_gossip(ask(low_engine, 100.1, set_size=30, units=4.0))
@@ -188,7 +188,7 @@
 @pytest.mark.parametrize("value", [-1.0, float("nan")])
 def test_invalid_budget_error_names_the_setting(value: float) -> None:
     with pytest.raises(ValueError, match="gossip_bytes_per_s"):
-        replace(make().settings, gossip_bytes_per_s=value)
+        replace(make_engine().settings, gossip_bytes_per_s=value)
 
 
 def run_events(
@@ -250,8 +250,8 @@
             raise AssertionError("there is no budget")
 
     without, with_field = (
-        make(0, limiter_count=limiters),
-        make(0, limiter_count=limiters, gossip_bytes_per_s=0.0),
+        make_engine(0, limiter_count=limiters),
+        make_engine(0, limiter_count=limiters, gossip_bytes_per_s=0.0),
     )
     without.gossip.__class__ = WithoutBudget
     expected = run_events(without, events, members)
--- a/tests/decisions/test_large_sets.py
+++ b/tests/decisions/test_large_sets.py
@@ -18,14 +18,14 @@
     answer,
     ask,
     customers_with_equal_keys,
-    make,
+    make_engine,
 )
 
 FLEET_SIZE, SET_SIZE = 40, 30
 
 
 def fleet(count: int = FLEET_SIZE, **changes: Any) -> list[DecisionEngine]:
-    return [make(i, limiter_count=FLEET_SIZE, **changes) for i in range(count)]
+    return [make_engine(i, limiter_count=FLEET_SIZE, **changes) for i in range(count)]
 
 
 def hubs_of(engine: DecisionEngine, now: float, **changes: Any) -> list[int]:
@@ -54,7 +54,8 @@
 
 def test_first_request_in_a_large_set_is_admitted() -> None:
     assert actions_of(
-        ask(make(3, limiter_count=FLEET_SIZE), 0.0, set_size=SET_SIZE, units=4.0), api.StartAttempt
+        ask(make_engine(3, limiter_count=FLEET_SIZE), 0.0, set_size=SET_SIZE, units=4.0),
+        api.StartAttempt,
     )
 
 
@@ -135,7 +136,7 @@
             waiting += _posted(rng, now, member, limiters[member].handle(event, now))
         if rng.random() < 0.002:
             member = rng.randrange(FLEET_SIZE)
-            limiters[member] = make(member, limiter_count=FLEET_SIZE)
+            limiters[member] = make_engine(member, limiter_count=FLEET_SIZE)
             limiters[member].context.incarnation = ""
     quota = BASIC.burst + BASIC.rate * (end - 100.0)
     assert 0.6 * quota <= 2.0 * admitted <= 1.25 * quota
@@ -159,7 +160,7 @@
     Another hub must announce that the quota is spent, or the set admits more than the quota.
     """
     limiters = fleet()
-    first, second = hubs_of(make(39, limiter_count=FLEET_SIZE), 100.0)
+    first, second = hubs_of(make_engine(39, limiter_count=FLEET_SIZE), 100.0)
     announcements = 0
     for turn in range(60):  # the second hub receives all datagrams, the first none
         now = 100.0 + turn / 50
@@ -213,7 +214,7 @@
 
 def very_large_fleet() -> list[DecisionEngine]:
     return [
-        make(i, limiter_count=VERY_LARGE_FLEET_SIZE, gossip_messages_per_s=60.0)
+        make_engine(i, limiter_count=VERY_LARGE_FLEET_SIZE, gossip_messages_per_s=60.0)
         for i in range(VERY_LARGE_FLEET_SIZE)
     ]
 
@@ -223,7 +224,7 @@
         t.limiter_id
         for t in actions_of(
             ask(
-                make(VERY_LARGE_FLEET_SIZE - 1, limiter_count=VERY_LARGE_FLEET_SIZE),
+                make_engine(VERY_LARGE_FLEET_SIZE - 1, limiter_count=VERY_LARGE_FLEET_SIZE),
                 100.0,
                 set_size=VERY_LARGE_SET_SIZE,
             ),
@@ -251,8 +252,8 @@
     first, second = hubs_in_very_large_set()
     member, other = [n for n in range(4) if n not in (first, second)][:2]
     one, two = (
-        make(member, limiter_count=VERY_LARGE_FLEET_SIZE),
-        make(other, limiter_count=VERY_LARGE_FLEET_SIZE),
+        make_engine(member, limiter_count=VERY_LARGE_FLEET_SIZE),
+        make_engine(other, limiter_count=VERY_LARGE_FLEET_SIZE),
     )
     for engine in (one, two):
         # From here on the engine knows the set, and therefore its hubs.
@@ -280,7 +281,7 @@
 
 def test_level_of_a_removed_account_is_not_relayed() -> None:
     first, second = hubs_in_very_large_set()
-    one = make(
+    one = make_engine(
         next(n for n in range(4) if n not in (first, second)), limiter_count=VERY_LARGE_FLEET_SIZE
     )
     (send,) = actions_of(
@@ -306,7 +307,7 @@
     """
     admissions = {}
     for size_of_set in (VERY_LARGE_SET_SIZE, 40):
-        one = make(3, limiter_count=VERY_LARGE_FLEET_SIZE, gossip_messages_per_s=60.0)
+        one = make_engine(3, limiter_count=VERY_LARGE_FLEET_SIZE, gossip_messages_per_s=60.0)
         ask(one, 100.0, set_size=size_of_set)
         (name,) = one.accounts
         text = gossip.encode_header(100, 0.0, "aa") + gossip.encode(
@@ -340,7 +341,9 @@
 
 def test_restarted_hub_adopts_the_level_of_the_other_hub() -> None:
     """A restarted hub does not know the earlier charges, but the other hub announces the level."""
-    hub = make(hubs_of(make(39, limiter_count=FLEET_SIZE), 100.0)[0], limiter_count=FLEET_SIZE)
+    hub = make_engine(
+        hubs_of(make_engine(39, limiter_count=FLEET_SIZE), 100.0)[0], limiter_count=FLEET_SIZE
+    )
     hub.context.started_at = 100.0
     ask(hub, 100.0, set_size=SET_SIZE)
     (account,) = hub.accounts.values()
@@ -353,7 +356,7 @@
 
 
 def test_gossip_sent_stays_within_the_share_of_the_intake() -> None:
-    engine, datagrams = make(0, limiter_count=FLEET_SIZE), 0
+    engine, datagrams = make_engine(0, limiter_count=FLEET_SIZE), 0
     for i in range(4000):
         datagrams += len(
             actions_of(
@@ -364,7 +367,7 @@
 
 
 def test_customers_with_a_single_request_leave_no_state_in_a_large_fleet() -> None:
-    engine = make(0, limiter_count=FLEET_SIZE)
+    engine = make_engine(0, limiter_count=FLEET_SIZE)
     for i in range(3000):
         for send in actions_of(
             ask(engine, 100.0 + i / 100, set_size=SET_SIZE, customer=f"k{i}"), api.StartAttempt
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -17,7 +17,7 @@
     count_admitted,
     endpoint_list,
     entry,
-    make,
+    make_engine,
 )
 
 LARGE_FLEET = 40
@@ -31,7 +31,7 @@
     cheap = api.RequestClass(
         "cheap", latency_objective=9.0, deadline=20.0, priority_weight=1.0, effect="safe"
     )
-    engine = make(classes=(dear, cheap))
+    engine = make_engine(classes=(dear, cheap))
     assert (
         engine.load_shedding.wait_limit(cheap) == 1.0
         and engine.load_shedding.wait_limit(dear) == 1.0
@@ -40,7 +40,7 @@
 
 def test_under_load_a_retry_past_its_objective_is_rejected() -> None:
     """In an overload, late retries displaced requests that could still be in time."""
-    engine = make()
+    engine = make_engine()
     for endpoint in engine.endpoints.values():
         # seconds of work; the wait lies between the two limits
         endpoint.in_flight["other", 0], endpoint.last_progress_at = 0.4, 100.0
@@ -57,7 +57,7 @@
 
     A short time left is then no sign of age.
     """
-    engine = make(clients_mark_retries=marks)
+    engine = make_engine(clients_mark_retries=marks)
     # must be learned unless clients mark their retries
     for turn in range(6 if not marks else 0):
         count_admitted(engine, 100.0, 1, customer=f"{turn}", time_left=2.4 + turn / 1000)
@@ -76,7 +76,7 @@
 
     Retries after a fixed wait have equal remaining times and would count as first requests.
     """
-    engine = make(limiter_count=limiters)
+    engine = make_engine(limiter_count=limiters)
     count_admitted(engine, 100.0, 1, customer="first", time_left=4.0)
     for turn in range(6):
         count_admitted(engine, 100.0, 1, customer=f"{turn}", time_left=2.4)
@@ -93,7 +93,7 @@
 
 
 def test_retry_after_in_an_overload_is_less_than_half_the_objective() -> None:
-    engine = make()
+    engine = make_engine()
     for endpoint in engine.endpoints.values():
         endpoint.in_flight["other", 0] = 9.0
     (rejection,) = actions_of(ask(engine, 100.0), api.RejectRequest)
@@ -113,7 +113,7 @@
 
     The fleet must shed load, and admit requests again afterwards.
     """
-    engine = make(0, limiter_count=LARGE_FLEET)
+    engine = make_engine(0, limiter_count=LARGE_FLEET)
     answer_requests(engine, 100.0, 0.1, 20)
     assert actions_of(ask(engine, 100.0, customer="a"), api.StartAttempt)
     answer_requests(engine, 100.1, 3.0, 60)
@@ -125,7 +125,7 @@
 
 def test_attempts_in_flight_raise_the_queue_wait_before_late_answers() -> None:
     """Endpoints slow down suddenly, and no answer shows it yet."""
-    engine = make(0, limiter_count=LARGE_FLEET)
+    engine = make_engine(0, limiter_count=LARGE_FLEET)
     for i in range(5):
         ask(engine, 100.0, customer=f"{i}")
     for round_number in range(10):
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -12,14 +12,14 @@
     ask,
     endpoint_list,
     entry,
-    make,
+    make_engine,
 )
 
 LARGE_FLEET = 40
 
 
 def test_few_costly_requests_do_not_make_an_endpoint_look_slow() -> None:
-    engine = make()
+    engine = make_engine()
     endpoint = engine.endpoints["s0"]
     for i in range(40):
         (send,) = actions_of(ask(engine, 100.0 + i, customer=f"{i}"), api.StartAttempt)
@@ -32,7 +32,7 @@
 
 def test_endpoint_that_fails_one_class_still_serves_the_others() -> None:
     """An endpoint fails every request of one class. It must continue to serve the others."""
-    engine = make()
+    engine = make_engine()
     engine.handle(api.TimerFired("beat"), 100.3)
     for _ in range(3):
         engine.outliers.record_failure(engine.endpoints["s0"], "lookup")
@@ -53,7 +53,7 @@
 
     The failures that all of them report must together eject it.
     """
-    engine = make(0, limiter_count=LARGE_FLEET)
+    engine = make_engine(0, limiter_count=LARGE_FLEET)
     tag = engine.endpoints["s1"].tag
     for sender in (4, 5, 6):
         text = gossip.encode_header(100, 0.0, "aa") + gossip.encode(
@@ -70,7 +70,7 @@
 
 def test_late_answer_at_low_load_counts_as_a_failure_of_the_endpoint() -> None:
     """An endpoint answers late while the others are fast; it may stop answering next."""
-    engine = make(0, limiter_count=LARGE_FLEET)
+    engine = make_engine(0, limiter_count=LARGE_FLEET)
     (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
     engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "ok", 1.5, final=True), 101.5)
     assert engine.endpoints[send.endpoint].outlier_records["lookup"].failures == 1.0
@@ -96,7 +96,7 @@
 
     This must not count as an overload; full queues must.
     """
-    engine = make(0, limiter_count=LARGE_FLEET)
+    engine = make_engine(0, limiter_count=LARGE_FLEET)
     engine.handle(endpoint_list("full", *(entry(f"s{i}") for i in range(60))), 100.0)
     fail(engine, status, 30)
     assert (engine.load.queue_wait > 0.35 * engine.load.tightest_objective) == overloaded
@@ -108,7 +108,7 @@
     A limiter of a large fleet uses it too rarely to count three failures.
     """
     for limiters, ejected in ((LARGE_FLEET, 1), (3, 0)):
-        engine = make(0, limiter_count=limiters)
+        engine = make_engine(0, limiter_count=limiters)
         (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
         engine.handle(api.AttemptEnded(send.id, 0, send.endpoint, "connect_failed", 0.003), 100.01)
         assert engine.endpoints[send.endpoint].outlier_records[""].ejections == ejected
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -15,7 +15,7 @@
     actions_of,
     answer,
     ask,
-    make,
+    make_engine,
 )
 
 
@@ -24,7 +24,7 @@
 
     A request that may have run must not run again; one that never ran may.
     """
-    engine = make()
+    engine = make_engine()
     (send,) = actions_of(ask(engine, 100.0, "issue"), api.StartAttempt)
     assert actions_of(answer(engine, send, 100.1, "reset"), api.FailRequest)
     (send,) = actions_of(ask(engine, 100.2, "issue"), api.StartAttempt)
@@ -36,7 +36,7 @@
 
     They must neither cause an error nor reopen the request.
     """
-    engine = make()
+    engine = make_engine()
     (send,) = actions_of(ask(engine, 100.0), api.StartAttempt)
     answer(engine, send, 100.1)
     assert answer(engine, send, 100.2, "timeout") == []
@@ -61,7 +61,7 @@
 
     Each request must get one final answer, and none may take effect twice.
     """
-    engine, now = make(), 100.0
+    engine, now = make_engine(), 100.0
     actions = ask(engine, now, kind)
     zones = {s.entry.name: s.entry.zone for s in engine.endpoints.values()}
     ran: list[tuple[str, float]] = []
@@ -96,7 +96,7 @@
     If they used up the retry budget, requests would fail although a retry could succeed.
     """
     for elapsed, max_retries in ((0.0002, 200), (0.5, 30)):
-        engine, retried = make(), 0
+        engine, retried = make_engine(), 0
         for number in range(200):
             (send,) = actions_of(ask(engine, 1.0 + number, customer=str(number)), api.StartAttempt)
             event = api.AttemptEnded(send.id, 0, send.endpoint, "reset", elapsed)
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize("answers", [False, True])
 def test_hung_attempt_at_low_load_is_retried_at_another_endpoint(answers: bool) -> None:
     """An endpoint accepts a request and never answers, while others answer at once."""
-    engine = make(cancellation=True)
+    engine = make_engine(cancellation=True)
     (other,), first = retries_after_hang(engine, "lookup", 0.0, answers)
     assert other != first
     # a single lost answer does not make the endpoint a failing one
@@ -152,6 +152,6 @@
 
     A retry would add load in an overload, and could repeat the effect of an unsafe request.
     """
-    assert retries_after_hang(make(cancellation=True), "lookup", 0.5, False)[0] == []
-    assert retries_after_hang(make(cancellation=True), "issue", 0.0, False)[0] == []
-    assert retries_after_hang(make(), "lookup", 0.0, False)[0] == []
+    assert retries_after_hang(make_engine(cancellation=True), "lookup", 0.5, False)[0] == []
+    assert retries_after_hang(make_engine(cancellation=True), "issue", 0.0, False)[0] == []
+    assert retries_after_hang(make_engine(), "lookup", 0.0, False)[0] == []
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -17,14 +17,14 @@
 from hazelhollow.decisions.slow_start import SlowStart
 from hazelhollow.decisions.state.endpoint import Endpoint
 from hazelhollow.decisions.state.sliding_window import SlidingWindow
-from tests.decisions.helpers import actions_of, answer, ask, endpoint_list, entry, make
+from tests.decisions.helpers import actions_of, answer, ask, endpoint_list, entry, make_engine
 from tests.net.scenario import SETTINGS
 
 LARGE_FLEET = 40
 
 
 def test_warming_endpoint_gets_less_work_than_a_warm_one() -> None:
-    engine = make()
+    engine = make_engine()
     engine.handle(endpoint_list("change", entry("s0", started=99.9)), 100.0)
     counts = dict.fromkeys(("s0", "s1", "s2", "s3"), 0)
     for i in range(200):
@@ -38,7 +38,7 @@
 
 def test_large_fleet_together_does_not_overload_a_warming_endpoint() -> None:
     """An endpoint fails if all limiters of a large fleet together send it too much work."""
-    engines = [make(i, limiter_count=100) for i in range(100)]
+    engines = [make_engine(i, limiter_count=100) for i in range(100)]
     for engine_number, engine in enumerate(engines):
         engine.handle(
             endpoint_list(
@@ -59,7 +59,7 @@
 
 
 def test_endpoints_get_work_if_all_are_warming_up() -> None:
-    engine = make(0, limiter_count=LARGE_FLEET)
+    engine = make_engine(0, limiter_count=LARGE_FLEET)
     engine.handle(endpoint_list("full", *(entry(f"s{i}", started=99.9) for i in range(9))), 100.0)
     sent = sum(
         len(actions_of(ask(engine, 100.0 + i / 50, customer=f"{i}"), api.StartAttempt))
--- a/tests/decisions/test_startup_quota.py
+++ b/tests/decisions/test_startup_quota.py
@@ -10,7 +10,7 @@
     actions_of,
     ask,
     count_admitted,
-    make,
+    make_engine,
 )
 
 
@@ -19,9 +19,9 @@
 
     It must not admit the full burst again.
     """
-    assert count_admitted(make(), 0.0, 30) == 4  # 12 / 3
-    assert count_admitted(make(), 0.0, 30, set_size=2) == 6
-    assert count_admitted(make(), 100.0, 30) == 12
+    assert count_admitted(make_engine(), 0.0, 30) == 4  # 12 / 3
+    assert count_admitted(make_engine(), 0.0, 30, set_size=2) == 6
+    assert count_admitted(make_engine(), 100.0, 30) == 12
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
     Units used before its start are then unknown to it.
     """
     for plan, most in (("basic", basic), ("hard", hard)):
-        engine = make()
+        engine = make_engine()
         engine.context.started_at, engine.context.incarnation = 1000.0, incarnation_name(1000.0)
         results = [ask(engine, 1000.0, plan_name=plan)]
         for peer, start in enumerate(incarnations, 1):
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -18,7 +18,7 @@
     ask,
     endpoint_list,
     entry,
-    make,
+    make_engine,
 )
 
 ENDPOINT_NAMES = [f"s{i:02}" for i in range(60)]
@@ -64,7 +64,7 @@
     count: int = 300,
 ) -> set[str]:
     """Returns the endpoints of one engine's last 100 requests of `count`, each answered at once."""
-    engine, names = make(2, limiter_count=limiters), set[str]()
+    engine, names = make_engine(2, limiter_count=limiters), set[str]()
     engine.handle(
         endpoint_list("full", *(changes.get(name, entry(name)) for name in ENDPOINT_NAMES)), 0.0
     )
@@ -82,7 +82,7 @@
 
 def test_large_fleet_uses_subsets_and_small_fleet_all_endpoints() -> None:
     assert len(used(40, {})) == MIN_SUBSET_SIZE
-    small = make(2, limiter_count=3)
+    small = make_engine(2, limiter_count=3)
     small.handle(endpoint_list("full", *(entry(name) for name in ENDPOINT_NAMES)), 0.0)
     assert len(next(small.selection.rounds())[1]) == len(ENDPOINT_NAMES)
 
--- a/tests/decisions/test_unreachable_members.py
+++ b/tests/decisions/test_unreachable_members.py
@@ -12,7 +12,7 @@
 from hazelhollow.decisions.gossip import codec as gossip
 from tests.decisions.helpers import (
     LIMITERS,
-    make,
+    make_engine,
 )
 
 RING = 12  # number of limiters
@@ -41,7 +41,7 @@
 ) -> list[Any]:
     """Returns the accounts of customers with these sets after changes of the reachable members."""
     plan = api.Plan("basic", 10.0, 40.0, excess_cost=1.0)
-    engine = make(1, limiter_count=RING, plans=(plan,), gossip_messages_per_s=60.0)
+    engine = make_engine(1, limiter_count=RING, plans=(plan,), gossip_messages_per_s=60.0)
     all_members, now = tuple(range(RING)), 100.0
     engine.handle(api.MembershipChanged(True, all_members, counts_replicated=True), now)
     for number, (first, spread) in enumerate(sets):
@@ -95,7 +95,7 @@
 
 
 def test_unreachable_member_updates_only_accounts_of_its_sets() -> None:
-    engine = make(1, limiter_count=LIMITERS, gossip_messages_per_s=60.0)
+    engine = make_engine(1, limiter_count=LIMITERS, gossip_messages_per_s=60.0)
     engine.handle(api.MembershipChanged(True, tuple(range(LIMITERS))), 100.0)
     for number in range(LIMITERS):
         engine.customer_accounts.get(
--- a/tests/net/test_administrative_overrides.py
+++ b/tests/net/test_administrative_overrides.py
@@ -9,7 +9,7 @@
 
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.override_file import OverrideFile, path_for
-from tests.decisions.helpers import actions_of, ask, endpoint_list, entry, make
+from tests.decisions.helpers import actions_of, ask, endpoint_list, entry, make_engine
 from tests.net.scenario import Stage
 from tests.net.test_operator_address import call, figures, operator_stage
 
@@ -19,7 +19,7 @@
 
     Neither may cause a request to the disabled endpoint.
     """
-    decision_engine = make(0, limiter_count=1)
+    decision_engine = make_engine(0, limiter_count=1)
     decision_engine.handle(endpoint_list("full", entry("s1"), entry("s2")), 100.0)
     decision_engine.handle(api.EndpointOverridden("s1", True), 100.0)
     sent = {
@@ -40,7 +40,7 @@
 
     A list with an old start time must not end the warm-up.
     """
-    decision_engine = make(0, limiter_count=1)
+    decision_engine = make_engine(0, limiter_count=1)
     decision_engine.handle(endpoint_list("full", entry("s1"), entry("s2")), 100.0)
     decision_engine.handle(api.EndpointOverridden("s1", True), 100.0)
     decision_engine.handle(api.EndpointOverridden("s1", False), 105.0)
--- a/tests/net/test_settings_reload.py
+++ b/tests/net/test_settings_reload.py
@@ -15,7 +15,7 @@
 from hazelhollow.decisions import interface as api
 from hazelhollow.net.requests import RequestLimits
 from hazelhollow.platform_config import PlatformConfigError
-from tests.decisions.helpers import actions_of, answer, ask, make
+from tests.decisions.helpers import actions_of, answer, ask, make_engine
 from tests.net.scenario import BUY, LOOK, Stage
 from tests.net.test_connection_ends import block_connects
 
@@ -125,7 +125,7 @@
 
     The request must keep the number with which it arrived.
     """
-    decision_engine = make(0, limiter_count=1, max_attempts=3)
+    decision_engine = make_engine(0, limiter_count=1, max_attempts=3)
     (first,) = actions_of(ask(decision_engine, 100.0, id="r1"), api.StartAttempt)
     decision_engine.reconfigure(replace(decision_engine.settings, max_attempts=1))
     assert actions_of(
@@ -137,7 +137,7 @@
 
 def test_open_request_of_a_removed_class_still_ends() -> None:
     """A reload removes the class of an open request. The request must still complete."""
-    decision_engine = make(0, limiter_count=1, max_attempts=3)
+    decision_engine = make_engine(0, limiter_count=1, max_attempts=3)
     (first,) = actions_of(ask(decision_engine, 100.0, id="r1", kind="issue"), api.StartAttempt)
     decision_engine.reconfigure(
         replace(decision_engine.settings, classes=decision_engine.settings.classes[:1])
@@ -155,7 +155,7 @@
 
     The time-left statistics collected under the old deadline must not be used with the new one.
     """
-    decision_engine = make(0, limiter_count=20)
+    decision_engine = make_engine(0, limiter_count=20)
     statistics = {
         name: decision_engine.load_shedding.time_left[name] for name in ("lookup", "issue")
     }
