--- a/hazelhollow/decisions/actions.py
+++ b/hazelhollow/decisions/actions.py
@@ -21,8 +21,9 @@
         id: The request. Its attempts are numbered from 0 in the order of these actions.
         endpoint: The endpoint to send it to.
         timeout: Seconds after which the attempt ends; 0 lets it run until the request's deadline.
-        send_by: The time after which a request that has not been sent completely must not be sent:
-            a connection may be established only after the deduplication window.
+        send_by: The time after which the request must not be sent any more if it has not been sent
+            completely. Otherwise a connection that is established late could carry it after the end
+            of the deduplication window.
     """
 
     id: str
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True)
 class RejectRequest:
-    """Answer a request finally: rejected, safe to repeat after `retry_after` seconds.
+    """Give a request its final answer: rejected, may be repeated after `retry_after` seconds.
 
     `reason` is only used for counters.
     """
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True)
 class FailRequest:
-    """Answer a request finally: failed, and it may have taken effect."""
+    """Give a request its final answer: failed, and it may have taken effect."""
 
     id: str
 
--- a/hazelhollow/decisions/gossip/outbox.py
+++ b/hazelhollow/decisions/gossip/outbox.py
@@ -19,8 +19,8 @@
 class GossipOutbox:
     """A byte budget and the updates that wait for each peer.
 
-    An update names what to report without its amount. The amount is read when the update is sent,
-    so that the latest total of a customer and period is sent.
+    An update identifies a customer and a period but holds no amount. The amount is read when the
+    update is sent, so that the latest total is reported.
 
     Attributes:
         bytes: A token bucket of the bytes that may be sent, headers included.
--- a/hazelhollow/decisions/state/accounts.py
+++ b/hazelhollow/decisions/state/accounts.py
@@ -26,7 +26,7 @@
 MAX_DIRECT_SET = 8
 HUBS_PER_SET = 2  # members of a larger set that receive every charge and announce the level
 DEBT_REPAYMENT_SHARE = 0.5  # share of the rate that repays units charged without a report
-MIN_FORGET_CHECK_S = 0.1  # least time between two checks whether an account may be forgotten
+MIN_FORGET_CHECK_S = 0.1  # shortest time between two checks whether an account may be forgotten
 BUSY_FORGET_CHECK_S = 1.0  # interval of the checks while requests are in flight or units reserved
 MAX_FORGET_CHECK_S = 60.0  # longest interval, however many units are missing
 
--- a/hazelhollow/decisions/state/customer_accounts.py
+++ b/hazelhollow/decisions/state/customer_accounts.py
@@ -18,7 +18,7 @@
 )
 
 KEY_COUNT = 36**5  # number of distinct customer keys in messages
-MIN_IDLE_S = 2.0 * PERIOD_S  # least time that an account is kept after its last use
+MIN_IDLE_S = 2.0 * PERIOD_S  # for which an account is kept at least after its last use
 # Time after which members that are reachable again have replicated their charges.
 COUNT_SETTLE_S = 4.0 * PERIOD_S
 MAX_FORGET_CHECKS = 60  # accounts checked for removal in one gossip round
@@ -76,7 +76,8 @@
             self.reserve_for_unreachable(account)
             large, limiter_id = set_size > MAX_DIRECT_SET, context.settings.limiter_id
             if large and limiter_id in account.hubs and not account.has_announcement:
-                # A hub receives the charges from now on, and the level before from the other hub.
+                # This hub receives all charges from now on; the other hub announces the level that
+                # results from the earlier ones.
                 account.quota.level = plan.burst
             account.set_ceiling_share()
         account.refill(context.now, context.period)
--- a/hazelhollow/decisions/state/endpoint_table.py
+++ b/hazelhollow/decisions/state/endpoint_table.py
@@ -118,7 +118,7 @@
     def override(self, name: str, disabled: bool, now: float) -> None:
         """Applies an operator's decision to disable an endpoint or to enable it again.
 
-        An endpoint that is enabled again counts as restarted, whatever the list says, and warms up.
+        An endpoint that is enabled again counts as restarted, regardless of the list, and warms up.
         """
         if not disabled and name not in self.disabled:
             return
--- a/hazelhollow/decisions/state/replicated_accounts.py
+++ b/hazelhollow/decisions/state/replicated_accounts.py
@@ -114,7 +114,7 @@
     # Exporting counts
 
     def mark_charged(self, account: Account) -> None:
-        """Notes a charge to an account, by any limiter: its count grows when the period closes."""
+        """Records that any limiter charged an account: its count grows when the period closes."""
         if account.charges.closed_counts is not None:
             self.unclosed[account.name] = None
 
@@ -210,8 +210,8 @@
     def merge(self, event: AccountReplicated) -> None:
         """Merges other members' state of an account, or completes the catch-up.
 
-        An event without a key says that the catch-up is complete, one with a level is a peer's copy
-        of an account, and one without a level holds counts of closed periods.
+        An event without a key means that the catch-up is complete, one with a level is a peer's
+        copy of an account, and one without a level holds counts of closed periods.
         """
         context, accounts = self._context, self._accounts
         plan = context.plans.get(event.plan_name)
@@ -228,7 +228,7 @@
         for count in event.counts:
             refilled = plan.rate * (context.now - count.since)
             if account is None and count.total > refilled:
-                # The charges exceed the refill since then, so a new account would have too much.
+                # The charges exceed the refill since then: a new account would start with too much.
                 account = accounts.get(event.key, plan, event.set_start, event.set_size)
                 account.charges.complete_since = count.since
             else:
--- a/hazelhollow/net/close_reason.py
+++ b/hazelhollow/net/close_reason.py
@@ -11,7 +11,7 @@
     """Why a connection was closed."""
 
     REFUSED = auto()  # nothing listens on the address
-    NEVER_UP = auto()  # it was not established in time, or the network failed meanwhile
+    NEVER_UP = auto()  # it was not established in time, or the network failed before
     NO_DESCRIPTOR = auto()  # this process or machine has no socket left
     CLOSED = auto()  # the other side closed its sending side
     ANSWERED = auto()  # the other side closed it after a complete answer
--- a/hazelhollow/net/gc_pauses.py
+++ b/hazelhollow/net/gc_pauses.py
@@ -18,7 +18,7 @@
 
 
 def shorten_collector_pauses() -> None:
-    """Must be called once, after all objects that live as long as the process were created."""
+    """Collects, freezes and sets the thresholds; call once, when all permanent objects exist."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
--- a/hazelhollow/net/operator_address.py
+++ b/hazelhollow/net/operator_address.py
@@ -1,4 +1,4 @@
-"""The operator address: one call per connection, answered at once or timed out.
+"""The operator address: one call per connection, answered immediately or timed out.
 
 A connection that sends no complete call, or does not read its answer, is closed within a second, so
 that it cannot block other callers. The states of a connection:
@@ -25,7 +25,7 @@
 
 CALL_TIMEOUT_S = 0.5  # from connection to complete call; answers are promised within 1 s
 ANSWER_TIMEOUT_S = 0.4  # for the caller to read the answer, and again for it to close
-MAX_CALLERS = 32  # concurrent connections; one more closes the oldest
+MAX_CALLERS = 32  # concurrent connections; a further one closes the oldest
 MAX_ANSWER_BYTES = 1 << 20
 MAX_DISCARDED_BYTES = 1 << 16  # received after the call and ignored
 LISTEN_BACKLOG = 64
--- a/hazelhollow/net/stats.py
+++ b/hazelhollow/net/stats.py
@@ -40,7 +40,7 @@
         self.no_descriptor = 0
         self.ok_seconds = 0.0  # total duration of successful attempts
         self.settled = 0  # answers that reported the units used
-        self.figures_bad = 0  # answers with impossible figures
+        self.figures_bad = 0  # answers with invalid usage figures
         self.outcomes: Counter[str] = Counter()
         self.endings: Counter[CloseReason] = Counter()
         # Discovery
--- a/hazelhollow/net/tls.py
+++ b/hazelhollow/net/tls.py
@@ -45,7 +45,7 @@
 
 
 class Layer:
-    """Converts between plaintext and the bytes on the socket; a server gives no `server_name`."""
+    """Converts between plaintext and the bytes on the socket; servers omit `server_name`."""
 
     def __init__(self, context: ssl.SSLContext, server_name: str = "") -> None:
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
--- a/tests/decisions/test_endpoint_selection.py
+++ b/tests/decisions/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: which endpoints are excluded, and how many of many are compared."""
+"""Endpoint selection: which endpoints are excluded, and how many of a long list are compared."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -39,20 +39,20 @@
             self.entries = {
                 e.name: self.entries[e.name] for e in event.entries if e.name in self.entries
             }
-        for one in event.entries:
-            known = self.entries.get(one.name)
-            if one.state == "gone":
-                self.entries.pop(one.name, None)
+        for listed in event.entries:
+            known = self.entries.get(listed.name)
+            if listed.state == "gone":
+                self.entries.pop(listed.name, None)
             else:
-                self.incarnations[one.name] += known is None or known.started != one.started
-                self.entries[one.name] = one
+                self.incarnations[listed.name] += known is None or known.started != listed.started
+                self.entries[listed.name] = listed
 
-    def is_warming_up(self, one: api.EndpointEntry, now: float) -> bool:
-        return 0 < one.started > now - self.settings.warm_up_time
+    def is_warming_up(self, listed: api.EndpointEntry, now: float) -> bool:
+        return 0 < listed.started > now - self.settings.warm_up_time
 
-    def expected_concurrency(self, one: api.EndpointEntry) -> float:
+    def expected_concurrency(self, listed: api.EndpointEntry) -> float:
         mean = sum(e.weight for e in self.entries.values()) / len(self.entries) or 1.0
-        return max(MEAN_CONCURRENCY * one.weight / mean, MEAN_CONCURRENCY / 4)
+        return max(MEAN_CONCURRENCY * listed.weight / mean, MEAN_CONCURRENCY / 4)
 
     def up(self) -> list[api.EndpointEntry]:
         return [e for e in self.entries.values() if e.state == "up" and e.name not in self.disabled]
--- a/tests/decisions/test_gossip_settings.py
+++ b/tests/decisions/test_gossip_settings.py
@@ -30,7 +30,7 @@
     classes: tuple[api.RequestClass, ...] = (LOOK,),
     limiters: int = 2,
 ) -> DecisionEngine:
-    one = DecisionEngine(
+    limiter = DecisionEngine(
         replace(
             SETTINGS,
             limiter_id=number,
@@ -41,8 +41,8 @@
         ),
         seed=number,
     )
-    one.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
-    return one
+    limiter.handle(endpoint_list("full", *(entry(f"s{n}") for n in range(4))), 1000.0)
+    return limiter
 
 
 def gossip_round(source: DecisionEngine, target: DecisionEngine, now: float) -> list[api.Action]:
@@ -71,13 +71,13 @@
 
 
 def test_two_customers_with_one_key_keep_separate_plans() -> None:
-    one, peer = engine(0, BRONZE, GOLD), engine(1, BRONZE, GOLD)
-    bronze, gold = customers_with_equal_keys(one)
-    ask(one, 1000.1, "look", plan_name="bronze", set_size=2, customer=bronze)
-    ask(one, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
-    ask(one, 1000.3, "look", plan_name="bronze", set_size=2, customer=bronze)
-    gossip_round(one, peer, 1000.4)
-    assert {(a.plan.name, a.charges.open_total()) for a in one.accounts.values()} == {
+    limiter, peer = engine(0, BRONZE, GOLD), engine(1, BRONZE, GOLD)
+    bronze, gold = customers_with_equal_keys(limiter)
+    ask(limiter, 1000.1, "look", plan_name="bronze", set_size=2, customer=bronze)
+    ask(limiter, 1000.2, "look", plan_name="gold", set_size=2, units=5.0, customer=gold)
+    ask(limiter, 1000.3, "look", plan_name="bronze", set_size=2, customer=bronze)
+    gossip_round(limiter, peer, 1000.4)
+    assert {(a.plan.name, a.charges.open_total()) for a in limiter.accounts.values()} == {
         ("bronze", 2.0),
         ("gold", 5.0),
     }
@@ -88,12 +88,12 @@
 
 
 def test_changed_plan_is_kept_after_the_old_account_is_removed() -> None:
-    one = engine(0, BRONZE, GOLD)
-    ask(one, 1000.1, "look", plan_name="bronze", set_size=2)
-    ask(one, 1000.2, "look", plan_name="gold", set_size=2)
-    del one.accounts[next(iter(one.accounts))]
-    ask(one, 1000.3, "look", plan_name="gold", set_size=2)
-    (account,) = one.accounts.values()
+    limiter = engine(0, BRONZE, GOLD)
+    ask(limiter, 1000.1, "look", plan_name="bronze", set_size=2)
+    ask(limiter, 1000.2, "look", plan_name="gold", set_size=2)
+    del limiter.accounts[next(iter(limiter.accounts))]
+    ask(limiter, 1000.3, "look", plan_name="gold", set_size=2)
+    (account,) = limiter.accounts.values()
     assert account.plan == GOLD and account.charges.open_total() == 2.0
 
 
@@ -115,17 +115,17 @@
 
 def test_previous_dialect_is_decoded() -> None:
     """The datagram was written by a limiter of the previous release."""
-    one = engine(0, BRONZE, GOLD)
+    limiter = engine(0, BRONZE, GOLD)
     incarnation = gossip.incarnation_name(1000.0)
-    one.handle(
+    limiter.handle(
         api.GossipReceived(1, f"h{gossip.base36(1000 % 36)}0{incarnation} 1abcd:1:0:2:0:1e 0zz=5"),
         1000.1,
     )
-    (account,) = one.accounts.values()
+    (account,) = limiter.accounts.values()
     assert (
         account.plan == GOLD
         and sum(account.charges.reported.values()) == 5.0
-        and not one.receiver.unusable
+        and not limiter.receiver.unusable
     )
 
 
@@ -133,15 +133,15 @@
     "text", ["j{period}0{life} 1abcd:7kq:0:2:0:1e", "j{period}0{life}", "{period}", ""]
 )
 def test_newer_dialect_is_rejected_counted_and_logged_once(text: str) -> None:
-    one = engine(0, GOLD)
+    limiter = engine(0, GOLD)
     text = text.format(period=gossip.base36(1000 % 36), life=gossip.incarnation_name(1000.0))
     logs = [
         a
         for _ in range(3)
-        for a in one.handle(api.GossipReceived(1, text), 1000.1)
+        for a in limiter.handle(api.GossipReceived(1, text), 1000.1)
         if isinstance(a, api.WriteLog)
     ]
-    assert not one.accounts and sum(one.receiver.unusable.values()) == 3 and len(logs) == 1
+    assert not limiter.accounts and sum(limiter.receiver.unusable.values()) == 3 and len(logs) == 1
 
 
 def test_failure_report_applies_to_its_class_if_order_differs() -> None:
@@ -162,13 +162,13 @@
 
 
 def test_reports_of_classes_added_by_new_settings_are_applied() -> None:
-    one = engine(0, GOLD, limiters=12)
-    one.reconfigure(replace(one.settings, classes=(LOOK, SLOW)))
+    limiter = engine(0, GOLD, limiters=12)
+    limiter.reconfigure(replace(limiter.settings, classes=(LOOK, SLOW)))
     text = gossip.encode_header(1000, 0.0, gossip.incarnation_name(1000.0)) + gossip.encode(
-        gossip.FailureReport(one.endpoints["s1"].tag, gossip.name_tag("slow"))
+        gossip.FailureReport(limiter.endpoints["s1"].tag, gossip.name_tag("slow"))
     )
-    one.handle(api.GossipReceived(1, text), 1000.1)
-    assert "slow" in one.endpoints["s1"].outlier_records and not one.receiver.unusable
+    limiter.handle(api.GossipReceived(1, text), 1000.1)
+    assert "slow" in limiter.endpoints["s1"].outlier_records and not limiter.receiver.unusable
 
 
 report_strategy = st.one_of(
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -53,9 +53,9 @@
 def test_first_requests_with_a_short_timeout_do_not_count_as_late_retries(
     marks: bool,
 ) -> None:
-    """Some clients give a first request 60% of the time, and its retry all the remaining time.
+    """Some clients wait 60% of the deadline for a first request, and the rest for its retry.
 
-    A short time left is then no sign of age.
+    A first request then has a short time left, which must not count as age.
     """
     engine = make_engine(clients_mark_retries=marks)
     # must be learned unless clients mark their retries
@@ -118,7 +118,9 @@
     assert actions_of(ask(engine, 100.0, customer="a"), api.StartAttempt)
     answer_requests(engine, 100.1, 3.0, 60)
     assert actions_of(ask(engine, 100.1, customer="b"), api.RejectRequest)
-    for round_number in range(200):  # with everything rejected, no answer shows that it is over
+    for round_number in range(
+        200
+    ):  # all requests are rejected, so no answer shows that the endpoints have recovered
         engine.handle(api.TimerFired("beat"), 100.2 + round_number / 10)
     assert actions_of(ask(engine, 121.0, customer="c"), api.StartAttempt)
 
@@ -174,9 +176,9 @@
 
 
 def test_work_is_learned_separately_for_each_number_of_units() -> None:
-    """Where units are an estimate, a large estimate may mean far more work than it states.
+    """Requests with many estimated units may need more work than in proportion to their units.
 
-    Endpoint selection must use the learned work.
+    Endpoint selection must use the work learned for that number of units.
     """
     plan = api.Plan("basic", rate=1000.0, burst=1000.0)
     engine = DecisionEngine(
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -19,7 +19,7 @@
 def settled_request(figures: str, number: int = 1, units: int = 1) -> str:
     """Returns a scenario in which the host's answer carries these usage figures.
 
-    The client gets the value whatever the figures are.
+    The client gets the value regardless of the figures.
     """
     words = GUESS.format(number, units)
     return f"""
--- a/tests/decisions/test_startup_quota.py
+++ b/tests/decisions/test_startup_quota.py
@@ -34,7 +34,7 @@
 
     Units used before its start are then unknown to it.
     """
-    for plan, most in (("basic", basic), ("hard", hard)):
+    for plan, expected in (("basic", basic), ("hard", hard)):
         engine = make_engine()
         engine.context.started_at, engine.context.incarnation = 1000.0, incarnation_name(1000.0)
         results = [ask(engine, 1000.0, plan_name=plan)]
@@ -46,4 +46,4 @@
                 1000.0,
             )
         results += [ask(engine, 1000.0, plan_name=plan) for _ in range(30)]
-        assert sum(bool(actions_of(actions, api.StartAttempt)) for actions in results) == most
+        assert sum(bool(actions_of(actions, api.StartAttempt)) for actions in results) == expected
--- a/tests/decisions/test_unreachable_members.py
+++ b/tests/decisions/test_unreachable_members.py
@@ -15,15 +15,15 @@
     make_engine,
 )
 
-RING = 12  # number of limiters
+LIMITER_COUNT = 12
 
 
 changes_of_view = st.lists(
     st.tuples(
         st.floats(0.01, 3.0),  # seconds since the previous change
-        st.frozensets(st.integers(0, RING - 1), max_size=5),  # unreachable members
+        st.frozensets(st.integers(0, LIMITER_COUNT - 1), max_size=5),  # unreachable members
         st.lists(
-            st.tuples(st.integers(0, RING - 1), st.floats(0.0, 2.0)), max_size=2
+            st.tuples(st.integers(0, LIMITER_COUNT - 1), st.floats(0.0, 2.0)), max_size=2
         ),  # members and seconds of their share that were not used
     ),
     min_size=1,
@@ -32,7 +32,9 @@
 
 
 sets_of_customers = st.lists(
-    st.tuples(st.integers(0, RING - 1), st.integers(1, RING)), min_size=1, max_size=6
+    st.tuples(st.integers(0, LIMITER_COUNT - 1), st.integers(1, LIMITER_COUNT)),
+    min_size=1,
+    max_size=6,
 )
 
 
@@ -41,8 +43,8 @@
 ) -> list[Any]:
     """Returns the accounts of customers with these sets after changes of the reachable members."""
     plan = api.Plan("basic", 10.0, 40.0, excess_cost=1.0)
-    engine = make_engine(1, limiter_count=RING, plans=(plan,), gossip_messages_per_s=60.0)
-    all_members, now = tuple(range(RING)), 100.0
+    engine = make_engine(1, limiter_count=LIMITER_COUNT, plans=(plan,), gossip_messages_per_s=60.0)
+    all_members, now = tuple(range(LIMITER_COUNT)), 100.0
     engine.handle(api.MembershipChanged(True, all_members, counts_replicated=True), now)
     for number, (first, spread) in enumerate(sets):
         engine.customer_accounts.get(gossip.base36(number), plan, first, spread)
