--- a/hazelhollow/decisions/attempts.py
+++ b/hazelhollow/decisions/attempts.py
@@ -140,9 +140,9 @@
         waited = event.elapsed - attempt.work > load.queue_wait
         if status in ("ok", "error", "full"):
             endpoint.last_progress_at = self._context.now
-        # At low queue wait, a late answer counts as a failure of this endpoint regardless of its
-        # cause, since the endpoint may stop answering next. In an overload all answers are late,
-        # and ejection would make the overload worse.
+        # Unless there is an overload, a late answer counts as a failure of this endpoint regardless
+        # of its cause, since the endpoint may stop answering next. In an overload all answers are
+        # late, and ejection would make the overload worse.
         slow = event.elapsed > request.request_class.latency_objective and not load.is_overloaded()
         if status == "ok":
             load.learn_answer(attempt, request, event.elapsed)
--- a/hazelhollow/decisions/load_shedding.py
+++ b/hazelhollow/decisions/load_shedding.py
@@ -108,10 +108,10 @@
 
         This is the shortest objective among the classes of at least its value, so that a class with
         a long objective does not fill the queues. It is reduced for a class of less than mean value
-        (`YIELD_POWER`). For this reduction the value of the least valuable class is raised, since
-        the worst-served class has a weight of its own (`class_weight`). In a large fleet, whose
-        limiters do not see the queues, the limit is the tightest objective, scaled by the class's
-        value relative to the highest.
+        (`YIELD_POWER`). Before this reduction, the value of the least valuable class is raised by
+        the weight that the objective function gives to the worst-served class (`class_weight`). In
+        a large fleet, whose limiters do not see the queues, the limit is the tightest objective,
+        scaled by the class's value relative to the highest.
         """
         classes = self._load.classes
         value = classes.value(request_class.name)
--- a/hazelhollow/decisions/state/customer_accounts.py
+++ b/hazelhollow/decisions/state/customer_accounts.py
@@ -18,7 +18,7 @@
 )
 
 KEY_COUNT = 36**5  # number of distinct customer keys in messages
-MIN_IDLE_S = 2.0 * PERIOD_S  # for which an account is kept at least after its last use
+MIN_IDLE_S = 2.0 * PERIOD_S  # minimum time that an account is kept after its last use
 # Time after which members that are reachable again have replicated their charges.
 COUNT_SETTLE_S = 4.0 * PERIOD_S
 MAX_FORGET_CHECKS = 60  # accounts checked for removal in one gossip round
