--- a/hazelhollow/decisions/state/accounts.py
+++ b/hazelhollow/decisions/state/accounts.py
@@ -26,7 +26,7 @@
 MAX_DIRECT_SET = 8
 HUBS_PER_SET = 2  # members of a larger set that receive every charge and announce the level
 DEBT_REPAYMENT_SHARE = 0.5  # share of the rate that repays units charged without a report
-MIN_FORGET_CHECK_S = 0.1  # least time between two checks whether an account may be forgotten
+MIN_FORGET_CHECK_S = 0.1  # shortest time between two checks whether an account may be forgotten
 BUSY_FORGET_CHECK_S = 1.0  # interval of the checks while requests are in flight or units reserved
 MAX_FORGET_CHECK_S = 60.0  # longest interval, however many units are missing
 
@@ -38,7 +38,7 @@
         level: Initial level of the quota, in units.
         now: The current time.
         limiter_started_at: The start time of this incarnation of the limiter.
-        unused_before: Whether nobody is known to have charged before the limiter started.
+        unused_before: Whether nothing can have been charged before the limiter started.
         counts_replicated: Whether counts of closed periods are kept for replication.
     """
 
@@ -113,8 +113,8 @@
         self.quota = TokenBucket(plan.rate, plan.burst, opening.level, now)
         self.announced = TokenBucket(plan.rate, plan.burst, plan.burst, now)
         self.has_announcement = False
-        # The ceiling starts empty unless nobody is known to have used it before: an earlier
-        # incarnation of this limiter may have spent it.
+        # The ceiling starts empty unless it is known to be unused: an earlier incarnation of this
+        # limiter may have spent it.
         ceiling_level = plan.ceiling_burst if opening.unused_before else 0.0
         self.ceiling = TokenBucket(0.0, 0.0, ceiling_level, started_at)
         self.charges = PeriodCharges(0)
@@ -328,7 +328,7 @@
     def reclaim(self, unused: tuple[tuple[int, float], ...], limiter_count: int) -> float:
         """Returns this customer's units in the shares that members left unused.
 
-        `unused` holds members and the seconds of their share that nobody used. Where counts are
+        `unused` holds members and the seconds of their share that were not used. Where counts are
         replicated, the units are taken from the members' reserves and are limited to them.
         """
         members, reclaimed = self.members(limiter_count) if unused else [], 0.0
--- a/hazelhollow/net/session.py
+++ b/hazelhollow/net/session.py
@@ -25,8 +25,8 @@
 from hazelhollow.net.answer_slot import AnswerSlot
 from hazelhollow.net.close_reason import CloseReason
 from hazelhollow.net.command_reader import MAX_PIPELINED, CommandReader
-from hazelhollow.net.fruitless_limit import FruitlessLimit
 from hazelhollow.net.scheduler import PEER_CLOSED, READABLE, SOCKET_ERROR, TIMED_OUT, WOKEN
+from hazelhollow.net.unserved_command_limit import UnservedCommandLimit
 
 if TYPE_CHECKING:
     from hazelhollow.net.frontend import Frontend
@@ -39,7 +39,8 @@
 LINGER_S = 1.0  # for the client to close a connection whose sending side was closed here
 MAX_LINGER_BYTES = 1 << 20  # that the client may still send meanwhile
 FIRST_COMMAND_GRACE_S = 0.25  # for a new connection's first command during a shutdown
-# Reasons that leave no answer outstanding, but the client must be able to read those already sent.
+# For these reasons, a session without an outstanding answer is closed so that the client can still
+# read the answers already sent.
 ORDERLY_REASONS = (
     CloseReason.IDLE,
     CloseReason.NO_DESCRIPTOR,
@@ -54,7 +55,7 @@
     Attributes:
         reader: Reads the commands.
         slots: The commands whose answers have not been written yet, in their order.
-        fruitless_limit: Throttles the connection if too many of its commands lead to no work.
+        unserved_command_limit: Throttles the connection if too many of its commands are not served.
         idle_since: When the last answer was written.
         finishing: Whether the session is to be closed as soon as it is between requests.
         accepting_commands: While `finishing`: whether commands are still read until then.
@@ -65,9 +66,11 @@
         self._frontend, self._stream = frontend, connection
         self.reader = CommandReader(frontend, now)
         self.slots: deque[AnswerSlot] = deque()
-        self.fruitless_limit: FruitlessLimit = FruitlessLimit(frontend.scheduler.clock)
+        self.unserved_command_limit: UnservedCommandLimit = UnservedCommandLimit(
+            frontend.scheduler.clock
+        )
         self._connected_at = self.idle_since = now
-        self._send_progress = (0, 0.0)  # bytes sent, and since when no more
+        self._send_progress = (0, 0.0)  # bytes sent, and since when this number has not grown
         self.finishing = False
         self.accepting_commands = True
         self._linger_reason: CloseReason | None = None  # why the sending side was closed
@@ -88,8 +91,8 @@
         """Ends the session; a client's connection ends in no other place.
 
         If no answer is outstanding, only the sending side is closed, and the session's own task
-        keeps reading until the client closes too. Otherwise the socket is closed and open requests
-        are given up.
+        keeps reading until the client closes too. Otherwise the socket is closed, and the engine
+        driver is notified of the disconnect of each open request's client.
         """
         if self._linger_reason:
             return
@@ -171,12 +174,15 @@
         return self._stream.peer_has_closed()
 
     def is_between_requests(self) -> bool:
-        """Whether it may be closed: no answer is outstanding and no part of a command unread."""
+        """Whether the session may be closed without losing an answer or a command.
+
+        No answer is outstanding, and no part of a command has been received or waits in the socket.
+        """
         return (
             not self._awaits_first_command()
             and self._has_sent_all_answers()
             and self.reader.is_between_commands()
-            and self._stream.is_open_and_quiet()
+            and self._stream.is_open_without_unread_input()
         )
 
     def held_bytes(self) -> int:
@@ -235,7 +241,7 @@
             if self._linger_reason:
                 break
             if bits == TIMED_OUT:
-                self.fruitless_limit.refill()
+                self.unserved_command_limit.refill()
                 self.reader.feed(self, b"")
             elif bits != WOKEN and bits & (PEER_CLOSED | SOCKET_ERROR):
                 return CloseReason.CLOSED if bits & PEER_CLOSED else CloseReason.RESET
@@ -267,8 +273,8 @@
             or len(self._stream.send_buffer) > MAX_UNSENT_BYTES // 2
         ):
             return None, 0
-        if self.fruitless_limit.tokens < 0.0:
-            return self.fruitless_limit.available_at(), 0
+        if self.unserved_command_limit.tokens < 0.0:
+            return self.unserved_command_limit.available_at(), 0
         if self.reader.has_more:
             return self._frontend.scheduler.clock(), 0  # next turn, after other connections
         return None, READABLE
--- a/tests/net/test_renewed_terms.py
+++ b/tests/net/test_adverse_event_orders.py
@@ -1,4 +1,8 @@
-"""Conditions of docs/design/standing-test.md, each with an unfavourable order of events forced."""
+"""Failures of discovery, disconnects, lack of descriptors and signals, each at a bad moment.
+
+The cases are the conditions of docs/design/standing-test.md; each test forces the order of events
+in which the condition is hardest to meet.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +40,7 @@
 )
 from tests.net.test_scenarios import DO, GET, VALUE, WATCH, ask
 
-STEP_S = 0.05  # by which the clock advances
+STEP_S = 0.05  # by which the clock advances in `Agent.run`
 MAX_DRAIN_DELAY_S = 3.0  # the operators' page allows 6
 EMPTY_LIST = orjson.dumps(
     {"index": 1, "snapshot": True, "endpoints": []}
@@ -279,7 +283,7 @@
 def test_hanging_call_does_not_block_a_later_slow_answer() -> None:
     """The watch waits for one slow call at a time.
 
-    A slow call that is never answered must be given up soon enough for a later one.
+    A slow call that is never answered must time out soon enough for a later one.
     """
     with pytest.MonkeyPatch.context() as patch:
         stage = Stage(hosts=2)
@@ -590,7 +594,7 @@
     """
     stage = Stage(hosts=1)
     idle_clients(stage, 0, 1)
-    real_check = stream.Stream.is_open_and_quiet
+    real_check = stream.Stream.is_open_without_unread_input
 
     def check_then_reset(self: stream.Stream) -> bool:
         is_open = real_check(self)
@@ -599,7 +603,7 @@
             stage.ends["i0"].pop().close()
         return is_open
 
-    monkeypatch.setattr(stream.Stream, "is_open_and_quiet", check_then_reset)
+    monkeypatch.setattr(stream.Stream, "is_open_without_unread_input", check_then_reset)
     assert stage.service.frontend.free_descriptor()
     assert (
         not stage.service.frontend.sessions.sessions
