--- a/hazelhollow/standins/redis/faults.cue
+++ b/hazelhollow/standins/redis/faults.cue
@@ -1,23 +1,25 @@
-// What may go wrong with the stand-in, and when. Times count from its start.
+// Faults of the Redis stand-in and their times, which count from the stand-in's start.
 package faults
 
 #Plan: faults: [...#Fault]
 
 #Fault: {
 	kind:   #Lasting | #Momentary
-	at:     *"0ms" | #Duration // when it begins
-	lasts:  *"24h" | #Duration // for the lasting kinds; for a restart, how long nobody can connect
-	every?: #Duration // the momentary kinds come again after so long
-	share:  *1.0 | number & >=0 & <=1 // of commands that it hits, drawn by the seed
-	delay:  *"50ms" | #Duration // of slow and late: the mean
+	at:     *"0ms" | #Duration // when the fault begins
+	lasts:  *"24h" | #Duration // duration of the lasting kinds; for a restart, how long no client can connect
+	every?: #Duration // the momentary kinds are repeated at this interval
+	share:  *1.0 | number & >=0 & <=1 // share of the commands that the fault affects, drawn with the seed
+	delay:  *"50ms" | #Duration // mean delay of slow and late
 	spread: *"exponential" | "constant" | "uniform"
-	age:    *"5s" | #Duration // of restart_old: how old the snapshot is
-	by:     *"30s" | =~"^-?[0-9]{1,6}(ms|s|m|h)$" // of clock_jump
+	age:    *"5s" | #Duration // age of the snapshot that restart_old loads
+	by:     *"30s" | =~"^-?[0-9]{1,6}(ms|s|m|h)$" // how far clock_jump moves the clock
 }
 
-// slow: the server is held up before it runs a command, and all others wait. late: the answer is held up after it ran.
-// lost: it ran, and the connection says nothing any more. cut_before, cut_after: the connection ends, before or after it ran.
-// half, garbage: the answer ends half-way, or is none, and the connection ends. stall: nothing runs meanwhile.
+// slow: the server is delayed before it runs a command, and all other commands wait. late: the answer is delayed after the command ran.
+// lost: the command ran, and the connection sends nothing any more.
+// cut_before, cut_after: the connection ends before or after the command ran.
+// half, garbage: the answer is cut off half-way, or is not a valid answer, and the connection ends.
+// stall: no command runs during the fault.
 #Lasting: "slow" | "late" | "lost" | "cut_before" | "cut_after" | "half" | "garbage" |
 	"loading" | "readonly" | "oom" | "busy" | "stall" | "down"
 
