--- a/hazelhollow/scale/report.py
+++ b/hazelhollow/scale/report.py
@@ -25,7 +25,11 @@
     runs = [Run(file.name, load(file)) for file in sorted(files, key=lambda file: file.name)]
     for run in runs:
         if run.results.planned != runs[0].results.planned:
-            raise ResultsError(f"{run.name}: another planned size than {runs[0].name}")
+            raise ResultsError(
+                f"{run.name} has planned size {run.results.planned}, {runs[0].name} has "
+                f"{runs[0].results.planned}: runs of different planned sizes cannot be reported "
+                "together"
+            )
     return Runs(
         now=tuple(run for run in runs if not run.name.startswith(EARLIER_PREFIX)),
         before=tuple(run for run in runs if run.name.startswith(EARLIER_PREFIX)),
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -844,7 +844,11 @@
 def test_runs_with_different_planned_sizes_are_rejected(tmp_path: Path) -> None:
     first = save_results(tmp_path, "a.json", make_results())
     other = save_results(tmp_path, "b.json", msgspec.structs.replace(make_results(), planned=BASE))
-    with pytest.raises(ResultsError, match="another planned size"):
+    with pytest.raises(
+        ResultsError,
+        match=r"b\.json has planned size Size\(.*\), a\.json has Size\(.*\): runs of different "
+        "planned sizes cannot be reported together",
+    ):
         report.read([first, other])
 
 
