--- a/hazelhollow/operator/schema.cue
+++ b/hazelhollow/operator/schema.cue
@@ -52,7 +52,7 @@
 	password_file?:   string // its first line is the password
 	tls?:             #Tls
 	prefix:           *"hh" | =~"^[A-Za-z0-9_.-]{1,16}$" // prefix of every key; must differ between fleets that share a store
-	call_timeout:     *"50ms" | #Duration // a call without an answer after this time is given up
+	call_timeout:     *"50ms" | #Duration // a call without an answer after this time has failed
 	connect_timeout:  *"250ms" | #Duration
 	retry_least:      *"50ms" | #Duration // first wait between attempts to connect; the wait doubles after each
 	retry_most:       *"2s" | #Duration // longest wait between attempts to connect
--- a/hazelhollow/shared_store/client.py
+++ b/hazelhollow/shared_store/client.py
@@ -13,8 +13,8 @@
 | ready | `link.ready` is True: calls are written | silence, an error, or its end | backing off |
 | backing off | `link` is None, the driver sleeps `retry_in` | the wait is over | disconnected |
 
-In the other states no call is written: each fails at once, so that calls do not queue up for an
-unreachable store.
+Calls are written only in the state ready. In all others each call fails at once, so that calls do
+not queue up for an unreachable store.
 """
 
 from __future__ import annotations
--- a/hazelhollow/shared_store/lease_ledger.py
+++ b/hazelhollow/shared_store/lease_ledger.py
@@ -41,8 +41,8 @@
     lease_arguments,
 )
 
-# Share of `lease.ahead` to wait before leasing again from a nearly empty pool. Units that stay in
-# the pool during the wait are not lost.
+# Share of `lease.ahead` to wait before leasing again from a nearly empty pool. The wait loses no
+# units, since they stay in the pool.
 SCARCE_PAUSE_SHARE = 0.25
 # Share of a lease's term after which the lease of a customer without requests is returned.
 IDLE_SHARE = 0.4
@@ -51,7 +51,7 @@
 ACCOUNT_IDLE_TIMEOUT_S = 30.0  # time without a request after which an account is closed
 MAX_ACCOUNTS = 50_000  # beyond this number the account that has been idle longest is closed
 # Counter names that are shown to operators; docs/operators/redis-store.md documents them. `late`
-# counts both calls that ran after their deadline and answers to calls that had been given up.
+# counts both calls that ran after their deadline and answers to calls that had timed out.
 COUNTERS = (
     "calls",
     "granted",
@@ -328,7 +328,7 @@
             call.account.next_lease_at = now + self.store_settings.call_timeout
 
     def answered_late(self) -> None:
-        """Counts an answer to a call that had been given up.
+        """Counts an answer to a call that had timed out.
 
         The units that it granted are not used; the next call returns them to the pool.
         """
--- a/hazelhollow/shared_store/leased_account.py
+++ b/hazelhollow/shared_store/leased_account.py
@@ -22,7 +22,7 @@
 
 @dataclass(eq=False)
 class ScriptCall:
-    """One call of a script, from when it is written until it is answered, fails or is given up.
+    """One call of a script, from when it is written until it is answered, fails or times out.
 
     `account` is the customer's account for a lease call and None for a heartbeat. The lists have
     one entry for each pool of the account.
--- a/hazelhollow/shared_store/link.py
+++ b/hazelhollow/shared_store/link.py
@@ -2,12 +2,12 @@
 
 It does no I/O; `StoreClient` creates a link for each connection. It speaks RESP2 with the commands
 AUTH, SELECT, INFO, TIME, SCRIPT LOAD and EVALSHA. Answers arrive in the order of the commands, so
-each is matched with the oldest pending command, even if that was given up long before. A late
+each is matched with the oldest pending command, even if its call timed out long before. A late
 answer is reported as late and never attributed to another call.
 
 Bounds: at most `max_pending` commands are pending at a time. If the store is silent for
-SILENCE_FACTOR times a call's timeout, the connection is given up, since every call behind the
-unanswered one would time out as well.
+SILENCE_FACTOR times a call's timeout, the connection is reported as broken, since every call behind
+the unanswered one would time out as well.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class LateAnswer:
-    """An answer to a call that had been given up."""
+    """An answer to a call that had timed out."""
 
     call: ScriptCall
     answer: list[str]
@@ -97,7 +97,7 @@
     sent_at: float
     call: ScriptCall | None = None
     step: str = ""
-    given_up: bool = False
+    timed_out: bool = False
 
 
 @dataclass
@@ -147,7 +147,7 @@
         self.out += resp.encode_command([w if isinstance(w, bytes) else w.encode() for w in words])
 
     def call(self, call: ScriptCall, now: float) -> bool:
-        """Writes a call; returns False if too many are pending, since calls do not queue."""
+        """Writes a call; returns False if the link is not ready or too many calls are pending."""
         if not self.ready or len(self._pending) >= self.max_pending:
             return False
         self._write(("EVALSHA", SHAS[call.kind], "1", call.key, *call.args))
@@ -158,30 +158,40 @@
         """Returns the time at which `tick` has something to do; None if nothing is pending."""
         if not self.ready:
             return self._handshake_deadline
-        oldest = next((pending for pending in self._pending if not pending.given_up), None)
+        oldest = next((pending for pending in self._pending if not pending.timed_out), None)
         times = [oldest.sent_at + self.call_timeout] if oldest else []
         if self._pending:
             times.append(self._silent_at())
         return min(times, default=None)
 
     def _silent_at(self) -> float:
-        """Returns when the store counts as silent, by the age of the oldest pending command."""
+        """Returns the time at which the store counts as silent: the oldest command is too old."""
         return self._pending[0].sent_at + SILENCE_FACTOR * self.call_timeout
 
     def tick(self, now: float) -> list[LinkEvent]:
-        """Gives up calls that have timed out, and the connection if the store is silent."""
+        """Fails the calls that have timed out, and breaks the connection if the store is silent."""
         if not self.ready:
             if now < self._handshake_deadline:
                 return []
-            return [ConnectionBroken(StoreTimeoutError("the handshake timed out"))]
+            return [
+                ConnectionBroken(
+                    StoreTimeoutError(f"no handshake within {HANDSHAKE_TIMEOUT_S:g} s")
+                )
+            ]
         events = list[LinkEvent]()
         for pending in self._pending:
             if now < pending.sent_at + self.call_timeout:
                 break
             events += _fail(pending, _timeout_error())
-            pending.given_up = pending.call is not None
+            pending.timed_out = pending.call is not None
         if self._pending and now >= self._silent_at():
-            events.append(ConnectionBroken(StoreTimeoutError("the store is silent")))
+            events.append(
+                ConnectionBroken(
+                    StoreTimeoutError(
+                        f"the store was silent for {SILENCE_FACTOR * self.call_timeout:g} s"
+                    )
+                )
+            )
         return events
 
     def receive(self, data: bytes, now: float) -> list[LinkEvent]:
@@ -209,7 +219,9 @@
             return self._handle_error(pending, value, now)
         answer = answer_text(pending.call.kind, value)
         if answer is None:
-            error = StoreProtocolError(f"not an answer of the {pending.call.kind} script")
+            error = StoreProtocolError(
+                f"the answer is not one that the {pending.call.kind} script gives"
+            )
             return [*_fail(pending, error), ConnectionBroken(error)]
         if now >= pending.sent_at + self.call_timeout:
             return [*_fail(pending, _timeout_error()), LateAnswer(pending.call, answer)]
@@ -263,7 +275,9 @@
 
     def close(self) -> list[LinkEvent]:
         """Fails all pending calls at the end of the connection. The link is not used again."""
-        calls = [pending.call for pending in self._pending if pending.call and not pending.given_up]
+        calls = [
+            pending.call for pending in self._pending if pending.call and not pending.timed_out
+        ]
         self._pending.clear()
         self.ready = False
         error = StoreUnavailableError("the connection ended")
@@ -272,11 +286,11 @@
 
 def _fail(pending: PendingCommand, error: StoreError) -> list[LinkEvent]:
     """Returns the failure of a call, unless it has already been reported."""
-    return [CallFailed(pending.call, error)] if pending.call and not pending.given_up else []
+    return [CallFailed(pending.call, error)] if pending.call and not pending.timed_out else []
 
 
 def _timeout_error() -> StoreError:
-    return StoreTimeoutError("no answer in time")
+    return StoreTimeoutError("no answer within the timeout of a call")
 
 
 def _error_text(value: resp.ErrorReply) -> str:
--- a/hazelhollow/shared_store/presence.py
+++ b/hazelhollow/shared_store/presence.py
@@ -9,8 +9,8 @@
 | | | `isolated_at`: no limiter counts it as present any more | isolated |
 | isolated: uses its even share | no | it writes a heartbeat | unseen |
 
-The view is the set of limiters present. The even share is dropped before that heartbeat is written,
-so that a limiter never has both its even share and access to the pools.
+The view is the set of limiters present. An isolated limiter drops its even share before it writes a
+heartbeat, so that it never has both its even share and access to the pools.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
         )
 
     def call_deadline(self, now: float) -> str:
-        """Returns the time, in milliseconds of the store's clock, after which a call is given up.
+        """Returns the time, in milliseconds of the store's clock, at which a call times out.
 
         A call that the store runs later than this must have no effect.
         """
--- a/tests/shared_store/test_lease_ledger.py
+++ b/tests/shared_store/test_lease_ledger.py
@@ -66,8 +66,8 @@
     ]  # the store records exactly the units that the limiter holds
 
 
-def test_grant_in_an_answer_to_a_given_up_call_is_not_used() -> None:
-    """The store was slow: its grant arrives after the ledger has given the call up."""
+def test_grant_in_an_answer_to_a_timed_out_call_is_not_used() -> None:
+    """The store was slow: its grant arrives after the call has timed out."""
     fleet = LedgerFleet()
     fleet.warm()
     ledger = fleet.ledgers[0]
@@ -86,7 +86,7 @@
 
 
 def test_call_that_the_store_runs_after_its_deadline_has_no_effect() -> None:
-    """A call waited in the store until the limiter had given it up."""
+    """A call waited in the store until it had timed out at the limiter."""
     fleet = LedgerFleet()
     fleet.warm()
     while not fleet.ledgers[0].outbox:
--- a/tests/shared_store/test_link.py
+++ b/tests/shared_store/test_link.py
@@ -54,7 +54,7 @@
 
 
 def test_late_answer_is_reported_as_late_and_not_matched_to_a_later_call() -> None:
-    """An answer arrives after its call was given up and the next call was written."""
+    """An answer arrives after its call timed out and the next call was written."""
     conversation = Conversation()
     conversation.exchange()
     first = conversation.lease(1, wanted=7.0)
@@ -91,7 +91,7 @@
         for event in conversation.link.tick(conversation.now)
         if isinstance(event, CallFailed)
     ] == calls
-    assert conversation.link.tick(conversation.now) == []  # each call is given up only once
+    assert conversation.link.tick(conversation.now) == []  # each call times out only once
     conversation.now += 0.4
     assert any(
         isinstance(event, ConnectionBroken) for event in conversation.link.tick(conversation.now)
--- a/tests/shared_store/test_presence.py
+++ b/tests/shared_store/test_presence.py
@@ -72,7 +72,7 @@
         for n in range(3):
             fleet.ledgers[n].tick(fleet.now)
             (fleet.serve if n else fleet.calls)(n)
-        if turn < 20:  # nobody leases from the pool in the last seconds before the share returns
+        if turn < 20:  # no limiter leases in the last seconds before the share returns
             hold(fleet, 1, 0.0)
     account = fleet.ledgers[0].accounts["c/gold"]
     fleet.ledgers[0]._refresh(account, fleet.now)
