--- a/hazelhollow/cli.py
+++ b/hazelhollow/cli.py
@@ -139,7 +139,7 @@
 
 @main.command("check-config")
 def check_config() -> None:
-    """Read the configuration and print a summary of it, or what is wrong with it."""
+    """Read the configuration and print a summary of it, or the reason why it is invalid."""
     config = _load()
     click.echo(
         f"{config.name}: gateway {config.settings.limiter_id} of {config.settings.limiter_count}, "
--- a/hazelhollow/operator/evaluate.py
+++ b/hazelhollow/operator/evaluate.py
@@ -40,7 +40,7 @@
 
 
 class WorkLimitError(Exception):
-    """Evaluation would take more steps, levels or combinations than are allowed."""
+    """Evaluation would exceed a bound on steps, levels, combinations or nested disjunctions."""
 
 
 class Fit(NamedTuple):
@@ -365,7 +365,10 @@
     try:
         value = evaluator.value(root)
     except (WorkLimitError, RecursionError):
-        bounds = f"{MAX_STEPS} steps, {MAX_LEVELS} levels"
+        bounds = (
+            f"at most {MAX_STEPS} steps, {MAX_LEVELS} levels, {MAX_COMBINATIONS} combinations of "
+            f"choices and {MAX_NESTED_DISJUNCTIONS} nested disjunctions"
+        )
         problem = Problem(own.place, "", "evaluation takes too much work", bounds)
         raise CueError([*evaluator.problems, problem]) from None
     if evaluator.problems:
@@ -373,8 +376,11 @@
     return value, evaluator.places
 
 
-def mask(value: Value, secret: Iterable[str]) -> Value:
-    """Returns a copy of the value with the values at the labels in `secret` hidden."""
+def mask(value: Value, secret_labels: Iterable[str]) -> Value:
+    """Returns a copy of the value with the values at these labels hidden."""
     if isinstance(value, dict):
-        return {k: "(hidden)" if k in secret and v else mask(v, secret) for k, v in value.items()}
-    return [mask(v, secret) for v in value] if isinstance(value, list) else value
+        return {
+            k: "(hidden)" if k in secret_labels and v else mask(v, secret_labels)
+            for k, v in value.items()
+        }
+    return [mask(v, secret_labels) for v in value] if isinstance(value, list) else value
--- a/hazelhollow/operator/kinds.py
+++ b/hazelhollow/operator/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of CUE values, and the names of the types that stand for sets of kinds."""
+"""The kinds of CUE values, and the type names that denote sets of kinds."""
 
 from __future__ import annotations
 
--- a/hazelhollow/operator/load.py
+++ b/hazelhollow/operator/load.py
@@ -21,11 +21,11 @@
 # Labels whose values are hidden. Paths of files that contain secrets are not hidden.
 SECRETS = frozenset({"password", "secret"})
 _DURATION = re.compile(r"([0-9]+)(ms|s|m|h)")
-PORTS = 65536
+PORT_COUNT = 65536
 MIN_CALL_TIMEOUTS_PER_TERM = 4  # minimum lease term, in call timeouts
 MIN_HEARTBEATS_PER_TERM = 2  # minimum term of a heartbeat, in heartbeat intervals
 _UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
-_TIMES = {
+_DURATION_PATHS = {
     *("store." + name for name in ("call_timeout", "connect_timeout", "retry_least", "retry_most")),
     "store.lease.term",
     "store.lease.ahead",
@@ -94,7 +94,7 @@
 def _typed(value: Value, path: str) -> Any:
     if isinstance(value, dict):
         return {k: _typed(v, f"{path}.{k}" if path else k) for k, v in value.items()}
-    if path in _TIMES:
+    if path in _DURATION_PATHS:
         return seconds(str(value))
     if path == "store.address":
         return _address(str(value))
@@ -130,7 +130,7 @@
     return [
         _Finding("fleet.seeds", seed, "ports 1 to 65535")
         for seed in fleet.get("seeds", [])
-        if not 0 < _address(seed)[1] < PORTS
+        if not 0 < _address(seed)[1] < PORT_COUNT
     ]
 
 
@@ -139,14 +139,14 @@
 ) -> list[_Finding]:
     """Returns the earlier findings and those of the store.
 
-    The terms of leases and heartbeats are compared only if nothing else has been found before.
+    The terms of leases and heartbeats are checked only if there are no findings before them.
     """
     lease, presence, findings = store["lease"], store["presence"], list(earlier)
     port = int(store["address"].rpartition(":")[2])
-    if not 0 < port < PORTS:
+    if not 0 < port < PORT_COUNT:
         findings.append(_Finding("store.address", f"port {port}", "1 to 65535"))
     for path, text in sorted(flatten(value).items()):
-        if path in _TIMES and seconds(str(text)) <= 0:
+        if path in _DURATION_PATHS and seconds(str(text)) <= 0:
             findings.append(_Finding(path, str(text), "greater than 0"))
     if not findings and seconds(lease["term"]) < MIN_CALL_TIMEOUTS_PER_TERM * seconds(
         store["call_timeout"]
--- a/hazelhollow/operator/parser.py
+++ b/hazelhollow/operator/parser.py
@@ -32,7 +32,7 @@
 
 MAX_BYTES = 256 * 1024  # size of a file
 MAX_DEPTH = 32  # nested brackets
-MAX_DIGITS = 18  # digits of a number
+MAX_DIGITS = 18  # characters of a number, without its multiplier
 MAX_EXPONENT = 300  # absolute value of a number's exponent
 MAX_ECHOED = 40  # characters of a token that an error quotes
 MAX_EXPECTED = 8  # expected tokens that an error lists
@@ -246,8 +246,8 @@
         assert match
         digits, multiplier = match[1], _MULTIPLIERS.get(match[2] or "", 1)
         if len(digits) > MAX_DIGITS or _exponent(digits) > MAX_EXPONENT:
-            allowed = f"{MAX_DIGITS} digits, 1e{MAX_EXPONENT}"
-            raise _error(self._place(token), f"a number of {len(digits)} digits", allowed)
+            allowed = f"at most {MAX_DIGITS} characters, and an exponent of at most {MAX_EXPONENT}"
+            raise _error(self._place(token), f"the number {digits[:MAX_ECHOED]}", allowed)
         if digits.isdigit():
             return int(digits) * multiplier
         return int(float(digits) * multiplier) if match[2] else float(digits)
@@ -260,7 +260,7 @@
                     return chr(code)
             if match[2] and match[2] in _ESCAPES:
                 return _ESCAPES[match[2]]
-            allowed = '\\n \\t \\" \\\\ \\uXXXX and the like'
+            allowed = '\\a \\b \\f \\n \\r \\t \\v \\/ \\\\ \\" \\uXXXX \\UXXXXXXXX'
             raise _error(self._place(token), f"the escape {match[0]!r}", allowed)
 
         return re.sub(r"\\(?:(u[0-9a-fA-F]{4}|U[0-9a-fA-F]{8})|(.))", escape, token[1:-1])
--- a/hazelhollow/request_client.py
+++ b/hazelhollow/request_client.py
@@ -29,12 +29,17 @@
     show_default=True,
     help="The request's class, as in the limiter's settings.",
 )
-@click.option("--plan", default="gold", show_default=True, help="The customer's plan, likewise.")
+@click.option(
+    "--plan",
+    default="gold",
+    show_default=True,
+    help="The customer's plan, as in the limiter's settings.",
+)
 @click.option(
     "--customer",
     default="00000000b4d65521",
     show_default=True,
-    help="16 hex digits, a number below 2^33.",
+    help="16 hex digits; their value must be below 2^33.",
 )
 @click.option(
     "--units",
