--- a/hazelhollow/standins/redis/node.py
+++ b/hazelhollow/standins/redis/node.py
@@ -20,7 +20,8 @@
 from hazelhollow.standins.redis.snapshots import SnapshotHistory
 from hazelhollow.standins.redis.values import OK, CommandError, Reply, encode
 
-# A restart lasting longer has no outage: a fault without `lasts` has the default of a day.
+# A restart whose `lasts` is not below this has no outage. The default of `lasts` is a day, so a
+# restart has an outage only if its `lasts` is set.
 MAX_OUTAGE_S = 3600.0
 
 
--- a/hazelhollow/standins/relay.py
+++ b/hazelhollow/standins/relay.py
@@ -85,7 +85,7 @@
         """Ends a fault.
 
         Datagrams held back by a stall are sent on. Connections whose bytes a partition held back
-        are reset, as their peers would have given up by then.
+        are reset, as their peers would have timed out by then.
         """
         for pair, link in self.links.items():
             before = link.active
--- a/tests/standins/test_redis.py
+++ b/tests/standins/test_redis.py
@@ -356,8 +356,8 @@
 
 
 def test_script_without_bounds_or_with_forbidden_access_fails(standin: RunningStandin) -> None:
-    """Scripts that run for ever, use too much memory or reach outside their globals end with an
-    error, and the server goes on serving.
+    """Scripts that never end, use too much memory or access other globals than their own fail with
+    an error, and the server continues to serve.
     """
     client = standin.client()
     for text in (
