--- a/hazelhollow/bench/count_model/cluster.py
+++ b/hazelhollow/bench/count_model/cluster.py
@@ -12,7 +12,7 @@
 from hazelhollow.replication.count_table import CountRow
 
 FIRST_PERIOD = 1_000  # seconds
-TOLERANCE_UNITS = 0.01  # units
+TOLERANCE_UNITS = 0.01
 PERIODS_UNTIL_CLOSED = 4  # after which the periods of all charges are closed
 
 StepKind = Literal["charge", "turn", "gossip", "counts", "ask", "deliver", "again", "crash"]
--- a/hazelhollow/bench/replica.py
+++ b/hazelhollow/bench/replica.py
@@ -148,7 +148,7 @@
 def catch_up(customers: int, loss: float, seed: int) -> dict[str, float]:
     """Measures the catch-up of a new member from two members with all accounts.
 
-    Two more members are new as well: they have no accounts and completed without a source.
+    The other members have no accounts, and their catch-up counts as complete without a source.
 
     Returns:
         Seconds (infinity if the catch-up timed out), bytes sent by all members, accounts that the
--- a/hazelhollow/fault_injection/fault_player.py
+++ b/hazelhollow/fault_injection/fault_player.py
@@ -1,7 +1,7 @@
 """Injects a plan's faults into a cluster and records when each begins and ends.
 
 Each event runs in its own task. While a process is affected by one fault, other process faults skip
-it: the effects of two simultaneous faults could not be told apart.
+it: the effects of two simultaneous faults could not be distinguished.
 """
 
 from __future__ import annotations
--- a/hazelhollow/fault_injection/named_plans.py
+++ b/hazelhollow/fault_injection/named_plans.py
@@ -19,7 +19,7 @@
     names = tuple(f"n{n}" for n in range(instances))
     plans = _process_faults(names) | _link_faults(names) | _settings_changes(names)
     if name not in plans:
-        raise PlanError(f"no plan '{name}'; there are {', '.join(sorted(plans))}")
+        raise PlanError(f"no plan '{name}'; the predefined plans are {', '.join(sorted(plans))}")
     return Plan(
         zones=2 if name == "zone_off" else 1,
         name=name,
--- a/hazelhollow/fault_injection/plan.py
+++ b/hazelhollow/fault_injection/plan.py
@@ -1,7 +1,7 @@
 """Fault-injection plans as data: reading from JSON, validation and expansion. No I/O.
 
 A plan names processes as `n0`, `n1`, ... (limiters), `h0`, ... (endpoints) and `d` (discovery); `*`
-stands for all limiters and `z0`, `z1`, ... for all limiters and endpoints of a zone.
+means all limiters and `z0`, `z1`, ... all limiters and endpoints of a zone.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
             and sends them SIGHUP; revisions from FIRST_PLAN_REVISION on change a customer plan,
             which a running limiter cannot apply. `old` kills a limiter and restarts it after
             `lasts` seconds with its first settings.
-        whom: names of the affected processes; `z0`, `z1`, ... stand for all limiters and hosts of a
+        whom: names of the affected processes; `z0`, `z1`, ... mean all limiters and hosts of a
             zone.
         others: for link faults, the processes at the other end of each affected link, named like
             those in `whom`; empty: every limiter that is not in `whom`.
@@ -188,7 +188,10 @@
         return f"no process {', '.join(invalid_names)}"
     is_within_drill = event.at >= 0 and event.lasts >= 0 and event.at + event.lasts <= plan.seconds
     if not event.whom or not is_within_drill:
-        return f"must name a process and lie within the drill's {plan.seconds:g} seconds"
+        return (
+            f"affects '{', '.join(event.whom)}' from {event.at:g} to {event.at + event.lasts:g} s: "
+            f"it must name a process and lie within the drill's {plan.seconds:g} s"
+        )
     if event.what in ("lose", "double", "reorder") and not 0 < event.amount <= 1:
         return f"amount is {event.amount:g}: it must be a share, more than 0 and at most 1"
     if event.what == "settings" and (event.amount != int(event.amount) or event.amount < 1):
--- a/hazelhollow/fault_injection/run_commands.py
+++ b/hazelhollow/fault_injection/run_commands.py
@@ -95,7 +95,7 @@
 ) -> None:
     """Play a plan of faults on a fleet under load and check the results from outside.
 
-    PLAN is a file or the name of a predefined plan (`drill --show nothing` lists the names). Exit
+    PLAN is a file or the name of a predefined plan; the error for an unknown name lists them. Exit
     status 0: no guarantee was violated. 1: at least one was; the figures show which. 2: the drill
     could not be run.
     """
--- a/hazelhollow/fault_injection/supervisor.py
+++ b/hazelhollow/fault_injection/supervisor.py
@@ -134,7 +134,7 @@
         for name in (a, b):
             if name not in valid_names:
                 raise CommandError(
-                    f"no process {name!r}; there are {', '.join(sorted(valid_names))}"
+                    f"no process {name!r}; the processes are {', '.join(sorted(valid_names))}"
                 )
         if a == b:
             raise CommandError(f"a link connects two different processes; got {a!r} twice")
@@ -147,7 +147,7 @@
         processes = self.cluster.processes
         if name not in processes.members:
             raise CommandError(
-                f"no process {name!r}; there are {', '.join(sorted(processes.members))}"
+                f"no process {name!r}; the processes are {', '.join(sorted(processes.members))}"
             )
         process = processes.members[name]
         if verb == "start":
--- a/hazelhollow/scale/real_fleet.py
+++ b/hazelhollow/scale/real_fleet.py
@@ -147,7 +147,7 @@
         ]
 
     def _agreed_after_start(self) -> float:
-        """Returns seconds from the last start until all members see all as alive for good."""
+        """Returns seconds from the last start until all see all as alive, with no change since."""
         lines = self._membership_lines(self.cluster.names)
         started_at = max(
             _incarnation_start(membership, number)
@@ -201,7 +201,7 @@
                 )
 
     def _kill_one(self, number: int) -> tuple[float, float]:
-        """Kills a limiter; returns median and worst seconds until the others see it dead for good.
+        """Kills a limiter; returns median and worst seconds until the others settle on its death.
 
         Then restarts it and waits until all members see it as alive.
         """
@@ -260,7 +260,7 @@
 
 
 def settled_at(lines: Sequence[Mapping[str, Any]], expected: Mapping[str, str]) -> float:
-    """Returns the Unix time from which a member's states were the expected ones for good.
+    """Returns the Unix time since which a member's states have been the expected ones.
 
     Args:
         lines: The memberships that the member wrote, in order.
@@ -274,7 +274,9 @@
         matches = states(line["members"]) == expected
         since = (line["t"] if since is None else since) if matches else None
     if since is None:
-        raise MeasurementError(f"a limiter's last membership is not the expected one: {expected}")
+        raise MeasurementError(
+            f"the last states that a member wrote are not those expected: {expected}"
+        )
     return since
 
 
--- a/hazelhollow/scale/report_quantities.py
+++ b/hazelhollow/scale/report_quantities.py
@@ -15,7 +15,7 @@
 # Roles that send datagrams to other limiters.
 ROLES_WITH_DATAGRAMS = (Role.VIEW, Role.GOSSIP, Role.REPLICATION, Role.AUDIT)
 CONFIGURATION_EVENTS = (EventKind.CONFIGURATION_WHOLE, EventKind.CONFIGURATION_ONE_ROUTE)
-PROCESS = "process"  # the `part` of quantities that are measured for a whole limiter process
+PROCESS = "process"  # the `part` of quantities that are measured for a complete limiter process
 
 
 class Resource(StrEnum):
@@ -39,7 +39,7 @@
     """A measured resource of one part of a limiter, the subject of one row of the report.
 
     Attributes:
-        part: A role, an event or the whole process.
+        part: A role, an event, or PROCESS.
         resource: What is measured of it.
         unit: Of its values.
         budget: The budget that limits it, if any.
@@ -66,7 +66,7 @@
     if resource in (Resource.BYTES_SENT, Resource.BYTES_RECEIVED):
         sent = resource is Resource.BYTES_SENT and control
         return Quantity(role, resource, "B/s", budgets.CONTROL_BYTES if sent else None)
-    # For control roles the longest turn is held to the budget; the 99th percentile only shows how
+    # For control roles the budget limits the longest turn; the 99th percentile only shows how
     # often turns are long.
     rare = resource is Resource.TURN_P99 and control
     return Quantity(role, resource, "s", None if rare else budgets.TURN)
--- a/tests/fault_injection/test_checker.py
+++ b/tests/fault_injection/test_checker.py
@@ -93,7 +93,7 @@
 def test_checker_reports_violations_that_no_fault_explains(
     tmp_path: Path, case: GuaranteeCase
 ) -> None:
-    """A request was lost, answered twice or untruly, or repeated although that is not allowed. The
+    """A request was lost, answered twice or wrongly, or repeated although that is not allowed. The
     checker counts it, unless a kill of the limiter or a delay of the harness explains it.
     """
     figures = check_run(tmp_path, clients=[case.row], h0=case.host, faults=case.faults)
--- a/tests/fault_injection/test_plans.py
+++ b/tests/fault_injection/test_plans.py
@@ -40,7 +40,7 @@
         ),
         (
             '{"name": "x", "events": [{"at": 30, "what": "kill", "whom": ["n0"]}]}',
-            "within the drill",
+            "affects 'n0' from 30 to 30 s: it must name a process and lie within the drill's 24 s",
         ),
         (
             '{"name": "x", "events": [{"at": 1, "what": "lose", "whom": ["n0"], "amount": 3}]}',
