--- a/hazelhollow/fault_injection/audit_comparison.py
+++ b/hazelhollow/fault_injection/audit_comparison.py
@@ -63,8 +63,8 @@
 def _count_contradictions(merged: AuditMerge, folder: Path) -> tuple[int, int]:
     """Counts the probes that contradict the audit, in each direction.
 
-    First, probes that saw a member apply older settings while the audit has it on the newest; then
-    probes that saw the newest settings applied while the audit has the member on older ones. All
+    First, probes that saw a member apply older settings although, by the audit, it had the newest;
+    then probes that saw the newest settings applied although, by the audit, it had older ones. All
     processes of a drill share this machine's clock, so the offsets that the merge computed are
     removed and the writers' own times are compared.
     """
--- a/hazelhollow/fault_injection/membership_checks.py
+++ b/hazelhollow/fault_injection/membership_checks.py
@@ -125,7 +125,7 @@
 def _suspicion_delay(
     histories: dict[str, list[dict[str, Any]]], number: str, begin: float
 ) -> float:
-    """Returns the seconds from `begin` until any observer had a member as suspect or dead.
+    """Returns the seconds from `begin` until any observer saw a member as suspect or dead.
 
     The delay is 0 if an observer, for example one partitioned from the member, already suspected
     it.
--- a/hazelhollow/scale/real.py
+++ b/hazelhollow/scale/real.py
@@ -160,7 +160,10 @@
     through = [row for row in counted if row.to == LIMITER]
     direct = [row for row in counted if row.to == SERVER]
     if min(len(through), len(direct)) < MIN_REQUESTS:
-        text = f"{len(through)} and {len(direct)} requests are too few (minimum {MIN_REQUESTS})"
+        text = (
+            f"{len(through)} requests through the limiter and {len(direct)} directly to the server "
+            f"are too few: each path needs {MIN_REQUESTS}"
+        )
         if len(on_time) == len(blocks):
             raise MeasurementError(text)
         raise LateClientError(
--- a/hazelhollow/scale/report_quantities.py
+++ b/hazelhollow/scale/report_quantities.py
@@ -68,8 +68,8 @@
         return Quantity(role, resource, "B/s", budgets.CONTROL_BYTES if sent else None)
     # For control roles the budget limits the longest turn; the 99th percentile only shows how
     # often turns are long.
-    rare = resource is Resource.TURN_P99 and control
-    return Quantity(role, resource, "s", None if rare else budgets.TURN)
+    is_informational = resource is Resource.TURN_P99 and control
+    return Quantity(role, resource, "s", None if is_informational else budgets.TURN)
 
 
 def event_quantity(kind: EventKind, resource: Resource) -> Quantity:
--- a/tests/fault_injection/test_process_group.py
+++ b/tests/fault_injection/test_process_group.py
@@ -76,7 +76,7 @@
 
 
 def wait_until(condition: Callable[[], bool], supervisor_process: subprocess.Popen[bytes]) -> None:
-    """Waits for a condition, for at least 30 s: much longer than a working machine needs."""
+    """Waits for a condition, for 30 s or more, so that only a real failure ends the wait."""
     timer = select.poll()  # without descriptors, so that poll() only waits
     for _ in range(3000):
         if condition():
--- a/tests/scale/test_scale_real.py
+++ b/tests/scale/test_scale_real.py
@@ -104,7 +104,7 @@
             LateClientError,
             "the client was late in 100 of 100 blocks",
         ),
-        (client_rows(count=real.MIN_REQUESTS - 1), MeasurementError, "too few"),
+        (client_rows(count=real.MIN_REQUESTS - 1), MeasurementError, "^499 .* 499 .* are too few"),
         (
             client_rows(direct_s=2 * real.MAX_DIRECT_P99_S),
             BusyMachineError,
@@ -280,11 +280,11 @@
     [
         ([line(1, "alive", "dead")], 1.0),
         ([line(1, "alive"), line(2, "alive", "dead"), line(3, "alive", "dead")], 2.0),
-        # It matched at 1 s, but not for good.
+        # It matched at 1 s, but the state changed again.
         ([line(1, "alive", "dead"), line(2, "alive", "alive"), line(3, "alive", "dead")], 3.0),
     ],
 )
-def test_membership_settles_when_it_matches_for_good(
+def test_membership_settles_when_it_matches_until_the_end(
     lines: list[dict[str, Any]], since: float
 ) -> None:
     assert real_fleet.settled_at(lines, {"0": "alive", "1": "dead"}) == since
