--- a/hazelhollow/replication/engine_updates.py
+++ b/hazelhollow/replication/engine_updates.py
@@ -63,13 +63,13 @@
         source, snapshot = self._replica.catch_up.completed_by, self._restore_point.snapshot
         if source is not None:
             count = len(self._accounts)
-            log.info("replica: complete, told by member %d about %d customers", source, count)
+            log.info("replica: whole, told by member %d of %d customers", source, count)
             self._on_account(api.AccountReplicated(""))
         elif snapshot:
             for event in self._restore_point.restored_accounts(self._accounts, now):
                 self._on_account(event)
             log.info(
-                "replica: nobody to be told by; restored %d customers from a snapshot %.1f s old",
+                "replica: nobody to be told by; %d customers of a snapshot %.1f s old",
                 len(snapshot.accounts),
                 now - snapshot.taken_at,
             )
