--- a/tests/replication/test_restore.py
+++ b/tests/replication/test_restore.py
@@ -313,7 +313,9 @@
 
 @settings(max_examples=8, deadline=None)
 @given(st.lists(fault_sequences, min_size=1, max_size=3))
-@example([([], 0.0, 0.1, 0.01, 0.05)] * 4)  # killed again and again before the first look
+# All members are killed four times, at most 0.1 s after their start: before their second round, in
+# which catch-up begins.
+@example([([], 0.0, 0.1, 0.01, 0.05)] * 4)
 def test_kills_of_all_members_admit_no_units_beyond_the_quota(
     tmp_path_factory: pytest.TempPathFactory,
     plan: list[tuple[list[int], float, float, float, float]],
