--- a/hazelhollow/control_budget/budget.py
+++ b/hazelhollow/control_budget/budget.py
@@ -85,10 +85,12 @@
         if sum(bucket.rate for bucket in self.roles.values()) > self.rate * (1 + 1e-9):
             raise ValueError(
                 f"the roles are guaranteed more than the total rate of {self.rate:g} bytes a second"
+                f": {sum(bucket.rate for bucket in self.roles.values()):g}"
             )
         if any(bucket.burst < MAX_DATAGRAM_BYTES for bucket in self.roles.values()):
             raise ValueError(
-                f"a role's burst is less than a datagram of {MAX_DATAGRAM_BYTES} bytes"
+                f"a role's burst is less than a datagram of {MAX_DATAGRAM_BYTES} bytes:"
+                f" {min(bucket.burst for bucket in self.roles.values()):g}"
             )
 
     @property
@@ -123,7 +125,7 @@
     """Counters of one role since the start; the names are those of the operators' page.
 
     `sent` counts datagrams and `bytes` their size. `deferred` counts requests that were refused for
-    lack of budget, and `dropped` messages that were given up after waiting.
+    lack of budget, and `dropped` messages that were never sent.
     """
 
     sent: int = 0
@@ -179,7 +181,7 @@
         self._pool = max(self._pool, -self.settings.burst)
 
     def drop(self, role: TrafficRole) -> None:
-        """Counts a message that was given up after waiting."""
+        """Counts a message that was dropped instead of being sent later."""
         self.usage[role].dropped += 1
 
     def document(self) -> dict[str, Any]:
@@ -191,9 +193,10 @@
         }
 
     def _spend(self, role: TrafficRole, size: int) -> None:
-        """Consumes what the pool lends first, since only the overflow of a full pool is lost.
+        """Consumes tokens of the pool before those of the role's own bucket.
 
-        The overflow of a role's own bucket goes to the pool.
+        What overflows from the role's bucket goes to the pool, but what overflows from the pool is
+        lost.
         """
         lent = min(size, max(0.0, self._pool - self._reserved[role]))
         own = min(self._tokens[role], size - lent)
@@ -244,5 +247,5 @@
         )
 
     def drop(self) -> None:
-        """Counts a message that was given up after waiting."""
+        """Counts a message that was dropped instead of being sent later."""
         self.budget.drop(self.role)
--- a/hazelhollow/control_budget/send_queue.py
+++ b/hazelhollow/control_budget/send_queue.py
@@ -7,7 +7,7 @@
 
 from hazelhollow.control_budget.budget import RoleBudget
 
-MAX_WAITING_MESSAGES = 64  # of one role; when exceeded, the least useful is dropped
+MAX_WAITING_MESSAGES = 64  # of one role; when exceeded, the last in order is dropped
 MAX_WAIT_S = 2.0  # a message is dropped after this: its content has been sent again by then
 
 Payload = TypeVar("Payload")
@@ -59,7 +59,7 @@
     def pop_sendable(self, now: float) -> list[Payload]:
         """Removes and returns the messages that may be sent now, and consumes their budget.
 
-        A message that exceeds the available budget blocks all less useful ones.
+        A message that exceeds the available budget blocks all that follow it in order.
         """
         for expired in [entry for entry in self._heap if entry.expires_at < now]:
             self._drop(expired)
--- a/tests/control_budget/test_control_budget.py
+++ b/tests/control_budget/test_control_budget.py
@@ -238,8 +238,8 @@
 
 
 def test_waiting_messages_are_sent_by_rank_within_the_budget_or_expire() -> None:
-    """The budget is exhausted. Messages wait, the most useful are sent first, and old ones are
-    dropped.
+    """The budget is exhausted. Messages wait, those of the lowest rank are sent first, and old ones
+    are dropped.
     """
     allowance = RoleBudget(ControlBudget(settings_for(3000.0), START), TrafficRole.CONFIGURATION)
     queue = SendQueue[str](allowance, max_waiting=3, max_wait_s=2.0)
@@ -248,7 +248,7 @@
     for rank, payload in ((2, "piece"), (1, "ask"), (3, "digest"), (1, "another ask")):
         queue.add(rank, 200, payload, START)
     assert queue.pop_sendable(START) == [] and len(queue) == 3 and queue.contains("piece")
-    assert not queue.contains("digest")  # dropped as the least useful
+    assert not queue.contains("digest")  # dropped, since its rank is the highest
     assert queue.pop_sendable(START + 1.5)[:2] == ["ask", "another ask"]
     queue.add(1, 10**6, "too long", START + 1.5)
     assert queue.pop_sendable(START + 4.0) == [] and len(queue) == 0
--- a/tests/control_budget/test_control_budget_processes.py
+++ b/tests/control_budget/test_control_budget_processes.py
@@ -140,8 +140,8 @@
 
 
 def test_paced_gossip_reserves_no_share_for_a_peer_that_is_up(bounded: BoundedFleet) -> None:
-    """In a small fleet, silent gossip means that a peer is down. Paced gossip is silent at times,
-    which must not reserve a share of the quotas for a peer that is up.
+    """In a small fleet, a pause in a peer's gossip means that the peer is down. Paced gossip
+    pauses at times, which must not reserve a share of the quotas for a peer that is up.
     """
     min_datagrams = 600 + sum(map(len, bounded.meter.sent.values()))
 
@@ -158,7 +158,7 @@
 
 def test_fleet_agrees_after_kills_during_a_change_of_settings(bounded: BoundedFleet) -> None:
     """Two of six limiters are killed while new settings spread. The others agree, the two return
-    and take the new settings, and no budget is exceeded.
+    and adopt the new settings, and no budget is exceeded.
     """
     names, killed = bounded.cluster.names, ("n4", "n5")
     survivors = [name for name in names if name not in killed]
@@ -222,7 +222,7 @@
 def test_limiter_with_an_older_revision_is_reported_within_the_budget(
     bounded: BoundedFleet,
 ) -> None:
-    """One limiter cannot take the new settings. Even with the smallest budget the others must
+    """One limiter cannot use the new settings. Even with the smallest budget the others must
     report it as behind.
     """
     for name in bounded.cluster.names[:-1]:  # a plan changes, so they are restarted with it
--- a/tests/storage/test_writer.py
+++ b/tests/storage/test_writer.py
@@ -87,7 +87,7 @@
 def test_a_job_that_raises_does_not_stop_the_writer(
     disk: Disk, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """An exception in a job ended the writer's thread, and nothing more was written."""
+    """An exception in a job must not end the writer's thread, or later jobs would be lost."""
 
     def fails() -> None:
         raise RuntimeError("raised by the test")
