--- a/hazelhollow/membership/allowance.py
+++ b/hazelhollow/membership/allowance.py
@@ -41,4 +41,4 @@
         """
 
     def drop(self) -> None:
-        """Counts a message that was given up."""
+        """Counts a message that was dropped instead of being sent later."""
--- a/hazelhollow/membership/death_confirmation.py
+++ b/hazelhollow/membership/death_confirmation.py
@@ -95,7 +95,7 @@
             self._consecutive_silent = 0
 
     def settle(self, number: int) -> None:
-        """Drops the report of a member that is known to be gone."""
+        """Drops the report of a member that has left or is considered dead."""
         self._confirmations.pop(number, None)
 
     def reset_mass_failure(self) -> None:
@@ -113,7 +113,7 @@
     def next_to_ping(
         self, limit: int = PINGS_PER_PERIOD, max_awaited: int = MAX_AWAITING_ANSWER
     ) -> list[int]:
-        """Returns at most `limit` members to ping now, those pinged before first.
+        """Returns at most `limit` members to ping now, those that were pinged before come first.
 
         Within that the order is random, so that the members of the fleet ping different ones. At
         most `max_awaited` answers are awaited at once.
--- a/hazelhollow/membership/dissemination.py
+++ b/hazelhollow/membership/dissemination.py
@@ -14,7 +14,7 @@
 
 RETRANSMIT_FACTOR = 3  # transmissions of a record, as a multiple of log2(fleet size)
 RETRANSMIT_FACTOR_BOUNDED = 1  # under an allowance, where table exchange costs fewer bytes
-EQUAL_TABLES_UNTIL_QUIET = 4  # consecutive members with an equal table until piggybacking ends
+EQUAL_TABLES_UNTIL_CLEARED = 4  # consecutive members with an equal table until the queue is cleared
 MAX_PIGGYBACKED = 24  # records that may fit into a datagram
 REFUTATION_LEAD = 2  # transmissions by which a refutation precedes other records
 
@@ -45,7 +45,7 @@
         lack.
         """
         self._equal_tables = self._equal_tables + 1 if equal else 0
-        if self._equal_tables >= EQUAL_TABLES_UNTIL_QUIET:
+        if self._equal_tables >= EQUAL_TABLES_UNTIL_CLEARED:
             self._transmissions.clear()
 
     def sent(self, records: list[Record]) -> None:
--- a/hazelhollow/membership/driver.py
+++ b/hazelhollow/membership/driver.py
@@ -47,8 +47,8 @@
     `on_change` receives each event for the decision engine. `on_superseded` is called once, if
     another process has this member's id. `history_file` receives a JSON line whenever the
     membership changes. `seeds` are addresses to contact where peers are not listed. `replicates`
-    says whether counts are replicated. `gossip_is_paced` says that gossip keeps to a byte budget,
-    so that its silence is no sign of failure.
+    says whether counts are replicated. `gossip_is_paced` says that gossip is limited to a byte
+    budget, so that a pause in a peer's gossip does not indicate a failure.
     """
 
     on_change: Callable[[api.MembershipChanged], None]
@@ -147,12 +147,12 @@
     def _received_from_unknown_address(self, text: str, source: tuple[str, int]) -> bool:
         """Handles a datagram from an unknown address and returns whether it was for this driver.
 
-        It may come from another process with this member's id and address, between which and this
-        process the kernel distributes the datagrams of peers; or, where members are found through
-        seeds, from a member that is not known yet.
+        It may come from another process with this member's id and address. The kernel then delivers
+        each datagram of a peer to one of the two processes. Where members are found through seeds,
+        it may also come from a member that is not known yet.
         """
-        is_own = text.startswith(DATAGRAM_PREFIX)
-        plain = self._authenticator.verify(text) if is_own else None
+        is_membership = text.startswith(DATAGRAM_PREFIX)
+        plain = self._authenticator.verify(text) if is_membership else None
         if plain is None:
             return False
         if source[0] == self._peers.address[0] and self.membership.detect_duplicate(plain):
--- a/hazelhollow/membership/own_record.py
+++ b/hazelhollow/membership/own_record.py
@@ -9,8 +9,8 @@
 class OwnRecord:
     """This member's own record, and `unreachable`, the members whose datagrams do not arrive here.
 
-    `record` is what others are to hold. A caller that changes it must also put the new record into
-    the member table.
+    `record` is the version that the other members should have. A caller that changes it must also
+    put the new record into the member table.
     """
 
     def __init__(self, record: Record) -> None:
--- a/hazelhollow/membership/partition_quota.py
+++ b/hazelhollow/membership/partition_quota.py
@@ -22,8 +22,9 @@
 
 from hazelhollow.membership.records import MemberState, Record
 
-SILENCE_S = 0.35  # without gossip until a peer that gossips every round counts as unreachable
-# Until the larger side takes over quota of which the smaller side reports no use.
+# Time without gossip after which a peer that gossips every round counts as unreachable.
+SILENCE_S = 0.35
+# Time for which members must be unreachable before the larger side takes over their shares.
 TAKE_OVER_AFTER_S = 10.0
 
 
@@ -31,13 +32,13 @@
 class Peer:
     """What is known of one peer; times are in Unix seconds.
 
-    `last_heard` is the time of its last gossip or of its first record. `known_incarnation` and
+    `last_gossip_at` is the time of its last gossip or of its first record. `known_incarnation` and
     `is_suspect_or_dead` are from the member table. `admitting_incarnation` is the one in which it
     was last known to admit. `unreachable_since` is 0 while its share is not reserved.
     `is_taken_over` says whether the larger side has taken its share over.
     """
 
-    last_heard: float
+    last_gossip_at: float
     known_incarnation: int
     admitting_incarnation: int
     is_suspect_or_dead: bool
@@ -69,7 +70,7 @@
         """Notes that a gossip datagram from that peer has arrived."""
         peer = self.peers.get(number)
         if peer is not None:
-            peer.last_heard = now
+            peer.last_gossip_at = now
 
     def update(self, now: float) -> list[tuple[int, float]]:
         """Updates the reservations, in each protocol period and when the membership changes.
@@ -111,7 +112,7 @@
 
         Returns the peer with the seconds for which its share was unused, if any.
         """
-        is_silent = self._gossips_every_round and now - peer.last_heard > SILENCE_S
+        is_silent = self._gossips_every_round and now - peer.last_gossip_at > SILENCE_S
         if peer.is_suspect_or_dead or is_silent:
             if not peer.unreachable_since:
                 peer.unreachable_since = now
@@ -128,9 +129,9 @@
         return unused
 
     def _take_over_shares(self, now: float) -> bool:
-        """Takes over shares, on the larger side only, and returns whether it took any.
+        """Takes over shares if this member is on the larger side; returns whether it took any.
 
-        Otherwise both sides would take over quota that the other side uses.
+        If the smaller side did so too, each side would use quota that the other side still uses.
         """
         member_count, has_taken = len(self.peers) + 1, False
         if 2 * (member_count - len(self._unreachable)) <= member_count:
--- a/hazelhollow/membership/reception.py
+++ b/hazelhollow/membership/reception.py
@@ -56,7 +56,7 @@
                 state.dissemination.table_compared(same_table)
 
     def _is_fresh(self, message: Message) -> bool:
-        """Whether it is neither of an earlier incarnation nor a replay; otherwise it is counted.
+        """Whether it is neither a replay nor of an earlier incarnation; counts it otherwise.
 
         The sender of an earlier incarnation is notified of the later one.
         """
--- a/hazelhollow/membership/suspicion.py
+++ b/hazelhollow/membership/suspicion.py
@@ -72,7 +72,7 @@
         self._suspicions[record.number] = Suspicion(record, now, now + timeout_s)
 
     def withdraw(self, number: int, refuted: bool) -> None:
-        """Ends a suspicion that the member has refuted, or whose member is known to be gone."""
+        """Ends a suspicion that the member has refuted, or whose member has left or died."""
         if self._suspicions.pop(number, None) and refuted:
             self._consecutive_silent = 0
         self._reset_if_empty()
--- a/hazelhollow/membership/table_exchange.py
+++ b/hazelhollow/membership/table_exchange.py
@@ -52,7 +52,7 @@
         self._next_peer: int | None = None
 
     def compare(self, message: Message, now: float) -> bool:
-        """Returns whether the sender's table is equal; if not, it is asked at the next tick."""
+        """Returns whether the sender's table is equal; if not, asks it at the next tick."""
         is_equal = message.digest == self._table.digest()
         is_due = now - self._mismatch_at >= PROBE_INTERVAL_S
         if not is_equal and message.kind in COMPARED and is_due:
@@ -97,7 +97,8 @@
     def _answer_digests(self, peer: int, digests: tuple[int, ...], now: float) -> None:
         """Sends the records of the buckets whose digests differ.
 
-        It sends complete buckets: parts of every bucket would all have to be sent again.
+        The records are in the order of the buckets, since the digest of a bucket that was sent only
+        in part still differs, so that all of its records are sent again.
         """
         pairs = zip(self._table.bucket_digests(), digests, strict=True)
         differ = [bucket for bucket, (own, other) in enumerate(pairs) if own != other]
@@ -119,8 +120,8 @@
     def _newer_than(self, records: Sequence[Record]) -> list[Record]:
         """The records of this member that are newer than the given ones from a peer.
 
-        They are sent unasked: a peer whose table differs from many others' is asked by all of them,
-        and may have no allowance left to ask back.
+        They are sent without a request. A peer whose table differs from many others' gets requests
+        from all of them, and answering these may leave it no allowance for requests of its own.
         """
         known = [
             (self._table.get(record.number), record)
--- a/hazelhollow/membership/timing.py
+++ b/hazelhollow/membership/timing.py
@@ -11,11 +11,11 @@
 
 Each member pings one other member every `PROBE_INTERVAL_S`, all of them in turn in a random order.
 After `INDIRECT_PROBE_AFTER_S` without an ack it asks `INDIRECT_PROBE_HELPERS` others to ping the
-target too (`failure_detector.py`). After `MASS_FAILURE_SAMPLE` suspects in a row that did not
-answer, the remaining suspects are considered dead without a ping of their own. A datagram from a
-suspect that does not refute restarts its timeout. A member that may not admit work suspects nobody
-by its own probes. Timeouts are checked once per protocol period, so each takes effect up to
-`PROBE_INTERVAL_S` late.
+target too (`failure_detector.py`). Once `MASS_FAILURE_SAMPLE` suspects in a row have not
+answered, the remaining suspects are considered dead without a ping of their own. A datagram from a
+suspect that does not refute restarts its timeout. While a member may not admit work, its own
+probes start no suspicions. Timeouts are checked once per protocol period, so each takes effect up
+to `PROBE_INTERVAL_S` late.
 
 A member that is itself slow waits longer. `LocalHealth` multiplies its probe and suspicion timeouts
 by 1 to 1 + `MAX_HEALTH_SCORE` * `HEALTH_STEP`; each tick that is `LATE_TICK_S` late adds a step.
@@ -31,7 +31,7 @@
 SUSPICION_TIMEOUT_S = 1.6  # from suspicion to death
 CONFIRMATION_ATTEMPTS = 2  # unanswered pings before a death that others report is accepted
 MASS_FAILURE_SAMPLE = 8  # silent members in a row from which a failed zone is inferred
-NEVER_SEEN_TIMEOUT_S = 3.0  # from the own start until a never-seen member is considered dead
+NEVER_SEEN_TIMEOUT_S = 3.0  # from this member's start until a never-seen one is considered dead
 MAX_HEALTH_SCORE = 4  # maximum steps by which a slow member lengthens its timeouts
 HEALTH_STEP = 0.5  # fraction of the base timeout added per step
 LATE_TICK_S = 0.1  # delay of a tick that indicates a slow machine
--- a/tests/membership/test_simulated_fleets.py
+++ b/tests/membership/test_simulated_fleets.py
@@ -90,7 +90,7 @@
 
 
 def test_link_failed_in_one_direction_is_reported_by_its_receiver() -> None:
-    """Only the end that no longer receives reports the link, and nobody is considered dead."""
+    """Only the end that no longer receives reports the link, and no member is considered dead."""
     sim = settled_fleet(8)
     sim.is_cut = lambda a, b: (a, b) == (2, 6)
     sim.run(15.0)
@@ -125,7 +125,7 @@
 
 def test_paused_member_learns_of_its_death_before_it_admits_work() -> None:
     """A process is stopped for eight seconds. It must admit nothing until a peer has reported its
-    death to it, and then refutes that.
+    death to it, and must then refute the report.
     """
     sim = settled_fleet(6)
     sim.pause(2)
@@ -177,8 +177,8 @@
 
 
 def test_loss_makes_nobody_dead_and_message_rate_is_independent_of_size() -> None:
-    """A tenth of all datagrams is lost. Nobody is considered dead, and a member of a larger fleet
-    sends no more datagrams.
+    """A tenth of all datagrams is lost. No member is considered dead, and a member of a larger
+    fleet sends no more datagrams.
     """
     rates = []
     for members in (8, 48):
