--- a/hazelhollow/configuration/distribution/exchange.py
+++ b/hazelhollow/configuration/distribution/exchange.py
@@ -138,9 +138,10 @@
     ) -> int:
         """Chooses the member to ask for pieces of the full document.
 
-        This is a holder. While holders are few, it is any other member, which may have some of the
-        pieces; otherwise all members would ask the first holder. If the document may be short, a
-        holder is asked with HOLDER_REQUEST_PROBABILITY even then.
+        If at least half of the other members hold the document, this is one of the holders.
+        Otherwise it is any other member, which may have some of the pieces, so that not all members
+        ask the few holders. If the document may be short, a holder is chosen even then with
+        HOLDER_REQUEST_PROBABILITY.
         """
         others = [number for number in present if number != self._limiter_id]
         few_holders = 2 * len(wanted.holders) < len(others)
@@ -191,7 +192,7 @@
         return bool(self._waiting_requests)
 
     def step(self, now: float) -> None:
-        """Does a slice of the work on pieces; answers the waiting requests once they are made."""
+        """Does a slice of the work on pieces; answers the waiting requests once all is done."""
         if self._source is None or not self._source.step():
             return
         waiting, self._waiting_requests = self._waiting_requests, []
--- a/hazelhollow/configuration/rollout_control.py
+++ b/hazelhollow/configuration/rollout_control.py
@@ -47,7 +47,10 @@
         return self._state.rollout.candidate
 
     def tick(self, now: float, may_admit: bool) -> None:
-        """Holds or releases the candidate if `rollout` decides so; `may_admit`: it admits work."""
+        """Holds or releases the candidate as `rollout` decides.
+
+        `may_admit` says whether this member admits work.
+        """
         state = self._state
         verdict = state.rollout.evaluate(
             state.known_versions(), state.limiter.request_counts(), now, may_admit
@@ -91,8 +94,8 @@
             )
         if not greatest < revision <= MAX_REVISION:
             raise RolloutRefusedError(
-                f"order {revision} is not above {greatest}, the greatest in use, or above "
-                f"{MAX_REVISION}, the greatest possible"
+                f"order {revision} is not above {greatest}, the greatest in use, or is above "
+                f"{MAX_REVISION}, the maximum"
             )
         max_canaries = min(MAX_CANARIES, len(known_versions) - 1)
         if not 1 <= canaries <= max_canaries:
--- a/hazelhollow/configuration/state.py
+++ b/hazelhollow/configuration/state.py
@@ -80,7 +80,7 @@
         self._adopted_revision = revision
 
     def clear_adopted_revision(self) -> None:
-        """Makes the file's revision the only one that counts."""
+        """Makes the file's revision the only one that applies."""
         self._adopted_revision = 0
 
     def remember_in_force(self, digest: str) -> None:
--- a/tests/configuration/test_adoption.py
+++ b/tests/configuration/test_adoption.py
@@ -46,7 +46,9 @@
 def test_an_unusable_candidate_leaves_the_previous_settings_in_force(
     fleet: ConfigurationFleet, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """All other members need a restart for the candidate; those invited refuse it and serve on."""
+    """All other members need a restart for the candidate. The invited ones refuse it and keep
+    serving.
+    """
     others = [fleet.members[number] for number in range(1, MEMBERS)]
     for member in others:
         member.rejection_reason = lambda document: "plans differ" if document == AFTER else ""
--- a/tests/configuration/test_rollout.py
+++ b/tests/configuration/test_rollout.py
@@ -115,7 +115,7 @@
 
 
 def test_a_member_that_is_behind_refuses_a_candidate(fleet: ConfigurationFleet) -> None:
-    """A member could not use the newest settings, and an operator pushes others at it."""
+    """A member could not use the newest settings, and an operator pushes other ones there."""
     member = fleet.members[3]
     member.rejection_reason = lambda document: "plans differ"
     fleet.members[0].change_file(AFTER, 1)
@@ -184,7 +184,7 @@
 def test_a_leader_that_admits_no_work_does_not_hold_the_candidate(
     fleet: ConfigurationFleet,
 ) -> None:
-    """A leader that was paused has no news of the canaries: it must not consider them gone."""
+    """A leader that was paused has outdated records: it must not consider the canaries gone."""
     leader = start_rollout(fleet)
     fleet.run(BAKE_S - 3.0)
     leader.may_admit = False  # as after a pause
