--- a/hazelhollow/replication/anti_entropy.py
+++ b/hazelhollow/replication/anti_entropy.py
@@ -92,9 +92,9 @@
         self._send_counts(sender, buckets)
 
     def receive_counts(self, counts: Counts) -> None:
-        """Merges counters, except those of this incarnation, to which nobody else adds.
+        """Merges counters, except those of this incarnation, to which only this member adds.
 
-        A received count of this incarnation that is greater than its own is counted as an error.
+        A received count of this incarnation that exceeds the stored one is counted as an error.
         """
         for row in counts.rows:
             if (row.member, row.incarnation) == (self._local.number, self._local.incarnation):
--- a/hazelhollow/replication/catch_up.py
+++ b/hazelhollow/replication/catch_up.py
@@ -5,10 +5,10 @@
 | state | ends when | next state |
 | --- | --- | --- |
 | searching | a member that may know more is present | transferring, from an older one if any |
-| | nobody knows more, or no member is present for a while | complete, without a source |
+| | no member is left to ask, or none was present for a while | complete, without a source |
 | transferring | the last account has arrived | complete, from the source |
 | | the source refuses: it is not complete itself | searching, without it |
-| | the source does not answer for too many attempts | searching, others first |
+| | the source leaves too many attempts unanswered | searching, others first |
 | | the source is no longer present | searching |
 | complete | never | |
 
@@ -31,13 +31,13 @@
 PIECE_TIMEOUT_UNDER_BUDGET_S = 1.5  # the same, where a budget bounds what the source sends
 MAX_ATTEMPTS_BEFORE_FIRST_PIECE = 6  # unanswered, after which a source is abandoned
 MAX_ATTEMPTS_BETWEEN_PIECES = 24  # the same, of a source that has already sent a piece
-# Times that all unresponsive members are asked again before they are taken to know nothing.
+# How often all unresponsive members are asked again before this member completes without them.
 MAX_SEARCHES = 5
 # This long after its start a member that completed without a source knows as much as any other.
 FULL_KNOWLEDGE_AFTER_S = 4.0
 # After so many refusals no more members are asked: all are taken to have started together.
 MAX_REFUSALS = 16
-ALONE_AFTER_S = 1.5  # a member that has seen no other for this long takes itself to be alone
+ALONE_AFTER_S = 1.5  # without another member present, until it completes without a source
 TRANSFER_NUMBERS = 36**4  # transfers are numbered below this
 
 
@@ -62,7 +62,7 @@
         self._outbox, self._random, self._piece_timeout = outbox, rng, piece_timeout
         self._counters = counters
         self.is_complete = False
-        self.completed_by: int | None = None  # the last source; None if nobody knew more
+        self.completed_by: int | None = None  # the last source; None if it completed without one
         self.is_restored = False  # whether this member restored its accounts from a snapshot
         self.new_accounts: list[ReceivedAccount] = []
         self.transfer: Transfer | None = None
@@ -146,7 +146,7 @@
         )
 
     def _search(self, present: Sequence[int], older: Set[int] | None) -> None:
-        """Begins a transfer, from an older member if there is one: it knows more.
+        """Begins a transfer, from an older member if there is one, since that knows more.
 
         Without a candidate, unresponsive members are asked again up to MAX_SEARCHES times; after
         that this member is complete without a source.
--- a/hazelhollow/replication/driver.py
+++ b/hazelhollow/replication/driver.py
@@ -113,7 +113,7 @@
         self._run_round()
 
     def receive(self, sender: int, text: str) -> None:
-        """Handles a datagram of another member; those of other protocols are handed on."""
+        """Handles a datagram of another member; others are passed to the next handler."""
         if not text.startswith(DIALECT[0]):
             self._next_receiver(sender, text)
             return
@@ -169,7 +169,8 @@
         if self._accounts.incarnation:
             self.replica.local.incarnation = self._accounts.incarnation
             older = set[int]() if self.replica.catch_up.is_complete else self._members.older()
-            # `present` includes members whose gossip does not arrive: a catch-up from one goes on.
+            # `present` includes members whose gossip does not arrive, so that a catch-up from one
+            # continues.
             self._send_and_forward(self.replica.run_round(now, self._members.present, older), now)
         if self.snapshots:
             self.snapshots.run_round(now)
--- a/hazelhollow/replication/membership_adapter.py
+++ b/hazelhollow/replication/membership_adapter.py
@@ -43,6 +43,6 @@
         return returned
 
     def older(self) -> set[int]:
-        """Returns the present members that are so much older than this one as to be complete."""
+        """Returns the present members that started long enough before this one to be complete."""
         membership = self._driver.membership
         return membership.members_older_by(FULL_KNOWLEDGE_AFTER_S).intersection(self.present)
--- a/hazelhollow/replication/overrides.py
+++ b/hazelhollow/replication/overrides.py
@@ -1,26 +1,26 @@
 """Operators' overrides of endpoints (disabled, or enabled again), replicated to all members.
 
 This module does no I/O and reads no clock. It alone decides which of two overrides of an endpoint
-holds.
+wins.
 
 The merge rule (`merge`) compares two overrides by these criteria, in this order:
 
-1. The greater `lamport_time` holds. It is one more than the greatest Lamport time, of any endpoint,
+1. The greater `lamport_time` wins. It is one more than the greatest Lamport time, of any endpoint,
    that was known to the member where the override was made. So an override that was made after the
-   other had been seen holds, independently of the clocks.
+   other had been seen wins, independently of the clocks.
 2. Equal Lamport times mean that the two were made concurrently, without knowledge of each other.
-   Then the one that disables the endpoint holds, since sending no requests to it does no harm. If
-   an operator enables the endpoint again afterwards, that holds by criterion 1.
-3. The later `made_at_ms` holds, then the greater `member`, so that all members choose the same one.
+   Then the one that disables the endpoint wins, since sending no requests to it does no harm. If
+   an operator enables the endpoint again afterwards, that wins by criterion 1.
+3. The later `made_at_ms` wins, then the greater `member`, so that all members choose the same one.
 
 The two sides of a partition have equal Lamport times while both have made the same number of
 overrides, of any endpoints. A side that has made more has the greater Lamport time, and its
-override holds by criterion 1.
+override wins by criterion 1.
 
 An instruction that changes nothing in the member's table makes no override: disabling an endpoint
 that is disabled, or enabling one that is enabled or has no override. So if an endpoint was disabled
 before a partition, disabling it again on one side has no effect, and an override that enables it on
-the other side holds. An endpoint that only the file of overrides disables (`net/override_file.py`)
+the other side wins. An endpoint that only the file of overrides disables (`net/override_file.py`)
 is not in the table; enabling it takes effect at this member only.
 
 The merge is the maximum by the order of the fields of `Override`. A maximum is associative,
@@ -50,12 +50,12 @@
 
 
 def merge(first: Override, second: Override) -> Override:
-    """Returns the one of two overrides of one endpoint that holds."""
+    """Returns the one of two overrides of one endpoint that wins."""
     return max(first, second)
 
 
 class OverrideTable:
-    """The override that holds, for each endpoint that has ever had one."""
+    """The override in effect, for each endpoint that has ever had one."""
 
     def __init__(self) -> None:
         self.by_endpoint: dict[str, Override] = {}
@@ -83,7 +83,7 @@
         return True
 
     def newest_first(self) -> list[Override]:
-        """Returns all overrides that hold, the greatest `lamport_time` first."""
+        """Returns all overrides in effect, the greatest `lamport_time` first."""
         return sorted(self.by_endpoint.values(), key=lambda override: -override.lamport_time)
 
     def digest(self) -> int:
--- a/hazelhollow/replication/restore.py
+++ b/hazelhollow/replication/restore.py
@@ -4,8 +4,8 @@
 
 The rule (`guaranteed_level`): after an orderly shutdown of all members a customer has what was left
 plus the refill since then. After a kill it is not known when the members died, nor how long they
-had got no processor time before that while others admitted requests. So all that was left, and all
-refill until the start, may have been used; the refill only repays a debt.
+had been without processor time before that while others admitted requests. So all that was left,
+and all refill until the start, may have been used; the refill only repays a debt.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
     def restored_accounts(
         self, accounts: EngineAccounts, now: float
     ) -> Iterator[api.AccountReplicated]:
-        """Yields the events that restore the snapshot's customers if nobody knows more.
+        """Yields the events that restore the snapshot's customers, if there is no source.
 
         The engine must handle each event before the next one is requested, since that may refer to
         the account that the first one opened.
@@ -52,11 +52,12 @@
                 yield accounts.event_for_saved(saved_account, level, int(now))
 
     def accounts_before_complete(self, accounts: EngineAccounts, now: float) -> list[SavedAccount]:
-        """Returns what a member saves that is not complete: its snapshot less the charges since.
+        """Returns the accounts to save before catch-up is complete.
 
+        Their levels are those of the previous snapshot, plus the refill and less the charges since.
         Until it is complete each member admits its cautious share, whatever was left. The shares of
-        all members add up to one burst, which may be used before the next snapshot: at least that
-        is subtracted.
+        all members add up to one burst, which may be used before the next snapshot, so at least one
+        burst is subtracted.
         """
         remaining, restored_names = list[SavedAccount](), set[str]()
         since_start = now - self.started_at
--- a/hazelhollow/replication/snapshot.py
+++ b/hazelhollow/replication/snapshot.py
@@ -2,7 +2,7 @@
 
 A file is a checksum and a document with a format and version. Fields are stored by position, not by
 name: they may be renamed, and new ones with a default may be added at the end, but none may move.
-`snapshot_file` reads and writes the file, and `restore` derives the levels that still hold from it.
+`snapshot_file` reads and writes the file, and `restore` derives the guaranteed levels from it.
 """
 
 from __future__ import annotations
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -1,4 +1,4 @@
-"""Catch-up of a new member: choice of the source, lost datagrams, and when nobody knows more."""
+"""Catch-up of a new member: choice of the source, lost datagrams, and completion without one."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def test_an_unresponsive_source_is_replaced() -> None:
-    """The source receives requests, but its answers are lost while membership has it as up."""
+    """The source receives requests, but its answers are lost while membership considers it up."""
     net = Network([FakeAccounts(30), FakeAccounts(30), FakeAccounts()])
     unresponsive = 1
     net.is_dropped = lambda a, b: a == unresponsive and b == 2
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("answers", [False, True])
 def test_new_members_wait_for_one_older_member_until_it_answers(answers: bool) -> None:
-    """The only complete member does not answer: no other may conclude that it knows nothing."""
+    """The others must not complete without the only complete member until it answers."""
     net = Network([FakeAccounts(5), *(FakeAccounts() for _ in range(20))], complete=(0,))
     net.older = {replica.local.number: {0} for replica in net.all}
     net.is_dropped = lambda a, b: not answers and b == 0
