--- a/hazelhollow/simulator/fields.py
+++ b/hazelhollow/simulator/fields.py
@@ -32,7 +32,7 @@
     def __init__(self, name: str, values: Any) -> None:
         """Wraps the values of a message; `name` stands for it in error texts."""
         if not isinstance(values, dict):
-            raise WireError(f"{name}: the fields are not an object")
+            raise WireError(f"{name}: value of type {type(values).__name__} is not an object")
         self.name = name
         self._values = values
 
--- a/tests/configuration/test_admission_verdict.py
+++ b/tests/configuration/test_admission_verdict.py
@@ -68,7 +68,7 @@
     assert serving >= MIN_SERVING_SHARE * members and serving >= len(new)
 
 
-def test_a_contradiction_shuts_nobody_out() -> None:
+def test_contradiction_shuts_out_no_member() -> None:
     """Two members act on different settings under one revision; neither takes precedence."""
     for observer, own in ((0, NEW), (1, OTHER), (2, OLD)):
         rule = AdmissionRule(observer)
